--- a/src/bench/java/gatefront/bench/CodecBench.java
+++ b/src/bench/java/gatefront/bench/CodecBench.java
@@ -34,9 +34,11 @@
 @Fork(1)
 public class CodecBench {
     private static final byte[] REQUEST = ("GET /lookup?q=1 HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: b123456\r\n"
-        + "Request-Class: lookup\r\nRequest-Timeout-Ms: 8000\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
+                    + "Request-Class: lookup\r\nRequest-Timeout-Ms: 8000\r\n\r\n")
+            .getBytes(StandardCharsets.US_ASCII);
     private static final byte[] ANSWER = ("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 64\r\n\r\n"
-        + "x".repeat(64)).getBytes(StandardCharsets.US_ASCII);
+                    + "x".repeat(64))
+            .getBytes(StandardCharsets.US_ASCII);
 
     private final EmbeddedChannel requestsIn = channel(new Decoders.Requests());
     private final EmbeddedChannel answersOut = channel(new HttpResponseEncoder());
@@ -53,7 +55,8 @@
 
     private static int drain(EmbeddedChannel channel, boolean in) {
         int parts = 0;
-        for (Object each = in ? channel.readInbound() : channel.readOutbound(); each != null;
+        for (Object each = in ? channel.readInbound() : channel.readOutbound();
+                each != null;
                 each = in ? channel.readInbound() : channel.readOutbound()) {
             ReferenceCountUtil.release(each);
             parts++;
@@ -72,8 +75,11 @@
     @Benchmark
     public int requestEncoded() {
         var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/lookup?q=1");
-        request.headers().set("Host", "origin.svc").set("Request-Id", "b123456").set("Request-Class", "lookup")
-            .set("Request-Timeout-Ms", "8000");
+        request.headers()
+                .set("Host", "origin.svc")
+                .set("Request-Id", "b123456")
+                .set("Request-Class", "lookup")
+                .set("Request-Timeout-Ms", "8000");
         requestsOut.writeOutbound(request);
         return drain(requestsOut, false);
     }
@@ -88,8 +94,8 @@
     /** An answer to a caller. */
     @Benchmark
     public int answerEncoded() {
-        var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-            bytes(ANSWER).writerIndex(64));
+        var response = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1, HttpResponseStatus.OK, bytes(ANSWER).writerIndex(64));
         response.headers().set("Content-Type", "text/plain").set("Content-Length", 64);
         answersOut.writeOutbound(response);
         return drain(answersOut, false);
--- a/src/bench/java/gatefront/bench/DecisionBench.java
+++ b/src/bench/java/gatefront/bench/DecisionBench.java
@@ -57,28 +57,28 @@
         }
 
         @Override
-        public void cancel(long request, int attempt) { }
+        public void cancel(long request, int attempt) {}
 
         @Override
-        public void probe(long server) { }
+        public void probe(long server) {}
 
         @Override
-        public void tell(int agent, byte[] message) { }
+        public void tell(int agent, byte[] message) {}
 
         @Override
-        public void timer(long token, long delay) { }
+        public void timer(long token, long delay) {}
 
         @Override
-        public void closeIdle(long server) { }
+        public void closeIdle(long server) {}
 
         @Override
-        public void watchServers() { }
+        public void watchServers() {}
 
         @Override
-        public void fetchServers() { }
+        public void fetchServers() {}
 
         @Override
-        public void log(String line) { }
+        public void log(String line) {}
     }
 
     /** Lists the servers. */
--- a/src/bench/java/gatefront/bench/Load.java
+++ b/src/bench/java/gatefront/bench/Load.java
@@ -39,15 +39,18 @@
      */
     Load(int port, boolean anew) {
         this.anew = anew;
-        this.bootstrap = new Bootstrap().group(loops).channel(NioSocketChannel.class)
-            .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.SO_LINGER, anew ? 0 : -1)
-            .remoteAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
-            .handler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel ch) {
-                    ch.pipeline().addLast(new Asking());
-                }
-            });
+        this.bootstrap = new Bootstrap()
+                .group(loops)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.SO_LINGER, anew ? 0 : -1)
+                .remoteAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel ch) {
+                        ch.pipeline().addLast(new Asking());
+                    }
+                });
     }
 
     /** Opens connections that ask. */
@@ -61,7 +64,7 @@
     void idle(int connections) throws InterruptedException {
         Bootstrap quiet = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
             @Override
-            protected void initChannel(Channel ch) { }
+            protected void initChannel(Channel ch) {}
         });
         for (int i = 0; i < connections; i++) {
             quiet.connect().sync();
@@ -108,9 +111,11 @@
             if (sentAt == 0 || !anew) {
                 sentAt = System.nanoTime();
             }
-            ctx.writeAndFlush(Unpooled.copiedBuffer("GET /lookup?q=1 HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: b"
-                + IDS.incrementAndGet() + "\r\nRequest-Class: lookup\r\nRequest-Timeout-Ms: 8000\r\n"
-                + (anew ? "Connection: close\r\n" : "") + "\r\n", StandardCharsets.US_ASCII));
+            ctx.writeAndFlush(Unpooled.copiedBuffer(
+                    "GET /lookup?q=1 HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: b"
+                            + IDS.incrementAndGet() + "\r\nRequest-Class: lookup\r\nRequest-Timeout-Ms: 8000\r\n"
+                            + (anew ? "Connection: close\r\n" : "") + "\r\n",
+                    StandardCharsets.US_ASCII));
         }
 
         @Override
@@ -122,7 +127,10 @@
                     if (end >= 0 && head.indexOf("\r\n\r\n", end) == end) {
                         String text = head.toString().toLowerCase();
                         int at = text.indexOf("content-length:");
-                        body = at < 0 ? 0 : Long.parseLong(text.substring(at + 15, text.indexOf('\r', at)).trim());
+                        body = at < 0
+                                ? 0
+                                : Long.parseLong(text.substring(at + 15, text.indexOf('\r', at))
+                                        .trim());
                         if (!text.startsWith("http/1.1 200")) {
                             refused.incrementAndGet();
                         }
--- a/src/bench/java/gatefront/bench/Relay.java
+++ b/src/bench/java/gatefront/bench/Relay.java
@@ -17,7 +17,7 @@
 
 /** The floor: takes connections, makes one to a server for each, and writes on what it reads. Nothing else. */
 final class Relay {
-    private Relay() { }
+    private Relay() {}
 
     /** Writes on to another channel, and ends it with its own. */
     private static final class Onward extends ChannelInboundHandlerAdapter {
@@ -52,23 +52,34 @@
     public static void main(String[] args) throws Exception {
         InetSocketAddress server = new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(args[0]));
         MultiThreadIoEventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        Channel listening = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, 1_024).childOption(ChannelOption.TCP_NODELAY, true)
-            .childOption(ChannelOption.AUTO_READ, false).childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel client) {
-                    new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-                        .handler(new Onward(client)).connect(server)
-                        .addListener((ChannelFutureListener) done -> {
-                            if (done.isSuccess()) {
-                                client.pipeline().addLast(new Onward(done.channel()));
-                                client.config().setAutoRead(true);
-                            } else {
-                                client.close();
-                            }
-                        });
-                }
-            }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
+        Channel listening = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, 1_024)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childOption(ChannelOption.AUTO_READ, false)
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel client) {
+                        new Bootstrap()
+                                .group(loop)
+                                .channel(NioSocketChannel.class)
+                                .option(ChannelOption.TCP_NODELAY, true)
+                                .handler(new Onward(client))
+                                .connect(server)
+                                .addListener((ChannelFutureListener) done -> {
+                                    if (done.isSuccess()) {
+                                        client.pipeline().addLast(new Onward(done.channel()));
+                                        client.config().setAutoRead(true);
+                                    } else {
+                                        client.close();
+                                    }
+                                });
+                    }
+                })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .sync()
+                .channel();
         System.err.println("listening on 127.0.0.1:" + ((InetSocketAddress) listening.localAddress()).getPort());
     }
 }
--- a/src/bench/java/gatefront/bench/Servers.java
+++ b/src/bench/java/gatefront/bench/Servers.java
@@ -20,25 +20,32 @@
 /** Servers that answer each request at once. Requests are without bodies, so that each ends with an empty line. */
 final class Servers implements AutoCloseable {
     private static final byte[] ANSWER = ("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 64\r\n\r\n"
-        + "x".repeat(64)).getBytes(StandardCharsets.US_ASCII);
+                    + "x".repeat(64))
+            .getBytes(StandardCharsets.US_ASCII);
 
     private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final List<Integer> ports = new ArrayList<>();
 
     /** So many; whether they answer at all. */
     Servers(int count, boolean answering) throws InterruptedException {
-        ServerBootstrap bootstrap = new ServerBootstrap().group(loops).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, 1_024).childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel ch) {
-                    if (answering) {
-                        ch.pipeline().addLast(new Answering());
+        ServerBootstrap bootstrap = new ServerBootstrap()
+                .group(loops)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, 1_024)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel ch) {
+                        if (answering) {
+                            ch.pipeline().addLast(new Answering());
+                        }
                     }
-                }
-            });
+                });
         for (int i = 0; i < count; i++) {
-            Channel bound = bootstrap.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
+            Channel bound = bootstrap
+                    .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                    .sync()
+                    .channel();
             ports.add(((InetSocketAddress) bound.localAddress()).getPort());
         }
     }
--- a/src/bench/java/gatefront/bench/StorageFigures.java
+++ b/src/bench/java/gatefront/bench/StorageFigures.java
@@ -26,13 +26,17 @@
     private static final int MANY = 10_000_000;
     private static final int GROUP = 1_000;
 
-    private StorageFigures() { }
+    private StorageFigures() {}
 
     /** Prints a line for each; the argument is a folder on the disk to be measured. */
     public static void main(String[] args) throws Exception {
         Path folder = Files.createTempDirectory(Path.of(args[0]), "storage");
-        byte[] entry = EntryCodec.write(Entry.use(new EntryId("agente-1", 3, 123_456), 20_788, "oaxaca-centro",
-            "consulta-saldo", new Amounts(42, 84_000_000, 3_100_000, 81_000)));
+        byte[] entry = EntryCodec.write(Entry.use(
+                new EntryId("agente-1", 3, 123_456),
+                20_788,
+                "oaxaca-centro",
+                "consulta-saldo",
+                new Amounts(42, 84_000_000, 3_100_000, 81_000)));
         System.out.printf(Locale.ROOT, "an entry of %d bytes%n", entry.length);
         for (GroupCommit.Policy each : GroupCommit.Policy.values()) {
             policy(folder.resolve(each.toString()), each, entry, Keys.NONE);
@@ -47,8 +51,8 @@
         Store store = Store.open(new FolderDisk(folder), new Store.Options(keys, 4 << 20, 1L << 34), Replay.NOBODY);
         Histogram micros = new Histogram(60_000_000L, 3);
         AtomicLong lost = new AtomicLong();
-        GroupCommit commit = new GroupCommit(store, new GroupCommit.Settings(policy, 500, 1_024, 4_096),
-            System::nanoTime, "storage");
+        GroupCommit commit = new GroupCommit(
+                store, new GroupCommit.Settings(policy, 500, 1_024, 4_096), System::nanoTime, "storage");
         long began = System.nanoTime();
         long turnedAway = 0;
         while (System.nanoTime() - began < 1_000_000_000L * SECONDS) {
@@ -71,9 +75,14 @@
         }
         commit.close();
         double seconds = (System.nanoTime() - began) / 1e9;
-        System.out.printf(Locale.ROOT, "%-6s %10.0f entries a second, until kept: median %d us, 99th %d us; lost %d%n",
-            policy, micros.getTotalCount() / seconds, micros.getValueAtPercentile(50), micros.getValueAtPercentile(99),
-            lost.get());
+        System.out.printf(
+                Locale.ROOT,
+                "%-6s %10.0f entries a second, until kept: median %d us, 99th %d us; lost %d%n",
+                policy,
+                micros.getTotalCount() / seconds,
+                micros.getValueAtPercentile(50),
+                micros.getValueAtPercentile(99),
+                lost.get());
     }
 
     private static void start(Path folder, byte[] entry) throws IOException {
@@ -91,15 +100,19 @@
         long began = System.nanoTime();
         Store again = Store.open(new FolderDisk(folder), options, new Replay() {
             @Override
-            public void snapshot(byte[] record) { }
+            public void snapshot(byte[] record) {}
 
             @Override
             public void record(long number, byte[] record) {
                 seen[0]++;
             }
         });
-        System.out.printf(Locale.ROOT, "a start with %d records in %d bytes: %.1f s%n", seen[0], again.bytes(),
-            (System.nanoTime() - began) / 1e9);
+        System.out.printf(
+                Locale.ROOT,
+                "a start with %d records in %d bytes: %.1f s%n",
+                seen[0],
+                again.bytes(),
+                (System.nanoTime() - began) / 1e9);
         again.close();
     }
 }
--- a/src/main/java/gatefront/agent/Agent.java
+++ b/src/main/java/gatefront/agent/Agent.java
@@ -50,6 +50,7 @@
     private static final long KILL_AFTER_MS = 700;
     /** So long before that the last answers are given, and so long before those connections begin to end. */
     private static final long LAST_MS = 200;
+
     private static final long CLOSING_MS = 300;
     /** However long the deadlines are, connections begin to end after this. */
     private static final long SERVE_ON_MOST_MS = 2_000;
@@ -60,25 +61,30 @@
     private static final int BODIES_PART = 6;
     /** Calls held at the most: several of a connection wait where a protocol lets them. */
     private static final int CALLS_A_CONNECTION = 8;
+
     private static final int CALLS_LEAST = 1_024;
     private static final long TREND_SECONDS = 1;
     /** How often it looks at the clock where nothing else happens, and how long it waits to hear after a standstill. */
     private static final long BEAT_MS = 100;
+
     private static final long HEAR_MICROS = 300_000;
 
     /** As it is now: a reload may change it. */
     private Config config;
+
     private final Transport transport;
     private final Budget budget;
     private final Map<Purpose, Budget.Cap> usual;
     /** Shows what is held; null where nobody asked for it. */
     private final StatusFront status;
+
     private final EventLoop loop;
     private final Engine engine;
     private final HttpUpstream backends;
     private final Discovery discovery;
     /** Makes one list of several sources; null where the padrón is the only one. */
     private final Sources sources;
+
     private final HttpFront clients;
     /** What operators do with it; null where they have no door. */
     private final Operations operations;
@@ -88,23 +94,30 @@
     private Recovering recovering;
     /** All of them, that over HTTP first. */
     private final List<Front> fronts = new ArrayList<>();
+
     private final CountDownLatch ended = new CountDownLatch(1);
     private final AtomicBoolean stopping = new AtomicBoolean();
-    private volatile Runnable whenEnded = () -> { };
+    private volatile Runnable whenEnded = () -> {};
     private volatile boolean failed;
     private boolean ending;
     /** Whether a list has come, or has been waited for long enough; and whether the path has been run. */
     private boolean listed;
+
     private boolean warm;
     /** Whether it has been ready, and looks out for standstills since. */
     private boolean wakes;
     /** Whether it listens for callers. */
     private boolean serves;
+
     private boolean binding;
     private int warmedBy;
 
-    private Agent(Config config, Extensions extensions, Transport transport, Neighbour neighbour,
-                  Function<Engine, Balancer> module) {
+    private Agent(
+            Config config,
+            Extensions extensions,
+            Transport transport,
+            Neighbour neighbour,
+            Function<Engine, Balancer> module) {
         ThriftSettings thrift = extensions.thrift();
         this.config = config;
         this.transport = transport;
@@ -113,13 +126,14 @@
         usual = caps(transport.memory(), each * (thrift == null ? 1 : 2));
         budget = new Budget(transport.memory(), usual);
         cap(extensions);
-        status = extensions.memory() == null || extensions.memory().status() == null ? null
-            : new StatusFront(transport, extensions.memory().status(), budget);
+        status = extensions.memory() == null || extensions.memory().status() == null
+                ? null
+                : new StatusFront(transport, extensions.memory().status(), budget);
         backends = new HttpUpstream(transport, config, each, budget);
-        ThriftUpstream overThrift = thrift == null ? null
-            : new ThriftUpstream(transport, config, thrift, each, budget);
-        List<Upstream> upstreams = overThrift == null ? List.of(backends)
-            : thrift.probes() ? List.of(overThrift, backends) : List.of(backends, overThrift);
+        ThriftUpstream overThrift = thrift == null ? null : new ThriftUpstream(transport, config, thrift, each, budget);
+        List<Upstream> upstreams = overThrift == null
+                ? List.of(backends)
+                : thrift.probes() ? List.of(overThrift, backends) : List.of(backends, overThrift);
         discovery = new Discovery(transport, config, new Discovery.Listener() {
             @Override
             public void list(Balancer.ListKind kind, List<Endpoint> endpoints) {
@@ -140,51 +154,65 @@
             }
         });
         // After discovery: the module may ask for the list at once, on the loop, and would find none to ask.
-        engine = new Engine(transport, config.settings(), config.seed(), upstreams, new Engine.Source() {
-            @Override
-            public void watch() {
-                if (asksPadron()) {
-                    discovery.watch();
-                }
-            }
+        engine = new Engine(
+                transport,
+                config.settings(),
+                config.seed(),
+                upstreams,
+                new Engine.Source() {
+                    @Override
+                    public void watch() {
+                        if (asksPadron()) {
+                            discovery.watch();
+                        }
+                    }
 
-            @Override
-            public void fetch() {
-                if (asksPadron()) {
-                    discovery.fetch();
-                }
-            }
-        }, budget, module);
-        sources = extensions.registry() == null ? null
-            : new Sources(transport, config, extensions.registry(), budget.of(Purpose.REGISTRY), engine,
-                this::servers, () -> listed = true);
+                    @Override
+                    public void fetch() {
+                        if (asksPadron()) {
+                            discovery.fetch();
+                        }
+                    }
+                },
+                budget,
+                module);
+        sources = extensions.registry() == null
+                ? null
+                : new Sources(
+                        transport,
+                        config,
+                        extensions.registry(),
+                        budget.of(Purpose.REGISTRY),
+                        engine,
+                        this::servers,
+                        () -> listed = true);
         clients = new HttpFront(transport, config, each, this::ready, budget, engine.through(backends));
         fronts.add(clients);
         if (thrift != null) {
-            fronts.add(new ThriftFront(transport, config, thrift, each, this::ready, budget,
-                engine.through(overThrift)));
+            fronts.add(
+                    new ThriftFront(transport, config, thrift, each, this::ready, budget, engine.through(overThrift)));
         }
         operations = config.management() == null ? null : operations(this, neighbour);
     }
 
     private static Operations operations(Agent agent, Neighbour neighbour) {
-        return new Operations(agent.transport, agent.config.management(), neighbour, agent.engine,
-            new Operations.Host() {
-                @Override
-                public boolean ready() {
-                    return agent.ready() && !agent.stopping.get();
-                }
+        return new Operations(
+                agent.transport, agent.config.management(), neighbour, agent.engine, new Operations.Host() {
+                    @Override
+                    public boolean ready() {
+                        return agent.ready() && !agent.stopping.get();
+                    }
 
-                @Override
-                public List<String> classes() {
-                    return agent.config.classes();
-                }
+                    @Override
+                    public List<String> classes() {
+                        return agent.config.classes();
+                    }
 
-                @Override
-                public void alone() {
-                    agent.takeOver();
-                }
-            });
+                    @Override
+                    public void alone() {
+                        agent.takeOver();
+                    }
+                });
     }
 
     /** What each purpose may hold where nothing else is said; the connections' own limits hold them besides. */
@@ -228,8 +256,8 @@
      */
     public static Agent start(Path config, Path extensions, String management, Path shared) throws IOException {
         Config read = Config.read(config).managedAt(management);
-        return serve(read, extensions == null ? Extensions.NONE : Extensions.read(extensions, read), shared,
-            Engine::usual);
+        return serve(
+                read, extensions == null ? Extensions.NONE : Extensions.read(extensions, read), shared, Engine::usual);
     }
 
     static Agent start(Config config) throws IOException {
@@ -253,10 +281,14 @@
 
     private static Agent serve(Config config, Extensions extensions, Path shared, Function<Engine, Balancer> module)
             throws IOException {
-        SocketTransport sockets = new SocketTransport(extensions.recovery() == null ? 0
-            : extensions.recovery().clockOff());
-        Neighbour neighbour = shared == null || config.management() == null ? null : new Neighbour(shared,
-            Long.toHexString(config.seed()) + "-" + Long.toHexString(sockets.wallMicros()), sockets::log);
+        SocketTransport sockets = new SocketTransport(
+                extensions.recovery() == null ? 0 : extensions.recovery().clockOff());
+        Neighbour neighbour = shared == null || config.management() == null
+                ? null
+                : new Neighbour(
+                        shared,
+                        Long.toHexString(config.seed()) + "-" + Long.toHexString(sockets.wallMicros()),
+                        sockets::log);
         Agent agent = new Agent(config, extensions, sockets, neighbour, module);
         if (extensions.ledger() != null) {
             try {
@@ -269,18 +301,23 @@
         if (extensions.recovery() != null) {
             agent.recovering = Recovering.open(sockets, extensions.recovery(), config);
         }
-        if (agent.operations != null && !agent.operations.listen().awaitUninterruptibly().isSuccess()) {
+        if (agent.operations != null
+                && !agent.operations.listen().awaitUninterruptibly().isSuccess()) {
             throw agent.unable("cannot listen on " + config.management() + " for the operators");
         }
         agent.serves = !agent.follows();
         for (Front each : agent.serves ? agent.fronts : List.<Front>of()) {
             ChannelFuture bound = each.listen().awaitUninterruptibly();
             if (!bound.isSuccess()) {
-                throw agent.unable("cannot listen on " + (each == agent.clients ? config.listen()
-                    : extensions.thrift().listen()) + ": " + bound.cause().getMessage());
+                throw agent.unable("cannot listen on "
+                        + (each == agent.clients
+                                ? config.listen()
+                                : extensions.thrift().listen()) + ": "
+                        + bound.cause().getMessage());
             }
         }
-        if (agent.status != null && !agent.status.listen().awaitUninterruptibly().isSuccess()) {
+        if (agent.status != null
+                && !agent.status.listen().awaitUninterruptibly().isSuccess()) {
             throw agent.unable("cannot listen on " + extensions.memory().status() + " for the status page");
         }
         if (agent.status != null) {
@@ -301,7 +338,7 @@
         if (operations != null) {
             operations.close();
         }
-        transport.close(() -> { });
+        transport.close(() -> {});
         return new IOException(why);
     }
 
@@ -314,8 +351,8 @@
      * @param module makes its decision module
      * @return the agent, about to listen
      */
-    public static Agent start(Config config, Extensions extensions, Transport transport,
-                              Function<Engine, Balancer> module) {
+    public static Agent start(
+            Config config, Extensions extensions, Transport transport, Function<Engine, Balancer> module) {
         Agent agent = new Agent(config, extensions, transport, null, module);
         agent.serves = true;
         int[] waiting = {agent.fronts.size()};
@@ -328,8 +365,8 @@
     }
 
     private void begin() {
-        loop.scheduleWithFixedDelay(() -> budget.rising(engine.now()).forEach(this::say), TREND_SECONDS, TREND_SECONDS,
-            TimeUnit.SECONDS);
+        loop.scheduleWithFixedDelay(
+                () -> budget.rising(engine.now()).forEach(this::say), TREND_SECONDS, TREND_SECONDS, TimeUnit.SECONDS);
         if (serves) {
             sayWhere();
         }
@@ -345,7 +382,7 @@
         // Guards against sending to what the list before had and this one has not: a new process is told from its first
         // moment, and the list it starts with may be old. Harm: with nobody to tell, calls wait for so long.
         long grace = Math.min(FIRST_LIST_MS, config.settings().obligations().drainGrace() / 1_000);
-        engine.wakes(Waking.starting(transport.nanos() / 1_000, grace * 1_000), grace, () -> { });
+        engine.wakes(Waking.starting(transport.nanos() / 1_000, grace * 1_000), grace, () -> {});
         Discovery.Listing known;
         try {
             known = Discovery.decode(recovering == null ? config.known() : recovering.known(config.known()), config);
@@ -362,16 +399,25 @@
         if (!config.settings().askDiscovery() && asksPadron()) {
             discovery.watch();
         }
-        loop.schedule(() -> {
-            listed = true;
-            takeOver();
-        }, FIRST_LIST_MS, TimeUnit.MILLISECONDS);
-        Warmup.run(transport, config, backends, clients, serves ? address() : operations.address(),
-            serves ? "/healthz" : "/healthcheck", answered -> {
-            warm = true;
-            warmedBy = answered;
-            takeOver();
-        });
+        loop.schedule(
+                () -> {
+                    listed = true;
+                    takeOver();
+                },
+                FIRST_LIST_MS,
+                TimeUnit.MILLISECONDS);
+        Warmup.run(
+                transport,
+                config,
+                backends,
+                clients,
+                serves ? address() : operations.address(),
+                serves ? "/healthz" : "/healthcheck",
+                answered -> {
+                    warm = true;
+                    warmedBy = answered;
+                    takeOver();
+                });
     }
 
     /** It may have become ready; what recovers is told once. */
@@ -393,8 +439,12 @@
         long grace = config.settings().obligations().drainGrace();
         Waking waking = new Waking(Math.max(BEAT_MS * 2_000, grace - BEAT_MS * 1_000), HEAR_MICROS);
         engine.wakes(waking, HEAR_MICROS / 1000, () -> {
-            say(String.format(Locale.ROOT, "recovery: it stood still for %.1f s; nothing is sent on before the list "
-                + "has been heard, for %d ms at the most", waking.gap() / 1e6, HEAR_MICROS / 1000));
+            say(String.format(
+                    Locale.ROOT,
+                    "recovery: it stood still for %.1f s; nothing is sent on before the list "
+                            + "has been heard, for %d ms at the most",
+                    waking.gap() / 1e6,
+                    HEAR_MICROS / 1000));
             if (asksPadron()) {
                 discovery.fetch();
             }
@@ -433,7 +483,8 @@
         int[] waiting = {fronts.size()};
         fronts.forEach(each -> each.listen().addListener(done -> {
             if (!done.isSuccess()) {
-                say("cannot listen beside the process that serves: " + done.cause().getMessage());
+                say("cannot listen beside the process that serves: "
+                        + done.cause().getMessage());
                 failed = true;
                 stopping.set(true);
                 close(); // that one serves on, as if this had never been
@@ -485,8 +536,7 @@
      * @param ofOurOwn the file of our own beside it, or null
      */
     public void reload(Path file, Path ofOurOwn) {
-        reload(() -> Config.read(file),
-            read -> ofOurOwn == null ? Extensions.NONE : Extensions.read(ofOurOwn, read));
+        reload(() -> Config.read(file), read -> ofOurOwn == null ? Extensions.NONE : Extensions.read(ofOurOwn, read));
     }
 
     /**
@@ -549,8 +599,11 @@
         if (stopping.getAndSet(true)) {
             return;
         }
-        long longest = config.settings().classes().stream().mapToLong(Balancer.RequestClass::giveUp).max()
-            .orElse(0) / 1000;
+        long longest = config.settings().classes().stream()
+                        .mapToLong(Balancer.RequestClass::giveUp)
+                        .max()
+                        .orElse(0)
+                / 1000;
         long last = longest + KILL_AFTER_MS - LAST_MS;
         loop.execute(() -> {
             boolean handsOver = operations != null && serves && operations.followed();
--- a/src/main/java/gatefront/agent/Extensions.java
+++ b/src/main/java/gatefront/agent/Extensions.java
@@ -25,8 +25,12 @@
  * @param ledger where use by municipio is written, or null if it is not
  * @param recovery what is kept over the agent's death, or null if nothing is
  */
-public record Extensions(ThriftSettings thrift, RegistrySettings registry, MemoryTable memory,
-                         LedgerTable ledger, RecoveryTable recovery) {
+public record Extensions(
+        ThriftSettings thrift,
+        RegistrySettings registry,
+        MemoryTable memory,
+        LedgerTable ledger,
+        RecoveryTable recovery) {
     /** Without anything that is kept. */
     public Extensions(ThriftSettings thrift, RegistrySettings registry, MemoryTable memory, LedgerTable ledger) {
         this(thrift, registry, memory, ledger, null);
@@ -34,9 +38,10 @@
 
     /** None. */
     public static final Extensions NONE = new Extensions(null, null, null, null);
+
     private static final int PORT_MOST = 65_535;
-    private static final Map<String, Encoding> ENCODINGS = Map.of("binary", Encoding.BINARY, "binary-old",
-        Encoding.BINARY_OLD, "compact", Encoding.COMPACT);
+    private static final Map<String, Encoding> ENCODINGS =
+            Map.of("binary", Encoding.BINARY, "binary-old", Encoding.BINARY_OLD, "compact", Encoding.COMPACT);
 
     /**
      * Reads the file.
@@ -61,8 +66,8 @@
         RegistrySettings registry = top.has("registry") ? RegistryTable.read(top.table("registry")) : null;
         MemoryTable memory = top.has("memory") ? MemoryTable.read(top.table("memory")) : null;
         LedgerTable ledger = top.has("ledger") ? LedgerTable.read(top.table("ledger")) : null;
-        RecoveryTable recovery = top.has("recovery") ? RecoveryTable.read(top.table("recovery"),
-            top.table("rehearsal")) : null;
+        RecoveryTable recovery =
+                top.has("recovery") ? RecoveryTable.read(top.table("recovery"), top.table("rehearsal")) : null;
         top.finish();
         return new Extensions(thrift, registry, memory, ledger, recovery);
     }
@@ -77,8 +82,9 @@
         String framing = table.word("framing", "any", List.of("any", "framed", "unframed"));
         String protocol = table.word("protocol", "any", List.of("any", "binary", "binary-old", "compact"));
         if (framing.equals("any") != protocol.equals("any")) {
-            throw table.bad(framing.equals("any") ? "protocol" : "framing",
-                "framing and protocol are both told from the first bytes, or both fixed");
+            throw table.bad(
+                    framing.equals("any") ? "protocol" : "framing",
+                    "framing and protocol are both told from the first bytes, or both fixed");
         }
         Form form = framing.equals("any") ? null : new Form(framing.equals("framed"), ENCODINGS.get(protocol));
         int port = table.whole("nodo_port", -1, 1, PORT_MOST);
--- a/src/main/java/gatefront/agent/LedgerKeeper.java
+++ b/src/main/java/gatefront/agent/LedgerKeeper.java
@@ -47,6 +47,7 @@
     private final Periods periods;
     /** Of the loop: whether a hand-over is out, and what is handed over next. */
     private boolean out;
+
     private boolean ended;
     private boolean failing;
     private TreeMap<Ledger.Cell, Amounts> waiting = new TreeMap<>();
@@ -54,10 +55,11 @@
     private TreeMap<Ledger.Cell, Amounts> handed = new TreeMap<>();
     /** Of the writer: null while another process has them; and the first period that it has not closed. */
     private Books books;
+
     private long closed;
 
-    private LedgerKeeper(Transport transport, LedgerTable table, Supplier<Config> config, Store.Options options,
-                         Books books) {
+    private LedgerKeeper(
+            Transport transport, LedgerTable table, Supplier<Config> config, Store.Options options, Books books) {
         this.transport = transport;
         this.table = table;
         this.config = config;
@@ -84,8 +86,8 @@
         try {
             books = Books.open(new FolderDisk(table.folder()), options, table.instance());
             if (books.begun()) {
-                transport.log("ledger: " + table.folder()
-                    + " holds no books; they are begun now, or all of them are lost");
+                transport.log(
+                        "ledger: " + table.folder() + " holds no books; they are begun now, or all of them are lost");
             }
         } catch (InUseException e) {
             transport.log("ledger: another process writes the books; counting until it has ended");
@@ -102,8 +104,10 @@
 
     /** Writes from now on. */
     void start() {
-        transport.loop().scheduleWithFixedDelay(this::handOver, table.writeMicros(), table.writeMicros(),
-            TimeUnit.MICROSECONDS);
+        transport
+                .loop()
+                .scheduleWithFixedDelay(
+                        this::handOver, table.writeMicros(), table.writeMicros(), TimeUnit.MICROSECONDS);
     }
 
     private void handOver() {
@@ -125,9 +129,13 @@
         Config now = config.get();
         usage.take((tenant, type, requests, work, bytes) -> {
             double worth = now.settings().classes().get(type).worth();
-            waiting.merge(new Ledger.Cell(period, now.tenants().isEmpty() ? "" : now.tenants().get(tenant),
-                now.classes().get(type)), new Amounts(requests, (long) (MILLIONTHS * worth * requests), work, bytes),
-                Amounts::plus);
+            waiting.merge(
+                    new Ledger.Cell(
+                            period,
+                            now.tenants().isEmpty() ? "" : now.tenants().get(tenant),
+                            now.classes().get(type)),
+                    new Amounts(requests, (long) (MILLIONTHS * worth * requests), work, bytes),
+                    Amounts::plus);
         });
     }
 
--- a/src/main/java/gatefront/agent/LedgerTable.java
+++ b/src/main/java/gatefront/agent/LedgerTable.java
@@ -32,8 +32,12 @@
             throw table.bad("write_s", "is to be half of period_s at the most, for a period to be written in time");
         }
         String keys = table.text("keys", "");
-        return new LedgerTable(Path.of(table.text("folder", null)), instance, keys.isEmpty() ? null : Path.of(keys),
-            (long) (1e6 * period), (long) (1e6 * write),
-            (long) (table.number("disk_mb", MEGABYTES, 1, MEGABYTES_MOST) * (1 << 20)));
+        return new LedgerTable(
+                Path.of(table.text("folder", null)),
+                instance,
+                keys.isEmpty() ? null : Path.of(keys),
+                (long) (1e6 * period),
+                (long) (1e6 * write),
+                (long) (table.number("disk_mb", MEGABYTES, 1, MEGABYTES_MOST) * (1 << 20)));
     }
 }
--- a/src/main/java/gatefront/agent/Operations.java
+++ b/src/main/java/gatefront/agent/Operations.java
@@ -50,9 +50,11 @@
     private final Neighbour neighbour;
     /** Servers that are about to be put back; each goes after {@link #RETURN_MS}. */
     private final Map<String, Future<?>> returning = new HashMap<>();
+
     private Future<?> looking;
     /** What is known over a death; null where nothing is kept. */
     private Recovering recovering;
+
     private boolean follows;
     private long applied;
     private long rejected;
@@ -133,7 +135,7 @@
         boolean news = bans.changed();
         if (news) {
             neighbour.tell(bans.entries());
-            keep(bans.entries(), kept -> { });
+            keep(bans.entries(), kept -> {});
         }
         if (!lines.isEmpty()) {
             engine.servers(ListKind.DELTA, lines);
@@ -164,16 +166,27 @@
         if (!out && bans.isOut(backend)) {
             // Guards against a request that is there before the operator has the yes: what is held goes out at once.
             Map<String, Bans.Entry> soon = new HashMap<>(bans.entries());
-            soon.put(backend, new Bans.Entry(false, Math.max(transport.wallMicros(), soon.get(backend).at() + 1)));
+            soon.put(
+                    backend,
+                    new Bans.Entry(
+                            false,
+                            Math.max(transport.wallMicros(), soon.get(backend).at() + 1)));
             keep(soon, kept -> {
                 then.accept(Bans.Answer.YES, kept);
                 // A call that came meanwhile has the last word.
                 if (bans.isOut(backend) && !returning.containsKey(backend)) {
-                    returning.put(backend, transport.loop().schedule(() -> {
-                        returning.remove(backend);
-                        apply(backend, false);
-                        keep(bans.entries(), again -> { });
-                    }, RETURN_MS, TimeUnit.MILLISECONDS));
+                    returning.put(
+                            backend,
+                            transport
+                                    .loop()
+                                    .schedule(
+                                            () -> {
+                                                returning.remove(backend);
+                                                apply(backend, false);
+                                                keep(bans.entries(), again -> {});
+                                            },
+                                            RETURN_MS,
+                                            TimeUnit.MILLISECONDS));
                 }
             });
             return;
--- a/src/main/java/gatefront/agent/Recovering.java
+++ b/src/main/java/gatefront/agent/Recovering.java
@@ -59,8 +59,14 @@
         kept = opened.kept();
         recovery.store(opened.state(), opened.why(), transport.wallMicros());
         if (kept.instance() != null) {
-            bans = recovery.claim(new Claim(Piece.BANS, Source.STORE, kept.instance(), kept.upTo(),
-                opened.state() == Recovery.Store.DAMAGED), transport.wallMicros());
+            bans = recovery.claim(
+                    new Claim(
+                            Piece.BANS,
+                            Source.STORE,
+                            kept.instance(),
+                            kept.upTo(),
+                            opened.state() == Recovery.Store.DAMAGED),
+                    transport.wallMicros());
         }
         say();
     }
@@ -76,8 +82,9 @@
     }
 
     void start() {
-        transport.loop().scheduleWithFixedDelay(keeper::mark, table.markMicros(), table.markMicros(),
-            TimeUnit.MICROSECONDS);
+        transport
+                .loop()
+                .scheduleWithFixedDelay(keeper::mark, table.markMicros(), table.markMicros(), TimeUnit.MICROSECONDS);
         transport.loop().scheduleWithFixedDelay(this::keepList, LIST_MS, LIST_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -101,8 +108,8 @@
             } catch (IOException e) {
                 read = false;
             }
-            Finding finding = recovery.claim(new Claim(Piece.LIST, Source.STORE, kept.instance(), kept.listAt(),
-                !read), now);
+            Finding finding =
+                    recovery.claim(new Claim(Piece.LIST, Source.STORE, kept.instance(), kept.listAt(), !read), now);
             own = finding.verdict() == Verdict.DROPPED ? null : own;
         }
         if (own == null && configured.path("endpoints").size() > 0) {
@@ -137,8 +144,15 @@
             listChanged = false;
             ArrayNode endpoints = JsonNodeFactory.instance.arrayNode();
             listed.values().forEach(each -> endpoints.add(EndpointForm.encode(each, config)));
-            keeper.list(transport.wallMicros(), JsonNodeFactory.instance.objectNode().put("index", 0)
-                .put("snapshot", true).set("endpoints", endpoints).toString().getBytes(StandardCharsets.UTF_8));
+            keeper.list(
+                    transport.wallMicros(),
+                    JsonNodeFactory.instance
+                            .objectNode()
+                            .put("index", 0)
+                            .put("snapshot", true)
+                            .set("endpoints", endpoints)
+                            .toString()
+                            .getBytes(StandardCharsets.UTF_8));
         }
     }
 
@@ -168,10 +182,13 @@
                 then.accept(all[0]);
             }
         };
-        handedOver.keySet().stream().filter(each -> !entries.containsKey(each)).toList().forEach(each -> {
-            handedOver.remove(each);
-            keeper.ban(each, null, fault -> { });
-        });
+        handedOver.keySet().stream()
+                .filter(each -> !entries.containsKey(each))
+                .toList()
+                .forEach(each -> {
+                    handedOver.remove(each);
+                    keeper.ban(each, null, fault -> {});
+                });
         entries.forEach((name, entry) -> {
             if (!entry.equals(handedOver.put(name, entry))) {
                 out[0]++;
--- a/src/main/java/gatefront/agent/RecoveryTable.java
+++ b/src/main/java/gatefront/agent/RecoveryTable.java
@@ -19,8 +19,8 @@
  * @param without guards that a rehearsal has switched off
  * @param clockOff by how much a rehearsal has set the time of day off, in microseconds
  */
-record RecoveryTable(Path folder, String instance, Beliefs.Bounds bounds, long markMicros, Set<Guard> without,
-                     long clockOff) {
+record RecoveryTable(
+        Path folder, String instance, Beliefs.Bounds bounds, long markMicros, Set<Guard> without, long clockOff) {
     private static final double DOUBT = 30;
     private static final double LIST = 600;
     private static final double AHEAD = 5;
@@ -29,9 +29,12 @@
 
     /** What a rehearsal can switch off, to see that its judge finds it. */
     enum Guard {
-        /** Calls by hand are known again after a restart. */ KEPT_BANS,
-        /** That they are lost is told. */ NAMED_LOSS,
-        /** Nothing is sent on after a standstill before the list has been heard. */ WAKING;
+        /** Calls by hand are known again after a restart. */
+        KEPT_BANS,
+        /** That they are lost is told. */
+        NAMED_LOSS,
+        /** Nothing is sent on after a standstill before the list has been heard. */
+        WAKING;
 
         String word() {
             return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
@@ -56,9 +59,14 @@
             }
             without.add(Guard.values()[words.indexOf(each)]);
         }
-        return new RecoveryTable(Path.of(table.text("folder", null)), instance, new Beliefs.Bounds(
-            (long) (1e6 * doubt), (long) (1e6 * table.number("list_s", LIST, 0, 30 * DAY)), (long) (1e6 * AHEAD)),
-            (long) (1e6 * mark), Set.copyOf(without),
-            (long) (1e6 * rehearsal.number("clock_s", 0.0, -30 * DAY, 30 * DAY)));
+        return new RecoveryTable(
+                Path.of(table.text("folder", null)),
+                instance,
+                new Beliefs.Bounds(
+                        (long) (1e6 * doubt), (long) (1e6 * table.number("list_s", LIST, 0, 30 * DAY)), (long)
+                                (1e6 * AHEAD)),
+                (long) (1e6 * mark),
+                Set.copyOf(without),
+                (long) (1e6 * rehearsal.number("clock_s", 0.0, -30 * DAY, 30 * DAY)));
     }
 }
--- a/src/main/java/gatefront/agent/RegistryTable.java
+++ b/src/main/java/gatefront/agent/RegistryTable.java
@@ -19,7 +19,7 @@
 public final class RegistryTable {
     private static final double SECOND = 1e6;
 
-    private RegistryTable() { }
+    private RegistryTable() {}
 
     /**
      * Takes the table.
@@ -29,14 +29,17 @@
      * @throws TomlException if it cannot be used
      */
     public static RegistrySettings read(Table table) throws TomlException {
-        Kind kind = Kind.valueOf(table.word("kind", null, List.of("etcd", "consul")).toUpperCase(Locale.ROOT));
+        Kind kind =
+                Kind.valueOf(table.word("kind", null, List.of("etcd", "consul")).toUpperCase(Locale.ROOT));
         List<InetSocketAddress> endpoints = new ArrayList<>();
         for (String each : table.texts("endpoints")) {
             try {
                 endpoints.add(Config.address(each));
             } catch (IllegalArgumentException e) {
-                throw table.bad("endpoints", "\"" + each + "\" is to be a literal address and a port, as in "
-                    + "\"127.0.0.1:" + (kind == Kind.ETCD ? 2379 : 8500) + "\"");
+                throw table.bad(
+                        "endpoints",
+                        "\"" + each + "\" is to be a literal address and a port, as in " + "\"127.0.0.1:"
+                                + (kind == Kind.ETCD ? 2379 : 8500) + "\"");
             }
         }
         if (endpoints.isEmpty()) {
@@ -46,7 +49,8 @@
         if (!prefix.matches("[A-Za-z0-9._~-]+(/[A-Za-z0-9._~-]+)*/")) {
             throw table.bad("prefix", "is to be words with a slash behind each, as in \"oaxaca/\"");
         }
-        boolean instead = table.word("padron", "beside", List.of("beside", "instead")).equals("instead");
+        boolean instead =
+                table.word("padron", "beside", List.of("beside", "instead")).equals("instead");
         boolean etcd = kind == Kind.ETCD;
         for (String key : etcd ? List.of("token_file", "service") : List.of("user", "password_file")) {
             if (table.has(key)) {
@@ -54,8 +58,8 @@
             }
         }
         if (table.has("user") != table.has("password_file")) {
-            throw table.bad(table.has("user") ? "password_file" : "user",
-                "is missing; user and password_file go together");
+            throw table.bad(
+                    table.has("user") ? "password_file" : "user", "is missing; user and password_file go together");
         }
         String user = table.has("user") ? table.text("user", null) : null;
         String service = table.has("service") ? table.text("service", null) : null;
@@ -63,7 +67,7 @@
             throw table.bad("service", "is to be the name of one service, as in \"cuentas\"");
         }
         Reads reads = Reads.valueOf(table.word("reads", "usual", List.of("usual", "consistent", "stale"))
-            .toUpperCase(Locale.ROOT));
+                .toUpperCase(Locale.ROOT));
         if (etcd && reads == Reads.CONSISTENT) {
             throw table.bad("reads", "\"consistent\" is what etcd does by itself: \"usual\"");
         }
@@ -78,15 +82,31 @@
         if (stale < silence) {
             throw table.bad("stale_s", "is to be at least silence_s, " + silence);
         }
-        Bounds bounds = new Bounds(50_000, (long) (most * SECOND), etcd ? 0 : 60_000, etcd ? (long) (ask * SECOND) : 0,
-            (long) (silence * SECOND), (long) (stale * SECOND), (long) (reread * SECOND),
-            table.whole("keys", 20_000, 1, 1_000_000));
+        Bounds bounds = new Bounds(
+                50_000,
+                (long) (most * SECOND),
+                etcd ? 0 : 60_000,
+                etcd ? (long) (ask * SECOND) : 0,
+                (long) (silence * SECOND),
+                (long) (stale * SECOND),
+                (long) (reread * SECOND),
+                table.whole("keys", 20_000, 1, 1_000_000));
         Path state = table.has("state_file") ? Path.of(table.text("state_file", null)) : null;
         if (state != null && !Files.isDirectory(state.toAbsolutePath().getParent())) {
             throw table.bad("state_file", "its folder " + state.toAbsolutePath().getParent() + " is not there");
         }
-        return new RegistrySettings(kind, List.copyOf(endpoints), prefix, instead, user, secret(table, "password_file"),
-            secret(table, "token_file"), service, reads, bounds, state);
+        return new RegistrySettings(
+                kind,
+                List.copyOf(endpoints),
+                prefix,
+                instead,
+                user,
+                secret(table, "password_file"),
+                secret(table, "token_file"),
+                service,
+                reads,
+                bounds,
+                state);
     }
 
     /** Secrets stand in files of their own, which can have rights of their own. */
@@ -94,7 +114,8 @@
         if (!table.has(key)) {
             return null;
         }
-        String secret = TomlFile.text(Path.of(table.text(key, null)), " (" + key + " of the registry)").strip();
+        String secret = TomlFile.text(Path.of(table.text(key, null)), " (" + key + " of the registry)")
+                .strip();
         if (secret.isEmpty() || !secret.matches("[\\x21-\\x7e]+")) {
             throw table.bad(key, "the file is to hold one word of plain letters, and nothing else");
         }
--- a/src/main/java/gatefront/agent/Sources.java
+++ b/src/main/java/gatefront/agent/Sources.java
@@ -32,8 +32,14 @@
      * @param servers is told of the one list
      * @param listed told when one of them has said what there is
      */
-    Sources(Transport transport, Config config, RegistrySettings settings, Account held, Engine engine,
-            BiConsumer<ListKind, List<Endpoint>> servers, Runnable listed) {
+    Sources(
+            Transport transport,
+            Config config,
+            RegistrySettings settings,
+            Account held,
+            Engine engine,
+            BiConsumer<ListKind, List<Endpoint>> servers,
+            Runnable listed) {
         this.servers = servers;
         this.listed = listed;
         this.padron = !settings.instead();
@@ -53,9 +59,14 @@
             @Override
             public void limits(Map<Integer, Integer> classes) {
                 engine.limits(classes);
-                transport.log("limits: in progress at once at most " + (classes.isEmpty() ? "any" : classes.entrySet()
-                    .stream().map(each -> each.getValue() + " of " + config.classes().get(each.getKey())).sorted()
-                    .collect(Collectors.joining(", "))));
+                transport.log("limits: in progress at once at most "
+                        + (classes.isEmpty()
+                                ? "any"
+                                : classes.entrySet().stream()
+                                        .map(each -> each.getValue() + " of "
+                                                + config.classes().get(each.getKey()))
+                                        .sorted()
+                                        .collect(Collectors.joining(", "))));
             }
         });
     }
--- a/src/main/java/gatefront/agent/Warmup.java
+++ b/src/main/java/gatefront/agent/Warmup.java
@@ -1,8 +1,8 @@
 package gatefront.agent;
 
 import gatefront.config.Config;
-import gatefront.http.HttpUpstream;
 import gatefront.http.HttpFront;
+import gatefront.http.HttpUpstream;
 import gatefront.policy.Balancer;
 import gatefront.policy.Rules;
 import gatefront.transport.Transport;
@@ -28,6 +28,7 @@
      * of the usual calls. Danger: with fewer the agent is ready sooner and loses its first seconds.
      */
     private static final int REQUESTS = 150;
+
     private static final int AT_ONCE = 4;
     /** Every so many a request ends its connection: what dials and accepts is to be compiled, too. */
     private static final int ENDS_EVERY = 4;
@@ -51,8 +52,14 @@
     private int answered;
     private boolean over;
 
-    private Warmup(Transport transport, Config config, HttpUpstream backends, HttpFront clients,
-                   InetSocketAddress own, String path, IntConsumer then) {
+    private Warmup(
+            Transport transport,
+            Config config,
+            HttpUpstream backends,
+            HttpFront clients,
+            InetSocketAddress own,
+            String path,
+            IntConsumer then) {
         this.transport = transport;
         this.loop = transport.loop();
         this.config = config;
@@ -61,10 +68,10 @@
         this.own = own;
         this.then = then;
         this.module = new Rules(config.settings(), config.seed(), micros(), this);
-        this.outgoing = new HttpUpstream.Outgoing(HttpMethod.GET, path, example().headers()
-            .remove("Request-Id"), HttpUpstream.NO_BODY);
-        this.ends = new HttpUpstream.Outgoing(HttpMethod.GET, path,
-            outgoing.headers().copy().set("Connection", "close"), HttpUpstream.NO_BODY);
+        this.outgoing = new HttpUpstream.Outgoing(
+                HttpMethod.GET, path, example().headers().remove("Request-Id"), HttpUpstream.NO_BODY);
+        this.ends = new HttpUpstream.Outgoing(
+                HttpMethod.GET, path, outgoing.headers().copy().set("Connection", "close"), HttpUpstream.NO_BODY);
     }
 
     /**
@@ -73,15 +80,20 @@
      * @param own an address where this agent listens
      * @param path where it says there whether it is ready
      */
-    static void run(Transport transport, Config config, HttpUpstream backends, HttpFront clients,
-                    InetSocketAddress own, String path, IntConsumer then) {
+    static void run(
+            Transport transport,
+            Config config,
+            HttpUpstream backends,
+            HttpFront clients,
+            InetSocketAddress own,
+            String path,
+            IntConsumer then) {
         new Warmup(transport, config, backends, clients, own, path, then).start();
     }
 
     private void start() {
         loop.schedule(this::end, MOST_MS, TimeUnit.MILLISECONDS);
-        Balancer.Server self =
-            new Balancer.Server(SELF, config.settings().zone(), 0, 0, Balancer.Phase.READY, 1, 0);
+        Balancer.Server self = new Balancer.Server(SELF, config.settings().zone(), 0, 0, Balancer.Phase.READY, 1, 0);
         backends.self(SELF, own);
         module.servers(micros(), Balancer.ListKind.FULL, List.of(self));
         next();
@@ -93,8 +105,10 @@
             out++;
             clients.parse(example());
             long now = micros();
-            module.request(now, new Balancer.Request(begun, begun % config.classes().size(), 0, 0, 1,
-                now + 1_000_000, false, false));
+            module.request(
+                    now,
+                    new Balancer.Request(
+                            begun, begun % config.classes().size(), 0, 0, 1, now + 1_000_000, false, false));
         }
         if (out == 0) {
             end();
@@ -117,11 +131,16 @@
     /** A request of the first class, as clients send it. */
     private HttpRequest example() {
         boolean safe = config.settings().classes().get(0).semantics() == Balancer.Semantics.SAFE;
-        HttpRequest request = new DefaultHttpRequest(HttpVersion.HTTP_1_1,
-            safe ? HttpMethod.GET : HttpMethod.POST, "/" + config.classes().get(0));
+        HttpRequest request = new DefaultHttpRequest(
+                HttpVersion.HTTP_1_1,
+                safe ? HttpMethod.GET : HttpMethod.POST,
+                "/" + config.classes().get(0));
         HttpHeaders headers = request.headers();
-        headers.set("Host", "self").set("Request-Id", "warm").set("Request-Class", config.classes().get(0))
-            .set("Work-Hint", "1000").set(HttpUpstream.REQUEST_TIMEOUT, "1000");
+        headers.set("Host", "self")
+                .set("Request-Id", "warm")
+                .set("Request-Class", config.classes().get(0))
+                .set("Work-Hint", "1000")
+                .set(HttpUpstream.REQUEST_TIMEOUT, "1000");
         if (!config.tenants().isEmpty()) {
             headers.set("Tenant", config.tenants().get(0));
         }
@@ -155,31 +174,34 @@
 
     @Override
     public void timer(long token, long delay) {
-        loop.schedule(() -> {
-            if (!over) {
-                module.timer(micros(), token);
-            }
-        }, delay, TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> {
+                    if (!over) {
+                        module.timer(micros(), token);
+                    }
+                },
+                delay,
+                TimeUnit.MICROSECONDS);
     }
 
     @Override
-    public void cancel(long request, int attempt) { }
+    public void cancel(long request, int attempt) {}
 
     @Override
-    public void probe(long server) { }
+    public void probe(long server) {}
 
     @Override
-    public void tell(int agent, byte[] message) { }
+    public void tell(int agent, byte[] message) {}
 
     @Override
-    public void closeIdle(long server) { }
+    public void closeIdle(long server) {}
 
     @Override
-    public void watchServers() { }
+    public void watchServers() {}
 
     @Override
-    public void fetchServers() { }
+    public void fetchServers() {}
 
     @Override
-    public void log(String line) { }
+    public void log(String line) {}
 }
--- a/src/main/java/gatefront/bookkeeping/Books.java
+++ b/src/main/java/gatefront/bookkeeping/Books.java
@@ -75,7 +75,7 @@
     }
 
     /** What a folder of books holds, for one who only looks. */
-    public record Look(Ledger ledger, String instance, long epoch, long taken, long made) { }
+    public record Look(Ledger ledger, String instance, long epoch, long taken, long made) {}
 
     private final Store store;
     private final Held held;
@@ -135,7 +135,11 @@
 
     private byte[] life() {
         byte[] name = held.instance.getBytes(StandardCharsets.US_ASCII);
-        return ByteBuffer.allocate(9 + name.length).put(EPOCH).putLong(epoch).put(name).array();
+        return ByteBuffer.allocate(9 + name.length)
+                .put(EPOCH)
+                .putLong(epoch)
+                .put(name)
+                .array();
     }
 
     private static byte[] record(Entry entry) {
@@ -165,7 +169,9 @@
 
     /** Its own entries from a number on. */
     public List<Entry> own(long from, int count) {
-        return held.own.subList((int) from, (int) from + count).stream().map(held.ledger::get).toList();
+        return held.own.subList((int) from, (int) from + count).stream()
+                .map(held.ledger::get)
+                .toList();
     }
 
     /** Writes what was used in a period, all or nothing; cells without use make no entry. */
@@ -173,8 +179,12 @@
         List<Entry> entries = new ArrayList<>();
         for (Map.Entry<Ledger.Cell, Amounts> each : cells.entrySet()) {
             if (!each.getValue().none()) {
-                entries.add(Entry.use(id(entries.size()), period, each.getKey().tenant(), each.getKey().type(),
-                    each.getValue()));
+                entries.add(Entry.use(
+                        id(entries.size()),
+                        period,
+                        each.getKey().tenant(),
+                        each.getKey().type(),
+                        each.getValue()));
             }
         }
         add(entries);
@@ -184,8 +194,10 @@
     public Entry correct(EntryId wrong, long period, Amounts by, String why) throws IOException {
         Entry of = held.ledger.get(wrong);
         if (of == null || of.kind() == Entry.Kind.CLOSED) {
-            throw new IOException(of == null ? "there is no entry " + wrong : wrong + " closes a period; it has no use "
-                + "that could be corrected");
+            throw new IOException(
+                    of == null
+                            ? "there is no entry " + wrong
+                            : wrong + " closes a period; it has no use " + "that could be corrected");
         }
         Entry correction;
         try {
--- a/src/main/java/gatefront/bookkeeping/EntryCodec.java
+++ b/src/main/java/gatefront/bookkeeping/EntryCodec.java
@@ -27,7 +27,7 @@
     private static final int OF_SEQUENCE = 14;
     private static final int WHY = 15;
 
-    private EntryCodec() { }
+    private EntryCodec() {}
 
     /** The message. */
     public static byte[] write(Entry entry) {
@@ -63,7 +63,7 @@
         CodedInputStream in = CodedInputStream.newInstance(bytes, from, bytes.length - from);
         String[] texts = new String[WHY + 1];
         long[] numbers = new long[WHY + 1];
-        for (int tag; (tag = in.readTag()) != 0;) {
+        for (int tag; (tag = in.readTag()) != 0; ) {
             int field = WireFormat.getTagFieldNumber(tag);
             boolean known = field <= WHY;
             if (known && WireFormat.getTagWireType(tag) == WireFormat.WIRETYPE_LENGTH_DELIMITED) {
@@ -78,11 +78,17 @@
             throw new IOException("an entry has no id, or is of no kind that is known here");
         }
         try {
-            return new Entry(new EntryId(texts[INSTANCE], numbers[EPOCH], numbers[SEQUENCE]),
-                Entry.Kind.values()[(int) numbers[KIND]], numbers[PERIOD], text(texts[TENANT]), text(texts[TYPE]),
-                new Amounts(numbers[REQUESTS], numbers[WORTH], numbers[WORK], numbers[BYTES]),
-                texts[OF_INSTANCE] == null ? null
-                    : new EntryId(texts[OF_INSTANCE], numbers[OF_EPOCH], numbers[OF_SEQUENCE]), text(texts[WHY]));
+            return new Entry(
+                    new EntryId(texts[INSTANCE], numbers[EPOCH], numbers[SEQUENCE]),
+                    Entry.Kind.values()[(int) numbers[KIND]],
+                    numbers[PERIOD],
+                    text(texts[TENANT]),
+                    text(texts[TYPE]),
+                    new Amounts(numbers[REQUESTS], numbers[WORTH], numbers[WORK], numbers[BYTES]),
+                    texts[OF_INSTANCE] == null
+                            ? null
+                            : new EntryId(texts[OF_INSTANCE], numbers[OF_EPOCH], numbers[OF_SEQUENCE]),
+                    text(texts[WHY]));
         } catch (IllegalArgumentException e) {
             throw new IOException(e.getMessage(), e);
         }
--- a/src/main/java/gatefront/bookkeeping/Lines.java
+++ b/src/main/java/gatefront/bookkeeping/Lines.java
@@ -11,11 +11,12 @@
 /** Entries on paper, a line each: JSON and CSV (RFC 4180). */
 public final class Lines {
     /** The names of the columns. */
-    public static final String CSV_HEAD = "id,kind,period,tenant,class,requests,"
-        + "worth_millionths,work_us,bytes,corrects,why";
+    public static final String CSV_HEAD =
+            "id,kind,period,tenant,class,requests," + "worth_millionths,work_us,bytes,corrects,why";
+
     private static final JsonFactory JSON = new JsonFactory();
 
-    private Lines() { }
+    private Lines() {}
 
     /** As an object of JSON. */
     public static String json(Entry entry) {
@@ -45,9 +46,10 @@
     /** As a line of {@link #CSV_HEAD}. */
     public static String csv(Entry entry) {
         return entry.id() + "," + word(entry) + "," + entry.period() + "," + quoted(entry.tenant()) + ","
-            + quoted(entry.type()) + "," + entry.amounts().requests() + "," + entry.amounts().worth() + ","
-            + entry.amounts().work() + "," + entry.amounts().bytes() + ","
-            + (entry.corrects() == null ? "" : entry.corrects()) + "," + quoted(entry.why());
+                + quoted(entry.type()) + "," + entry.amounts().requests() + ","
+                + entry.amounts().worth() + ","
+                + entry.amounts().work() + "," + entry.amounts().bytes() + ","
+                + (entry.corrects() == null ? "" : entry.corrects()) + "," + quoted(entry.why());
     }
 
     /** A string of JSON, with its quotes. */
--- a/src/main/java/gatefront/budget/Budget.java
+++ b/src/main/java/gatefront/budget/Budget.java
@@ -18,13 +18,21 @@
     public static final double FULL = 0.9;
     /** A leak of one entry a minute is said after so many minutes. */
     private static final int RISING = 15;
+
     private static final long MINUTE = 60_000_000;
 
     /** How much of the total is held. */
-    public enum Pressure { /** There is room. */ NONE, /** Idle connections go. */ TIGHT, /** No new calls. */ FULL }
+    public enum Pressure {
+        /** There is room. */
+        NONE,
+        /** Idle connections go. */
+        TIGHT,
+        /** No new calls. */
+        FULL
+    }
 
     /** What a purpose really holds, counted one by one. */
-    public record Count(long entries, long bytes) { }
+    public record Count(long entries, long bytes) {}
 
     private final Map<Purpose, Account> accounts = new EnumMap<>(Purpose.class);
     private final Map<Purpose, Trend> trends = new EnumMap<>(Purpose.class);
@@ -32,10 +40,11 @@
     private final Map<Purpose, List<Supplier<Count>>> recounts = new EnumMap<>(Purpose.class);
     /** The same without a map's iterator: they are summed for each call. */
     private final Account[] all = new Account[Purpose.values().length];
+
     private final long total;
 
     /** The caps of one purpose; a negative figure is none. */
-    public record Cap(long entries, long bytes) { }
+    public record Cap(long entries, long bytes) {}
 
     /**
      * Nothing is held.
@@ -47,8 +56,12 @@
         this.total = total;
         for (Purpose each : Purpose.values()) {
             Cap cap = caps.getOrDefault(each, new Cap(-1, -1));
-            accounts.put(each, new Account(each, cap.entries < 0 ? Long.MAX_VALUE : cap.entries,
-                cap.bytes < 0 ? Long.MAX_VALUE : cap.bytes));
+            accounts.put(
+                    each,
+                    new Account(
+                            each,
+                            cap.entries < 0 ? Long.MAX_VALUE : cap.entries,
+                            cap.bytes < 0 ? Long.MAX_VALUE : cap.bytes));
             all[each.ordinal()] = accounts.get(each);
             trends.put(each, new Trend(MINUTE, RISING));
         }
@@ -61,8 +74,8 @@
 
     /** Other caps from now on. What is held above them stays, and goes as it would have. */
     public void caps(Map<Purpose, Cap> caps) {
-        caps.forEach((purpose, cap) -> accounts.get(purpose).cap(cap.entries < 0 ? Long.MAX_VALUE : cap.entries,
-            cap.bytes < 0 ? Long.MAX_VALUE : cap.bytes));
+        caps.forEach((purpose, cap) -> accounts.get(purpose)
+                .cap(cap.entries < 0 ? Long.MAX_VALUE : cap.entries, cap.bytes < 0 ? Long.MAX_VALUE : cap.bytes));
     }
 
     /** Bytes held for all purposes. */
@@ -104,7 +117,7 @@
             }
             if (entries != account.entries() || bytes != account.bytes()) {
                 lines.add(purpose.word() + " has " + account.entries() + " entries of " + account.bytes()
-                    + " bytes by its account, and " + entries + " of " + bytes + " by count");
+                        + " bytes by its account, and " + entries + " of " + bytes + " by count");
             }
         });
         return lines;
@@ -117,7 +130,7 @@
             long risen = trends.get(purpose).seen(now, account.entries());
             if (risen > 0) {
                 lines.add("held for " + purpose.word() + ": the least of each minute has risen for " + RISING
-                    + " minutes, by " + risen + " to " + account.entries() + " entries; it may be a leak");
+                        + " minutes, by " + risen + " to " + account.entries() + " entries; it may be a leak");
             }
         });
         return lines;
--- a/src/main/java/gatefront/cli/DemoCommand.java
+++ b/src/main/java/gatefront/cli/DemoCommand.java
@@ -11,8 +11,10 @@
 import picocli.CommandLine.Spec;
 
 /** An agent with stand-in nodos on loopback, until it is interrupted. */
-@Command(name = "demo", mixinStandardHelpOptions = true,
-    description = "Start an agent with stand-in nodos on loopback and print a line to try; Ctrl-C ends it.")
+@Command(
+        name = "demo",
+        mixinStandardHelpOptions = true,
+        description = "Start an agent with stand-in nodos on loopback and print a line to try; Ctrl-C ends it.")
 final class DemoCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -25,12 +27,13 @@
             out.flush();
         });
         Runtime.getRuntime().addShutdownHook(new Thread(demo::close));
-        String at = demo.address().getAddress().getHostAddress() + ":" + demo.address().getPort();
+        String at = demo.address().getAddress().getHostAddress() + ":"
+                + demo.address().getPort();
         out.println("an agent listens on " + at + ", with four nodos behind it; Ctrl-C ends all. Try:");
         out.println("  curl -i -H 'Request-Id: '$RANDOM -H 'Request-Class: consulta-saldo' "
-            + "-H 'Request-Timeout-Ms: 2000' http://" + at + "/consulta-saldo");
+                + "-H 'Request-Timeout-Ms: 2000' http://" + at + "/consulta-saldo");
         out.println("  curl -i -X POST -d 100 -H 'Request-Id: '$RANDOM -H 'Request-Class: pago-recibo' "
-            + "-H 'Idempotency-Key: '$RANDOM -H 'Request-Timeout-Ms: 2000' http://" + at + "/pago-recibo");
+                + "-H 'Idempotency-Key: '$RANDOM -H 'Request-Timeout-Ms: 2000' http://" + at + "/pago-recibo");
         out.flush();
         new CountDownLatch(1).await();
         return 0;
--- a/src/main/java/gatefront/cli/LedgerCommand.java
+++ b/src/main/java/gatefront/cli/LedgerCommand.java
@@ -28,11 +28,21 @@
 import picocli.CommandLine.Spec;
 
 /** What staff do with the books of instances. */
-@Command(name = "ledger", mixinStandardHelpOptions = true, subcommands = {LedgerCommand.Show.class,
-    LedgerCommand.VerifyFiles.class, LedgerCommand.Export.class, LedgerCommand.Differences.class,
-    LedgerCommand.Correct.class},
-    description = {"Look into the ledger of use by municipio, and correct it.", "Exit status: 0 all is well, "
-        + "3 damage, a lost store or a difference, 2 wrong usage, 1 it cannot be done."})
+@Command(
+        name = "ledger",
+        mixinStandardHelpOptions = true,
+        subcommands = {
+            LedgerCommand.Show.class,
+            LedgerCommand.VerifyFiles.class,
+            LedgerCommand.Export.class,
+            LedgerCommand.Differences.class,
+            LedgerCommand.Correct.class
+        },
+        description = {
+            "Look into the ledger of use by municipio, and correct it.",
+            "Exit status: 0 all is well, "
+                    + "3 damage, a lost store or a difference, 2 wrong usage, 1 it cannot be done."
+        })
 final class LedgerCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -47,8 +57,10 @@
     abstract static class OfBooks implements Callable<Integer> {
         @Spec
         CommandSpec spec;
+
         @Parameters(index = "0", paramLabel = "FOLDER", description = "where the books are")
         Path folder;
+
         @Option(names = "--keys", paramLabel = "FILE", description = "the keys that signed them")
         Path keyFile;
 
@@ -75,13 +87,17 @@
     }
 
     /** Totals. */
-    @Command(name = "show", mixinStandardHelpOptions = true,
-        description = "Print what was used by municipio and class, and whose part is not whole.")
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
+            description = "Print what was used by municipio and class, and whose part is not whole.")
     static final class Show extends OfBooks {
         @Option(names = "--period", paramLabel = "N", description = "of this period alone")
         private Long period;
+
         @Option(names = "--expect", paramLabel = "NAME", split = ",", description = "instances that must have a part")
         private List<String> expected = new ArrayList<>();
+
         @Option(names = "--json", description = "As JSON, a line for each.")
         private boolean json;
 
@@ -94,47 +110,81 @@
                 }
             }
             for (Entry each : look.ledger().waiting()) {
-                out().println(json ? Lines.json(each) : "waits: " + each.id() + " corrects " + each.corrects()
-                    + ", which is not here");
+                out().println(
+                                json
+                                        ? Lines.json(each)
+                                        : "waits: " + each.id() + " corrects " + each.corrects()
+                                                + ", which is not here");
             }
             if (!json) {
-                out().printf(Locale.ROOT, "%s, life %d: %d entries, %d of its own, %d of them taken by the receiver%n",
-                    look.instance(), look.epoch(), look.ledger().size(), look.made(), look.taken());
+                out().printf(
+                                Locale.ROOT,
+                                "%s, life %d: %d entries, %d of its own, %d of them taken by the receiver%n",
+                                look.instance(),
+                                look.epoch(),
+                                look.ledger().size(),
+                                look.made(),
+                                look.taken());
             }
             return 0;
         }
 
         private void show(Ledger ledger, long of) {
             if (!json) {
-                out().printf(Locale.ROOT, "period %d%n  %-20s %-20s %12s %16s %16s %16s%n", of, "municipio", "class",
-                    "requests", "worth/1e6", "work us", "bytes");
+                out().printf(
+                                Locale.ROOT,
+                                "period %d%n  %-20s %-20s %12s %16s %16s %16s%n",
+                                of,
+                                "municipio",
+                                "class",
+                                "requests",
+                                "worth/1e6",
+                                "work us",
+                                "bytes");
             }
             for (Map.Entry<Ledger.Cell, Amounts> each : ledger.totals(of).entrySet()) {
                 Amounts its = each.getValue();
-                out().printf(Locale.ROOT, json ? "{\"period\":" + of + ",\"tenant\":%s,\"class\":%s,\"requests\":%d,"
-                    + "\"worth_millionths\":%d,\"work_us\":%d,\"bytes\":%d}%n" : "  %-20s %-20s %12d %16d %16d %16d%n",
-                    json ? Lines.quotedJson(each.getKey().tenant()) : each.getKey().tenant(),
-                    json ? Lines.quotedJson(each.getKey().type()) : each.getKey().type(), its.requests(), its.worth(),
-                    its.work(), its.bytes());
+                out().printf(
+                                Locale.ROOT,
+                                json
+                                        ? "{\"period\":" + of + ",\"tenant\":%s,\"class\":%s,\"requests\":%d,"
+                                                + "\"worth_millionths\":%d,\"work_us\":%d,\"bytes\":%d}%n"
+                                        : "  %-20s %-20s %12d %16d %16d %16d%n",
+                                json
+                                        ? Lines.quotedJson(each.getKey().tenant())
+                                        : each.getKey().tenant(),
+                                json
+                                        ? Lines.quotedJson(each.getKey().type())
+                                        : each.getKey().type(),
+                                its.requests(),
+                                its.worth(),
+                                its.work(),
+                                its.bytes());
             }
             ledger.standing(of, expected).forEach((whose, part) -> {
                 if (!json && part != Ledger.Part.WHOLE) {
-                    out().println("  the part of " + whose + " is " + (part == Ledger.Part.UNKNOWN
-                        ? "not known: it has not closed the period" : "not all here"));
+                    out().println("  the part of " + whose + " is "
+                            + (part == Ledger.Part.UNKNOWN
+                                    ? "not known: it has not closed the period"
+                                    : "not all here"));
                 }
             });
         }
     }
 
     /** Whether the files are whole. */
-    @Command(name = "verify", mixinStandardHelpOptions = true,
-        description = "Read every byte, and say in one line what is wrong and where.")
+    @Command(
+            name = "verify",
+            mixinStandardHelpOptions = true,
+            description = "Read every byte, and say in one line what is wrong and where.")
     static final class VerifyFiles extends OfBooks {
         @Override
         public Integer call() throws IOException {
             long[] entries = {0};
-            Verify verify = Verify.of(FolderDisk.existing(folder), keys(),
-                Books.looking(at -> entries[0] = at.ledger().size()));
+            Verify verify = Verify.of(
+                    FolderDisk.existing(folder),
+                    keys(),
+                    Books.looking(at -> entries[0] = at.ledger().size()));
             verify.notes().forEach(each -> out().println("note: " + each));
             if (verify.damage() != null) {
                 out().println("DAMAGED " + verify.damage().getMessage());
@@ -145,7 +195,7 @@
                 return Commands.BROKEN;
             }
             out().println("whole: " + entries[0] + " entries, " + verify.segments() + " segments, " + verify.records()
-                + " records beyond the snapshot");
+                    + " records beyond the snapshot");
             return 0;
         }
     }
@@ -155,6 +205,7 @@
     static final class Export extends OfBooks {
         @Option(names = "--csv", description = "As CSV in place of JSON.")
         private boolean csv;
+
         @Option(names = "--period", paramLabel = "N", description = "of this period alone")
         private Long period;
 
@@ -174,8 +225,10 @@
     }
 
     /** Where books differ. */
-    @Command(name = "reconcile", mixinStandardHelpOptions = true,
-        description = "Name each entry that two books do not have alike.")
+    @Command(
+            name = "reconcile",
+            mixinStandardHelpOptions = true,
+            description = "Name each entry that two books do not have alike.")
     static final class Differences extends OfBooks {
         @Parameters(index = "1", paramLabel = "OTHER", description = "the folder of the other books")
         private Path other;
@@ -184,36 +237,51 @@
         public Integer call() throws IOException {
             Books.Look here = look(folder);
             Books.Look there = look(other);
-            Reconcile.Result result = Reconcile.run(new Digests(here.ledger().entries()),
-                Reconcile.Other.of(new Digests(there.ledger().entries())));
+            Reconcile.Result result = Reconcile.run(
+                    new Digests(here.ledger().entries()),
+                    Reconcile.Other.of(new Digests(there.ledger().entries())));
             for (Reconcile.Difference each : result.differences()) {
-                out().println(each.id() + (each.there() == null ? " is in " + folder + " alone"
-                    : each.here() == null ? " is in " + other + " alone" : " is not the same in both: "
-                    + Lines.json(each.here()) + " and " + Lines.json(each.there())));
+                out().println(each.id()
+                        + (each.there() == null
+                                ? " is in " + folder + " alone"
+                                : each.here() == null
+                                        ? " is in " + other + " alone"
+                                        : " is not the same in both: " + Lines.json(each.here()) + " and "
+                                                + Lines.json(each.there())));
             }
             out().println(result.differences().size() + " differences; " + result.steps() + " questions, "
-                + result.bytes() + " bytes");
+                    + result.bytes() + " bytes");
             return result.differences().isEmpty() ? 0 : Commands.BROKEN;
         }
     }
 
     /** A correction. */
-    @Command(name = "correct", mixinStandardHelpOptions = true, description = {
-        "Write that an entry was wrong, as an entry of its own in an open period.",
-        "The agent whose books these are must be stopped."})
+    @Command(
+            name = "correct",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Write that an entry was wrong, as an entry of its own in an open period.",
+                "The agent whose books these are must be stopped."
+            })
     static final class Correct extends OfBooks {
         @Parameters(index = "1", paramLabel = "ENTRY", description = "INSTANCE/EPOCH/NUMBER, as export prints it")
         private String entry;
+
         @Option(names = "--period", paramLabel = "N", required = true, description = "the period that is open")
         private long period;
+
         @Option(names = "--requests", paramLabel = "N", description = "so many more; less than 0 for fewer")
         private long requests;
+
         @Option(names = "--worth", paramLabel = "N", description = "in millionths")
         private long worth;
+
         @Option(names = "--work", paramLabel = "N", description = "in microseconds")
         private long work;
+
         @Option(names = "--bytes", paramLabel = "N")
         private long bytes;
+
         @Option(names = "--why", paramLabel = "TEXT", required = true, description = "a sentence for the municipio")
         private String why;
 
@@ -227,16 +295,19 @@
             }
             Amounts by = new Amounts(requests, worth, work, bytes);
             if (by.none()) {
-                throw new ParameterException(spec.commandLine(), "a correction is of something: --requests, --worth, "
-                    + "--work or --bytes");
+                throw new ParameterException(
+                        spec.commandLine(),
+                        "a correction is of something: --requests, --worth, " + "--work or --bytes");
             }
             Books.Look look = look(folder);
             if (look.ledger().get(id) == null) {
                 throw new IOException("there is no entry " + id);
             }
             Store.Options usual = Store.Options.USUAL;
-            try (Books books = Books.open(new FolderDisk(folder), new Store.Options(keys(), usual.segmentBytes(),
-                    usual.bytesMost()), look.instance())) {
+            try (Books books = Books.open(
+                    new FolderDisk(folder),
+                    new Store.Options(keys(), usual.segmentBytes(), usual.bytesMost()),
+                    look.instance())) {
                 out().println(Lines.json(books.correct(id, period, by, why)));
                 books.close(period); // this life makes no more
             }
--- a/src/main/java/gatefront/cli/Main.java
+++ b/src/main/java/gatefront/cli/Main.java
@@ -1,5 +1,8 @@
 package gatefront.cli;
 
+import gatefront.agent.Agent;
+import gatefront.drill.Drill;
+import gatefront.drill.WireException;
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
 import java.io.FileOutputStream;
@@ -8,15 +11,13 @@
 import java.nio.file.Path;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import gatefront.drill.Drill;
-import gatefront.drill.WireException;
-import gatefront.agent.Agent;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
 /** The command line of the jar. */
 public final class Main {
-    static final String USAGE = """
+    static final String USAGE =
+            """
         usage: java -jar gatefront.jar COMMAND
           rehearse [PLAN]  play a day with real agents against stand-ins, and report; see rehearse --help
           demo             an agent with stand-in nodos on loopback, and a line to try
@@ -30,10 +31,10 @@
           drill            decide for the simulator: frames on standard input, replies on standard output
           --help           show this text""";
 
-    private static final Set<String> COMMANDS = Set.of("rehearse", "demo", "plan", "registry", "status", "ledger",
-        "recovery");
+    private static final Set<String> COMMANDS =
+            Set.of("rehearse", "demo", "plan", "registry", "status", "ledger", "recovery");
 
-    private Main() { }
+    private Main() {}
 
     /** Runs the command named by the first argument. */
     public static void main(String[] args) {
@@ -54,8 +55,12 @@
             return 2;
         }
         if (args[0].equals("serve")) {
-            return serve(System.getenv("RELAY_CONFIG"), System.getenv("GATEFRONT_EXTENSIONS"),
-                System.getenv("RELAY_MANAGEMENT"), System.getenv("TMPDIR"), err);
+            return serve(
+                    System.getenv("RELAY_CONFIG"),
+                    System.getenv("GATEFRONT_EXTENSIONS"),
+                    System.getenv("RELAY_MANAGEMENT"),
+                    System.getenv("TMPDIR"),
+                    err);
         }
         try {
             new Drill(new FileInputStream(FileDescriptor.in), new FileOutputStream(FileDescriptor.out)).run();
@@ -77,11 +82,11 @@
             // Before the agent says that it is ready: SIGHUP without a handler ends the JVM.
             Path file = Path.of(config);
             Path ofOurOwn = extensions == null ? null : Path.of(extensions);
-            SignalHandler before = Signal.handle(new Signal("HUP"),
-                signal -> started.thenAccept(running -> running.reload(file, ofOurOwn)));
+            SignalHandler before = Signal.handle(
+                    new Signal("HUP"), signal -> started.thenAccept(running -> running.reload(file, ofOurOwn)));
             if (before == SignalHandler.SIG_IGN) { // the JVM leaves it so, and no reload would ever come
                 err.println("reload: SIGHUP is ignored here, so a new configuration needs a restart; "
-                    + "start the agent without nohup");
+                        + "start the agent without nohup");
             }
             agent = Agent.start(file, ofOurOwn, management, shared == null ? null : Path.of(shared));
             started.complete(agent);
--- a/src/main/java/gatefront/cli/ProcessesCommand.java
+++ b/src/main/java/gatefront/cli/ProcessesCommand.java
@@ -24,32 +24,56 @@
 import picocli.CommandLine.Spec;
 
 /** Plays a plan with several processes and faults between them. */
-@Command(name = "processes", mixinStandardHelpOptions = true, description = {
-    "Play a day with agents in processes of their own, on loopback, and faults of processes, folders and links.",
-    "Built-in plans: restart-most, state-lost, stopped-and-woken, crash-loop.",
-    "Exit status: 0 all rules kept, 3 a rule broken, 2 wrong usage, 1 unusable plan."})
+@Command(
+        name = "processes",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Play a day with agents in processes of their own, on loopback, and faults of processes, folders and links.",
+            "Built-in plans: restart-most, state-lost, stopped-and-woken, crash-loop.",
+            "Exit status: 0 all rules kept, 3 a rule broken, 2 wrong usage, 1 unusable plan."
+        })
 final class ProcessesCommand implements Callable<Integer> {
     private static final int LINES = 5;
 
     @Parameters(paramLabel = "PLAN", description = "A plan file, or the name of a built-in plan.")
     private String plan;
-    @Option(names = "--agents", paramLabel = "N", description = "As many agents in place of the plan's; nodos go with "
-        + "them.")
+
+    @Option(
+            names = "--agents",
+            paramLabel = "N",
+            description = "As many agents in place of the plan's; nodos go with " + "them.")
     private Integer agents;
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "From which what is drawn follows "
-        + "(${DEFAULT-VALUE}); processes repeat nothing exactly.")
+
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
+            defaultValue = "1",
+            description = "From which what is drawn follows " + "(${DEFAULT-VALUE}); processes repeat nothing exactly.")
     private long seed;
+
     @Option(names = "--seeds", paramLabel = "A..B", description = "Play many, one after the other, and sum up.")
     private String seeds;
-    @Option(names = "--report", paramLabel = "DIR", description = "Write report.json, report.html and history.jsonl "
-        + "there.")
+
+    @Option(
+            names = "--report",
+            paramLabel = "DIR",
+            description = "Write report.json, report.html and history.jsonl " + "there.")
     private Path report;
-    @Option(names = "--without", paramLabel = "GUARD", split = ",", description = "Switch a guard of the program off: "
-        + "kept-bans, named-loss, waking. The judge is to find it.")
+
+    @Option(
+            names = "--without",
+            paramLabel = "GUARD",
+            split = ",",
+            description =
+                    "Switch a guard of the program off: " + "kept-bans, named-loss, waking. The judge is to find it.")
     private Set<String> without = new HashSet<>();
-    @Option(names = "--no-twin", description = "Leave out the same day without faults, against which "
-        + "the time to full service is measured.")
+
+    @Option(
+            names = "--no-twin",
+            description =
+                    "Leave out the same day without faults, against which " + "the time to full service is measured.")
     private boolean noTwin;
+
     @Spec
     private CommandSpec spec;
 
@@ -57,7 +81,8 @@
     public Integer call() throws TomlException, IOException {
         PrintWriter out = spec.commandLine().getOut();
         ProcessPlan read = ProcessPlanReader.BUILT_IN.contains(plan) && !Files.exists(Path.of(plan))
-            ? ProcessPlanReader.builtIn(plan, agents) : ProcessPlanReader.read(Path.of(plan), agents);
+                ? ProcessPlanReader.builtIn(plan, agents)
+                : ProcessPlanReader.read(Path.of(plan), agents);
         if (report != null) {
             Files.createDirectories(report);
         }
@@ -74,46 +99,73 @@
     }
 
     /** What is counted of a play: broken rules, seconds to full service (negative for never or unknown), lateness. */
-    private record Played(int broken, double full, long late) { }
+    private record Played(int broken, double full, long late) {}
 
     private Played play(ProcessPlan read, long with, Path into, PrintWriter out) throws IOException {
         if (into != null) {
             Files.createDirectories(into);
         }
-        ProcessOutcome outcome = new ProcessRehearsal(read, with, RealRehearsal.ownCommand(), without,
-            into == null ? null : into.resolve("history.jsonl")).play(done -> { });
+        ProcessOutcome outcome = new ProcessRehearsal(
+                        read,
+                        with,
+                        RealRehearsal.ownCommand(),
+                        without,
+                        into == null ? null : into.resolve("history.jsonl"))
+                .play(done -> {});
         if (into != null) {
             Report.write(outcome.outcome(), into);
         }
         out.println(outcome.line());
         outcome.breaches().stream().limit(LINES).forEach(each -> out.println("  BROKEN " + each));
         out.println("  " + outcome.timeline().line());
-        out.printf(Locale.ROOT, "  after the first fault: %d list calls in the fullest second (the padron bears %.0f), "
-            + "%d connections at the fullest nodo (of %d); the nearest cold nodo got %.2f of what topples it%n",
-            outcome.listCallsMost(), read.day().padron().callsPerSecond(), outcome.connectionsMost(),
-            read.day().nodos().connections(), outcome.coldMost());
+        out.printf(
+                Locale.ROOT,
+                "  after the first fault: %d list calls in the fullest second (the padron bears %.0f), "
+                        + "%d connections at the fullest nodo (of %d); the nearest cold nodo got %.2f of what topples it%n",
+                outcome.listCallsMost(),
+                read.day().padron().callsPerSecond(),
+                outcome.connectionsMost(),
+                read.day().nodos().connections(),
+                outcome.coldMost());
         out.flush();
         double full = -1;
         if (!noTwin && read.firstFault() >= 0) {
             ProcessOutcome twin = new ProcessRehearsal(read.twin(), with, RealRehearsal.ownCommand(), Set.of(), null)
-                .play(done -> { });
+                    .play(done -> {});
             full = outcome.fullAfter(twin);
-            out.println("  " + (full < 0 ? "service was not full again within the day"
-                : String.format(Locale.ROOT, "full service %.2f s after the first fault", full))
-                + String.format(Locale.ROOT, "; without faults %.4f", twin.outcome().service()));
+            out.println("  "
+                    + (full < 0
+                            ? "service was not full again within the day"
+                            : String.format(Locale.ROOT, "full service %.2f s after the first fault", full))
+                    + String.format(
+                            Locale.ROOT, "; without faults %.4f", twin.outcome().service()));
             out.flush();
         }
         return new Played(outcome.broken(), full, outcome.lateness().worst());
     }
 
     private static void summary(List<Played> all, PrintWriter out) {
-        double[] full = all.stream().mapToDouble(Played::full).filter(each -> each >= 0).sorted().toArray();
-        out.printf(Locale.ROOT, "%d plays: rules kept on %d; the rig was late by over %d ms on %d%n", all.size(),
-            all.stream().filter(each -> each.broken == 0).count(), ProcessOutcome.LATE_MOST / 1000,
-            all.stream().filter(each -> each.late > ProcessOutcome.LATE_MOST).count());
+        double[] full = all.stream()
+                .mapToDouble(Played::full)
+                .filter(each -> each >= 0)
+                .sorted()
+                .toArray();
+        out.printf(
+                Locale.ROOT,
+                "%d plays: rules kept on %d; the rig was late by over %d ms on %d%n",
+                all.size(),
+                all.stream().filter(each -> each.broken == 0).count(),
+                ProcessOutcome.LATE_MOST / 1000,
+                all.stream()
+                        .filter(each -> each.late > ProcessOutcome.LATE_MOST)
+                        .count());
         if (full.length > 0) {
-            out.printf(Locale.ROOT, "full service again on %d: %.2f s after the first fault (median), %.2f s (worst)%n",
-                full.length, full[full.length / 2], full[full.length - 1]);
+            out.printf(
+                    Locale.ROOT,
+                    "full service again on %d: %.2f s after the first fault (median), %.2f s (worst)%n",
+                    full.length,
+                    full[full.length / 2],
+                    full[full.length - 1]);
         }
         out.flush();
     }
--- a/src/main/java/gatefront/cli/RecoveryCommand.java
+++ b/src/main/java/gatefront/cli/RecoveryCommand.java
@@ -20,10 +20,14 @@
 import picocli.CommandLine.Spec;
 
 /** What staff do with what an agent keeps over its death. */
-@Command(name = "recovery", mixinStandardHelpOptions = true, subcommands = {RecoveryCommand.Show.class,
-    RecoveryCommand.Begin.class},
-    description = {"Look at what an agent keeps over its death, and begin a store for a new one.",
-        "Exit status: 0 all is well, 3 no store or damage, 2 wrong usage, 1 it cannot be done."})
+@Command(
+        name = "recovery",
+        mixinStandardHelpOptions = true,
+        subcommands = {RecoveryCommand.Show.class, RecoveryCommand.Begin.class},
+        description = {
+            "Look at what an agent keeps over its death, and begin a store for a new one.",
+            "Exit status: 0 all is well, 3 no store or damage, 2 wrong usage, 1 it cannot be done."
+        })
 final class RecoveryCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -39,13 +43,17 @@
     }
 
     /** What is in a store. */
-    @Command(name = "show", mixinStandardHelpOptions = true,
-        description = "Print whose it is, up to when it was written, and what is out by hand. Changes nothing.")
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
+            description = "Print whose it is, up to when it was written, and what is out by hand. Changes nothing.")
     static final class Show implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
+
         @Parameters(paramLabel = "FOLDER", description = "where the store is")
         private Path folder;
+
         @Option(names = "--json", description = "As one line of JSON.")
         private boolean json;
 
@@ -55,21 +63,26 @@
             Keeper.Look look = Keeper.look(folder);
             Kept kept = look.kept();
             if (json) {
-                var root = com.fasterxml.jackson.databind.node.JsonNodeFactory.instance.objectNode()
-                    .put("instance", kept.instance()).put("life", kept.life()).put("up_to_us", kept.upTo())
-                    .put("list_at_us", kept.listAt()).put("damage", look.damage());
+                var root = com.fasterxml.jackson.databind.node.JsonNodeFactory.instance
+                        .objectNode()
+                        .put("instance", kept.instance())
+                        .put("life", kept.life())
+                        .put("up_to_us", kept.upTo())
+                        .put("list_at_us", kept.listAt())
+                        .put("damage", look.damage());
                 var bans = root.putObject("by_hand");
-                new TreeMap<>(kept.bans()).forEach((name, entry) -> bans.putObject(name).put("out", entry.out())
-                    .put("at_us", entry.at()));
+                new TreeMap<>(kept.bans())
+                        .forEach((name, entry) ->
+                                bans.putObject(name).put("out", entry.out()).put("at_us", entry.at()));
                 out.println(root);
             } else if (kept.instance() == null && look.damage() == null) {
                 out.println("MISSING " + folder + ": no store is here; it was never begun, or it is lost");
             } else {
                 out.println("instance " + kept.instance() + ", life " + kept.life() + ", written up to "
-                    + time(kept.upTo()) + ", list of " + time(kept.listAt()));
+                        + time(kept.upTo()) + ", list of " + time(kept.listAt()));
                 for (Map.Entry<String, Bans.Entry> each : new TreeMap<>(kept.bans()).entrySet()) {
                     out.println("  " + each.getKey() + (each.getValue().out() ? " out" : " back") + " since "
-                        + time(each.getValue().at()));
+                            + time(each.getValue().at()));
                 }
                 if (look.damage() != null) {
                     out.println("DAMAGED " + look.damage() + "; what is above could be read");
@@ -80,14 +93,20 @@
     }
 
     /** A store for an agent that has never run. */
-    @Command(name = "begin", mixinStandardHelpOptions = true, description = {
-        "Make an empty store for an agent that has never run, so that its first start does not say that one is lost.",
-        "The agent must not run."})
+    @Command(
+            name = "begin",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Make an empty store for an agent that has never run, so that its first start does not say that one is lost.",
+                "The agent must not run."
+            })
     static final class Begin implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
+
         @Parameters(paramLabel = "FOLDER", description = "where the store is to be; the folder above it must be there")
         private Path folder;
+
         @Option(names = "--instance", paramLabel = "NAME", required = true, description = "the agent's name among all")
         private String instance;
 
@@ -96,8 +115,8 @@
             if (java.nio.file.Files.exists(folder)) {
                 throw new IOException(folder + " is there already; nothing was changed");
             }
-            Keeper.Opened opened = Keeper.open(folder, instance, Runnable::run,
-                () -> TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis()));
+            Keeper.Opened opened = Keeper.open(
+                    folder, instance, Runnable::run, () -> TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis()));
             CountDownLatch ended = new CountDownLatch(1);
             opened.keeper().close(ended::countDown);
             ended.await();
--- a/src/main/java/gatefront/cli/RegistryCommand.java
+++ b/src/main/java/gatefront/cli/RegistryCommand.java
@@ -22,8 +22,11 @@
 import picocli.CommandLine.Spec;
 
 /** What a registry holds below a prefix and how it changes, as an agent would see it. */
-@Command(name = "registry", mixinStandardHelpOptions = true, subcommands = RegistryCommand.Watch.class,
-    description = "Look into a registry as an agent does.")
+@Command(
+        name = "registry",
+        mixinStandardHelpOptions = true,
+        subcommands = RegistryCommand.Watch.class,
+        description = "Look into a registry as an agent does.")
 final class RegistryCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -35,8 +38,11 @@
     }
 
     /** Prints each change with its revision. */
-    @Command(name = "watch", mixinStandardHelpOptions = true,
-        description = "Print what is there and then each change: revision, put or delete, key, value. Ctrl-C ends it.")
+    @Command(
+            name = "watch",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Print what is there and then each change: revision, put or delete, key, value. Ctrl-C ends it.")
     static final class Watch implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -71,8 +77,10 @@
                     @Override
                     public void changed(boolean full, List<Change> changes, Map<String, Entry> all) {
                         for (Change each : changes) {
-                            out.println(each.modified() + (each.value() == null ? " delete " + each.key()
-                                : " put " + each.key() + " " + each.value()));
+                            out.println(each.modified()
+                                    + (each.value() == null
+                                            ? " delete " + each.key()
+                                            : " put " + each.key() + " " + each.value()));
                         }
                         out.flush();
                         if (once) {
@@ -91,7 +99,7 @@
             done.await();
             sockets.loop().execute(() -> {
                 client[0].close();
-                sockets.close(() -> { });
+                sockets.close(() -> {});
             });
             return 0;
         }
@@ -101,7 +109,9 @@
             URI uri = URI.create(url);
             StringBuilder text = new StringBuilder("[registry]\n");
             add(text, "kind", uri.getScheme());
-            text.append("endpoints = [").append(quoted(String.valueOf(uri.getAuthority()))).append("]\n");
+            text.append("endpoints = [")
+                    .append(quoted(String.valueOf(uri.getAuthority())))
+                    .append("]\n");
             add(text, "prefix", prefix);
             add(text, "user", user);
             add(text, "password_file", passwordFile);
--- a/src/main/java/gatefront/cli/RehearseCommand.java
+++ b/src/main/java/gatefront/cli/RehearseCommand.java
@@ -9,9 +9,9 @@
 import gatefront.rehearsal.check.RuleChecker;
 import gatefront.rehearsal.plan.Fault;
 import gatefront.rehearsal.plan.Plan;
-import gatefront.toml.TomlException;
 import gatefront.rehearsal.plan.PlanReader;
 import gatefront.rehearsal.plan.PlanWriter;
+import gatefront.toml.TomlException;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.charset.StandardCharsets;
@@ -29,39 +29,70 @@
 import picocli.CommandLine.Spec;
 
 /** Plays a plan with the real agents and reports. */
-@Command(name = "rehearse", mixinStandardHelpOptions = true, subcommands = ProcessesCommand.class, description = {
-    "Play a day with the real agents against stand-ins on virtual time, and report.",
-    "The same plan and seed give the same report. Exit status: 0 all rules kept, 3 a rule broken,",
-    "2 wrong usage, 1 unusable plan."})
+@Command(
+        name = "rehearse",
+        mixinStandardHelpOptions = true,
+        subcommands = ProcessesCommand.class,
+        description = {
+            "Play a day with the real agents against stand-ins on virtual time, and report.",
+            "The same plan and seed give the same report. Exit status: 0 all rules kept, 3 a rule broken,",
+            "2 wrong usage, 1 unusable plan."
+        })
 final class RehearseCommand implements Callable<Integer> {
     private static final Pattern SEEDS = Pattern.compile("(\\d{1,15})\\.\\.(\\d{1,15})");
     private static final long SEEDS_MOST = 1_000_000;
 
-    @Parameters(arity = "0..1", paramLabel = "PLAN", defaultValue = "cashier-rush",
-        description = "A plan file, or the name of a built-in plan (${DEFAULT-VALUE} without one).")
+    @Parameters(
+            arity = "0..1",
+            paramLabel = "PLAN",
+            defaultValue = "cashier-rush",
+            description = "A plan file, or the name of a built-in plan (${DEFAULT-VALUE} without one).")
     private String plan;
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "From which all else follows "
-        + "(${DEFAULT-VALUE}).")
+
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
+            defaultValue = "1",
+            description = "From which all else follows " + "(${DEFAULT-VALUE}).")
     private long seed;
-    @Option(names = "--seeds", paramLabel = "A..B", description = "Play many on all cores; a summary, and each "
-        + "seed that broke a rule.")
+
+    @Option(
+            names = "--seeds",
+            paramLabel = "A..B",
+            description = "Play many on all cores; a summary, and each " + "seed that broke a rule.")
     private String seeds;
+
     @Option(names = "--report", paramLabel = "DIR", description = "Write report.json and report.html there.")
     private Path report;
+
     @Option(names = "--json", description = "Print the report as JSON instead of the summary.")
     private boolean json;
-    @Option(names = "--real", description = "Play in real time on loopback sockets, against agents in processes of "
-        + "their own. Nothing repeats exactly then.")
+
+    @Option(
+            names = "--real",
+            description = "Play in real time on loopback sockets, against agents in processes of "
+                    + "their own. Nothing repeats exactly then.")
     private boolean real;
-    @Option(names = "--agents", paramLabel = "N", description = "As many agents in place of the plan's; they share "
-        + "the same requests.")
+
+    @Option(
+            names = "--agents",
+            paramLabel = "N",
+            description = "As many agents in place of the plan's; they share " + "the same requests.")
     private Integer agents;
-    @Option(names = "--nodos", paramLabel = "N", description = "As many nodos in place of the plan's; the callers' "
-        + "rate goes with them.")
+
+    @Option(
+            names = "--nodos",
+            paramLabel = "N",
+            description = "As many nodos in place of the plan's; the callers' " + "rate goes with them.")
     private Integer nodos;
-    @Option(names = "--shrink", paramLabel = "FILE", description = "Where the seed breaks a rule: cut the plan down "
-        + "to the fewest faults and callers that still break it, and write that plan.")
+
+    @Option(
+            names = "--shrink",
+            paramLabel = "FILE",
+            description = "Where the seed breaks a rule: cut the plan down "
+                    + "to the fewest faults and callers that still break it, and write that plan.")
     private Path shrink;
+
     @Spec
     private CommandSpec spec;
 
@@ -78,8 +109,10 @@
         boolean watched = System.console() != null && !json;
         long began = System.nanoTime();
         Outcome outcome = real
-            ? new RealRehearsal(read, seed, RealRehearsal.ownCommand()).play(done -> progress(watched, done))
-            : new Rehearsal(read, seed).progress(done -> progress(watched, done)).play();
+                ? new RealRehearsal(read, seed, RealRehearsal.ownCommand()).play(done -> progress(watched, done))
+                : new Rehearsal(read, seed)
+                        .progress(done -> progress(watched, done))
+                        .play();
         if (report != null) {
             Report.write(outcome, report);
         }
@@ -94,22 +127,26 @@
 
     private static Plan read(String plan) throws TomlException {
         Path file = Path.of(plan);
-        return PlanReader.BUILT_IN.contains(plan) && !Files.exists(file) ? PlanReader.builtIn(plan)
-            : PlanReader.read(file);
+        return PlanReader.BUILT_IN.contains(plan) && !Files.exists(file)
+                ? PlanReader.builtIn(plan)
+                : PlanReader.read(file);
     }
 
     private Plan sized(Plan read) {
         if (agents == null && nodos == null) {
             return read;
         }
-        Plan sized = read.sized(size("--agents", agents, read.agents().count()),
-            size("--nodos", nodos, read.nodos().count()));
+        Plan sized = read.sized(
+                size("--agents", agents, read.agents().count()),
+                size("--nodos", nodos, read.nodos().count()));
         for (Fault each : sized.faults()) {
-            int most = each.kind().whom() == Fault.Kind.Whom.AGENTS ? sized.agents().count() : sized.nodos().count();
+            int most = each.kind().whom() == Fault.Kind.Whom.AGENTS
+                    ? sized.agents().count()
+                    : sized.nodos().count();
             for (String name : each.names()) {
                 if (Integer.parseInt(name.substring(name.indexOf('-') + 1)) > most) {
-                    throw new ParameterException(spec.commandLine(), "the plan names " + name
-                        + " in a fault, and there would be " + most);
+                    throw new ParameterException(
+                            spec.commandLine(), "the plan names " + name + " in a fault, and there would be " + most);
                 }
             }
         }
@@ -118,8 +155,8 @@
 
     private int size(String option, Integer asked, int usual) {
         if (asked != null && (asked < 1 || asked > PlanReader.COUNT_MOST)) {
-            throw new ParameterException(spec.commandLine(), option + " is a number from 1 to "
-                + PlanReader.COUNT_MOST + ", not " + asked);
+            throw new ParameterException(
+                    spec.commandLine(), option + " is a number from 1 to " + PlanReader.COUNT_MOST + ", not " + asked);
         }
         return asked == null ? usual : asked;
     }
@@ -134,15 +171,24 @@
         out.println(outcome.line());
         double[] classes = outcome.byClass();
         for (int i = 0; i < classes.length; i++) {
-            out.printf(Locale.ROOT, "  %-16s %.4f%n", outcome.plan().classes().get(i).name(), classes[i]);
+            out.printf(
+                    Locale.ROOT,
+                    "  %-16s %.4f%n",
+                    outcome.plan().classes().get(i).name(),
+                    classes[i]);
         }
         for (RuleChecker.Breach each : outcome.breaches().stream().limit(3).toList()) {
-            out.println("  BROKEN " + each.rule().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": "
-                + each.what() + (each.request().isEmpty() ? "" : " (request " + each.request() + ")"));
+            out.println(
+                    "  BROKEN " + each.rule().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + each.what()
+                            + (each.request().isEmpty() ? "" : " (request " + each.request() + ")"));
             each.history().forEach(line -> out.println("    " + line));
         }
-        out.printf(Locale.ROOT, "  %.0f s played in %.1f s%s%n", outcome.plan().seconds(), wall,
-            report == null ? "" : "; to be looked at: " + report.resolve("report.html"));
+        out.printf(
+                Locale.ROOT,
+                "  %.0f s played in %.1f s%s%n",
+                outcome.plan().seconds(),
+                wall,
+                report == null ? "" : "; to be looked at: " + report.resolve("report.html"));
     }
 
     /** The first and the last of a range of seeds. */
@@ -164,8 +210,8 @@
         long from = range[0];
         long until = range[1];
         boolean watched = System.console() != null;
-        Seeds.Summary summary = Seeds.play(read, from, until, done -> progress(watched, done),
-            outcome -> out.println(outcome.line()));
+        Seeds.Summary summary =
+                Seeds.play(read, from, until, done -> progress(watched, done), outcome -> out.println(outcome.line()));
         out.print(summary.text());
         out.flush();
         return summary.broken() == 0 ? 0 : Commands.BROKEN;
--- a/src/main/java/gatefront/cli/StatusCommand.java
+++ b/src/main/java/gatefront/cli/StatusCommand.java
@@ -16,15 +16,19 @@
 import picocli.CommandLine.Spec;
 
 /** What a running agent holds, by purpose. */
-@Command(name = "status", mixinStandardHelpOptions = true,
-    description = "Print what a running agent holds, by purpose; ADDRESS is that of [memory] status.")
+@Command(
+        name = "status",
+        mixinStandardHelpOptions = true,
+        description = "Print what a running agent holds, by purpose; ADDRESS is that of [memory] status.")
 final class StatusCommand implements Callable<Integer> {
     private static final int PATIENCE_MS = 5_000;
 
     @Parameters(paramLabel = "ADDRESS", description = "as in 127.0.0.1:9191")
     private String address;
+
     @Option(names = "--json", description = "As JSON.")
     private boolean json;
+
     @Spec
     private CommandSpec spec;
 
@@ -40,8 +44,10 @@
         try (Socket socket = new Socket()) {
             socket.connect(at, PATIENCE_MS);
             socket.setSoTimeout(PATIENCE_MS);
-            socket.getOutputStream().write(("GET /status" + (json ? ".json" : "")
-                + " HTTP/1.1\r\nHost: agent\r\nConnection: close\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(("GET /status" + (json ? ".json" : "")
+                                    + " HTTP/1.1\r\nHost: agent\r\nConnection: close\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII));
             InputStream in = socket.getInputStream();
             String answer = new String(in.readAllBytes(), StandardCharsets.UTF_8);
             int body = answer.indexOf("\r\n\r\n");
--- a/src/main/java/gatefront/config/Changes.java
+++ b/src/main/java/gatefront/config/Changes.java
@@ -11,7 +11,7 @@
     private static final String CLASSES = "classes";
     private static final String TENANTS = "realms";
 
-    private Changes() { }
+    private Changes() {}
 
     /** An IllegalArgumentException names the key that is missing or of another kind. */
     static void check(JsonNode before, JsonNode now) {
@@ -24,7 +24,7 @@
     }
 
     private static void same(String path, JsonNode before, JsonNode now) {
-        for (Iterator<Map.Entry<String, JsonNode>> all = before.fields(); all.hasNext();) {
+        for (Iterator<Map.Entry<String, JsonNode>> all = before.fields(); all.hasNext(); ) {
             Map.Entry<String, JsonNode> each = all.next();
             String key = path + "." + each.getKey();
             JsonNode found = now.path(each.getKey());
@@ -47,7 +47,8 @@
             for (String key : common) {
                 kind(here + "." + key, before.path(0).path(key), item.path(key));
             }
-            if (item.path("name").asText("").isEmpty() || !names.add(item.path("name").asText())) {
+            if (item.path("name").asText("").isEmpty()
+                    || !names.add(item.path("name").asText())) {
                 throw bad(here + ".name", "is missing, or there twice");
             }
         }
@@ -57,9 +58,12 @@
         if (found.isMissingNode() || found.isNull() && !before.isNull()) {
             throw bad(key, "is missing");
         }
-        if (!before.isNull() && (found.isNumber() != before.isNumber() || found.isTextual() != before.isTextual()
-                || found.isBoolean() != before.isBoolean() || found.isArray() != before.isArray()
-                || found.isObject() != before.isObject())) {
+        if (!before.isNull()
+                && (found.isNumber() != before.isNumber()
+                        || found.isTextual() != before.isTextual()
+                        || found.isBoolean() != before.isBoolean()
+                        || found.isArray() != before.isArray()
+                        || found.isObject() != before.isObject())) {
             throw bad(key, "is of another kind than before: " + found);
         }
     }
--- a/src/main/java/gatefront/config/Config.java
+++ b/src/main/java/gatefront/config/Config.java
@@ -49,17 +49,33 @@
  * @param dropped classes that keep their number and are no longer known by name
  * @param source the settings as they stood in the file
  */
-public record Config(InetSocketAddress listen, InetSocketAddress management, InetSocketAddress discovery,
-                     long seed, int sockets, JsonNode known, Balancer.Settings settings, List<String> classes,
-                     List<String> tenants,
-                     List<String> zones, List<String> kinds, List<String> loadFields, boolean loadByProbe,
-                     long connectTimeoutMicros, long idleCloseMicros, Set<String> dropped, JsonNode source) {
+public record Config(
+        InetSocketAddress listen,
+        InetSocketAddress management,
+        InetSocketAddress discovery,
+        long seed,
+        int sockets,
+        JsonNode known,
+        Balancer.Settings settings,
+        List<String> classes,
+        List<String> tenants,
+        List<String> zones,
+        List<String> kinds,
+        List<String> loadFields,
+        boolean loadByProbe,
+        long connectTimeoutMicros,
+        long idleCloseMicros,
+        Set<String> dropped,
+        JsonNode source) {
 
     private static final int NESTING_MAX = 100;
     /** Classes that there may be in the life of a process: each keeps what it has at every server. */
     private static final int CLASSES_MOST = 128;
-    private static final JsonFactory JSON = JsonFactory.builder().streamReadConstraints(
-        StreamReadConstraints.builder().maxNestingDepth(NESTING_MAX).build()).build();
+
+    private static final JsonFactory JSON = JsonFactory.builder()
+            .streamReadConstraints(
+                    StreamReadConstraints.builder().maxNestingDepth(NESTING_MAX).build())
+            .build();
 
     /** Reads the file; an unusable one is an exception whose message is one plain line. */
     public static Config read(Path file) {
@@ -75,9 +91,26 @@
 
     /** The same with a door for operators at this address; null changes nothing. */
     public Config managedAt(String address) {
-        return address == null || address.isEmpty() ? this : new Config(listen, address(address), discovery, seed,
-            sockets, known, settings, classes, tenants, zones, kinds, loadFields, loadByProbe, connectTimeoutMicros,
-            idleCloseMicros, dropped, source);
+        return address == null || address.isEmpty()
+                ? this
+                : new Config(
+                        listen,
+                        address(address),
+                        discovery,
+                        seed,
+                        sockets,
+                        known,
+                        settings,
+                        classes,
+                        tenants,
+                        zones,
+                        kinds,
+                        loadFields,
+                        loadByProbe,
+                        connectTimeoutMicros,
+                        idleCloseMicros,
+                        dropped,
+                        source);
     }
 
     /** Takes the configuration from its JSON. */
@@ -85,16 +118,24 @@
         JsonNode settings = need(root, "settings");
         Map<String, String> pairs = new HashMap<>();
         flatten("", settings, pairs);
-        return new Config(address(text(root, "listen")),
-            root.path("management").asText("").isEmpty() ? null : address(text(root, "management")),
-            address(text(root, "discovery")),
-            seed(text(root, "seed")), (int) atLeast(64, need(root, "limits"), "sockets"), root.path("known"),
-            SettingsParser.parse(pairs), names(settings.path("classes")), names(settings.path("realms")),
-            names(settings.path("zones")), names(settings.path("kinds")),
-            names(settings.path("load-info").path("fields")),
-            settings.path("load-info").path("via").asText().equals("probe"),
-            atLeast(1000, need(settings, "caps"), "dial-timeout-us"),
-            atLeast(1000, need(settings, "caps"), "idle-close-us"), Set.of(), settings);
+        return new Config(
+                address(text(root, "listen")),
+                root.path("management").asText("").isEmpty() ? null : address(text(root, "management")),
+                address(text(root, "discovery")),
+                seed(text(root, "seed")),
+                (int) atLeast(64, need(root, "limits"), "sockets"),
+                root.path("known"),
+                SettingsParser.parse(pairs),
+                names(settings.path("classes")),
+                names(settings.path("realms")),
+                names(settings.path("zones")),
+                names(settings.path("kinds")),
+                names(settings.path("load-info").path("fields")),
+                settings.path("load-info").path("via").asText().equals("probe"),
+                atLeast(1000, need(settings, "caps"), "dial-timeout-us"),
+                atLeast(1000, need(settings, "caps"), "idle-close-us"),
+                Set.of(),
+                settings);
     }
 
     /** The number of a class that is known by this name, or negative. */
@@ -126,18 +167,52 @@
         }
         if (names.size() > CLASSES_MOST) {
             throw new IllegalArgumentException("config: classes: " + names.size() + " different names since the start, "
-                + "more than the " + CLASSES_MOST + " that may be; it needs a restart");
+                    + "more than the " + CLASSES_MOST + " that may be; it needs a restart");
         }
         Balancer.Settings was = settings;
         Balancer.Settings is = newer.settings;
-        Balancer.Settings merged = new Balancer.Settings(was.agent(), was.agents(), was.zone(), was.zones(), was.tick(),
-            was.askDiscovery(), was.warmKeys(), was.listedWeights(), was.worthByWork(), is.overQuotaWorth(),
-            new Balancer.Permits(is.permits().maxAttempts(), was.permits().duplicates(), was.permits().cancel(),
-                was.permits().probes(), was.permits().messages(), is.permits().maxRetryAfter()),
-            is.obligations(), is.prices(), is.goal(), List.copyOf(types), is.tenants(), was.loadFields());
-        return new Config(listen, management, newer.discovery, seed, sockets, known, merged, List.copyOf(names),
-            newer.tenants, zones, kinds, loadFields, loadByProbe, connectTimeoutMicros, idleCloseMicros,
-            Set.copyOf(gone), newer.source);
+        Balancer.Settings merged = new Balancer.Settings(
+                was.agent(),
+                was.agents(),
+                was.zone(),
+                was.zones(),
+                was.tick(),
+                was.askDiscovery(),
+                was.warmKeys(),
+                was.listedWeights(),
+                was.worthByWork(),
+                is.overQuotaWorth(),
+                new Balancer.Permits(
+                        is.permits().maxAttempts(),
+                        was.permits().duplicates(),
+                        was.permits().cancel(),
+                        was.permits().probes(),
+                        was.permits().messages(),
+                        is.permits().maxRetryAfter()),
+                is.obligations(),
+                is.prices(),
+                is.goal(),
+                List.copyOf(types),
+                is.tenants(),
+                was.loadFields());
+        return new Config(
+                listen,
+                management,
+                newer.discovery,
+                seed,
+                sockets,
+                known,
+                merged,
+                List.copyOf(names),
+                newer.tenants,
+                zones,
+                kinds,
+                loadFields,
+                loadByProbe,
+                connectTimeoutMicros,
+                idleCloseMicros,
+                Set.copyOf(gone),
+                newer.source);
     }
 
     /**
@@ -171,7 +246,8 @@
                 return array;
             case VALUE_NUMBER_INT:
                 return from.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                    ? nodes.numberNode(from.getBigIntegerValue()) : nodes.numberNode(from.getLongValue());
+                        ? nodes.numberNode(from.getBigIntegerValue())
+                        : nodes.numberNode(from.getLongValue());
             case VALUE_NUMBER_FLOAT:
                 return nodes.numberNode(from.getDoubleValue());
             case VALUE_NULL:
@@ -187,8 +263,9 @@
     /** Nested JSON as the path=value pairs of the simulator's first message: one parser serves both. */
     private static void flatten(String path, JsonNode node, Map<String, String> pairs) {
         if (node.isObject()) {
-            node.properties().forEach(each ->
-                flatten(path.isEmpty() ? each.getKey() : path + "." + each.getKey(), each.getValue(), pairs));
+            node.properties()
+                    .forEach(each -> flatten(
+                            path.isEmpty() ? each.getKey() : path + "." + each.getKey(), each.getValue(), pairs));
         } else if (node.isArray() && node.path(0).isContainerNode()) {
             pairs.put(path + ".count", String.valueOf(node.size()));
             for (int i = 0; i < node.size(); i++) {
@@ -251,8 +328,8 @@
         byte[] host = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         try {
             if (host != null) {
-                return new InetSocketAddress(InetAddress.getByAddress(host),
-                    Integer.parseInt(text.substring(colon + 1)));
+                return new InetSocketAddress(
+                        InetAddress.getByAddress(host), Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (UnknownHostException | IllegalArgumentException e) {
             throw new IllegalArgumentException("unusable address: " + text, e);
--- a/src/main/java/gatefront/config/EndpointForm.java
+++ b/src/main/java/gatefront/config/EndpointForm.java
@@ -9,20 +9,30 @@
 
 /** One server in the form of the platform's server list, which sources of our own use too. */
 public final class EndpointForm {
-    private EndpointForm() { }
+    private EndpointForm() {}
 
     /** Gives an entry, which {@link #decode} makes the same server of. */
     public static ObjectNode encode(Endpoint endpoint, Config config) {
         Server server = endpoint.server();
-        return JsonNodeFactory.instance.objectNode().put("name", endpoint.name())
-            .put("address", endpoint.address().getAddress().getHostAddress() + ":" + endpoint.address().getPort())
-            .put("zone", config.zones().get(server.zone()))
-            .put("type", server.kind() < 0 ? "" : config.kinds().get(server.kind())).put("group", server.cell())
-            .put("status", switch (server.phase()) {
-                case READY -> "Ready";
-                case DRAINING -> "Terminating";
-                case GONE -> "Gone";
-            }).put("weight", server.weight()).put("since_ms", server.startedAt() / 1000);
+        return JsonNodeFactory.instance
+                .objectNode()
+                .put("name", endpoint.name())
+                .put(
+                        "address",
+                        endpoint.address().getAddress().getHostAddress() + ":"
+                                + endpoint.address().getPort())
+                .put("zone", config.zones().get(server.zone()))
+                .put("type", server.kind() < 0 ? "" : config.kinds().get(server.kind()))
+                .put("group", server.cell())
+                .put(
+                        "status",
+                        switch (server.phase()) {
+                            case READY -> "Ready";
+                            case DRAINING -> "Terminating";
+                            case GONE -> "Gone";
+                        })
+                .put("weight", server.weight())
+                .put("since_ms", server.startedAt() / 1000);
     }
 
     /**
@@ -40,14 +50,23 @@
         if (called.isEmpty() || zone < 0) {
             throw new IllegalArgumentException("name or zone of a server: " + entry);
         }
-        Phase phase = switch (entry.path("status").asText()) {
-            case "Ready" -> Phase.READY;
-            case "Terminating" -> Phase.DRAINING;
-            case "Gone" -> Phase.GONE;
-            default -> throw new IllegalArgumentException("status of a server: " + entry);
-        };
-        return new Endpoint(new Server(Config.id(called), zone, entry.path("group").asInt(),
-            config.kinds().indexOf(entry.path("type").asText()), phase, entry.path("weight").asDouble(1),
-            1000 * entry.path("since_ms").asLong()), called, Config.address(entry.path("address").asText()));
+        Phase phase =
+                switch (entry.path("status").asText()) {
+                    case "Ready" -> Phase.READY;
+                    case "Terminating" -> Phase.DRAINING;
+                    case "Gone" -> Phase.GONE;
+                    default -> throw new IllegalArgumentException("status of a server: " + entry);
+                };
+        return new Endpoint(
+                new Server(
+                        Config.id(called),
+                        zone,
+                        entry.path("group").asInt(),
+                        config.kinds().indexOf(entry.path("type").asText()),
+                        phase,
+                        entry.path("weight").asDouble(1),
+                        1000 * entry.path("since_ms").asLong()),
+                called,
+                Config.address(entry.path("address").asText()));
     }
 }
--- a/src/main/java/gatefront/connection/AcceptingFront.java
+++ b/src/main/java/gatefront/connection/AcceptingFront.java
@@ -30,13 +30,21 @@
 public abstract class AcceptingFront implements Front {
     /** What a connection is at. */
     protected enum State {
-        /** New, and nothing said yet. */ SILENT,
-        /** Half a request sent. */ BEGUN,
-        /** Kept after an answer. */ KEPT,
-        /** Owed an answer. */ OWED,
-        /** Its answer is passed on in pieces; since it last took some. */ PASSING,
-        /** Its last answer is being written. */ FINISHING,
-        /** Its last answer is being read. */ ENDING }
+        /** New, and nothing said yet. */
+        SILENT,
+        /** Half a request sent. */
+        BEGUN,
+        /** Kept after an answer. */
+        KEPT,
+        /** Owed an answer. */
+        OWED,
+        /** Its answer is passed on in pieces; since it last took some. */
+        PASSING,
+        /** Its last answer is being written. */
+        FINISHING,
+        /** Its last answer is being read. */
+        ENDING
+    }
 
     /** How long a connection may say nothing. */
     private static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(2);
@@ -44,6 +52,7 @@
     private static final long BEGUN_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
     /** How long one that has had an answer is kept while there is room, and while there is little. */
     private static final long KEPT_NANOS = TimeUnit.SECONDS.toNanos(30);
+
     private static final long KEPT_LEAST_NANOS = TimeUnit.SECONDS.toNanos(2);
     /** How long a new connection may say nothing at the least: its first request is on the way. */
     private static final long SILENT_LEAST_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
@@ -51,10 +60,12 @@
     private static final long FINISH_NANOS = TimeUnit.SECONDS.toNanos(3);
     /** How long one may read nothing of an answer that is passed on in pieces. */
     private static final long STALLED_NANOS = TimeUnit.SECONDS.toNanos(30);
+
     private static final long LINGER_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
     private static final int LINGER_MOST = 16;
     /** From this part of the room on those kept are closed sooner, and each answer is a connection's last. */
     private static final double PRESSED = 0.6;
+
     private static final long SWEEP_MS = 100;
     private final Transport transport;
     private final InetSocketAddress listen;
@@ -64,6 +75,7 @@
     private final Set<Connection> connections = new LinkedHashSet<>();
     /** Of these, by what they are at, the longest at it first. */
     private final Map<State, Set<Connection>> at = new EnumMap<>(State.class);
+
     private final Budget budget;
     private final Account callers;
     private final Account requests;
@@ -86,25 +98,30 @@
         this.requests = budget.of(Purpose.REQUESTS);
         this.answers = budget.of(Purpose.ANSWERS);
         budget.recounted(Purpose.CALLER_CONNECTIONS, () -> new Budget.Count(connections.size(), 0));
-        budget.recounted(Purpose.REQUESTS, () -> new Budget.Count(0,
-            connections.stream().mapToLong(each -> each.held).sum()));
+        budget.recounted(
+                Purpose.REQUESTS,
+                () -> new Budget.Count(
+                        0, connections.stream().mapToLong(each -> each.held).sum()));
         this.transport = transport;
         this.listen = listen;
         this.connectionsMost = connectionsMost;
         for (State each : State.values()) {
             at.put(each, new LinkedHashSet<>());
         }
-        bootstrap = new ServerBootstrap().group(transport.loop()).channelFactory(transport.sharedListeners())
-            .option(ChannelOption.SO_BACKLOG, 1024).option(ChannelOption.SO_REUSEADDR, true)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR, Buffers.reads())
-            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Buffers.MARKS)
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel ch) {
-                    init((DuplexChannel) ch);
-                }
-            });
+        bootstrap = new ServerBootstrap()
+                .group(transport.loop())
+                .channelFactory(transport.sharedListeners())
+                .option(ChannelOption.SO_BACKLOG, 1024)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Buffers.reads())
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Buffers.MARKS)
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel ch) {
+                        init((DuplexChannel) ch);
+                    }
+                });
     }
 
     /** Sets up a new connection: its decoder, and a {@link Connection} behind it. */
@@ -116,8 +133,7 @@
         server = bound.channel();
         bound.addListener(done -> {
             if (done.isSuccess()) {
-                transport.loop().scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS,
-                    TimeUnit.MILLISECONDS);
+                transport.loop().scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
             }
         });
         return bound;
@@ -177,7 +193,10 @@
      */
     private void makeRoom() {
         long now = transport.nanos();
-        while (connections.size() - at.get(State.ENDING).size() - at.get(State.FINISHING).size() >= connectionsMost
+        while (connections.size()
+                                - at.get(State.ENDING).size()
+                                - at.get(State.FINISHING).size()
+                        >= connectionsMost
                 || callers.full()) {
             Connection first = older(State.SILENT, now - SILENT_LEAST_NANOS);
             first = first == null ? older(State.KEPT, now - KEPT_LEAST_NANOS) : first;
@@ -209,8 +228,9 @@
                 each.channel.close(); // it does not read either
             }
         }
-        expired(State.PASSING, STALLED_NANOS).stream().filter(each -> !each.channel.isWritable())
-            .forEach(each -> each.channel.close());
+        expired(State.PASSING, STALLED_NANOS).stream()
+                .filter(each -> !each.channel.isWritable())
+                .forEach(each -> each.channel.close());
         expired(State.FINISHING, FINISH_NANOS).forEach(each -> each.channel.close());
         expired(State.ENDING, LINGER_NANOS).forEach(each -> each.channel.close());
         makeRoom();
@@ -232,6 +252,7 @@
         protected final DuplexChannel channel;
         /** Nothing more is taken from it: what came was wrong, or it ends. */
         protected boolean deaf;
+
         private State state;
         private long since;
         /** What its requests' bodies take. */
--- a/src/main/java/gatefront/connection/Buffers.java
+++ b/src/main/java/gatefront/connection/Buffers.java
@@ -8,12 +8,13 @@
 final class Buffers {
     /** Read at once at the most: a piece that waits keeps the whole of what it was read with. */
     private static final int READ_MOST = 16 << 10;
+
     private static final int READ_LEAST = 64;
     private static final int READ_FIRST = 2 << 10;
     /** Written and not yet taken by the system: from twice a read on nothing more is, until it is one again. */
     static final WriteBufferWaterMark MARKS = new WriteBufferWaterMark(READ_MOST, 2 * READ_MOST);
 
-    private Buffers() { }
+    private Buffers() {}
 
     static RecvByteBufAllocator reads() {
         return new AdaptiveRecvByteBufAllocator(READ_LEAST, READ_FIRST, READ_MOST);
--- a/src/main/java/gatefront/connection/LoadReport.java
+++ b/src/main/java/gatefront/connection/LoadReport.java
@@ -9,8 +9,19 @@
 public final class LoadReport {
     private static final double[] NONE = new double[0];
     /** The names of the values as servers write them, where the settings say otherwise. */
-    private static final Map<String, String> WRITTEN = Map.of("concurrent", "inflight", "depth", "queue",
-        "load_share", "util", "mean_ms", "latency_ms", "tps", "qps", "err_ps", "eps");
+    private static final Map<String, String> WRITTEN = Map.of(
+            "concurrent",
+            "inflight",
+            "depth",
+            "queue",
+            "load_share",
+            "util",
+            "mean_ms",
+            "latency_ms",
+            "tps",
+            "qps",
+            "err_ps",
+            "eps");
 
     private final List<String> fields;
 
--- a/src/main/java/gatefront/connection/PooledUpstream.java
+++ b/src/main/java/gatefront/connection/PooledUpstream.java
@@ -43,12 +43,14 @@
     protected static final double[] NO_LOAD = new double[0];
     /** The part of the servers' idle time after which a connection is not used again. */
     private static final double IDLE_PART = 0.75;
+
     private static final long SWEEP_SECONDS = 1;
     /**
      * A connection rests for this long after an answer. Guards against a second copy or noise right behind
      * the answer, which would be taken for the answer of the next request: it shows in that time.
      */
     private static final long REST_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
+
     private static final long PROBE_TIMEOUT_MICROS = 250_000;
     /** An answer that is being passed on and of which nothing comes for so long is over. */
     private static final long STALLED_NANOS = TimeUnit.SECONDS.toNanos(4);
@@ -60,6 +62,7 @@
     private final int connectionsMost;
     /** By server, from its first line as ready until it drains or goes. */
     private final Map<Long, Pool> pools = new HashMap<>();
+
     private int connections;
     private int attempts;
     private final Account held;
@@ -71,6 +74,7 @@
         final long restNanos;
         /** Most recently used first: what is not needed grows old and is closed. */
         final Deque<Connection> idle = new ArrayDeque<>();
+
         final Set<Attempt> connecting = new LinkedHashSet<>();
         boolean retired;
 
@@ -95,20 +99,22 @@
      * @param idleCloseMicros servers close a connection that has been idle for this long
      * @param budget of the agent
      */
-    protected PooledUpstream(Transport transport, int connectionsMost, long connectTimeoutMicros,
-                             long idleCloseMicros, Budget budget) {
+    protected PooledUpstream(
+            Transport transport, int connectionsMost, long connectTimeoutMicros, long idleCloseMicros, Budget budget) {
         this.held = budget.of(Purpose.SERVER_CONNECTIONS);
         this.answers = budget.of(Purpose.SERVER_ANSWERS);
         this.transport = transport;
         this.loop = transport.loop();
         this.connectionsMost = connectionsMost;
         this.idleNanos = (long) (1000 * IDLE_PART * idleCloseMicros);
-        this.bootstrap = new Bootstrap().group(loop).channelFactory(transport.dialers())
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (connectTimeoutMicros / 1000))
-            .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, Buffers.reads())
-            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Buffers.MARKS)
-            .disableResolver(); // addresses are literal; the usual resolvers would keep the loop for ever
+        this.bootstrap = new Bootstrap()
+                .group(loop)
+                .channelFactory(transport.dialers())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (connectTimeoutMicros / 1000))
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, Buffers.reads())
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Buffers.MARKS)
+                .disableResolver(); // addresses are literal; the usual resolvers would keep the loop for ever
         loop.scheduleWithFixedDelay(this::closeOld, SWEEP_SECONDS, SWEEP_SECONDS, TimeUnit.SECONDS);
     }
 
@@ -140,7 +146,7 @@
     protected abstract Payload probe();
 
     /** The last byte of an attempt's request has left. */
-    protected void left(Attempt attempt) { }
+    protected void left(Attempt attempt) {}
 
     /** Where a listed server is reached by this protocol, or null if it is not. */
     protected InetSocketAddress address(Endpoint endpoint) {
@@ -227,7 +233,7 @@
         long now = transport.nanos();
         Connection fit = null;
         List<Connection> unfit = null;
-        for (Iterator<Connection> all = pool.idle.iterator(); fit == null && all.hasNext();) {
+        for (Iterator<Connection> all = pool.idle.iterator(); fit == null && all.hasNext(); ) {
             Connection each = all.next();
             if (now - each.idleSince >= pool.restNanos) {
                 all.remove();
@@ -274,6 +280,7 @@
         private boolean ended;
         /** Its answer, where that is passed on in pieces; and when the server last gave some. */
         private Flow flow;
+
         private long progressAt;
 
         private Attempt(Payload request, long timeoutMicros, Listener then) {
@@ -281,8 +288,8 @@
             this.then = then;
             this.limited = timeoutMicros > 0;
             this.endAt = transport.nanos() + 1000 * timeoutMicros;
-            this.timer = limited
-                ? loop.schedule(() -> end(Outcome.TIMEOUT), timeoutMicros, TimeUnit.MICROSECONDS) : null;
+            this.timer =
+                    limited ? loop.schedule(() -> end(Outcome.TIMEOUT), timeoutMicros, TimeUnit.MICROSECONDS) : null;
         }
 
         /** What was handed in. */
@@ -357,15 +364,18 @@
 
         /** Guards against an answer that stops in the middle, held open for ever. */
         private void watch() {
-            loop.schedule(() -> {
-                if (!ended) {
-                    if (flow.isOpen() && !flow.isStopped() && transport.nanos() - progressAt > STALLED_NANOS) {
-                        end(Outcome.TIMEOUT);
-                    } else {
-                        watch();
-                    }
-                }
-            }, STALLED_NANOS / 4, TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    () -> {
+                        if (!ended) {
+                            if (flow.isOpen() && !flow.isStopped() && transport.nanos() - progressAt > STALLED_NANOS) {
+                                end(Outcome.TIMEOUT);
+                            } else {
+                                watch();
+                            }
+                        }
+                    },
+                    STALLED_NANOS / 4,
+                    TimeUnit.NANOSECONDS);
         }
 
         /** Writes the head at once and the body as it comes. */
@@ -418,8 +428,9 @@
                 return;
             }
             long millisLeft = limited ? Math.max(1, (endAt - transport.nanos()) / 1_000_000) : 0;
-            to.channel.writeAndFlush(message(request, number, millisLeft)).addListener(done ->
-                written(done.isSuccess()));
+            to.channel
+                    .writeAndFlush(message(request, number, millisLeft))
+                    .addListener(done -> written(done.isSuccess()));
         }
 
         /** The connection has ended under the attempt. Before its last byte was written it did not run. */
@@ -479,6 +490,7 @@
         private Attempt attempt;
         /** The request that is leaving in pieces, or null. */
         private Flow upload;
+
         private long idleSince;
 
         private Connection(Pool pool) {
@@ -494,7 +506,6 @@
             channel = ch;
             init(this, ch.pipeline());
         }
-
     }
 
     /** Turns what arrives on a connection into the outcome of its attempt. */
@@ -549,11 +560,14 @@
 
         /** Does something after a time, if the attempt has not ended by then. */
         protected final void later(Attempt attempt, long millis, Runnable what) {
-            loop.schedule(() -> {
-                if (!attempt.ended) {
-                    what.run();
-                }
-            }, millis, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        if (!attempt.ended) {
+                            what.run();
+                        }
+                    },
+                    millis,
+                    TimeUnit.MILLISECONDS);
         }
 
         @Override
--- a/src/main/java/gatefront/drill/Drill.java
+++ b/src/main/java/gatefront/drill/Drill.java
@@ -1,5 +1,11 @@
 package gatefront.drill;
 
+import gatefront.policy.Balancer;
+import gatefront.policy.Balancer.ListKind;
+import gatefront.policy.Balancer.Outcome;
+import gatefront.policy.Balancer.Phase;
+import gatefront.policy.Rules;
+import gatefront.policy.SettingsParser;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -7,12 +13,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import gatefront.policy.Balancer;
-import gatefront.policy.Balancer.ListKind;
-import gatefront.policy.Balancer.Outcome;
-import gatefront.policy.Balancer.Phase;
-import gatefront.policy.Rules;
-import gatefront.policy.SettingsParser;
 
 /** Speaks the simulator's wire for many instances. It decides nothing. */
 public final class Drill {
@@ -111,9 +111,17 @@
                 int tenant = in.u16();
                 long cost = in.u32();
                 boolean costKnown = (attributes & 1) != 0;
-                instance.request(now, new Balancer.Request(id, requestClass, tenant, key,
-                    costKnown ? cost : 0,
-                    deadline, (attributes & 2) != 0, (attributes & 4) != 0));
+                instance.request(
+                        now,
+                        new Balancer.Request(
+                                id,
+                                requestClass,
+                                tenant,
+                                key,
+                                costKnown ? cost : 0,
+                                deadline,
+                                (attributes & 2) != 0,
+                                (attributes & 4) != 0));
             }
             case 21 -> announce(instance, now);
             case 22 -> {
@@ -152,13 +160,14 @@
 
     private void announce(Balancer instance, long now) {
         int number = in.u8();
-        ListKind kind = switch (in.u8()) {
-            case 1 -> ListKind.DELTA;
-            case 2 -> ListKind.CACHED;
-            case 3 -> ListKind.FULL;
-            case 4 -> ListKind.FAILED;
-            default -> throw new WireException(in.where() + ": unknown kind of list");
-        };
+        ListKind kind =
+                switch (in.u8()) {
+                    case 1 -> ListKind.DELTA;
+                    case 2 -> ListKind.CACHED;
+                    case 3 -> ListKind.FULL;
+                    case 4 -> ListKind.FAILED;
+                    default -> throw new WireException(in.where() + ": unknown kind of list");
+                };
         in.u32(); // the list's version: events are ordered and complete, so nothing hangs on it
         if (kind == ListKind.FAILED) {
             instance.servers(now, kind, List.of());
--- a/src/main/java/gatefront/drill/FrameReader.java
+++ b/src/main/java/gatefront/drill/FrameReader.java
@@ -42,8 +42,8 @@
         recordEnd = 4;
         int length = i32();
         if (length < HEADER_AFTER_LENGTH || length > LENGTH_MAX) {
-            throw new WireException("frame " + frames + ": length " + Integer.toUnsignedString(length)
-                + " is not possible");
+            throw new WireException(
+                    "frame " + frames + ": length " + Integer.toUnsignedString(length) + " is not possible");
         }
         if (buffer.length < length) {
             buffer = new byte[Math.max(length, Math.min(2 * buffer.length, LENGTH_MAX))];
@@ -74,8 +74,7 @@
         }
         if (recordsLeft == 0) {
             if (at != end) {
-                throw new WireException("frame " + frames + ": " + (end - at)
-                    + " bytes after the last record");
+                throw new WireException("frame " + frames + ": " + (end - at) + " bytes after the last record");
             }
             return false;
         }
@@ -88,8 +87,7 @@
         code = u8();
         int size = i32();
         if (size < 0 || size > end - at) {
-            throw new WireException(where() + ": size " + Integer.toUnsignedString(size)
-                + " is over the frame");
+            throw new WireException(where() + ": size " + Integer.toUnsignedString(size) + " is over the frame");
         }
         recordEnd = at + size;
         return true;
@@ -120,8 +118,10 @@
 
     int i32() {
         need(4);
-        int value = (buffer[at] & 0xff) << 24 | (buffer[at + 1] & 0xff) << 16 | (buffer[at + 2] & 0xff) << 8
-            | buffer[at + 3] & 0xff;
+        int value = (buffer[at] & 0xff) << 24
+                | (buffer[at + 1] & 0xff) << 16
+                | (buffer[at + 2] & 0xff) << 8
+                | buffer[at + 3] & 0xff;
         at += 4;
         return value;
     }
--- a/src/main/java/gatefront/drill/FrameWriter.java
+++ b/src/main/java/gatefront/drill/FrameWriter.java
@@ -1,10 +1,10 @@
 package gatefront.drill;
 
+import gatefront.policy.Balancer;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import gatefront.policy.Balancer;
 
 /** Collects one reply in a reused buffer; the actions of the current instance become records. */
 final class FrameWriter implements Balancer.Actions {
--- a/src/main/java/gatefront/engine/Call.java
+++ b/src/main/java/gatefront/engine/Call.java
@@ -12,13 +12,23 @@
  * @param repeated whether the caller says that it has asked before
  * @param payload what goes to the server
  */
-public record Call(String id, int requestClass, int tenant, long key, long hint, long timeoutMs, boolean repeated,
-                   Payload payload) {
+public record Call(
+        String id,
+        int requestClass,
+        int tenant,
+        long key,
+        long hint,
+        long timeoutMs,
+        boolean repeated,
+        Payload payload) {
     private static final int ID_MOST = 128;
 
     /** Whether a text has the form of an id or key: letters, digits and a few marks, and not too many. */
     public static boolean isId(String text) {
-        return !text.isEmpty() && text.length() <= ID_MOST && text.chars().allMatch(c -> c < 128
-            && (Character.isLetterOrDigit(c) || c == '-' || c == '_' || c == '.' || c == ':'));
+        return !text.isEmpty()
+                && text.length() <= ID_MOST
+                && text.chars()
+                        .allMatch(c -> c < 128
+                                && (Character.isLetterOrDigit(c) || c == '-' || c == '_' || c == '.' || c == ':'));
     }
 }
--- a/src/main/java/gatefront/engine/Engine.java
+++ b/src/main/java/gatefront/engine/Engine.java
@@ -31,6 +31,7 @@
     public static final long RETRY_AFTER_MICROS = 250_000;
     /** Of the caller's time, what the answer's way back and a late wake-up may take. */
     private static final long MARGIN_MICROS = 10_000;
+
     private static final Pattern SERVER = Pattern.compile("^server (-?\\d+)");
 
     private final Transport transport;
@@ -39,6 +40,7 @@
     private final long seed;
     /** One for each protocol, the one that probes first. */
     private final List<Upstream> upstreams;
+
     private final Source source;
     private final Balancer balancer;
     private final Budget budget;
@@ -53,16 +55,19 @@
      * goes when it is answered and no attempt is out, which its own guard sees to at its deadline at the latest.
      */
     private final Map<Long, Pending> open = new HashMap<>();
+
     private final Map<Exchange, Pending> byExchange = new HashMap<>();
     private final Map<String, Pending> byName = new HashMap<>();
     /** Of the servers listed; each goes when the list says so. */
     private final Map<Long, String> names = new HashMap<>();
     /** The monotonic clock is anchored once to the time of day, in which the list tells starts. */
     private final long anchorMicros;
+
     private long nextId = 1;
     private boolean deciding;
     /** Whether this process has stood still; null where nobody asks. */
     private Waking waking;
+
     private Runnable whenWoken;
     private long patienceMs;
     /** Events of the module that wait until it has heard; no more than came within that time. */
@@ -78,7 +83,7 @@
     }
 
     /** What is held: calls taken, attempts out, and servers that something is kept for. */
-    public record Held(int requests, int attempts, int servers) { }
+    public record Held(int requests, int attempts, int servers) {}
 
     /** A call taken and not yet done with. */
     private static final class Pending {
@@ -91,6 +96,7 @@
         boolean answered;
         /** Whether an answer is on its way to the caller in pieces. */
         boolean passing;
+
         Payload passed;
         Future<?> guard;
 
@@ -113,8 +119,14 @@
      * @param budget of the agent
      * @param module makes the decision module
      */
-    public Engine(Transport transport, Balancer.Settings settings, long seed, List<Upstream> upstreams,
-                  Source source, Budget budget, Function<Engine, Balancer> module) {
+    public Engine(
+            Transport transport,
+            Balancer.Settings settings,
+            long seed,
+            List<Upstream> upstreams,
+            Source source,
+            Budget budget,
+            Function<Engine, Balancer> module) {
         this.budget = budget;
         this.calls = budget.of(Purpose.CALLS);
         this.listed = budget.of(Purpose.SERVERS);
@@ -172,13 +184,16 @@
 
     /** What it holds now; to be asked on its loop. */
     public Held held() {
-        return new Held(Math.max(open.size(), Math.max(byExchange.size(), byName.size())),
-            open.values().stream().mapToInt(each -> each.out).sum(), servers());
+        return new Held(
+                Math.max(open.size(), Math.max(byExchange.size(), byName.size())),
+                open.values().stream().mapToInt(each -> each.out).sum(),
+                servers());
     }
 
     /** How many servers something is kept for; to be asked on its loop. */
     public int servers() {
-        return Math.max(names.size(), upstreams.stream().mapToInt(Upstream::size).max().orElse(0));
+        return Math.max(
+                names.size(), upstreams.stream().mapToInt(Upstream::size).max().orElse(0));
     }
 
     /** How many calls of a class may be in progress, by its index; classes without an entry have no limit. */
@@ -297,8 +312,8 @@
     /** The list of servers has changed; {@link Balancer.ListKind#FAILED} and no entries if it could not be had. */
     public void servers(Balancer.ListKind kind, List<Endpoint> endpoints) {
         List<Endpoint> taken = room(endpoints);
-        Set<Long> gone = new HashSet<>(kind == Balancer.ListKind.DELTA || kind == Balancer.ListKind.FAILED
-            ? Set.of() : names.keySet());
+        Set<Long> gone = new HashSet<>(
+                kind == Balancer.ListKind.DELTA || kind == Balancer.ListKind.FAILED ? Set.of() : names.keySet());
         for (Endpoint endpoint : taken) {
             long id = endpoint.server().id();
             gone.remove(id);
@@ -310,8 +325,10 @@
         gone.forEach(id -> upstreams.forEach(each -> each.gone(id)));
         List<Balancer.Server> entries = taken.stream().map(Endpoint::server).toList();
         decide(null, () -> balancer.servers(now(), kind, entries));
-        taken.stream().map(Endpoint::server).filter(each -> each.phase() == Balancer.Phase.GONE)
-            .forEach(each -> gone.add(each.id()));
+        taken.stream()
+                .map(Endpoint::server)
+                .filter(each -> each.phase() == Balancer.Phase.GONE)
+                .forEach(each -> gone.add(each.id()));
         gone.forEach(id -> {
             if (names.remove(id) != null) {
                 listed.give(0);
@@ -333,7 +350,7 @@
         }
         if (taken.size() < endpoints.size()) {
             say("list: " + (endpoints.size() - taken.size()) + " servers are not taken, more than the "
-                + listed.entriesCap() + " that may be held");
+                    + listed.entriesCap() + " that may be held");
         }
         return taken;
     }
@@ -362,8 +379,10 @@
             return;
         }
         // Guards against falling over with all that is held: what is new is turned away, and told when to come back.
-        if (budget.pressure() == Budget.Pressure.FULL || budget.of(Purpose.ANSWERS).full()
-                || !room(call.requestClass()) || !calls.take(0)) {
+        if (budget.pressure() == Budget.Pressure.FULL
+                || budget.of(Purpose.ANSWERS).full()
+                || !room(call.requestClass())
+                || !calls.take(0)) {
             exchange.refused(RETRY_AFTER_MICROS);
             tally.refused(call.requestClass());
             return;
@@ -376,8 +395,8 @@
         byExchange.put(exchange, pending);
         byName.put(call.id(), pending);
         long deadline = now() + guard(pending);
-        Balancer.Request request = new Balancer.Request(id, call.requestClass(), call.tenant(), call.key(),
-            call.hint(), deadline, call.repeated(), false);
+        Balancer.Request request = new Balancer.Request(
+                id, call.requestClass(), call.tenant(), call.key(), call.hint(), deadline, call.repeated(), false);
         event(pending, () -> {
             if (!pending.answered) { // its caller's time may have passed while it was held back
                 balancer.request(now(), request);
@@ -398,7 +417,7 @@
         long refused = room ? 0 : limits.met(now(), of);
         if (refused > 0) {
             say("limits: class " + of + " is at its limit, " + limits.inProgress(of) + " in progress; refused "
-                + refused + " of it since last said");
+                    + refused + " of it since last said");
         }
         return room;
     }
@@ -441,15 +460,20 @@
         }
         Balancer.Outcome outcome = bad ? Balancer.Outcome.CANCELLED : result.outcome();
         forget(pending);
-        event(pending, () -> balancer.outcome(now(), pending.id, attempt, server, outcome,
-            spent, pending.answered, result.load()));
+        event(
+                pending,
+                () -> balancer.outcome(
+                        now(), pending.id, attempt, server, outcome, spent, pending.answered, result.load()));
     }
 
     private void served(Pending pending, long spent, Payload answer) {
         tally.served(pending.call.requestClass());
         if (usage != null) {
-            usage.served(pending.call.tenant(), pending.call.requestClass(), spent,
-                pending.call.payload().bytes() + answer.bytes());
+            usage.served(
+                    pending.call.tenant(),
+                    pending.call.requestClass(),
+                    spent,
+                    pending.call.payload().bytes() + answer.bytes());
         }
     }
 
@@ -489,6 +513,7 @@
         pending.attempts.add(pending.upstream.send(server, pending.call.payload(), timeout, new Upstream.Listener() {
             /** Since when the server has had it, and how long it took to answer; negative while it has not. */
             private long since = sentAt;
+
             private long took = -1;
 
             @Override
@@ -567,12 +592,16 @@
     @Override
     public void probe(long server) {
         long sentAt = now();
-        upstreams.get(0).probe(server, result -> event(() ->
-            balancer.probed(now(), server, result.outcome(), now() - sentAt, result.load())));
+        upstreams
+                .get(0)
+                .probe(
+                        server,
+                        result -> event(
+                                () -> balancer.probed(now(), server, result.outcome(), now() - sentAt, result.load())));
     }
 
     @Override
-    public void tell(int agent, byte[] message) { } // the module sends no messages
+    public void tell(int agent, byte[] message) {} // the module sends no messages
 
     @Override
     public void timer(long token, long delay) {
@@ -596,8 +625,8 @@
 
     @Override
     public void log(String line) {
-        say(SERVER.matcher(line).replaceFirst(match ->
-            Matcher.quoteReplacement("server " + names.get(Long.valueOf(match.group(1))))));
+        say(SERVER.matcher(line)
+                .replaceFirst(match -> Matcher.quoteReplacement("server " + names.get(Long.valueOf(match.group(1))))));
     }
 
     private void say(String line) {
--- a/src/main/java/gatefront/engine/Exchange.java
+++ b/src/main/java/gatefront/engine/Exchange.java
@@ -4,10 +4,15 @@
 public interface Exchange {
     /** Why a call has failed, where no server's answer says so. */
     enum Failure {
-        /** No server has served it; nothing is promised about its effect. */ NOT_SERVED,
-        /** Its time is up. */ TIME_UP,
-        /** Another of the same id is held; this one has not been passed on. */ DUPLICATE,
-        /** A fault of the agent's own. */ INTERNAL }
+        /** No server has served it; nothing is promised about its effect. */
+        NOT_SERVED,
+        /** Its time is up. */
+        TIME_UP,
+        /** Another of the same id is held; this one has not been passed on. */
+        DUPLICATE,
+        /** A fault of the agent's own. */
+        INTERNAL
+    }
 
     /** A server's answer. */
     void served(Payload payload);
--- a/src/main/java/gatefront/engine/Flow.java
+++ b/src/main/java/gatefront/engine/Flow.java
@@ -37,7 +37,12 @@
         void broken();
     }
 
-    private enum State { OPEN, ENDED, BROKEN, OVER }
+    private enum State {
+        OPEN,
+        ENDED,
+        BROKEN,
+        OVER
+    }
 
     private final Giver giver;
     private final Deque<ByteBuf> waiting = new ArrayDeque<>();
--- a/src/main/java/gatefront/engine/Upstream.java
+++ b/src/main/java/gatefront/engine/Upstream.java
@@ -16,7 +16,7 @@
      * @param served what was served, else null
      * @param rejected what blames the call, else null
      */
-    record Result(Outcome outcome, double[] load, Payload served, Payload rejected) { }
+    record Result(Outcome outcome, double[] load, Payload served, Payload rejected) {}
 
     /** What hears of an attempt or probe; its result comes last, and once. */
     interface Listener {
@@ -24,16 +24,16 @@
         void ended(Result result);
 
         /** The last byte of the request has left. */
-        default void written() { }
+        default void written() {}
 
         /** A request that comes in pieces begins to leave: it cannot be sent again. */
-        default void spent() { }
+        default void spent() {}
 
         /** The head of an answer has come, where a protocol tells; what goes ahead of an answer is none. */
-        default void answering() { }
+        default void answering() {}
 
         /** An answer that comes in pieces has begun; its result is told when it has ended. */
-        default void begun(Payload answer) { }
+        default void begun(Payload answer) {}
     }
 
     /** A call on its way to a server. */
--- a/src/main/java/gatefront/http/HttpFront.java
+++ b/src/main/java/gatefront/http/HttpFront.java
@@ -49,13 +49,21 @@
  */
 public final class HttpFront extends AcceptingFront {
     /** What a connection has asked: a request, the agent's health (neither), or what earned it an error. */
-    private record Asked(Call request, HttpResponseStatus error, boolean keepAlive) { }
+    private record Asked(Call request, HttpResponseStatus error, boolean keepAlive) {}
 
     /** What goes from hop to hop only, or is set anew. */
-    private static final AsciiString[] NOT_FORWARDED = {HttpHeaderNames.CONNECTION, AsciiString.cached("Keep-Alive"),
-        AsciiString.cached("Proxy-Connection"), HttpHeaderNames.TE, HttpHeaderNames.TRAILER,
-        HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderNames.UPGRADE, HttpHeaderNames.EXPECT,
-        HttpHeaderNames.CONTENT_LENGTH};
+    private static final AsciiString[] NOT_FORWARDED = {
+        HttpHeaderNames.CONNECTION,
+        AsciiString.cached("Keep-Alive"),
+        AsciiString.cached("Proxy-Connection"),
+        HttpHeaderNames.TE,
+        HttpHeaderNames.TRAILER,
+        HttpHeaderNames.TRANSFER_ENCODING,
+        HttpHeaderNames.UPGRADE,
+        HttpHeaderNames.EXPECT,
+        HttpHeaderNames.CONTENT_LENGTH
+    };
+
     private static final AsciiString REQUEST_ID = AsciiString.cached("Request-Id");
     private static final AsciiString REQUEST_CLASS = AsciiString.cached("Request-Class");
     private static final AsciiString TENANT = AsciiString.cached("Tenant");
@@ -64,8 +72,19 @@
     private static final AsciiString WORK_HINT = AsciiString.cached("Work-Hint");
     private static final AsciiString IDEMPOTENCY_KEY = AsciiString.cached("Idempotency-Key");
     /** What a request says once at the most; of two, a server might believe the other. */
-    private static final AsciiString[] ONCE = {HttpHeaderNames.HOST, REQUEST_ID, REQUEST_CLASS, TENANT, AFFINITY_KEY,
-        HttpUpstream.REQUEST_TIMEOUT, CLIENT_RETRY, WORK_HINT, AsciiString.cached("Request-Info"), IDEMPOTENCY_KEY};
+    private static final AsciiString[] ONCE = {
+        HttpHeaderNames.HOST,
+        REQUEST_ID,
+        REQUEST_CLASS,
+        TENANT,
+        AFFINITY_KEY,
+        HttpUpstream.REQUEST_TIMEOUT,
+        CLIENT_RETRY,
+        WORK_HINT,
+        AsciiString.cached("Request-Info"),
+        IDEMPOTENCY_KEY
+    };
+
     private static final long TIMEOUT_MS_MAX = 3_600_000;
     /** Requests read ahead on one connection before it is left alone. */
     private static final int AHEAD_MOST = 4;
@@ -78,8 +97,13 @@
     private final BooleanSupplier ready;
 
     /** Listens to nobody yet; {@link #listen()} begins. */
-    public HttpFront(Transport transport, Config config, int connectionsMost, BooleanSupplier ready,
-                     Budget budget, Listener listener) {
+    public HttpFront(
+            Transport transport,
+            Config config,
+            int connectionsMost,
+            BooleanSupplier ready,
+            Budget budget,
+            Listener listener) {
         super(transport, config.listen(), connectionsMost, budget);
         this.transport = transport;
         this.config = config;
@@ -130,12 +154,13 @@
 
         @Override
         public void failed(Failure why) {
-            answer(switch (why) {
-                case NOT_SERVED -> HttpResponseStatus.BAD_GATEWAY;
-                case TIME_UP -> HttpResponseStatus.GATEWAY_TIMEOUT;
-                case DUPLICATE -> HttpResponseStatus.CONFLICT;
-                case INTERNAL -> HttpResponseStatus.INTERNAL_SERVER_ERROR;
-            });
+            answer(
+                    switch (why) {
+                        case NOT_SERVED -> HttpResponseStatus.BAD_GATEWAY;
+                        case TIME_UP -> HttpResponseStatus.GATEWAY_TIMEOUT;
+                        case DUPLICATE -> HttpResponseStatus.CONFLICT;
+                        case INTERNAL -> HttpResponseStatus.INTERNAL_SERVER_ERROR;
+                    });
         }
 
         private void answer(HttpResponseStatus status, Served served, long retryAfterMicros) {
@@ -150,8 +175,8 @@
             ByteBuf body = served == null ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(served.body());
             // What is set here was checked when it came.
             HttpHeaders headers = HttpUpstream.UNCHECKED.newHeaders();
-            var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body, headers,
-                EmptyHttpHeaders.INSTANCE);
+            var response =
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body, headers, EmptyHttpHeaders.INSTANCE);
             headers.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
             if (served != null) {
                 describe(served, headers);
@@ -237,10 +262,12 @@
         private Exchange current;
         /** The request whose body is coming in, null for one about health; what has come of the body. */
         private Call incoming;
+
         private boolean keepAlive;
         private ByteBuf body = Unpooled.EMPTY_BUFFER;
         /** The rest of a body that is too long to be held, on its way to a server; null while there is none. */
         private Flow upload;
+
         private long uploaded;
         /** How the body that is coming in ends. */
         private long length;
@@ -315,8 +342,8 @@
                 upload = null;
                 whole.end();
             } else if (part instanceof LastHttpContent && !deaf) {
-                Call whole = incoming == null || !body.isReadable() ? incoming
-                    : with(incoming, ByteBufUtil.getBytes(body));
+                Call whole =
+                        incoming == null || !body.isReadable() ? incoming : with(incoming, ByteBufUtil.getBytes(body));
                 body = Unpooled.EMPTY_BUFFER;
                 ask(new Asked(whole, null, keepAlive));
             }
@@ -354,8 +381,8 @@
             if (length > 0 || length == Decoders.CHUNKED) {
                 body = Unpooled.buffer(length > 0 ? (int) Math.min(length, 1024) : 256, HttpUpstream.BODY_MAX);
                 if (HttpUtil.is100ContinueExpected(head) && current == null && ahead.isEmpty()) {
-                    channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                        HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+                    channel.writeAndFlush(new DefaultFullHttpResponse(
+                            HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
                 }
             }
         }
@@ -437,16 +464,21 @@
 
         /** Guards against a body of which nothing more comes, held open for ever. */
         private void watch(Flow pieces, long before) {
-            transport.loop().schedule(() -> {
-                if (upload != pieces) {
-                    return;
-                }
-                if (uploaded == before && !pieces.isStopped()) {
-                    channel.close();
-                } else {
-                    watch(pieces, uploaded);
-                }
-            }, UPLOAD_STALLED_MS, TimeUnit.MILLISECONDS);
+            transport
+                    .loop()
+                    .schedule(
+                            () -> {
+                                if (upload != pieces) {
+                                    return;
+                                }
+                                if (uploaded == before && !pieces.isStopped()) {
+                                    channel.close();
+                                } else {
+                                    watch(pieces, uploaded);
+                                }
+                            },
+                            UPLOAD_STALLED_MS,
+                            TimeUnit.MILLISECONDS);
         }
 
         /**
@@ -487,16 +519,17 @@
         private void take(Asked asked) {
             move(State.OWED);
             Call request = asked.request;
-            Exchange exchange = new Exchange(this, asked.keepAlive,
-                request == null ? 0 : body(request).length);
+            Exchange exchange = new Exchange(this, asked.keepAlive, request == null ? 0 : body(request).length);
             current = exchange;
             try {
                 if (asked.error != null) {
                     boolean refused = asked.error.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
                     exchange.answer(asked.error, null, refused ? Engine.RETRY_AFTER_MICROS : 0);
                 } else if (request == null) {
-                    exchange.answer(ready.getAsBoolean() && !leaving()
-                        ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
+                    exchange.answer(
+                            ready.getAsBoolean() && !leaving()
+                                    ? HttpResponseStatus.OK
+                                    : HttpResponseStatus.SERVICE_UNAVAILABLE);
                 } else {
                     listener.call(request, exchange);
                 }
@@ -526,15 +559,34 @@
 
     private static Call with(Call call, byte[] body) {
         Outgoing without = (Outgoing) call.payload();
-        return new Call(call.id(), call.requestClass(), call.tenant(), call.key(), call.hint(), call.timeoutMs(),
-            call.repeated(), new Outgoing(without.method(), without.uri(), without.headers(), body));
+        return new Call(
+                call.id(),
+                call.requestClass(),
+                call.tenant(),
+                call.key(),
+                call.hint(),
+                call.timeoutMs(),
+                call.repeated(),
+                new Outgoing(without.method(), without.uri(), without.headers(), body));
     }
 
     private static Call with(Call call, Flow body, long length) {
         Outgoing without = (Outgoing) call.payload();
-        return new Call(call.id(), call.requestClass(), call.tenant(), call.key(), call.hint(), call.timeoutMs(),
-            call.repeated(), new Outgoing(without.method(), without.uri(), without.headers(), HttpUpstream.NO_BODY,
-                body, Math.max(-1, length)));
+        return new Call(
+                call.id(),
+                call.requestClass(),
+                call.tenant(),
+                call.key(),
+                call.hint(),
+                call.timeoutMs(),
+                call.repeated(),
+                new Outgoing(
+                        without.method(),
+                        without.uri(),
+                        without.headers(),
+                        HttpUpstream.NO_BODY,
+                        body,
+                        Math.max(-1, length)));
     }
 
     private static byte[] body(Call call) {
@@ -542,8 +594,9 @@
     }
 
     private static boolean health(HttpRequest head) {
-        return head.uri().equals("/healthz") && head.method().equals(HttpMethod.GET)
-            && !head.headers().contains(REQUEST_ID);
+        return head.uri().equals("/healthz")
+                && head.method().equals(HttpMethod.GET)
+                && !head.headers().contains(REQUEST_ID);
     }
 
     /** Why the bytes that follow cannot be told apart or will not be read, or null. */
@@ -580,7 +633,7 @@
         }
         HttpHeaders forwarded = HttpUpstream.UNCHECKED.newHeaders();
         int seen = 0;
-        for (Iterator<Map.Entry<CharSequence, CharSequence>> all = headers.iteratorCharSequence(); all.hasNext();) {
+        for (Iterator<Map.Entry<CharSequence, CharSequence>> all = headers.iteratorCharSequence(); all.hasNext(); ) {
             Map.Entry<CharSequence, CharSequence> each = all.next();
             int once = index(ONCE, each.getKey());
             if (!visible(each.getValue(), ' ') || once >= 0 && (seen & 1 << once) != 0) {
@@ -597,12 +650,18 @@
         long hint = Decoders.digits(headers.get(WORK_HINT, "0"), -1);
         String id = headers.get(REQUEST_ID, "");
         int tenant = config.tenants().indexOf(headers.get(TENANT, ""));
-        if (requestClass < 0 || !named.equals(firstPart(uri)) || timeout < 1
-                || timeout > TIMEOUT_MS_MAX || hint < 0 || !Call.isId(id)
-                || headers.get(HttpHeaderNames.HOST, "").isEmpty() || tenant < 0 && !config.tenants().isEmpty()) {
+        if (requestClass < 0
+                || !named.equals(firstPart(uri))
+                || timeout < 1
+                || timeout > TIMEOUT_MS_MAX
+                || hint < 0
+                || !Call.isId(id)
+                || headers.get(HttpHeaderNames.HOST, "").isEmpty()
+                || tenant < 0 && !config.tenants().isEmpty()) {
             return null;
         }
-        Balancer.Semantics semantics = config.settings().classes().get(requestClass).semantics();
+        Balancer.Semantics semantics =
+                config.settings().classes().get(requestClass).semantics();
         HttpMethod method = semantics == Balancer.Semantics.SAFE ? HttpMethod.GET : HttpMethod.POST;
         String repeat = headers.get(IDEMPOTENCY_KEY);
         // Guards against an effect twice: without its key no server would drop a repeat.
@@ -618,9 +677,15 @@
             }
         }
         String key = headers.get(AFFINITY_KEY, "");
-        return new Call(id, requestClass, Math.max(0, tenant), key.isEmpty() ? 0 : Config.id(key),
-            hint, timeout, "1".equals(headers.get(CLIENT_RETRY)),
-            new Outgoing(request.method(), uri, forwarded, HttpUpstream.NO_BODY));
+        return new Call(
+                id,
+                requestClass,
+                Math.max(0, tenant),
+                key.isEmpty() ? 0 : Config.id(key),
+                hint,
+                timeout,
+                "1".equals(headers.get(CLIENT_RETRY)),
+                new Outgoing(request.method(), uri, forwarded, HttpUpstream.NO_BODY));
     }
 
     /** The part of a path between its first slash and the next one or the question mark. */
--- a/src/main/java/gatefront/http/HttpUpstream.java
+++ b/src/main/java/gatefront/http/HttpUpstream.java
@@ -55,8 +55,7 @@
     }
 
     /** A served answer: the body, whole or in pieces, its length if known, and what tells how to read it. */
-    record Served(byte[] body, Flow flow, long length, String contentType, String contentEncoding)
-            implements Payload {
+    record Served(byte[] body, Flow flow, long length, String contentType, String contentEncoding) implements Payload {
         @Override
         public long bytes() {
             return flow == null ? body.length : flow.passed();
@@ -64,11 +63,13 @@
     }
 
     /** The status of an answer that blames the request. */
-    record Rejection(HttpResponseStatus status) implements Payload { }
+    record Rejection(HttpResponseStatus status) implements Payload {}
 
     public static final AsciiString REQUEST_TIMEOUT = AsciiString.cached("Request-Timeout-Ms");
     /** For headers that were checked when they came. */
-    static final HttpHeadersFactory UNCHECKED = DefaultHttpHeadersFactory.headersFactory().withValidation(false);
+    static final HttpHeadersFactory UNCHECKED =
+            DefaultHttpHeadersFactory.headersFactory().withValidation(false);
+
     static final int BODY_MAX = 64 << 10;
     /** What is longer passes in pieces, up to this. */
     static final long LARGE_MAX = 32L << 20;
@@ -76,6 +77,7 @@
     private static final long WHOLE_MS = 200;
     /** Of the answers that blame the request those that blame the moment: too slow, too early, too many. */
     private static final Set<Integer> MAY_SUCCEED_LATER = Set.of(408, 425, 429);
+
     public static final byte[] NO_BODY = new byte[0];
 
     private final LoadReport load;
@@ -85,8 +87,8 @@
     public HttpUpstream(Transport transport, Config config, int connectionsMost, Budget budget) {
         super(transport, connectionsMost, config.connectTimeoutMicros(), config.idleCloseMicros(), budget);
         load = new LoadReport(config.loadFields());
-        probe = new Outgoing(HttpMethod.GET, config.loadByProbe() ? "/load" : "/healthz",
-            new DefaultHttpHeaders(), NO_BODY);
+        probe = new Outgoing(
+                HttpMethod.GET, config.loadByProbe() ? "/load" : "/healthz", new DefaultHttpHeaders(), NO_BODY);
     }
 
     @Override
@@ -105,9 +107,14 @@
         Outgoing request = (Outgoing) payload;
         HttpHeaders headers = UNCHECKED.newHeaders().set(request.headers);
         HttpRequest message = request.flow != null
-            ? new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method, request.uri, headers)
-            : new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, request.method, request.uri,
-                Unpooled.wrappedBuffer(request.body), headers, EmptyHttpHeaders.INSTANCE);
+                ? new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method, request.uri, headers)
+                : new DefaultFullHttpRequest(
+                        HttpVersion.HTTP_1_1,
+                        request.method,
+                        request.uri,
+                        Unpooled.wrappedBuffer(request.body),
+                        headers,
+                        EmptyHttpHeaders.INSTANCE);
         if (!headers.contains(HttpHeaderNames.HOST)) {
             headers.set(HttpHeaderNames.HOST, "backend");
         }
@@ -143,9 +150,11 @@
         private final Decoders.Responses decoder;
         /** The answer that is coming in, or null; one with a status of 1xx goes ahead of the one awaited. */
         private HttpResponse head;
+
         private final ByteBuf body = Unpooled.buffer(0, BODY_MAX);
         /** Where the body goes that is passed on in pieces, or null; and how much of it has come. */
         private Flow flow;
+
         private long passed;
 
         Answers(Connection connection, Decoders.Responses decoder) {
@@ -156,7 +165,8 @@
         @Override
         protected boolean read(Attempt attempt, Object read) {
             HttpObject part = (HttpObject) read;
-            if (part.decoderResult().isFailure() || part instanceof HttpResponse first && !begin(attempt, first)
+            if (part.decoderResult().isFailure()
+                    || part instanceof HttpResponse first && !begin(attempt, first)
                     || part instanceof HttpContent content && !add(attempt, content)) {
                 return false;
             }
@@ -183,8 +193,9 @@
             }
             attempt.answering();
             // Guards against a body that nobody will read: one that is too long is not waited for.
-            boolean may = length == Decoders.CHUNKED || length == Decoders.NO_LENGTH
-                || length >= 0 && length <= (status == 200 ? LARGE_MAX : BODY_MAX);
+            boolean may = length == Decoders.CHUNKED
+                    || length == Decoders.NO_LENGTH
+                    || length >= 0 && length <= (status == 200 ? LARGE_MAX : BODY_MAX);
             if (may && status == 200 && length > BODY_MAX) {
                 pass(attempt);
             } else if (may && status == 200 && length < 0) {
@@ -233,7 +244,7 @@
         private void pass(Attempt attempt) {
             Flow pieces = new Flow(new Flow.Giver() {
                 @Override
-                public void passed(int bytes) { }
+                public void passed(int bytes) {}
 
                 @Override
                 public void more() {
@@ -251,9 +262,14 @@
             release();
             passed = come.readableBytes();
             long length = Decoders.framing(head.headers());
-            attempt.begun(new Served(NO_BODY, pieces, length < 0 ? -1 : length,
-                head.headers().get(HttpHeaderNames.CONTENT_TYPE),
-                head.headers().get(HttpHeaderNames.CONTENT_ENCODING)), pieces);
+            attempt.begun(
+                    new Served(
+                            NO_BODY,
+                            pieces,
+                            length < 0 ? -1 : length,
+                            head.headers().get(HttpHeaderNames.CONTENT_TYPE),
+                            head.headers().get(HttpHeaderNames.CONTENT_ENCODING)),
+                    pieces);
             if (come.isReadable()) {
                 pieces.give(come);
             }
@@ -273,13 +289,22 @@
                 reading(true);
                 pieces.end();
             }
-            Served served = status != 200 || pieces != null ? null : new Served(bytes, null, bytes.length,
-                headers.get(HttpHeaderNames.CONTENT_TYPE), headers.get(HttpHeaderNames.CONTENT_ENCODING));
-            Rejection bad = whole.status().codeClass() == HttpStatusClass.CLIENT_ERROR
-                && !MAY_SUCCEED_LATER.contains(status) ? new Rejection(whole.status()) : null;
+            Served served = status != 200 || pieces != null
+                    ? null
+                    : new Served(
+                            bytes,
+                            null,
+                            bytes.length,
+                            headers.get(HttpHeaderNames.CONTENT_TYPE),
+                            headers.get(HttpHeaderNames.CONTENT_ENCODING));
+            Rejection bad =
+                    whole.status().codeClass() == HttpStatusClass.CLIENT_ERROR && !MAY_SUCCEED_LATER.contains(status)
+                            ? new Rejection(whole.status())
+                            : null;
             boolean ends = Decoders.framing(headers) != Decoders.NO_LENGTH;
-            attempt.end(new Result(outcome, load.read(report(attempt, headers, bytes)), served, bad),
-                ends && HttpUtil.isKeepAlive(whole) && !decoder.leftover());
+            attempt.end(
+                    new Result(outcome, load.read(report(attempt, headers, bytes)), served, bad),
+                    ends && HttpUtil.isKeepAlive(whole) && !decoder.leftover());
         }
     }
 }
--- a/src/main/java/gatefront/http/codec/Decoders.java
+++ b/src/main/java/gatefront/http/codec/Decoders.java
@@ -22,14 +22,18 @@
     private static final int HEAD_MAX = 8192;
     /** How a body ends, where no length tells it. */
     public static final long NO_LENGTH = -1;
+
     public static final long CHUNKED = -2;
     public static final long UNCLEAR = -3;
 
-    private Decoders() { }
+    private Decoders() {}
 
     private static HttpDecoderConfig strict() {
-        return new HttpDecoderConfig().setMaxInitialLineLength(LINE_MAX).setMaxHeaderSize(HEAD_MAX)
-            .setAllowDuplicateContentLengths(false).setStrictLineParsing(true);
+        return new HttpDecoderConfig()
+                .setMaxInitialLineLength(LINE_MAX)
+                .setMaxHeaderSize(HEAD_MAX)
+                .setAllowDuplicateContentLengths(false)
+                .setStrictLineParsing(true);
     }
 
     /** How a message's body ends: its length, {@link #CHUNKED}, {@link #NO_LENGTH} or {@link #UNCLEAR}. */
@@ -89,8 +93,7 @@
                 if (first != '\r' && first != '\n' && (first < 'A' || first > 'Z')) {
                     in.skipBytes(in.readableBytes());
                     HttpMessage noise = createInvalidMessage();
-                    noise.setDecoderResult(DecoderResult.failure(
-                        new IllegalArgumentException("no request line")));
+                    noise.setDecoderResult(DecoderResult.failure(new IllegalArgumentException("no request line")));
                     out.add(noise);
                     return;
                 }
@@ -138,7 +141,8 @@
 
         @Override
         protected HttpMessage createMessage(String[] line) {
-            if (!line[0].equals("HTTP/1.1") && !line[0].equals("HTTP/1.0") || line[1].length() != 3
+            if (!line[0].equals("HTTP/1.1") && !line[0].equals("HTTP/1.0")
+                    || line[1].length() != 3
                     || digits(line[1], 0) < 100) {
                 throw new IllegalArgumentException("status line"); // the library would take "+200" for 200
             }
