--- a/src/main/java/gatefront/keeping/Keeper.java
+++ b/src/main/java/gatefront/keeping/Keeper.java
@@ -37,22 +37,24 @@
     static final int ASIDE_MOST = 3;
     /** Records in the log from which a snapshot takes their place. */
     private static final int LOG_MOST = 5_000;
+
     private static final Store.Options OPTIONS = new Store.Options(Keys.NONE, 1 << 20, 64 << 20);
 
     /** What opening a store has come to. */
-    public record Opened(Keeper keeper, Kept kept, Recovery.Store state, String why) { }
+    public record Opened(Keeper keeper, Kept kept, Recovery.Store state, String why) {}
 
     /** What a store holds, and the first damage in it or null. */
-    public record Look(Kept kept, String damage) { }
+    public record Look(Kept kept, String damage) {}
 
     /** What waits to be written about one thing, and who is told. */
-    private record Waiting(byte[] record, List<Consumer<IOException>> told) { }
+    private record Waiting(byte[] record, List<Consumer<IOException>> told) {}
 
     private final Path folder;
     private final String instance;
     private final Executor loop;
     /** The time of day in microseconds. */
     private final LongSupplier clock;
+
     private final ExecutorService writer = Executors.newSingleThreadExecutor(task -> {
         Thread thread = new Thread(task, "keeper");
         thread.setDaemon(true);
@@ -91,23 +93,30 @@
             if (kept.instance() != null && !kept.instance().equals(instance)) {
                 keeper.store.close();
                 String aside = keeper.anew();
-                return new Opened(keeper, kept, Recovery.Store.ANOTHERS, "that of " + kept.instance()
-                    + "; it was set aside as " + aside);
+                return new Opened(
+                        keeper,
+                        kept,
+                        Recovery.Store.ANOTHERS,
+                        "that of " + kept.instance() + "; it was set aside as " + aside);
             }
             keeper.begin(kept);
-            return kept.instance() == null ? new Opened(keeper, Kept.NOTHING, Recovery.Store.MISSING,
-                    there ? "the folder is empty" : "there is no folder")
-                : new Opened(keeper, kept, Recovery.Store.WHOLE, "life " + (kept.life() + 1));
+            return kept.instance() == null
+                    ? new Opened(
+                            keeper,
+                            Kept.NOTHING,
+                            Recovery.Store.MISSING,
+                            there ? "the folder is empty" : "there is no folder")
+                    : new Opened(keeper, kept, Recovery.Store.WHOLE, "life " + (kept.life() + 1));
         } catch (InUseException e) {
             return new Opened(keeper, Kept.NOTHING, Recovery.Store.IN_USE, "");
         } catch (DamageException e) {
             try {
                 String aside = keeper.anew();
-                return new Opened(keeper, read.kept(), Recovery.Store.DAMAGED, e.getMessage()
-                    + "; it was set aside as " + aside);
+                return new Opened(
+                        keeper, read.kept(), Recovery.Store.DAMAGED, e.getMessage() + "; it was set aside as " + aside);
             } catch (IOException again) {
-                return new Opened(keeper, read.kept(), Recovery.Store.UNUSABLE, e.getMessage() + "; and "
-                    + again.getMessage());
+                return new Opened(
+                        keeper, read.kept(), Recovery.Store.UNUSABLE, e.getMessage() + "; and " + again.getMessage());
             }
         } catch (IOException e) {
             return new Opened(keeper, Kept.NOTHING, Recovery.Store.UNUSABLE, String.valueOf(e.getMessage()));
@@ -118,7 +127,8 @@
     public static Look look(Path folder) throws IOException {
         KeptRecords read = new KeptRecords();
         Verify verify = Verify.of(FolderDisk.existing(folder), OPTIONS.keys(), read);
-        return new Look(read.kept(), verify.damage() == null ? null : verify.damage().getMessage());
+        return new Look(
+                read.kept(), verify.damage() == null ? null : verify.damage().getMessage());
     }
 
     /** Sets what is there aside and begins anew. */
--- a/src/main/java/gatefront/keeping/KeptRecords.java
+++ b/src/main/java/gatefront/keeping/KeptRecords.java
@@ -106,9 +106,9 @@
         String name = "";
         byte[] bytes = null;
         long[] numbers = new long[FIELDS];
-        CodedInputStream in = CodedInputStream.newInstance(record, Math.min(1, record.length),
-            Math.max(0, record.length - 1));
-        for (int tag; (tag = in.readTag()) != 0;) {
+        CodedInputStream in =
+                CodedInputStream.newInstance(record, Math.min(1, record.length), Math.max(0, record.length - 1));
+        for (int tag; (tag = in.readTag()) != 0; ) {
             switch (WireFormat.getTagFieldNumber(tag)) {
                 case NAME -> name = in.readStringRequireUtf8();
                 case AT -> numbers[AT] = in.readSInt64();
--- a/src/main/java/gatefront/ledger/Amounts.java
+++ b/src/main/java/gatefront/ledger/Amounts.java
@@ -14,14 +14,17 @@
 
     /** Both together; more than fits is a fault of who made them, and is told. */
     public Amounts plus(Amounts other) {
-        return new Amounts(Math.addExact(requests, other.requests), Math.addExact(worth, other.worth),
-            Math.addExact(work, other.work), Math.addExact(bytes, other.bytes));
+        return new Amounts(
+                Math.addExact(requests, other.requests),
+                Math.addExact(worth, other.worth),
+                Math.addExact(work, other.work),
+                Math.addExact(bytes, other.bytes));
     }
 
     /** What takes it back. */
     public Amounts negated() {
-        return new Amounts(Math.negateExact(requests), Math.negateExact(worth), Math.negateExact(work),
-            Math.negateExact(bytes));
+        return new Amounts(
+                Math.negateExact(requests), Math.negateExact(worth), Math.negateExact(work), Math.negateExact(bytes));
     }
 
     /** Whether nothing was used. */
--- a/src/main/java/gatefront/ledger/Digests.java
+++ b/src/main/java/gatefront/ledger/Digests.java
@@ -19,6 +19,7 @@
 public final class Digests {
     /** Children of a range. */
     static final int BRANCHES = 16;
+
     private static final int BITS = 4;
     /** Ranges with no more entries are told whole. */
     private static final int FEW = 8;
@@ -39,12 +40,13 @@
         static final int BYTES = Integer.BYTES + 2 * Long.BYTES;
     }
 
-    private record Placed(long place, long high, long low, Entry entry) { }
+    private record Placed(long place, long high, long low, Entry entry) {}
 
     private final Entry[] entries;
     private final long[] places;
     /** Sums of the digests of all before each. */
     private final long[] high;
+
     private final long[] low;
 
     /** Of some entries, each id once. */
@@ -58,11 +60,11 @@
         }
         for (Entry each : from) {
             byte[] of = sha.digest(bytes(text(each)));
-            placed.add(new Placed(number(sha.digest(bytes(each.id().toString())), 0),
-                number(of, 0), number(of, Long.BYTES), each));
+            placed.add(new Placed(
+                    number(sha.digest(bytes(each.id().toString())), 0), number(of, 0), number(of, Long.BYTES), each));
         }
         placed.sort(Comparator.<Placed>comparingLong(each -> each.place ^ Long.MIN_VALUE)
-            .thenComparing(each -> each.entry.id()));
+                .thenComparing(each -> each.entry.id()));
         int n = placed.size();
         entries = new Entry[n];
         places = new long[n];
@@ -101,7 +103,7 @@
 
     private static String text(Entry e) {
         return e.id() + "\n" + e.kind() + "\n" + e.period() + "\n" + e.tenant() + "\n" + e.type() + "\n" + e.amounts()
-            + "\n" + e.corrects() + "\n" + e.why();
+                + "\n" + e.corrects() + "\n" + e.why();
     }
 
     private int first(long place) {
--- a/src/main/java/gatefront/ledger/Entry.java
+++ b/src/main/java/gatefront/ledger/Entry.java
@@ -12,8 +12,8 @@
  * @param corrects of a correction, the entry that was wrong; else null
  * @param why of a correction, a sentence; else empty
  */
-public record Entry(EntryId id, Kind kind, long period, String tenant, String type, Amounts amounts, EntryId corrects,
-                    String why) {
+public record Entry(
+        EntryId id, Kind kind, long period, String tenant, String type, Amounts amounts, EntryId corrects, String why) {
     /** What an entry says. */
     public enum Kind {
         /** So much was used. */
@@ -29,12 +29,17 @@
 
     /** Checks what came from outside. */
     public Entry {
-        String wrong = period < 0 ? "its period is before time began"
-            : Math.max(tenant.length(), Math.max(type.length(), why.length())) > TEXT_MOST ? "a text is too long"
-            : (kind == Kind.CORRECTION) != (corrects != null) ? "a correction names the entry corrected, no other does"
-            : kind == Kind.CORRECTION && why.isBlank() ? "a correction says why"
-            : kind == Kind.CLOSED && (amounts.requests() < 0 || !tenant.isEmpty()) ? "a close tells how many entries"
-            : null;
+        String wrong = period < 0
+                ? "its period is before time began"
+                : Math.max(tenant.length(), Math.max(type.length(), why.length())) > TEXT_MOST
+                        ? "a text is too long"
+                        : (kind == Kind.CORRECTION) != (corrects != null)
+                                ? "a correction names the entry corrected, no other does"
+                                : kind == Kind.CORRECTION && why.isBlank()
+                                        ? "a correction says why"
+                                        : kind == Kind.CLOSED && (amounts.requests() < 0 || !tenant.isEmpty())
+                                                ? "a close tells how many entries"
+                                                : null;
         if (wrong != null) {
             throw new IllegalArgumentException("entry " + id + ": " + wrong);
         }
--- a/src/main/java/gatefront/ledger/EntryId.java
+++ b/src/main/java/gatefront/ledger/EntryId.java
@@ -14,8 +14,8 @@
     /** Checks what came from outside. */
     public EntryId {
         if (!instance.matches(NAME) || epoch < 0 || sequence < 0) {
-            throw new IllegalArgumentException("an entry's id is a name, an epoch and a number, not " + instance + "/"
-                + epoch + "/" + sequence);
+            throw new IllegalArgumentException(
+                    "an entry's id is a name, an epoch and a number, not " + instance + "/" + epoch + "/" + sequence);
         }
     }
 
--- a/src/main/java/gatefront/ledger/Export.java
+++ b/src/main/java/gatefront/ledger/Export.java
@@ -23,10 +23,10 @@
      * @param backOffMost the longest
      * @param ask how often the receiver is asked what it has, where there is nothing to send
      */
-    public record Settings(int batchMost, long timeout, long backOffLeast, long backOffMost, long ask) { }
+    public record Settings(int batchMost, long timeout, long backOffLeast, long backOffMost, long ask) {}
 
     /** Entries to be sent: from this number on, so many; none, to ask what the receiver has. */
-    public record Batch(long from, int count) { }
+    public record Batch(long from, int count) {}
 
     private static final int DOUBLINGS = 20;
 
--- a/src/main/java/gatefront/ledger/Ledger.java
+++ b/src/main/java/gatefront/ledger/Ledger.java
@@ -19,8 +19,8 @@
  */
 public final class Ledger {
     /** Nothing. */
-    public static final Ledger EMPTY = new Ledger(TreePMap.empty(), TreePMap.empty(), HashTreePMap.empty(),
-        TreePMap.empty());
+    public static final Ledger EMPTY =
+            new Ledger(TreePMap.empty(), TreePMap.empty(), HashTreePMap.empty(), TreePMap.empty());
 
     /** Two entries with one id: an instance was started twice, or a store has lied. */
     public static final class Conflict extends Exception {
@@ -32,7 +32,7 @@
 
         private static String line(Entry entry) {
             return entry.kind() + " of period " + entry.period() + " " + entry.tenant() + " " + entry.type() + " "
-                + entry.amounts();
+                    + entry.amounts();
         }
     }
 
@@ -64,10 +64,13 @@
     private final TreePMap<Long, TreePMap<String, Count>> parts;
 
     /** Entries of use and corrections of one epoch in a period; as many as were made, or -1 while not told. */
-    private record Count(long here, long made) { }
+    private record Count(long here, long made) {}
 
-    private Ledger(TreePMap<EntryId, Entry> entries, TreePMap<Cell, Amounts> cells,
-                   PMap<EntryId, TreePMap<EntryId, Entry>> waiting, TreePMap<Long, TreePMap<String, Count>> parts) {
+    private Ledger(
+            TreePMap<EntryId, Entry> entries,
+            TreePMap<Cell, Amounts> cells,
+            PMap<EntryId, TreePMap<EntryId, Entry>> waiting,
+            TreePMap<Long, TreePMap<String, Count>> parts) {
         this.entries = entries;
         this.cells = cells;
         this.waiting = waiting;
@@ -96,8 +99,9 @@
         TreePMap<String, Count> period = parts.getOrDefault(entry.period(), TreePMap.empty());
         String whose = entry.id().instance() + "/" + entry.id().epoch();
         Count before = period.getOrDefault(whose, new Count(0, -1));
-        Count now = entry.kind() == Entry.Kind.CLOSED ? new Count(before.here, entry.amounts().requests())
-            : new Count(before.here + 1, before.made);
+        Count now = entry.kind() == Entry.Kind.CLOSED
+                ? new Count(before.here, entry.amounts().requests())
+                : new Count(before.here + 1, before.made);
         return parts.plus(entry.period(), period.plus(whose, now));
     }
 
@@ -106,13 +110,23 @@
         Entry use = origin(entry);
         if (use == null) {
             EntryId lacks = lacking(entry);
-            return new Ledger(entries, cells, waiting.plus(lacks, waiting.getOrDefault(lacks,
-                TreePMap.<EntryId, Entry>empty()).plus(entry.id(), entry)), parts);
+            return new Ledger(
+                    entries,
+                    cells,
+                    waiting.plus(
+                            lacks,
+                            waiting.getOrDefault(lacks, TreePMap.<EntryId, Entry>empty())
+                                    .plus(entry.id(), entry)),
+                    parts);
         }
         Cell cell = new Cell(entry.period(), use.tenant(), use.type());
-        Ledger now = new Ledger(entries, cells.plus(cell, cells.getOrDefault(cell, Amounts.NONE)
-            .plus(entry.amounts())), waiting.minus(entry.id()), parts);
-        for (Entry each : waiting.getOrDefault(entry.id(), TreePMap.<EntryId, Entry>empty()).values()) {
+        Ledger now = new Ledger(
+                entries,
+                cells.plus(cell, cells.getOrDefault(cell, Amounts.NONE).plus(entry.amounts())),
+                waiting.minus(entry.id()),
+                parts);
+        for (Entry each : waiting.getOrDefault(entry.id(), TreePMap.<EntryId, Entry>empty())
+                .values()) {
             now = now.settled(each);
         }
         return now;
--- a/src/main/java/gatefront/ledger/Reconcile.java
+++ b/src/main/java/gatefront/ledger/Reconcile.java
@@ -45,7 +45,7 @@
     }
 
     /** One entry that is not the same on both sides; null on the side that does not have it. */
-    public record Difference(EntryId id, Entry here, Entry there) { }
+    public record Difference(EntryId id, Entry here, Entry there) {}
 
     /**
      * What came of it.
@@ -54,12 +54,12 @@
      * @param steps questions asked
      * @param bytes of sums told, and about those of the entries
      */
-    public record Result(List<Difference> differences, int steps, long bytes) { }
+    public record Result(List<Difference> differences, int steps, long bytes) {}
 
     /** Bytes of an entry on the wire, about. */
     private static final int ENTRY_BYTES = 80;
 
-    private Reconcile() { }
+    private Reconcile() {}
 
     /** Compares. Whatever the other says, it ends: each question is of a smaller range than the one before. */
     public static Result run(Digests own, Other other) {
--- a/src/main/java/gatefront/limits/ClassLimits.java
+++ b/src/main/java/gatefront/limits/ClassLimits.java
@@ -16,6 +16,7 @@
     private int[] most;
     /** Turned away since the limit was last said to be met, and when that was; said once a minute at the most. */
     private long[] refused;
+
     private long[] saidAt;
 
     /** Without limits, for so many classes. */
--- a/src/main/java/gatefront/management/Door.java
+++ b/src/main/java/gatefront/management/Door.java
@@ -62,8 +62,8 @@
         int verb = path.lastIndexOf('/');
         boolean out = path.endsWith("/maint");
         if (!path.startsWith(BACKENDS) || verb <= BACKENDS.length() || !out && !path.endsWith("/ready")) {
-            answer.accept(Reply.plain(404,
-                "there are /healthcheck, /stats, /backends/ID/maint and /backends/ID/ready\n"));
+            answer.accept(
+                    Reply.plain(404, "there are /healthcheck, /stats, /backends/ID/maint and /backends/ID/ready\n"));
             return;
         }
         if (!request.method().equals(HttpMethod.POST)) {
@@ -72,8 +72,8 @@
         }
         String backend;
         try {
-            backend = QueryStringDecoder.decodeComponent(path.substring(BACKENDS.length(), verb),
-                StandardCharsets.UTF_8);
+            backend =
+                    QueryStringDecoder.decodeComponent(path.substring(BACKENDS.length(), verb), StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
             backend = "";
         }
@@ -81,11 +81,16 @@
             answer.accept(Reply.plain(400, "an id that cannot be read\n"));
             return;
         }
-        agent.hand(backend, out, (came, kept) -> answer.accept(switch (came) {
-            case YES -> Reply.plain(200, (out ? "out" : "back") + (kept ? "\n" : ", and not kept over a restart\n"));
-            case UNKNOWN -> Reply.plain(404, "nobody has this id\n");
-            case FULL -> Reply.plain(503, "too many are out by hand\n");
-        }));
+        agent.hand(
+                backend,
+                out,
+                (came, kept) -> answer.accept(
+                        switch (came) {
+                            case YES -> Reply.plain(
+                                    200, (out ? "out" : "back") + (kept ? "\n" : ", and not kept over a restart\n"));
+                            case UNKNOWN -> Reply.plain(404, "nobody has this id\n");
+                            case FULL -> Reply.plain(503, "too many are out by hand\n");
+                        }));
     }
 
     private Reply look(FullHttpRequest request, String path) {
@@ -100,7 +105,8 @@
 
     private static String text(Map<String, ?> figures) {
         StringBuilder text = new StringBuilder();
-        figures.forEach((name, value) -> text.append(name).append('=').append(value).append('\n'));
+        figures.forEach(
+                (name, value) -> text.append(name).append('=').append(value).append('\n'));
         return text.toString();
     }
 }
--- a/src/main/java/gatefront/membership/Bans.java
+++ b/src/main/java/gatefront/membership/Bans.java
@@ -31,7 +31,14 @@
     }
 
     /** What a call has come to. */
-    public enum Answer { /** Done, or so already. */ YES, /** Nobody has this id. */ UNKNOWN, /** Too many. */ FULL }
+    public enum Answer {
+        /** Done, or so already. */
+        YES,
+        /** Nobody has this id. */
+        UNKNOWN,
+        /** Too many. */
+        FULL
+    }
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final Map<String, Endpoint> listed = new LinkedHashMap<>();
@@ -121,8 +128,9 @@
     }
 
     private void forget(long now) {
-        entries.entrySet().removeIf(each -> !each.getValue().out && !listed.containsKey(each.getKey())
-            && now - each.getValue().at > KEPT);
+        entries.entrySet()
+                .removeIf(each ->
+                        !each.getValue().out && !listed.containsKey(each.getKey()) && now - each.getValue().at > KEPT);
     }
 
     private Endpoint laid(Endpoint endpoint) {
@@ -130,9 +138,15 @@
         if (entry == null || endpoint.server().phase() == Phase.GONE) {
             return endpoint;
         }
-        return entry.out ? endpoint.with(Phase.DRAINING, endpoint.server().weight(), endpoint.server().startedAt())
-            // Put back: operators have restarted it meanwhile, and the list may not say so, or later.
-            : endpoint.with(endpoint.server().phase(), endpoint.server().weight(),
-                Math.max(endpoint.server().startedAt(), entry.at));
+        return entry.out
+                ? endpoint.with(
+                        Phase.DRAINING,
+                        endpoint.server().weight(),
+                        endpoint.server().startedAt())
+                // Put back: operators have restarted it meanwhile, and the list may not say so, or later.
+                : endpoint.with(
+                        endpoint.server().phase(),
+                        endpoint.server().weight(),
+                        Math.max(endpoint.server().startedAt(), entry.at));
     }
 }
--- a/src/main/java/gatefront/membership/Endpoint.java
+++ b/src/main/java/gatefront/membership/Endpoint.java
@@ -19,7 +19,9 @@
 
     /** The same server in another state. */
     public Endpoint with(Phase phase, double weight, long startedAt) {
-        return new Endpoint(new Server(server.id(), server.zone(), server.cell(), server.kind(), phase, weight,
-            startedAt), name, address);
+        return new Endpoint(
+                new Server(server.id(), server.zone(), server.cell(), server.kind(), phase, weight, startedAt),
+                name,
+                address);
     }
 }
--- a/src/main/java/gatefront/membership/Membership.java
+++ b/src/main/java/gatefront/membership/Membership.java
@@ -30,6 +30,7 @@
         final Endpoint[] by;
         /** Which sources have listed it and do so no longer; and the latest start that was known then. */
         final boolean[] withdrawn;
+
         long since;
         boolean differs;
 
@@ -139,7 +140,9 @@
     private void withdraw(int source, Told told) {
         if (told.by[source] != null) {
             for (Endpoint each : told.by) {
-                told.since = each == null ? told.since : Math.max(told.since, each.server().startedAt());
+                told.since = each == null
+                        ? told.since
+                        : Math.max(told.since, each.server().startedAt());
             }
             told.by[source] = null;
             told.withdrawn[source] = true;
@@ -158,7 +161,7 @@
         boolean differs = !first.address().equals(endpoint.address());
         if (differs && !told.differs) {
             log.accept("membership: " + sources.get(source) + " has " + endpoint.name() + " at " + endpoint.address()
-                + ", which is at " + first.address() + " by an earlier source; that is used");
+                    + ", which is at " + first.address() + " by an earlier source; that is used");
         }
         told.differs = differs;
     }
@@ -191,8 +194,10 @@
                 since = Math.max(since, each.server().startedAt());
             }
         }
-        Policy policy = ofServers.getOrDefault(first.name(), Policy.NONE)
-            .and(ofZones.getOrDefault(first.server().zone(), Policy.NONE));
-        return first.with(policy.drain() ? Phase.DRAINING : phase, first.server().weight() * policy.factor(), since);
+        Policy policy = ofServers
+                .getOrDefault(first.name(), Policy.NONE)
+                .and(ofZones.getOrDefault(first.server().zone(), Policy.NONE));
+        return first.with(
+                policy.drain() ? Phase.DRAINING : phase, first.server().weight() * policy.factor(), since);
     }
 }
--- a/src/main/java/gatefront/padron/Discovery.java
+++ b/src/main/java/gatefront/padron/Discovery.java
@@ -48,12 +48,13 @@
     }
 
     /** A decoded answer. */
-    public record Listing(long index, boolean snapshot, List<Endpoint> endpoints) { }
+    public record Listing(long index, boolean snapshot, List<Endpoint> endpoints) {}
 
     /** How long a watch waits for news. Short enough that a silent discovery is soon asked again. */
     private static final long WATCH_MS = 5_000;
     /** How much longer than its wait a call may take. */
     private static final long ANSWER_MS = 2_000;
+
     private static final long BACKOFF_LEAST_MS = 50;
     private static final long BACKOFF_MOST_MS = 1_000;
     /** And where it says that it has too much to do, a part of the time within which it is to be asked. */
@@ -65,6 +66,7 @@
      * come back for each. A watch goes on if the next call comes within 200 ms; what changes until then counts as told.
      */
     private static final long NEWS_PAUSE_MS = 60;
+
     private static final int LIST_BYTES_MAX = 4 << 20;
 
     private final EventLoop loop;
@@ -75,6 +77,7 @@
     private Channel channel;
     /** The version last had; negative while the whole list is needed. */
     private long index = -1;
+
     private boolean watching;
     private boolean closed;
     /** Numbers the calls: what belongs to an earlier one is disregarded. */
@@ -83,6 +86,7 @@
     private Future<?> timeout;
     /** Agents that fail together must not come back together. */
     private final SplittableRandom jitter;
+
     private long backoff = BACKOFF_LEAST_MS;
 
     /** Follows nothing yet; {@link #watch()} begins. */
@@ -92,16 +96,23 @@
         this.address = config.discovery();
         this.listener = listener;
         this.jitter = new SplittableRandom(config.seed());
-        this.bootstrap = new Bootstrap().group(loop).channelFactory(transport.dialers())
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) ANSWER_MS)
-            .option(ChannelOption.TCP_NODELAY, true).disableResolver()
-            .handler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel ch) {
-                    ch.pipeline().addLast(new Decoders.Responses(), new HttpRequestEncoder(),
-                        new HttpObjectAggregator(LIST_BYTES_MAX), new Answers());
-                }
-            });
+        this.bootstrap = new Bootstrap()
+                .group(loop)
+                .channelFactory(transport.dialers())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) ANSWER_MS)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .disableResolver()
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel ch) {
+                        ch.pipeline()
+                                .addLast(
+                                        new Decoders.Responses(),
+                                        new HttpRequestEncoder(),
+                                        new HttpObjectAggregator(LIST_BYTES_MAX),
+                                        new Answers());
+                    }
+                });
     }
 
     /** Begins to follow the list, or goes on after a failure where that is asked for. */
@@ -155,11 +166,14 @@
 
     private void next(long delayMs) {
         int mine = ++call;
-        loop.schedule(() -> {
-            if (mine == call && !closed) {
-                ask(mine);
-            }
-        }, delayMs, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    if (mine == call && !closed) {
+                        ask(mine);
+                    }
+                },
+                delayMs,
+                TimeUnit.MILLISECONDS);
     }
 
     private void ask(int mine) {
@@ -213,9 +227,14 @@
     private void answered(FullHttpResponse response) {
         over();
         if (response.decoderResult().isFailure() || response.status().code() != 200) {
-            failed(call, "answer " + response.status().code(), response.status().code() == 503
-                ? Math.max(BACKOFF_MOST_MS, config.settings().obligations().askWithin() / 1000 / OVERBOOKED_PART)
-                : BACKOFF_MOST_MS);
+            failed(
+                    call,
+                    "answer " + response.status().code(),
+                    response.status().code() == 503
+                            ? Math.max(
+                                    BACKOFF_MOST_MS,
+                                    config.settings().obligations().askWithin() / 1000 / OVERBOOKED_PART)
+                            : BACKOFF_MOST_MS);
             return;
         }
         Listing listing;
@@ -225,7 +244,10 @@
             // Guards against a list that cannot be read: the old one stays, and the whole is asked for, since
             // what the lost one changed is unknown.
             index = -1;
-            failed(call, "unusable list: " + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
+            failed(
+                    call,
+                    "unusable list: "
+                            + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
             return;
         }
         if (!listing.snapshot() && listing.index() < index) {
@@ -248,7 +270,9 @@
 
     /** Decodes a list; an entry that makes no sense makes the whole unusable. */
     public static Listing decode(JsonNode root, Config config) {
-        if (root == null || !root.path("endpoints").isArray() || !root.path("index").canConvertToLong()) {
+        if (root == null
+                || !root.path("endpoints").isArray()
+                || !root.path("index").canConvertToLong()) {
             throw new IllegalArgumentException("no list of servers");
         }
         List<Endpoint> endpoints = new ArrayList<>();
--- a/src/main/java/gatefront/policy/Balancer.java
+++ b/src/main/java/gatefront/policy/Balancer.java
@@ -10,28 +10,65 @@
 public interface Balancer {
 
     /** How often the effect of a request may happen. */
-    enum Semantics { /** Any number of times. */ SAFE, /** Repeats dropped by a group for a while. */ KEYED,
-        /** At most once. */ UNSAFE }
+    enum Semantics {
+        /** Any number of times. */
+        SAFE,
+        /** Repeats dropped by a group for a while. */
+        KEYED,
+        /** At most once. */
+        UNSAFE
+    }
 
     /** Which servers drop the repeats of a keyed request that one of them has seen. */
-    enum Scope { /** Every server. */ ALL, /** Those of the server's zone. */ ZONE,
-        /** Those of the server's cell. */ CELL }
+    enum Scope {
+        /** Every server. */
+        ALL,
+        /** Those of the server's zone. */
+        ZONE,
+        /** Those of the server's cell. */
+        CELL
+    }
 
     /** What discovery says of a server. */
-    enum Phase { /** It takes requests. */ READY, /** It takes nothing new. */ DRAINING,
-        /** It has left. */ GONE }
+    enum Phase {
+        /** It takes requests. */
+        READY,
+        /** It takes nothing new. */
+        DRAINING,
+        /** It has left. */
+        GONE
+    }
 
     /** What a list of servers holds. */
-    enum ListKind { /** Changed entries only. */ DELTA, /** Every server there is. */ FULL,
-        /** Every server, as last held by the host; perhaps old. */ CACHED,
-        /** No list: discovery could not be reached. */ FAILED }
+    enum ListKind {
+        /** Changed entries only. */
+        DELTA,
+        /** Every server there is. */
+        FULL,
+        /** Every server, as last held by the host; perhaps old. */
+        CACHED,
+        /** No list: discovery could not be reached. */
+        FAILED
+    }
 
     /** How an attempt or a probe ended. */
     enum Outcome {
-        /** Answered. */ OK(false), /** Error answer. */ ERROR(false), /** Turned away unseen. */ FULL(true),
-        /** No answer in the time given. */ TIMEOUT(false), /** No connection. */ CONNECT_FAILED(true),
-        /** The connection broke. */ RESET(false), /** Given up by the balancer. */ CANCELLED(false),
-        /** The host could not send it. */ NEVER_SENT(true);
+        /** Answered. */
+        OK(false),
+        /** Error answer. */
+        ERROR(false),
+        /** Turned away unseen. */
+        FULL(true),
+        /** No answer in the time given. */
+        TIMEOUT(false),
+        /** No connection. */
+        CONNECT_FAILED(true),
+        /** The connection broke. */
+        RESET(false),
+        /** Given up by the balancer. */
+        CANCELLED(false),
+        /** The host could not send it. */
+        NEVER_SENT(true);
 
         private final boolean neverRan;
 
@@ -50,9 +87,20 @@
     }
 
     /** The values a load report may hold. */
-    enum LoadField { /** Requests held. */ IN_FLIGHT, /** Requests waiting. */ QUEUED,
-        /** Part of the machine in use. */ CPU_SHARE, /** Mean answer time. */ MEAN_MILLIS,
-        /** Answers a second. */ SERVED_PER_SECOND, /** Error answers a second. */ ERRORS_PER_SECOND }
+    enum LoadField {
+        /** Requests held. */
+        IN_FLIGHT,
+        /** Requests waiting. */
+        QUEUED,
+        /** Part of the machine in use. */
+        CPU_SHARE,
+        /** Mean answer time. */
+        MEAN_MILLIS,
+        /** Answers a second. */
+        SERVED_PER_SECOND,
+        /** Error answers a second. */
+        ERRORS_PER_SECOND
+    }
 
     /**
      * A class of requests.
@@ -65,39 +113,78 @@
      * @param lateShare the part of the worth that a late answer still has
      * @param streamed whether answers arrive in parts
      */
-    record RequestClass(long aim, double aimStretch, long giveUp, Semantics semantics, Scope scope,
-                        long window, double worth, double lateShare, boolean streamed) { }
+    record RequestClass(
+            long aim,
+            double aimStretch,
+            long giveUp,
+            Semantics semantics,
+            Scope scope,
+            long window,
+            double worth,
+            double lateShare,
+            boolean streamed) {}
 
     /** A tenant: requests a second that count in full, over all agents; its fraction of the service. */
-    record Tenant(double quotaPerSecond, double fraction) { }
+    record Tenant(double quotaPerSecond, double fraction) {}
 
     /** What the host permits. A retry-after of 0 means that clients take no such advice. */
-    record Permits(int maxAttempts, boolean duplicates, boolean cancel, boolean probes, boolean messages,
-                   long maxRetryAfter) { }
+    record Permits(
+            int maxAttempts,
+            boolean duplicates,
+            boolean cancel,
+            boolean probes,
+            boolean messages,
+            long maxRetryAfter) {}
 
     /** What the rules on draining and on cold servers say. */
-    record Obligations(long answerSlack, long drainGrace, double coldFrom, long coldTime,
-                       double overloadMultiple, long overloadTime, long askWithin) { }
+    record Obligations(
+            long answerSlack,
+            long drainGrace,
+            double coldFrom,
+            long coldTime,
+            double overloadMultiple,
+            long overloadTime,
+            long askWithin) {}
 
     /** What things cost, in parts of the result: crossings, probes, waste, late failures, messages. */
-    record Prices(double crossing, double probe, double waste, double lateFailure, double message) { }
+    record Prices(double crossing, double probe, double waste, double lateFailure, double message) {}
 
     /** How the result is weighed: all of it, its worst stretch of time, worst class and worst tenant. */
-    record Goal(double whole, double worstWindow, double worstClass, double worstTenant) { }
+    record Goal(double whole, double worstWindow, double worstClass, double worstTenant) {}
 
     /** What an instance is told once, at its start. */
-    record Settings(int agent, int agents, int zone, int zones, long tick, boolean askDiscovery,
-                    boolean warmKeys, boolean listedWeights, boolean worthByWork, double overQuotaWorth,
-                    Permits permits, Obligations obligations, Prices prices, Goal goal,
-                    List<RequestClass> classes,
-                    List<Tenant> tenants, List<LoadField> loadFields) { }
+    record Settings(
+            int agent,
+            int agents,
+            int zone,
+            int zones,
+            long tick,
+            boolean askDiscovery,
+            boolean warmKeys,
+            boolean listedWeights,
+            boolean worthByWork,
+            double overQuotaWorth,
+            Permits permits,
+            Obligations obligations,
+            Prices prices,
+            Goal goal,
+            List<RequestClass> classes,
+            List<Tenant> tenants,
+            List<LoadField> loadFields) {}
 
     /** A line of the list of servers; {@code startedAt} is 0 if long past, {@code weight} relative. */
-    record Server(long id, int zone, int cell, int kind, Phase phase, double weight, long startedAt) { }
+    record Server(long id, int zone, int cell, int kind, Phase phase, double weight, long startedAt) {}
 
     /** A client's request. Key and cost are 0 if unknown; {@code deadline} is when this try is given up. */
-    record Request(long id, int requestClass, int tenant, long key, long cost, long deadline,
-                   boolean repeated, boolean write) { }
+    record Request(
+            long id,
+            int requestClass,
+            int tenant,
+            long key,
+            long cost,
+            long deadline,
+            boolean repeated,
+            boolean write) {}
 
     /** What the balancer asks of its host. */
     interface Actions {
@@ -217,8 +304,15 @@
      * @param closed whether the client has its final answer, by this outcome or earlier
      * @param load the server's load report in the order of the settings' fields; empty if none came
      */
-    void outcome(long now, long request, int attempt, long server, Outcome outcome, long spent,
-                 boolean closed, double[] load);
+    void outcome(
+            long now,
+            long request,
+            int attempt,
+            long server,
+            Outcome outcome,
+            long spent,
+            boolean closed,
+            double[] load);
 
     /**
      * The client has left; nothing more is owed.
--- a/src/main/java/gatefront/policy/CheckedBalancer.java
+++ b/src/main/java/gatefront/policy/CheckedBalancer.java
@@ -135,8 +135,15 @@
     }
 
     @Override
-    public void outcome(long now, long request, int attempt, long server, Outcome outcome, long spent,
-                        boolean closed, double[] load) {
+    public void outcome(
+            long now,
+            long request,
+            int attempt,
+            long server,
+            Outcome outcome,
+            long spent,
+            boolean closed,
+            double[] load) {
         Objects.requireNonNull(outcome, "outcome");
         Objects.requireNonNull(load, "load");
         Seen seen = out(request, attempt);
@@ -173,9 +180,10 @@
 
     @Override
     public void settings(long now, Settings changed) {
-        if (Objects.requireNonNull(changed, "changed").classes().size() < settings.classes().size()) {
-            throw new IllegalArgumentException("classes keep their numbers: " + changed.classes().size() + " after "
-                + settings.classes().size());
+        if (Objects.requireNonNull(changed, "changed").classes().size()
+                < settings.classes().size()) {
+            throw new IllegalArgumentException("classes keep their numbers: "
+                    + changed.classes().size() + " after " + settings.classes().size());
         }
         event(now, () -> {
             settings = changed;
@@ -216,8 +224,7 @@
         }
         Objects.checkIndex(attempt, seen.sends);
         if ((seen.ended & 1L << attempt) != 0) {
-            throw new IllegalArgumentException("attempt " + attempt + " of request " + request
-                + " has ended");
+            throw new IllegalArgumentException("attempt " + attempt + " of request " + request + " has ended");
         }
         return seen;
     }
--- a/src/main/java/gatefront/policy/ClassState.java
+++ b/src/main/java/gatefront/policy/ClassState.java
@@ -18,6 +18,7 @@
     double unservedWait;
     /** The time that most requests bring, a first try's, by a running majority vote. */
     long usualLeft;
+
     int usualVotes;
     double value; // what a unit of its work adds to the goal, as last measured
 
--- a/src/main/java/gatefront/policy/Open.java
+++ b/src/main/java/gatefront/policy/Open.java
@@ -1,10 +1,10 @@
 package gatefront.policy;
 
-import java.util.ArrayList;
-import java.util.List;
 import gatefront.policy.Balancer.Outcome;
 import gatefront.policy.Balancer.Request;
 import gatefront.policy.Balancer.RequestClass;
+import java.util.ArrayList;
+import java.util.List;
 
 /** One request that an agent has taken. State only: {@link Rules} decides. */
 final class Open {
@@ -12,19 +12,20 @@
     final ClassState state;
     /** Its class as it was when it came, and how many attempts it may have. */
     final RequestClass type;
+
     final int attemptsMost;
     final long token; // names its timer
     final long cameAt;
     final long firstAt; // when its first try did
     /** When there is nothing left to win, at the latest when the client gives up. */
     final long endAt;
+
     final List<Attempt> attempts = new ArrayList<>(1);
     boolean closed;
     boolean held;
     boolean streaming;
 
-    Open(Request request, ClassState state, int attemptsMost, long token, long cameAt,
-         long firstAt, long endAt) {
+    Open(Request request, ClassState state, int attemptsMost, long token, long cameAt, long firstAt, long endAt) {
         this.request = request;
         this.state = state;
         this.type = state.type;
@@ -54,7 +55,8 @@
 
     /** How many attempts are out. */
     int out() {
-        return (int) attempts.stream().filter(attempt -> attempt.outcome == null).count();
+        return (int)
+                attempts.stream().filter(attempt -> attempt.outcome == null).count();
     }
 
     boolean tried(Target target) {
--- a/src/main/java/gatefront/policy/Quantile.java
+++ b/src/main/java/gatefront/policy/Quantile.java
@@ -14,6 +14,7 @@
     private double lowest = Double.MAX_VALUE;
     /** The first values, in order of size: steps from a single one would be lost for long. */
     private final double[] first = new double[ENOUGH];
+
     private int count;
 
     Quantile(double share) {
--- a/src/main/java/gatefront/policy/Rules.java
+++ b/src/main/java/gatefront/policy/Rules.java
@@ -1,6 +1,9 @@
 // The interface of this module (its types, events and actions) is in Balancer.java.
 package gatefront.policy;
 
+import gatefront.policy.Open.Attempt;
+import gatefront.policy.Target.ByClass;
+import gatefront.policy.Target.Health;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -9,9 +12,6 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
-import gatefront.policy.Open.Attempt;
-import gatefront.policy.Target.ByClass;
-import gatefront.policy.Target.Health;
 
 /**
  * Every decision of one agent's balancer. The ordinary path of a request: of two random available servers of the own
@@ -25,29 +25,35 @@
     private static final double PROBE_DEAR = 0.04;
     /** Servers of the own zone that a light agent draws from: two to compare, and as many may fail. */
     private static final int SUBSET_LEAST = 3;
+
     private static final int SUBSET_FAR = 2; // and of other zones, where its own has no room: two to compare
     /** Agents that share a server on average: enough to load it evenly, so few that each comes there often. */
     private static final int SUBSET_SHARERS = 10;
     /** Servers in the subset for each one that this agent's requests would keep busy. */
     private static final double SUBSET_SPREAD = 4;
+
     private static final int PROBE_THRESHOLD = 2; // failed probes in a row that make a server Unhealthy
     /** The sliding window: long enough to hold a light agent's few requests, short beside an outage. */
     private static final long WINDOW = 10 * SECOND;
     /** Requests in the window before the passive state is judged; a light agent never sees the default 10. */
     private static final int WINDOW_MINIMUM = 5;
+
     private static final double FAILURE_LIMIT = 0.3; // over which the passive state is Unhealthy; the default
     /** And by how many deviations above the peers' share: what fails everywhere is no server's fault. */
     private static final double SURE = 1;
     /** A server that fails at once rests as if the request had taken its time, doubled up to this often. */
     private static final int REST_DOUBLINGS = 5;
+
     private static final long REACTIVATION = 5 * SECOND; // after this the passive state is Unknown again
     private static final double LIMIT_START = 12; // of all agents together, for a server unknown so far
     /** After a fast answer with the limit half used; after a slow one: even at one slow answer in nine. */
     private static final double LIMIT_UP = 0.2;
+
     private static final double LIMIT_DOWN = 1.6;
     private static final double LIMIT_FACTOR = 0.5;
     /** Waiting requests a listed core from which a server has too much, by its own report, and what is left then. */
     private static final double QUEUE_MOST = 1;
+
     private static final double QUEUE_FACTOR = 0.8;
     /** The same past the aim: a choked server mends only if all that share it leave it for seconds. */
     private static final double LIMIT_LATE = 0.1;
@@ -67,6 +73,7 @@
     private static final double NATURE_MAX = 2;
     /** How long a server is thought to have restarted unless the list says so: the list is seconds late. */
     private static final long SUSPICION = 5 * SECOND;
+
     private static final long BREAK_LEAST = SECOND / 2; // a break shorter than this is no restart
     private static final int SAME_TICKS = 4; // ticks by which the time that first tries bring may differ
     private static final int VOTES_MAX = 20; // votes for that time at the most; half of them make it sure
@@ -74,20 +81,25 @@
     private static final double BLEND = 0.1; // weight of one new measurement in a running mean
     /** Weight of one answer in its server's slowness: a light agent sees few, and they soon say nothing. */
     private static final double STRETCH_BLEND = 0.4;
+
     private static final double STRETCH_MAX = 5; // the most that one answer moves it by, for works have heavy tails
     /** Further attempts earned by each request: retries can never multiply an overload. */
     private static final double RETRY_EARNED = 0.2;
+
     private static final double RETRY_BANK = 10; // what may be saved up of them, enough for one broken server
     /** Attempts that an answer pays for, where each costs one: so fast may they grow while servers answer in time. */
     private static final double CREDIT_ANSWER = 1.2;
+
     private static final double CREDIT_REQUEST = 0.03; // and each request that comes, so that some are always tried
     /** What may be saved up: what is out is paid for and not answered yet, the more the more requests come. */
     private static final double CREDIT_LEAST = 10;
+
     private static final double CREDIT_SECONDS = 0.5;
     /** While requests are held, how often they are looked at, in ticks of the host. */
     private static final int SWEEP_TICKS = 4;
     /** How far back the counts of requests come and served look, for ranking the classes. */
     private static final long RANK_PERIOD = 2 * SECOND;
+
     private static final long RATE_PERIOD = 5 * SECOND; // how far back the measured answer rates look
     /** How fast the share of keys that cross zones at once follows what is seen: some hundred requests. */
     private static final double SPILL_STEP = 0.01;
@@ -99,6 +111,7 @@
     private static final double COLD_BURST = 0.5;
     /** The part of a keyed request's window in which it may be resent: a late arrival would run again. */
     private static final double WINDOW_SURE = 0.75;
+
     private static final long ASK_BACKOFF = SECOND; // the first wait before discovery is asked again; then doubled
     private static final long TIMER_PROBE = -1;
     private static final long TIMER_SWEEP = -2;
@@ -119,23 +132,29 @@
     private double spill; // the share of keys that cross zones at once
     /** By kind of server, what {@link Target#stretch} is for one. */
     private final Map<Integer, Double> kindStretch = new HashMap<>();
+
     private final long bornAt;
     /** The unhurried time of the requests that came, and the first tries that did, as sums that fade. */
     private double busy;
+
     private double came;
     private long fadedAt;
     /** The listed weights of those that take requests, together; how many those are, and in the own zone. */
     private double weights;
+
     private int takers;
     private int here;
     /** How long cold servers take, as a part of what the settings make expect at the worst. */
     private double coldStretch = COLD_HOPE;
+
     private long rankedAt;
     /** When a request that had time enough was last turned away for want of room. */
     private long crowdedAt = Long.MIN_VALUE / 2;
+
     private boolean marks; // whether clients mark their repeats
     /** By {@link #fingerprint}, when the first try of a request came that was not served; emptied when full. */
     private final Map<Long, Long> unserved = new HashMap<>();
+
     private long nextToken;
     private int probeTurn;
     private boolean sweeping;
@@ -184,8 +203,9 @@
         long left = aim - spent;
         boolean late = type.lateShare() == 0 && Math.min(left, last - now) < Math.min(aim, state.times.value());
         boolean past = request.repeated() && late && left < (first == null ? state.times.value() : settings.tick());
-        long endAt = type.lateShare() > 0 ? last
-            : Math.min(last, now + (late && !request.repeated() ? aim : left) - settings.tick());
+        long endAt = type.lateShare() > 0
+                ? last
+                : Math.min(last, now + (late && !request.repeated() ? aim : left) - settings.tick());
         Open req = new Open(request, state, settings.permits().maxAttempts(), nextToken++, now, now - spent, endAt);
         open.put(request.id(), req);
         byToken.put(req.token, req);
@@ -276,7 +296,7 @@
                 queue.pollLast();
             }
             // Danger: the oldest would cross zones with too little time left; take the newest that may.
-            for (var newest = queue.descendingIterator(); newest.hasNext();) {
+            for (var newest = queue.descendingIterator(); newest.hasNext(); ) {
                 Open req = newest.next();
                 if (req.held && now - req.cameAt >= patience(req) && !dispatch(req, now)) {
                     break;
@@ -321,8 +341,15 @@
     }
 
     @Override
-    public void outcome(long now, long request, int attempt, long server, Outcome outcome, long spent,
-                        boolean closed, double[] load) {
+    public void outcome(
+            long now,
+            long request,
+            int attempt,
+            long server,
+            Outcome outcome,
+            long spent,
+            boolean closed,
+            double[] load) {
         Open req = open.get(request);
         if (req == null || attempt >= req.attempts.size() || req.attempts.get(attempt).outcome != null) {
             return; // not held any more, or told twice
@@ -331,8 +358,9 @@
         ended.outcome = outcome;
         ended.target.inFlight -= ended.passing ? 0 : 1;
         forget(ended.target);
-        boolean full = outcome == Outcome.FULL || (outcome == Outcome.TIMEOUT || outcome == Outcome.CANCELLED)
-            && req.endAt - req.cameAt > req.state.times.value();
+        boolean full = outcome == Outcome.FULL
+                || (outcome == Outcome.TIMEOUT || outcome == Outcome.CANCELLED)
+                        && req.endAt - req.cameAt > req.state.times.value();
         earn(ended.passing ? CREDIT_REQUEST : outcome == Outcome.OK ? CREDIT_ANSWER : full ? 0 : 1, now);
         learn(req, ended.target, outcome, spent, report(ended.target, load, now), now);
         if (closed) {
@@ -443,7 +471,7 @@
     }
 
     @Override
-    public void message(long now, int agent, byte[] message) { } // no message has earned its price yet
+    public void message(long now, int agent, byte[] message) {} // no message has earned its price yet
 
     // ---- What a request's history permits ----
 
@@ -457,8 +485,10 @@
         }
         // Danger: a repeat that arrives after the window runs again; leave time for the way.
         long window = (long) (WINDOW_SURE * req.type.window());
-        return semantics == Semantics.SAFE || req.attempts.stream().allMatch(attempt -> !attempt.mayHaveRun()
-            || semantics == Semantics.KEYED && now < attempt.sentAt + window);
+        return semantics == Semantics.SAFE
+                || req.attempts.stream()
+                        .allMatch(attempt ->
+                                !attempt.mayHaveRun() || semantics == Semantics.KEYED && now < attempt.sentAt + window);
     }
 
     /** Whether a server is in the group of every earlier attempt that may have run. */
@@ -467,16 +497,19 @@
         if (req.type.semantics() != Semantics.KEYED || scope == Scope.ALL) {
             return true;
         }
-        return req.attempts.stream().allMatch(attempt -> !attempt.mayHaveRun() || (scope == Scope.ZONE
-            ? attempt.target.listed.zone() == target.listed.zone()
-            : attempt.target.listed.cell() == target.listed.cell()));
+        return req.attempts.stream()
+                .allMatch(attempt -> !attempt.mayHaveRun()
+                        || (scope == Scope.ZONE
+                                ? attempt.target.listed.zone() == target.listed.zone()
+                                : attempt.target.listed.cell() == target.listed.cell()));
     }
 
     /** A refusal says that trying again is harmless: danger of an effect twice if it is not. */
     private boolean mayRefuse(Open req) {
         Semantics semantics = req.type.semantics();
-        return semantics == Semantics.SAFE || req.attempts.stream().noneMatch(Attempt::mayHaveRun)
-            || semantics == Semantics.KEYED && req.type.scope() == Scope.ALL;
+        return semantics == Semantics.SAFE
+                || req.attempts.stream().noneMatch(Attempt::mayHaveRun)
+                || semantics == Semantics.KEYED && req.type.scope() == Scope.ALL;
     }
 
     // ---- Pick ----
@@ -495,10 +528,10 @@
             return best;
         }
         // Danger: a repeat would wait all its time for a removed server, the one it has tried being available.
-        boolean availableAnywhere = listed.stream().anyMatch(each -> each.ready && !req.tried(each)
-            && inGroups(req, each) && available(req, each, now));
-        boolean availableHere = listed.stream().anyMatch(each -> each.ready
-            && each.listed.zone() == settings.zone() && available(req, each, now));
+        boolean availableAnywhere = listed.stream()
+                .anyMatch(each -> each.ready && !req.tried(each) && inGroups(req, each) && available(req, each, now));
+        boolean availableHere = listed.stream()
+                .anyMatch(each -> each.ready && each.listed.zone() == settings.zone() && available(req, each, now));
         if (!availableAnywhere) {
             return draw(req, now, false, -1);
         }
@@ -531,13 +564,17 @@
         int left = keyed(req) ? listed.size() : spread(where == 1 ? SUBSET_LEAST : SUBSET_FAR, now);
         for (int at = 0; at < listed.size() && left > 0; at++) {
             Target target = listed.get(at);
-            if (target.ready && (!healthy || available(req, target, now))
+            if (target.ready
+                    && (!healthy || available(req, target, now))
                     && (where < 0 || (target.listed.zone() == settings.zone()) == (where == 1))) {
                 left--;
                 room += target.limit - target.inFlight;
                 out += target.inFlight;
-                if (!req.tried(target) && inGroups(req, target) && hasRoom(target, now)
-                        && now >= of(req, target).restUntil && warmEnough(req, target, now)) {
+                if (!req.tried(target)
+                        && inGroups(req, target)
+                        && hasRoom(target, now)
+                        && now >= of(req, target).restUntil
+                        && warmEnough(req, target, now)) {
                     scratch.add(target);
                 }
             }
@@ -562,8 +599,11 @@
         int j = random.nextInt(n - 1);
         Target a = scratch.get(i);
         Target b = scratch.get(j < i ? j : j + 1);
-        return (a.inFlight != b.inFlight ? a.inFlight < b.inFlight
-            : settings.warmKeys() || stretch(a, now) <= stretch(b, now)) ? a : b;
+        return (a.inFlight != b.inFlight
+                        ? a.inFlight < b.inFlight
+                        : settings.warmKeys() || stretch(a, now) <= stretch(b, now))
+                ? a
+                : b;
     }
 
     // From how many servers an agent draws: few while it sends little. Danger: many light agents that each use every
@@ -580,13 +620,16 @@
 
     // Leaves servers with at most one over the mean in flight. Danger: those of a key that many ask for are flooded.
     private void leaveBusy() {
-        double most = 1 + scratch.stream().mapToInt(each -> each.inFlight).average().orElse(0);
+        double most =
+                1 + scratch.stream().mapToInt(each -> each.inFlight).average().orElse(0);
         scratch.removeIf(target -> target.inFlight > most);
     }
 
     private Target highest(long key, Target except) {
-        return scratch.stream().filter(target -> target != except)
-            .max(Comparator.comparingLong(target -> mix(key ^ mix(target.id)))).orElseThrow();
+        return scratch.stream()
+                .filter(target -> target != except)
+                .max(Comparator.comparingLong(target -> mix(key ^ mix(target.id))))
+                .orElseThrow();
     }
 
     private static long mix(long z) {
@@ -598,8 +641,9 @@
     // ---- Limits and what answers teach ----
 
     private boolean hasRoom(Target target, long now) {
-        return target.inFlight < Math.max(1, (int) target.limit) && now >= target.restUntil
-            && (!cold(target, now) || coldBudget(target, now) >= 1);
+        return target.inFlight < Math.max(1, (int) target.limit)
+                && now >= target.restUntil
+                && (!cold(target, now) || coldBudget(target, now) >= 1);
     }
 
     private void learn(Open req, Target target, Outcome outcome, long spent, double queued, long now) {
@@ -663,8 +707,9 @@
         int at = settings.loadFields().indexOf(LoadField.QUEUED);
         double queued = at < 0 || load.length <= at ? -1 : load[at] / target.weight();
         if (queued >= 0 && cold(target, now)) { // what it keeps up with is less than it can do; the report is late
-            target.coldRoom = queued < COLD_QUEUE ? Math.min(2 * coldRoom(), target.coldRoom + 0.5)
-                : Math.max(1, 0.7 * target.coldRoom);
+            target.coldRoom = queued < COLD_QUEUE
+                    ? Math.min(2 * coldRoom(), target.coldRoom + 0.5)
+                    : Math.max(1, 0.7 * target.coldRoom);
         }
         return queued;
     }
@@ -734,8 +779,10 @@
         Quantile times = req.state.times;
         double nature = target.pace.known() ? Math.max(1, Math.min(NATURE_MAX, target.pace.lowest())) : 1;
         double most = SLOW_SHARE * (req.endAt - req.cameAt);
-        return spent > Math.max(target.limit > LIMIT_FEW ? 0 : HARMLESS_SHARE * req.type.aim(),
-            times.known() ? Math.min(most, SLOW_MULTIPLE * nature * times.lowest()) : most);
+        return spent
+                > Math.max(
+                        target.limit > LIMIT_FEW ? 0 : HARMLESS_SHARE * req.type.aim(),
+                        times.known() ? Math.min(most, SLOW_MULTIPLE * nature * times.lowest()) : most);
     }
 
     // ---- Health ----
@@ -753,8 +800,11 @@
 
     @Override
     public int avoided(long now) {
-        return (int) listed.stream().filter(each -> each.ready && (each.active == Health.UNHEALTHY
-            || each.passive == Health.UNHEALTHY && now < each.reactivateAt)).count();
+        return (int) listed.stream()
+                .filter(each -> each.ready
+                        && (each.active == Health.UNHEALTHY
+                                || each.passive == Health.UNHEALTHY && now < each.reactivateAt))
+                .count();
     }
 
     /** The same for a request, whose class may have been removed alone. */
@@ -799,8 +849,10 @@
             target.passive = Health.UNHEALTHY;
             target.reactivateAt = now + REACTIVATION;
         }
-        log(target, (alone ? "class " + req.request.requestClass() + " " : "") + "passive Unhealthy: "
-            + failed + " of " + total + " failed");
+        log(
+                target,
+                (alone ? "class " + req.request.requestClass() + " " : "") + "passive Unhealthy: " + failed + " of "
+                        + total + " failed");
     }
 
     /** Those it draws from, and what stands before them that is not available and may recover. */
@@ -899,7 +951,12 @@
 
     /** The part of its capacity that a cold server has at the least. */
     private double surely(Target target, long now) {
-        double share = Math.min(1, Math.max(0, (double) (now - target.coldSince) / settings.obligations().coldTime()));
+        double share = Math.min(
+                1,
+                Math.max(
+                        0,
+                        (double) (now - target.coldSince)
+                                / settings.obligations().coldTime()));
         return share + (1 - share) * settings.obligations().coldFrom();
     }
 
@@ -961,7 +1018,9 @@
         askDelay = kind == ListKind.CACHED ? askDelay : ASK_BACKOFF;
         if (kind != ListKind.DELTA) {
             var complete = entries.stream().map(Server::id).collect(Collectors.toSet());
-            List.copyOf(listed).stream().filter(each -> !complete.contains(each.id)).forEach(this::remove);
+            List.copyOf(listed).stream()
+                    .filter(each -> !complete.contains(each.id))
+                    .forEach(this::remove);
         }
         for (Server entry : entries) {
             apply(now, entry);
@@ -971,7 +1030,9 @@
         List<Target> ready = listed.stream().filter(each -> each.ready).toList();
         weights = ready.stream().mapToDouble(Target::weight).sum();
         takers = ready.size();
-        here = (int) ready.stream().filter(each -> each.listed.zone() == settings.zone()).count();
+        here = (int) ready.stream()
+                .filter(each -> each.listed.zone() == settings.zone())
+                .count();
         double part = Math.min(1, (double) subset(SUBSET_LEAST) / Math.max(1, listed.size()));
         for (Target target : listed) {
             target.limit = target.limit == 0 ? LIMIT_START / (settings.agents() * part) : target.limit;
--- a/src/main/java/gatefront/policy/SettingsParser.java
+++ b/src/main/java/gatefront/policy/SettingsParser.java
@@ -1,20 +1,29 @@
 package gatefront.policy;
 
+import gatefront.policy.Balancer.LoadField;
+import gatefront.policy.Balancer.Scope;
+import gatefront.policy.Balancer.Semantics;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import gatefront.policy.Balancer.LoadField;
-import gatefront.policy.Balancer.Scope;
-import gatefront.policy.Balancer.Semantics;
 
 /** Turns path=value settings into the module's settings. Keys it does not know are skipped. */
 public final class SettingsParser {
     private static final Map<String, LoadField> LOAD_FIELDS = Map.of(
-        "concurrent", LoadField.IN_FLIGHT, "depth", LoadField.QUEUED, "load_share", LoadField.CPU_SHARE,
-        "mean_ms", LoadField.MEAN_MILLIS, "tps", LoadField.SERVED_PER_SECOND,
-        "err_ps", LoadField.ERRORS_PER_SECOND);
+            "concurrent",
+            LoadField.IN_FLIGHT,
+            "depth",
+            LoadField.QUEUED,
+            "load_share",
+            LoadField.CPU_SHARE,
+            "mean_ms",
+            LoadField.MEAN_MILLIS,
+            "tps",
+            LoadField.SERVED_PER_SECOND,
+            "err_ps",
+            LoadField.ERRORS_PER_SECOND);
 
     private final Map<String, String> pairs;
 
@@ -34,7 +43,9 @@
         for (String line : text.split("\n")) {
             int equals = line.indexOf('=');
             if (equals > 0) {
-                pairs.put(line.substring(0, equals).trim(), line.substring(equals + 1).trim());
+                pairs.put(
+                        line.substring(0, equals).trim(),
+                        line.substring(equals + 1).trim());
             }
         }
         return parse(pairs);
@@ -53,20 +64,29 @@
 
     private Balancer.Settings settings() {
         var permits = new Balancer.Permits(
-            (int) atLeast(1, "caps.max-attempts"), flag("caps.may-duplicate"), flag("caps.cancel"),
-            flag("caps.probes"), flag("caps.peers"),
-            flag("caps.retry-after") ? whole("caps.max-retry-after-us") : 0);
+                (int) atLeast(1, "caps.max-attempts"),
+                flag("caps.may-duplicate"),
+                flag("caps.cancel"),
+                flag("caps.probes"),
+                flag("caps.peers"),
+                flag("caps.retry-after") ? whole("caps.max-retry-after-us") : 0);
         var obligations = new Balancer.Obligations(
-            whole("obligations.answer-slack-us"), whole("obligations.stop-sending-within-us"),
-            number("obligations.cold-from"), atLeast(1, "obligations.cold-us"),
-            number("obligations.fall-multiple"), atLeast(1, "obligations.overload-for-us"),
-            has("obligations.ask-within-us") ? whole("obligations.ask-within-us") : 0);
+                whole("obligations.answer-slack-us"),
+                whole("obligations.stop-sending-within-us"),
+                number("obligations.cold-from"),
+                atLeast(1, "obligations.cold-us"),
+                number("obligations.fall-multiple"),
+                atLeast(1, "obligations.overload-for-us"),
+                has("obligations.ask-within-us") ? whole("obligations.ask-within-us") : 0);
         var prices = new Balancer.Prices(
-            number("deductions.cross-zone", 0), number("deductions.probe", 0),
-            number("deductions.waste", 0), number("deductions.late-fail", 0), number("deductions.peer", 0));
+                number("deductions.cross-zone", 0),
+                number("deductions.probe", 0),
+                number("deductions.waste", 0),
+                number("deductions.late-fail", 0),
+                number("deductions.peer", 0));
         var goal = new Balancer.Goal(
-            number("objective-mix.whole", 1), number("objective-mix.worst-window", 0),
-            number("objective-mix.worst-class", 0), number("objective-mix.worst-tenant", 0));
+                number("objective-mix.whole", 1), number("objective-mix.worst-window", 0),
+                number("objective-mix.worst-class", 0), number("objective-mix.worst-tenant", 0));
         List<LoadField> fields = new ArrayList<>();
         if (!word("load-info.via", "none").equals("none")) {
             for (String name : list("load-info.fields")) {
@@ -74,12 +94,23 @@
             }
         }
         return new Balancer.Settings(
-            (int) atLeast(0, "me"), (int) atLeast(1, "group-size"), (int) atLeast(0, "locality"), zones(),
-            atLeast(1, "granularity-us"), need("discovery").equals("subscribe"),
-            word("family-info.warm-keys", "false").equals("true"),
-            !word("weight-source", "none").equals("none"), word("worth-by", "request").equals("work"),
-            number("over-share-worth", 1), permits, obligations, prices, goal, classes(), tenants(),
-            Collections.unmodifiableList(fields));
+                (int) atLeast(0, "me"),
+                (int) atLeast(1, "group-size"),
+                (int) atLeast(0, "locality"),
+                zones(),
+                atLeast(1, "granularity-us"),
+                need("discovery").equals("subscribe"),
+                word("family-info.warm-keys", "false").equals("true"),
+                !word("weight-source", "none").equals("none"),
+                word("worth-by", "request").equals("work"),
+                number("over-share-worth", 1),
+                permits,
+                obligations,
+                prices,
+                goal,
+                classes(),
+                tenants(),
+                Collections.unmodifiableList(fields));
     }
 
     private int zones() {
@@ -96,10 +127,15 @@
         for (int i = 0; i < count; i++) {
             String at = "classes." + i + ".";
             classes.add(new Balancer.RequestClass(
-                atLeast(1, at + "aim-us"), number(at + "aim-stretch", 0), atLeast(1, at + "give-up-us"),
-                semantics(at + "semantics"), scope(word(at + "key-scope", "all"), at + "key-scope"),
-                has(at + "window-us") ? whole(at + "window-us") : 0, number(at + "worth", 1),
-                number(at + "late-share", 0), word(at + "stream", "false").equals("true")));
+                    atLeast(1, at + "aim-us"),
+                    number(at + "aim-stretch", 0),
+                    atLeast(1, at + "give-up-us"),
+                    semantics(at + "semantics"),
+                    scope(word(at + "key-scope", "all"), at + "key-scope"),
+                    has(at + "window-us") ? whole(at + "window-us") : 0,
+                    number(at + "worth", 1),
+                    number(at + "late-share", 0),
+                    word(at + "stream", "false").equals("true")));
         }
         return List.copyOf(classes);
     }
--- a/src/main/java/gatefront/policy/Target.java
+++ b/src/main/java/gatefront/policy/Target.java
@@ -6,7 +6,11 @@
 /** What one agent knows of one server. State only: {@link Rules} decides. */
 final class Target {
     /** The states of a health check. */
-    enum Health { UNKNOWN, HEALTHY, UNHEALTHY }
+    enum Health {
+        UNKNOWN,
+        HEALTHY,
+        UNHEALTHY
+    }
 
     final long id;
     Server listed; // its line of the server list
@@ -28,6 +32,7 @@
     long stretchAt; // when that was last measured
     /** A quantile of its answer times, each as a multiple of its class's lowest. */
     final Quantile pace = new Quantile(Rules.QUANTILE);
+
     long answeredAt; // when it last answered
     int failuresInRow; // fast failures in a row, and until when it rests for them
     long restUntil;
@@ -37,10 +42,12 @@
     long coldUntil = Long.MIN_VALUE;
     /** Requests that may be sent while cold, and when that was reckoned. */
     double coldTokens;
+
     long coldAt;
     double coldRoom; // how many times its sure part it is sent while cold
     /** A broken connection or a dead probe was seen and no answer since. */
     boolean broken;
+
     long brokenAt; // when that was first seen
 
     Target(long id, int classes) {
--- a/src/main/java/gatefront/recovery/Beliefs.java
+++ b/src/main/java/gatefront/recovery/Beliefs.java
@@ -19,9 +19,9 @@
      * @param listMost a list that is older serves nobody
      * @param ahead a time of day may be so much later than now: clocks of one machine that were set
      */
-    public record Bounds(long doubtAfter, long listMost, long ahead) { }
+    public record Bounds(long doubtAfter, long listMost, long ahead) {}
 
-    private Beliefs() { }
+    private Beliefs() {}
 
     /** Judges a claim. */
     public static Finding judge(Claim claim, String instance, long now, Bounds bounds) {
@@ -30,8 +30,8 @@
         }
         if (claim.damaged()) {
             return claim.piece() == Piece.BANS
-                ? new Finding(claim, Verdict.DOUBTED, "it is damaged; what could be read stays out")
-                : new Finding(claim, Verdict.DROPPED, "it is damaged");
+                    ? new Finding(claim, Verdict.DOUBTED, "it is damaged; what could be read stays out")
+                    : new Finding(claim, Verdict.DROPPED, "it is damaged");
         }
         return claim.piece() == Piece.BANS ? bans(claim, now, bounds) : list(claim, now, bounds);
     }
@@ -41,15 +41,20 @@
             return new Finding(claim, Verdict.BELIEVED, "it says so itself");
         }
         if (claim.upTo() > now + bounds.ahead) {
-            return new Finding(claim, Verdict.DOUBTED, seconds(claim.upTo() - now) + " ahead of this clock; what is "
-                + "out stays out");
+            return new Finding(
+                    claim,
+                    Verdict.DOUBTED,
+                    seconds(claim.upTo() - now) + " ahead of this clock; what is " + "out stays out");
         }
         if (claim.upTo() < now - bounds.doubtAfter) {
-            return new Finding(claim, Verdict.DOUBTED, "it ends " + seconds(now - claim.upTo()) + " before this start: "
-                + "either nobody was there, or it was put back; what is out stays out, calls since are not known");
+            return new Finding(
+                    claim,
+                    Verdict.DOUBTED,
+                    "it ends " + seconds(now - claim.upTo()) + " before this start: "
+                            + "either nobody was there, or it was put back; what is out stays out, calls since are not known");
         }
-        return new Finding(claim, Verdict.BELIEVED, "it ends " + seconds(Math.max(0, now - claim.upTo()))
-            + " before this start");
+        return new Finding(
+                claim, Verdict.BELIEVED, "it ends " + seconds(Math.max(0, now - claim.upTo())) + " before this start");
     }
 
     private static Finding list(Claim claim, long now, Bounds bounds) {
@@ -60,11 +65,15 @@
             return new Finding(claim, Verdict.DROPPED, seconds(claim.upTo() - now) + " ahead of this clock");
         }
         if (claim.upTo() < now - bounds.listMost) {
-            return new Finding(claim, Verdict.DROPPED, seconds(now - claim.upTo()) + " old, over the "
-                + seconds(bounds.listMost) + " that may be");
+            return new Finding(
+                    claim,
+                    Verdict.DROPPED,
+                    seconds(now - claim.upTo()) + " old, over the " + seconds(bounds.listMost) + " that may be");
         }
-        return new Finding(claim, Verdict.DOUBTED, seconds(Math.max(0, now - claim.upTo()))
-            + " old; it serves until the first whole list");
+        return new Finding(
+                claim,
+                Verdict.DOUBTED,
+                seconds(Math.max(0, now - claim.upTo())) + " old; it serves until the first whole list");
     }
 
     private static String seconds(long micros) {
--- a/src/main/java/gatefront/recovery/Finding.java
+++ b/src/main/java/gatefront/recovery/Finding.java
@@ -11,10 +11,10 @@
     /** As a line of the log. */
     public String line() {
         return claim.piece().words() + " from " + claim.source().words() + ": "
-            + switch (verdict) {
-                case BELIEVED -> "believed";
-                case DOUBTED -> "doubted";
-                case DROPPED -> "dropped";
-            } + ", " + why;
+                + switch (verdict) {
+                    case BELIEVED -> "believed";
+                    case DOUBTED -> "doubted";
+                    case DROPPED -> "dropped";
+                } + ", " + why;
     }
 }
--- a/src/main/java/gatefront/recovery/Recovery.java
+++ b/src/main/java/gatefront/recovery/Recovery.java
@@ -12,12 +12,16 @@
 public final class Recovery {
     /** How far it has come back. */
     public enum Stage {
-        /** Nothing has been looked at. */ STARTING("starting"),
+        /** Nothing has been looked at. */
+        STARTING("starting"),
         /** It serves, if it does, on what was kept or written in its file; nobody has confirmed that. */
         KEPT("on what was kept"),
-        /** A whole list has come. */ LISTED("listed"),
-        /** It serves, and nothing that it ought to know is missing. */ WHOLE("whole"),
-        /** It serves, and something that it ought to know is lost: staff have to tell it again. */ LACKING("lacking");
+        /** A whole list has come. */
+        LISTED("listed"),
+        /** It serves, and nothing that it ought to know is missing. */
+        WHOLE("whole"),
+        /** It serves, and something that it ought to know is lost: staff have to tell it again. */
+        LACKING("lacking");
 
         private final String words;
 
@@ -33,12 +37,18 @@
 
     /** What a store was found to be. */
     public enum Store {
-        /** It is there and whole. */ WHOLE,
-        /** None is there: a first start, or it is lost. */ MISSING,
-        /** A file of it is not what was written. */ DAMAGED,
-        /** It is that of another instance. */ ANOTHERS,
-        /** Another process of this instance has it. */ IN_USE,
-        /** Nothing can be read or written there. */ UNUSABLE
+        /** It is there and whole. */
+        WHOLE,
+        /** None is there: a first start, or it is lost. */
+        MISSING,
+        /** A file of it is not what was written. */
+        DAMAGED,
+        /** It is that of another instance. */
+        ANOTHERS,
+        /** Another process of this instance has it. */
+        IN_USE,
+        /** Nothing can be read or written there. */
+        UNUSABLE
     }
 
     private final String instance;
@@ -66,11 +76,12 @@
             case IN_USE -> say("another process of this instance has the store; what it tells is taken from it");
             default -> {
                 lost = switch (state) {
-                    case MISSING -> "no store: a first start, or it is lost";
-                    case DAMAGED -> "the store is damaged";
-                    case ANOTHERS -> "the store is another's";
-                    default -> "the store cannot be used, and nothing is kept";
-                } + (why.isEmpty() ? "" : "; " + why);
+                            case MISSING -> "no store: a first start, or it is lost";
+                            case DAMAGED -> "the store is damaged";
+                            case ANOTHERS -> "the store is another's";
+                            default -> "the store cannot be used, and nothing is kept";
+                        }
+                        + (why.isEmpty() ? "" : "; " + why);
                 say(lost);
             }
         }
@@ -104,8 +115,9 @@
     }
 
     private void step(long now) {
-        Stage next = !listed ? findings.isEmpty() ? Stage.STARTING : Stage.KEPT
-            : !serves ? Stage.LISTED : lost == null ? Stage.WHOLE : Stage.LACKING;
+        Stage next = !listed
+                ? findings.isEmpty() ? Stage.STARTING : Stage.KEPT
+                : !serves ? Stage.LISTED : lost == null ? Stage.WHOLE : Stage.LACKING;
         if (next != stage) {
             stage = next;
             since = now;
--- a/src/main/java/gatefront/recovery/Verdict.java
+++ b/src/main/java/gatefront/recovery/Verdict.java
@@ -2,7 +2,10 @@
 
 /** What becomes of a claim. */
 public enum Verdict {
-    /** It holds. */ BELIEVED,
-    /** It holds to the safe side alone: what it takes out stays out, what it lets in proves nothing. */ DOUBTED,
-    /** As if it had never been. */ DROPPED
+    /** It holds. */
+    BELIEVED,
+    /** It holds to the safe side alone: what it takes out stays out, what it lets in proves nothing. */
+    DOUBTED,
+    /** As if it had never been. */
+    DROPPED
 }
--- a/src/main/java/gatefront/registry/ConsulCalls.java
+++ b/src/main/java/gatefront/registry/ConsulCalls.java
@@ -49,6 +49,7 @@
     private Channel channel;
     /** The call that is out, or 0; whether it is a watch, and whether a quorum answers it. */
     private long out;
+
     private boolean quorum;
 
     ConsulCalls(Transport transport, RegistrySettings settings, Members members, Follower follower) {
@@ -56,15 +57,23 @@
         this.settings = settings;
         this.members = members;
         this.follower = follower;
-        this.bootstrap = new Bootstrap().group(transport.loop()).channelFactory(transport.dialers())
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DIAL_MS).option(ChannelOption.TCP_NODELAY, true)
-            .disableResolver().handler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel ch) {
-                    ch.pipeline().addLast(new Decoders.Responses(), new HttpRequestEncoder(),
-                        new HttpObjectAggregator(BODY_BYTES_MOST), new Answers());
-                }
-            });
+        this.bootstrap = new Bootstrap()
+                .group(transport.loop())
+                .channelFactory(transport.dialers())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DIAL_MS)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .disableResolver()
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel ch) {
+                        ch.pipeline()
+                                .addLast(
+                                        new Decoders.Responses(),
+                                        new HttpRequestEncoder(),
+                                        new HttpObjectAggregator(BODY_BYTES_MOST),
+                                        new Answers());
+                    }
+                });
     }
 
     @Override
@@ -78,7 +87,7 @@
     }
 
     @Override
-    public void ask(long call) { } // each call ends by itself when its wait is over
+    public void ask(long call) {} // each call ends by itself when its wait is over
 
     @Override
     public void drop(boolean failed) {
@@ -96,8 +105,10 @@
     private void call(long call, boolean byQuorum, long behind) {
         out = call;
         quorum = byQuorum;
-        QueryStringEncoder uri = new QueryStringEncoder(settings.service() == null ? "/v1/kv/" + settings.prefix()
-            : "/v1/health/service/" + settings.service());
+        QueryStringEncoder uri = new QueryStringEncoder(
+                settings.service() == null
+                        ? "/v1/kv/" + settings.prefix()
+                        : "/v1/health/service/" + settings.service());
         if (settings.service() == null) {
             uri.addParam("recurse", "true");
         }
@@ -151,8 +162,10 @@
         long call = out;
         int status = response.status().code();
         if (response.decoderResult().isFailure() || status != 200 && status != 404) {
-            failed(call, "answer " + status + (status == 403 ? ", the token has no right to " + settings.prefix() : ""),
-                status == 429 || status == 503);
+            failed(
+                    call,
+                    "answer " + status + (status == 403 ? ", the token has no right to " + settings.prefix() : ""),
+                    status == 429 || status == 503);
             return;
         }
         if ("false".equals(response.headers().get("X-Consul-KnownLeader"))) {
@@ -173,11 +186,16 @@
             }
             if (status == 200) {
                 JsonNode root = Config.json(body);
-                entries = settings.service() == null ? decode(root, index)
-                    : ConsulHealth.decode(root, settings.prefix(), index);
+                entries = settings.service() == null
+                        ? decode(root, index)
+                        : ConsulHealth.decode(root, settings.prefix(), index);
             }
         } catch (IOException | IllegalArgumentException e) {
-            failed(call, "unusable answer: " + String.valueOf(e.getMessage()).lines().findFirst().orElse(""), false);
+            failed(
+                    call,
+                    "unusable answer: "
+                            + String.valueOf(e.getMessage()).lines().findFirst().orElse(""),
+                    false);
             return;
         }
         out = 0;
--- a/src/main/java/gatefront/registry/ConsulHealth.java
+++ b/src/main/java/gatefront/registry/ConsulHealth.java
@@ -15,7 +15,7 @@
  * whether it is to be removed is found by the agent's own probes.
  */
 final class ConsulHealth {
-    private ConsulHealth() { }
+    private ConsulHealth() {}
 
     static List<Entry> decode(JsonNode root, String prefix, long index) {
         if (root == null || !root.isArray()) {
@@ -38,16 +38,21 @@
 
     private static ObjectNode value(JsonNode each, JsonNode service) {
         JsonNode meta = service.path("Meta");
-        String address = service.path("Address").asText().isEmpty() ? each.path("Node").path("Address").asText()
-            : service.path("Address").asText();
+        String address = service.path("Address").asText().isEmpty()
+                ? each.path("Node").path("Address").asText()
+                : service.path("Address").asText();
         boolean critical = false;
         for (JsonNode check : each.path("Checks")) {
             critical |= check.path("Status").asText().equals("critical");
         }
-        return JsonNodeFactory.instance.objectNode().put("address", address + ":" + service.path("Port").asInt())
-            .put("zone", meta.path("zone").asText()).put("type", meta.path("type").asText())
-            .put("group", meta.path("group").asInt()).put("status", critical ? "Terminating" : "Ready")
-            .put("weight", service.path("Weights").path("Passing").asDouble(1))
-            .put("since_ms", meta.path("since_ms").asLong());
+        return JsonNodeFactory.instance
+                .objectNode()
+                .put("address", address + ":" + service.path("Port").asInt())
+                .put("zone", meta.path("zone").asText())
+                .put("type", meta.path("type").asText())
+                .put("group", meta.path("group").asInt())
+                .put("status", critical ? "Terminating" : "Ready")
+                .put("weight", service.path("Weights").path("Passing").asDouble(1))
+                .put("since_ms", meta.path("since_ms").asLong());
     }
 }
--- a/src/main/java/gatefront/registry/EtcdCalls.java
+++ b/src/main/java/gatefront/registry/EtcdCalls.java
@@ -75,8 +75,11 @@
         if (status == GrpcConnection.UNAUTHENTICATED) {
             token = null;
         }
-        follower.failed(now(), call, members.name() + ": " + why + (status > 0 ? " (status " + status + ")" : ""),
-            status == GrpcConnection.RESOURCE_EXHAUSTED);
+        follower.failed(
+                now(),
+                call,
+                members.name() + ": " + why + (status > 0 ? " (status " + status + ")" : ""),
+                status == GrpcConnection.RESOURCE_EXHAUSTED);
     }
 
     /** A call with one answer or more; what cannot be read ends it. */
@@ -84,23 +87,33 @@
         if (connection == null || !connection.usable()) {
             connection = new GrpcConnection(transport, members.current(), MESSAGE_BYTES_MOST);
         }
-        out = connection.call(path, path.equals(EtcdMessages.AUTHENTICATE) ? null : token, first, only,
-            new GrpcConnection.Listener() {
-                @Override
-                public void message(byte[] message) {
-                    try {
-                        reading.read(message);
-                    } catch (IOException | IllegalArgumentException e) {
-                        failed(call, 0, "unusable answer: "
-                            + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
+        out = connection.call(
+                path,
+                path.equals(EtcdMessages.AUTHENTICATE) ? null : token,
+                first,
+                only,
+                new GrpcConnection.Listener() {
+                    @Override
+                    public void message(byte[] message) {
+                        try {
+                            reading.read(message);
+                        } catch (IOException | IllegalArgumentException e) {
+                            failed(
+                                    call,
+                                    0,
+                                    "unusable answer: "
+                                            + String.valueOf(e.getMessage())
+                                                    .lines()
+                                                    .findFirst()
+                                                    .orElse(""));
+                        }
                     }
-                }
 
-                @Override
-                public void ended(int status, String why) {
-                    ending.ended(status, why);
-                }
-            });
+                    @Override
+                    public void ended(int status, String why) {
+                        ending.ended(status, why);
+                    }
+                });
     }
 
     private interface Reading {
@@ -118,15 +131,20 @@
             return;
         }
         List<String> got = new ArrayList<>();
-        call(call, EtcdMessages.AUTHENTICATE, EtcdMessages.authenticate(settings.user(), settings.password()), true,
-            message -> got.add(EtcdMessages.token(message)), (status, why) -> {
-                if (status == GrpcConnection.OK && !got.isEmpty()) {
-                    token = got.get(0);
-                    then.run();
-                } else {
-                    failed(call, status, "user " + settings.user() + " is not let in: " + why);
-                }
-            });
+        call(
+                call,
+                EtcdMessages.AUTHENTICATE,
+                EtcdMessages.authenticate(settings.user(), settings.password()),
+                true,
+                message -> got.add(EtcdMessages.token(message)),
+                (status, why) -> {
+                    if (status == GrpcConnection.OK && !got.isEmpty()) {
+                        token = got.get(0);
+                        then.run();
+                    } else {
+                        failed(call, status, "user " + settings.user() + " is not let in: " + why);
+                    }
+                });
     }
 
     // ---- Reads ----
@@ -137,19 +155,25 @@
      */
     private void page(long call, boolean sure, byte[] from, long revision, List<Entry> all) {
         List<EtcdMessages.Range> got = new ArrayList<>();
-        call(call, EtcdMessages.RANGE, EtcdMessages.range(from, EtcdMessages.behind(settings.prefix()), PAGE, revision,
-            !sure), true, message -> got.add(EtcdMessages.range(message)), (status, why) -> {
-                if (status != GrpcConnection.OK || got.size() != 1) {
-                    failed(call, status, why.isEmpty() ? "the read has no answer" : why);
-                } else {
-                    paged(call, sure, revision, all, got.get(0));
-                }
-            });
+        call(
+                call,
+                EtcdMessages.RANGE,
+                EtcdMessages.range(from, EtcdMessages.behind(settings.prefix()), PAGE, revision, !sure),
+                true,
+                message -> got.add(EtcdMessages.range(message)),
+                (status, why) -> {
+                    if (status != GrpcConnection.OK || got.size() != 1) {
+                        failed(call, status, why.isEmpty() ? "the read has no answer" : why);
+                    } else {
+                        paged(call, sure, revision, all, got.get(0));
+                    }
+                });
     }
 
     private void paged(long call, boolean sure, long revision, List<Entry> all, EtcdMessages.Range page) {
         long at = revision > 0 ? revision : page.header().revision();
-        if (page.more() && page.entries().isEmpty() || all.size() > settings.bounds().keys()) {
+        if (page.more() && page.entries().isEmpty()
+                || all.size() > settings.bounds().keys()) {
             failed(call, 0, "the read does not end");
             return;
         }
@@ -168,10 +192,14 @@
 
     private void begin(long call, long revision) {
         Consumer<EtcdMessages.Watched> news = each -> watched(call, each);
-        call(call, EtcdMessages.WATCH, EtcdMessages.watch(EtcdMessages.bytes(settings.prefix()),
-            EtcdMessages.behind(settings.prefix()), revision + 1), false,
-            message -> news.accept(EtcdMessages.watched(message)), (status, why) ->
-                failed(call, status, why.isEmpty() ? "the watch has ended" : why));
+        call(
+                call,
+                EtcdMessages.WATCH,
+                EtcdMessages.watch(
+                        EtcdMessages.bytes(settings.prefix()), EtcdMessages.behind(settings.prefix()), revision + 1),
+                false,
+                message -> news.accept(EtcdMessages.watched(message)),
+                (status, why) -> failed(call, status, why.isEmpty() ? "the watch has ended" : why));
     }
 
     private void watched(long call, EtcdMessages.Watched news) {
--- a/src/main/java/gatefront/registry/EtcdMessages.java
+++ b/src/main/java/gatefront/registry/EtcdMessages.java
@@ -19,17 +19,23 @@
     static final String WATCH = "/etcdserverpb.Watch/Watch";
     static final String AUTHENTICATE = "/etcdserverpb.Auth/Authenticate";
 
-    private EtcdMessages() { }
+    private EtcdMessages() {}
 
     /** Of each answer: whose it is and how far the member was. */
-    record Header(long cluster, long revision) { }
+    record Header(long cluster, long revision) {}
 
     /** Keys; {@code more} if the limit has cut them. */
-    record Range(Header header, List<Entry> entries, boolean more) { }
+    record Range(Header header, List<Entry> entries, boolean more) {}
 
     /** News of a watch. */
-    record Watched(Header header, boolean created, boolean canceled, long compacted, String reason, boolean fragment,
-                   List<Change> changes) { }
+    record Watched(
+            Header header,
+            boolean created,
+            boolean canceled,
+            long compacted,
+            String reason,
+            boolean fragment,
+            List<Change> changes) {}
 
     static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/gatefront/registry/GrpcConnection.java
+++ b/src/main/java/gatefront/registry/GrpcConnection.java
@@ -36,6 +36,7 @@
 final class GrpcConnection {
     /** Statuses that mean something here. */
     static final int OK = 0;
+
     static final int UNKNOWN = 2;
     static final int RESOURCE_EXHAUSTED = 8;
     static final int UNAVAILABLE = 14;
@@ -65,17 +66,28 @@
     GrpcConnection(Transport transport, InetSocketAddress to, int messageMost) {
         this.messageMost = messageMost;
         this.authority = to.getAddress().getHostAddress() + ":" + to.getPort();
-        ChannelFuture connecting = new Bootstrap().group(transport.loop()).channelFactory(transport.dialers())
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DIAL_MS).option(ChannelOption.TCP_NODELAY, true)
-            .disableResolver().handler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel ch) {
-                    ch.pipeline().addLast(Http2FrameCodecBuilder.forClient().initialSettings(
-                        Http2Settings.defaultSettings().pushEnabled(false).initialWindowSize(WINDOW)
-                            .maxHeaderListSize(16 << 10)).build(),
-                        new Http2MultiplexHandler(new ChannelInboundHandlerAdapter()), new Broken());
-                }
-            }).connect(to);
+        ChannelFuture connecting = new Bootstrap()
+                .group(transport.loop())
+                .channelFactory(transport.dialers())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DIAL_MS)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .disableResolver()
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel ch) {
+                        ch.pipeline()
+                                .addLast(
+                                        Http2FrameCodecBuilder.forClient()
+                                                .initialSettings(Http2Settings.defaultSettings()
+                                                        .pushEnabled(false)
+                                                        .initialWindowSize(WINDOW)
+                                                        .maxHeaderListSize(16 << 10))
+                                                .build(),
+                                        new Http2MultiplexHandler(new ChannelInboundHandlerAdapter()),
+                                        new Broken());
+                    }
+                })
+                .connect(to);
         channel = connecting.channel();
         connecting.addListener(done -> {
             up = done.isSuccess();
@@ -115,6 +127,7 @@
         private Http2StreamChannel stream;
         /** What is not yet a whole message; at most one and a frame. On the heap, so that nothing is to be released. */
         private ByteBuf received = Unpooled.buffer(0);
+
         private boolean ended;
         private boolean half;
 
@@ -127,7 +140,8 @@
                 end(UNAVAILABLE, "no connection");
                 return;
             }
-            Future<Http2StreamChannel> opening = new Http2StreamChannelBootstrap(channel).handler(this).open();
+            Future<Http2StreamChannel> opening =
+                    new Http2StreamChannelBootstrap(channel).handler(this).open();
             opening.addListener((Future<Http2StreamChannel> done) -> {
                 if (!done.isSuccess()) {
                     end(UNAVAILABLE, "no stream");
@@ -260,7 +274,11 @@
      * @return the call
      */
     Call call(String path, String token, byte[] first, boolean only, Listener listener) {
-        Http2Headers headers = new DefaultHttp2Headers().method("POST").scheme("http").authority(authority).path(path);
+        Http2Headers headers = new DefaultHttp2Headers()
+                .method("POST")
+                .scheme("http")
+                .authority(authority)
+                .path(path);
         headers.set("te", "trailers").set("content-type", "application/grpc");
         if (token != null) {
             headers.set("token", token);
--- a/src/main/java/gatefront/registry/NodoValues.java
+++ b/src/main/java/gatefront/registry/NodoValues.java
@@ -29,6 +29,7 @@
     private static final String OF_CLASSES = "policies/clases/";
     /** The only version of values there is; one that is not understood must not be guessed at. */
     private static final int VERSION = 1;
+
     private static final double FACTOR_MOST = 100;
     private static final int LIMIT_MOST = 1_000_000;
 
@@ -46,7 +47,7 @@
      * @param policies whether any policy of servers has changed
      * @param limits whether any class's limit has
      */
-    record News(List<Endpoint> servers, boolean policies, boolean limits) { }
+    record News(List<Endpoint> servers, boolean policies, boolean limits) {}
 
     NodoValues(Config config, String prefix, Consumer<String> log) {
         this.config = config;
@@ -64,8 +65,9 @@
             try {
                 if (key.startsWith(NODOS)) {
                     Endpoint before = nodos.get(key);
-                    Endpoint now = each.value() == null ? null
-                        : EndpointForm.decode(json(each.value()), key.substring(NODOS.length()), config);
+                    Endpoint now = each.value() == null
+                            ? null
+                            : EndpointForm.decode(json(each.value()), key.substring(NODOS.length()), config);
                     if (now != null) {
                         nodos.put(key, now);
                         servers.put(key, now);
@@ -82,8 +84,8 @@
             } catch (IOException | IllegalArgumentException e) {
                 boolean kept = nodos.containsKey(key) || policies.containsKey(key) || limits.containsKey(key);
                 log.accept("registry: the value of " + each.key() + " at revision " + each.modified()
-                    + " is not used, " + (kept ? "the last good one stays" : "and there is no earlier one") + ": "
-                    + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
+                        + " is not used, " + (kept ? "the last good one stays" : "and there is no earlier one") + ": "
+                        + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
             }
         }
         return new News(List.copyOf(servers.values()), ofPolicies, ofLimits);
@@ -109,7 +111,7 @@
         if (!factor.isMissingNode()
                 && !(factor.isNumber() && factor.asDouble() > 0 && factor.asDouble() <= FACTOR_MOST)) {
             throw new IllegalArgumentException("weight_factor is to be above 0 and at most " + FACTOR_MOST + ", not "
-                + factor + "; what is to get nothing is drained");
+                    + factor + "; what is to get nothing is drained");
         }
         return new Policy(drain.asBoolean(false), factor.asDouble(1));
     }
@@ -118,7 +120,7 @@
         JsonNode most = root.path("in_progress");
         if (!(most.isNumber() && most.asDouble() == most.asInt() && most.asInt() >= 0 && most.asInt() <= LIMIT_MOST)) {
             throw new IllegalArgumentException("in_progress is to be a whole number from 0 to " + LIMIT_MOST + ", not "
-                + (most.isMissingNode() ? "missing" : most));
+                    + (most.isMissingNode() ? "missing" : most));
         }
         return most.asInt();
     }
--- a/src/main/java/gatefront/registry/Protobuf.java
+++ b/src/main/java/gatefront/registry/Protobuf.java
@@ -7,7 +7,7 @@
 
 /** Protobuf messages written field by field, without generated classes. */
 public final class Protobuf {
-    private Protobuf() { }
+    private Protobuf() {}
 
     /** Writes the fields of a message. */
     public interface Fields {
--- a/src/main/java/gatefront/registry/RegistryClient.java
+++ b/src/main/java/gatefront/registry/RegistryClient.java
@@ -22,7 +22,7 @@
         void changed(boolean full, List<Change> changes, Map<String, Entry> all);
 
         /** The registry has not confirmed the keys for too long, or does so again. */
-        default void stale(boolean now) { }
+        default void stale(boolean now) {}
     }
 
     private final Transport transport;
@@ -82,8 +82,8 @@
         });
         Members members = new Members(settings.endpoints(), seed);
         this.calls = settings.kind() == RegistrySettings.Kind.CONSUL
-            ? new ConsulCalls(transport, settings, members, follower)
-            : new EtcdCalls(transport, settings, members, follower);
+                ? new ConsulCalls(transport, settings, members, follower)
+                : new EtcdCalls(transport, settings, members, follower);
     }
 
     /** Begins to follow. */
--- a/src/main/java/gatefront/registry/RegistryFeed.java
+++ b/src/main/java/gatefront/registry/RegistryFeed.java
@@ -42,6 +42,7 @@
     private final Account held;
     /** Writes the state, since the loop must not wait for a disk; null where none is kept. */
     private final ExecutorService disk;
+
     private boolean saving;
 
     /**
@@ -53,8 +54,8 @@
      * @param held what the keys count as
      * @param listener told on the loop
      */
-    public RegistryFeed(Transport transport, Config config, RegistrySettings settings, Account held,
-                        Listener listener) {
+    public RegistryFeed(
+            Transport transport, Config config, RegistrySettings settings, Account held, Listener listener) {
         this.held = held;
         this.transport = transport;
         this.settings = settings;
@@ -70,12 +71,15 @@
 
             @Override
             public void stale(boolean now) {
-                transport.log(now ? "registry: its list is stale and goes on being used"
-                    : "registry: its list is confirmed again");
+                transport.log(
+                        now
+                                ? "registry: its list is stale and goes on being used"
+                                : "registry: its list is confirmed again");
             }
         });
-        this.disk = settings.stateFile() == null ? null
-            : Executors.newSingleThreadExecutor(new DefaultThreadFactory("registry-state", true));
+        this.disk = settings.stateFile() == null
+                ? null
+                : Executors.newSingleThreadExecutor(new DefaultThreadFactory("registry-state", true));
     }
 
     /** Begins: with what is on the disk, if anything is, and then with the registry. */
@@ -86,9 +90,11 @@
                 if (kept != null) {
                     client.restore(kept.history(), kept.revision(), kept.entries());
                     transport.log("registry: begins with revision " + kept.revision() + ", kept "
-                        + Math.max(0, transport.wallMicros() / 1_000_000 - kept.savedAt() / 1_000) + " s ago in "
-                        + settings.stateFile());
-                    tell(ListKind.CACHED, kept.entries().stream().map(Change::put).toList());
+                            + Math.max(0, transport.wallMicros() / 1_000_000 - kept.savedAt() / 1_000) + " s ago in "
+                            + settings.stateFile());
+                    tell(
+                            ListKind.CACHED,
+                            kept.entries().stream().map(Change::put).toList());
                 }
             } catch (IOException e) {
                 transport.log("registry: the state kept cannot be used: " + e.getMessage());
@@ -126,15 +132,23 @@
     private void save() {
         if (disk != null && !saving) {
             saving = true;
-            transport.loop().schedule(() -> {
-                saving = false;
-                Follower follower = client.follower();
-                StateFile.Kept kept = new StateFile.Kept(follower.history(), follower.revision(),
-                    transport.wallMicros() / 1_000, List.copyOf(follower.entries().values()));
-                if (!disk.isShutdown()) {
-                    disk.execute(() -> write(kept));
-                }
-            }, SAVE_AFTER_MS, TimeUnit.MILLISECONDS);
+            transport
+                    .loop()
+                    .schedule(
+                            () -> {
+                                saving = false;
+                                Follower follower = client.follower();
+                                StateFile.Kept kept = new StateFile.Kept(
+                                        follower.history(),
+                                        follower.revision(),
+                                        transport.wallMicros() / 1_000,
+                                        List.copyOf(follower.entries().values()));
+                                if (!disk.isShutdown()) {
+                                    disk.execute(() -> write(kept));
+                                }
+                            },
+                            SAVE_AFTER_MS,
+                            TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/main/java/gatefront/registry/RegistrySettings.java
+++ b/src/main/java/gatefront/registry/RegistrySettings.java
@@ -20,18 +20,39 @@
  * @param bounds what the follower keeps to
  * @param stateFile where the last state is kept, or null
  */
-public record RegistrySettings(Kind kind, List<InetSocketAddress> endpoints, String prefix, boolean instead,
-                               String user, String password, String token, String service, Reads reads,
-                               Bounds bounds, Path stateFile) {
+public record RegistrySettings(
+        Kind kind,
+        List<InetSocketAddress> endpoints,
+        String prefix,
+        boolean instead,
+        String user,
+        String password,
+        String token,
+        String service,
+        Reads reads,
+        Bounds bounds,
+        Path stateFile) {
     /** What a registry speaks. */
-    public enum Kind { /** etcd, version 3, over gRPC. */ ETCD, /** Consul's key-value store, over HTTP. */ CONSUL }
+    public enum Kind {
+        /** etcd, version 3, over gRPC. */
+        ETCD,
+        /** Consul's key-value store, over HTTP. */
+        CONSUL
+    }
 
     /** Who answers a read: a quorum, the leader, or any member from what it has. */
-    public enum Reads { /** A quorum. */ CONSISTENT, /** As the registry has it. */ USUAL, /** Any member. */ STALE }
+    public enum Reads {
+        /** A quorum. */
+        CONSISTENT,
+        /** As the registry has it. */
+        USUAL,
+        /** Any member. */
+        STALE
+    }
 
     /** With the usual reads, without secrets and disk, in place of the padrón. */
     public static RegistrySettings of(Kind kind, List<InetSocketAddress> endpoints, String prefix, Bounds bounds) {
-        return new RegistrySettings(kind, List.copyOf(endpoints), prefix, true, null, null, null, null, Reads.USUAL,
-            bounds, null);
+        return new RegistrySettings(
+                kind, List.copyOf(endpoints), prefix, true, null, null, null, null, Reads.USUAL, bounds, null);
     }
 }
--- a/src/main/java/gatefront/registry/StateFile.java
+++ b/src/main/java/gatefront/registry/StateFile.java
@@ -39,17 +39,17 @@
      * @param savedAt milliseconds since 1970
      * @param entries the keys
      */
-    record Kept(long history, long revision, long savedAt, List<Entry> entries) { }
+    record Kept(long history, long revision, long savedAt, List<Entry> entries) {}
 
-    private StateFile() { }
+    private StateFile() {}
 
     static void write(Path to, Kept kept) throws IOException {
         byte[] body = body(kept.entries());
         String head = MAGIC + " " + kept.history() + " " + kept.revision() + " " + kept.savedAt() + " " + body.length
-            + " " + checksum(kept, body) + "\n";
+                + " " + checksum(kept, body) + "\n";
         Path beside = to.resolveSibling(to.getFileName() + ".new");
-        try (FileChannel file = FileChannel.open(beside, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel file = FileChannel.open(
+                beside, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
             for (byte[] each : List.of(head.getBytes(StandardCharsets.US_ASCII), body)) {
                 ByteBuffer left = ByteBuffer.wrap(each);
                 while (left.hasRemaining()) {
@@ -85,14 +85,18 @@
             if (head.length != 6 || !head[0].equals(MAGIC) || Integer.parseInt(head[4]) != body.length) {
                 throw new IOException(from + " is not whole, or not such a file; it is not used");
             }
-            Kept kept = new Kept(Long.parseLong(head[1]), Long.parseLong(head[2]), Long.parseLong(head[3]),
-                new ArrayList<>());
+            Kept kept = new Kept(
+                    Long.parseLong(head[1]), Long.parseLong(head[2]), Long.parseLong(head[3]), new ArrayList<>());
             if (Long.parseLong(head[5]) != checksum(kept, body)) {
                 throw new IOException(from + " has another checksum than its text; it is not used");
             }
             for (JsonNode each : Config.json(new ByteArrayInputStream(body))) {
-                kept.entries().add(new Entry(each.path("k").asText(), each.path("v").asText(), each.path("c").asLong(),
-                    each.path("m").asLong()));
+                kept.entries()
+                        .add(new Entry(
+                                each.path("k").asText(),
+                                each.path("v").asText(),
+                                each.path("c").asLong(),
+                                each.path("m").asLong()));
             }
             return kept;
         } catch (NumberFormatException e) {
--- a/src/main/java/gatefront/registry/follower/Bounds.java
+++ b/src/main/java/gatefront/registry/follower/Bounds.java
@@ -13,8 +13,8 @@
  * @param reread after how long at the most everything is read anew, to find what no revision shows; 0 for never
  * @param keys how many keys there may be
  */
-public record Bounds(long backoffLeast, long backoffMost, long pause, long ask, long silence, long stale,
-                     long reread, int keys) {
+public record Bounds(
+        long backoffLeast, long backoffMost, long pause, long ask, long silence, long stale, long reread, int keys) {
     /** How much longer the waits may be for a registry that has too much to do. */
     public static final int OVERLOADED = 4;
 }
--- a/src/main/java/gatefront/registry/follower/Follower.java
+++ b/src/main/java/gatefront/registry/follower/Follower.java
@@ -94,22 +94,27 @@
     private final Actions actions;
     /** A moment of chance from 0 up to its argument. */
     private final LongUnaryOperator jitter;
+
     private final TreeMap<String, Entry> entries = new TreeMap<>();
     private State state = State.LISTING;
     /** Of which registry the revisions are; 0 while none is known. */
     private long history;
     /** Up to which all is known; negative while nothing is. */
     private long revision = -1;
+
     private long call;
     /** Whether a call is out, and whether that is a watch. */
     private boolean out;
+
     private boolean watch;
     /** When the next call is made; when something last came of the one that is out; when that was last asked. */
     private long callAt;
+
     private long heardAt;
     private long askedAt;
     /** When the state was last known to be that of the registry. */
     private long freshAt;
+
     private long rereadAt = Long.MAX_VALUE;
     private boolean stale;
     private long backoff;
@@ -200,16 +205,17 @@
         List<Change> changes = difference(all, atRevision);
         if (back) {
             actions.log("the registry has another history: " + named(ofHistory, atRevision) + " after "
-                + named(history, revision) + "; its full read is taken");
+                    + named(history, revision) + "; its full read is taken");
         } else if (atRevision == revision && !changes.isEmpty()) {
             actions.log("a full read at the same revision " + revision + " shows " + changes.size()
-                + " changes that were not told; it is taken");
+                    + " changes that were not told; it is taken");
         }
         history = ofHistory;
         revision = atRevision;
         state = State.WATCHING;
-        rereadAt = bounds.reread() == 0 ? Long.MAX_VALUE
-            : now + bounds.reread() / 2 + jitter.applyAsLong(bounds.reread() / 2);
+        rereadAt = bounds.reread() == 0
+                ? Long.MAX_VALUE
+                : now + bounds.reread() / 2 + jitter.applyAsLong(bounds.reread() / 2);
         fresh(now);
         end(false);
         if (first || !changes.isEmpty()) {
@@ -283,8 +289,11 @@
             }
         }
         fragments.clear();
-        long added = changes.stream().filter(each -> each.value() != null && !entries.containsKey(each.key()))
-            .map(Change::key).distinct().count();
+        long added = changes.stream()
+                .filter(each -> each.value() != null && !entries.containsKey(each.key()))
+                .map(Change::key)
+                .distinct()
+                .count();
         if (entries.size() + added > bounds.keys()) {
             failed(now, ofCall, "more than the " + bounds.keys() + " keys that are kept", true);
             return;
@@ -323,7 +332,7 @@
     public void compacted(long now, long ofCall, long oldest) {
         if (mine(ofCall)) {
             actions.log("revision " + revision + " has been compacted, the oldest is " + oldest
-                + "; everything is read anew");
+                    + "; everything is read anew");
             // Not another of the long waits: the call has just waited one, and a drain may be among what is lacking.
             state = State.COMPACTED;
             end(false);
@@ -416,7 +425,7 @@
 
     private void doubt(long now, long ofHistory, long atRevision) {
         actions.log(named(ofHistory, atRevision) + " is not believed after " + named(history, revision)
-            + "; a quorum is asked");
+                + "; a quorum is asked");
         reread(now, State.DOUBTING, true);
     }
 
--- a/src/main/java/gatefront/rehearsal/Addresses.java
+++ b/src/main/java/gatefront/rehearsal/Addresses.java
@@ -25,8 +25,8 @@
 
     InetAddress of(int group, int number) {
         try {
-            return InetAddress.getByAddress(new byte[] {127, (byte) (base + group), (byte) (number / 250),
-                (byte) (number % 250 + 1)});
+            return InetAddress.getByAddress(
+                    new byte[] {127, (byte) (base + group), (byte) (number / 250), (byte) (number % 250 + 1)});
         } catch (UnknownHostException e) {
             throw new AssertionError(e); // four bytes are always an address
         }
--- a/src/main/java/gatefront/rehearsal/AgentStand.java
+++ b/src/main/java/gatefront/rehearsal/AgentStand.java
@@ -113,11 +113,17 @@
         Plan plan = day.plan;
         ObjectNode root = JsonNodeFactory.instance.objectNode();
         InetSocketAddress at = address();
-        root.put("name", name()).put("listen", at.getAddress().getHostAddress() + ":" + at.getPort())
-            .put("discovery", day.padron.address(number))
-            .put("seed", Long.toHexString(day.draw("agent " + number + " at " + day.now()).number()));
-        root.putObject("limits").put("cores", 1.0).put("memory_mb", plan.agents().memoryMb())
-            .put("sockets", plan.agents().sockets());
+        root.put("name", name())
+                .put("listen", at.getAddress().getHostAddress() + ":" + at.getPort())
+                .put("discovery", day.padron.address(number))
+                .put(
+                        "seed",
+                        Long.toHexString(
+                                day.draw("agent " + number + " at " + day.now()).number()));
+        root.putObject("limits")
+                .put("cores", 1.0)
+                .put("memory_mb", plan.agents().memoryMb())
+                .put("sockets", plan.agents().sockets());
         root.set("known", day.padron.whole(number));
         settings(root.putObject("settings"));
         return root;
@@ -126,45 +132,73 @@
     private void settings(ObjectNode s) {
         Plan plan = day.plan;
         Plan.Nodos nodos = plan.nodos();
-        s.putObject("caps").put("cancel", true).put("dial-timeout-us", 200_000)
-            .put("idle-close-us", micros(1000 * nodos.idleSeconds())).put("max-attempts", plan.rules().maxAttempts())
-            .put("may-duplicate", false).put("peers", false).put("probes", true)
-            .put("retry-after", plan.callers().retryAfterMs() > 0)
-            .put("max-retry-after-us", micros(plan.callers().retryAfterMs()));
+        s.putObject("caps")
+                .put("cancel", true)
+                .put("dial-timeout-us", 200_000)
+                .put("idle-close-us", micros(1000 * nodos.idleSeconds()))
+                .put("max-attempts", plan.rules().maxAttempts())
+                .put("may-duplicate", false)
+                .put("peers", false)
+                .put("probes", true)
+                .put("retry-after", plan.callers().retryAfterMs() > 0)
+                .put("max-retry-after-us", micros(plan.callers().retryAfterMs()));
         ArrayNode classes = s.putArray("classes");
         for (Plan.Kind each : plan.classes()) {
-            ObjectNode node = classes.addObject().put("name", each.name())
-                .put("semantics", each.semantics().name().toLowerCase(Locale.ROOT))
-                .put("aim-us", micros(each.aimMs())).put("give-up-us", micros(each.giveUpMs()))
-                .put("worth", each.worth()).put("late-share", 0.0).put("stream", false);
+            ObjectNode node = classes.addObject()
+                    .put("name", each.name())
+                    .put("semantics", each.semantics().name().toLowerCase(Locale.ROOT))
+                    .put("aim-us", micros(each.aimMs()))
+                    .put("give-up-us", micros(each.giveUpMs()))
+                    .put("worth", each.worth())
+                    .put("late-share", 0.0)
+                    .put("stream", false);
             if (each.semantics() == Semantics.KEYED) {
                 node.put("key-scope", each.scope().name().toLowerCase(Locale.ROOT))
-                    .put("window-us", micros(each.windowMs()));
+                        .put("window-us", micros(each.windowMs()));
             }
         }
         s.putObject("clients").put("marks-retry", plan.callers().marksRetry());
-        s.putObject("deductions").put("cross-zone", 0.03).put("late-fail", 0.08).put("probe", 0.01)
-            .put("waste", 0.05);
-        s.put("discovery", "automatic").put("granularity-us", 5_000).put("group-size", plan.agents().count())
-            .put("me", number).put("locality", day.cast.agentZones()[number])
-            .put("worth-by", plan.worthByWork() ? "work" : "request").put("weight-source", "rough");
+        s.putObject("deductions")
+                .put("cross-zone", 0.03)
+                .put("late-fail", 0.08)
+                .put("probe", 0.01)
+                .put("waste", 0.05);
+        s.put("discovery", "automatic")
+                .put("granularity-us", 5_000)
+                .put("group-size", plan.agents().count())
+                .put("me", number)
+                .put("locality", day.cast.agentZones()[number])
+                .put("worth-by", plan.worthByWork() ? "work" : "request")
+                .put("weight-source", "rough");
         ArrayNode zones = s.putArray("zones");
         plan.zones().forEach(zones::add);
         ArrayNode kinds = s.putArray("kinds");
         nodos.kinds().forEach(each -> kinds.add(each.name()));
-        s.putObject("load-info").put("via", "answers").putArray("fields").add("depth").add("concurrent");
-        s.putObject("objective-mix").put("whole", 0.45).put("worst-class", 0.3).put("worst-tenant", 0.1)
-            .put("worst-window", 0.15);
-        s.putObject("obligations").put("answer-slack-us", micros(plan.rules().slackMs()))
-            .put("ask-within-us", 10_000_000).put("cold-from", nodos.coldFrom().low())
-            .put("cold-us", micros(1000 * nodos.coldSeconds().high())).put("fall-multiple", plan.rules().fallMultiple())
-            .put("overload-for-us", micros(1000 * plan.rules().fallSeconds()))
-            .put("stop-sending-within-us", micros(plan.rules().drainMs()));
+        s.putObject("load-info")
+                .put("via", "answers")
+                .putArray("fields")
+                .add("depth")
+                .add("concurrent");
+        s.putObject("objective-mix")
+                .put("whole", 0.45)
+                .put("worst-class", 0.3)
+                .put("worst-tenant", 0.1)
+                .put("worst-window", 0.15);
+        s.putObject("obligations")
+                .put("answer-slack-us", micros(plan.rules().slackMs()))
+                .put("ask-within-us", 10_000_000)
+                .put("cold-from", nodos.coldFrom().low())
+                .put("cold-us", micros(1000 * nodos.coldSeconds().high()))
+                .put("fall-multiple", plan.rules().fallMultiple())
+                .put("overload-for-us", micros(1000 * plan.rules().fallSeconds()))
+                .put("stop-sending-within-us", micros(plan.rules().drainMs()));
         ArrayNode tenants = s.putArray("realms");
         double all = plan.tenants().stream().mapToDouble(Plan.Tenant::share).sum();
         for (Plan.Tenant each : plan.tenants()) {
-            tenants.addObject().put("name", each.name()).put("fraction", each.share() / all)
-                .put("quota-per-s", plan.callers().rate() * each.share() / all);
+            tenants.addObject()
+                    .put("name", each.name())
+                    .put("fraction", each.share() / all)
+                    .put("quota-per-s", plan.callers().rate() * each.share() / all);
         }
     }
 
--- a/src/main/java/gatefront/rehearsal/CallerStand.java
+++ b/src/main/java/gatefront/rehearsal/CallerStand.java
@@ -58,10 +58,12 @@
     private final Patience patience;
     /** Connections in no use, the latest used last; each removes itself when it closes. */
     private final Deque<Line> idle = new ArrayDeque<>();
+
     private int lines;
 
     /** The part of the aim that a caller in a hurry waits for one try. */
     private static final double HURRIED = 0.25;
+
     private final Draw hurry;
 
     /** What one caller wants, over all its tries. */
@@ -79,8 +81,8 @@
         Wish(Demand.Want want) {
             this.want = want;
             this.kind = day.plan.classes().get(want.kind());
-            this.eachTry = (long) (hurried(want) ? HURRIED * 1000 * kind.aimMs()
-                : 1000 * kind.giveUpMs() * day.cast.tryShare());
+            this.eachTry = (long)
+                    (hurried(want) ? HURRIED * 1000 * kind.aimMs() : 1000 * kind.giveUpMs() * day.cast.tryShare());
             this.giveUp = want.at() + (long) (1000 * kind.giveUpMs());
             this.key = "k" + want.number();
         }
@@ -97,6 +99,7 @@
         boolean over;
         /** The rig's own lateness that has been added to its time, in microseconds. */
         long excused;
+
         Line line;
         Future<?> timer;
 
@@ -112,13 +115,16 @@
         this.agent = agent;
         this.machine = machine;
         Plan.Callers callers = day.plan.callers();
-        this.patience = new Patience(callers.retries(), 1000 * callers.backoffMs(), callers.honour(),
-            day.draw("callers " + agent));
+        this.patience = new Patience(
+                callers.retries(), 1000 * callers.backoffMs(), callers.honour(), day.draw("callers " + agent));
         this.hurry = day.draw("hurry " + agent);
-        this.bootstrap = new Bootstrap().group(machine.transport().loop())
-            .channelFactory(machine.transport().dialers()).remoteAddress(to)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 3_000).option(ChannelOption.TCP_NODELAY, true)
-            .disableResolver(); // addresses are literal; the usual resolvers would keep the loop for ever
+        this.bootstrap = new Bootstrap()
+                .group(machine.transport().loop())
+                .channelFactory(machine.transport().dialers())
+                .remoteAddress(to)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 3_000)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .disableResolver(); // addresses are literal; the usual resolvers would keep the loop for ever
     }
 
     /** Somebody wants something, now. */
@@ -145,9 +151,12 @@
         Try made = new Try(wish, Math.min(now + wish.eachTry, wish.giveUp));
         day.wants.put(made.id, wish.want);
         day.record.tried(now);
-        made.timer = machine.transport().loop().schedule(() -> timeUp(made),
-            made.deadline - now + (long) (1000 * day.plan.rules().slackMs()) + ON_ITS_WAY + day.slack,
-            TimeUnit.MICROSECONDS);
+        made.timer = machine.transport()
+                .loop()
+                .schedule(
+                        () -> timeUp(made),
+                        made.deadline - now + (long) (1000 * day.plan.rules().slackMs()) + ON_ITS_WAY + day.slack,
+                        TimeUnit.MICROSECONDS);
         place(made);
     }
 
@@ -167,13 +176,16 @@
         }
         lines++;
         Line fresh = day.form == null ? new HttpLine() : new ThriftLine();
-        ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
-            @Override
-            protected void initChannel(Channel ch) {
-                fresh.channel = ch;
-                ch.pipeline().addLast(fresh.codec()).addLast(fresh);
-            }
-        }).connect();
+        ChannelFuture connecting = bootstrap
+                .clone()
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel ch) {
+                        fresh.channel = ch;
+                        ch.pipeline().addLast(fresh.codec()).addLast(fresh);
+                    }
+                })
+                .connect();
         connecting.channel().closeFuture().addListener(closed -> lines--);
         made.line = fresh;
         connecting.addListener(done -> {
@@ -230,11 +242,12 @@
         // Its attempts may still run, and must be known by what they take.
         day.at(now + 60_000_000, () -> day.wants.remove(made.id));
         Plan.Kind kind = wish.kind;
-        Patience.Repeat repeat = kind.semantics() == Semantics.SAFE ? Patience.Repeat.SAFE
-            : kind.semantics() == Semantics.KEYED && kind.scope() == Scope.ALL
-            ? Patience.Repeat.KEYED_EVERYWHERE : Patience.Repeat.CAREFUL;
-        long windowEnd = wish.firstSentAt < 0 ? wish.giveUp
-            : wish.firstSentAt + (long) (1000 * kind.windowMs() / 2);
+        Patience.Repeat repeat = kind.semantics() == Semantics.SAFE
+                ? Patience.Repeat.SAFE
+                : kind.semantics() == Semantics.KEYED && kind.scope() == Scope.ALL
+                        ? Patience.Repeat.KEYED_EVERYWHERE
+                        : Patience.Repeat.CAREFUL;
+        long windowEnd = wish.firstSentAt < 0 ? wish.giveUp : wish.firstSentAt + (long) (1000 * kind.windowMs() / 2);
         long again = patience.again(now, wish.tries, fate, repeat, windowEnd, wish.giveUp, retryAfter);
         if (again == Patience.NEVER) {
             day.record.settled(wish.want, now, fate);
@@ -292,12 +305,14 @@
             if (status == 200) {
                 day.ways.served(at, agent);
             }
-            Patience.Fate fate = status == 200 ? Patience.Fate.SERVED
-                : status == 429 || status == 503 ? Patience.Fate.REFUSED : Patience.Fate.FAILED;
+            Patience.Fate fate = status == 200
+                    ? Patience.Fate.SERVED
+                    : status == 429 || status == 503 ? Patience.Fate.REFUSED : Patience.Fate.FAILED;
             if (fate == Patience.Fate.REFUSED) {
                 day.record.crowd.refused(day.idlePart());
             }
-            end(made, fate, Math.min(retryAfterMicros, (long) (1000 * day.plan.callers().retryAfterMs())));
+            end(made, fate, Math.min(retryAfterMicros, (long)
+                    (1000 * day.plan.callers().retryAfterMs())));
         }
 
         @Override
@@ -340,13 +355,17 @@
             Wish wish = made.wish;
             Demand.Want want = wish.want;
             boolean safe = wish.kind.semantics() == Semantics.SAFE;
-            var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, safe ? HttpMethod.GET : HttpMethod.POST,
-                "/" + wish.kind.name() + "?n=" + want.number(),
-                safe ? Unpooled.EMPTY_BUFFER : Unpooled.copiedBuffer(BODY, StandardCharsets.US_ASCII));
+            var request = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    safe ? HttpMethod.GET : HttpMethod.POST,
+                    "/" + wish.kind.name() + "?n=" + want.number(),
+                    safe ? Unpooled.EMPTY_BUFFER : Unpooled.copiedBuffer(BODY, StandardCharsets.US_ASCII));
             HttpHeaders headers = request.headers();
-            headers.set(HttpHeaderNames.HOST, "origin.svc").set("Request-Id", made.id)
-                .set("Request-Class", wish.kind.name()).set("Work-Hint", want.hint())
-                .set("Request-Timeout-Ms", millisLeft(made));
+            headers.set(HttpHeaderNames.HOST, "origin.svc")
+                    .set("Request-Id", made.id)
+                    .set("Request-Class", wish.kind.name())
+                    .set("Work-Hint", want.hint())
+                    .set("Request-Timeout-Ms", millisLeft(made));
             if (!day.plan.tenants().isEmpty()) {
                 headers.set("Tenant", tenant(want));
             }
@@ -369,8 +388,11 @@
                 return;
             }
             FullHttpResponse response = (FullHttpResponse) read;
-            answered(response.status().code(), response.content().toString(StandardCharsets.US_ASCII),
-                HttpUtil.isKeepAlive(response), retryAfter(response));
+            answered(
+                    response.status().code(),
+                    response.content().toString(StandardCharsets.US_ASCII),
+                    HttpUtil.isKeepAlive(response),
+                    retryAfter(response));
         }
 
         private long retryAfter(FullHttpResponse response) {
@@ -395,9 +417,15 @@
         @Override
         Object request(Try made) {
             Wish wish = made.wish;
-            byte[] arguments = Speech.call(day.form.encoding(), made.id, millisLeft(made),
-                day.plan.tenants().isEmpty() ? null : tenant(wish.want), wish.want.hint(), repeats(wish),
-                wish.kind.semantics() == Semantics.KEYED ? wish.key : null, BODY);
+            byte[] arguments = Speech.call(
+                    day.form.encoding(),
+                    made.id,
+                    millisLeft(made),
+                    day.plan.tenants().isEmpty() ? null : tenant(wish.want),
+                    wish.want.hint(),
+                    repeats(wish),
+                    wish.kind.semantics() == Semantics.KEYED ? wish.key : null,
+                    BODY);
             ByteBuf out = Unpooled.buffer(arguments.length + 64);
             Header header = new Header(wish.kind.name(), Header.Type.CALL, ++seqid);
             MessageEncoder.write(new Message(day.form.encoding(), header, arguments), day.form.framed(), out);
@@ -406,7 +434,9 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, Object read) {
-            if (current() == null || !(read instanceof Message reply) || reply.header().seqid() != seqid) {
+            if (current() == null
+                    || !(read instanceof Message reply)
+                    || reply.header().seqid() != seqid) {
                 ctx.close();
                 return;
             }
--- a/src/main/java/gatefront/rehearsal/Cast.java
+++ b/src/main/java/gatefront/rehearsal/Cast.java
@@ -24,11 +24,19 @@
  * @param connectionMicros the work of a new connection
  * @param troubles what goes wrong, by time
  */
-record Cast(List<Nodo> nodos, List<Demand.Kind> kinds, int[] agentZones, double[] agentShares, double tryShare,
-            double crossMicros, long reportMicros, double probeMicros, double connectionMicros,
-            List<Trouble> troubles) {
+record Cast(
+        List<Nodo> nodos,
+        List<Demand.Kind> kinds,
+        int[] agentZones,
+        double[] agentShares,
+        double tryShare,
+        double crossMicros,
+        long reportMicros,
+        double probeMicros,
+        double connectionMicros,
+        List<Trouble> troubles) {
     /** A nodo: its place and its machine; {@code limit} is what its bloque leaves it. */
-    record Nodo(int zone, int cell, String kind, double weight, NodoModel.Machine machine, double limit) { }
+    record Nodo(int zone, int cell, String kind, double weight, NodoModel.Machine machine, double limit) {}
 
     /** A fault with its figures; targets are indexes of nodos or agents. Times in microseconds. */
     record Trouble(Fault fault, long at, long lasts, int[] targets, double size, long every, long spread) {
@@ -48,8 +56,8 @@
         Plan.Nodos told = plan.nodos();
         List<Demand.Kind> kinds = new ArrayList<>();
         for (Plan.Kind each : plan.classes()) {
-            kinds.add(new Demand.Kind(each.name(), each.share(), 1000 * each.workMs().draw(draw::between),
-                each.variation()));
+            kinds.add(new Demand.Kind(
+                    each.name(), each.share(), 1000 * each.workMs().draw(draw::between), each.variation()));
         }
         int agents = plan.agents().count();
         int[] zones = new int[agents];
@@ -59,10 +67,17 @@
             shares[i] = 1 / StrictMath.pow(i + 1, plan.agents().skew());
         }
         List<Nodo> nodos = nodos(plan, new Draw(seed, "nodos"), new Draw(seed, "starts"));
-        return new Cast(nodos, List.copyOf(kinds), zones, shares,
-            plan.callers().tryShare().draw(draw::between), 1000 * plan.network().crossMs().draw(draw::between),
-            (long) (1000 * told.reportMs().draw(draw::between)), 1000 * told.probeMs().draw(draw::between),
-            1000 * told.connectionMs().draw(draw::between), troubles(plan, seed));
+        return new Cast(
+                nodos,
+                List.copyOf(kinds),
+                zones,
+                shares,
+                plan.callers().tryShare().draw(draw::between),
+                1000 * plan.network().crossMs().draw(draw::between),
+                (long) (1000 * told.reportMs().draw(draw::between)),
+                1000 * told.probeMs().draw(draw::between),
+                1000 * told.connectionMs().draw(draw::between),
+                troubles(plan, seed));
     }
 
     private static NodoModel.Warmth warmth(double from, double seconds) {
@@ -89,11 +104,19 @@
             left[zone]--;
             Plan.Machine kind = told.kinds().get(kinds[i]);
             double speed = kind.speed().draw(draw::between);
-            NodoModel.Machine machine = new NodoModel.Machine(kind.cores(), speed, kind.slots(), kind.room(),
-                kind.thrash(), kind.thrashAt(),
-                warmth(told.coldFrom().draw(starts::between), told.coldSeconds().draw(starts::between)),
-                warmth(told.coldFrom().low(), told.coldSeconds().high()),
-                plan.rules().fallMultiple(), (long) (1e6 * plan.rules().fallSeconds()));
+            NodoModel.Machine machine = new NodoModel.Machine(
+                    kind.cores(),
+                    speed,
+                    kind.slots(),
+                    kind.room(),
+                    kind.thrash(),
+                    kind.thrashAt(),
+                    warmth(
+                            told.coldFrom().draw(starts::between),
+                            told.coldSeconds().draw(starts::between)),
+                    warmth(told.coldFrom().low(), told.coldSeconds().high()),
+                    plan.rules().fallMultiple(),
+                    (long) (1e6 * plan.rules().fallSeconds()));
             double weight = StrictMath.rint(10 * kind.cores() * speed * draw.between(0.8, 1.2)) / 10;
             nodos.add(new Nodo(zone, cells[zone], kind.name(), weight, machine, limits[zone]));
         }
@@ -123,13 +146,20 @@
 
     /** What all nodos can do, warm and with nothing wrong, in cores of speed 1. */
     double capacity() {
-        return nodos.stream().mapToDouble(each -> each.machine().cores() * each.machine().speed() * each.limit()).sum();
+        return nodos.stream()
+                .mapToDouble(each -> each.machine().cores() * each.machine().speed() * each.limit())
+                .sum();
     }
 
     /** What callers ask for, in cores of speed 1. */
     double demand(double ratePerSecond) {
         double shares = kinds.stream().mapToDouble(Demand.Kind::share).sum();
-        return ratePerSecond / 1e6 * kinds.stream().mapToDouble(each -> each.meanWork() * each.share()).sum() / shares;
+        return ratePerSecond
+                / 1e6
+                * kinds.stream()
+                        .mapToDouble(each -> each.meanWork() * each.share())
+                        .sum()
+                / shares;
     }
 
     private static List<Trouble> troubles(Plan plan, long seed) {
@@ -137,15 +167,20 @@
         for (int i = 0; i < plan.faults().size(); i++) {
             Fault fault = plan.faults().get(i);
             Draw draw = new Draw(seed, "fault " + i + " " + fault.kind());
-            int most = switch (fault.kind().whom()) {
-                case NODOS -> plan.nodos().count();
-                case AGENTS -> plan.agents().count();
-                case NOBODY -> 0;
-            };
-            troubles.add(new Trouble(fault, (long) (1e6 * fault.at().draw(draw::between)),
-                (long) (1e6 * fault.lasts().draw(draw::between)), targets(plan, fault, most, draw),
-                fault.size().draw(draw::between), (long) (1e6 * fault.every().draw(draw::between)),
-                (long) (1e6 * fault.spread().draw(draw::between))));
+            int most =
+                    switch (fault.kind().whom()) {
+                        case NODOS -> plan.nodos().count();
+                        case AGENTS -> plan.agents().count();
+                        case NOBODY -> 0;
+                    };
+            troubles.add(new Trouble(
+                    fault,
+                    (long) (1e6 * fault.at().draw(draw::between)),
+                    (long) (1e6 * fault.lasts().draw(draw::between)),
+                    targets(plan, fault, most, draw),
+                    fault.size().draw(draw::between),
+                    (long) (1e6 * fault.every().draw(draw::between)),
+                    (long) (1e6 * fault.spread().draw(draw::between))));
         }
         troubles.sort((a, b) -> Long.compare(a.at, b.at));
         return List.copyOf(troubles);
@@ -159,12 +194,14 @@
     private static int[] targets(Plan plan, Fault fault, int count, Draw draw) {
         if (!fault.names().isEmpty()) {
             return fault.names().stream()
-                .mapToInt(name -> Integer.parseInt(name.substring(name.indexOf('-') + 1)) - 1).toArray();
+                    .mapToInt(name -> Integer.parseInt(name.substring(name.indexOf('-') + 1)) - 1)
+                    .toArray();
         }
-        int[] all = IntStream.range(0, count).filter(i -> fault.zone() < 0 || zone(plan, i) == fault.zone()).toArray();
+        int[] all = IntStream.range(0, count)
+                .filter(i -> fault.zone() < 0 || zone(plan, i) == fault.zone())
+                .toArray();
         int most = all.length;
-        int n = most == 0 || fault.share() == 0 ? 0
-            : Math.max(1, (int) StrictMath.rint(fault.share() * most));
+        int n = most == 0 || fault.share() == 0 ? 0 : Math.max(1, (int) StrictMath.rint(fault.share() * most));
         for (int i = 0; i < n; i++) { // the first steps of a shuffle
             int j = i + draw.below(most - i);
             int swap = all[i];
--- a/src/main/java/gatefront/rehearsal/Crowd.java
+++ b/src/main/java/gatefront/rehearsal/Crowd.java
@@ -21,10 +21,10 @@
     private static final double ROOM = 0.2;
 
     /** One agent's new connection to a nodo. */
-    private record Dial(long at, int agent) { }
+    private record Dial(long at, int agent) {}
 
     /** Work that a nodo was sent while it was cold, and what it could have done meanwhile. */
-    private record Cold(double sent, double bears) { }
+    private record Cold(double sent, double bears) {}
 
     private final int agents;
     /** Pairs of agent and nodo that have met; agents times nodos at the most, those that replace others too. */
@@ -33,6 +33,7 @@
     private final Map<Integer, Deque<Dial>> dials = new HashMap<>();
     /** By nodo, as last looked at. */
     private final Map<Integer, Cold> cold = new TreeMap<>();
+
     private int mostAtOnce;
     private int connections;
     private int usedAgain;
@@ -53,7 +54,8 @@
         while (lately.peekFirst().at <= at - AT_ONCE) {
             lately.pollFirst();
         }
-        mostAtOnce = Math.max(mostAtOnce, (int) lately.stream().mapToInt(Dial::agent).distinct().count());
+        mostAtOnce = Math.max(mostAtOnce, (int)
+                lately.stream().mapToInt(Dial::agent).distinct().count());
     }
 
     /** A second request has come on a connection. */
@@ -99,13 +101,19 @@
 
     /** Writes its figures; parts to four places. */
     void json(ObjectNode into) {
-        into.put("first_meetings", met.size()).put("connections", connections)
-            .put("connections_used_again", Report.round(usedAgainPart()))
-            .put("agents_at_one_nodo_at_once", mostAtOnce).put("refusals", refusals)
-            .put("refusals_beside_room", Report.round(besideRoomPart()))
-            .put("idle_at_refusals", Report.round(idle / Math.max(1, refusals)))
-            .put("cold_nodos", cold.size()).put("cold_sent_of_borne", Report.round(coldPart()));
-        double[] parts = cold.values().stream().mapToDouble(each -> each.sent / each.bears).sorted().toArray();
+        into.put("first_meetings", met.size())
+                .put("connections", connections)
+                .put("connections_used_again", Report.round(usedAgainPart()))
+                .put("agents_at_one_nodo_at_once", mostAtOnce)
+                .put("refusals", refusals)
+                .put("refusals_beside_room", Report.round(besideRoomPart()))
+                .put("idle_at_refusals", Report.round(idle / Math.max(1, refusals)))
+                .put("cold_nodos", cold.size())
+                .put("cold_sent_of_borne", Report.round(coldPart()));
+        double[] parts = cold.values().stream()
+                .mapToDouble(each -> each.sent / each.bears)
+                .sorted()
+                .toArray();
         ArrayNode quartiles = into.putArray("cold_sent_of_borne_quartiles");
         for (int i = 0; i <= 4 && parts.length > 0; i++) {
             quartiles.add(Report.round(parts[i * (parts.length - 1) / 4]));
--- a/src/main/java/gatefront/rehearsal/Day.java
+++ b/src/main/java/gatefront/rehearsal/Day.java
@@ -36,7 +36,7 @@
     /** How processes reach each other: straight, or over relays. */
     interface Ways {
         /** Nothing stands between. */
-        Ways STRAIGHT = new Ways() { };
+        Ways STRAIGHT = new Ways() {};
 
         /** Where an agent reaches a nodo that listens at an address. */
         default InetSocketAddress nodo(int agent, InetSocketAddress at) {
@@ -69,10 +69,10 @@
         }
 
         /** An agent has served a caller. */
-        default void served(long now, int agent) { }
+        default void served(long now, int agent) {}
 
         /** The first of an attempt has come to a nodo. */
-        default void begun(long now, int agent, int nodo) { }
+        default void begun(long now, int agent, int nodo) {}
     }
 
     final Plan plan;
@@ -81,9 +81,11 @@
     Ways ways = Ways.STRAIGHT;
     /** What the rig's own lateness may blur, in microseconds. */
     final long slack;
+
     final Cast cast;
     /** What Thrift is spoken; null for HTTP. */
     final Form form;
+
     final RuleChecker checker;
     final Record record;
     final Machines machines;
@@ -98,14 +100,20 @@
      * last try; no more than the tries of that time.
      */
     final Map<String, Demand.Want> wants = new HashMap<>();
+
     private final Map<Long, Repeats> repeats = new LinkedHashMap<>();
     private final Machine world;
     private final long startNanos;
     private boolean strangers;
     private final IntFunction<AgentStand> agentStands;
 
-    Day(Plan plan, long seed, long slack, Addresses addresses, Machines machines,
-        Function<Day, IntFunction<AgentStand>> agents) {
+    Day(
+            Plan plan,
+            long seed,
+            long slack,
+            Addresses addresses,
+            Machines machines,
+            Function<Day, IntFunction<AgentStand>> agents) {
         this.plan = plan;
         this.seed = seed;
         this.slack = slack;
@@ -117,12 +125,17 @@
         this.addresses = addresses;
         this.cast = Cast.of(plan, seed);
         this.form = Speech.form(plan.network().protocol());
-        this.checker = new RuleChecker(new RuleChecker.Limits((long) (1000 * plan.rules().slackMs()),
-            (long) (1000 * plan.rules().drainMs()), slack), plan.classes().stream()
-            .map(each -> new RuleChecker.Kind(each.name(), each.semantics(), each.scope(),
-                (long) (1000 * each.windowMs()))).toList());
+        this.checker = new RuleChecker(
+                new RuleChecker.Limits(
+                        (long) (1000 * plan.rules().slackMs()),
+                        (long) (1000 * plan.rules().drainMs()),
+                        slack),
+                plan.classes().stream()
+                        .map(each -> new RuleChecker.Kind(
+                                each.name(), each.semantics(), each.scope(), (long) (1000 * each.windowMs())))
+                        .toList());
         this.record = new Record(plan, cast);
-        this.world = this.machines.make("world", addresses.of(0, 0), 0, 1 << 30, line -> { });
+        this.world = this.machines.make("world", addresses.of(0, 0), 0, 1 << 30, line -> {});
         this.startNanos = world.transport().nanos();
         this.padron = new PadronStand(this);
         this.agentStands = agents.apply(this);
@@ -170,8 +183,9 @@
     Demand.Want want(String id, String kind) {
         Demand.Want want = wants.get(id);
         int index = plan.classes().stream().map(Plan.Kind::name).toList().indexOf(kind);
-        return want != null || !strangers || index < 0 ? want
-            : new Demand.Want(0, now(), index, 0, 0, cast.kinds().get(index).meanWork(), 1);
+        return want != null || !strangers || index < 0
+                ? want
+                : new Demand.Want(0, now(), index, 0, 0, cast.kinds().get(index).meanWork(), 1);
     }
 
     /** Brings everything up; callers come once all is ready. */
@@ -185,8 +199,11 @@
         for (int i = 0; i < plan.agents().count(); i++) {
             AgentStand agent = agentStands.apply(i);
             agents.add(agent);
-            callers.add(new CallerStand(this, i, machines.make("caller-" + (i + 1), addresses.of(9, i),
-                cast.agentZones()[i], 1 << 30, line -> { }), form == null ? agent.callers() : agent.thriftAddress()));
+            callers.add(new CallerStand(
+                    this,
+                    i,
+                    machines.make("caller-" + (i + 1), addresses.of(9, i), cast.agentZones()[i], 1 << 30, line -> {}),
+                    form == null ? agent.callers() : agent.thriftAddress()));
             agent.start();
         }
     }
@@ -208,7 +225,7 @@
     /** One more, on a machine of its own. */
     NodoStand addNodo(Cast.Nodo spec) {
         int i = nodos.size();
-        return addNodo(spec, machines.make("nodo-" + (i + 1), addresses.of(1, i), spec.zone(), 1 << 30, line -> { }));
+        return addNodo(spec, machines.make("nodo-" + (i + 1), addresses.of(1, i), spec.zone(), 1 << 30, line -> {}));
     }
 
     /** The part of what all nodos that take requests can do that stands idle now. */
@@ -217,7 +234,10 @@
         double all = 0;
         for (NodoStand each : nodos) {
             if (each.up() && !each.leaving()) {
-                idle += each.capacity() * Math.max(0, 1 - (double) each.held() / each.spec().machine().cores());
+                idle += each.capacity()
+                        * Math.max(
+                                0,
+                                1 - (double) each.held() / each.spec().machine().cores());
                 all += each.capacity();
             }
         }
@@ -233,12 +253,12 @@
     /** What the group of a nodo remembers of one class's keyed requests. */
     Repeats repeats(int kind, Cast.Nodo nodo) {
         Plan.Kind type = plan.classes().get(kind);
-        int group = switch (type.scope()) {
-            case ALL -> 0;
-            case ZONE -> nodo.zone();
-            case CELL -> nodo.cell();
-        };
-        return repeats.computeIfAbsent((long) kind << 32 | group,
-            key -> new Repeats((long) (1000 * type.windowMs())));
+        int group =
+                switch (type.scope()) {
+                    case ALL -> 0;
+                    case ZONE -> nodo.zone();
+                    case CELL -> nodo.cell();
+                };
+        return repeats.computeIfAbsent((long) kind << 32 | group, key -> new Repeats((long) (1000 * type.windowMs())));
     }
 }
--- a/src/main/java/gatefront/rehearsal/Demo.java
+++ b/src/main/java/gatefront/rehearsal/Demo.java
@@ -36,13 +36,19 @@
         Addresses addresses = Addresses.ofProcess();
         try {
             day = loop.submit(() -> {
-                Day made = new Day(plan, 1, 0, addresses,
-                    (name, address, zone, memory, lines) -> new SocketMachine(name, address, loop), it -> i ->
-                    new ProcessAgent(it, i, addresses.of(8, i), command, folder, Runnable::run, log));
-                made.takeStrangers();
-                made.begin();
-                return made;
-            }).get();
+                        Day made = new Day(
+                                plan,
+                                1,
+                                0,
+                                addresses,
+                                (name, address, zone, memory, lines) -> new SocketMachine(name, address, loop),
+                                it -> i -> new ProcessAgent(
+                                        it, i, addresses.of(8, i), command, folder, Runnable::run, log));
+                        made.takeStrangers();
+                        made.begin();
+                        return made;
+                    })
+                    .get();
             long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
             while (!day.agents.get(0).ready()) {
                 if (System.nanoTime() > end) {
--- a/src/main/java/gatefront/rehearsal/Doors.java
+++ b/src/main/java/gatefront/rehearsal/Doors.java
@@ -12,10 +12,10 @@
     private static final int PATIENCE_MS = 2_000;
     private static final int ANSWER_MOST = 1 << 16;
 
-    private Doors() { }
+    private Doors() {}
 
     /** What a door has answered: its status, and the text. */
-    record Answer(int status, String text) { }
+    record Answer(int status, String text) {}
 
     /** Makes a call and gives the answer; status 0 with the reason where none came. */
     static Answer call(InetSocketAddress door, String method, String path) {
@@ -38,8 +38,10 @@
     /** The lines {@code name=value} of an answer. */
     static Map<String, String> figures(String text) {
         Map<String, String> figures = new LinkedHashMap<>();
-        text.lines().map(each -> each.split("=", 2)).filter(each -> each.length == 2)
-            .forEach(each -> figures.put(each[0], each[1]));
+        text.lines()
+                .map(each -> each.split("=", 2))
+                .filter(each -> each.length == 2)
+                .forEach(each -> figures.put(each[0], each[1]));
         return figures;
     }
 }
--- a/src/main/java/gatefront/rehearsal/FolderAgent.java
+++ b/src/main/java/gatefront/rehearsal/FolderAgent.java
@@ -35,8 +35,17 @@
      * @param without guards that are switched off
      * @param begun is told of each process, on no loop
      */
-    FolderAgent(Day day, int number, InetAddress address, List<String> command, Path root, Executor starter,
-                Consumer<String> log, boolean keeps, Set<String> without, Consumer<Process> begun) {
+    FolderAgent(
+            Day day,
+            int number,
+            InetAddress address,
+            List<String> command,
+            Path root,
+            Executor starter,
+            Consumer<String> log,
+            boolean keeps,
+            Set<String> without,
+            Consumer<Process> begun) {
         super(day, number, address, command, root, starter, log);
         this.folder = root.resolve(name());
         this.keeps = keeps;
@@ -85,12 +94,13 @@
     @Override
     void prepare(ProcessBuilder builder) throws IOException {
         if (diskMost > 0) { // the system refuses what is beyond, as a full disk does
-            List<String> limited = new ArrayList<>(List.of("bash", "-c", "ulimit -f " + diskMost
-                + "; exec \"$@\"", "bash"));
+            List<String> limited =
+                    new ArrayList<>(List.of("bash", "-c", "ulimit -f " + diskMost + "; exec \"$@\"", "bash"));
             limited.addAll(builder.command());
             builder.command(limited);
         }
-        builder.environment().put("TMPDIR", Files.createDirectories(folder.resolve("tmp")).toString());
+        builder.environment()
+                .put("TMPDIR", Files.createDirectories(folder.resolve("tmp")).toString());
         builder.environment().put("RELAY_MANAGEMENT", door().getAddress().getHostAddress() + ":" + DOOR_PORT);
     }
 
@@ -98,12 +108,21 @@
     String extensions() {
         StringBuilder own = new StringBuilder(super.extensions());
         if (keeps) {
-            own.append("[recovery]\nfolder = \"").append(folder.resolve("kept")).append("\"\ninstance = \"")
-                .append(name()).append("\"\nmark_s = 0.5\ndoubt_s = 4\n");
+            own.append("[recovery]\nfolder = \"")
+                    .append(folder.resolve("kept"))
+                    .append("\"\ninstance = \"")
+                    .append(name())
+                    .append("\"\nmark_s = 0.5\ndoubt_s = 4\n");
         }
         if (!without.isEmpty() || clockOff != 0) {
-            own.append("[rehearsal]\nclock_s = ").append(clockOff).append("\nwithout = [").append(without.stream()
-                .sorted().map(each -> '"' + each + '"').collect(Collectors.joining(", "))).append("]\n");
+            own.append("[rehearsal]\nclock_s = ")
+                    .append(clockOff)
+                    .append("\nwithout = [")
+                    .append(without.stream()
+                            .sorted()
+                            .map(each -> '"' + each + '"')
+                            .collect(Collectors.joining(", ")))
+                    .append("]\n");
         }
         return own.toString();
     }
--- a/src/main/java/gatefront/rehearsal/Held.java
+++ b/src/main/java/gatefront/rehearsal/Held.java
@@ -17,15 +17,18 @@
 final class Held {
     /** A long day is kept by the minute, so that the report stays readable. */
     private static final int SECONDS_MOST = 3_600;
+
     private static final int MINUTE = 60;
     /** From the third quarter to the last the floor may rise by this part, and by so many entries. */
     private static final double RISE_PART = 0.1;
+
     private static final double RISE_ENTRIES = 2;
 
     /** How long a stretch is, in seconds. */
     final int every;
     /** By purpose and stretch, over the agents that ran. */
     final long[][] most;
+
     final long[][] least;
     final long[][] bytes;
 
@@ -56,7 +59,9 @@
     private double floor(Purpose purpose, int quarter) {
         long[] all = least[purpose.ordinal()];
         return Arrays.stream(all, all.length * quarter / 4, Math.max(1, all.length * (quarter + 1) / 4))
-            .filter(each -> each < Long.MAX_VALUE).average().orElse(0);
+                .filter(each -> each < Long.MAX_VALUE)
+                .average()
+                .orElse(0);
     }
 
     /** A line for each purpose whose floor has risen from the third quarter to the last. */
@@ -66,8 +71,12 @@
             double third = floor(each, 2);
             double last = floor(each, 3);
             if (last > third * (1 + RISE_PART) + RISE_ENTRIES) {
-                lines.add(String.format(Locale.ROOT, "what is held for %s rose from %.1f entries in the third quarter "
-                    + "to %.1f in the last", each.word(), third, last));
+                lines.add(String.format(
+                        Locale.ROOT,
+                        "what is held for %s rose from %.1f entries in the third quarter " + "to %.1f in the last",
+                        each.word(),
+                        third,
+                        last));
             }
         }
         return lines;
--- a/src/main/java/gatefront/rehearsal/NodoStand.java
+++ b/src/main/java/gatefront/rehearsal/NodoStand.java
@@ -48,6 +48,7 @@
     static final int THRIFT_PORT = 3001;
     /** The work of finding that a repeat has been done already. */
     private static final double REPEAT_WORK = 1_000;
+
     private static final int PADDING = 300;
 
     private final Day day;
@@ -57,6 +58,7 @@
     private final Draw draw;
     /** In work or waiting: entered on arrival, removed when the model ends them or the process does. */
     private final Map<Long, Job> jobs = new LinkedHashMap<>();
+
     private NodoModel model;
     private long startedAt;
     private long nextJob;
@@ -76,6 +78,7 @@
     private final Set<Serving> half = new LinkedHashSet<>();
     /** Connections in no use, the longest so first, and since when; each leaves with its next request or its end. */
     private final Map<Serving, Long> resting = new LinkedHashMap<>();
+
     private Future<?> idleWatch;
 
     /** A request that came whole. */
@@ -175,18 +178,22 @@
         model.taken(startedAt, taken);
         model.failing(failing);
         fell = false;
-        day.listens(new ServerBootstrap().group(machine.transport().loop())
-            .channelFactory(machine.transport().listeners())
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel ch) {
-                    if (day.form == null) {
-                        ch.pipeline().addLast(new HttpServerCodec(), new HttpServing());
-                    } else {
-                        ch.pipeline().addLast(new MessageDecoder(Limits.USUAL), new ThriftServing());
-                    }
-                }
-            }).bind(machine.at(day.form == null ? PORT : THRIFT_PORT)), name());
+        day.listens(
+                new ServerBootstrap()
+                        .group(machine.transport().loop())
+                        .channelFactory(machine.transport().listeners())
+                        .childHandler(new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel ch) {
+                                if (day.form == null) {
+                                    ch.pipeline().addLast(new HttpServerCodec(), new HttpServing());
+                                } else {
+                                    ch.pipeline().addLast(new MessageDecoder(Limits.USUAL), new ThriftServing());
+                                }
+                            }
+                        })
+                        .bind(machine.at(day.form == null ? PORT : THRIFT_PORT)),
+                name());
     }
 
     /** Its process ends outright. */
@@ -293,8 +300,7 @@
                 wake.cancel(false);
             }
             wakeAt = at;
-            wake = machine.transport().loop().schedule(this::work, Math.max(0, at - day.now()),
-                TimeUnit.MICROSECONDS);
+            wake = machine.transport().loop().schedule(this::work, Math.max(0, at - day.now()), TimeUnit.MICROSECONDS);
         }
     }
 
@@ -312,8 +318,12 @@
         if (model.overStated()) {
             day.checker.fell(day.now(), number, startedAt, model.coldWork());
         }
-        day.record.note(day.now(), name() + " fell over while cold" + (model.overStated() ? ""
-            : ", sent no more than a cold nodo with nothing else wrong can take"));
+        day.record.note(
+                day.now(),
+                name() + " fell over while cold"
+                        + (model.overStated()
+                                ? ""
+                                : ", sent no more than a cold nodo with nothing else wrong can take"));
         day.at(0, this::kill); // not from within one of its own connections
     }
 
@@ -322,8 +332,8 @@
         if (day.now() - reportedAt >= day.cast.reportMicros()) {
             reportedAt = day.now();
             double noise = day.plan.nodos().noise();
-            report = "inflight=" + Math.round(model.held() * draw.between(1 - noise, 1 + noise))
-                + ",queue=" + Math.round(model.queued() * draw.between(1 - noise, 1 + noise));
+            report = "inflight=" + Math.round(model.held() * draw.between(1 - noise, 1 + noise)) + ",queue="
+                    + Math.round(model.queued() * draw.between(1 - noise, 1 + noise));
         }
         return report;
     }
@@ -332,6 +342,7 @@
     private abstract class Serving extends SimpleChannelInboundHandler<Object> {
         /** The process that it belongs to. */
         final NodoModel process = model;
+
         ChannelHandlerContext ctx;
         private String id;
         private int attempt = -1;
@@ -400,8 +411,8 @@
         final void begun(String request) {
             id = request;
             Demand.Want want = day.wants.get(id);
-            attempt = day.checker.begun(sentAt(ctx.channel(), id), id, number, spec.zone(), spec.cell(),
-                want == null ? -1 : want.agent());
+            attempt = day.checker.begun(
+                    sentAt(ctx.channel(), id), id, number, spec.zone(), spec.cell(), want == null ? -1 : want.agent());
             day.record.attempt(day.now());
             if (want != null) {
                 day.ways.begun(sentAt(ctx.channel(), id), want.agent(), number);
@@ -439,7 +450,8 @@
                 return;
             }
             Repeats.Entry entry = type.semantics() == Semantics.KEYED
-                ? day.repeats(want.kind(), spec).arrive(day.now(), key) : null;
+                    ? day.repeats(want.kind(), spec).arrive(day.now(), key)
+                    : null;
             double work = entry != null && entry.happened() ? REPEAT_WORK : want.work();
             long mine = nextJob++;
             switch (model.arrive(day.now(), mine, work, want.agent())) {
@@ -553,14 +565,14 @@
                 var begun = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
                 begun.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length());
                 ctx.write(begun);
-                ctx.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(
-                    body.substring(0, body.length() / 2), StandardCharsets.US_ASCII)));
+                ctx.writeAndFlush(new DefaultHttpContent(
+                        Unpooled.copiedBuffer(body.substring(0, body.length() / 2), StandardCharsets.US_ASCII)));
             }
         }
 
         private void answer(HttpResponseStatus status, String body, String load, String... more) {
-            var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
+            var response = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
             HttpHeaders headers = response.headers();
             headers.set(HttpHeaderNames.CONTENT_LENGTH, body.length());
             if (load != null) {
@@ -626,8 +638,16 @@
 
         private ByteBuf bytes(byte[] result) {
             ByteBuf out = Unpooled.buffer(result.length + PADDING);
-            MessageEncoder.write(new Message(call.encoding(), new Header(call.header().name(), Header.Type.REPLY,
-                call.header().seqid()), result), day.form.framed(), out);
+            MessageEncoder.write(
+                    new Message(
+                            call.encoding(),
+                            new Header(
+                                    call.header().name(),
+                                    Header.Type.REPLY,
+                                    call.header().seqid()),
+                            result),
+                    day.form.framed(),
+                    out);
             return out;
         }
 
--- a/src/main/java/gatefront/rehearsal/Outcome.java
+++ b/src/main/java/gatefront/rehearsal/Outcome.java
@@ -80,8 +80,14 @@
     /** One line: the service and whether the rules were kept. */
     public String line() {
         int worst = record.worstFrom();
-        return String.format(Locale.ROOT, "%s, seed %d: service %.4f, worst ten seconds %.4f (from %d s), %s",
-            plan.name(), seed, service(), record.serviceOfTen(worst), worst,
-            broken() == 0 ? "all rules kept" : "RULES BROKEN " + broken() + " times");
+        return String.format(
+                Locale.ROOT,
+                "%s, seed %d: service %.4f, worst ten seconds %.4f (from %d s), %s",
+                plan.name(),
+                seed,
+                service(),
+                record.serviceOfTen(worst),
+                worst,
+                broken() == 0 ? "all rules kept" : "RULES BROKEN " + broken() + " times");
     }
 }
--- a/src/main/java/gatefront/rehearsal/PadronStand.java
+++ b/src/main/java/gatefront/rehearsal/PadronStand.java
@@ -40,8 +40,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import java.util.function.BooleanSupplier;
 import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
 
 /**
  * The padrón over the platform's protocol: the whole list, and watches that wait for news. Each agent has an address
@@ -51,6 +51,7 @@
     private static final int FIRST_PORT = 8500;
     /** More than the longest way between an agent and its padrón, much less than a drain may take. */
     private static final long HEARD_AFTER = 50_000;
+
     private static final int MEMBERS = 3;
     private static final int MEMBER_PORT = 2379;
     private static final String PREFIX = "oaxaca/";
@@ -69,13 +70,16 @@
     private final Map<Integer, Set<Integer>> toldOf = new HashMap<>();
     /** How often an agent was told of a nodo: one figure for each pair. */
     private final Map<Long, Integer> turns = new HashMap<>();
+
     private final List<Channel> listening = new ArrayList<>();
     /** Where a registry stands for the padrón: the members that each agent has of its own, and what they all hold. */
     private final List<List<RegistryStand>> registries = new ArrayList<>();
+
     private final KeyValues keys = new KeyValues(1);
     private final RegistrySettings.Kind kind;
     /** Members are down, so that nothing can be told; and how often that was so. */
     private boolean down;
+
     private int downs;
     private int port = FIRST_PORT;
     private boolean silent;
@@ -85,6 +89,7 @@
     private long promptSince;
     /** Calls that it can take now: as many as come in a second, at the most. */
     private double room;
+
     private long roomAt;
 
     PadronStand(Day day) {
@@ -96,7 +101,7 @@
             default -> null;
         };
         for (int i = 0; i < day.plan.agents().count(); i++) {
-            machines.add(day.machines.make("padron-" + (i + 1), day.addresses.of(2, i), 0, 1 << 30, line -> { }));
+            machines.add(day.machines.make("padron-" + (i + 1), day.addresses.of(2, i), 0, 1 << 30, line -> {}));
         }
     }
 
@@ -111,15 +116,20 @@
         for (int i = 0; i < machines.size(); i++) {
             Machine machine = machines.get(i);
             int agent = i;
-            ChannelFuture bound = new ServerBootstrap().group(machine.transport().loop())
-                .channelFactory(machine.transport().listeners())
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel ch) {
-                        ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 16),
-                            new Asking(at, agent));
-                    }
-                }).bind(machine.at(at));
+            ChannelFuture bound = new ServerBootstrap()
+                    .group(machine.transport().loop())
+                    .channelFactory(machine.transport().listeners())
+                    .childHandler(new ChannelInitializer<Channel>() {
+                        @Override
+                        protected void initChannel(Channel ch) {
+                            ch.pipeline()
+                                    .addLast(
+                                            new HttpServerCodec(),
+                                            new HttpObjectAggregator(1 << 16),
+                                            new Asking(at, agent));
+                        }
+                    })
+                    .bind(machine.at(at));
             day.listens(bound, machine.name());
             listening.add(bound.channel());
         }
@@ -135,7 +145,8 @@
         List<RegistryStand> members = new ArrayList<>();
         for (int i = 0; i < MEMBERS; i++) {
             RegistryStand member = kind == RegistrySettings.Kind.ETCD
-                ? new EtcdStand(machine.transport(), () -> keys) : new ConsulStand(machine.transport(), () -> keys);
+                    ? new EtcdStand(machine.transport(), () -> keys)
+                    : new ConsulStand(machine.transport(), () -> keys);
             member.telling((whole, values, open) -> {
                 List<Padron.Entry> entries = new ArrayList<>();
                 values.forEach((key, value) -> entries.add(entry(key, value)));
@@ -157,8 +168,19 @@
             members.add(machines.get(agent).at(MEMBER_PORT + i));
         }
         boolean etcd = kind == RegistrySettings.Kind.ETCD;
-        return RegistrySettings.of(kind, members, PREFIX, new Bounds(50_000, 1_000_000, etcd ? 0 : 60_000,
-            etcd ? 2_000_000 : 0, 8_000_000, 30_000_000, 600_000_000, 20_000));
+        return RegistrySettings.of(
+                kind,
+                members,
+                PREFIX,
+                new Bounds(
+                        50_000,
+                        1_000_000,
+                        etcd ? 0 : 60_000,
+                        etcd ? 2_000_000 : 0,
+                        8_000_000,
+                        30_000_000,
+                        600_000_000,
+                        20_000));
     }
 
     /** All members go down or come back; then each agent that runs is to know all within the stated time. */
@@ -177,11 +199,17 @@
             for (AgentStand each : day.agents) {
                 int process = each.processes();
                 day.at(day.now() + TOLD_WITHIN, () -> {
-                    if (downs == mine && !silent && spokenSince <= since
-                            && promptSince <= since && each.processes() == process && each.ready()
+                    if (downs == mine
+                            && !silent
+                            && spokenSince <= since
+                            && promptSince <= since
+                            && each.processes() == process
+                            && each.ready()
                             && toldUpTo(each.number) < upTo) {
-                        day.checker.left(day.now(), each.name() + " knows revision " + toldUpTo(each.number)
-                            + " of " + upTo + " so long after the registry's return");
+                        day.checker.left(
+                                day.now(),
+                                each.name() + " knows revision " + toldUpTo(each.number) + " of " + upTo
+                                        + " so long after the registry's return");
                     }
                 });
             }
@@ -189,7 +217,10 @@
     }
 
     private long toldUpTo(int agent) {
-        return registries.get(agent).stream().mapToLong(RegistryStand::toldUpTo).max().orElse(0);
+        return registries.get(agent).stream()
+                .mapToLong(RegistryStand::toldUpTo)
+                .max()
+                .orElse(0);
     }
 
     /** From now on the registry tells changes so late. */
@@ -220,8 +251,15 @@
         }
         try {
             JsonNode read = Config.json(new ByteArrayInputStream(value.getBytes(StandardCharsets.UTF_8)));
-            return new Padron.Entry(name, "", 0, "", 0, read.path("status").asText().equals("Ready")
-                ? Padron.Status.READY : Padron.Status.TERMINATING, 1, read.path("since_ms").asLong());
+            return new Padron.Entry(
+                    name,
+                    "",
+                    0,
+                    "",
+                    0,
+                    read.path("status").asText().equals("Ready") ? Padron.Status.READY : Padron.Status.TERMINATING,
+                    1,
+                    read.path("since_ms").asLong());
         } catch (IOException e) {
             throw new IllegalStateException(e); // written by us
         }
@@ -253,8 +291,15 @@
 
     /** Lists a nodo at once, as it does before the day begins. */
     void list(NodoStand nodo, long sinceMillis) {
-        put(new Padron.Entry(nodo.name(), nodo.address(), nodo.spec().zone(), nodo.spec().kind(),
-            nodo.spec().cell(), Padron.Status.READY, nodo.spec().weight(), sinceMillis));
+        put(new Padron.Entry(
+                nodo.name(),
+                nodo.address(),
+                nodo.spec().zone(),
+                nodo.spec().kind(),
+                nodo.spec().cell(),
+                Padron.Status.READY,
+                nodo.spec().weight(),
+                sinceMillis));
     }
 
     /** Learns of something, some time after it has happened, and tells it. */
@@ -271,8 +316,10 @@
             if (status == Padron.Status.GONE) {
                 keys.delete(PREFIX + "nodos/" + nodo.name());
             } else {
-                padron.whole().entries().stream().filter(each -> each.name().equals(nodo.name())).forEach(each ->
-                    keys.put(PREFIX + "nodos/" + nodo.name(), json(each).toString()));
+                padron.whole().entries().stream()
+                        .filter(each -> each.name().equals(nodo.name()))
+                        .forEach(each -> keys.put(
+                                PREFIX + "nodos/" + nodo.name(), json(each).toString()));
             }
         });
     }
@@ -295,8 +342,11 @@
             ObjectNode entry = json(each);
             int colon = each.address().lastIndexOf(':');
             if (colon > 0) {
-                InetSocketAddress at = day.ways.nodo(agent, new InetSocketAddress(each.address().substring(0, colon),
-                    Integer.parseInt(each.address().substring(colon + 1))));
+                InetSocketAddress at = day.ways.nodo(
+                        agent,
+                        new InetSocketAddress(
+                                each.address().substring(0, colon),
+                                Integer.parseInt(each.address().substring(colon + 1))));
                 entry.put("address", at.getAddress().getHostAddress() + ":" + at.getPort());
             }
             entries.add(entry);
@@ -305,9 +355,16 @@
     }
 
     private ObjectNode json(Padron.Entry each) {
-        return JsonNodeFactory.instance.objectNode().put("name", each.name()).put("address", each.address())
-            .put("zone", day.plan.zones().get(each.zone())).put("type", each.kind()).put("group", each.cell())
-            .put("status", each.status().word()).put("weight", each.weight()).put("since_ms", each.sinceMillis());
+        return JsonNodeFactory.instance
+                .objectNode()
+                .put("name", each.name())
+                .put("address", each.address())
+                .put("zone", day.plan.zones().get(each.zone()))
+                .put("type", each.kind())
+                .put("group", each.cell())
+                .put("status", each.status().word())
+                .put("weight", each.weight())
+                .put("since_ms", each.sinceMillis());
     }
 
     /** An agent has ended and knows nothing; it will start with what is listed now. */
@@ -328,8 +385,8 @@
             turns.merge(turn(agent, nodo), 1, Integer::sum);
             if (each.status() == Padron.Status.READY) {
                 known.add(nodo);
-                long startedAt = each.sinceMillis() == 0 ? 0
-                    : day.now() - 1000 * (day.wallMillis() - each.sinceMillis());
+                long startedAt =
+                        each.sinceMillis() == 0 ? 0 : day.now() - 1000 * (day.wallMillis() - each.sinceMillis());
                 day.checker.toldReady(day.now(), agent, nodo, Math.max(0, startedAt));
             } else {
                 toldClosed(agent, nodo, open);
@@ -395,6 +452,7 @@
         private ChannelHandlerContext ctx;
         /** The version that the watch has, or -1 while nothing is asked. */
         private long since = -1;
+
         private int call;
 
         Asking(int at, int agent) {
@@ -424,8 +482,8 @@
             int mine = ++call;
             day.record.listCall(day.now());
             if (overbooked()) {
-                var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.SERVICE_UNAVAILABLE);
+                var response =
+                        new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE);
                 response.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
                 ctx.writeAndFlush(response);
                 return;
@@ -436,12 +494,18 @@
                 return;
             }
             since = Long.parseLong(uri.parameters().get("since").get(0));
-            long wait = Long.parseLong(uri.parameters().getOrDefault("timeout_ms", List.of("0")).get(0));
-            ctx.channel().eventLoop().schedule(() -> {
-                if (mine == call && since >= 0 && !silent) {
-                    answer(new Padron.Listing(padron.index(), false, List.of()));
-                }
-            }, wait, TimeUnit.MILLISECONDS);
+            long wait = Long.parseLong(
+                    uri.parameters().getOrDefault("timeout_ms", List.of("0")).get(0));
+            ctx.channel()
+                    .eventLoop()
+                    .schedule(
+                            () -> {
+                                if (mine == call && since >= 0 && !silent) {
+                                    answer(new Padron.Listing(padron.index(), false, List.of()));
+                                }
+                            },
+                            wait,
+                            TimeUnit.MILLISECONDS);
             news();
         }
 
@@ -460,10 +524,11 @@
             since = -1;
             told(agent, listing, () -> true);
             byte[] body = json(agent, listing).toString().getBytes(StandardCharsets.UTF_8);
-            var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-                Unpooled.wrappedBuffer(body));
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length)
-                .set(HttpHeaderNames.CONTENT_TYPE, "application/json");
+            var response = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(body));
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, body.length)
+                    .set(HttpHeaderNames.CONTENT_TYPE, "application/json");
             ctx.writeAndFlush(response);
         }
     }
--- a/src/main/java/gatefront/rehearsal/Page.java
+++ b/src/main/java/gatefront/rehearsal/Page.java
@@ -46,11 +46,15 @@
     }
 
     private static String text(String raw) {
-        return raw.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;").replace("\"", "&quot;");
+        return raw.replace("&", "&amp;")
+                .replace("<", "&lt;")
+                .replace(">", "&gt;")
+                .replace("\"", "&quot;");
     }
 
     private void head() {
-        out.append("""
+        out.append(
+                """
             <!DOCTYPE html><html lang="en"><head><meta charset="utf-8"><title>Rehearsal</title><style>
             body{font:15px/1.45 system-ui,sans-serif;color:#222;background:#fff;margin:0}
             main{max-width:1000px;margin:0 auto;padding:16px}h1{font-size:22px;margin:8px 0}
@@ -63,17 +67,28 @@
             .row{display:flex;gap:48px;margin:10px 0}.grey{color:#666}
             </style></head><body><main>
             """);
-        add("<h1>Rehearsal: %s</h1><p class=\"grey\">seed %d · %s s · %d agents · %d nodos · %s requests a "
-            + "second, %.0f%% of what the nodos can do when nothing is wrong</p>", text(plan.name()),
-            outcome.seed(), plain(plan.seconds()), plan.agents().count(), plan.nodos().count(),
-            plain(plan.callers().rate()),
-            100 * outcome.cast().demand(plan.callers().rate()) / outcome.cast().capacity());
+        add(
+                "<h1>Rehearsal: %s</h1><p class=\"grey\">seed %d · %s s · %d agents · %d nodos · %s requests a "
+                        + "second, %.0f%% of what the nodos can do when nothing is wrong</p>",
+                text(plan.name()),
+                outcome.seed(),
+                plain(plan.seconds()),
+                plan.agents().count(),
+                plan.nodos().count(),
+                plain(plan.callers().rate()),
+                100
+                        * outcome.cast().demand(plan.callers().rate())
+                        / outcome.cast().capacity());
         int worst = record.worstFrom();
-        add("<div class=\"row\"><div><div class=\"big\">%.1f%%</div>service: worth answered in time, of what was "
-            + "asked for</div><div><div class=\"big\">%.1f%%</div>in the worst ten seconds, from %d s</div>"
-            + "<div><div class=\"big %s\">%s</div>the four rules</div></div>", 100 * outcome.service(),
-            100 * record.serviceOfTen(worst), worst, outcome.broken() == 0 ? "ok" : "no",
-            outcome.broken() == 0 ? "kept" : "broken " + outcome.broken() + "×");
+        add(
+                "<div class=\"row\"><div><div class=\"big\">%.1f%%</div>service: worth answered in time, of what was "
+                        + "asked for</div><div><div class=\"big\">%.1f%%</div>in the worst ten seconds, from %d s</div>"
+                        + "<div><div class=\"big %s\">%s</div>the four rules</div></div>",
+                100 * outcome.service(),
+                100 * record.serviceOfTen(worst),
+                worst,
+                outcome.broken() == 0 ? "ok" : "no",
+                outcome.broken() == 0 ? "kept" : "broken " + outcome.broken() + "×");
     }
 
     private static String plain(double value) {
@@ -102,13 +117,16 @@
             double from = x(each.from());
             double wide = Math.max(2, x(each.until()) - from);
             int y = 12 + 13 * row++;
-            add("<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"#b58900\" opacity=\"0.09\"/>", from, y,
-                wide, bottom - y);
-            add("<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"3\" fill=\"#b58900\" opacity=\"0.8\"/>", from,
-                y - 3, wide);
+            add(
+                    "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"#b58900\" opacity=\"0.09\"/>",
+                    from, y, wide, bottom - y);
+            add(
+                    "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"3\" fill=\"#b58900\" opacity=\"0.8\"/>",
+                    from, y - 3, wide);
             boolean right = from > LEFT + PLOT * 0.85;
-            add("<text x=\"%.1f\" y=\"%d\" text-anchor=\"%s\">%s</text>", right ? from - 4 : from + wide + 4, y + 1,
-                right ? "end" : "start", text(each.name()));
+            add(
+                    "<text x=\"%.1f\" y=\"%d\" text-anchor=\"%s\">%s</text>",
+                    right ? from - 4 : from + wide + 4, y + 1, right ? "end" : "start", text(each.name()));
         }
     }
 
@@ -155,8 +173,9 @@
                 double high = (bottom - top) * fates[f] / most;
                 if (high > 0.05) {
                     at -= high;
-                    add("<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\" fill=\"%s\"/>", x(s) + 0.5, at,
-                        Math.max(0.5, x(s + 1) - x(s) - 1), high, FATE_COLOURS[f]);
+                    add(
+                            "<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\" fill=\"%s\"/>",
+                            x(s) + 0.5, at, Math.max(0.5, x(s + 1) - x(s) - 1), high, FATE_COLOURS[f]);
                 }
             }
         }
@@ -180,21 +199,29 @@
                     n += Double.isNaN(each) ? 0 : 1;
                 }
                 if (n > 0) {
-                    points.append(String.format(Locale.ROOT, "%.1f,%.1f ", x(s + 0.5),
-                        bottom - (bottom - 10) * sum / n));
+                    points.append(
+                            String.format(Locale.ROOT, "%.1f,%.1f ", x(s + 0.5), bottom - (bottom - 10) * sum / n));
                 }
             }
-            add("<polyline fill=\"none\" stroke=\"%s\" stroke-width=\"1.8\" points=\"%s\"/>",
-                LINES[k % LINES.length], points);
+            add(
+                    "<polyline fill=\"none\" stroke=\"%s\" stroke-width=\"1.8\" points=\"%s\"/>",
+                    LINES[k % LINES.length], points);
         }
         out.append("</svg>");
     }
 
     private void attempts() {
-        plot("Tries of callers and attempts at nodos, a second", new String[] {"tries", "attempts"}, record.tries,
-            record.attempts);
-        plot("What the fleet costs beside its requests, a second", new String[] {"probes", "handshakes", "list calls"},
-            record.probes, record.handshakes, record.listCalls);
+        plot(
+                "Tries of callers and attempts at nodos, a second",
+                new String[] {"tries", "attempts"},
+                record.tries,
+                record.attempts);
+        plot(
+                "What the fleet costs beside its requests, a second",
+                new String[] {"probes", "handshakes", "list calls"},
+                record.probes,
+                record.handshakes,
+                record.listCalls);
     }
 
     private void plot(String title, String[] names, int[]... lines) {
@@ -212,8 +239,8 @@
         for (int i = 0; i < lines.length; i++) {
             StringBuilder points = new StringBuilder();
             for (int s = 0; s < record.seconds; s++) {
-                points.append(String.format(Locale.ROOT, "%.1f,%.1f ", x(s + 0.5),
-                    bottom - (bottom - 10.0) * lines[i][s] / most));
+                points.append(String.format(
+                        Locale.ROOT, "%.1f,%.1f ", x(s + 0.5), bottom - (bottom - 10.0) * lines[i][s] / most));
             }
             add("<polyline fill=\"none\" stroke=\"%s\" stroke-width=\"1.8\" points=\"%s\"/>", LINES[i], points);
         }
@@ -222,32 +249,35 @@
 
     private void nodos() {
         out.append("<h2>Nodos: requests held a core (white 0, dark 8 or more, striped: not running), and what the "
-            + "first agent was told</h2>");
+                + "first agent was told</h2>");
         key(TOLD, TOLD_COLOURS);
         int shown = Math.min(record.load.size(), 120);
         int high = shown > 40 ? 8 : 14;
         int bottom = 6 + high * shown;
         open(bottom + 22, 0);
         out.append("<defs><pattern id=\"down\" width=\"5\" height=\"5\" patternUnits=\"userSpaceOnUse\" "
-            + "patternTransform=\"rotate(45)\"><rect width=\"5\" height=\"5\" fill=\"#fff\"/><rect width=\"2\" "
-            + "height=\"5\" fill=\"#b3261e\"/></pattern></defs>");
+                + "patternTransform=\"rotate(45)\"><rect width=\"5\" height=\"5\" fill=\"#fff\"/><rect width=\"2\" "
+                + "height=\"5\" fill=\"#b3261e\"/></pattern></defs>");
         for (int i = 0; i < shown; i++) {
             if (high > 10 || i % 5 == 0) {
-                add("<text x=\"%d\" y=\"%d\" text-anchor=\"end\">%s</text>", LEFT - 6, 6 + high * i + high - 3,
-                    record.nodoNames.get(i));
+                add(
+                        "<text x=\"%d\" y=\"%d\" text-anchor=\"end\">%s</text>",
+                        LEFT - 6, 6 + high * i + high - 3, record.nodoNames.get(i));
             }
             double[] load = record.load.get(i);
             for (int s = 0; s < load.length; s++) {
                 String fill = load[s] < 0 ? "url(#down)" : shade(load[s] / 8);
-                add("<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"%s\"/>", x(s), 6 + high * i,
-                    x(s + 1) - x(s) + 0.2, high - 1, fill);
+                add(
+                        "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"%s\"/>",
+                        x(s), 6 + high * i, x(s + 1) - x(s) + 0.2, high - 1, fill);
             }
         }
         for (Record.Told each : record.told) {
             int status = List.of(TOLD).indexOf(each.status());
             if (each.nodo() < shown && status >= 0) {
-                add("<rect x=\"%.1f\" y=\"%d\" width=\"3\" height=\"%d\" fill=\"%s\"/>", x(each.at()),
-                    6 + high * each.nodo() - 1, high + 1, TOLD_COLOURS[status]);
+                add(
+                        "<rect x=\"%.1f\" y=\"%d\" width=\"3\" height=\"%d\" fill=\"%s\"/>",
+                        x(each.at()), 6 + high * each.nodo() - 1, high + 1, TOLD_COLOURS[status]);
             }
         }
         for (int s = 0; s <= record.seconds; s += Math.max(1, (int) Math.ceil(record.seconds / 120.0) * 10)) {
@@ -259,8 +289,8 @@
     /** From white over blue to nearly black. */
     private static String shade(double part) {
         double p = Math.max(0, Math.min(1, part));
-        return String.format(Locale.ROOT, "#%02x%02x%02x", (int) (248 - 230 * p), (int) (250 - 205 * p),
-            (int) (252 - 140 * p));
+        return String.format(
+                Locale.ROOT, "#%02x%02x%02x", (int) (248 - 230 * p), (int) (250 - 205 * p), (int) (252 - 140 * p));
     }
 
     private void tables() {
@@ -270,8 +300,7 @@
         }
         out.append("</tr>");
         for (int k = 0; k < plan.classes().size(); k++) {
-            add("<tr><td>%s</td><td>%.1f%%</td>", text(plan.classes().get(k).name()),
-                100 * record.serviceOfClass(k));
+            add("<tr><td>%s</td><td>%.1f%%</td>", text(plan.classes().get(k).name()), 100 * record.serviceOfClass(k));
             for (int count : record.counts[k]) {
                 add("<td>%d</td>", count);
             }
@@ -281,8 +310,9 @@
         if (!plan.tenants().isEmpty()) {
             out.append("<h2>By municipio</h2><table>");
             for (int i = 0; i < plan.tenants().size(); i++) {
-                add("<tr><td>%s</td><td>%.1f%%</td></tr>", text(plan.tenants().get(i).name()),
-                    100 * record.serviceOfTenant(i));
+                add(
+                        "<tr><td>%s</td><td>%.1f%%</td></tr>",
+                        text(plan.tenants().get(i).name()), 100 * record.serviceOfTenant(i));
             }
             out.append("</table>");
         }
@@ -293,13 +323,17 @@
 
     private void breaches() {
         if (outcome.broken() > 0) {
-            add("<h2 class=\"no\">Rules broken (%d; the first %d)</h2>", outcome.broken(),
-                outcome.breaches().size());
+            add(
+                    "<h2 class=\"no\">Rules broken (%d; the first %d)</h2>",
+                    outcome.broken(), outcome.breaches().size());
         }
         for (RuleChecker.Breach each : outcome.breaches()) {
-            add("<p><b>%.3f s, %s</b>: %s %s</p>", (each.at() - Rehearsal.OPENS_AT) / 1e6,
-                each.rule().name().toLowerCase(Locale.ROOT).replace('_', ' '), text(each.what()),
-                each.request().isEmpty() ? "" : "(request " + text(each.request()) + ")");
+            add(
+                    "<p><b>%.3f s, %s</b>: %s %s</p>",
+                    (each.at() - Rehearsal.OPENS_AT) / 1e6,
+                    each.rule().name().toLowerCase(Locale.ROOT).replace('_', ' '),
+                    text(each.what()),
+                    each.request().isEmpty() ? "" : "(request " + text(each.request()) + ")");
             if (!each.history().isEmpty()) {
                 add("<pre>%s</pre>", text(String.join("\n", each.history())));
             }
