--- a/src/main/java/gatefront/rehearsal/ProcessAgent.java
+++ b/src/main/java/gatefront/rehearsal/ProcessAgent.java
@@ -43,8 +43,14 @@
      * @param folder where its configuration is written
      * @param starter starts processes and sends signals
      */
-    ProcessAgent(Day day, int number, InetAddress address, List<String> command, Path folder, Executor starter,
-                 Consumer<String> log) {
+    ProcessAgent(
+            Day day,
+            int number,
+            InetAddress address,
+            List<String> command,
+            Path folder,
+            Executor starter,
+            Consumer<String> log) {
         super(day, number);
         this.starter = starter;
         this.address = address;
@@ -77,8 +83,10 @@
         @Override
         public boolean running() {
             CompletableFuture<Process> newest = process;
-            return newest != null && (!newest.isDone() || !newest.isCompletedExceptionally()
-                && newest.join().isAlive());
+            return newest != null
+                    && (!newest.isDone()
+                            || !newest.isCompletedExceptionally()
+                                    && newest.join().isAlive());
         }
 
         @Override
@@ -89,7 +97,7 @@
         }
 
         @Override
-        public void boot() { }
+        public void boot() {}
 
         @Override
         public void vanish() {
@@ -97,7 +105,7 @@
         }
 
         @Override
-        public void appear() { }
+        public void appear() {}
     };
 
     @Override
@@ -114,8 +122,11 @@
             builder.environment().put("RELAY_CONFIG", configuration(file).toString());
             String own = extensions();
             if (!own.isEmpty()) {
-                builder.environment().put("GATEFRONT_EXTENSIONS",
-                    Files.writeString(file.resolveSibling(name() + ".toml"), own).toString());
+                builder.environment()
+                        .put(
+                                "GATEFRONT_EXTENSIONS",
+                                Files.writeString(file.resolveSibling(name() + ".toml"), own)
+                                        .toString());
             }
             prepare(builder);
         } catch (IOException e) {
@@ -129,8 +140,7 @@
                 follow(started);
             } catch (IOException e) {
                 fresh.completeExceptionally(e);
-                day.loop().execute(() -> day.checker.left(day.now(), name() + " cannot be started: "
-                    + e.getMessage()));
+                day.loop().execute(() -> day.checker.left(day.now(), name() + " cannot be started: " + e.getMessage()));
             }
         });
     }
@@ -141,10 +151,10 @@
     }
 
     /** More of what a process is started with. */
-    void prepare(ProcessBuilder builder) throws IOException { }
+    void prepare(ProcessBuilder builder) throws IOException {}
 
     /** A process has been started; not on the loop. */
-    void started(Process fresh) { }
+    void started(Process fresh) {}
 
     /** Has something done with the process as soon as it has been started; not on the loop. */
     final void signalled(Consumer<Process> what) {
@@ -163,13 +173,15 @@
     }
 
     private void follow(Process mine) {
-        Thread reader = new Thread(() -> {
-            try (BufferedReader lines = mine.inputReader(StandardCharsets.UTF_8)) {
-                lines.lines().forEach(line -> day.loop().execute(() -> log.accept(line)));
-            } catch (IOException | UncheckedIOException | RejectedExecutionException e) {
-                // it has been killed, or the day is over
-            }
-        }, name() + " log");
+        Thread reader = new Thread(
+                () -> {
+                    try (BufferedReader lines = mine.inputReader(StandardCharsets.UTF_8)) {
+                        lines.lines().forEach(line -> day.loop().execute(() -> log.accept(line)));
+                    } catch (IOException | UncheckedIOException | RejectedExecutionException e) {
+                        // it has been killed, or the day is over
+                    }
+                },
+                name() + " log");
         reader.setDaemon(true);
         reader.start();
     }
@@ -182,19 +194,22 @@
     private String registryTable() {
         RegistrySettings settings = day.padron.registry(number);
         String members = settings.endpoints().stream()
-            .map(each -> '"' + each.getAddress().getHostAddress() + ":" + each.getPort() + '"')
-            .collect(Collectors.joining(", "));
+                .map(each -> '"' + each.getAddress().getHostAddress() + ":" + each.getPort() + '"')
+                .collect(Collectors.joining(", "));
         return "\n[registry]\nkind = \"" + settings.kind().name().toLowerCase(Locale.ROOT) + "\"\nendpoints = ["
-            + members + "]\nprefix = \"" + settings.prefix() + "\"\npadron = \"instead\"\n";
+                + members + "]\nprefix = \"" + settings.prefix() + "\"\npadron = \"instead\"\n";
     }
 
     private String thriftTable() {
         InetSocketAddress at = thriftAddress();
-        StringBuilder text = new StringBuilder("[thrift]\nlisten = \"" + at.getAddress().getHostAddress() + ":"
-            + at.getPort() + "\"\nnodo_port = " + NodoStand.THRIFT_PORT + "\nnodo_framed = " + day.form.framed()
-            + "\nprobes = \"thrift\"\n");
-        day.plan.classes().forEach(each -> text.append("\n[[thrift.methods]]\nname = \"" + each.name()
-            + "\"\nclass = \"" + each.name() + "\"\ndeclares = true\n"));
+        StringBuilder text = new StringBuilder("[thrift]\nlisten = \""
+                + at.getAddress().getHostAddress() + ":"
+                + at.getPort() + "\"\nnodo_port = " + NodoStand.THRIFT_PORT + "\nnodo_framed = " + day.form.framed()
+                + "\nprobes = \"thrift\"\n");
+        day.plan
+                .classes()
+                .forEach(each -> text.append("\n[[thrift.methods]]\nname = \"" + each.name() + "\"\nclass = \""
+                        + each.name() + "\"\ndeclares = true\n"));
         return text.toString();
     }
 
@@ -204,8 +219,9 @@
         try (Socket socket = new Socket()) {
             socket.connect(address(), HEALTH_MS);
             socket.setSoTimeout(HEALTH_MS);
-            socket.getOutputStream().write("GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
-                .getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write("GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
+                            .getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readNBytes(12), StandardCharsets.US_ASCII).endsWith(" 200");
         } catch (IOException e) {
             return false;
--- a/src/main/java/gatefront/rehearsal/ProcessOutcome.java
+++ b/src/main/java/gatefront/rehearsal/ProcessOutcome.java
@@ -20,8 +20,8 @@
  * @param lateness of the rig
  * @param timeline how starts under way went
  */
-public record ProcessOutcome(ProcessPlan plan, Outcome outcome, HandChecker hand, Lateness lateness,
-                             Timeline timeline) {
+public record ProcessOutcome(
+        ProcessPlan plan, Outcome outcome, HandChecker hand, Lateness lateness, Timeline timeline) {
     /** The rig is to be late by no more, in microseconds. */
     public static final long LATE_MOST = 20_000;
 
@@ -35,7 +35,7 @@
         List<String> lines = new ArrayList<>();
         for (RuleChecker.Breach each : outcome.breaches()) {
             lines.add(each.rule().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + each.what()
-                + (each.request().isEmpty() ? "" : " (request " + each.request() + ")"));
+                    + (each.request().isEmpty() ? "" : " (request " + each.request() + ")"));
         }
         hand.breaches().forEach(each -> lines.add("by hand: " + each));
         return lines;
@@ -53,7 +53,8 @@
 
     private static int most(int[] bySecond, double from, double until) {
         return Arrays.stream(bySecond, (int) Math.max(0, from), (int) Math.min(bySecond.length, Math.ceil(until)))
-            .max().orElse(0);
+                .max()
+                .orElse(0);
     }
 
     /** Calls for the list in the fullest second of the five after the first fault. */
@@ -73,9 +74,17 @@
 
     /** One line: service, rules, and how late the rig was. */
     public String line() {
-        return String.format(Locale.ROOT, "%s, seed %d, %d agents: service %.4f, %s; the rig was late by %.1f ms "
-            + "at the most, %d times by over %d ms", plan.name(), outcome.seed(), plan.day().agents().count(),
-            outcome.service(), broken() == 0 ? "all rules kept" : "RULES BROKEN " + broken() + " times",
-            lateness.worst() / 1e3, lateness.over(LATE_MOST), LATE_MOST / 1000);
+        return String.format(
+                Locale.ROOT,
+                "%s, seed %d, %d agents: service %.4f, %s; the rig was late by %.1f ms "
+                        + "at the most, %d times by over %d ms",
+                plan.name(),
+                outcome.seed(),
+                plan.day().agents().count(),
+                outcome.service(),
+                broken() == 0 ? "all rules kept" : "RULES BROKEN " + broken() + " times",
+                lateness.worst() / 1e3,
+                lateness.over(LATE_MOST),
+                LATE_MOST / 1000);
     }
 }
--- a/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
+++ b/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
@@ -43,6 +43,7 @@
     private static final long READY_MS = 30_000;
     /** What the kernel and the relays may blur, in microseconds, beside the lateness that was measured. */
     private static final long SLACK = 20_000;
+
     private static final long TAIL_MS = 8_000;
     private static final long SETTLE_MS = 1_000;
     private static final long ENDING_MS = 8_000;
@@ -59,8 +60,7 @@
     private final Path history;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final EventLoopGroup relayLoops = new MultiThreadIoEventLoopGroup(RELAY_LOOPS,
-        NioIoHandler.newFactory());
+    private final EventLoopGroup relayLoops = new MultiThreadIoEventLoopGroup(RELAY_LOOPS, NioIoHandler.newFactory());
     private final ExecutorService hands = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "hand");
         thread.setDaemon(true);
@@ -145,10 +145,11 @@
             on(() -> {
                 hand.close(day.now());
                 agents.forEach(each -> each.signal("CONT"));
-                agents.forEach(each -> each.leave(() -> { }));
+                agents.forEach(each -> each.leave(() -> {}));
                 return null;
             });
-            await(ENDING_MS, () -> agents.stream().noneMatch(each -> each.machine().running()));
+            await(ENDING_MS, () -> agents.stream()
+                    .noneMatch(each -> each.machine().running()));
             return on(() -> {
                 for (AgentStand each : agents) {
                     if (each.machine().running()) {
@@ -156,8 +157,12 @@
                     }
                 }
                 day.checker.close(day.now());
-                return new ProcessOutcome(plan, new Outcome(plan.day(), seed, day.cast, day.record, day.checker,
-                    List.copyOf(log), 0), hand, lateness, timeline);
+                return new ProcessOutcome(
+                        plan,
+                        new Outcome(plan.day(), seed, day.cast, day.record, day.checker, List.copyOf(log), 0),
+                        hand,
+                        lateness,
+                        timeline);
             });
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -168,14 +173,28 @@
     }
 
     private Day made(Addresses addresses) {
-        Day made = new Day(plan.day(), seed, SLACK, addresses,
-            (name, address, zone, memory, lines) -> new SocketMachine(name, address, loop), of -> i -> {
-                FolderAgent agent = new FolderAgent(of, i, addresses.of(8, i), command, root, hands,
-                    line -> said(i, line), plan.keeps(), without, process -> begun(i, process));
-                agent.front(ways.relay(i, Links.CALLERS, agent.address()).address());
-                agents.add(agent);
-                return agent;
-            });
+        Day made = new Day(
+                plan.day(),
+                seed,
+                SLACK,
+                addresses,
+                (name, address, zone, memory, lines) -> new SocketMachine(name, address, loop),
+                of -> i -> {
+                    FolderAgent agent = new FolderAgent(
+                            of,
+                            i,
+                            addresses.of(8, i),
+                            command,
+                            root,
+                            hands,
+                            line -> said(i, line),
+                            plan.keeps(),
+                            without,
+                            process -> begun(i, process));
+                    agent.front(ways.relay(i, Links.CALLERS, agent.address()).address());
+                    agents.add(agent);
+                    return agent;
+                });
         ways = new RelayWays(made, lateness, relayLoops, addresses.of(7, 0), hand, chronicle, timeline);
         made.ways = ways;
         made.checker.on(ways);
@@ -188,9 +207,10 @@
         warden.close();
         if (day != null) {
             loop.submit(() -> {
-                day.close();
-                ways.close();
-            }).awaitUninterruptibly();
+                        day.close();
+                        ways.close();
+                    })
+                    .awaitUninterruptibly();
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         relayLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
@@ -252,8 +272,14 @@
             onLoop(() -> {
                 ready++;
                 timeline.reached(agent, Timeline.Mark.READY, day.now());
-                event("ready", of.name(), String.format(Locale.ROOT, "after %.0f ms%s", took,
-                    lost ? ", it says that what it kept is lost" : ""));
+                event(
+                        "ready",
+                        of.name(),
+                        String.format(
+                                Locale.ROOT,
+                                "after %.0f ms%s",
+                                took,
+                                lost ? ", it says that what it kept is lost" : ""));
                 if (lost && of.machine().running()) {
                     hand.toldLost(day.now(), agent);
                 }
@@ -293,8 +319,10 @@
             FolderAgent next = agents.get(targets[(i + 1) % targets.length]);
             long when = at + (long) (targets.length < 2 ? 0 : spread * i / (targets.length - 1));
             if (fault.state() == ProcessFault.State.OLDER) {
-                day.at(from + (long) (MICROS * fault.saved()), () -> hands.execute(() -> quietly(agent, "copied",
-                    () -> Folders.copy(agent.folder(), copy(agent)))));
+                day.at(
+                        from + (long) (MICROS * fault.saved()),
+                        () -> hands.execute(
+                                () -> quietly(agent, "copied", () -> Folders.copy(agent.folder(), copy(agent)))));
             }
             day.at(when, () -> happens(fault, agent, next, lasts, size, number));
         }
@@ -302,7 +330,9 @@
 
     private int[] targets(ProcessFault fault, Draw draw) {
         if (!fault.names().isEmpty()) {
-            return fault.names().stream().mapToInt(each -> Integer.parseInt(each.substring(6)) - 1).toArray();
+            return fault.names().stream()
+                    .mapToInt(each -> Integer.parseInt(each.substring(6)) - 1)
+                    .toArray();
         }
         int count = agents.size();
         int n = fault.share() == 0 ? 0 : Math.max(1, (int) Math.rint(fault.share() * count));
@@ -316,8 +346,8 @@
         return java.util.Arrays.copyOf(all, n);
     }
 
-    private void happens(ProcessFault fault, FolderAgent agent, FolderAgent next, long lasts, double size,
-                         long number) {
+    private void happens(
+            ProcessFault fault, FolderAgent agent, FolderAgent next, long lasts, double size, long number) {
         event("fault", agent.name(), fault.kind().word());
         if (fault.kind() == ProcessFault.Kind.KILL || fault.kind() == ProcessFault.Kind.TERM) {
             agent.clockOff(fault.clock());
@@ -352,10 +382,9 @@
             case CUT -> shape(fault, agent, lasts, Shape.HELD);
             case DELAY -> shape(fault, agent, lasts, new Shape(false, (long) (1000 * size), 0));
             case THROTTLE -> shape(fault, agent, lasts, new Shape(false, 0, (long) (1000 * size)));
-            case RESET, HALF_OPEN -> ways.breaks(agent.number, fault.links(),
-                fault.kind() == ProcessFault.Kind.HALF_OPEN);
-            case OUT, BACK -> fault.nodos().forEach(each -> byHand(agent, each,
-                fault.kind() == ProcessFault.Kind.OUT));
+            case RESET, HALF_OPEN -> ways.breaks(
+                    agent.number, fault.links(), fault.kind() == ProcessFault.Kind.HALF_OPEN);
+            case OUT, BACK -> fault.nodos().forEach(each -> byHand(agent, each, fault.kind() == ProcessFault.Kind.OUT));
         }
     }
 
@@ -373,14 +402,17 @@
             return;
         }
         int mine = agent.processes();
-        agent.signalled(process -> process.onExit().thenRunAsync(() -> {
-            whileDead.run();
-            onLoop(() -> {
-                if (agent.processes() == mine) {
-                    again(agent, startsAt - day.now());
-                }
-            });
-        }, hands));
+        agent.signalled(process -> process.onExit()
+                .thenRunAsync(
+                        () -> {
+                            whileDead.run();
+                            onLoop(() -> {
+                                if (agent.processes() == mine) {
+                                    again(agent, startsAt - day.now());
+                                }
+                            });
+                        },
+                        hands));
         agent.kill();
         hand.ended(day.now(), agent.number);
     }
@@ -396,18 +428,20 @@
     /** Killed as soon as it is ready, over and over; the last time it is left alone. */
     private void crash(FolderAgent agent, long pause, int times) {
         if (times > 0 && !over) {
-            kill(agent, pause, () -> { });
-            CompletableFuture.runAsync(() -> {
-                try {
-                    Thread.sleep(TimeUnit.MICROSECONDS.toMillis(pause));
-                    while (!over && !agent.ready()) {
-                        Thread.sleep(LOOK_MS);
-                    }
-                    onLoop(() -> crash(agent, pause, times - 1));
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-            }, hands);
+            kill(agent, pause, () -> {});
+            CompletableFuture.runAsync(
+                    () -> {
+                        try {
+                            Thread.sleep(TimeUnit.MICROSECONDS.toMillis(pause));
+                            while (!over && !agent.ready()) {
+                                Thread.sleep(LOOK_MS);
+                            }
+                            onLoop(() -> crash(agent, pause, times - 1));
+                        } catch (InterruptedException e) {
+                            Thread.currentThread().interrupt();
+                        }
+                    },
+                    hands);
         }
     }
 
@@ -435,12 +469,13 @@
         Path folder = agent.folder();
         String what = state.name().toLowerCase(Locale.ROOT).replace('_', '-');
         switch (state) {
-            case KEPT -> { }
+            case KEPT -> {}
             case WIPED -> quietly(agent, what, () -> Folders.remove(folder));
             case OLDER, ANOTHERS -> quietly(agent, what, () -> Folders.copy(copy(agent), folder));
             case TORN -> quietly(agent, what, () -> Folders.tear(folder.resolve("kept")));
             case FLIPPED -> quietly(agent, what, () -> Folders.flip(folder.resolve("kept"), number));
-            case READ_ONLY -> quietly(agent, what, () -> folder.resolve("kept").toFile().setWritable(false));
+            case READ_ONLY -> quietly(
+                    agent, what, () -> folder.resolve("kept").toFile().setWritable(false));
         }
     }
 
@@ -453,10 +488,14 @@
         hands.execute(() -> {
             Doors.Answer answer = Doors.call(door, "POST", "/backends/" + nodo + (out ? "/maint" : "/ready"));
             onLoop(() -> {
-                event("staff", agent.name(), nodo + (out ? " out: " : " back: ") + answer.status() + " "
-                    + answer.text().strip());
+                event(
+                        "staff",
+                        agent.name(),
+                        nodo + (out ? " out: " : " back: ") + answer.status() + " "
+                                + answer.text().strip());
                 if (answer.status() == 200 && agent.processes() == process) {
-                    hand.yes(day.now(), agent.number, number, out, !answer.text().contains("not kept"));
+                    hand.yes(
+                            day.now(), agent.number, number, out, !answer.text().contains("not kept"));
                 }
             });
         });
--- a/src/main/java/gatefront/rehearsal/RealRehearsal.java
+++ b/src/main/java/gatefront/rehearsal/RealRehearsal.java
@@ -27,9 +27,11 @@
     private static final long READY_MS = 30_000;
     /** What the kernel's and this process's lateness may blur, in microseconds. */
     private static final long SLACK = 100_000;
+
     private static final long TAIL_MS = 8_000;
     /** What nodos still work on has ended by then, where nothing is wrong with them. */
     private static final long SETTLE_MS = 1_000;
+
     private static final long ENDING_MS = 6_000;
     private static final int LINES_MOST = 2_000;
     private static final int STARTERS = 4;
@@ -71,11 +73,15 @@
         String classes = System.getProperty("java.class.path");
         Path archive = Path.of(classes.replaceFirst("\\.jar$", ".jsa"));
         List<String> command = new ArrayList<>(List.of(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
-            "-XX:TieredStopAtLevel=1", "-Xmx64m", "-Xss256k", "-XX:MaxDirectMemorySize=16m"));
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1",
+                "-Xmx64m",
+                "-Xss256k",
+                "-XX:MaxDirectMemorySize=16m"));
         if (classes.endsWith(".jar") && Files.exists(archive)) {
-            command.addAll(List.of("-Xshare:auto", "-XX:SharedArchiveFile=" + archive, "-Xlog:disable",
-                "-Xlog:all=error:stderr"));
+            command.addAll(List.of(
+                    "-Xshare:auto", "-XX:SharedArchiveFile=" + archive, "-Xlog:disable", "-Xlog:all=error:stderr"));
         }
         command.addAll(List.of("-cp", classes, "gatefront.cli.Main", "serve"));
         return List.copyOf(command);
@@ -94,13 +100,18 @@
         Day[] played = new Day[1];
         try {
             Addresses addresses = Addresses.ofProcess();
-            Day day = on(() -> new Day(plan, seed, SLACK, addresses,
-                (name, address, zone, memory, lines) -> new SocketMachine(name, address, loop), made -> i -> {
-                    AgentStand agent = new ProcessAgent(made, i, addresses.of(8, i), agentCommand, folder, starter,
-                        line -> log(made, i, line));
-                    started.add(agent);
-                    return agent;
-                }));
+            Day day = on(() -> new Day(
+                    plan,
+                    seed,
+                    SLACK,
+                    addresses,
+                    (name, address, zone, memory, lines) -> new SocketMachine(name, address, loop),
+                    made -> i -> {
+                        AgentStand agent = new ProcessAgent(
+                                made, i, addresses.of(8, i), agentCommand, folder, starter, line -> log(made, i, line));
+                        started.add(agent);
+                        return agent;
+                    }));
             played[0] = day;
             lateness.watch(loop);
             Rig rig = new Rig(day, lateness);
@@ -126,10 +137,11 @@
             await(TAIL_MS, () -> day.record.open() == 0);
             Thread.sleep(SETTLE_MS);
             on(() -> {
-                day.agents.forEach(each -> each.leave(() -> { }));
+                day.agents.forEach(each -> each.leave(() -> {}));
                 return null;
             });
-            await(ENDING_MS, () -> day.agents.stream().noneMatch(each -> each.machine().running()));
+            await(ENDING_MS, () -> day.agents.stream()
+                    .noneMatch(each -> each.machine().running()));
             return on(() -> {
                 for (AgentStand each : day.agents) {
                     if (each.machine().running()) {
@@ -137,8 +149,12 @@
                     }
                 }
                 day.checker.close(day.now());
-                log.add(String.format(Locale.ROOT, "the rig was late by %.1f ms at the most, and %d times by over %d "
-                    + "ms", lateness.worst() / 1e3, lateness.over(LATE_MOST), LATE_MOST / 1000));
+                log.add(String.format(
+                        Locale.ROOT,
+                        "the rig was late by %.1f ms at the most, and %d times by over %d " + "ms",
+                        lateness.worst() / 1e3,
+                        lateness.over(LATE_MOST),
+                        LATE_MOST / 1000));
                 return new Outcome(plan, seed, day.cast, day.record, day.checker, List.copyOf(log), 0);
             });
         } catch (InterruptedException e) {
--- a/src/main/java/gatefront/rehearsal/Record.java
+++ b/src/main/java/gatefront/rehearsal/Record.java
@@ -15,16 +15,22 @@
  */
 final class Record {
     /** What becomes of what somebody wanted. */
-    enum Fate { IN_TIME, LATE, REFUSED, FAILED, UNANSWERED }
+    enum Fate {
+        IN_TIME,
+        LATE,
+        REFUSED,
+        FAILED,
+        UNANSWERED
+    }
 
     /** A trouble, for the plot; seconds since the day opened. */
-    record Band(String name, double from, double until) { }
+    record Band(String name, double from, double until) {}
 
     /** Something that happened. */
-    record Note(double at, String text) { }
+    record Note(double at, String text) {}
 
     /** News of a nodo, as the first agent got it. */
-    record Told(double at, int nodo, String status) { }
+    record Told(double at, int nodo, String status) {}
 
     private static final int NOTES_MOST = 500;
 
@@ -36,10 +42,12 @@
     final double[][] tenants;
     /** Wants by class and fate. */
     final int[][] counts;
+
     final int[] tries;
     final int[] attempts;
     /** What the fleet costs beside its requests, by second. */
     final int[] probes;
+
     final int[] handshakes;
     final int[] listCalls;
     final int[] listTurnedAway;
@@ -49,11 +57,13 @@
     final double[] coldest;
     /** By nodo, by second: requests held a core; -1 while it does not run. */
     final List<double[]> load = new ArrayList<>();
+
     final List<String> nodoNames = new ArrayList<>();
     /** By nodo, by second: requests served. */
     final List<int[]> served = new ArrayList<>();
     /** What the first agent was told of a nodo, each change once. */
     final List<Told> told = new ArrayList<>();
+
     final List<Band> bands = new ArrayList<>();
     final List<Note> notes = new ArrayList<>();
     final Held held;
@@ -63,6 +73,7 @@
     private long opensAt;
     /** Connections that nodos have closed because they were in no use. */
     int closedIdle;
+
     private int open;
 
     Record(Plan plan, Cast cast) {
@@ -156,14 +167,17 @@
     void settled(Demand.Want want, long now, Patience.Fate how) {
         open--;
         Plan.Kind kind = plan.classes().get(want.kind());
-        Fate fate = switch (how) {
-            case SERVED -> now - want.at() <= (long) (1000 * kind.aimMs()) ? Fate.IN_TIME : Fate.LATE;
-            case REFUSED -> Fate.REFUSED;
-            case FAILED -> Fate.FAILED;
-            case TIMED_OUT, UNREACHED -> Fate.UNANSWERED;
-        };
-        double value = kind.worth() * (plan.worthByWork()
-            ? want.work() / cast.kinds().get(want.kind()).meanWork() : 1);
+        Fate fate =
+                switch (how) {
+                    case SERVED -> now - want.at() <= (long) (1000 * kind.aimMs()) ? Fate.IN_TIME : Fate.LATE;
+                    case REFUSED -> Fate.REFUSED;
+                    case FAILED -> Fate.FAILED;
+                    case TIMED_OUT, UNREACHED -> Fate.UNANSWERED;
+                };
+        double value = kind.worth()
+                * (plan.worthByWork()
+                        ? want.work() / cast.kinds().get(want.kind()).meanWork()
+                        : 1);
         worth[second(want.at())][want.kind()][fate.ordinal()] += value;
         tenants[want.tenant()][fate.ordinal()] += value;
         counts[want.kind()][fate.ordinal()]++;
@@ -217,8 +231,8 @@
         for (NodoStand each : nodos) {
             know(each.number());
             each.cold(crowd);
-            load.get(each.number())[at] = each.up()
-                ? (double) each.held() / each.spec().machine().cores() : -1;
+            load.get(each.number())[at] =
+                    each.up() ? (double) each.held() / each.spec().machine().cores() : -1;
         }
     }
 
--- a/src/main/java/gatefront/rehearsal/Rehearsal.java
+++ b/src/main/java/gatefront/rehearsal/Rehearsal.java
@@ -33,20 +33,22 @@
     private static final long EPOCH_MICROS = 1_796_112_000_000_000L;
     /** Segments tell when they were sent; what is left is the rounding to microseconds. */
     private static final long SLACK = 1_000;
+
     private static final int LINES_MOST = 2_000;
     /** On a day of an hour or more nothing that is held may go on rising. */
     private static final double SOAK_SECONDS = 3_600;
     /** Of these nothing is held once nobody asks anything. */
-    private static final List<Purpose> PASSING = List.of(Purpose.REQUESTS, Purpose.CALLS, Purpose.ANSWERS,
-        Purpose.SERVER_ANSWERS);
+    private static final List<Purpose> PASSING =
+            List.of(Purpose.REQUESTS, Purpose.CALLS, Purpose.ANSWERS, Purpose.SERVER_ANSWERS);
     /** Timers that an agent with nothing to do may have: its own, and for each nodo listed. */
     private static final int TIMERS_MOST = 16;
+
     private static final int TIMERS_A_NODO = 2;
 
     private final Plan plan;
     private final long seed;
     private final Function<Engine, Balancer> module;
-    private DoubleConsumer progress = done -> { };
+    private DoubleConsumer progress = done -> {};
     private UnaryOperator<Transport> outside = UnaryOperator.identity();
 
     /**
@@ -88,11 +90,23 @@
         List<String> log = new ArrayList<>();
         Cast cast = Cast.of(plan, seed);
         Network network = new Network(time, EPOCH_MICROS, links(cast));
-        Day day = new Day(plan, seed, SLACK, Addresses.virtual(), (name, address, zone, memory, lines) ->
-            network.host(name, address, zone, memory, lines::line), made -> i ->
-            new VirtualAgent(made, i, made.machines.make("agent-" + (i + 1), made.addresses.of(8, i),
-                made.cast.agentZones()[i], (long) plan.agents().memoryMb() << 18,
-                line -> log(log, made, i, line)), outside, module));
+        Day day = new Day(
+                plan,
+                seed,
+                SLACK,
+                Addresses.virtual(),
+                (name, address, zone, memory, lines) -> network.host(name, address, zone, memory, lines::line),
+                made -> i -> new VirtualAgent(
+                        made,
+                        i,
+                        made.machines.make(
+                                "agent-" + (i + 1),
+                                made.addresses.of(8, i),
+                                made.cast.agentZones()[i],
+                                (long) plan.agents().memoryMb() << 18,
+                                line -> log(log, made, i, line)),
+                        outside,
+                        module));
         try {
             day.begin();
             run(time, OPENS_AT);
@@ -134,9 +148,14 @@
                 jumps.add(new Demand.Jump(each.at(), each.until(), each.size()));
             }
         }
-        Demand demand = new Demand(day.draw("demand"), day.plan.callers().rate(), day.cast.kinds(),
-            day.plan.tenants().stream().mapToDouble(Plan.Tenant::share).toArray(), day.cast.agentShares(),
-            day.plan.callers().hintError(), jumps);
+        Demand demand = new Demand(
+                day.draw("demand"),
+                day.plan.callers().rate(),
+                day.cast.kinds(),
+                day.plan.tenants().stream().mapToDouble(Plan.Tenant::share).toArray(),
+                day.cast.agentShares(),
+                day.plan.callers().hintError(),
+                jumps);
         next(day, demand, opensAt);
         Timetable.schedule(day, opensAt);
         for (int s = 0; s < day.record.seconds; s++) {
@@ -147,8 +166,14 @@
     private static void next(Day day, Demand demand, long opensAt) {
         Demand.Want want = demand.next();
         if (want.at() < (long) (1e6 * day.plan.seconds())) {
-            Demand.Want placed = new Demand.Want(want.number(), opensAt + want.at(), want.kind(), want.tenant(),
-                want.agent(), want.work(), want.hint());
+            Demand.Want placed = new Demand.Want(
+                    want.number(),
+                    opensAt + want.at(),
+                    want.kind(),
+                    want.tenant(),
+                    want.agent(),
+                    want.work(),
+                    want.hint());
             day.at(placed.at(), () -> {
                 day.callers.get(placed.agent()).ask(placed);
                 next(day, demand, opensAt);
@@ -161,23 +186,30 @@
         for (AgentStand each : day.agents) {
             Engine.Held held = ((VirtualAgent) each).held();
             if (held != null && (held.requests() > 0 || held.attempts() > 0)) {
-                day.checker.left(day.now(), each.name() + " still holds " + held.requests() + " requests and "
-                    + held.attempts() + " attempts");
+                day.checker.left(
+                        day.now(),
+                        each.name() + " still holds " + held.requests() + " requests and " + held.attempts()
+                                + " attempts");
             }
             Budget budget = each.budget();
             if (budget != null) {
                 budget.drift().forEach(line -> day.checker.left(day.now(), each.name() + ": " + line));
                 for (Purpose purpose : PASSING) {
                     if (budget.of(purpose).entries() != 0 || budget.of(purpose).bytes() != 0) {
-                        day.checker.left(day.now(), each.name() + " still accounts for "
-                            + budget.of(purpose).entries() + " entries of " + budget.of(purpose).bytes() + " bytes of "
-                            + purpose.word());
+                        day.checker.left(
+                                day.now(),
+                                each.name() + " still accounts for "
+                                        + budget.of(purpose).entries() + " entries of "
+                                        + budget.of(purpose).bytes() + " bytes of "
+                                        + purpose.word());
                     }
                 }
             }
             if (held != null && held.servers() > day.padron.listed().size()) {
-                day.checker.left(day.now(), each.name() + " keeps something for " + held.servers()
-                    + " nodos, of which " + day.padron.listed().size() + " are listed");
+                day.checker.left(
+                        day.now(),
+                        each.name() + " keeps something for " + held.servers() + " nodos, of which "
+                                + day.padron.listed().size() + " are listed");
             }
         }
         if (plan.seconds() >= SOAK_SECONDS) {
@@ -186,12 +218,14 @@
         if (day.record.open() > 0) {
             day.checker.left(day.now(), day.record.open() + " callers still wait");
         }
-        day.agents.forEach(each -> each.leave(() -> { }));
+        day.agents.forEach(each -> each.leave(() -> {}));
         run(time, at + ENDING);
         for (AgentStand each : day.agents) {
             if (each.machine().running()) {
-                day.checker.left(day.now(), each.name() + " has not ended, "
-                    + ((Host) each.machine()).openChannels() + " connections are open");
+                day.checker.left(
+                        day.now(),
+                        each.name() + " has not ended, " + ((Host) each.machine()).openChannels()
+                                + " connections are open");
             }
             int timers = ((Host) each.machine()).timersDropped();
             if (timers > TIMERS_MOST + TIMERS_A_NODO * day.padron.listed().size()) {
@@ -206,8 +240,11 @@
         Plan.Net net = plan.network();
         double nanosAByte = 8_000 / net.megabits();
         return (from, to, bytes) -> {
-            double oneWay = from == to ? 0.02 : isCaller(from) || isCaller(to) ? net.clientMs()
-                : from.zone() == to.zone() ? net.sameMs() : cast.crossMicros() / 1000;
+            double oneWay = from == to
+                    ? 0.02
+                    : isCaller(from) || isCaller(to)
+                            ? net.clientMs()
+                            : from.zone() == to.zone() ? net.sameMs() : cast.crossMicros() / 1000;
             double jitter = 1 + net.jitter() * (2 * draw.unit() - 1);
             return (long) (1e6 * oneWay * jitter + bytes * nanosAByte);
         };
@@ -216,5 +253,4 @@
     private static boolean isCaller(Host host) {
         return host.name().startsWith("caller");
     }
-
 }
--- a/src/main/java/gatefront/rehearsal/RelayWays.java
+++ b/src/main/java/gatefront/rehearsal/RelayWays.java
@@ -29,7 +29,7 @@
     private static final long CATCHING_UP = 500_000;
 
     /** A link: whose, which kind, where it leads. */
-    private record Key(int agent, Links kind, InetSocketAddress to) { }
+    private record Key(int agent, Links kind, InetSocketAddress to) {}
 
     /** When something stood in a link's way, or a process did not run. */
     private static final class Span {
@@ -58,11 +58,18 @@
     private final Map<Key, Relay> relays = new HashMap<>();
     /** By agent, kind and direction; one that is clear has none. */
     private final Map<String, Shape> shapes = new HashMap<>();
+
     private final Map<Integer, Span> stopped = new HashMap<>();
     private final Map<String, Span> troubled = new HashMap<>();
 
-    RelayWays(Day day, Lateness lateness, EventLoopGroup loops, InetAddress host, HandChecker hand,
-              Chronicle chronicle, Timeline timeline) {
+    RelayWays(
+            Day day,
+            Lateness lateness,
+            EventLoopGroup loops,
+            InetAddress host,
+            HandChecker hand,
+            Chronicle chronicle,
+            Timeline timeline) {
         super(day, lateness);
         this.loops = loops;
         this.host = host;
--- a/src/main/java/gatefront/rehearsal/Report.java
+++ b/src/main/java/gatefront/rehearsal/Report.java
@@ -20,7 +20,7 @@
     /** Grows when a field changes its meaning or goes. */
     static final int VERSION = 1;
 
-    private Report() { }
+    private Report() {}
 
     /** Writes {@code report.json} and {@code report.html} into a folder, which is made if need be. */
     public static void write(Outcome outcome, Path folder) throws IOException {
@@ -34,7 +34,7 @@
         DefaultPrettyPrinter printer = new DefaultPrettyPrinter();
         printer.indentObjectsWith(new DefaultIndenter(" ", "\n"));
         return (new ObjectMapper().writer(printer).writeValueAsString(json(outcome)) + "\n")
-            .getBytes(StandardCharsets.UTF_8);
+                .getBytes(StandardCharsets.UTF_8);
     }
 
     /** The report as a tree; its fields are in a fixed order. */
@@ -42,10 +42,17 @@
         Plan plan = outcome.plan();
         Record record = outcome.record();
         ObjectNode root = JsonNodeFactory.instance.objectNode();
-        root.put("version", VERSION).put("plan", plan.name()).put("seed", outcome.seed())
-            .put("seconds", plan.seconds()).put("agents", plan.agents().count())
-            .put("nodos", plan.nodos().count()).put("rate", plan.callers().rate())
-            .put("load", round(outcome.cast().demand(plan.callers().rate()) / outcome.cast().capacity()));
+        root.put("version", VERSION)
+                .put("plan", plan.name())
+                .put("seed", outcome.seed())
+                .put("seconds", plan.seconds())
+                .put("agents", plan.agents().count())
+                .put("nodos", plan.nodos().count())
+                .put("rate", plan.callers().rate())
+                .put(
+                        "load",
+                        round(outcome.cast().demand(plan.callers().rate())
+                                / outcome.cast().capacity()));
         int worst = record.worstFrom();
         ObjectNode service = root.putObject("service");
         service.put("whole", round(outcome.service()));
@@ -65,20 +72,27 @@
                 counts.put(word(fate), record.counts[i][fate.ordinal()]);
             }
         }
-        root.putObject("fleet").put("probes_a_request", round(record.each(record.probes)))
-            .put("handshakes_a_request", round(record.each(record.handshakes)))
-            .put("list_calls_a_request", round(record.each(record.listCalls)))
-            .put("attempts_a_request", round(record.each(record.attempts)))
-            .put("connections_of_the_fullest", Arrays.stream(record.fullest).max().orElse(0))
-            .put("connections_most", plan.nodos().connections())
-            .put("part_of_what_topples", round(Arrays.stream(record.coldest).max().orElse(0)));
+        root.putObject("fleet")
+                .put("probes_a_request", round(record.each(record.probes)))
+                .put("handshakes_a_request", round(record.each(record.handshakes)))
+                .put("list_calls_a_request", round(record.each(record.listCalls)))
+                .put("attempts_a_request", round(record.each(record.attempts)))
+                .put(
+                        "connections_of_the_fullest",
+                        Arrays.stream(record.fullest).max().orElse(0))
+                .put("connections_most", plan.nodos().connections())
+                .put(
+                        "part_of_what_topples",
+                        round(Arrays.stream(record.coldest).max().orElse(0)));
         record.crowd.json(root.putObject("crowd"));
         rules(root.putObject("rules"), outcome);
         ArrayNode troubles = root.putArray("troubles");
         for (Cast.Trouble each : outcome.cast().troubles()) {
-            ObjectNode trouble = troubles.addObject().put("kind", each.fault().kind().word())
-                .put("at", round(each.at() / 1e6)).put("until", round(each.until() / 1e6))
-                .put("size", round(each.size()));
+            ObjectNode trouble = troubles.addObject()
+                    .put("kind", each.fault().kind().word())
+                    .put("at", round(each.at() / 1e6))
+                    .put("until", round(each.until() / 1e6))
+                    .put("size", round(each.size()));
             ArrayNode targets = trouble.putArray("targets");
             for (int target : each.targets()) {
                 targets.add(target + 1);
@@ -88,7 +102,8 @@
         seconds(root, record);
         nodos(root, record);
         ArrayNode notes = root.putArray("notes");
-        record.notes.forEach(each -> notes.addObject().put("at", round(each.at())).put("text", each.text()));
+        record.notes.forEach(
+                each -> notes.addObject().put("at", round(each.at())).put("text", each.text()));
         ArrayNode log = root.putArray("log");
         outcome.log().forEach(log::add);
         root.put("closed_idle", record.closedIdle).put("tasks", outcome.tasks());
@@ -99,9 +114,11 @@
         rules.put("kept", outcome.broken() == 0).put("broken", outcome.broken());
         ArrayNode breaches = rules.putArray("breaches");
         for (RuleChecker.Breach each : outcome.breaches()) {
-            ObjectNode breach = breaches.addObject().put("at", round((each.at() - Rehearsal.OPENS_AT) / 1e6))
-                .put("rule", each.rule().name().toLowerCase(Locale.ROOT).replace('_', ' '))
-                .put("request", each.request()).put("what", each.what());
+            ObjectNode breach = breaches.addObject()
+                    .put("at", round((each.at() - Rehearsal.OPENS_AT) / 1e6))
+                    .put("rule", each.rule().name().toLowerCase(Locale.ROOT).replace('_', ' '))
+                    .put("request", each.request())
+                    .put("what", each.what());
             ArrayNode history = breach.putArray("history");
             each.history().forEach(history::add);
         }
@@ -115,11 +132,14 @@
             for (Record.Fate fate : Record.Fate.values()) {
                 second.put(word(fate), round(fates[fate.ordinal()]));
             }
-            second.put("tries", record.tries[s]).put("attempts", record.attempts[s])
-                .put("probes", record.probes[s]).put("handshakes", record.handshakes[s])
-                .put("list_calls", record.listCalls[s]).put("list_calls_turned_away", record.listTurnedAway[s])
-                .put("connections_of_the_fullest", record.fullest[s])
-                .put("part_of_what_topples", round(record.coldest[s]));
+            second.put("tries", record.tries[s])
+                    .put("attempts", record.attempts[s])
+                    .put("probes", record.probes[s])
+                    .put("handshakes", record.handshakes[s])
+                    .put("list_calls", record.listCalls[s])
+                    .put("list_calls_turned_away", record.listTurnedAway[s])
+                    .put("connections_of_the_fullest", record.fullest[s])
+                    .put("part_of_what_topples", round(record.coldest[s]));
         }
         ObjectNode load = root.putObject("held_a_core");
         for (int i = 0; i < record.load.size(); i++) {
@@ -139,8 +159,10 @@
             }
         }
         ArrayNode told = root.putArray("told");
-        record.told.forEach(each -> told.addObject().put("at", round(each.at())).put("nodo", each.nodo() + 1)
-            .put("status", each.status()));
+        record.told.forEach(each -> told.addObject()
+                .put("at", round(each.at()))
+                .put("nodo", each.nodo() + 1)
+                .put("status", each.status()));
     }
 
     static String word(Record.Fate fate) {
--- a/src/main/java/gatefront/rehearsal/Rig.java
+++ b/src/main/java/gatefront/rehearsal/Rig.java
@@ -19,5 +19,5 @@
     }
 
     @Override
-    public void note(long at, String request, String what) { }
+    public void note(long at, String request, String what) {}
 }
--- a/src/main/java/gatefront/rehearsal/Seeds.java
+++ b/src/main/java/gatefront/rehearsal/Seeds.java
@@ -19,15 +19,25 @@
     public record Summary(String plan, int played, int broken, List<Double> services, List<Long> brokenSeeds) {
         /** Some lines for a person. */
         public String text() {
-            double mean = services.stream().mapToDouble(Double::doubleValue).average().orElse(0);
-            return String.format(Locale.ROOT, "%s: %d seeds; service %.4f on average, lowest %.4f, a tenth below %.4f, "
-                + "half below %.4f%n%s%n", plan, played, mean, services.get(0), services.get(services.size() / 10),
-                services.get(services.size() / 2), broken == 0 ? "all rules kept on all of them"
-                : "RULES BROKEN on " + broken + " of them: seeds " + brokenSeeds);
+            double mean =
+                    services.stream().mapToDouble(Double::doubleValue).average().orElse(0);
+            return String.format(
+                    Locale.ROOT,
+                    "%s: %d seeds; service %.4f on average, lowest %.4f, a tenth below %.4f, "
+                            + "half below %.4f%n%s%n",
+                    plan,
+                    played,
+                    mean,
+                    services.get(0),
+                    services.get(services.size() / 10),
+                    services.get(services.size() / 2),
+                    broken == 0
+                            ? "all rules kept on all of them"
+                            : "RULES BROKEN on " + broken + " of them: seeds " + brokenSeeds);
         }
     }
 
-    private Seeds() { }
+    private Seeds() {}
 
     /**
      * Plays.
@@ -41,7 +51,7 @@
      */
     public static Summary play(Plan plan, long from, long until, DoubleConsumer progress, Consumer<Outcome> broken) {
         ExecutorService threads = Executors.newFixedThreadPool(
-            (int) Math.min(until - from + 1, Runtime.getRuntime().availableProcessors()));
+                (int) Math.min(until - from + 1, Runtime.getRuntime().availableProcessors()));
         AtomicLong next = new AtomicLong(from);
         try {
             List<Double> services = new ArrayList<>();
--- a/src/main/java/gatefront/rehearsal/Shrink.java
+++ b/src/main/java/gatefront/rehearsal/Shrink.java
@@ -53,11 +53,12 @@
         }
         Set<Rule> rules = whole.breaches().stream().map(each -> each.rule()).collect(Collectors.toSet());
         Shrink shrink = new Shrink(seed, module, rules, listener);
-        listener.accept("breaks " + rules.size() + " rule(s) with " + fixed.faults().size() + " faults");
+        listener.accept(
+                "breaks " + rules.size() + " rule(s) with " + fixed.faults().size() + " faults");
         double end = (whole.breaches().get(0).at() - Rehearsal.OPENS_AT) / 1e6 + 1;
         Plan smallest = shrink.callers(shrink.targets(shrink.faults(shrink.shorter(fixed, end))));
         listener.accept("left are " + smallest.faults().size() + " faults, " + smallest.seconds() + " s and "
-            + smallest.callers().rate() + " requests a second");
+                + smallest.callers().rate() + " requests a second");
         return smallest;
     }
 
@@ -70,8 +71,14 @@
             for (int target : each.targets()) {
                 names.add(prefix + (target + 1));
             }
-            frozen.add(each.fault().frozen(fixed(each.at() / 1e6), fixed(each.lasts() / 1e6), names,
-                fixed(each.size()), fixed(each.every() / 1e6), fixed(each.spread() / 1e6)));
+            frozen.add(each.fault()
+                    .frozen(
+                            fixed(each.at() / 1e6),
+                            fixed(each.lasts() / 1e6),
+                            names,
+                            fixed(each.size()),
+                            fixed(each.every() / 1e6),
+                            fixed(each.spread() / 1e6)));
         }
         return frozen;
     }
@@ -81,8 +88,8 @@
     }
 
     private boolean breaks(Plan plan) {
-        return new Rehearsal(plan, seed, module).play().breaches().stream()
-            .anyMatch(each -> rules.contains(each.rule()));
+        return new Rehearsal(plan, seed, module)
+                .play().breaches().stream().anyMatch(each -> rules.contains(each.rule()));
     }
 
     private Plan keep(Plan before, Plan smaller, String what) {
@@ -106,7 +113,10 @@
         for (int i = plan.faults().size() - 1; i >= 0; i--) {
             List<Fault> fewer = new ArrayList<>(smallest.faults());
             Fault out = fewer.remove(i);
-            smallest = keep(smallest, smallest.with(fewer), out.kind().word() + " at " + out.at().low() + " s");
+            smallest = keep(
+                    smallest,
+                    smallest.with(fewer),
+                    out.kind().word() + " at " + out.at().low() + " s");
         }
         return smallest;
     }
@@ -120,8 +130,10 @@
                     List<String> names = new ArrayList<>(fault.names());
                     names.remove(name);
                     List<Fault> fewer = new ArrayList<>(smallest.faults());
-                    fewer.set(i, fault.frozen(fault.at(), fault.lasts(), names, fault.size(), fault.every(),
-                        fault.spread()));
+                    fewer.set(
+                            i,
+                            fault.frozen(
+                                    fault.at(), fault.lasts(), names, fault.size(), fault.every(), fault.spread()));
                     smallest = keep(smallest, smallest.with(fewer), fault.kind().word() + " of " + name);
                 }
             }
@@ -133,7 +145,8 @@
         Plan smallest = plan;
         for (double part = 0.5; part < 0.95; part += 0.2) {
             while (part * smallest.callers().rate() >= RATE_LEAST) {
-                Plan fewer = smallest.withRate(Report.round(part * smallest.callers().rate()));
+                Plan fewer =
+                        smallest.withRate(Report.round(part * smallest.callers().rate()));
                 Plan kept = keep(smallest, fewer, "some of the callers");
                 if (kept == smallest) {
                     break;
--- a/src/main/java/gatefront/rehearsal/SocketMachine.java
+++ b/src/main/java/gatefront/rehearsal/SocketMachine.java
@@ -29,6 +29,7 @@
     private final EventLoop loop;
     /** Of the process that runs; each removes itself when it closes. */
     private final Set<Channel> channels = new LinkedHashSet<>();
+
     private boolean running = true;
     private boolean vanished;
     private long vanishedAt;
@@ -153,7 +154,7 @@
     }
 
     @Override
-    public void log(String line) { }
+    public void log(String line) {}
 
     @Override
     public void close(Runnable then) {
--- a/src/main/java/gatefront/rehearsal/Speech.java
+++ b/src/main/java/gatefront/rehearsal/Speech.java
@@ -12,22 +12,32 @@
     private static final int LOAD = 32_000;
 
     /** What a nodo reads of a call. */
-    record Said(String requestId, String key) { }
+    record Said(String requestId, String key) {}
 
     /** What a caller reads of a reply: the body if it was served, else the wait advised; 0 for none. */
-    record Heard(String success, boolean refused, long retryAfterMicros) { }
+    record Heard(String success, boolean refused, long retryAfterMicros) {}
 
-    private Speech() { }
+    private Speech() {}
 
     /** The form that a plan's protocol stands for, or null for HTTP. */
     static Form form(String protocol) {
-        return protocol.equals("http") ? null : new Form(protocol.startsWith("framed"),
-            protocol.endsWith("compact") ? Encoding.COMPACT : Encoding.BINARY);
+        return protocol.equals("http")
+                ? null
+                : new Form(
+                        protocol.startsWith("framed"),
+                        protocol.endsWith("compact") ? Encoding.COMPACT : Encoding.BINARY);
     }
 
     /** The arguments of a call; what is null is left out. */
-    static byte[] call(Encoding encoding, String requestId, long timeoutMs, String tenant, long hint, boolean retry,
-                       String key, String text) {
+    static byte[] call(
+            Encoding encoding,
+            String requestId,
+            long timeoutMs,
+            String tenant,
+            long hint,
+            boolean retry,
+            String key,
+            String text) {
         StructWriter metadata = new StructWriter(encoding).string(1, requestId).i64(2, timeoutMs);
         if (tenant != null) {
             metadata.string(3, tenant);
@@ -36,7 +46,10 @@
         if (key != null) {
             metadata.string(7, key);
         }
-        return new StructWriter(encoding).struct(1, metadata.end()).string(2, text).end();
+        return new StructWriter(encoding)
+                .struct(1, metadata.end())
+                .string(2, text)
+                .end();
     }
 
     static Said said(Message call) {
@@ -71,13 +84,18 @@
     }
 
     private static byte[] exception(Encoding encoding, int id, String load) {
-        return new StructWriter(encoding).struct(id, new StructWriter(encoding).string(1, "nodo").end())
-            .string(LOAD, load).end();
+        return new StructWriter(encoding)
+                .struct(id, new StructWriter(encoding).string(1, "nodo").end())
+                .string(LOAD, load)
+                .end();
     }
 
     static byte[] health(Encoding encoding, String load) {
-        return new StructWriter(encoding).struct(0, new StructWriter(encoding).bool(1, true).string(2, load).end())
-            .end();
+        return new StructWriter(encoding)
+                .struct(
+                        0,
+                        new StructWriter(encoding).bool(1, true).string(2, load).end())
+                .end();
     }
 
     static Heard heard(Message reply) {
--- a/src/main/java/gatefront/rehearsal/Timetable.java
+++ b/src/main/java/gatefront/rehearsal/Timetable.java
@@ -10,10 +10,15 @@
     private static final long SECOND = 1_000_000;
     /** SIGKILL comes so long after SIGTERM: the longest deadline at the most, and then some. */
     private static final long KILL_AFTER = 700_000;
+
     private static final long REPLACED_AFTER = 1_000;
     /** What happens at a moment, and is shown for a second. */
-    private static final Set<Fault.Kind> MOMENTS = EnumSet.of(Fault.Kind.REPLACE, Fault.Kind.AGENT_RELOAD,
-        Fault.Kind.REGISTRY_COMPACT, Fault.Kind.LEAVE, Fault.Kind.AGENT_RESTART);
+    private static final Set<Fault.Kind> MOMENTS = EnumSet.of(
+            Fault.Kind.REPLACE,
+            Fault.Kind.AGENT_RELOAD,
+            Fault.Kind.REGISTRY_COMPACT,
+            Fault.Kind.LEAVE,
+            Fault.Kind.AGENT_RESTART);
 
     private final Day day;
     private final long opensAt;
@@ -44,8 +49,7 @@
             case AGENTS -> {
                 for (int i = 0; i < trouble.targets().length; i++) {
                     AgentStand agent = day.agents.get(trouble.targets()[i]);
-                    long apart = kind == Fault.Kind.AGENT_RESTART ? i * trouble.lasts()
-                        : trouble.later(i);
+                    long apart = kind == Fault.Kind.AGENT_RESTART ? i * trouble.lasts() : trouble.later(i);
                     day.at(opensAt + trouble.at() + apart, () -> agent(trouble, agent));
                 }
                 if (kind == Fault.Kind.AGENT_RELOAD) {
@@ -154,7 +158,7 @@
                     day.padron.learnsStatus(nodo, Padron.Status.GONE);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -187,8 +191,11 @@
         if (!agent.machine().running()) {
             return; // it has been killed
         }
-        long longest = (long) (1000 * day.plan.classes().stream().mapToDouble(each -> each.giveUpMs()).max()
-            .orElse(0));
+        long longest = (long) (1000
+                * day.plan.classes().stream()
+                        .mapToDouble(each -> each.giveUpMs())
+                        .max()
+                        .orElse(0));
         int mine = agent.processes();
         agent.leave(() -> {
             if (agent.processes() == mine) {
--- a/src/main/java/gatefront/rehearsal/VirtualAgent.java
+++ b/src/main/java/gatefront/rehearsal/VirtualAgent.java
@@ -2,8 +2,8 @@
 
 import gatefront.agent.Agent;
 import gatefront.budget.Budget;
-import gatefront.engine.Engine;
 import gatefront.config.Config;
+import gatefront.engine.Engine;
 import gatefront.policy.Balancer;
 import gatefront.rehearsal.net.Machine;
 import gatefront.transport.Transport;
@@ -16,10 +16,10 @@
     private final UnaryOperator<Transport> outside;
     private final Function<Engine, Balancer> module;
     private Agent agent;
-    private Runnable ended = () -> { };
+    private Runnable ended = () -> {};
 
-    VirtualAgent(Day day, int number, Machine machine, UnaryOperator<Transport> outside,
-                 Function<Engine, Balancer> module) {
+    VirtualAgent(
+            Day day, int number, Machine machine, UnaryOperator<Transport> outside, Function<Engine, Balancer> module) {
         super(day, number);
         this.machine = machine;
         this.outside = outside;
@@ -42,7 +42,7 @@
             if (agent == mine) {
                 agent = null;
                 Runnable then = ended;
-                ended = () -> { };
+                ended = () -> {};
                 day.at(0, () -> {
                     day.padron.forgot(number);
                     then.run();
@@ -60,7 +60,7 @@
     void end() {
         machine.kill();
         agent = null;
-        ended = () -> { };
+        ended = () -> {};
     }
 
     @Override
--- a/src/main/java/gatefront/rehearsal/check/HandChecker.java
+++ b/src/main/java/gatefront/rehearsal/check/HandChecker.java
@@ -20,10 +20,10 @@
     static final long TELLS_WITHIN = 2_000_000;
 
     /** An agent, and a nodo that is out there. */
-    private record Held(int agent, int nodo) { }
+    private record Held(int agent, int nodo) {}
 
     /** An attempt that is wrong unless the agent tells why in time. */
-    private record Suspect(Held held, long at, long since) { }
+    private record Suspect(Held held, long at, long since) {}
 
     private final long grace;
     private final Map<Held, Long> out = new HashMap<>();
@@ -32,6 +32,7 @@
     private final Set<Held> passing = new HashSet<>();
     /** The first attempt of each pair in each process; they go with the process. */
     private final List<Suspect> suspects = new ArrayList<>();
+
     private final List<String> breaches = new ArrayList<>();
     private int count;
 
@@ -75,7 +76,9 @@
     public void begun(long now, int agent, int nodo) {
         Held held = new Held(agent, nodo);
         Long since = out.get(held);
-        if (since != null && now > since + grace && !lost.contains(agent)
+        if (since != null
+                && now > since + grace
+                && !lost.contains(agent)
                 && suspects.stream().noneMatch(each -> each.held.equals(held))) {
             suspects.add(new Suspect(held, now, since));
         }
@@ -93,9 +96,13 @@
             if ((all || each.held.agent == agent) && now > each.at + TELLS_WITHIN) {
                 count++;
                 if (breaches.size() < KEPT) {
-                    breaches.add(String.format(Locale.ROOT, "agent-%d sends to nodo-%d %.3f s after it said that this "
-                        + "is out by hand, and has told nobody that it lost that", each.held.agent + 1,
-                        each.held.nodo + 1, (each.at - each.since) / 1e6));
+                    breaches.add(String.format(
+                            Locale.ROOT,
+                            "agent-%d sends to nodo-%d %.3f s after it said that this "
+                                    + "is out by hand, and has told nobody that it lost that",
+                            each.held.agent + 1,
+                            each.held.nodo + 1,
+                            (each.at - each.since) / 1e6));
                 }
             }
         }
--- a/src/main/java/gatefront/rehearsal/check/RuleChecker.java
+++ b/src/main/java/gatefront/rehearsal/check/RuleChecker.java
@@ -35,23 +35,39 @@
      * @param drainGrace nothing new goes to a nodo so long after an agent was told that it drains or is gone
      * @param slack what the ways of the network may blur
      */
-    public record Limits(long answerSlack, long drainGrace, long slack) { }
+    public record Limits(long answerSlack, long drainGrace, long slack) {}
 
     /** What a class of requests permits. */
-    public record Kind(String name, Semantics semantics, Scope scope, long window) { }
+    public record Kind(String name, Semantics semantics, Scope scope, long window) {}
 
     /** The rules, in the words of the settings. */
-    public enum Rule { /** One final answer for each request taken, in its time. */ ONE_ANSWER,
-        /** No effect twice. */ NO_EFFECT_TWICE, /** Drains are kept. */ DRAINS_KEPT,
-        /** No cold nodo pushed over. */ NO_COLD_FALL, /** Nothing is left open at the end. */ NOTHING_LEFT }
+    public enum Rule {
+        /** One final answer for each request taken, in its time. */
+        ONE_ANSWER,
+        /** No effect twice. */
+        NO_EFFECT_TWICE,
+        /** Drains are kept. */
+        DRAINS_KEPT,
+        /** No cold nodo pushed over. */
+        NO_COLD_FALL,
+        /** Nothing is left open at the end. */
+        NOTHING_LEFT
+    }
 
     /** A broken rule. */
-    public record Breach(long at, Rule rule, String request, String what, List<String> history) { }
+    public record Breach(long at, Rule rule, String request, String what, List<String> history) {}
 
     /** How an attempt ended, as the nodo saw it. */
     public enum Ending {
-        /** An answer left. */ ANSWERED, /** An answer that says that it never ran left. */ TURNED_AWAY,
-        /** The agent closed its connection. */ ABANDONED, /** The nodo or its machine is no more. */ LOST }
+        /** An answer left. */
+        ANSWERED,
+        /** An answer that says that it never ran left. */
+        TURNED_AWAY,
+        /** The agent closed its connection. */
+        ABANDONED,
+        /** The nodo or its machine is no more. */
+        LOST
+    }
 
     /** Written out only for a breach: there are tens of thousands on an ordinary day. */
     private record Event(long at, String what) {
@@ -99,7 +115,7 @@
     }
 
     /** What an agent was told of a nodo that takes nothing new, and when. */
-    private record Told(int agent, int nodo) { }
+    private record Told(int agent, int nodo) {}
 
     /** What the judge of a rig in real time has besides. */
     public interface Rig {
@@ -117,7 +133,7 @@
             }
 
             @Override
-            public void note(long at, String request, String what) { }
+            public void note(long at, String request, String what) {}
         };
     }
 
@@ -127,6 +143,7 @@
     private final Map<String, Seen> requests = new LinkedHashMap<>();
     /** Those that may be forgotten, the oldest last event first; an entry may be there several times. */
     private final Deque<Seen> forgetting = new ArrayDeque<>();
+
     private final Map<Told, Long> closed = new HashMap<>();
     private final Map<Told, Long> toldOfStart = new HashMap<>();
     private final List<Breach> breaches = new ArrayList<>();
@@ -171,8 +188,14 @@
     private void breach(long at, Rule rule, Seen seen, String what) {
         count++;
         if (breaches.size() < KEPT) {
-            breaches.add(new Breach(at, rule, seen == null ? "" : seen.id, what,
-                seen == null ? List.of() : seen.history.stream().map(Event::line).toList()));
+            breaches.add(new Breach(
+                    at,
+                    rule,
+                    seen == null ? "" : seen.id,
+                    what,
+                    seen == null
+                            ? List.of()
+                            : seen.history.stream().map(Event::line).toList()));
         }
     }
 
@@ -215,15 +238,21 @@
         seen.answeredAt = now;
         seen.over = true;
         if (late(seen.deadline + limits.answerSlack, now)) {
-            breach(now, Rule.ONE_ANSWER, seen, String.format(Locale.ROOT, "the final answer came %.3f s after the "
-                + "caller's time was up", (now - seen.deadline) / 1e6));
+            breach(
+                    now,
+                    Rule.ONE_ANSWER,
+                    seen,
+                    String.format(
+                            Locale.ROOT,
+                            "the final answer came %.3f s after the " + "caller's time was up",
+                            (now - seen.deadline) / 1e6));
         }
         if (status == 200 && !seen.made.contains(body)) {
             breach(now, Rule.ONE_ANSWER, seen, "served with what no nodo made for it");
         }
         boolean refused = status == 429 || status == 503;
         boolean harmless = seen.kind.semantics == Semantics.SAFE
-            || seen.kind.semantics == Semantics.KEYED && seen.kind.scope == Scope.ALL;
+                || seen.kind.semantics == Semantics.KEYED && seen.kind.scope == Scope.ALL;
         if (refused && !harmless && seen.attempts.stream().anyMatch(each -> mayHaveRun(each, now))) {
             breach(now, Rule.NO_EFFECT_TWICE, seen, "refused, though an attempt may have run");
         }
@@ -291,8 +320,16 @@
             note(now, seen, "attempt " + seen.attempts.size() + " at nodo-" + (nodo + 1));
         }
         if (told != null && late(told + limits.drainGrace, now)) {
-            breach(now, Rule.DRAINS_KEPT, seen, String.format(Locale.ROOT, "sent to nodo-%d %.3f s after agent-%d was "
-                + "told that it drains or is gone", nodo + 1, (now - told) / 1e6, agent + 1));
+            breach(
+                    now,
+                    Rule.DRAINS_KEPT,
+                    seen,
+                    String.format(
+                            Locale.ROOT,
+                            "sent to nodo-%d %.3f s after agent-%d was " + "told that it drains or is gone",
+                            nodo + 1,
+                            (now - told) / 1e6,
+                            agent + 1));
         }
         if (seen == null) {
             breach(now, Rule.ONE_ANSWER, null, "a nodo got request " + id + ", which no caller sent");
@@ -304,8 +341,11 @@
         if (seen.kind.semantics != Semantics.SAFE) {
             for (Attempt each : seen.attempts) {
                 if (mayHaveRun(each, now) && !permitted(seen, each, zone, cell, now)) {
-                    breach(now, Rule.NO_EFFECT_TWICE, seen, "sent again outside of what its class permits, "
-                        + "though an attempt may have run");
+                    breach(
+                            now,
+                            Rule.NO_EFFECT_TWICE,
+                            seen,
+                            "sent again outside of what its class permits, " + "though an attempt may have run");
                     break;
                 }
             }
@@ -362,8 +402,9 @@
         for (int i = seen.attempts.size() - 1; i > 0; i--) {
             Attempt sent = seen.attempts.get(i);
             if (sent.nodo == nodo && sent.wholeAt >= 0) {
-                return seen.attempts.subList(0, i).stream().allMatch(each -> !mayHaveRun(each, now)
-                    || permitted(seen, each, sent.zone, sent.cell, sent.wholeAt + seen.kind.window / 4));
+                return seen.attempts.subList(0, i).stream()
+                        .allMatch(each -> !mayHaveRun(each, now)
+                                || permitted(seen, each, sent.zone, sent.cell, sent.wholeAt + seen.kind.window / 4));
             }
         }
         return false;
@@ -381,15 +422,20 @@
         }
         ended.endedAt = now;
         ended.neverRan |= how == Ending.TURNED_AWAY;
-        note(now, seen, "attempt " + attempt + " " + how.name().toLowerCase(Locale.ROOT)
-            .replace('_', ' '));
+        note(
+                now,
+                seen,
+                "attempt " + attempt + " " + how.name().toLowerCase(Locale.ROOT).replace('_', ' '));
         for (Attempt other : seen.attempts) {
             boolean both = other != ended && other.wholeAt >= 0 && ended.wholeAt >= 0 && other.endedAt >= 0;
             long from = Math.max(other.wholeAt, ended.wholeAt);
             long until = Math.min(other.endedAt, now);
             if (both && until - from > limits.slack) {
-                breach(now, Rule.NO_EFFECT_TWICE, seen, String.format(Locale.ROOT, 
-                    "two attempts at once for %.3f s", (until - from) / 1e6));
+                breach(
+                        now,
+                        Rule.NO_EFFECT_TWICE,
+                        seen,
+                        String.format(Locale.ROOT, "two attempts at once for %.3f s", (until - from) / 1e6));
             }
         }
         forgetLater(seen);
@@ -420,12 +466,20 @@
     public void fell(long now, int nodo, long startedAt, Map<Integer, Double> work) {
         double all = work.values().stream().mapToDouble(Double::doubleValue).sum();
         double knowing = work.entrySet().stream()
-            .filter(each -> toldOfStart.getOrDefault(new Told(each.getKey(), nodo), -1L) >= startedAt)
-            .mapToDouble(Map.Entry::getValue).sum();
+                .filter(each -> toldOfStart.getOrDefault(new Told(each.getKey(), nodo), -1L) >= startedAt)
+                .mapToDouble(Map.Entry::getValue)
+                .sum();
         if (knowing >= 2 * all / 3) {
-            breach(now, Rule.NO_COLD_FALL, null, String.format(Locale.ROOT, 
-                "nodo-%d was pushed over %.3f s after its start; %.0f%% of the work came from agents told of it",
-                nodo + 1, (now - startedAt) / 1e6, 100 * knowing / Math.max(all, 1e-9)));
+            breach(
+                    now,
+                    Rule.NO_COLD_FALL,
+                    null,
+                    String.format(
+                            Locale.ROOT,
+                            "nodo-%d was pushed over %.3f s after its start; %.0f%% of the work came from agents told of it",
+                            nodo + 1,
+                            (now - startedAt) / 1e6,
+                            100 * knowing / Math.max(all, 1e-9)));
         }
     }
 
@@ -445,8 +499,7 @@
             }
             for (Attempt attempt : each.attempts) {
                 if (attempt.endedAt < 0) {
-                    breach(now, Rule.NOTHING_LEFT, each, "an attempt at nodo-" + (attempt.nodo + 1)
-                        + " is still open");
+                    breach(now, Rule.NOTHING_LEFT, each, "an attempt at nodo-" + (attempt.nodo + 1) + " is still open");
                 }
             }
         }
@@ -457,7 +510,7 @@
     }
 
     private void sweep(long now) {
-        for (Iterator<Seen> old = forgetting.iterator(); old.hasNext();) {
+        for (Iterator<Seen> old = forgetting.iterator(); old.hasNext(); ) {
             Seen each = old.next();
             if (each.last + REMEMBERED > now) {
                 break;
--- a/src/main/java/gatefront/rehearsal/check/ServiceCurve.java
+++ b/src/main/java/gatefront/rehearsal/check/ServiceCurve.java
@@ -11,6 +11,7 @@
     public static final int BINS = 4;
     /** For how long service is to be full, in seconds, and how full. */
     private static final int WINDOW = 5;
+
     private static final double PART = 0.95;
 
     private final double[] asked;
--- a/src/main/java/gatefront/rehearsal/net/Host.java
+++ b/src/main/java/gatefront/rehearsal/net/Host.java
@@ -24,6 +24,7 @@
     final InetAddress address;
     /** Of the process that runs; each removes itself when it closes. */
     final Map<Integer, MemoryServerChannel> listening = new LinkedHashMap<>();
+
     final Set<MemoryChannel> channels = new LinkedHashSet<>();
     private final String name;
     private final int zone;
--- a/src/main/java/gatefront/rehearsal/net/MemoryChannel.java
+++ b/src/main/java/gatefront/rehearsal/net/MemoryChannel.java
@@ -35,15 +35,21 @@
     /** Reads in a row before others get their turn, as the NIO transport has it. */
     private static final int READS_MOST = 16;
 
-    private enum State { NEW, CONNECTING, OPEN, CLOSED }
+    private enum State {
+        NEW,
+        CONNECTING,
+        OPEN,
+        CLOSED
+    }
 
     final Host host;
     private final Options config = new Options(this);
     /** What has come and when it was sent. */
-    private record Segment(byte[] bytes, long sentAt) { }
+    private record Segment(byte[] bytes, long sentAt) {}
 
     /** Read by nobody yet; bounded by the window of the other end. */
     private final Deque<Segment> arrived = new ArrayDeque<>();
+
     private State state = State.NEW;
     private MemoryChannel peer;
     private InetSocketAddress local;
@@ -55,9 +61,11 @@
     private boolean outputShut;
     /** Bytes sent that the other end has not read. */
     private int unread;
+
     private boolean stalled;
     /** When what is being read was sent, and when the end of the input was. */
     private long sentAt;
+
     private long endSentAt;
     /** Ended with a reset: what was not delivered by then is dropped, as the send buffer is. */
     private boolean aborted;
@@ -325,9 +333,11 @@
             host.channels.add(MemoryChannel.this);
             int timeout = config.getConnectTimeoutMillis();
             if (timeout > 0) {
-                connectTimeout = eventLoop().schedule(() -> fail(
-                    new ConnectTimeoutException("connection timed out: " + remote)), timeout,
-                    TimeUnit.MILLISECONDS);
+                connectTimeout = eventLoop()
+                        .schedule(
+                                () -> fail(new ConnectTimeoutException("connection timed out: " + remote)),
+                                timeout,
+                                TimeUnit.MILLISECONDS);
             }
             host.network.dial(MemoryChannel.this, remote);
         }
@@ -419,7 +429,7 @@
     /** Takes the options of sockets, and does as they say where that means something here. */
     static final class Options extends DefaultChannelConfig {
         private static final Set<ChannelOption<?>> WITHOUT_MEANING =
-            Set.of(ChannelOption.TCP_NODELAY, ChannelOption.SO_BACKLOG, ChannelOption.SO_REUSEADDR);
+                Set.of(ChannelOption.TCP_NODELAY, ChannelOption.SO_BACKLOG, ChannelOption.SO_REUSEADDR);
         private boolean halfClosure;
         /** A linger time of 0: a close is a reset. */
         private boolean abortive;
--- a/src/main/java/gatefront/rehearsal/net/MemoryServerChannel.java
+++ b/src/main/java/gatefront/rehearsal/net/MemoryServerChannel.java
@@ -18,6 +18,7 @@
     private final ChannelConfig config = new MemoryChannel.Options(this);
     /** Connections that have come up and are not accepted. */
     private final Deque<MemoryChannel> waiting = new ArrayDeque<>();
+
     private InetSocketAddress local;
     private boolean open = true;
     private boolean reading;
--- a/src/main/java/gatefront/rehearsal/net/Network.java
+++ b/src/main/java/gatefront/rehearsal/net/Network.java
@@ -33,7 +33,7 @@
     private final Deque<Held> held = new ArrayDeque<>();
     private long nextId;
 
-    private record Held(Host from, Host to, Runnable arrival) { }
+    private record Held(Host from, Host to, Runnable arrival) {}
 
     /**
      * A network without hosts.
@@ -74,7 +74,9 @@
      * @return nanoseconds of the channel's clock
      */
     static long sentAt(Channel channel) {
-        return channel instanceof MemoryChannel here ? here.sentAt() : channel.eventLoop().ticker().nanoTime();
+        return channel instanceof MemoryChannel here
+                ? here.sentAt()
+                : channel.eventLoop().ticker().nanoTime();
     }
 
     ChannelId newId() {
@@ -111,8 +113,7 @@
         held.clear();
         for (Held each : again) {
             if (each.from == host || each.to == host) {
-                schedule(each.from, each.to, time.nanoTime() + links.delayNanos(each.from, each.to, 0),
-                    each.arrival);
+                schedule(each.from, each.to, time.nanoTime() + links.delayNanos(each.from, each.to, 0), each.arrival);
             } else {
                 held.add(each);
             }
@@ -153,11 +154,16 @@
 
     private void again(MemoryChannel from, InetSocketAddress to) {
         if (from.host.running()) {
-            from.host.loop().schedule(() -> {
-                if (from.connecting()) {
-                    dial(from, to);
-                }
-            }, SYN_AGAIN_NANOS, TimeUnit.NANOSECONDS);
+            from.host
+                    .loop()
+                    .schedule(
+                            () -> {
+                                if (from.connecting()) {
+                                    dial(from, to);
+                                }
+                            },
+                            SYN_AGAIN_NANOS,
+                            TimeUnit.NANOSECONDS);
         }
     }
 
@@ -177,8 +183,9 @@
 
         @Override
         public int compareTo(ChannelId other) {
-            return other instanceof Id id ? Long.compare(number, id.number)
-                : asLongText().compareTo(other.asLongText());
+            return other instanceof Id id
+                    ? Long.compare(number, id.number)
+                    : asLongText().compareTo(other.asLongText());
         }
     }
 }
--- a/src/main/java/gatefront/rehearsal/net/VirtualTime.java
+++ b/src/main/java/gatefront/rehearsal/net/VirtualTime.java
@@ -20,6 +20,7 @@
 public final class VirtualTime implements Ticker {
     /** Tasks at one instant from which on time is held to stand still for good. */
     private static final int TASKS_AT_ONCE_MOST = 2_000_000;
+
     private static final long LOOP_NANOS_MOST = TimeUnit.SECONDS.toNanos(5);
 
     private final List<Loop> loops = new ArrayList<>();
@@ -32,8 +33,11 @@
         private static final long serialVersionUID = 1;
 
         LivelockException(String loop, long nanos) {
-            super(String.format(Locale.ROOT, "time stands still at %.6f s: the tasks of %s go on making tasks "
-                + "that are due at once", nanos / 1e9, loop));
+            super(String.format(
+                    Locale.ROOT,
+                    "time stands still at %.6f s: the tasks of %s go on making tasks " + "that are due at once",
+                    nanos / 1e9,
+                    loop));
         }
     }
 
--- a/src/main/java/gatefront/rehearsal/plan/Fault.java
+++ b/src/main/java/gatefront/rehearsal/plan/Fault.java
@@ -17,8 +17,16 @@
  * @param zone the one sala whose nodos or agents it meets, or -1 for all
  * @param spread over how many seconds those that it meets are met, one after the other
  */
-public record Fault(Kind kind, Range at, Range lasts, double share, List<String> names, Range size, Range every,
-                    int zone, Range spread) {
+public record Fault(
+        Kind kind,
+        Range at,
+        Range lasts,
+        double share,
+        List<String> names,
+        Range size,
+        Range every,
+        int zone,
+        Range spread) {
     /** One that meets all salas, and those that it meets at once. */
     public Fault(Kind kind, Range at, Range lasts, double share, List<String> names, Range size, Range every) {
         this(kind, at, lasts, share, names, size, every, -1, new Range(0, 0));
@@ -31,8 +39,16 @@
 
     /** The same, beginning at this second at the latest. */
     Fault until(double seconds) {
-        return new Fault(kind, new Range(at.low(), Math.min(at.high(), seconds)), lasts, share, names, size, every,
-            zone, spread);
+        return new Fault(
+                kind,
+                new Range(at.low(), Math.min(at.high(), seconds)),
+                lasts,
+                share,
+                names,
+                size,
+                every,
+                zone,
+                spread);
     }
 
     /** What may go wrong. */
@@ -79,7 +95,14 @@
         AGENT_RELOAD(Whom.AGENTS, false);
 
         /** Who may be met. */
-        public enum Whom { /** Nodos. */ NODOS, /** Agents. */ AGENTS, /** No one in particular. */ NOBODY }
+        public enum Whom {
+            /** Nodos. */
+            NODOS,
+            /** Agents. */
+            AGENTS,
+            /** No one in particular. */
+            NOBODY
+        }
 
         private final Whom whom;
         private final boolean sized;
--- a/src/main/java/gatefront/rehearsal/plan/PlanReader.java
+++ b/src/main/java/gatefront/rehearsal/plan/PlanReader.java
@@ -1,11 +1,11 @@
 package gatefront.rehearsal.plan;
 
+import gatefront.policy.Balancer.Scope;
+import gatefront.policy.Balancer.Semantics;
 import gatefront.toml.Range;
 import gatefront.toml.Table;
 import gatefront.toml.TomlException;
 import gatefront.toml.TomlFile;
-import gatefront.policy.Balancer.Scope;
-import gatefront.policy.Balancer.Semantics;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -20,15 +20,28 @@
 /** Reads plans. Whatever is wrong is one line, and nothing is played. */
 public final class PlanReader {
     /** The plans that come with the jar. */
-    public static final List<String> BUILT_IN = List.of("cashier-rush", "calm", "rough", "large", "fleet-herd",
-        "fleet-zone", "fleet-join", "mass-join", "mass-zone", "mass-herd", "mass-roll", "registry", "soak");
+    public static final List<String> BUILT_IN = List.of(
+            "cashier-rush",
+            "calm",
+            "rough",
+            "large",
+            "fleet-herd",
+            "fleet-zone",
+            "fleet-join",
+            "mass-join",
+            "mass-zone",
+            "mass-herd",
+            "mass-roll",
+            "registry",
+            "soak");
     /** What may be spoken between callers, agents and nodos. */
-    public static final List<String> PROTOCOLS = List.of("http", "framed-binary", "framed-compact", "unframed-binary",
-        "unframed-compact");
+    public static final List<String> PROTOCOLS =
+            List.of("http", "framed-binary", "framed-compact", "unframed-binary", "unframed-compact");
     /** Where agents may have the server list from. */
     public static final List<String> SOURCES = List.of("padron", "etcd", "consul");
     /** Agents, and nodos, of a plan at the most. */
     public static final int COUNT_MOST = 10_000;
+
     private static final double MANY = 1e9;
 
     private final String file;
@@ -82,14 +95,17 @@
         double seconds = top.number("seconds", null, 1, 86_400);
         List<String> zones = top.texts("zones");
         distinct(top, "zones", zones);
-        boolean byWork = top.word("worth_by", "request", List.of("request", "work")).equals("work");
+        boolean byWork =
+                top.word("worth_by", "request", List.of("request", "work")).equals("work");
         Plan.Net network = network(top.table("network"));
         Plan.Agents agents = agents(top.table("agents"));
         Plan.Nodos nodos = nodos(top.table("nodos"));
         Plan.Rules rules = rules(top.table("rules"));
         Table list = top.table("padron");
-        Plan.Registry padron = new Plan.Registry(list.range("notice_s", new Range(0.5, 2), 0, 60),
-            list.number("calls_s", 0.0, 0, 1e6), list.word("source", "padron", SOURCES));
+        Plan.Registry padron = new Plan.Registry(
+                list.range("notice_s", new Range(0.5, 2), 0, 60),
+                list.number("calls_s", 0.0, 0, 1e6),
+                list.word("source", "padron", SOURCES));
         List<Plan.Kind> classes = classes(top);
         Plan.Callers callers = callers(top.table("callers"), classes);
         List<Plan.Tenant> tenants = new ArrayList<>();
@@ -101,14 +117,26 @@
         for (Table each : top.tables("faults")) {
             Fault fault = fault(each, seconds, agents.count(), nodos.count(), zones);
             if (fault.kind().ofRegistry() && padron.source().equals("padron")) {
-                throw each.bad("kind", fault.kind().word()
-                    + " needs a registry: [padron] source = \"etcd\" or \"consul\"");
+                throw each.bad(
+                        "kind", fault.kind().word() + " needs a registry: [padron] source = \"etcd\" or \"consul\"");
             }
             faults.add(fault);
         }
         top.finish();
-        return new Plan(name, seconds, zones, byWork, network, agents, nodos, rules, padron, callers, classes,
-            List.copyOf(tenants), List.copyOf(faults));
+        return new Plan(
+                name,
+                seconds,
+                zones,
+                byWork,
+                network,
+                agents,
+                nodos,
+                rules,
+                padron,
+                callers,
+                classes,
+                List.copyOf(tenants),
+                List.copyOf(faults));
     }
 
     private static void distinct(Table table, String key, List<String> names) throws TomlException {
@@ -124,78 +152,113 @@
     }
 
     private static Plan.Net network(Table t) throws TomlException {
-        return new Plan.Net(t.number("client_ms", 0.3, 0, 1000), t.number("same_ms", 0.3, 0, 1000),
-            t.range("cross_ms", new Range(2, 2), 0, 1000), t.number("jitter", 0.2, 0, 1),
-            t.number("megabits", 1000.0, 0.1, 1e6), t.word("protocol", "http", PROTOCOLS));
+        return new Plan.Net(
+                t.number("client_ms", 0.3, 0, 1000),
+                t.number("same_ms", 0.3, 0, 1000),
+                t.range("cross_ms", new Range(2, 2), 0, 1000),
+                t.number("jitter", 0.2, 0, 1),
+                t.number("megabits", 1000.0, 0.1, 1e6),
+                t.word("protocol", "http", PROTOCOLS));
     }
 
     private static Plan.Agents agents(Table t) throws TomlException {
-        return new Plan.Agents(t.whole("count", 5, 1, COUNT_MOST), t.whole("sockets", 384, 64, 1 << 20),
-            t.whole("memory_mb", 128, 16, 1 << 20), t.number("skew", 0.5, 0, 3));
+        return new Plan.Agents(
+                t.whole("count", 5, 1, COUNT_MOST),
+                t.whole("sockets", 384, 64, 1 << 20),
+                t.whole("memory_mb", 128, 16, 1 << 20),
+                t.number("skew", 0.5, 0, 3));
     }
 
     private static Plan.Nodos nodos(Table t) throws TomlException {
         List<Plan.Machine> kinds = new ArrayList<>();
         for (Table each : t.tables("kinds")) {
             int cores = each.whole("cores", 2, 1, 1024);
-            kinds.add(new Plan.Machine(each.text("name", null), each.number("share", 1.0, 0, MANY), cores,
-                each.range("speed", new Range(1, 1), 0.01, 100),
-                each.whole("slots", 2 * cores, 1, 100_000), each.whole("room", 16 * cores, 0, 1_000_000),
-                each.number("thrash", 0.0, 0, 10), each.number("thrash_at", 4.0, 0, 1000)));
+            kinds.add(new Plan.Machine(
+                    each.text("name", null),
+                    each.number("share", 1.0, 0, MANY),
+                    cores,
+                    each.range("speed", new Range(1, 1), 0.01, 100),
+                    each.whole("slots", 2 * cores, 1, 100_000),
+                    each.whole("room", 16 * cores, 0, 1_000_000),
+                    each.number("thrash", 0.0, 0, 10),
+                    each.number("thrash_at", 4.0, 0, 1000)));
         }
         distinct(t, "kinds", kinds.stream().map(Plan.Machine::name).toList());
-        return new Plan.Nodos(t.whole("count", 14, 1, COUNT_MOST), t.range("bloque", new Range(6, 10), 1, 10_000),
-            t.range("limited", new Range(0, 0), 0, 1), t.range("limit", new Range(0.6, 0.6), 0.01, 1),
-            t.range("cold_from", new Range(0.13, 0.13), 0.01, 1),
-            t.range("cold_s", new Range(24, 24), 0.1, 3600),
-            t.range("report_ms", new Range(330, 980), 1, 60_000), t.number("noise", 0.1, 0, 1),
-            t.range("probe_ms", new Range(0.51, 1), 0, 1000), t.range("connection_ms", new Range(1, 1), 0, 1000),
-            t.whole("connections", 200, 1, 1 << 20), t.number("idle_s", 60.0, 0.1, 3600), kinds);
+        return new Plan.Nodos(
+                t.whole("count", 14, 1, COUNT_MOST),
+                t.range("bloque", new Range(6, 10), 1, 10_000),
+                t.range("limited", new Range(0, 0), 0, 1),
+                t.range("limit", new Range(0.6, 0.6), 0.01, 1),
+                t.range("cold_from", new Range(0.13, 0.13), 0.01, 1),
+                t.range("cold_s", new Range(24, 24), 0.1, 3600),
+                t.range("report_ms", new Range(330, 980), 1, 60_000),
+                t.number("noise", 0.1, 0, 1),
+                t.range("probe_ms", new Range(0.51, 1), 0, 1000),
+                t.range("connection_ms", new Range(1, 1), 0, 1000),
+                t.whole("connections", 200, 1, 1 << 20),
+                t.number("idle_s", 60.0, 0.1, 3600),
+                kinds);
     }
 
     private static Plan.Rules rules(Table t) throws TomlException {
-        return new Plan.Rules(t.number("slack_ms", 20.0, 0, 10_000), t.number("drain_ms", 500.0, 0, 60_000),
-            t.number("fall_multiple", 3.0, 1, 1000), t.number("fall_s", 3.0, 0.1, 600),
-            t.whole("max_attempts", 6, 1, 60));
+        return new Plan.Rules(
+                t.number("slack_ms", 20.0, 0, 10_000),
+                t.number("drain_ms", 500.0, 0, 60_000),
+                t.number("fall_multiple", 3.0, 1, 1000),
+                t.number("fall_s", 3.0, 0.1, 600),
+                t.whole("max_attempts", 6, 1, 60));
     }
 
     private static Plan.Callers callers(Table t, List<Plan.Kind> classes) throws TomlException {
-        return new Plan.Callers(t.number("rate", null, 0.01, 1e6), t.whole("retries", 2, 0, 20),
-            t.number("backoff_ms", 50.0, 1, 60_000), t.number("honour", 0.8, 0, 1),
-            t.range("try_share", new Range(0.5, 0.8), 0.05, 1), t.number("hint_error", 0.4, 0, 5),
-            t.flag("marks_retry", true), t.number("retry_after_ms", 1000.0, 0, 60_000));
+        return new Plan.Callers(
+                t.number("rate", null, 0.01, 1e6),
+                t.whole("retries", 2, 0, 20),
+                t.number("backoff_ms", 50.0, 1, 60_000),
+                t.number("honour", 0.8, 0, 1),
+                t.range("try_share", new Range(0.5, 0.8), 0.05, 1),
+                t.number("hint_error", 0.4, 0, 5),
+                t.flag("marks_retry", true),
+                t.number("retry_after_ms", 1000.0, 0, 60_000));
     }
 
     private static List<Plan.Kind> classes(Table top) throws TomlException {
         List<Plan.Kind> classes = new ArrayList<>();
         for (Table t : top.tables("classes")) {
             Semantics semantics = Semantics.valueOf(
-                t.word("repeats", null, List.of("safe", "keyed", "unsafe")).toUpperCase(Locale.ROOT));
+                    t.word("repeats", null, List.of("safe", "keyed", "unsafe")).toUpperCase(Locale.ROOT));
             boolean keyed = semantics == Semantics.KEYED;
             if (!keyed && (t.has("window_ms") || t.has("dropped_by"))) {
-                throw t.bad(t.has("window_ms") ? "window_ms" : "dropped_by",
-                    "means something for repeats = \"keyed\" only");
+                throw t.bad(
+                        t.has("window_ms") ? "window_ms" : "dropped_by",
+                        "means something for repeats = \"keyed\" only");
             }
-            Scope scope = Scope.valueOf(t.word("dropped_by", "all", List.of("all", "zone", "cell"))
-                .toUpperCase(Locale.ROOT));
+            Scope scope = Scope.valueOf(
+                    t.word("dropped_by", "all", List.of("all", "zone", "cell")).toUpperCase(Locale.ROOT));
             double aim = t.number("aim_ms", null, 1, 3_600_000);
             double giveUp = t.number("give_up_ms", null, 1, 3_600_000);
             if (aim > giveUp) {
                 throw t.bad("aim_ms", "is later than give_up_ms, when nobody waits any more");
             }
-            classes.add(new Plan.Kind(t.text("name", null), semantics, scope,
-                keyed ? t.number("window_ms", null, 1, 3_600_000) : 0, t.number("share", 1.0, 0, MANY),
-                t.range("work_ms", null, 0.001, 3_600_000), t.number("variation", 0.5, 0, 10), aim, giveUp,
-                t.number("worth", 1.0, 0, MANY)));
+            classes.add(new Plan.Kind(
+                    t.text("name", null),
+                    semantics,
+                    scope,
+                    keyed ? t.number("window_ms", null, 1, 3_600_000) : 0,
+                    t.number("share", 1.0, 0, MANY),
+                    t.range("work_ms", null, 0.001, 3_600_000),
+                    t.number("variation", 0.5, 0, 10),
+                    aim,
+                    giveUp,
+                    t.number("worth", 1.0, 0, MANY)));
         }
         distinct(top, "classes", classes.stream().map(Plan.Kind::name).toList());
         return List.copyOf(classes);
     }
 
     /** Reads one fault of the world. */
-    public static Fault fault(Table t, double seconds, int agents, int nodos, List<String> zones)
-            throws TomlException {
-        List<String> words = Arrays.stream(Fault.Kind.values()).map(Fault.Kind::word).toList();
+    public static Fault fault(Table t, double seconds, int agents, int nodos, List<String> zones) throws TomlException {
+        List<String> words =
+                Arrays.stream(Fault.Kind.values()).map(Fault.Kind::word).toList();
         String word = t.word("kind", null, words);
         Fault.Kind kind = Fault.Kind.values()[words.indexOf(word)];
         Range at = t.range("at_s", null, 0, seconds);
@@ -211,8 +274,10 @@
             }
         }
         Range size = kind.sized() ? t.range("size", null, 0, 1000) : new Range(1, 1);
-        boolean part = kind == Fault.Kind.FAIL || kind == Fault.Kind.TAKEN || kind == Fault.Kind.BREAK_OFF
-            || kind == Fault.Kind.HURRY;
+        boolean part = kind == Fault.Kind.FAIL
+                || kind == Fault.Kind.TAKEN
+                || kind == Fault.Kind.BREAK_OFF
+                || kind == Fault.Kind.HURRY;
         if (part && size.high() > 1) {
             throw t.bad("size", "is a part for " + word + ", from 0 to 1");
         }
@@ -220,19 +285,28 @@
             throw t.bad("size", "is a factor for " + word + ", above 0");
         }
         for (String key : List.of("zone", "spread_s")) {
-            if (t.has(key) && (kind.whom() == Fault.Kind.Whom.NOBODY || kind == Fault.Kind.AGENT_RESTART
-                    && key.equals("spread_s"))) {
-                throw t.bad(key, "means nothing for " + word
-                    + (kind == Fault.Kind.AGENT_RESTART ? ": for_s says how far apart" : ": it meets all"));
+            if (t.has(key)
+                    && (kind.whom() == Fault.Kind.Whom.NOBODY
+                            || kind == Fault.Kind.AGENT_RESTART && key.equals("spread_s"))) {
+                throw t.bad(
+                        key,
+                        "means nothing for " + word
+                                + (kind == Fault.Kind.AGENT_RESTART ? ": for_s says how far apart" : ": it meets all"));
             }
         }
         if (t.has("zone") && t.has("names")) {
             throw t.bad("zone", "cannot stand beside names, which tell already whom it meets");
         }
         int zone = t.has("zone") ? zones.indexOf(t.word("zone", null, zones)) : -1;
-        return new Fault(kind, at, t.range("for_s", new Range(10, 10), 0, 86_400),
-            t.number("share", zone < 0 ? 0.25 : 1, 0, 1), names, size,
-            kind == Fault.Kind.TAKEN ? t.range("every_s", new Range(2, 4), 0.1, 3600) : new Range(1, 1), zone,
-            t.range("spread_s", new Range(0, 0), 0, 3600));
+        return new Fault(
+                kind,
+                at,
+                t.range("for_s", new Range(10, 10), 0, 86_400),
+                t.number("share", zone < 0 ? 0.25 : 1, 0, 1),
+                names,
+                size,
+                kind == Fault.Kind.TAKEN ? t.range("every_s", new Range(2, 4), 0.1, 3600) : new Range(1, 1),
+                zone,
+                t.range("spread_s", new Range(0, 0), 0, 3600));
     }
 }
--- a/src/main/java/gatefront/rehearsal/plan/PlanWriter.java
+++ b/src/main/java/gatefront/rehearsal/plan/PlanWriter.java
@@ -1,7 +1,7 @@
 package gatefront.rehearsal.plan;
 
-import gatefront.toml.Range;
 import gatefront.policy.Balancer.Semantics;
+import gatefront.toml.Range;
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.Collectors;
@@ -10,7 +10,7 @@
 public final class PlanWriter {
     private final StringBuilder out = new StringBuilder();
 
-    private PlanWriter() { }
+    private PlanWriter() {}
 
     /** The plan's TOML. */
     public static String text(Plan plan) {
@@ -141,15 +141,18 @@
     }
 
     private void put(String key, Object value) {
-        String text = value instanceof Range range ? range.low() == range.high() ? number(range.low())
-            : "[" + number(range.low()) + ", " + number(range.high()) + "]"
-            : value instanceof Double figure ? number(figure) : String.valueOf(value);
+        String text = value instanceof Range range
+                ? range.low() == range.high()
+                        ? number(range.low())
+                        : "[" + number(range.low()) + ", " + number(range.high()) + "]"
+                : value instanceof Double figure ? number(figure) : String.valueOf(value);
         out.append(key).append(" = ").append(text).append('\n');
     }
 
     /** A figure as TOML has it, whole ones without a point. */
     private static String number(double figure) {
-        return figure == Math.rint(figure) && Math.abs(figure) < 1e15 ? String.valueOf((long) figure)
-            : new java.math.BigDecimal(String.valueOf(figure)).toPlainString();
+        return figure == Math.rint(figure) && Math.abs(figure) < 1e15
+                ? String.valueOf((long) figure)
+                : new java.math.BigDecimal(String.valueOf(figure)).toPlainString();
     }
 }
--- a/src/main/java/gatefront/rehearsal/processes/Folders.java
+++ b/src/main/java/gatefront/rehearsal/processes/Folders.java
@@ -13,7 +13,7 @@
 
 /** What can become of a folder while nobody is there who would notice. */
 public final class Folders {
-    private Folders() { }
+    private Folders() {}
 
     /** Removes a folder with all that is in it. */
     public static void remove(Path folder) throws IOException {
@@ -61,9 +61,11 @@
     /** Its newest file that holds something, or null. */
     public static Path newest(Path folder) throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
-            return files.filter(each -> Files.isRegularFile(each) && each.toFile().length() > 0)
-                .max(Comparator.comparingLong((Path each) -> each.toFile().lastModified())
-                    .thenComparing(Comparator.naturalOrder())).orElse(null);
+            return files.filter(
+                            each -> Files.isRegularFile(each) && each.toFile().length() > 0)
+                    .max(Comparator.comparingLong((Path each) -> each.toFile().lastModified())
+                            .thenComparing(Comparator.naturalOrder()))
+                    .orElse(null);
         }
     }
 
--- a/src/main/java/gatefront/rehearsal/processes/Lateness.java
+++ b/src/main/java/gatefront/rehearsal/processes/Lateness.java
@@ -15,10 +15,11 @@
     private static final long TICK = 2_000;
     /** Less is what any timer has. */
     private static final long LEAST = 3_000;
+
     private static final int KEPT = 20_000;
 
     /** From when a tick was due until it came. */
-    private record Spell(long from, long until) { }
+    private record Spell(long from, long until) {}
 
     private final Deque<Spell> spells = new ArrayDeque<>();
     private long worst;
--- a/src/main/java/gatefront/rehearsal/processes/ProcessFault.java
+++ b/src/main/java/gatefront/rehearsal/processes/ProcessFault.java
@@ -22,18 +22,45 @@
  * @param size how bad: milliseconds of delay, kilobytes a second, how many starts
  * @param nodos whom a call by hand is about
  */
-public record ProcessFault(Kind kind, Range at, Range lasts, double share, List<String> names, Range spread,
-                           State state, double clock, int disk, double saved, Links links, Direction direction,
-                           Range size, List<String> nodos) {
+public record ProcessFault(
+        Kind kind,
+        Range at,
+        Range lasts,
+        double share,
+        List<String> names,
+        Range spread,
+        State state,
+        double clock,
+        int disk,
+        double saved,
+        Links links,
+        Direction direction,
+        Range size,
+        List<String> nodos) {
     /** What may happen. */
     public enum Kind {
-        /** SIGKILL, and a start after the time. */ KILL, /** SIGTERM, and a start when it has ended. */ TERM,
-        /** SIGSTOP, and SIGCONT after the time. */ STOP,
-        /** Killed as soon as it is there, as many times as the size says; then left alone. */ CRASH_LOOP,
-        /** Links pass nothing. */ CUT, /** Links are late by the size. */ DELAY,
-        /** Links pass so many kilobytes a second. */ THROTTLE, /** Connections are reset. */ RESET,
-        /** The far ends of connections are gone, and the near ones are not told. */ HALF_OPEN,
-        /** Staff take nodos out at agents. */ OUT, /** And put them back. */ BACK;
+        /** SIGKILL, and a start after the time. */
+        KILL,
+        /** SIGTERM, and a start when it has ended. */
+        TERM,
+        /** SIGSTOP, and SIGCONT after the time. */
+        STOP,
+        /** Killed as soon as it is there, as many times as the size says; then left alone. */
+        CRASH_LOOP,
+        /** Links pass nothing. */
+        CUT,
+        /** Links are late by the size. */
+        DELAY,
+        /** Links pass so many kilobytes a second. */
+        THROTTLE,
+        /** Connections are reset. */
+        RESET,
+        /** The far ends of connections are gone, and the near ones are not told. */
+        HALF_OPEN,
+        /** Staff take nodos out at agents. */
+        OUT,
+        /** And put them back. */
+        BACK;
 
         /** As it stands in a plan. */
         public String word() {
@@ -58,16 +85,43 @@
 
     /** What becomes of a folder while its process is dead. */
     public enum State {
-        /** Nothing. */ KEPT, /** All of it is gone. */ WIPED, /** A copy of an earlier time stands there. */ OLDER,
-        /** The last quarter of its newest file is missing. */ TORN,
-        /** One bit of its newest file is another. */ FLIPPED,
-        /** It has the files of another agent. */ ANOTHERS, /** Nothing can be written there. */ READ_ONLY
+        /** Nothing. */
+        KEPT,
+        /** All of it is gone. */
+        WIPED,
+        /** A copy of an earlier time stands there. */
+        OLDER,
+        /** The last quarter of its newest file is missing. */
+        TORN,
+        /** One bit of its newest file is another. */
+        FLIPPED,
+        /** It has the files of another agent. */
+        ANOTHERS,
+        /** Nothing can be written there. */
+        READ_ONLY
     }
 
     /** Which links of an agent. */
-    public enum Links { /** To its nodos. */ NODOS, /** To its padrón. */ PADRON, /** From its callers. */ CALLERS,
-        /** From staff. */ DOOR, /** All of them. */ ALL }
+    public enum Links {
+        /** To its nodos. */
+        NODOS,
+        /** To its padrón. */
+        PADRON,
+        /** From its callers. */
+        CALLERS,
+        /** From staff. */
+        DOOR,
+        /** All of them. */
+        ALL
+    }
 
     /** Seen from the agent. */
-    public enum Direction { /** Both. */ BOTH, /** What comes to it. */ IN, /** What it sends. */ OUT }
+    public enum Direction {
+        /** Both. */
+        BOTH,
+        /** What comes to it. */
+        IN,
+        /** What it sends. */
+        OUT
+    }
 }
--- a/src/main/java/gatefront/rehearsal/processes/ProcessPlan.java
+++ b/src/main/java/gatefront/rehearsal/processes/ProcessPlan.java
@@ -14,13 +14,19 @@
 public record ProcessPlan(String name, Plan day, boolean keeps, List<ProcessFault> faults) {
     /** The same day with nothing going wrong: what it is compared with. */
     public ProcessPlan twin() {
-        return new ProcessPlan(name, day.with(List.of()), keeps, faults.stream()
-            .filter(each -> each.kind().byHand()).toList());
+        return new ProcessPlan(
+                name,
+                day.with(List.of()),
+                keeps,
+                faults.stream().filter(each -> each.kind().byHand()).toList());
     }
 
     /** When the first fault comes that is no call by hand, in seconds; negative if none does. */
     public double firstFault() {
-        return faults.stream().filter(each -> !each.kind().byHand()).mapToDouble(each -> each.at().low()).min()
-            .orElse(-1);
+        return faults.stream()
+                .filter(each -> !each.kind().byHand())
+                .mapToDouble(each -> each.at().low())
+                .min()
+                .orElse(-1);
     }
 }
--- a/src/main/java/gatefront/rehearsal/processes/ProcessPlanReader.java
+++ b/src/main/java/gatefront/rehearsal/processes/ProcessPlanReader.java
@@ -20,14 +20,15 @@
 /** Reads plans with several processes. Whatever is wrong is one line, and nothing is started. */
 public final class ProcessPlanReader {
     /** The plans that come with the jar. */
-    public static final List<String> BUILT_IN = List.of("restart-most", "state-lost", "stopped-and-woken",
-        "crash-loop");
+    public static final List<String> BUILT_IN =
+            List.of("restart-most", "state-lost", "stopped-and-woken", "crash-loop");
     /** Agents at the most: each is a process of some 60 MB. */
     public static final int AGENTS_MOST = 200;
+
     private static final String FOLDER = "processes/";
     private static final double DAYS = 30 * 86_400;
 
-    private ProcessPlanReader() { }
+    private ProcessPlanReader() {}
 
     /** Reads a plan file; {@code agents} in place of the plan's, where it is not null. */
     public static ProcessPlan read(Path path, Integer agents) throws TomlException {
@@ -59,12 +60,13 @@
             throw top.bad("agents", "is to be 1 to " + AGENTS_MOST);
         }
         Plan day = PlanReader.parse(base + ".toml", PlanReader.builtInText(FOLDER + base));
-        Plan sized = day.sized(agents, Math.max(1, (nodos * agents + usual - 1) / usual)).withSeconds(seconds);
+        Plan sized = day.sized(agents, Math.max(1, (nodos * agents + usual - 1) / usual))
+                .withSeconds(seconds);
         sized = sized.withRate(sized.callers().rate() * load);
         List<Fault> world = new ArrayList<>();
         for (Table each : top.tables("world")) {
-            Fault fault = PlanReader.fault(each, seconds, sized.agents().count(), sized.nodos().count(),
-                sized.zones());
+            Fault fault = PlanReader.fault(
+                    each, seconds, sized.agents().count(), sized.nodos().count(), sized.zones());
             if (fault.kind().whom() == Fault.Kind.Whom.AGENTS || fault.kind().ofRegistry()) {
                 throw each.bad("kind", "is not of the world; [[faults]] has what happens to processes");
             }
@@ -83,8 +85,11 @@
         List<String> names = names(t, "names", "agent-", day.agents().count());
         List<String> nodos = names(t, "nodos", "nodo-", day.nodos().count());
         if (kind.byHand() == nodos.isEmpty()) {
-            throw t.bad("nodos", kind.byHand() ? "is missing; it says who is taken out or put back"
-                : "means nothing for " + kind.word());
+            throw t.bad(
+                    "nodos",
+                    kind.byHand()
+                            ? "is missing; it says who is taken out or put back"
+                            : "means nothing for " + kind.word());
         }
         if (t.has("state") && kind != Kind.KILL) {
             throw t.bad("state", "goes with kind = \"kill\": a folder is changed while its process is dead");
@@ -95,22 +100,37 @@
             }
         }
         if (t.has("links") != kind.ofLinks()) {
-            throw t.bad("links", kind.ofLinks() ? "is missing; it says which links: nodos, padron, callers, door, all"
-                : "means nothing for " + kind.word());
+            throw t.bad(
+                    "links",
+                    kind.ofLinks()
+                            ? "is missing; it says which links: nodos, padron, callers, door, all"
+                            : "means nothing for " + kind.word());
         }
         State state = word(t, "state", State.KEPT, State.values());
         if (t.has("saved_s") != (state == State.OLDER)) {
-            throw t.bad("saved_s", state == State.OLDER ? "is missing; it is the second of which the older copy is"
-                : "goes with state = \"older\"");
+            throw t.bad(
+                    "saved_s",
+                    state == State.OLDER
+                            ? "is missing; it is the second of which the older copy is"
+                            : "goes with state = \"older\"");
         }
         Range at = t.range("at_s", null, 0, seconds);
         double saved = t.number("saved_s", 0.0, 0, at.low());
-        return new ProcessFault(kind, at, t.range("for_s", new Range(0, 0), 0, seconds),
-            t.number("share", names.isEmpty() ? 1.0 : 0.0, 0, 1), names, t.range("spread_s", new Range(0, 0), 0, 3600),
-            state, t.number("clock_s", 0.0, -DAYS, DAYS),
-            t.whole("disk_kb", 0, 0, 1 << 20), saved, word(t, "links", Links.ALL, Links.values()),
-            word(t, "direction", Direction.BOTH, Direction.values()),
-            kind.sized() ? t.range("size", null, 0.001, 1e6) : new Range(1, 1), nodos);
+        return new ProcessFault(
+                kind,
+                at,
+                t.range("for_s", new Range(0, 0), 0, seconds),
+                t.number("share", names.isEmpty() ? 1.0 : 0.0, 0, 1),
+                names,
+                t.range("spread_s", new Range(0, 0), 0, 3600),
+                state,
+                t.number("clock_s", 0.0, -DAYS, DAYS),
+                t.whole("disk_kb", 0, 0, 1 << 20),
+                saved,
+                word(t, "links", Links.ALL, Links.values()),
+                word(t, "direction", Direction.BOTH, Direction.values()),
+                kind.sized() ? t.range("size", null, 0.001, 1e6) : new Range(1, 1),
+                nodos);
     }
 
     private static List<String> names(Table t, String key, String prefix, int most) throws TomlException {
@@ -124,9 +144,15 @@
     }
 
     private static <E extends Enum<E>> E word(Table t, String key, E otherwise, E[] all) throws TomlException {
-        List<String> words = Arrays.stream(all).map(each -> each.name().toLowerCase(Locale.ROOT).replace('_', '-'))
-            .toList();
-        return all[words.indexOf(t.word(key, otherwise == null ? null
-            : otherwise.name().toLowerCase(Locale.ROOT).replace('_', '-'), words))];
+        List<String> words = Arrays.stream(all)
+                .map(each -> each.name().toLowerCase(Locale.ROOT).replace('_', '-'))
+                .toList();
+        return all[
+                words.indexOf(t.word(
+                        key,
+                        otherwise == null
+                                ? null
+                                : otherwise.name().toLowerCase(Locale.ROOT).replace('_', '-'),
+                        words))];
     }
 }
--- a/src/main/java/gatefront/rehearsal/processes/Relay.java
+++ b/src/main/java/gatefront/rehearsal/processes/Relay.java
@@ -35,13 +35,17 @@
 public final class Relay {
     /** Held back for one direction of a connection before reading stops, so that senders feel it. */
     private static final int QUEUE_MOST = 256 << 10;
+
     private static final int BACKLOG = 1_024;
     private static final int DIAL_MS = 3_000;
 
     /** The two directions of a link. */
     public enum Way {
-        /** From whoever dials to whoever listens. */ FORTH,
-        /** The other way. */ BACK }
+        /** From whoever dials to whoever listens. */
+        FORTH,
+        /** The other way. */
+        BACK
+    }
 
     private final EventLoop loop;
     private final InetSocketAddress target;
@@ -49,6 +53,7 @@
     private final Shape[] shapes = {Shape.CLEAR, Shape.CLEAR};
     /** Connections through it; each removes itself when both of its ends have closed. */
     private final Set<Pair> pairs = new LinkedHashSet<>();
+
     private volatile boolean clear = true;
     private long made;
 
@@ -63,17 +68,23 @@
     public Relay(EventLoop loop, InetAddress host, InetSocketAddress target) throws IOException {
         this.loop = loop;
         this.target = target;
-        var bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG).childOption(ChannelOption.AUTO_READ, false)
-            .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true).childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel near) {
-                    Pair pair = new Pair(near);
-                    pairs.add(pair);
-                    near.pipeline().addLast(pair.ends[0]);
-                }
-            }).bind(new InetSocketAddress(host, 0)).awaitUninterruptibly();
+        var bound = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .childOption(ChannelOption.AUTO_READ, false)
+                .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel near) {
+                        Pair pair = new Pair(near);
+                        pairs.add(pair);
+                        near.pipeline().addLast(pair.ends[0]);
+                    }
+                })
+                .bind(new InetSocketAddress(host, 0))
+                .awaitUninterruptibly();
         if (!bound.isSuccess()) {
             throw new IOException("a relay cannot listen: " + bound.cause().getMessage(), bound.cause());
         }
@@ -135,7 +146,7 @@
     }
 
     /** What passes in one direction: bytes, the end of them, or a reset in their place. */
-    private record Piece(long due, ByteBuf bytes, boolean reset) { }
+    private record Piece(long due, ByteBuf bytes, boolean reset) {}
 
     /** One connection and the one that goes on from it. */
     private final class Pair {
@@ -152,26 +163,33 @@
         void go() {
             if (!dialled && !shapes[0].held() && !shapes[1].held()) {
                 dialled = true;
-                new Bootstrap().group(loop).channel(NioSocketChannel.class).disableResolver()
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DIAL_MS).option(ChannelOption.AUTO_READ, false)
-                    .option(ChannelOption.ALLOW_HALF_CLOSURE, true).option(ChannelOption.TCP_NODELAY, true)
-                    .handler(new ChannelInitializer<Channel>() {
-                        @Override
-                        protected void initChannel(Channel far) {
-                            ends[1].channel = far;
-                            far.pipeline().addLast(ends[1]);
-                        }
-                    }).connect(target).addListener(done -> {
-                        if (halfOpen) {
-                            return; // the far end has gone while it came up, and the near one is not to know
-                        }
-                        if (!done.isSuccess() || !ends[0].channel.isOpen()) {
-                            reset();
-                        } else {
-                            ends[0].reads(true);
-                            ends[1].reads(true);
-                        }
-                    });
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioSocketChannel.class)
+                        .disableResolver()
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DIAL_MS)
+                        .option(ChannelOption.AUTO_READ, false)
+                        .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .handler(new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel far) {
+                                ends[1].channel = far;
+                                far.pipeline().addLast(ends[1]);
+                            }
+                        })
+                        .connect(target)
+                        .addListener(done -> {
+                            if (halfOpen) {
+                                return; // the far end has gone while it came up, and the near one is not to know
+                            }
+                            if (!done.isSuccess() || !ends[0].channel.isOpen()) {
+                                reset();
+                            } else {
+                                ends[0].reads(true);
+                                ends[1].reads(true);
+                            }
+                        });
             }
             ends[0].pass();
             ends[1].pass();
@@ -281,7 +299,10 @@
             void pass() {
                 Channel to = other(this).channel;
                 boolean wrote = false;
-                while (!queue.isEmpty() && !shapes[way.ordinal()].held() && to != null && to.isActive()
+                while (!queue.isEmpty()
+                        && !shapes[way.ordinal()].held()
+                        && to != null
+                        && to.isActive()
                         && queue.peekFirst().due() <= now()) {
                     Piece piece = queue.removeFirst();
                     if (piece.bytes() != null) {
@@ -299,8 +320,13 @@
                 if (wrote) {
                     to.flush();
                 }
-                if (queued <= QUEUE_MOST / 2 && !ended && dialled && channel.isOpen()
-                        && to != null && to.isActive() && !channel.config().isAutoRead()) {
+                if (queued <= QUEUE_MOST / 2
+                        && !ended
+                        && dialled
+                        && channel.isOpen()
+                        && to != null
+                        && to.isActive()
+                        && !channel.config().isAutoRead()) {
                     reads(true);
                 }
                 if (to != null && !to.isOpen()) {
@@ -308,10 +334,13 @@
                 } else if (!queue.isEmpty() && !shapes[way.ordinal()].held() && !waking) {
                     waking = true;
                     long wait = Math.max(0, queue.peekFirst().due() - now());
-                    loop.schedule(() -> {
-                        waking = false;
-                        pass();
-                    }, Math.max(wait, 100), TimeUnit.MICROSECONDS);
+                    loop.schedule(
+                            () -> {
+                                waking = false;
+                                pass();
+                            },
+                            Math.max(wait, 100),
+                            TimeUnit.MICROSECONDS);
                 }
             }
 
--- a/src/main/java/gatefront/rehearsal/processes/Timeline.java
+++ b/src/main/java/gatefront/rehearsal/processes/Timeline.java
@@ -12,8 +12,14 @@
  */
 public final class Timeline {
     /** What is reached on the way. */
-    public enum Mark { /** Its line that it listens has come. */ LISTENS, /** It says that it is ready. */ READY,
-        /** A caller has been served. */ SERVES }
+    public enum Mark {
+        /** Its line that it listens has come. */
+        LISTENS,
+        /** It says that it is ready. */
+        READY,
+        /** A caller has been served. */
+        SERVES
+    }
 
     private static final double MILLIS = 1e3;
 
@@ -52,8 +58,12 @@
 
     /** Milliseconds until a mark, of all starts that reached it, the shortest first. */
     public double[] until(Mark mark) {
-        return all.stream().mapToLong(each -> each.marks[mark.ordinal()]).filter(each -> each >= 0)
-            .mapToDouble(each -> each / MILLIS).sorted().toArray();
+        return all.stream()
+                .mapToLong(each -> each.marks[mark.ordinal()])
+                .filter(each -> each >= 0)
+                .mapToDouble(each -> each / MILLIS)
+                .sorted()
+                .toArray();
     }
 
     /** One line: medians and worst. */
@@ -61,8 +71,15 @@
         StringBuilder line = new StringBuilder(all.size() + " starts under way");
         for (Mark each : Mark.values()) {
             double[] until = until(each);
-            line.append(until.length == 0 ? "" : String.format(Locale.ROOT, "; %s after %.0f ms (median), %.0f ms "
-                + "(worst)", each.name().toLowerCase(Locale.ROOT), until[until.length / 2], until[until.length - 1]));
+            line.append(
+                    until.length == 0
+                            ? ""
+                            : String.format(
+                                    Locale.ROOT,
+                                    "; %s after %.0f ms (median), %.0f ms " + "(worst)",
+                                    each.name().toLowerCase(Locale.ROOT),
+                                    until[until.length / 2],
+                                    until[until.length - 1]));
         }
         return line.toString();
     }
--- a/src/main/java/gatefront/rehearsal/processes/Warden.java
+++ b/src/main/java/gatefront/rehearsal/processes/Warden.java
@@ -28,10 +28,18 @@
 
     /** Starts one. */
     public static Warden start() throws IOException {
-        return new Warden(new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx16m", "-Xss256k", "-cp",
-            System.getProperty("java.class.path"), Warden.class.getName())
-            .redirectOutput(ProcessBuilder.Redirect.DISCARD).redirectError(ProcessBuilder.Redirect.DISCARD).start());
+        return new Warden(new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-Xmx16m",
+                        "-Xss256k",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        Warden.class.getName())
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                .redirectError(ProcessBuilder.Redirect.DISCARD)
+                .start());
     }
 
     /** From now on it answers for a process. */
@@ -68,12 +76,14 @@
         for (String line = told.readLine(); line != null; line = told.readLine()) {
             long pid = Long.parseLong(line.substring(2));
             if (line.charAt(0) == '+') {
-                ProcessHandle.of(pid).ifPresent(each -> charged.put(pid, each.info().startInstant()));
+                ProcessHandle.of(pid)
+                        .ifPresent(each -> charged.put(pid, each.info().startInstant()));
             } else {
                 charged.remove(pid);
             }
         }
         charged.forEach((pid, since) -> ProcessHandle.of(pid)
-            .filter(each -> each.info().startInstant().equals(since)).ifPresent(ProcessHandle::destroyForcibly));
+                .filter(each -> each.info().startInstant().equals(since))
+                .ifPresent(ProcessHandle::destroyForcibly));
     }
 }
--- a/src/main/java/gatefront/rehearsal/registry/ConsulStand.java
+++ b/src/main/java/gatefront/rehearsal/registry/ConsulStand.java
@@ -33,6 +33,7 @@
 
     /** Waiting reads, each removed when it is answered or its connection closes. */
     private final Set<Asking> waiting = new LinkedHashSet<>();
+
     private boolean leader = true;
     private long lastContact;
 
@@ -85,25 +86,34 @@
             QueryStringDecoder uri = new QueryStringDecoder(request.uri());
             boolean waits = uri.parameters().containsKey("index");
             counted(!waits);
-            if (isOverloaded() || secret() != null && !secret().equals(request.headers().get("X-Consul-Token"))) {
+            if (isOverloaded()
+                    || secret() != null && !secret().equals(request.headers().get("X-Consul-Token"))) {
                 answer(isOverloaded() ? HttpResponseStatus.TOO_MANY_REQUESTS : HttpResponseStatus.FORBIDDEN, -1, "");
                 return;
             }
             health = uri.path().startsWith("/v1/health/service/");
-            prefix = health ? uri.path().substring("/v1/health/service/".length()) + "/"
-                : uri.path().substring("/v1/kv/".length());
+            prefix = health
+                    ? uri.path().substring("/v1/health/service/".length()) + "/"
+                    : uri.path().substring("/v1/kv/".length());
             consistent = uri.parameters().containsKey("consistent");
             behind = waits ? Long.parseLong(uri.parameters().get("index").get(0)) : -1;
             int mine = ++call;
-            String wait = uri.parameters().getOrDefault("wait", List.of(WAIT_MS + "ms")).get(0);
+            String wait = uri.parameters()
+                    .getOrDefault("wait", List.of(WAIT_MS + "ms"))
+                    .get(0);
             waiting.add(this);
             if (waits) {
-                ctx.channel().eventLoop().schedule(() -> {
-                    if (mine == call) {
-                        behind = -1;
-                        look();
-                    }
-                }, Long.parseLong(wait.replace("ms", "")), TimeUnit.MILLISECONDS);
+                ctx.channel()
+                        .eventLoop()
+                        .schedule(
+                                () -> {
+                                    if (mine == call) {
+                                        behind = -1;
+                                        look();
+                                    }
+                                },
+                                Long.parseLong(wait.replace("ms", "")),
+                                TimeUnit.MILLISECONDS);
             }
             if (!waits || !isLate()) {
                 look();
@@ -127,9 +137,15 @@
                     instance(root.addObject(), each);
                     continue;
                 }
-                root.addObject().put("LockIndex", 0).put("Key", each.key()).put("Flags", 0)
-                    .put("Value", Base64.getEncoder().encodeToString(each.value().getBytes(StandardCharsets.UTF_8)))
-                    .put("CreateIndex", each.created()).put("ModifyIndex", each.modified());
+                root.addObject()
+                        .put("LockIndex", 0)
+                        .put("Key", each.key())
+                        .put("Flags", 0)
+                        .put(
+                                "Value",
+                                Base64.getEncoder().encodeToString(each.value().getBytes(StandardCharsets.UTF_8)))
+                        .put("CreateIndex", each.created())
+                        .put("ModifyIndex", each.modified());
             }
             wrote(ctx.channel(), true, values, at);
             boolean none = all.isEmpty() && !health;
@@ -140,9 +156,12 @@
         private void instance(ObjectNode root, KeyValues.Kv kv) {
             String[] held = kv.value().split(" ");
             root.putObject("Node").put("Address", "127.0.0.1");
-            ObjectNode service = root.putObject("Service").put("ID", kv.key().substring(prefix.length()))
-                .put("Address", "").put("Port", Integer.parseInt(held[0])).put("CreateIndex", kv.created())
-                .put("ModifyIndex", kv.created()); // a check changes without it
+            ObjectNode service = root.putObject("Service")
+                    .put("ID", kv.key().substring(prefix.length()))
+                    .put("Address", "")
+                    .put("Port", Integer.parseInt(held[0]))
+                    .put("CreateIndex", kv.created())
+                    .put("ModifyIndex", kv.created()); // a check changes without it
             service.putObject("Meta").put("zone", held[1]).put("type", "small");
             service.putObject("Weights").put("Passing", 2);
             root.putArray("Checks").addObject().put("Status", held[2]);
@@ -151,11 +170,14 @@
         private void answer(HttpResponseStatus status, long index, String text) {
             byte[] body = text.getBytes(StandardCharsets.UTF_8);
             var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length)
-                .set(HttpHeaderNames.CONTENT_TYPE, "application/json");
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, body.length)
+                    .set(HttpHeaderNames.CONTENT_TYPE, "application/json");
             if (index >= 0) {
-                response.headers().set("X-Consul-Index", index)
-                    .set("X-Consul-KnownLeader", String.valueOf(leader)).set("X-Consul-LastContact", lastContact);
+                response.headers()
+                        .set("X-Consul-Index", index)
+                        .set("X-Consul-KnownLeader", String.valueOf(leader))
+                        .set("X-Consul-LastContact", lastContact);
             }
             ctx.writeAndFlush(response);
         }
--- a/src/main/java/gatefront/rehearsal/registry/EtcdStand.java
+++ b/src/main/java/gatefront/rehearsal/registry/EtcdStand.java
@@ -42,10 +42,11 @@
 
     /** Watches, each removed when its stream closes or it is cancelled. */
     private final Set<Stream> watching = new LinkedHashSet<>();
+
     private int fragment = Integer.MAX_VALUE;
     private boolean repeats;
     private String password;
-    private Runnable betweenPages = () -> { };
+    private Runnable betweenPages = () -> {};
 
     /** One that serves a store, which the supplier may replace. */
     public EtcdStand(Transport transport, Supplier<KeyValues> store) {
@@ -78,18 +79,21 @@
 
     @Override
     void serve(Channel channel) {
-        channel.pipeline().addLast(Http2FrameCodecBuilder.forServer().build(),
-            new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel ch) {
-                    ch.pipeline().addLast(new Stream());
-                }
-            }), new ChannelInboundHandlerAdapter() {
-                @Override
-                public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                    ctx.close(); // a client that has been killed
-                }
-            });
+        channel.pipeline()
+                .addLast(
+                        Http2FrameCodecBuilder.forServer().build(),
+                        new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel ch) {
+                                ch.pipeline().addLast(new Stream());
+                            }
+                        }),
+                        new ChannelInboundHandlerAdapter() {
+                            @Override
+                            public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+                                ctx.close(); // a client that has been killed
+                            }
+                        });
     }
 
     @Override
@@ -138,7 +142,8 @@
                     token = String.valueOf(headers.headers().get("token"));
                 } else if (frame instanceof Http2DataFrame data) {
                     received.discardReadBytes().writeBytes(data.content());
-                    while (!ended && received.readableBytes() >= PREFIX
+                    while (!ended
+                            && received.readableBytes() >= PREFIX
                             && received.readableBytes() >= PREFIX + received.getInt(received.readerIndex() + 1)) {
                         received.skipBytes(1);
                         byte[] message = new byte[received.readInt()];
@@ -225,8 +230,11 @@
             long member = any ? revision() : store().revision();
             long revision = at == 0 ? member : at;
             if (!store().has(revision)) {
-                end(STATUS_RANGE, revision < store().oldest() ? "etcdserver: mvcc: required revision has been compacted"
-                    : "etcdserver: mvcc: required revision is a future revision");
+                end(
+                        STATUS_RANGE,
+                        revision < store().oldest()
+                                ? "etcdserver: mvcc: required revision has been compacted"
+                                : "etcdserver: mvcc: required revision is a future revision");
                 return;
             }
             List<KeyValues.Kv> all = store().range(from, to, revision);
@@ -253,7 +261,7 @@
                     tell();
                 }
                 if (watching.contains(this) && told >= revision()) {
-                    send(watched(-1, revision(), out -> { }));
+                    send(watched(-1, revision(), out -> {}));
                 }
                 return;
             }
@@ -286,13 +294,16 @@
                 return;
             }
             long until = revision();
-            List<KeyValues.Event> due = news.stream().filter(each -> each.revision() <= until).toList();
+            List<KeyValues.Event> due =
+                    news.stream().filter(each -> each.revision() <= until).toList();
             if (repeats && !due.isEmpty() && store().since(from, to, told - 2) != null) {
-                due = store().since(from, to, told - 2).stream().filter(each -> each.revision() <= until).toList();
+                due = store().since(from, to, told - 2).stream()
+                        .filter(each -> each.revision() <= until)
+                        .toList();
             }
             told = until;
             wrote(ctx.channel(), false, Map.of(), until);
-            for (int at = 0; at < due.size();) {
+            for (int at = 0; at < due.size(); ) {
                 int end = (int) Math.min(due.size(), (long) at + fragment);
                 List<KeyValues.Event> part = due.subList(at, end);
                 boolean more = end < due.size();
@@ -305,7 +316,8 @@
                     }
                 }));
                 Map<String, String> values = new LinkedHashMap<>();
-                part.forEach(each -> values.put(each.key(), each.after() == null ? null : each.after().value()));
+                part.forEach(each -> values.put(
+                        each.key(), each.after() == null ? null : each.after().value()));
                 wrote(ctx.channel(), false, values, until);
                 at = end;
             }
@@ -324,20 +336,24 @@
                 if (each.after() == null) {
                     out.writeEnum(1, 1);
                 }
-                out.writeByteArray(2, keyValue(each.after() != null ? each.after()
-                    : new KeyValues.Kv(each.key(), "", 0, each.revision())));
+                out.writeByteArray(
+                        2,
+                        keyValue(
+                                each.after() != null
+                                        ? each.after()
+                                        : new KeyValues.Kv(each.key(), "", 0, each.revision())));
             });
         }
 
         private void send(byte[] message) {
             if (!headed) {
                 headed = true;
-                ctx.write(new DefaultHttp2HeadersFrame(new DefaultHttp2Headers().status("200")
-                    .set("content-type", "application/grpc")));
+                ctx.write(new DefaultHttp2HeadersFrame(
+                        new DefaultHttp2Headers().status("200").set("content-type", "application/grpc")));
             }
             ByteBuf framed = ctx.alloc().buffer(PREFIX + message.length);
-            ctx.writeAndFlush(new DefaultHttp2DataFrame(framed.writeByte(0).writeInt(message.length)
-                .writeBytes(message)));
+            ctx.writeAndFlush(new DefaultHttp2DataFrame(
+                    framed.writeByte(0).writeInt(message.length).writeBytes(message)));
         }
 
         private void end(int status, String why) {
--- a/src/main/java/gatefront/rehearsal/registry/RegistryStand.java
+++ b/src/main/java/gatefront/rehearsal/registry/RegistryStand.java
@@ -33,17 +33,20 @@
     private final Supplier<KeyValues> store;
     /** Connections, each removed when it closes. */
     private final Set<Channel> open = new LinkedHashSet<>();
+
     private Channel listening;
-    private Telling telling = (whole, values, open) -> { };
+    private Telling telling = (whole, values, open) -> {};
     private long toldUpTo;
     /** It answers nothing, on no connection, and closes none. */
     private boolean silent;
+
     private boolean overloaded;
     private int lag;
     private long late;
     private String secret;
     /** What came: calls in all, full reads and watches. */
     private int calls;
+
     private int reads;
     private int watches;
 
@@ -54,15 +57,18 @@
 
     /** Takes connections at an address. */
     public ChannelFuture listen(InetSocketAddress at) {
-        ChannelFuture bound = new ServerBootstrap().group(transport.loop()).channelFactory(transport.listeners())
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel ch) {
-                    open.add(ch);
-                    ch.closeFuture().addListener(closed -> open.remove(ch));
-                    serve(ch);
-                }
-            }).bind(at);
+        ChannelFuture bound = new ServerBootstrap()
+                .group(transport.loop())
+                .channelFactory(transport.listeners())
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel ch) {
+                        open.add(ch);
+                        ch.closeFuture().addListener(closed -> open.remove(ch));
+                        serve(ch);
+                    }
+                })
+                .bind(at);
         listening = bound.channel();
         return bound;
     }
--- a/src/main/java/gatefront/rehearsal/world/Demand.java
+++ b/src/main/java/gatefront/rehearsal/world/Demand.java
@@ -12,10 +12,10 @@
      * @param meanWork microseconds on a core of speed 1
      * @param variation of the work, as a coefficient
      */
-    public record Kind(String name, double share, double meanWork, double variation) { }
+    public record Kind(String name, double share, double meanWork, double variation) {}
 
     /** A part of the day at another rate. */
-    public record Jump(long from, long until, double factor) { }
+    public record Jump(long from, long until, double factor) {}
 
     /**
      * What a caller wants, once, whatever it takes.
@@ -28,7 +28,7 @@
      * @param work what it takes, in microseconds on a core of speed 1
      * @param hint what the caller thinks that it takes
      */
-    public record Want(long number, long at, int kind, int tenant, int agent, double work, long hint) { }
+    public record Want(long number, long at, int kind, int tenant, int agent, double work, long hint) {}
 
     private final Draw draw;
     private final List<Kind> kinds;
@@ -52,8 +52,14 @@
      * @param hintError coefficient of variation of the hints about the true work; 0 for true ones
      * @param jumps when the rate is another
      */
-    public Demand(Draw draw, double ratePerSecond, List<Kind> kinds, double[] tenantShares, double[] agentShares,
-                  double hintError, List<Jump> jumps) {
+    public Demand(
+            Draw draw,
+            double ratePerSecond,
+            List<Kind> kinds,
+            double[] tenantShares,
+            double[] agentShares,
+            double hintError,
+            List<Jump> jumps) {
         this.draw = draw;
         this.ratePerSecond = ratePerSecond;
         this.kinds = List.copyOf(kinds);
--- a/src/main/java/gatefront/rehearsal/world/Draw.java
+++ b/src/main/java/gatefront/rehearsal/world/Draw.java
@@ -50,7 +50,7 @@
     public double logNormal(double mean, double variation) {
         double variance = StrictMath.log(1 + variation * variation);
         double normal = StrictMath.sqrt(-2 * StrictMath.log(1 - random.nextDouble()))
-            * StrictMath.cos(2 * StrictMath.PI * random.nextDouble());
+                * StrictMath.cos(2 * StrictMath.PI * random.nextDouble());
         return mean * StrictMath.exp(StrictMath.sqrt(variance) * normal - variance / 2);
     }
 
--- a/src/main/java/gatefront/rehearsal/world/KeyValues.java
+++ b/src/main/java/gatefront/rehearsal/world/KeyValues.java
@@ -11,10 +11,10 @@
  */
 public final class KeyValues {
     /** A key as of a revision. */
-    public record Kv(String key, String value, long created, long modified) { }
+    public record Kv(String key, String value, long created, long modified) {}
 
     /** A change; {@code before} is null for a key that was not there, {@code after} for one that is gone. */
-    public record Event(long revision, String key, Kv before, Kv after) { }
+    public record Event(long revision, String key, Kv before, Kv after) {}
 
     private final TreeMap<String, Kv> now = new TreeMap<>();
     private final List<Event> events = new ArrayList<>();
@@ -138,6 +138,7 @@
             first--;
         }
         return events.subList(first, events.size()).stream()
-            .filter(each -> each.key.compareTo(from) >= 0 && each.key.compareTo(to) < 0).toList();
+                .filter(each -> each.key.compareTo(from) >= 0 && each.key.compareTo(to) < 0)
+                .toList();
     }
 }
--- a/src/main/java/gatefront/rehearsal/world/NodoModel.java
+++ b/src/main/java/gatefront/rehearsal/world/NodoModel.java
@@ -21,6 +21,7 @@
 public final class NodoModel {
     /** While cold, the capacity is reckoned anew this often. */
     static final long STEP = 20_000;
+
     private static final double EPSILON = 1e-6;
 
     /**
@@ -37,8 +38,17 @@
      * @param fallMultiple a cold process falls over when sent more than this multiple of its capacity
      * @param fallMicros for this long
      */
-    public record Machine(int cores, double speed, int slots, int room, double thrash, double thrashAt,
-                          Warmth cold, Warmth stated, double fallMultiple, long fallMicros) { }
+    public record Machine(
+            int cores,
+            double speed,
+            int slots,
+            int room,
+            double thrash,
+            double thrashAt,
+            Warmth cold,
+            Warmth stated,
+            double fallMultiple,
+            long fallMicros) {}
 
     /** The part of the capacity that a process has when it starts, and the time until it has the whole. */
     public record Warmth(double from, long micros) {
@@ -49,19 +59,20 @@
     }
 
     /** The end of a request's work; failed ones end without an effect. */
-    public record Ended(long job, boolean served) { }
+    public record Ended(long job, boolean served) {}
 
-    private record Job(long id, double work, double endsAt, long order) { }
+    private record Job(long id, double work, double endsAt, long order) {}
 
     private final Machine machine;
     private final Draw draw;
     private final PriorityQueue<Job> running =
-        new PriorityQueue<>(Comparator.comparingDouble(Job::endsAt).thenComparingLong(Job::order));
+            new PriorityQueue<>(Comparator.comparingDouble(Job::endsAt).thenComparingLong(Job::order));
     private final Deque<Job> waiting = new ArrayDeque<>();
     /** Work that each agent has sent while this was cold; goes with the process. */
     private final Map<Integer, Double> coldWork = new LinkedHashMap<>();
     /** What it could have done while it was cold. */
     private double coldBorne;
+
     private final long startedAt;
     private final boolean startsCold;
     private double attained;
@@ -181,7 +192,14 @@
     }
 
     /** How a request fares on arrival. */
-    public enum Arrival { /** In work or waiting. */ TAKEN, /** No room. */ TURNED_AWAY, /** Fails at once. */ FAILS }
+    public enum Arrival {
+        /** In work or waiting. */
+        TAKEN,
+        /** No room. */
+        TURNED_AWAY,
+        /** Fails at once. */
+        FAILS
+    }
 
     /**
      * A request's last byte has come. Call {@link #advance} first.
--- a/src/main/java/gatefront/rehearsal/world/Padron.java
+++ b/src/main/java/gatefront/rehearsal/world/Padron.java
@@ -14,8 +14,13 @@
     static final int KEPT = 1_000;
 
     /** What it says of a nodo. */
-    public enum Status { /** Takes requests. */ READY("Ready"), /** Finishes what it has. */ TERMINATING("Terminating"),
-        /** Has left. */ GONE("Gone");
+    public enum Status {
+        /** Takes requests. */
+        READY("Ready"),
+        /** Finishes what it has. */
+        TERMINATING("Terminating"),
+        /** Has left. */
+        GONE("Gone");
 
         private final String word;
 
@@ -30,17 +35,24 @@
     }
 
     /** One line of the list; {@code sinceMillis} is 0 for long ago. */
-    public record Entry(String name, String address, int zone, String kind, int cell, Status status, double weight,
-                        long sinceMillis) {
+    public record Entry(
+            String name,
+            String address,
+            int zone,
+            String kind,
+            int cell,
+            Status status,
+            double weight,
+            long sinceMillis) {
         Entry as(Status other) {
             return new Entry(name, address, zone, kind, cell, other, weight, sinceMillis);
         }
     }
 
     /** An answer. */
-    public record Listing(long index, boolean whole, List<Entry> entries) { }
+    public record Listing(long index, boolean whole, List<Entry> entries) {}
 
-    private record Change(long index, Entry entry) { }
+    private record Change(long index, Entry entry) {}
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final List<Change> changes = new ArrayList<>();
--- a/src/main/java/gatefront/rehearsal/world/Patience.java
+++ b/src/main/java/gatefront/rehearsal/world/Patience.java
@@ -7,12 +7,28 @@
  */
 public final class Patience {
     /** How a try ended. */
-    public enum Fate { /** In time or late. */ SERVED, /** 429 or 503. */ REFUSED, /** Any other answer. */ FAILED,
-        /** No answer when the try was given up. */ TIMED_OUT, /** No connection, or it ended unanswered. */ UNREACHED }
+    public enum Fate {
+        /** In time or late. */
+        SERVED,
+        /** 429 or 503. */
+        REFUSED,
+        /** Any other answer. */
+        FAILED,
+        /** No answer when the try was given up. */
+        TIMED_OUT,
+        /** No connection, or it ended unanswered. */
+        UNREACHED
+    }
 
     /** What may be asked again. */
-    public enum Repeat { /** Any number of times. */ SAFE, /** All nodos drop repeats for a while. */ KEYED_EVERYWHERE,
-        /** Only what surely did not run. */ CAREFUL }
+    public enum Repeat {
+        /** Any number of times. */
+        SAFE,
+        /** All nodos drop repeats for a while. */
+        KEYED_EVERYWHERE,
+        /** Only what surely did not run. */
+        CAREFUL
+    }
 
     /** Never again. */
     public static final long NEVER = -1;
@@ -53,8 +69,10 @@
         if (fate == Fate.SERVED || tries > retries) {
             return NEVER;
         }
-        boolean harmless = fate == Fate.REFUSED || fate == Fate.UNREACHED || repeat == Repeat.SAFE
-            || repeat == Repeat.KEYED_EVERYWHERE && now < windowEnd;
+        boolean harmless = fate == Fate.REFUSED
+                || fate == Fate.UNREACHED
+                || repeat == Repeat.SAFE
+                || repeat == Repeat.KEYED_EVERYWHERE && now < windowEnd;
         if (!harmless) {
             return NEVER;
         }
--- a/src/main/java/gatefront/rehearsal/world/Repeats.java
+++ b/src/main/java/gatefront/rehearsal/world/Repeats.java
@@ -48,7 +48,7 @@
      * @return what is known of the key; a new entry if its window is over, or there was none
      */
     public Entry arrive(long now, String key) {
-        for (Iterator<Entry> old = seen.values().iterator(); old.hasNext() && old.next().until <= now;) {
+        for (Iterator<Entry> old = seen.values().iterator(); old.hasNext() && old.next().until <= now; ) {
             old.remove();
         }
         return seen.computeIfAbsent(key, each -> new Entry(now + window));
--- a/src/main/java/gatefront/status/CallServer.java
+++ b/src/main/java/gatefront/status/CallServer.java
@@ -44,6 +44,7 @@
     private final long patienceMs;
     /** The oldest first. Each is removed when it closes: after its answer or its time, or for a newer one. */
     private final Set<Channel> open = new LinkedHashSet<>();
+
     private Channel server;
 
     /**
@@ -66,13 +67,16 @@
 
     /** Begins to listen; the future tells whether it could. */
     public final ChannelFuture listen() {
-        ChannelFuture bound = new ServerBootstrap().group(transport.loop()).channelFactory(transport.listeners())
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel ch) {
-                    accept(ch);
-                }
-            }).bind(listen);
+        ChannelFuture bound = new ServerBootstrap()
+                .group(transport.loop())
+                .channelFactory(transport.listeners())
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel ch) {
+                        accept(ch);
+                    }
+                })
+                .bind(listen);
         server = bound.channel();
         return bound;
     }
@@ -122,10 +126,12 @@
 
         private void answer(ChannelHandlerContext ctx, Reply reply) {
             byte[] body = reply.text().getBytes(StandardCharsets.UTF_8);
-            var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(body));
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length)
-                .set(HttpHeaderNames.CONTENT_TYPE, reply.type()).set(HttpHeaderNames.CONNECTION, "close");
+            var response = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(body));
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, body.length)
+                    .set(HttpHeaderNames.CONTENT_TYPE, reply.type())
+                    .set(HttpHeaderNames.CONNECTION, "close");
             ctx.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
         }
 
--- a/src/main/java/gatefront/status/MemoryWatch.java
+++ b/src/main/java/gatefront/status/MemoryWatch.java
@@ -27,7 +27,7 @@
         long grown = unexplained.seen(now.resident(), now.heapTaken(), now.buffers());
         if (grown > 0) {
             transport.log("memory: the process has grown by " + (grown >> 20) + " MiB that neither heap nor buffers "
-                + "account for; it has " + (now.resident() >> 20) + " MiB in all");
+                    + "account for; it has " + (now.resident() >> 20) + " MiB in all");
         }
     }
 }
--- a/src/main/java/gatefront/status/ProcessFigures.java
+++ b/src/main/java/gatefront/status/ProcessFigures.java
@@ -17,8 +17,8 @@
  * @param resident bytes of memory in use; -1 where the system does not tell
  * @param descriptors open ones; -1 where the system does not tell
  */
-public record ProcessFigures(long heapUsed, long heapTaken, long heapMost, long buffers, long resident,
-                             long descriptors) {
+public record ProcessFigures(
+        long heapUsed, long heapTaken, long heapMost, long buffers, long resident, long descriptors) {
     private static final Path MEMORY = Path.of("/proc/self/statm");
     private static final Path DESCRIPTORS = Path.of("/proc/self/fd");
     private static final long PAGE = 4_096;
@@ -26,8 +26,13 @@
     /** As they are now. */
     public static ProcessFigures now() {
         Runtime jvm = Runtime.getRuntime();
-        return new ProcessFigures(jvm.totalMemory() - jvm.freeMemory(), jvm.totalMemory(), jvm.maxMemory(),
-            PooledByteBufAllocator.DEFAULT.metric().usedDirectMemory(), residentNow(), descriptorsNow());
+        return new ProcessFigures(
+                jvm.totalMemory() - jvm.freeMemory(),
+                jvm.totalMemory(),
+                jvm.maxMemory(),
+                PooledByteBufAllocator.DEFAULT.metric().usedDirectMemory(),
+                residentNow(),
+                descriptorsNow());
     }
 
     private static long residentNow() {
--- a/src/main/java/gatefront/status/StatusFront.java
+++ b/src/main/java/gatefront/status/StatusFront.java
@@ -30,8 +30,8 @@
         if (!request.method().equals(HttpMethod.GET) || !json && !request.uri().equals("/status")) {
             return Reply.plain(404, "there are /status and /status.json\n");
         }
-        return json ? new Reply(200, "application/json",
-            StatusPage.json(budget, ProcessFigures.now()) + "\n")
-            : Reply.plain(200, StatusPage.text(budget, ProcessFigures.now()));
+        return json
+                ? new Reply(200, "application/json", StatusPage.json(budget, ProcessFigures.now()) + "\n")
+                : Reply.plain(200, StatusPage.text(budget, ProcessFigures.now()));
     }
 }
--- a/src/main/java/gatefront/status/StatusPage.java
+++ b/src/main/java/gatefront/status/StatusPage.java
@@ -9,26 +9,47 @@
 
 /** What is held, by purpose, as text and as JSON. */
 public final class StatusPage {
-    private StatusPage() { }
+    private StatusPage() {}
 
     /** A line for each purpose: entries and bytes now, the highest, the cap, and how often there was no room. */
     public static String text(Budget budget, ProcessFigures process) {
-        StringBuilder out = new StringBuilder(String.format(Locale.ROOT, "%-20s %9s %9s %9s %12s %12s %12s %11s%n",
-            "purpose", "entries", "highest", "cap", "bytes", "highest", "cap", "turned away"));
+        StringBuilder out = new StringBuilder(String.format(
+                Locale.ROOT,
+                "%-20s %9s %9s %9s %12s %12s %12s %11s%n",
+                "purpose",
+                "entries",
+                "highest",
+                "cap",
+                "bytes",
+                "highest",
+                "cap",
+                "turned away"));
         for (Purpose each : Purpose.values()) {
             Account a = budget.of(each);
-            out.append(String.format(Locale.ROOT, "%-20s %9d %9d %9s ", each.word(), a.entries(), a.entriesHigh(),
-                cap(a.entriesCap())));
-            out.append(String.format(Locale.ROOT, "%12d %12d %12s %11d%n", a.bytes(), a.bytesHigh(),
-                cap(a.bytesCap()), a.turnedAway()));
+            out.append(String.format(
+                    Locale.ROOT, "%-20s %9d %9d %9s ", each.word(), a.entries(), a.entriesHigh(), cap(a.entriesCap())));
+            out.append(String.format(
+                    Locale.ROOT, "%12d %12d %12s %11d%n", a.bytes(), a.bytesHigh(), cap(a.bytesCap()), a.turnedAway()));
         }
-        return out.append(String.format(Locale.ROOT, "all purposes         %d of %d bytes, pressure %s%n",
-            budget.bytes(), budget.total(), budget.pressure().name().toLowerCase(Locale.ROOT)))
-            .append(String.format(Locale.ROOT, "heap                 %d of %d bytes, garbage with it%n",
-                process.heapUsed(), process.heapMost()))
-            .append(String.format(Locale.ROOT, "buffers              %d bytes outside the heap%n", process.buffers()))
-            .append(String.format(Locale.ROOT, "process              %s bytes resident, %s descriptors%n",
-                known(process.resident()), known(process.descriptors()))).toString();
+        return out.append(String.format(
+                        Locale.ROOT,
+                        "all purposes         %d of %d bytes, pressure %s%n",
+                        budget.bytes(),
+                        budget.total(),
+                        budget.pressure().name().toLowerCase(Locale.ROOT)))
+                .append(String.format(
+                        Locale.ROOT,
+                        "heap                 %d of %d bytes, garbage with it%n",
+                        process.heapUsed(),
+                        process.heapMost()))
+                .append(String.format(
+                        Locale.ROOT, "buffers              %d bytes outside the heap%n", process.buffers()))
+                .append(String.format(
+                        Locale.ROOT,
+                        "process              %s bytes resident, %s descriptors%n",
+                        known(process.resident()),
+                        known(process.descriptors())))
+                .toString();
     }
 
     private static String known(long figure) {
@@ -45,9 +66,12 @@
         ObjectNode purposes = root.putObject("purposes");
         for (Purpose each : Purpose.values()) {
             Account a = budget.of(each);
-            ObjectNode one = purposes.putObject(each.word()).put("entries", a.entries())
-                .put("entries_highest", a.entriesHigh()).put("bytes", a.bytes()).put("bytes_highest", a.bytesHigh())
-                .put("turned_away", a.turnedAway());
+            ObjectNode one = purposes.putObject(each.word())
+                    .put("entries", a.entries())
+                    .put("entries_highest", a.entriesHigh())
+                    .put("bytes", a.bytes())
+                    .put("bytes_highest", a.bytesHigh())
+                    .put("turned_away", a.turnedAway());
             if (a.entriesCap() != Long.MAX_VALUE) {
                 one.put("entries_cap", a.entriesCap());
             }
@@ -55,10 +79,12 @@
                 one.put("bytes_cap", a.bytesCap());
             }
         }
-        root.put("bytes", budget.bytes()).put("bytes_total", budget.total())
-            .put("pressure", budget.pressure().name().toLowerCase(Locale.ROOT));
-        root.put("heap_used", process.heapUsed()).put("heap_most", process.heapMost())
-            .put("buffers", process.buffers());
+        root.put("bytes", budget.bytes())
+                .put("bytes_total", budget.total())
+                .put("pressure", budget.pressure().name().toLowerCase(Locale.ROOT));
+        root.put("heap_used", process.heapUsed())
+                .put("heap_most", process.heapMost())
+                .put("buffers", process.buffers());
         if (process.resident() >= 0) {
             root.put("resident", process.resident());
         }
--- a/src/main/java/gatefront/storage/FolderDisk.java
+++ b/src/main/java/gatefront/storage/FolderDisk.java
@@ -39,14 +39,20 @@
     @Override
     public List<String> names() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
-            return files.map(each -> each.getFileName().toString()).filter(each -> !each.equals(LOCK)).toList();
+            return files.map(each -> each.getFileName().toString())
+                    .filter(each -> !each.equals(LOCK))
+                    .toList();
         }
     }
 
     @Override
     public File create(String name) throws IOException {
-        return new Channel(FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.READ,
-            StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING));
+        return new Channel(FileChannel.open(
+                folder.resolve(name),
+                StandardOpenOption.CREATE,
+                StandardOpenOption.READ,
+                StandardOpenOption.WRITE,
+                StandardOpenOption.TRUNCATE_EXISTING));
     }
 
     @Override
@@ -56,8 +62,11 @@
 
     @Override
     public void move(String from, String to) throws IOException {
-        Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE,
-            StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+                folder.resolve(from),
+                folder.resolve(to),
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
     }
 
     @Override
--- a/src/main/java/gatefront/storage/Frame.java
+++ b/src/main/java/gatefront/storage/Frame.java
@@ -20,6 +20,7 @@
     static final int HEAD = 32 + Keys.MAC;
     /** Bytes of a frame's body at the most. */
     static final int BODY_MOST = 16 << 20;
+
     private static final int CRC_AT = 4;
 
     /** Bytes that a record takes in a frame's body. */
@@ -35,7 +36,12 @@
         }
         ByteBuffer bytes = ByteBuffer.allocate(HEAD + body);
         int key = chain.signing();
-        bytes.putInt(body).putInt(0).putLong(first).putLong(durable).putInt(records.size()).putInt(key);
+        bytes.putInt(body)
+                .putInt(0)
+                .putLong(first)
+                .putLong(durable)
+                .putInt(records.size())
+                .putInt(key);
         bytes.position(HEAD);
         records.forEach(each -> bytes.putInt(each.length).put(each));
         byte[] mac = chain.sign(key, head(bytes, file), body(bytes, body));
@@ -51,7 +57,9 @@
             return null;
         }
         int body = bytes.getInt(at);
-        if (body < 0 || body > BODY_MOST || body > bytes.limit() - at - HEAD
+        if (body < 0
+                || body > BODY_MOST
+                || body > bytes.limit() - at - HEAD
                 || bytes.getInt(at + CRC_AT) != checksum(bytes, at, body, file)) {
             return null;
         }
@@ -70,8 +78,8 @@
         }
         byte[] mac = new byte[Keys.MAC];
         bytes.get(at + HEAD - Keys.MAC, mac);
-        return new Frame(bytes.getLong(at + 8), bytes.getLong(at + 16), bytes.getInt(at + 28), mac, records,
-            HEAD + body);
+        return new Frame(
+                bytes.getLong(at + 8), bytes.getLong(at + 16), bytes.getInt(at + 28), mac, records, HEAD + body);
     }
 
     /** What is wrong with the signature of the frame that begins there, or null; the chain goes on to it. */
@@ -83,7 +91,10 @@
     /** What of the head is signed: all but checksum and signature, and the number of the file. */
     private static byte[] head(ByteBuffer frame, long file) {
         ByteBuffer head = ByteBuffer.allocate(HEAD - Keys.MAC - Integer.BYTES + Long.BYTES);
-        head.putInt(frame.getInt(0)).putLong(frame.getLong(8)).putLong(frame.getLong(16)).putLong(frame.getLong(24));
+        head.putInt(frame.getInt(0))
+                .putLong(frame.getLong(8))
+                .putLong(frame.getLong(16))
+                .putLong(frame.getLong(24));
         return head.putLong(file).array();
     }
 
--- a/src/main/java/gatefront/storage/GroupCommit.java
+++ b/src/main/java/gatefront/storage/GroupCommit.java
@@ -37,7 +37,7 @@
      * @param recordsMost records of a group
      * @param queueMost records that wait, a power of two
      */
-    public record Settings(Policy policy, long waitMicros, int recordsMost, int queueMost) { }
+    public record Settings(Policy policy, long waitMicros, int recordsMost, int queueMost) {}
 
     /** Who is told. */
     public interface Told {
@@ -49,7 +49,7 @@
     }
 
     /** A record, or something to be done with the store. */
-    private record Item(byte[] record, Told told, Consumer<Store> task) { }
+    private record Item(byte[] record, Told told, Consumer<Store> task) {}
 
     private static final int BYTES_MOST = 1 << 20;
     private static final long IDLE_NANOS = 1_000_000_000L;
--- a/src/main/java/gatefront/storage/Head.java
+++ b/src/main/java/gatefront/storage/Head.java
@@ -17,7 +17,8 @@
 record Head(Kind kind, long number, long first, long before, byte[] chain, int key, byte[] mac) {
     /** What a file is. */
     enum Kind {
-        SEGMENT("GFLOG"), SNAPSHOT("GFSNAP");
+        SEGMENT("GFLOG"),
+        SNAPSHOT("GFSNAP");
 
         private final String magic;
 
@@ -29,6 +30,7 @@
     static final int BYTES = 8 + 3 * Long.BYTES + 2 * Integer.BYTES + 2 * Keys.MAC;
     /** The format that is written. A reader has a branch for each that was ever written; so far there is this one. */
     static final byte VERSION = 1;
+
     private static final int MAGIC = 7;
     private static final int MAC_AT = BYTES - Keys.MAC;
     private static final int CRC_AT = MAC_AT - Keys.MAC - Integer.BYTES;
@@ -40,8 +42,14 @@
             bytes.put(i, (byte) kind.magic.charAt(i));
         }
         int key = chain.signing();
-        bytes.put(MAGIC, VERSION).position(8).putLong(number).putLong(first).putLong(before).putInt(key).putInt(0)
-            .put(chain.last());
+        bytes.put(MAGIC, VERSION)
+                .position(8)
+                .putLong(number)
+                .putLong(first)
+                .putLong(before)
+                .putInt(key)
+                .putInt(0)
+                .put(chain.last());
         byte[] mac = chain.sign(key, signed(bytes), new byte[0]);
         bytes.put(MAC_AT, mac);
         chain.wrote(key, mac);
@@ -62,15 +70,18 @@
             throw new DamageException(file, 0, "its head has another checksum than its bytes");
         }
         if (bytes.get(MAGIC) != VERSION) {
-            throw new DamageException(file, MAGIC, "has format " + bytes.get(MAGIC) + ", and formats up to " + VERSION
-                + " are known here; a newer program wrote it");
+            throw new DamageException(
+                    file,
+                    MAGIC,
+                    "has format " + bytes.get(MAGIC) + ", and formats up to " + VERSION
+                            + " are known here; a newer program wrote it");
         }
         byte[] before = new byte[Keys.MAC];
         bytes.get(CRC_AT + Integer.BYTES, before);
         byte[] mac = new byte[Keys.MAC];
         bytes.get(MAC_AT, mac);
-        Head head = new Head(kind, bytes.getLong(8), bytes.getLong(16), bytes.getLong(24), before, bytes.getInt(32),
-            mac);
+        Head head =
+                new Head(kind, bytes.getLong(8), bytes.getLong(16), bytes.getLong(24), before, bytes.getInt(32), mac);
         if (chain != null) {
             chain.begin(before);
             String wrong = chain.read(head.key, mac, signed(bytes), new byte[0]);
--- a/src/main/java/gatefront/storage/Keys.java
+++ b/src/main/java/gatefront/storage/Keys.java
@@ -23,6 +23,7 @@
     public static final Keys NONE = new Keys(new TreeMap<>());
     /** Bytes of a signature. */
     static final int MAC = 32;
+
     private static final int BYTES_LEAST = 16;
     private static final int BYTES_MOST = 256;
     private static final int LINES_MOST = 1_000;
@@ -78,7 +79,7 @@
                 }
             } catch (IllegalArgumentException e) {
                 throw new IOException(file + ":" + n + ": is to be a number from 1 and " + BYTES_LEAST + " to "
-                    + BYTES_MOST + " bytes in hex"); // the cause would show the key
+                        + BYTES_MOST + " bytes in hex"); // the cause would show the key
             }
         }
         if (byId.isEmpty()) {
--- a/src/main/java/gatefront/storage/Replay.java
+++ b/src/main/java/gatefront/storage/Replay.java
@@ -7,10 +7,10 @@
     /** One that wants nothing. */
     Replay NOBODY = new Replay() {
         @Override
-        public void snapshot(byte[] record) { }
+        public void snapshot(byte[] record) {}
 
         @Override
-        public void record(long number, byte[] record) { }
+        public void record(long number, byte[] record) {}
     };
 
     /** A record of the snapshot. */
--- a/src/main/java/gatefront/storage/Scan.java
+++ b/src/main/java/gatefront/storage/Scan.java
@@ -25,32 +25,37 @@
     private static final int HEX = 16;
 
     /** A frame that no other says was forced to the disk. */
-    record Unsure(long at, Frame frame) { }
+    record Unsure(long at, Frame frame) {}
 
     /** A segment: its file's name, its head and its bytes. */
-    record Segment(String name, Head head, long bytes) { }
+    record Segment(String name, Head head, long bytes) {}
 
     private final Disk disk;
     private final Replay replay;
     /** The signatures as far as they are known to be certain, and as far as they were read. */
     private final Chain certain;
+
     private final Chain chain;
     /** Files that stand for nothing: unfinished ones, and those that a snapshot has taken the place of. */
     final List<String> leftOver = new ArrayList<>();
     /** Names that no store gives. They are left alone. */
     final List<String> strangers = new ArrayList<>();
+
     final List<Segment> segments = new ArrayList<>();
     /** Of the last segment, what no later frame speaks of. As much as was written at once and forced with it. */
     final List<Unsure> unsure = new ArrayList<>();
     /** What was found beside the records, a line each. */
     final List<String> notes = new ArrayList<>();
+
     String snapshotName;
     long snapshotBytes;
     /** The number of the first record that the snapshot does not hold. */
     long snapshotNext;
+
     long next;
     /** The end of what is certain in the last segment, and the number of the record that comes there. */
     long durable;
+
     long durableNext;
 
     Scan(Disk disk, Keys keys, Replay replay) {
@@ -94,7 +99,10 @@
             }
         }
         if (!snapshots.isEmpty()) {
-            snapshots.stream().limit(snapshots.size() - 1).map(Scan::snapshotName).forEach(leftOver::add);
+            snapshots.stream()
+                    .limit(snapshots.size() - 1)
+                    .map(Scan::snapshotName)
+                    .forEach(leftOver::add);
             snapshot(snapshots.get(snapshots.size() - 1));
         }
         heads(numbers);
@@ -105,8 +113,10 @@
             segment(segments.get(i), i + 1 < segments.size() ? segments.get(i + 1).head : null);
         }
         if (next < snapshotNext) {
-            throw new DamageException(segments.get(segments.size() - 1).name, durable, "the log ends at record " + next
-                + ", and the snapshot holds all before " + snapshotNext);
+            throw new DamageException(
+                    segments.get(segments.size() - 1).name,
+                    durable,
+                    "the log ends at record " + next + ", and the snapshot holds all before " + snapshotNext);
         }
         return this;
     }
@@ -128,8 +138,9 @@
                 int body = bytes.limit() < Frame.HEAD ? -1 : bytes.getInt(0);
                 bytes = body < 0 || body > Frame.BODY_MOST ? bytes : read(file, at, Frame.HEAD + body);
                 frame = Frame.read(bytes, 0, number);
-                String wrong = frame == null ? "is not whole" : frame.first() != count ? "is not what comes next"
-                    : frame.check(bytes, 0, number, chain);
+                String wrong = frame == null
+                        ? "is not whole"
+                        : frame.first() != count ? "is not what comes next" : frame.check(bytes, 0, number, chain);
                 if (wrong != null) {
                     throw new DamageException(snapshotName, at, wrong);
                 }
@@ -172,8 +183,11 @@
             return;
         }
         if (segments.get(0).head.first() > snapshotNext) {
-            throw new DamageException(segments.get(0).name, 0, "begins with record " + segments.get(0).head.first()
-                + "; those from " + snapshotNext + " on are missing");
+            throw new DamageException(
+                    segments.get(0).name,
+                    0,
+                    "begins with record " + segments.get(0).head.first() + "; those from " + snapshotNext
+                            + " on are missing");
         }
         for (int i = 1; i < segments.size(); i++) {
             long expected = segments.get(i - 1).head.number() + 1;
@@ -194,8 +208,8 @@
         Head.read(segment.name, bytes, Head.Kind.SEGMENT, chain);
         certain.follow(chain);
         if (segment.head.first() != next) {
-            throw new DamageException(segment.name, 0, "begins with record " + segment.head.first() + ", and " + next
-                + " comes next");
+            throw new DamageException(
+                    segment.name, 0, "begins with record " + segment.head.first() + ", and " + next + " comes next");
         }
         long number = segment.head.number();
         long end = following == null ? bytes.limit() : following.before();
@@ -211,9 +225,11 @@
                 }
                 break;
             }
-            String wrong = frame.first() != next ? "holds record " + frame.first() + ", and " + next + " comes next"
-                : frame.durable() > at || frame.durable() < durable ? "speaks of what cannot be"
-                : frame.check(bytes, at, number, chain);
+            String wrong = frame.first() != next
+                    ? "holds record " + frame.first() + ", and " + next + " comes next"
+                    : frame.durable() > at || frame.durable() < durable
+                            ? "speaks of what cannot be"
+                            : frame.check(bytes, at, number, chain);
             if (wrong != null) {
                 throw new DamageException(segment.name, at, wrong);
             }
@@ -260,12 +276,12 @@
     /** Tells of bytes that do not count, where they are no whole frames either. */
     private void beyond(Segment segment, ByteBuffer bytes, int from, boolean ended) {
         int at = from;
-        for (Frame frame; (frame = Frame.read(bytes, at, segment.head.number())) != null;) {
+        for (Frame frame; (frame = Frame.read(bytes, at, segment.head.number())) != null; ) {
             at += frame.length();
         }
         if (at < bytes.limit()) {
             notes.add(segment.name + " at " + at + ": " + (bytes.limit() - at) + " bytes "
-                + (ended ? "beyond its end were never kept" : "of an unfinished write are cut off"));
+                    + (ended ? "beyond its end were never kept" : "of an unfinished write are cut off"));
         }
     }
 
--- a/src/main/java/gatefront/storage/Store.java
+++ b/src/main/java/gatefront/storage/Store.java
@@ -45,6 +45,7 @@
     private final TreeMap<Long, Long> segments = new TreeMap<>();
     /** By number of segment, which record each begins with; the current one too. */
     private final TreeMap<Long, Long> firsts = new TreeMap<>();
+
     private final Chain chain;
     private final Chain certain;
     private Disk.File file;
@@ -108,8 +109,10 @@
     private void start(Scan scan) throws IOException {
         boolean empty = !segments.isEmpty() && durable == Head.BYTES;
         long last = segments.isEmpty() ? 0 : segments.lastKey();
-        List<List<byte[]>> again = scan.unsure.stream().map(each -> each.frame().records())
-            .filter(each -> !each.isEmpty()).toList();
+        List<List<byte[]>> again = scan.unsure.stream()
+                .map(each -> each.frame().records())
+                .filter(each -> !each.isEmpty())
+                .toList();
         if (empty) {
             // The replaced one's own head stands for what the one before it holds.
             Scan.Segment same = scan.segments.get(scan.segments.size() - 1);
@@ -171,8 +174,10 @@
 
     /** The bytes of all files. */
     public long bytes() {
-        return segments.values().stream().mapToLong(Long::longValue).sum() + end + snapshotBytes
-            + (making == null ? 0 : making.at);
+        return segments.values().stream().mapToLong(Long::longValue).sum()
+                + end
+                + snapshotBytes
+                + (making == null ? 0 : making.at);
     }
 
     /** Whether the last write failed, and none since has gone well. */
@@ -191,13 +196,15 @@
     public void append(List<byte[]> records, boolean force) throws FailedException {
         int size = Frame.HEAD + records.stream().mapToInt(Frame::room).sum();
         if (records.isEmpty() || size - Frame.HEAD > Frame.BODY_MOST) {
-            throw new IllegalArgumentException("a frame holds one record or more, and " + Frame.BODY_MOST
-                + " bytes at the most, not " + size);
+            throw new IllegalArgumentException(
+                    "a frame holds one record or more, and " + Frame.BODY_MOST + " bytes at the most, not " + size);
         }
         recover();
         if (bytes() + size + RESERVE > options.bytesMost()) {
-            throw new FailedException(FailedException.Why.BOUND, "the store may take " + options.bytesMost()
-                + " bytes, and has " + bytes(), null);
+            throw new FailedException(
+                    FailedException.Why.BOUND,
+                    "the store may take " + options.bytesMost() + " bytes, and has " + bytes(),
+                    null);
         }
         try {
             if (end > Head.BYTES && end + size > options.segmentBytes()) {
@@ -341,8 +348,10 @@
         private void flush() throws FailedException {
             if (bytes() + waits + 2 * Frame.HEAD > options.bytesMost()) {
                 abandon();
-                throw new FailedException(FailedException.Why.BOUND, "no snapshot was made: the store may take "
-                    + options.bytesMost() + " bytes", null);
+                throw new FailedException(
+                        FailedException.Why.BOUND,
+                        "no snapshot was made: the store may take " + options.bytesMost() + " bytes",
+                        null);
             }
             try {
                 ByteBuffer bytes = Frame.write(upTo, count, Head.BYTES, waiting, own);
@@ -399,7 +408,7 @@
                 if (old != null && !old.equals(snapshotName)) {
                     disk.delete(old);
                 }
-                for (Iterator<Long> each = segments.keySet().iterator(); each.hasNext();) {
+                for (Iterator<Long> each = segments.keySet().iterator(); each.hasNext(); ) {
                     long segment = each.next();
                     Long following = firsts.get(segment + 1);
                     if (following == null || following > upTo) {
--- a/src/main/java/gatefront/storage/Verify.java
+++ b/src/main/java/gatefront/storage/Verify.java
@@ -13,8 +13,8 @@
  * @param notes what was found that is no damage: a line each
  * @param damage the first damage, or null
  */
-public record Verify(boolean there, int segments, long records, long snapshot, List<String> notes,
-                     DamageException damage) {
+public record Verify(
+        boolean there, int segments, long records, long snapshot, List<String> notes, DamageException damage) {
     /** Reads all of a store. */
     public static Verify of(Disk disk, Keys keys, Replay replay) throws IOException {
         Scan scan = new Scan(disk, keys, replay);
@@ -24,9 +24,13 @@
         } catch (DamageException e) {
             damage = e;
         }
-        return new Verify(damage != null || !scan.nothing(), scan.segments.size(),
-            Math.max(0, scan.next - scan.snapshotNext), scan.snapshotNext,
-            List.copyOf(scan.notes), damage);
+        return new Verify(
+                damage != null || !scan.nothing(),
+                scan.segments.size(),
+                Math.max(0, scan.next - scan.snapshotNext),
+                scan.snapshotNext,
+                List.copyOf(scan.notes),
+                damage);
     }
 
     /** Whether nothing is amiss: a store without damage, and nothing beside it. */
--- a/src/main/java/gatefront/thrift/Conventions.java
+++ b/src/main/java/gatefront/thrift/Conventions.java
@@ -4,6 +4,7 @@
 final class Conventions {
     /** The argument of every method that holds the {@code Metadata}, and the fields of it. */
     static final int METADATA = 1;
+
     static final int REQUEST_ID = 1;
     static final int TIMEOUT_MS = 2;
     static final int TENANT = 3;
@@ -13,6 +14,7 @@
     static final int IDEMPOTENCY_KEY = 7;
     /** The exceptions that methods declare, as fields of their results; and the fields of both. */
     static final int REFUSED = 100;
+
     static final int FAILED = 101;
     static final int REASON = 1;
     static final int RETRY_AFTER_MS = 2;
@@ -20,11 +22,13 @@
     static final int LOAD = 32_000;
     /** The method that asks for health, and the fields of its result. */
     static final String HEALTH = "gatefrontHealth";
+
     static final int SUCCESS = 0;
     static final int READY = 1;
     static final int HEALTH_LOAD = 2;
     /** The fields of a TApplicationException, and its kinds that are used here. */
     static final int APPLICATION_MESSAGE = 1;
+
     static final int APPLICATION_TYPE = 2;
     static final int UNKNOWN_METHOD = 1;
     static final int INVALID_MESSAGE_TYPE = 2;
@@ -34,5 +38,5 @@
     static final int INVALID_PROTOCOL = 9;
     static final int UNSUPPORTED_CLIENT_TYPE = 10;
 
-    private Conventions() { }
+    private Conventions() {}
 }
--- a/src/main/java/gatefront/thrift/Metadata.java
+++ b/src/main/java/gatefront/thrift/Metadata.java
@@ -14,12 +14,13 @@
     String idempotencyKey;
     /** Where the time stands in the body, and how many bytes it takes. */
     int timeoutAt = -1;
+
     int timeoutBytes;
 
-    private Metadata() { }
+    private Metadata() {}
 
     /** Reads it; {@code wrong} is why there is none that can be used, else null. */
-    record Found(Metadata metadata, String wrong) { }
+    record Found(Metadata metadata, String wrong) {}
 
     /** Takes it from the first argument of a call. */
     static Found of(Message call) {
--- a/src/main/java/gatefront/thrift/ThriftCall.java
+++ b/src/main/java/gatefront/thrift/ThriftCall.java
@@ -30,8 +30,9 @@
         byte[] body = message.body().clone();
         for (int i = 0; i < timeoutBytes; i++) {
             boolean last = i == timeoutBytes - 1;
-            body[timeoutAt + i] = compact ? (byte) (millisLeft << 1 >> 7 * i & 0x7f | (last ? 0 : 0x80))
-                : (byte) (millisLeft >> 8 * (timeoutBytes - 1 - i));
+            body[timeoutAt + i] = compact
+                    ? (byte) (millisLeft << 1 >> 7 * i & 0x7f | (last ? 0 : 0x80))
+                    : (byte) (millisLeft >> 8 * (timeoutBytes - 1 - i));
         }
         return body;
     }
--- a/src/main/java/gatefront/thrift/ThriftFront.java
+++ b/src/main/java/gatefront/thrift/ThriftFront.java
@@ -34,6 +34,7 @@
     private static final long TIMEOUT_MS_MAX = 3_600_000;
     /** Calls of one connection in work at the most, and read ahead beyond these before it is left alone. */
     private static final int IN_FLIGHT_MOST = 32;
+
     private static final int AHEAD_MOST = 4;
     private static final int REPLY_OVERHEAD = 160;
 
@@ -44,8 +45,14 @@
     private final BooleanSupplier ready;
 
     /** Listens to nobody yet; {@link #listen()} begins. */
-    public ThriftFront(Transport transport, Config config, ThriftSettings settings, int connectionsMost,
-                       BooleanSupplier ready, Budget budget, Listener listener) {
+    public ThriftFront(
+            Transport transport,
+            Config config,
+            ThriftSettings settings,
+            int connectionsMost,
+            BooleanSupplier ready,
+            Budget budget,
+            Listener listener) {
         super(transport, settings.listen(), connectionsMost, budget);
         this.transport = transport;
         this.config = config;
@@ -98,24 +105,30 @@
             if (declares) {
                 answer(Header.Type.REPLY, Results.refused(call.encoding(), "not started", millis));
             } else {
-                answer(Header.Type.EXCEPTION, Results.application(call.encoding(), Conventions.INTERNAL_ERROR,
-                    "refused, not started; retry_after_ms=" + millis));
+                answer(
+                        Header.Type.EXCEPTION,
+                        Results.application(
+                                call.encoding(),
+                                Conventions.INTERNAL_ERROR,
+                                "refused, not started; retry_after_ms=" + millis));
             }
         }
 
         @Override
         public void failed(Failure why) {
-            String reason = switch (why) {
-                case NOT_SERVED -> "no server has served it";
-                case TIME_UP -> "its time is up";
-                case DUPLICATE -> "another of the same request id is held";
-                case INTERNAL -> "a fault of the agent's own";
-            };
+            String reason =
+                    switch (why) {
+                        case NOT_SERVED -> "no server has served it";
+                        case TIME_UP -> "its time is up";
+                        case DUPLICATE -> "another of the same request id is held";
+                        case INTERNAL -> "a fault of the agent's own";
+                    };
             if (declares) {
                 answer(Header.Type.REPLY, Results.failed(call.encoding(), reason));
             } else {
-                answer(Header.Type.EXCEPTION,
-                    Results.application(call.encoding(), Conventions.INTERNAL_ERROR, "failed: " + reason));
+                answer(
+                        Header.Type.EXCEPTION,
+                        Results.application(call.encoding(), Conventions.INTERNAL_ERROR, "failed: " + reason));
             }
         }
 
@@ -137,6 +150,7 @@
         private final MessageDecoder decoder;
         /** Owed an answer, by seqid, in the order in which they came. */
         private final Map<Integer, Exchange> inFlight = new LinkedHashMap<>();
+
         private final Deque<Message> ahead = new ArrayDeque<>();
         /** What came was wrong, and more of it may be on the way. */
         private boolean unread;
@@ -201,7 +215,9 @@
 
         /** Takes what has come, as far as it may be in work at once, and not while answers are still to be read. */
         private void next() {
-            while (!ahead.isEmpty() && channel.isWritable() && inFlight.size() < IN_FLIGHT_MOST
+            while (!ahead.isEmpty()
+                    && channel.isWritable()
+                    && inFlight.size() < IN_FLIGHT_MOST
                     && !inFlight.containsKey(ahead.peek().header().seqid())) {
                 take(ahead.poll());
             }
@@ -220,8 +236,8 @@
                 if (header.type() != Header.Type.CALL && header.type() != Header.Type.ONEWAY) {
                     exchange.wrong(Conventions.INVALID_MESSAGE_TYPE, "neither a call nor oneway");
                 } else if (header.name().equals(Conventions.HEALTH)) {
-                    exchange.answer(Header.Type.REPLY,
-                        Results.health(message.encoding(), ready.getAsBoolean() && !leaving()));
+                    exchange.answer(
+                            Header.Type.REPLY, Results.health(message.encoding(), ready.getAsBoolean() && !leaving()));
                 } else if (method == null) {
                     exchange.wrong(Conventions.UNKNOWN_METHOD, "unknown method " + header.name());
                 } else {
@@ -242,17 +258,24 @@
                 return;
             }
             Metadata data = found.metadata();
-            listener.call(new Call(data.requestId, method.requestClass(),
-                Math.max(0, config.tenants().indexOf(data.tenant)),
-                data.affinityKey.isEmpty() ? 0 : Config.id(data.affinityKey), data.workHint, data.timeoutMs,
-                data.clientRetry, new ThriftCall(message, data.timeoutAt, data.timeoutBytes)), exchange);
+            listener.call(
+                    new Call(
+                            data.requestId,
+                            method.requestClass(),
+                            Math.max(0, config.tenants().indexOf(data.tenant)),
+                            data.affinityKey.isEmpty() ? 0 : Config.id(data.affinityKey),
+                            data.workHint,
+                            data.timeoutMs,
+                            data.clientRetry,
+                            new ThriftCall(message, data.timeoutAt, data.timeoutBytes)),
+                    exchange);
         }
 
         private void answered(Message call, Header.Type type, byte[] body) {
             inFlight.remove(call.header().seqid());
             release(call.body().length);
-            ChannelFuture written = call.header().type() == Header.Type.ONEWAY ? null
-                : answer(reply(call, type, body), body.length);
+            ChannelFuture written =
+                    call.header().type() == Header.Type.ONEWAY ? null : answer(reply(call, type, body), body.length);
             if (closing() && !deaf) {
                 deaf = true; // Guards against a caller that goes on asking, whose connection would never end.
                 channel.config().setAutoRead(false);
@@ -278,9 +301,11 @@
         private ByteBuf reply(Message call, Header.Type type, byte[] body) {
             // As servers of several services reply: some generated clients compare the name with the method's alone.
             String name = call.header().name();
-            Header header = new Header(name.substring(name.indexOf(':') + 1), type, call.header().seqid());
+            Header header = new Header(
+                    name.substring(name.indexOf(':') + 1), type, call.header().seqid());
             ByteBuf out = Unpooled.buffer(body.length + REPLY_OVERHEAD);
-            MessageEncoder.write(new Message(call.encoding(), header, body), decoder.form().framed(), out);
+            MessageEncoder.write(
+                    new Message(call.encoding(), header, body), decoder.form().framed(), out);
             return out;
         }
     }
@@ -302,8 +327,9 @@
         // Guards against an effect twice: without its key no server would drop a repeat.
         boolean keyed = config.settings().classes().get(method.requestClass()).semantics() == Balancer.Semantics.KEYED;
         if (keyed ? data.idempotencyKey == null || !Call.isId(data.idempotencyKey) : data.idempotencyKey != null) {
-            return keyed ? "idempotencyKey is missing or has not the form of an id"
-                : "idempotencyKey on a method that is not keyed";
+            return keyed
+                    ? "idempotencyKey is missing or has not the form of an id"
+                    : "idempotencyKey on a method that is not keyed";
         }
         return null;
     }
--- a/src/main/java/gatefront/thrift/ThriftSettings.java
+++ b/src/main/java/gatefront/thrift/ThriftSettings.java
@@ -14,8 +14,13 @@
  * @param probes whether servers are asked for their health over Thrift, and not over HTTP
  * @param methods by name; behind a service's name and a colon too
  */
-public record ThriftSettings(InetSocketAddress listen, Form form, int serverPort, boolean framedServers,
-                             boolean probes, Map<String, Method> methods) {
+public record ThriftSettings(
+        InetSocketAddress listen,
+        Form form,
+        int serverPort,
+        boolean framedServers,
+        boolean probes,
+        Map<String, Method> methods) {
     /**
      * A method that is carried.
      *
@@ -23,7 +28,7 @@
      * @param declares whether it declares the exceptions Refused and Failed. Harm, if it is said wrongly: a generated
      *     client passes over an exception that it does not know, and takes a void method for done
      */
-    public record Method(int requestClass, boolean declares) { }
+    public record Method(int requestClass, boolean declares) {}
 
     /** The method that a name stands for, or null. */
     Method method(String name) {
