--- a/src/main/java/gatefront/thrift/ThriftUpstream.java
+++ b/src/main/java/gatefront/thrift/ThriftUpstream.java
@@ -35,13 +35,18 @@
     private final Payload probe;
 
     /** Holds so many connections at the most. */
-    public ThriftUpstream(Transport transport, Config config, ThriftSettings settings, int connectionsMost,
-                          Budget budget) {
+    public ThriftUpstream(
+            Transport transport, Config config, ThriftSettings settings, int connectionsMost, Budget budget) {
         super(transport, connectionsMost, config.connectTimeoutMicros(), config.idleCloseMicros(), budget);
         this.settings = settings;
         this.load = new LoadReport(config.loadFields());
-        this.probe = new ThriftCall(new Message(Encoding.BINARY, new Header(Conventions.HEALTH, Header.Type.CALL, 0),
-            new StructWriter(Encoding.BINARY).end()), -1, 0);
+        this.probe = new ThriftCall(
+                new Message(
+                        Encoding.BINARY,
+                        new Header(Conventions.HEALTH, Header.Type.CALL, 0),
+                        new StructWriter(Encoding.BINARY).end()),
+                -1,
+                0);
     }
 
     @Override
@@ -63,7 +68,8 @@
     @Override
     protected Object message(Payload payload, int number, long millisLeft) {
         ThriftCall call = (ThriftCall) payload;
-        Header header = new Header(call.message().header().name(), call.message().header().type(), number);
+        Header header = new Header(
+                call.message().header().name(), call.message().header().type(), number);
         byte[] body = call.body(millisLeft);
         ByteBuf out = Unpooled.buffer(body.length + 64);
         MessageEncoder.write(new Message(call.message().encoding(), header, body), settings.framedServers(), out);
@@ -101,9 +107,11 @@
         Message call = ((ThriftCall) attempt.request()).message();
         Header.Type type = reply.header().type();
         String name = reply.header().name();
-        boolean named = name.equals(call.header().name()) || name.equals(unqualified(call.header().name()));
-        return reply.header().seqid() == attempt.number() && reply.encoding().sameBody(call.encoding())
-            && (type == Header.Type.EXCEPTION || type == Header.Type.REPLY && named);
+        boolean named = name.equals(call.header().name())
+                || name.equals(unqualified(call.header().name()));
+        return reply.header().seqid() == attempt.number()
+                && reply.encoding().sameBody(call.encoding())
+                && (type == Header.Type.EXCEPTION || type == Header.Type.REPLY && named);
     }
 
     /** A server that serves several services replies with the method's name alone. */
@@ -150,8 +158,9 @@
                 type = said == null ? 0 : said;
             }
         }
-        boolean blamesCall = type == Conventions.UNKNOWN_METHOD || type == Conventions.INVALID_MESSAGE_TYPE
-            || type >= Conventions.PROTOCOL_ERROR && type <= Conventions.UNSUPPORTED_CLIENT_TYPE;
+        boolean blamesCall = type == Conventions.UNKNOWN_METHOD
+                || type == Conventions.INVALID_MESSAGE_TYPE
+                || type >= Conventions.PROTOCOL_ERROR && type <= Conventions.UNSUPPORTED_CLIENT_TYPE;
         return new Result(Outcome.ERROR, NO_LOAD, null, blamesCall ? new ThriftReply(reply) : null);
     }
 }
--- a/src/main/java/gatefront/thrift/codec/Header.java
+++ b/src/main/java/gatefront/thrift/codec/Header.java
@@ -9,7 +9,11 @@
  */
 public record Header(String name, Type type, int seqid) {
     /** What a message is, in the order of the protocols' numbers, which begin with 1. */
-    public enum Type { CALL, REPLY, EXCEPTION, ONEWAY;
+    public enum Type {
+        CALL,
+        REPLY,
+        EXCEPTION,
+        ONEWAY;
 
         int number() {
             return ordinal() + 1;
--- a/src/main/java/gatefront/thrift/codec/MessageDecoder.java
+++ b/src/main/java/gatefront/thrift/codec/MessageDecoder.java
@@ -23,6 +23,7 @@
     private MessageScanner scanner;
     /** Of the frame that is coming in, behind its length; 0 while there is none. */
     private int frame;
+
     private boolean deaf;
 
     /** Tells the form by the first bytes. */
@@ -117,8 +118,8 @@
             }
             int length = in.getInt(in.readerIndex());
             if (length <= 0 || length > limits.message()) {
-                throw new MalformedException("a frame of " + length + " bytes, where 1 to " + limits.message()
-                    + " are permitted");
+                throw new MalformedException(
+                        "a frame of " + length + " bytes, where 1 to " + limits.message() + " are permitted");
             }
             in.skipBytes(LENGTH_BYTES);
             frame = length;
--- a/src/main/java/gatefront/thrift/codec/MessageEncoder.java
+++ b/src/main/java/gatefront/thrift/codec/MessageEncoder.java
@@ -8,7 +8,7 @@
     private static final int STRICT_VERSION = 0x80010000;
     private static final int COMPACT_VERSION = 1;
 
-    private MessageEncoder() { }
+    private MessageEncoder() {}
 
     /**
      * Writes a message.
@@ -26,8 +26,14 @@
         int type = message.header().type().number();
         int seqid = message.header().seqid();
         switch (message.encoding()) {
-            case BINARY -> to.writeInt(STRICT_VERSION | type).writeInt(name.length).writeBytes(name).writeInt(seqid);
-            case BINARY_OLD -> to.writeInt(name.length).writeBytes(name).writeByte(type).writeInt(seqid);
+            case BINARY -> to.writeInt(STRICT_VERSION | type)
+                    .writeInt(name.length)
+                    .writeBytes(name)
+                    .writeInt(seqid);
+            case BINARY_OLD -> to.writeInt(name.length)
+                    .writeBytes(name)
+                    .writeByte(type)
+                    .writeInt(seqid);
             case COMPACT -> {
                 to.writeByte(Encoding.COMPACT_FIRST).writeByte(type << 5 | COMPACT_VERSION);
                 varint(seqid & 0xffffffffL, to);
--- a/src/main/java/gatefront/thrift/codec/MessageScanner.java
+++ b/src/main/java/gatefront/thrift/codec/MessageScanner.java
@@ -25,6 +25,7 @@
     private final int bound;
     /** What is open, the outermost first: what it is, values left, types of the values at odd and even places. */
     private final int[] kind;
+
     private final int[] left;
     private final int[] odd;
     private final int[] even;
@@ -34,9 +35,11 @@
     private int available;
     /** Bytes of the message passed, and bytes to be passed over next. */
     private int at;
+
     private long skip;
     /** The type of the value that is next, or STOP. */
     private int next = STOP;
+
     private boolean inContainer;
     private Header header;
     private int bodyAt;
@@ -158,8 +161,8 @@
         if (!has(9 + length)) {
             return false;
         }
-        header = new Header(name(start + 4, length), Type.of(in.getByte(start + 4 + length)),
-            in.getInt(start + 5 + length));
+        header = new Header(
+                name(start + 4, length), Type.of(in.getByte(start + 4 + length)), in.getInt(start + 5 + length));
         at = 9 + length;
         return true;
     }
@@ -247,8 +250,8 @@
     /** Opens a list or map of so many values, each of a byte at the least. */
     private void openContainer(int what, long values, int oddType, int evenType) throws MalformedException {
         if (values < 0 || values > bound - at) {
-            throw new MalformedException("says " + values + " values where at most " + (bound - at)
-                + " bytes are left");
+            throw new MalformedException(
+                    "says " + values + " values where at most " + (bound - at) + " bytes are left");
         }
         next = STOP;
         open(what, (int) values, oddType, evenType);
--- a/src/main/java/gatefront/thrift/codec/StructReader.java
+++ b/src/main/java/gatefront/thrift/codec/StructReader.java
@@ -17,6 +17,7 @@
     private int type;
     /** A bool's value in the compact protocol, which is part of its field's head. */
     private boolean set;
+
     private boolean read = true;
 
     /** Stands before the first field. */
@@ -205,7 +206,7 @@
 
     private long varint() {
         long value = 0;
-        for (int shift = 0;; shift += 7) {
+        for (int shift = 0; ; shift += 7) {
             byte each = in.get();
             value |= (each & 0x7fL) << shift;
             if (each >= 0) {
--- a/src/main/java/gatefront/toml/Table.java
+++ b/src/main/java/gatefront/toml/Table.java
@@ -36,7 +36,7 @@
 
     /** A key is missing; where another looks as if it were meant, the message is about that one. */
     private TomlException missing(String key, String what) {
-        for (Iterator<String> names = node.fieldNames(); names.hasNext();) {
+        for (Iterator<String> names = node.fieldNames(); names.hasNext(); ) {
             String name = names.next();
             if (!taken.contains(name) && distance(name, key) <= Math.max(1, key.length() / 3)) {
                 return bad(name, "is not known here; is \"" + key + "\" meant?");
@@ -90,8 +90,9 @@
             return otherwise;
         }
         if (!found.isTextual() || found.asText().isBlank()) {
-            throw found.isMissingNode() ? missing(key, "it is a name in quotes")
-                : bad(key, "is to be a text in quotes");
+            throw found.isMissingNode()
+                    ? missing(key, "it is a name in quotes")
+                    : bad(key, "is to be a text in quotes");
         }
         return found.asText();
     }
@@ -157,13 +158,19 @@
             }
             return otherwise;
         }
-        boolean pair = found.isArray() && found.size() == 2 && found.get(0).isNumber() && found.get(1).isNumber();
+        boolean pair = found.isArray()
+                && found.size() == 2
+                && found.get(0).isNumber()
+                && found.get(1).isNumber();
         if (!pair && !found.isNumber()) {
-            throw bad(key, "is to be a number, or a range of two as in [1, 2], not " + found
-                + (found.isTextual() ? "; the unit stands in the key's name" : ""));
-        }
-        Range range = pair ? new Range(found.get(0).asDouble(), found.get(1).asDouble())
-            : new Range(found.asDouble(), found.asDouble());
+            throw bad(
+                    key,
+                    "is to be a number, or a range of two as in [1, 2], not " + found
+                            + (found.isTextual() ? "; the unit stands in the key's name" : ""));
+        }
+        Range range = pair
+                ? new Range(found.get(0).asDouble(), found.get(1).asDouble())
+                : new Range(found.asDouble(), found.asDouble());
         if (range.low() > range.high()) {
             throw bad(key, "the range " + found + " runs backwards; the lower figure comes first");
         }
@@ -175,7 +182,8 @@
 
     private static String plain(double figure) {
         return figure == StrictMath.rint(figure) && Math.abs(figure) < 1e15
-            ? String.valueOf((long) figure) : String.valueOf(figure);
+                ? String.valueOf((long) figure)
+                : String.valueOf(figure);
     }
 
     /** Refuses what nobody has taken: it was meant, and would not be heeded. */
@@ -205,8 +213,9 @@
                 best = each;
             }
         }
-        return best != null ? "; is \"" + best + "\" meant?"
-            : "; known are " + all.stream().sorted().collect(Collectors.joining(", "));
+        return best != null
+                ? "; is \"" + best + "\" meant?"
+                : "; known are " + all.stream().sorted().collect(Collectors.joining(", "));
     }
 
     /** Edits from one word to the other (Levenshtein). */
--- a/src/main/java/gatefront/toml/TomlFile.java
+++ b/src/main/java/gatefront/toml/TomlFile.java
@@ -12,7 +12,7 @@
 public final class TomlFile {
     private static final long BYTES_MOST = 1 << 20;
 
-    private TomlFile() { }
+    private TomlFile() {}
 
     /**
      * Reads a file.
@@ -51,7 +51,7 @@
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 1 : Math.max(1, e.getLocation().getLineNr());
             throw new TomlException(file + ":" + line + ": is not TOML: "
-                + e.getOriginalMessage().lines().findFirst().orElse(""));
+                    + e.getOriginalMessage().lines().findFirst().orElse(""));
         }
     }
 }
--- a/src/main/java/gatefront/transport/SocketTransport.java
+++ b/src/main/java/gatefront/transport/SocketTransport.java
@@ -93,7 +93,9 @@
 
         void takeAll() {
             try {
-                for (SocketChannel each = javaChannel().accept(); each != null; each = javaChannel().accept()) {
+                for (SocketChannel each = javaChannel().accept();
+                        each != null;
+                        each = javaChannel().accept()) {
                     pipeline().fireChannelRead(new NioSocketChannel(this, each));
                 }
                 pipeline().fireChannelReadComplete();
--- a/src/main/java/gatefront/upgrade/BansText.java
+++ b/src/main/java/gatefront/upgrade/BansText.java
@@ -11,12 +11,15 @@
     private static final String FIRST = "lemonspan-bans 1\n";
     private static final String LAST = "sum ";
 
-    private BansText() { }
+    private BansText() {}
 
     static String write(Map<String, Bans.Entry> entries) {
         StringBuilder text = new StringBuilder(FIRST);
-        entries.forEach((name, entry) -> text.append(entry.out() ? "out " : "in ").append(entry.at()).append(' ')
-            .append(name).append('\n'));
+        entries.forEach((name, entry) -> text.append(entry.out() ? "out " : "in ")
+                .append(entry.at())
+                .append(' ')
+                .append(name)
+                .append('\n'));
         String sum = sum(text.toString());
         return text.append(LAST).append(sum).append('\n').toString();
     }
--- a/src/test/java/gatefront/ArchitectureTest.java
+++ b/src/test/java/gatefront/ArchitectureTest.java
@@ -12,112 +12,206 @@
 /** The packages' arrows point one way, and what is to be pure does no I/O and reads no clock. */
 class ArchitectureTest {
     private static final JavaClasses CODE = new ClassFileImporter()
-        .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("gatefront");
-    private static final String[] PURE = {"gatefront.policy..", "gatefront.rehearsal.world..",
-        "gatefront.rehearsal.check..", "gatefront.registry.follower..", "gatefront.budget..", "gatefront.limits..",
-        "gatefront.ledger..", "gatefront.recovery.."};
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("gatefront");
+    private static final String[] PURE = {
+        "gatefront.policy..",
+        "gatefront.rehearsal.world..",
+        "gatefront.rehearsal.check..",
+        "gatefront.registry.follower..",
+        "gatefront.budget..",
+        "gatefront.limits..",
+        "gatefront.ledger..",
+        "gatefront.recovery.."
+    };
 
     @Test
     void arrowsPointOneWay() {
-        layeredArchitecture().consideringOnlyDependenciesInLayers()
-        .layer("cli").definedBy("gatefront.cli..")
-        .layer("rehearsal").definedBy("gatefront.rehearsal..")
-            .layer("drill").definedBy("gatefront.drill..")
-        .layer("agent").definedBy("gatefront.agent..")
-        .layer("http").definedBy("gatefront.http")
-        .layer("connection").definedBy("gatefront.connection..")
-        .layer("engine").definedBy("gatefront.engine..")
-        .layer("thrift").definedBy("gatefront.thrift")
-        .layer("thrift codec").definedBy("gatefront.thrift.codec..")
-        .layer("padron").definedBy("gatefront.padron..")
-        .layer("budget").definedBy("gatefront.budget..")
-        .layer("limits").definedBy("gatefront.limits..")
-        .layer("storage").definedBy("gatefront.storage..")
-        .layer("ledger").definedBy("gatefront.ledger..")
-        .layer("bookkeeping").definedBy("gatefront.bookkeeping..")
-        .layer("recovery").definedBy("gatefront.recovery..")
-        .layer("keeping").definedBy("gatefront.keeping..")
-        .layer("status").definedBy("gatefront.status..")
-        .layer("management").definedBy("gatefront.management..")
-        .layer("upgrade").definedBy("gatefront.upgrade..")
-        .layer("registry").definedBy("gatefront.registry")
-        .layer("follower").definedBy("gatefront.registry.follower..")
-        .layer("codec").definedBy("gatefront.http.codec..")
-        .layer("toml").definedBy("gatefront.toml..")
-        .layer("config").definedBy("gatefront.config..")
-        .layer("membership").definedBy("gatefront.membership..")
-        .layer("transport").definedBy("gatefront.transport..")
-        .layer("policy").definedBy("gatefront.policy..")
-        .whereLayer("cli").mayNotBeAccessedByAnyLayer()
-        .whereLayer("drill").mayOnlyBeAccessedByLayers("cli")
-        .whereLayer("rehearsal").mayOnlyBeAccessedByLayers("cli")
-        .whereLayer("connection").mayOnlyAccessLayers("budget", "engine", "membership", "policy", "transport")
-        .whereLayer("engine").mayOnlyAccessLayers("budget", "limits", "membership", "policy", "recovery", "transport")
-            .whereLayer("agent").mayOnlyBeAccessedByLayers("cli", "rehearsal")
-        .whereLayer("http").mayOnlyBeAccessedByLayers("agent")
-        .whereLayer("thrift").mayOnlyBeAccessedByLayers("agent", "rehearsal")
-        .whereLayer("thrift codec").mayNotAccessAnyLayer()
-        .whereLayer("padron").mayOnlyBeAccessedByLayers("agent")
-        .whereLayer("registry").mayOnlyBeAccessedByLayers("agent", "cli", "rehearsal")
-        .whereLayer("registry").mayOnlyAccessLayers("budget", "follower", "codec", "config", "membership", "policy", "transport")
-        .whereLayer("budget").mayNotAccessAnyLayer()
-        .whereLayer("limits").mayOnlyBeAccessedByLayers("engine")
-        .whereLayer("limits").mayNotAccessAnyLayer()
-        .whereLayer("storage").mayNotAccessAnyLayer()
-        .whereLayer("ledger").mayNotAccessAnyLayer()
-        .whereLayer("recovery").mayNotAccessAnyLayer()
-        .whereLayer("keeping").mayOnlyBeAccessedByLayers("agent", "cli")
-        .whereLayer("keeping").mayOnlyAccessLayers("membership", "recovery", "storage")
-        .whereLayer("bookkeeping").mayOnlyBeAccessedByLayers("agent", "cli")
-        .whereLayer("bookkeeping").mayOnlyAccessLayers("ledger", "storage")
-        .whereLayer("management").mayOnlyBeAccessedByLayers("agent")
-        .whereLayer("management").mayOnlyAccessLayers("membership", "policy", "status", "transport")
-        .whereLayer("upgrade").mayOnlyBeAccessedByLayers("agent")
-        .whereLayer("upgrade").mayOnlyAccessLayers("membership")
-        .whereLayer("status").mayOnlyBeAccessedByLayers("agent", "cli", "management")
-        .whereLayer("status").mayOnlyAccessLayers("budget", "transport")
-        .whereLayer("follower").mayNotAccessAnyLayer()
-        .whereLayer("toml").mayNotAccessAnyLayer()
-        .whereLayer("policy").mayNotAccessAnyLayer()
-        .whereLayer("transport").mayNotAccessAnyLayer()
-        .whereLayer("membership").mayOnlyAccessLayers("policy")
-        .whereLayer("config").mayOnlyAccessLayers("membership", "policy")
-        .whereLayer("codec").mayNotAccessAnyLayer()
-            .check(CODE);
+        layeredArchitecture()
+                .consideringOnlyDependenciesInLayers()
+                .layer("cli")
+                .definedBy("gatefront.cli..")
+                .layer("rehearsal")
+                .definedBy("gatefront.rehearsal..")
+                .layer("drill")
+                .definedBy("gatefront.drill..")
+                .layer("agent")
+                .definedBy("gatefront.agent..")
+                .layer("http")
+                .definedBy("gatefront.http")
+                .layer("connection")
+                .definedBy("gatefront.connection..")
+                .layer("engine")
+                .definedBy("gatefront.engine..")
+                .layer("thrift")
+                .definedBy("gatefront.thrift")
+                .layer("thrift codec")
+                .definedBy("gatefront.thrift.codec..")
+                .layer("padron")
+                .definedBy("gatefront.padron..")
+                .layer("budget")
+                .definedBy("gatefront.budget..")
+                .layer("limits")
+                .definedBy("gatefront.limits..")
+                .layer("storage")
+                .definedBy("gatefront.storage..")
+                .layer("ledger")
+                .definedBy("gatefront.ledger..")
+                .layer("bookkeeping")
+                .definedBy("gatefront.bookkeeping..")
+                .layer("recovery")
+                .definedBy("gatefront.recovery..")
+                .layer("keeping")
+                .definedBy("gatefront.keeping..")
+                .layer("status")
+                .definedBy("gatefront.status..")
+                .layer("management")
+                .definedBy("gatefront.management..")
+                .layer("upgrade")
+                .definedBy("gatefront.upgrade..")
+                .layer("registry")
+                .definedBy("gatefront.registry")
+                .layer("follower")
+                .definedBy("gatefront.registry.follower..")
+                .layer("codec")
+                .definedBy("gatefront.http.codec..")
+                .layer("toml")
+                .definedBy("gatefront.toml..")
+                .layer("config")
+                .definedBy("gatefront.config..")
+                .layer("membership")
+                .definedBy("gatefront.membership..")
+                .layer("transport")
+                .definedBy("gatefront.transport..")
+                .layer("policy")
+                .definedBy("gatefront.policy..")
+                .whereLayer("cli")
+                .mayNotBeAccessedByAnyLayer()
+                .whereLayer("drill")
+                .mayOnlyBeAccessedByLayers("cli")
+                .whereLayer("rehearsal")
+                .mayOnlyBeAccessedByLayers("cli")
+                .whereLayer("connection")
+                .mayOnlyAccessLayers("budget", "engine", "membership", "policy", "transport")
+                .whereLayer("engine")
+                .mayOnlyAccessLayers("budget", "limits", "membership", "policy", "recovery", "transport")
+                .whereLayer("agent")
+                .mayOnlyBeAccessedByLayers("cli", "rehearsal")
+                .whereLayer("http")
+                .mayOnlyBeAccessedByLayers("agent")
+                .whereLayer("thrift")
+                .mayOnlyBeAccessedByLayers("agent", "rehearsal")
+                .whereLayer("thrift codec")
+                .mayNotAccessAnyLayer()
+                .whereLayer("padron")
+                .mayOnlyBeAccessedByLayers("agent")
+                .whereLayer("registry")
+                .mayOnlyBeAccessedByLayers("agent", "cli", "rehearsal")
+                .whereLayer("registry")
+                .mayOnlyAccessLayers("budget", "follower", "codec", "config", "membership", "policy", "transport")
+                .whereLayer("budget")
+                .mayNotAccessAnyLayer()
+                .whereLayer("limits")
+                .mayOnlyBeAccessedByLayers("engine")
+                .whereLayer("limits")
+                .mayNotAccessAnyLayer()
+                .whereLayer("storage")
+                .mayNotAccessAnyLayer()
+                .whereLayer("ledger")
+                .mayNotAccessAnyLayer()
+                .whereLayer("recovery")
+                .mayNotAccessAnyLayer()
+                .whereLayer("keeping")
+                .mayOnlyBeAccessedByLayers("agent", "cli")
+                .whereLayer("keeping")
+                .mayOnlyAccessLayers("membership", "recovery", "storage")
+                .whereLayer("bookkeeping")
+                .mayOnlyBeAccessedByLayers("agent", "cli")
+                .whereLayer("bookkeeping")
+                .mayOnlyAccessLayers("ledger", "storage")
+                .whereLayer("management")
+                .mayOnlyBeAccessedByLayers("agent")
+                .whereLayer("management")
+                .mayOnlyAccessLayers("membership", "policy", "status", "transport")
+                .whereLayer("upgrade")
+                .mayOnlyBeAccessedByLayers("agent")
+                .whereLayer("upgrade")
+                .mayOnlyAccessLayers("membership")
+                .whereLayer("status")
+                .mayOnlyBeAccessedByLayers("agent", "cli", "management")
+                .whereLayer("status")
+                .mayOnlyAccessLayers("budget", "transport")
+                .whereLayer("follower")
+                .mayNotAccessAnyLayer()
+                .whereLayer("toml")
+                .mayNotAccessAnyLayer()
+                .whereLayer("policy")
+                .mayNotAccessAnyLayer()
+                .whereLayer("transport")
+                .mayNotAccessAnyLayer()
+                .whereLayer("membership")
+                .mayOnlyAccessLayers("policy")
+                .whereLayer("config")
+                .mayOnlyAccessLayers("membership", "policy")
+                .whereLayer("codec")
+                .mayNotAccessAnyLayer()
+                .check(CODE);
     }
 
     @Test
     void packagesHaveNoCycles() {
-        slices().matching("gatefront.(**)").should().beFreeOfCycles()
-            .check(CODE);
+        slices().matching("gatefront.(**)").should().beFreeOfCycles().check(CODE);
     }
 
     @Test
     void whatIsPureDoesNoIo() {
-        noClasses().that().resideInAnyPackage(PURE).should()
-        .dependOnClassesThat().resideInAnyPackage("java.io..", "java.nio..", "java.net..", "java.time..",
-            "java.util.concurrent..", "io.netty..", "com.fasterxml..")
-            .check(CODE);
+        noClasses()
+                .that()
+                .resideInAnyPackage(PURE)
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "java.io..",
+                        "java.nio..",
+                        "java.net..",
+                        "java.time..",
+                        "java.util.concurrent..",
+                        "io.netty..",
+                        "com.fasterxml..")
+                .check(CODE);
     }
 
     @Test
     void whatIsPureReadsNoClock() {
-        noClasses().that().resideInAnyPackage(PURE).should()
-        .callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")
-        .orShould().dependOnClassesThat().areAssignableTo(Thread.class)
-            .check(CODE);
+        noClasses()
+                .that()
+                .resideInAnyPackage(PURE)
+                .should()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .orShould()
+                .dependOnClassesThat()
+                .areAssignableTo(Thread.class)
+                .check(CODE);
     }
 
     /** All below the command line are handed their clock and loop; only what plays on sockets brings its own. */
     @Test
     void clocksAndSocketsComeFromOutside() {
-        noClasses().that()
-        .resideOutsideOfPackages("gatefront.transport..", "gatefront.cli..")
-        .and().haveNameNotMatching("gatefront.rehearsal.(SocketMachine|RealRehearsal|Demo|ProcessRehearsal"
-            + "|processes.(Relay|Lateness))(\\$.*)?").should()
-        .callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")
-        .orShould().dependOnClassesThat().resideInAnyPackage("io.netty.channel.nio..",
-            "io.netty.channel.socket.nio..")
-            .check(CODE);
+        noClasses()
+                .that()
+                .resideOutsideOfPackages("gatefront.transport..", "gatefront.cli..")
+                .and()
+                .haveNameNotMatching("gatefront.rehearsal.(SocketMachine|RealRehearsal|Demo|ProcessRehearsal"
+                        + "|processes.(Relay|Lateness))(\\$.*)?")
+                .should()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .orShould()
+                .dependOnClassesThat()
+                .resideInAnyPackage("io.netty.channel.nio..", "io.netty.channel.socket.nio..")
+                .check(CODE);
     }
 }
--- a/src/test/java/gatefront/agent/AgentTest.java
+++ b/src/test/java/gatefront/agent/AgentTest.java
@@ -6,11 +6,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import gatefront.config.Config;
 import gatefront.policy.Balancer;
-import com.fasterxml.jackson.databind.JsonNode;
 import java.io.EOFException;
 import java.io.IOException;
 import java.lang.reflect.Proxy;
@@ -36,7 +36,7 @@
 /** The agent over loopback sockets, against scripted peers. */
 class AgentTest {
     private static final Peer.Script SERVES = (message, socket) -> Peer.answer(socket, 200, "", "served");
-    private static final Peer.Script SILENT = (message, socket) -> { };
+    private static final Peer.Script SILENT = (message, socket) -> {};
     private static final Peer.Script RESETS = (message, socket) -> Peer.reset(socket);
     private static final Peer.Script CUTS_OFF = (message, socket) -> {
         Peer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
@@ -59,8 +59,7 @@
     private void twoServersThatFirst(Peer.Script script) throws IOException {
         AtomicBoolean first = new AtomicBoolean(true);
         for (int i = 0; i < 2; i++) {
-            stage.server((message, socket) ->
-                (first.getAndSet(false) ? script : SERVES).handle(message, socket));
+            stage.server((message, socket) -> (first.getAndSet(false) ? script : SERVES).handle(message, socket));
         }
         stage.start();
     }
@@ -89,8 +88,15 @@
     void splitAndChunkedMessagesAndBodiesOf64KiBPass() throws Exception {
         String chunk = "c".repeat(32 << 10);
         Peer server = stage.server((message, socket) -> {
-            for (String part : List.of("HTTP/1.1 200 O", "K\r\nTransfer-Enco", "ding: chunked\r\n\r\n8000\r\n",
-                    chunk, "\r\n8000\r\n", chunk, "\r\n0\r\n", "\r\n")) {
+            for (String part : List.of(
+                    "HTTP/1.1 200 O",
+                    "K\r\nTransfer-Enco",
+                    "ding: chunked\r\n\r\n8000\r\n",
+                    chunk,
+                    "\r\n8000\r\n",
+                    chunk,
+                    "\r\n0\r\n",
+                    "\r\n")) {
                 Peer.write(socket, part);
                 Thread.sleep(2);
             }
@@ -98,9 +104,12 @@
         stage.start();
         Socket client = stage.dial();
         String head = "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Id: x\r\nRequest-Class: order\r\n"
-            + "Request-Timeout-Ms: 8000\r\n";
-        for (String part : List.of(head, "Transfer-Encoding: chunked\r\n\r\n8000\r\n" + chunk + "\r\n8000\r\n",
-                chunk + "\r\n0", "\r\n\r\n")) {
+                + "Request-Timeout-Ms: 8000\r\n";
+        for (String part : List.of(
+                head,
+                "Transfer-Encoding: chunked\r\n\r\n8000\r\n" + chunk + "\r\n8000\r\n",
+                chunk + "\r\n0",
+                "\r\n\r\n")) {
             Peer.write(client, part);
             Thread.sleep(2);
         }
@@ -114,7 +123,9 @@
         stage.start();
         Socket client = stage.dial();
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, Stage.exchange(client, stage.request("lookup", 8000, "")).status());
+            assertEquals(
+                    200,
+                    Stage.exchange(client, stage.request("lookup", 8000, "")).status());
             Thread.sleep(100); // a connection rests a moment before it is used again
         }
         assertEquals(5, server.requests.size());
@@ -240,7 +251,10 @@
         stage.settings("caps", caps -> caps.put("probes", false));
         Peer server = stage.server(SILENT);
         stage.start();
-        assertEquals(502, Stage.exchange(stage.dial(), stage.request("order", 1000, "body")).status());
+        assertEquals(
+                502,
+                Stage.exchange(stage.dial(), stage.request("order", 1000, "body"))
+                        .status());
         Stage.await(() -> server.ended.size() == server.sockets.size());
         assertEquals(1, server.requests.size());
     }
@@ -284,9 +298,10 @@
         stage.servers.add(second);
         stage.start();
         assertEquals(200, stage.call("lookup").status());
-        stage.news.add(Stage.delta(1, Stage.endpoint(2, second.address(), "Ready"),
-            Stage.endpoint(1, first.address(), "Terminating")));
-        Stage.await(() -> stage.discovery.requests.stream().anyMatch(each -> each.target().contains("since=1&")));
+        stage.news.add(Stage.delta(
+                1, Stage.endpoint(2, second.address(), "Ready"), Stage.endpoint(1, first.address(), "Terminating")));
+        Stage.await(() ->
+                stage.discovery.requests.stream().anyMatch(each -> each.target().contains("since=1&")));
         int before = first.requests.size();
         for (int i = 0; i < 5; i++) {
             assertEquals(200, stage.call("lookup").status());
@@ -315,12 +330,13 @@
             Thread.sleep(100);
             stage.news.add(Stage.delta(1, Stage.endpoint(1, address, "Terminating")));
             Stage.await(() -> stage.discovery.requests.stream()
-                .anyMatch(each -> each.target().contains("since=1&")));
+                    .anyMatch(each -> each.target().contains("since=1&")));
             AtomicInteger written = new AtomicInteger();
             Peer.daemon(() -> {
                 while (true) {
                     Socket accepted = full.accept();
-                    Peer.daemon(() -> written.addAndGet(accepted.getInputStream().readNBytes(1).length));
+                    Peer.daemon(
+                            () -> written.addAndGet(accepted.getInputStream().readNBytes(1).length));
                 }
             });
             assertEquals(503, Peer.read(client.getInputStream()).status());
@@ -333,15 +349,20 @@
 
     /** Guards against a list that cannot be read taking the servers away, or ending the agent. */
     @ParameterizedTest
-    @ValueSource(strings = {"not json", "{}", "{\"index\":9,\"snapshot\":true,\"endpoints\":[{\"name\":\"s\"}]}",
-        "{\"index\":9,\"snapshot\":true,\"endpoints\":[7]}"})
+    @ValueSource(
+            strings = {
+                "not json",
+                "{}",
+                "{\"index\":9,\"snapshot\":true,\"endpoints\":[{\"name\":\"s\"}]}",
+                "{\"index\":9,\"snapshot\":true,\"endpoints\":[7]}"
+            })
     void anUnusableListLeavesTheOldOneAndTheWholeIsAskedForAgain(String body) throws Exception {
         stage.server(SERVES);
         stage.start();
         int before = stage.discovery.requests.size();
         stage.news.add((message, socket) -> Peer.answer(socket, 200, "", body));
-        Stage.await(() -> stage.discovery.requests.stream().skip(before)
-            .anyMatch(each -> each.target().equals("/v1/servers")));
+        Stage.await(() -> stage.discovery.requests.stream().skip(before).anyMatch(each -> each.target()
+                .equals("/v1/servers")));
         assertEquals(200, stage.call("lookup").status());
     }
 
@@ -353,13 +374,18 @@
         stage.servers.add(server);
         Peer padron = stage.peer((message, socket) -> {
             if (!message.target().contains("since")) {
-                Peer.answer(socket, 200, "", "{\"index\":7,\"snapshot\":true,\"endpoints\":["
-                    + Stage.endpoint(2, server.address(), "Ready") + "]}");
+                Peer.answer(
+                        socket,
+                        200,
+                        "",
+                        "{\"index\":7,\"snapshot\":true,\"endpoints\":[" + Stage.endpoint(2, server.address(), "Ready")
+                                + "]}");
             }
         });
         stage.config.put("discovery", padron.address());
         stage.start();
-        Stage.await(() -> padron.requests.stream().anyMatch(each -> each.target().contains("since=7&")));
+        Stage.await(
+                () -> padron.requests.stream().anyMatch(each -> each.target().contains("since=7&")));
         assertEquals(200, stage.call("order").status());
         assertEquals(List.of(0, 1), List.of(replaced.requests.size(), server.requests.size()));
         assertEquals(1, stage.agent.kept());
@@ -373,8 +399,8 @@
         stage.news.add((message, socket) -> Peer.answer(socket, 503, "", ""));
         stage.news.add(RESETS);
         stage.news.add((message, socket) -> socket.close());
-        stage.news.add((message, socket) -> Peer.answer(socket, 200, "Connection: close\r\n",
-            "{\"index\":3,\"snapshot\":false,\"endpoints\":[]}"));
+        stage.news.add((message, socket) ->
+                Peer.answer(socket, 200, "Connection: close\r\n", "{\"index\":3,\"snapshot\":false,\"endpoints\":[]}"));
         stage.news.add(Stage.delta(4, Stage.endpoint(1, server.address(), "Ready")));
         assertEquals(200, stage.call("lookup").status());
     }
@@ -387,7 +413,8 @@
         stage.start();
         stage.news.add((message, socket) -> Peer.answer(socket, 503, "", ""));
         stage.news.add(Stage.delta(4, Stage.endpoint(1, server.address(), "Ready")));
-        Stage.await(() -> stage.discovery.requests.stream().anyMatch(each -> each.target().contains("since=4&")));
+        Stage.await(() ->
+                stage.discovery.requests.stream().anyMatch(each -> each.target().contains("since=4&")));
         assertEquals(200, stage.call("lookup").status());
     }
 
@@ -402,11 +429,14 @@
     @Test
     void theListGivesTimesAndNamesAsTheModuleNeedsThem() throws Exception {
         ObjectNode entry = Stage.endpoint(1, "127.0.0.1:9", "Ready");
-        ((ObjectNode) stage.config.get("known")).putArray("endpoints").add(entry)
-            .add(Stage.endpoint(2, "127.0.0.1:9", "Gone"));
+        ((ObjectNode) stage.config.get("known"))
+                .putArray("endpoints")
+                .add(entry)
+                .add(Stage.endpoint(2, "127.0.0.1:9", "Gone"));
         entry.put("since_ms", 1_700_000_000_123L);
-        List<gatefront.membership.Endpoint> list =
-            gatefront.padron.Discovery.decode(stage.config.get("known"), Config.of(stage.config)).endpoints();
+        List<gatefront.membership.Endpoint> list = gatefront.padron.Discovery.decode(
+                        stage.config.get("known"), Config.of(stage.config))
+                .endpoints();
         assertEquals(1_700_000_000_123_000L, list.get(0).server().startedAt());
         assertEquals(0, list.get(1).server().startedAt());
         assertEquals(Balancer.Phase.GONE, list.get(1).server().phase());
@@ -512,7 +542,8 @@
         stage.start();
         Socket held = stage.dial();
         Socket idle = stage.dial();
-        assertEquals(200, Stage.exchange(idle, stage.request("lookup", 8000, "")).status());
+        assertEquals(
+                200, Stage.exchange(idle, stage.request("lookup", 8000, "")).status());
         Peer.write(held, stage.request("order", 8000, "body"));
         Stage.await(() -> stage.arrived() == 2);
         Thread ending = Peer.daemon(stage.agent::stop);
@@ -524,13 +555,14 @@
             assertNull(answer.header("Connection"));
         }
         assertThrows(EOFException.class, () -> Peer.read(idle.getInputStream()));
-        Stage.await(() -> { // it no longer listens, but still owes an answer
-            try {
-                return !stage.dial().isBound();
-            } catch (IOException e) {
-                return true;
-            }
-        });
+        Stage.await(
+                () -> { // it no longer listens, but still owes an answer
+                    try {
+                        return !stage.dial().isBound();
+                    } catch (IOException e) {
+                        return true;
+                    }
+                });
         assertTrue(ending.isAlive());
         go.countDown();
         Peer.Message answer = Peer.read(held.getInputStream());
@@ -562,8 +594,8 @@
             ((ObjectNode) each).put("aim-us", 300_000).put("give-up-us", 300_000);
         }
         // A module that leaves its requests open, and a client that waits for longer than the test.
-        stage.start(agent -> (Balancer) Proxy.newProxyInstance(Balancer.class.getClassLoader(),
-            new Class<?>[] {Balancer.class}, (proxy, method, details) -> null));
+        stage.start(agent -> (Balancer) Proxy.newProxyInstance(
+                Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, details) -> null));
         Socket client = stage.dial();
         Peer.write(client, stage.request("order", 2 * Stage.GENEROUS_MS, "body"));
         Thread.sleep(100);
@@ -574,7 +606,8 @@
 
     private int health() {
         try (Socket socket = stage.dial()) {
-            return Stage.exchange(socket, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status();
+            return Stage.exchange(socket, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
+                    .status();
         } catch (IOException e) {
             return 0;
         }
@@ -583,7 +616,7 @@
     @Test
     void reportsAreReadInTheSettingsOrder() throws Exception {
         stage.server((message, socket) ->
-            Peer.answer(socket, 200, "Server-Load: inflight=7,queue=2,util=0.61\r\n", "served"));
+                Peer.answer(socket, 200, "Server-Load: inflight=7,queue=2,util=0.61\r\n", "served"));
         CompletableFuture<double[]> load = new CompletableFuture<>();
         stage.start(stage.overheard((event, details) -> {
             if (event.equals("outcome")) {
@@ -597,11 +630,15 @@
     @Test
     void anUnusableConfigurationIsSaidInOneLine() {
         stage.config.put("seed", "not hex");
-        assertEquals("config: seed has an unusable value: not hex",
-            assertThrows(IllegalArgumentException.class, () -> Config.of(stage.config)).getMessage());
+        assertEquals(
+                "config: seed has an unusable value: not hex",
+                assertThrows(IllegalArgumentException.class, () -> Config.of(stage.config))
+                        .getMessage());
         stage.config.put("seed", "1").put("listen", "somewhere");
-        assertEquals("unusable address: somewhere",
-            assertThrows(IllegalArgumentException.class, () -> Config.of(stage.config)).getMessage());
+        assertEquals(
+                "unusable address: somewhere",
+                assertThrows(IllegalArgumentException.class, () -> Config.of(stage.config))
+                        .getMessage());
         stage.config.remove("settings");
         assertThrows(IllegalArgumentException.class, () -> Config.of(stage.config));
     }
@@ -637,7 +674,10 @@
         stage.agent = Agent.start(Config.of(stage.config));
         long at = System.nanoTime();
         Socket socket = stage.dial();
-        assertEquals("old", new String(Stage.exchange(socket, stage.request("lookup", 8_000, "")).body()));
+        assertEquals(
+                "old",
+                new String(Stage.exchange(socket, stage.request("lookup", 8_000, ""))
+                        .body()));
         assertTrue(System.nanoTime() - at < 3_000_000_000L);
     }
 }
--- a/src/test/java/gatefront/agent/BadClientsTest.java
+++ b/src/test/java/gatefront/agent/BadClientsTest.java
@@ -45,32 +45,35 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "GET /nothing HTTP/1.1\r\nHost: a\r\nRequest-Class: nothing\r\nRequest-Id: 1\r\nRequest-Timeout-Ms: 5\r\n",
-        "GET /lookup HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\nRequest-Timeout-Ms: 500\r\n",
-        "GET /order HTTP/1.1\r\nHost: a\r\nRequest-Class: lookup\r\nRequest-Id: 1\r\nRequest-Timeout-Ms: 500\r\n",
-        "GET /lookup\u00e9 HTTP/1.1\r\nHost: a\r\nRequest-Class: lookup\r\nRequest-Id: 1\r\nRequest-Timeout-Ms: 5\r\n",
-        "POST /lookup HTTP/1.1\r\nHost: a\r\nRequest-Class: lookup\r\nRequest-Id: 1\r\nRequest-Timeout-Ms: 500\r\n"
-            + "Content-Length: 0\r\n",
-        "GET /lookup HTTP/1.1\r\nRequest-Class: lookup\r\nRequest-Id: 1\r\nRequest-Timeout-Ms: 500\r\n",
-        GET + "Request-Timeout-Ms: 500\r\n",
-        GET + "Request-Id: \r\nRequest-Timeout-Ms: 500\r\n",
-        GET + "Request-Id: a b\r\nRequest-Timeout-Ms: 500\r\n",
-        GET + "Request-Id: 1\r\nRequest-Id: 2\r\nRequest-Timeout-Ms: 500\r\n",
-        GET + "Request-Id: 1\r\n",
-        GET + "Request-Id: 1\r\nRequest-Timeout-Ms: soon\r\n",
-        GET + "Request-Id: 1\r\nRequest-Timeout-Ms: -5\r\n",
-        GET + "Request-Id: 1\r\nRequest-Timeout-Ms: +5\r\n",
-        GET + "Request-Id: 1\r\nRequest-Timeout-Ms: 0\r\n",
-        GET + "Request-Id: 1\r\nRequest-Timeout-Ms: 99999999999999999999\r\n",
-        GET + "Request-Id: 1\r\nRequest-Timeout-Ms: 500\r\nWork-Hint: much\r\n",
-        GET + "Request-Id: 1\r\nRequest-Timeout-Ms: 500\r\nIdempotency-Key: k\r\n",
-        GET + "Request-Id: 1\r\nRequest-Timeout-Ms: 500\r\nNote: \u00e9\r\n",
-        GET + "Request-Id: 1\r\nRequest-Timeout-Ms: 500\r\nContent-Length: 4\r\n",
-        GET + "Request-Id: 1\r\nRequest-Timeout-Ms: 500\r\nno colon\r\n",
-        "POST /pay HTTP/1.1\r\nHost: a\r\nRequest-Class: pay\r\nRequest-Id: 1\r\nRequest-Timeout-Ms: 500\r\n"
-            + "Content-Length: 0\r\n",
-        "\u0016\u0003\u0001\r\n", "{\"not\": \"http\"}\r\n"})
+    @ValueSource(
+            strings = {
+                "GET /nothing HTTP/1.1\r\nHost: a\r\nRequest-Class: nothing\r\nRequest-Id: 1\r\nRequest-Timeout-Ms: 5\r\n",
+                "GET /lookup HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\nRequest-Timeout-Ms: 500\r\n",
+                "GET /order HTTP/1.1\r\nHost: a\r\nRequest-Class: lookup\r\nRequest-Id: 1\r\nRequest-Timeout-Ms: 500\r\n",
+                "GET /lookup\u00e9 HTTP/1.1\r\nHost: a\r\nRequest-Class: lookup\r\nRequest-Id: 1\r\nRequest-Timeout-Ms: 5\r\n",
+                "POST /lookup HTTP/1.1\r\nHost: a\r\nRequest-Class: lookup\r\nRequest-Id: 1\r\nRequest-Timeout-Ms: 500\r\n"
+                        + "Content-Length: 0\r\n",
+                "GET /lookup HTTP/1.1\r\nRequest-Class: lookup\r\nRequest-Id: 1\r\nRequest-Timeout-Ms: 500\r\n",
+                GET + "Request-Timeout-Ms: 500\r\n",
+                GET + "Request-Id: \r\nRequest-Timeout-Ms: 500\r\n",
+                GET + "Request-Id: a b\r\nRequest-Timeout-Ms: 500\r\n",
+                GET + "Request-Id: 1\r\nRequest-Id: 2\r\nRequest-Timeout-Ms: 500\r\n",
+                GET + "Request-Id: 1\r\n",
+                GET + "Request-Id: 1\r\nRequest-Timeout-Ms: soon\r\n",
+                GET + "Request-Id: 1\r\nRequest-Timeout-Ms: -5\r\n",
+                GET + "Request-Id: 1\r\nRequest-Timeout-Ms: +5\r\n",
+                GET + "Request-Id: 1\r\nRequest-Timeout-Ms: 0\r\n",
+                GET + "Request-Id: 1\r\nRequest-Timeout-Ms: 99999999999999999999\r\n",
+                GET + "Request-Id: 1\r\nRequest-Timeout-Ms: 500\r\nWork-Hint: much\r\n",
+                GET + "Request-Id: 1\r\nRequest-Timeout-Ms: 500\r\nIdempotency-Key: k\r\n",
+                GET + "Request-Id: 1\r\nRequest-Timeout-Ms: 500\r\nNote: \u00e9\r\n",
+                GET + "Request-Id: 1\r\nRequest-Timeout-Ms: 500\r\nContent-Length: 4\r\n",
+                GET + "Request-Id: 1\r\nRequest-Timeout-Ms: 500\r\nno colon\r\n",
+                "POST /pay HTTP/1.1\r\nHost: a\r\nRequest-Class: pay\r\nRequest-Id: 1\r\nRequest-Timeout-Ms: 500\r\n"
+                        + "Content-Length: 0\r\n",
+                "\u0016\u0003\u0001\r\n",
+                "{\"not\": \"http\"}\r\n"
+            })
     void whatIsNoRequestIsAnswered400(String head) throws IOException {
         stage.server(SERVES);
         stage.start();
@@ -79,25 +82,41 @@
 
     /** Guards against a request hidden in what another reader takes for the body of the one before. */
     @ParameterizedTest
-    @ValueSource(strings = {"Content-Length: 4\r\nTransfer-Encoding: chunked", "Transfer-Encoding: gzip, chunked",
-        "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked", "Transfer-Encoding: identity",
-        "Content-Length: 4\r\nContent-Length: 40", "Content-Length: 4, 4", "Content-Length: -4",
-        "Content-Length: +4", "Content-Length: 0x4", "Content-Length: ten", "Content-Length: 4\nX: y"})
+    @ValueSource(
+            strings = {
+                "Content-Length: 4\r\nTransfer-Encoding: chunked",
+                "Transfer-Encoding: gzip, chunked",
+                "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
+                "Transfer-Encoding: identity",
+                "Content-Length: 4\r\nContent-Length: 40",
+                "Content-Length: 4, 4",
+                "Content-Length: -4",
+                "Content-Length: +4",
+                "Content-Length: 0x4",
+                "Content-Length: ten",
+                "Content-Length: 4\nX: y"
+            })
     void aBodyWhoseEndIsUnclearIsAnswered400(String framing) throws IOException {
         stage.server(SERVES);
         stage.start();
-        assertTurnedAway(400, "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Class: order\r\nRequest-Id: 1\r\n"
-            + "Request-Timeout-Ms: 8000\r\n" + framing + "\r\n\r\n0\r\n\r\n" + stage.request("order", 8000, "b"));
+        assertTurnedAway(
+                400,
+                "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Class: order\r\nRequest-Id: 1\r\n"
+                        + "Request-Timeout-Ms: 8000\r\n" + framing + "\r\n\r\n0\r\n\r\n"
+                        + stage.request("order", 8000, "b"));
     }
 
     @Test
     void aBodyThatIsTooLongIsNotReadOn() throws Exception {
         stage.server(SERVES);
         stage.start();
-        assertTurnedAway(413, stage.request("order", 500, "x").replace("Content-Length: 1", "Content-Length: 33554433"));
+        assertTurnedAway(
+                413, stage.request("order", 500, "x").replace("Content-Length: 1", "Content-Length: 33554433"));
         Socket client = stage.dial(); // one that goes on sending for ever, in chunks
-        Peer.write(client, "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Class: order\r\nRequest-Id: 1\r\n"
-            + "Request-Timeout-Ms: 8000\r\nTransfer-Encoding: chunked\r\n\r\n");
+        Peer.write(
+                client,
+                "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Class: order\r\nRequest-Id: 1\r\n"
+                        + "Request-Timeout-Ms: 8000\r\nTransfer-Encoding: chunked\r\n\r\n");
         Peer.daemon(() -> {
             while (true) {
                 Peer.write(client, "8000\r\n" + "y".repeat(0x8000) + "\r\n");
@@ -124,8 +143,10 @@
         });
         stage.start();
         Socket client = stage.dial();
-        Peer.write(client, stage.request("order", 8000, "b")
-            + stage.request("order", 8000, "x").replace("Content-Length: 1", "Content-Length: 60000000"));
+        Peer.write(
+                client,
+                stage.request("order", 8000, "b")
+                        + stage.request("order", 8000, "x").replace("Content-Length: 1", "Content-Length: 60000000"));
         Stage.await(() -> stage.arrived() == 1);
         Thread.sleep(100);
         go.countDown();
@@ -151,13 +172,19 @@
         go.countDown();
         assertEquals(200, Peer.read(first.getInputStream()).status());
         assertEquals(1, stage.arrived());
-        assertEquals(200, Stage.exchange(first, stage.request("pay", 8000, "body")).status());
+        assertEquals(
+                200, Stage.exchange(first, stage.request("pay", 8000, "body")).status());
     }
 
     /** Guards against descriptors held for those who say nothing, or never come to the end. */
     @ParameterizedTest
-    @ValueSource(strings = {"", "GET /loo", "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Class: order\r\n"
-        + "Request-Id: 1\r\nRequest-Timeout-Ms: 8000\r\nContent-Length: 100\r\n\r\nhalf"})
+    @ValueSource(
+            strings = {
+                "",
+                "GET /loo",
+                "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Class: order\r\n"
+                        + "Request-Id: 1\r\nRequest-Timeout-Ms: 8000\r\nContent-Length: 100\r\n\r\nhalf"
+            })
     void halfARequestIsNotWaitedForForEver(String half) throws IOException {
         stage.start();
         Socket client = stage.dial();
@@ -207,7 +234,10 @@
         stage.start();
         Socket client = stage.dial();
         String[] parts = stage.request("order", 8000, "body").split("\r\n\r\n");
-        assertEquals(100, Stage.exchange(client, parts[0] + "\r\nExpect: 100-continue\r\n\r\n").status());
+        assertEquals(
+                100,
+                Stage.exchange(client, parts[0] + "\r\nExpect: 100-continue\r\n\r\n")
+                        .status());
         assertEquals(200, Stage.exchange(client, parts[1]).status());
     }
 }
--- a/src/test/java/gatefront/agent/BadServersTest.java
+++ b/src/test/java/gatefront/agent/BadServersTest.java
@@ -47,17 +47,22 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "noise\r\n\r\n", "\u0000\u0001HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad",
-        "HTTP/1.1 999999 X\r\nContent-Length: 3\r\n\r\nbad", "HTTP/1.1 +200 OK\r\nContent-Length: 3\r\n\r\nbad",
-        "HTTP/3.0 200 OK\r\nContent-Length: 3\r\n\r\nbad", "HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 3\r\n\r\nbad",
-        "HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\nbad",
-        "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 30\r\n\r\nbad",
-        "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nbad\r\n0\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nbad",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\nbad\r\n0\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbad",
-        "HTTP/1.1 101 Switching Protocols\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad"})
+    @ValueSource(
+            strings = {
+                "noise\r\n\r\n",
+                "\u0000\u0001HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad",
+                "HTTP/1.1 999999 X\r\nContent-Length: 3\r\n\r\nbad",
+                "HTTP/1.1 +200 OK\r\nContent-Length: 3\r\n\r\nbad",
+                "HTTP/3.0 200 OK\r\nContent-Length: 3\r\n\r\nbad",
+                "HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 3\r\n\r\nbad",
+                "HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\nbad",
+                "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 30\r\n\r\nbad",
+                "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nbad\r\n0\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nbad",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\nbad\r\n0\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbad",
+                "HTTP/1.1 101 Switching Protocols\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad"
+            })
     void aSpoiltAnswerIsNotServedAndMayHaveRun(String bytes) throws IOException {
         firstAnswer(bytes);
         assertEquals(502, stage.call("order").status());
@@ -75,14 +80,18 @@
     @Test
     void anAnswerInChunksThatNeverEndIsGivenUp() throws IOException {
         firstAnswer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8000\r\n" + "x".repeat(0x8000)
-            + "\r\n8001\r\n" + "x".repeat(0x8001));
+                + "\r\n8001\r\n" + "x".repeat(0x8001));
         // What is longer than any answer held has begun to pass on; the caller can tell that it is not whole.
         assertThrows(IOException.class, () -> stage.call("order"));
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"HTTP/1.1 100 Continue\r\n\r\n", "HTTP/1.1 102 Processing\r\n\r\n",
-        "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n"})
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 100 Continue\r\n\r\n",
+                "HTTP/1.1 102 Processing\r\n\r\n",
+                "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n"
+            })
     void whatGoesAheadOfAnAnswerIsPassedOver(String ahead) throws IOException {
         firstAnswer(ahead + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood");
         assertEquals("good", stage.call("order").text());
@@ -99,7 +108,9 @@
         stage.start();
         Socket client = stage.dial();
         for (int i = 1; i <= 20; i++) {
-            assertEquals("id" + i, Stage.exchange(client, stage.request("order", 8000, "b")).text());
+            assertEquals(
+                    "id" + i,
+                    Stage.exchange(client, stage.request("order", 8000, "b")).text());
         }
     }
 
@@ -113,8 +124,18 @@
 
     /** Guards against one figure that is none getting into the module's means. */
     @ParameterizedTest
-    @ValueSource(strings = {"inflight=NaN,queue=1", "inflight=Infinity,queue=1", "inflight=-1,queue=1",
-        "inflight=1e999,queue=1", "inflight=,queue=1", "inflight", "=,=", "\"", "queue=1"})
+    @ValueSource(
+            strings = {
+                "inflight=NaN,queue=1",
+                "inflight=Infinity,queue=1",
+                "inflight=-1,queue=1",
+                "inflight=1e999,queue=1",
+                "inflight=,queue=1",
+                "inflight",
+                "=,=",
+                "\"",
+                "queue=1"
+            })
     void aReportThatMakesNoSenseIsPassedOverAndItsAnswerServed(String report) throws Exception {
         stage.server((message, socket) -> Peer.answer(socket, 200, "Server-Load: " + report + "\r\n", "good"));
         CompletableFuture<double[]> load = new CompletableFuture<>();
@@ -134,10 +155,14 @@
         stage.start();
         assertEquals(200, stage.call("order").status());
         for (int i = 2; i <= 40; i++) { // each at the same address, under a new id
-            stage.news.add(Stage.delta(i, Stage.endpoint(i - 1, first.address(), "Gone"),
-                Stage.endpoint(1000 + i, first.address(), "Gone"), Stage.endpoint(i, first.address(), "Ready")));
+            stage.news.add(Stage.delta(
+                    i,
+                    Stage.endpoint(i - 1, first.address(), "Gone"),
+                    Stage.endpoint(1000 + i, first.address(), "Gone"),
+                    Stage.endpoint(i, first.address(), "Ready")));
         }
-        Stage.await(() -> stage.discovery.requests.stream().anyMatch(each -> each.target().contains("since=40&")));
+        Stage.await(() ->
+                stage.discovery.requests.stream().anyMatch(each -> each.target().contains("since=40&")));
         assertEquals(200, stage.call("order").status());
         assertEquals(1, stage.agent.kept(), "of the last one alone");
         Stage.await(() -> first.ended.size() >= 1);
--- a/src/test/java/gatefront/agent/Cuenta.java
+++ b/src/test/java/gatefront/agent/Cuenta.java
@@ -20,7 +20,7 @@
  * throws (100: Refused, 101: Failed)}, in the style of generated code.
  */
 final class Cuenta {
-    private Cuenta() { }
+    private Cuenta() {}
 
     /** A struct as generated code has it, in so far as clients and servers use it. */
     abstract static class Struct implements TBase<Struct, TFieldIdEnum> {
@@ -42,7 +42,7 @@
         }
 
         @Override
-        public void setFieldValue(TFieldIdEnum field, Object value) { }
+        public void setFieldValue(TFieldIdEnum field, Object value) {}
 
         @Override
         public Struct deepCopy() {
@@ -50,7 +50,7 @@
         }
 
         @Override
-        public void clear() { }
+        public void clear() {}
 
         @Override
         public int compareTo(Struct other) {
@@ -66,7 +66,7 @@
         String key;
         String text = "";
 
-        Args() { }
+        Args() {}
 
         Args(String requestId, long timeoutMs, String key, String text) {
             this.requestId = requestId;
--- a/src/test/java/gatefront/agent/ExtensionsTest.java
+++ b/src/test/java/gatefront/agent/ExtensionsTest.java
@@ -17,7 +17,8 @@
 
 /** The file of our own: what is right is taken, and what is wrong is one line with file, line and key. */
 class ExtensionsTest {
-    private static final String GOOD = """
+    private static final String GOOD =
+            """
         [thrift]
         listen = "127.0.0.1:9090"
         nodo_port = 9091
@@ -31,12 +32,14 @@
         """;
 
     private static ThriftSettings read(String text) throws TomlException {
-        return Extensions.parse("x.toml", text, Config.read(Path.of("src/test/resources/config.json"))).thrift();
+        return Extensions.parse("x.toml", text, Config.read(Path.of("src/test/resources/config.json")))
+                .thrift();
     }
 
     private static String wrong(String from, String to) {
         assertTrue(GOOD.contains(from));
-        return assertThrows(TomlException.class, () -> read(GOOD.replace(from, to))).getMessage();
+        return assertThrows(TomlException.class, () -> read(GOOD.replace(from, to)))
+                .getMessage();
     }
 
     @Test
@@ -49,33 +52,43 @@
         assertFalse(settings.probes());
         assertEquals(new Method(1, true), settings.methods().get("pagar"));
         assertEquals(new Method(0, false), settings.methods().get("Cuentas:saldo"));
-        assertEquals(new Form(false, Encoding.COMPACT), read(GOOD.replace("nodo_port",
-            "framing = \"unframed\"\nprotocol = \"compact\"\nnodo_port")).form());
+        assertEquals(
+                new Form(false, Encoding.COMPACT),
+                read(GOOD.replace("nodo_port", "framing = \"unframed\"\nprotocol = \"compact\"\nnodo_port"))
+                        .form());
         assertNull(read(""), "no Thrift where there is no table");
     }
 
     @Test
     void whatIsWrongIsOneLineWithFileLineAndKey() {
-        assertEquals("x.toml:2: thrift.listen: is to be a literal address and a port, as in \"127.0.0.1:9090\"",
-            wrong("127.0.0.1:9090", "localhost"));
+        assertEquals(
+                "x.toml:2: thrift.listen: is to be a literal address and a port, as in \"127.0.0.1:9090\"",
+                wrong("127.0.0.1:9090", "localhost"));
         assertTrue(wrong("nodo_port = 9091", "nodo_prt = 9091").startsWith("x.toml:"));
         assertTrue(wrong("nodo_port = 9091", "nodo_port = 70000").startsWith("x.toml:3: thrift.nodo_port: "));
         assertTrue(wrong("nodo_port = 9091\n", "").contains("nodo_port: is missing"));
         String unknown = wrong("class = \"pay\"", "class = \"pai\"");
-        assertTrue(unknown.startsWith("x.toml:6: thrift.methods.0.class: ") && unknown.contains("\"pay\" meant?"),
-            unknown);
+        assertTrue(
+                unknown.startsWith("x.toml:6: thrift.methods.0.class: ") && unknown.contains("\"pay\" meant?"),
+                unknown);
         assertTrue(wrong("Cuentas:saldo", "pagar").contains("is there twice"));
         assertTrue(wrong("nodo_port", "framing = \"framed\"\nnodo_port").contains("both"));
         assertTrue(wrong("declares = true", "declare = true").contains("is \"declares\" meant?"));
-        assertTrue(assertThrows(TomlException.class, () -> read("[thrift\n")).getMessage().startsWith("x.toml:1: "));
-        assertTrue(assertThrows(TomlException.class, () -> read("[trift]\na = 1\n")).getMessage()
-            .contains("is \"thrift\" meant?"));
+        assertTrue(assertThrows(TomlException.class, () -> read("[thrift\n"))
+                .getMessage()
+                .startsWith("x.toml:1: "));
+        assertTrue(assertThrows(TomlException.class, () -> read("[trift]\na = 1\n"))
+                .getMessage()
+                .contains("is \"thrift\" meant?"));
     }
 
     @Test
     void aFileThatIsMissingStopsTheStart() {
-        String said = assertThrows(IllegalArgumentException.class, () -> Extensions.read(Path.of("no/such.toml"),
-            Config.read(Path.of("src/test/resources/config.json")))).getMessage();
+        String said = assertThrows(
+                        IllegalArgumentException.class,
+                        () -> Extensions.read(
+                                Path.of("no/such.toml"), Config.read(Path.of("src/test/resources/config.json"))))
+                .getMessage();
         assertEquals("no/such.toml: no such file", said);
     }
 }
--- a/src/test/java/gatefront/agent/LargeBodiesTest.java
+++ b/src/test/java/gatefront/agent/LargeBodiesTest.java
@@ -68,8 +68,9 @@
         byte[] body = bytes(5 * MIB + 7);
         stage.server((message, socket) -> {
             if (message.target().startsWith("/lookup")) {
-                Peer.write(socket, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: " + body.length
-                    + "\r\n\r\n");
+                Peer.write(
+                        socket,
+                        "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
                 write(socket, body);
             } else if (message.target().startsWith("/pay")) {
                 Peer.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -112,9 +113,11 @@
     @Test
     void aServerThatBreaksOffEndsInAnAnswerThatIsVisiblyNotWhole() throws Exception {
         stage.server((message, socket) -> {
-            Peer.write(socket, message.target().startsWith("/lookup")
-                ? "HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n"
-                : "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n");
+            Peer.write(
+                    socket,
+                    message.target().startsWith("/lookup")
+                            ? "HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n"
+                            : "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n");
             write(socket, new byte[200_000]);
             socket.close();
         });
@@ -144,8 +147,9 @@
         }
         Thread.sleep(1500);
         Budget budget = stage.agent.budget();
-        assertTrue(budget.of(Purpose.ANSWERS).bytesHigh() < callers * 100 << 10,
-            budget.of(Purpose.ANSWERS).bytesHigh() + " bytes of answers");
+        assertTrue(
+                budget.of(Purpose.ANSWERS).bytesHigh() < callers * 100 << 10,
+                budget.of(Purpose.ANSWERS).bytesHigh() + " bytes of answers");
         assertTrue(budget.of(Purpose.ANSWERS).bytesHigh() > 0);
         Peer.Message one = Peer.read(sockets.get(3).getInputStream());
         assertEquals(32 * MIB, one.body().length);
@@ -170,7 +174,9 @@
         Peer.write(socket, head.replace("Content-Length: 0", "Transfer-Encoding: chunked"));
         chunked(socket, body, 9_999);
         assertEquals("got " + body.length, Peer.read(socket.getInputStream()).text());
-        assertEquals("got 4", Stage.exchange(socket, stage.request("order", 8000, "body")).text());
+        assertEquals(
+                "got 4",
+                Stage.exchange(socket, stage.request("order", 8000, "body")).text());
         for (Peer.Message each : stage.servers.get(0).requests) {
             if (each.body().length > 4) {
                 assertArrayEquals(body, each.body());
@@ -183,13 +189,15 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void anUploadWhoseServerDiesInTheMiddleIsRefused(boolean chunked) throws Exception {
-        Peer.Script dead = (message, socket) -> { };
+        Peer.Script dead = (message, socket) -> {};
         Peer server = stage.server(dead);
         stage.start();
         Socket socket = stage.dial();
         String head = stage.request("order", 8000, "");
-        Peer.write(socket, head.replace("Content-Length: 0", chunked ? "Transfer-Encoding: chunked"
-            : "Content-Length: " + 4 * MIB) + (chunked ? "400000\r\n" : ""));
+        Peer.write(
+                socket,
+                head.replace("Content-Length: 0", chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + 4 * MIB)
+                        + (chunked ? "400000\r\n" : ""));
         write(socket, new byte[200_000]);
         Stage.await(() -> !server.sockets.isEmpty());
         Thread.sleep(200);
@@ -208,8 +216,10 @@
         Peer server = stage.server((message, socket) -> Peer.answer(socket, 200, "", "served"));
         stage.start();
         Socket socket = stage.dial();
-        Peer.write(socket, stage.request("order", 8000, "").replace("Content-Length: 0",
-            "Transfer-Encoding: chunked") + "30d40\r\n");
+        Peer.write(
+                socket,
+                stage.request("order", 8000, "").replace("Content-Length: 0", "Transfer-Encoding: chunked")
+                        + "30d40\r\n");
         write(socket, new byte[200_000]);
         Peer.write(socket, "\r\nnoise\r\n");
         long begin = System.nanoTime();
@@ -250,8 +260,8 @@
         Peer.write(socket, stage.request("order", 8000, "").replace("Content-Length: 0", "Content-Length: 60000000"));
         assertEquals(413, Peer.read(socket.getInputStream()).status());
         Socket unknown = stage.dial();
-        Peer.write(unknown, stage.request("order", 8000, "").replace("Content-Length: 0",
-            "Transfer-Encoding: chunked"));
+        Peer.write(
+                unknown, stage.request("order", 8000, "").replace("Content-Length: 0", "Transfer-Encoding: chunked"));
         byte[] chunk = new byte[MIB];
         Peer.daemon(() -> {
             for (int i = 0; i < 60; i++) {
@@ -280,6 +290,7 @@
             Peer.write(socket, request.substring(i, i + 1));
             Thread.sleep(100);
         }
-        assertEquals("slow body of a slow caller", Peer.read(socket.getInputStream()).text());
+        assertEquals(
+                "slow body of a slow caller", Peer.read(socket.getInputStream()).text());
     }
 }
--- a/src/test/java/gatefront/agent/LedgerClockTest.java
+++ b/src/test/java/gatefront/agent/LedgerClockTest.java
@@ -25,6 +25,7 @@
 /** A keeper whose wall clock jumps. */
 class LedgerClockTest {
     private static final long SECOND = 1_000_000;
+
     @TempDir
     private Path folder;
 
@@ -39,13 +40,17 @@
     void aClockThatJumpsOverMillionsOfPeriodsClosesWhatHadUseAndNoMore() throws Exception {
         SocketTransport sockets = new SocketTransport();
         AtomicLong wall = new AtomicLong(1_000 * SECOND);
-        Transport transport = (Transport) Proxy.newProxyInstance(Transport.class.getClassLoader(),
-            new Class<?>[] {Transport.class}, (proxy, method, args) ->
-                method.getName().equals("wallMicros") ? wall.get() : method.invoke(sockets, args));
-        Config config = Config.of(new ObjectMapper().readTree(
-            Files.readAllBytes(Path.of("src/test/resources/config.json"))));
-        LedgerKeeper keeper = LedgerKeeper.open(transport, new LedgerTable(folder.resolve("books"), "a", null, SECOND,
-            SECOND / 10, 1 << 20), () -> config);
+        Transport transport = (Transport) Proxy.newProxyInstance(
+                Transport.class.getClassLoader(),
+                new Class<?>[] {Transport.class},
+                (proxy, method, args) ->
+                        method.getName().equals("wallMicros") ? wall.get() : method.invoke(sockets, args));
+        Config config =
+                Config.of(new ObjectMapper().readTree(Files.readAllBytes(Path.of("src/test/resources/config.json"))));
+        LedgerKeeper keeper = LedgerKeeper.open(
+                transport,
+                new LedgerTable(folder.resolve("books"), "a", null, SECOND, SECOND / 10, 1 << 20),
+                () -> config);
         keeper.start();
         Thread.sleep(300);
         wall.addAndGet(1_000L * 365 * 86_400 * SECOND);
@@ -63,7 +68,9 @@
         Ledger ledger = look().ledger();
         assertTrue(ledger.size() < 10, ledger.size() + " entries");
         for (long period : ledger.periods()) {
-            assertEquals(List.of(Ledger.Part.WHOLE), List.copyOf(ledger.standing(period, List.of()).values()));
+            assertEquals(
+                    List.of(Ledger.Part.WHOLE),
+                    List.copyOf(ledger.standing(period, List.of()).values()));
         }
         CountDownLatch gone = new CountDownLatch(1);
         sockets.close(gone::countDown);
--- a/src/test/java/gatefront/agent/LedgerKeeperTest.java
+++ b/src/test/java/gatefront/agent/LedgerKeeperTest.java
@@ -26,6 +26,7 @@
 class LedgerKeeperTest {
     @TempDir
     private Path folder;
+
     private Stage stage;
 
     @BeforeEach
@@ -40,14 +41,17 @@
     }
 
     private Extensions ledger(String more) throws TomlException {
-        return Extensions.parse("x.toml", "[ledger]\nfolder = \"" + folder.resolve("books") + "\"\n"
-            + "instance = \"agente-1\"\nwrite_s = 0.1\nperiod_s = 86400\n" + more, Config.of(stage.config));
+        return Extensions.parse(
+                "x.toml",
+                "[ledger]\nfolder = \"" + folder.resolve("books") + "\"\n"
+                        + "instance = \"agente-1\"\nwrite_s = 0.1\nperiod_s = 86400\n" + more,
+                Config.of(stage.config));
     }
 
     private Books.Look look() throws IOException {
         Books.Look[] look = new Books.Look[1];
-        Verify verify = Verify.of(FolderDisk.existing(folder.resolve("books")), Keys.NONE,
-            Books.looking(at -> look[0] = at));
+        Verify verify =
+                Verify.of(FolderDisk.existing(folder.resolve("books")), Keys.NONE, Books.looking(at -> look[0] = at));
         assertEquals(null, verify.damage());
         return look[0];
     }
@@ -64,8 +68,10 @@
 
     private void ask(int n, String type) throws IOException {
         for (int i = 0; i < n; i++) {
-            assertEquals(200, Stage.exchange(stage.dial(), stage.request(type, 8_000, type.equals("lookup") ? ""
-                : "abcd")).status());
+            assertEquals(
+                    200,
+                    Stage.exchange(stage.dial(), stage.request(type, 8_000, type.equals("lookup") ? "" : "abcd"))
+                            .status());
         }
     }
 
@@ -89,14 +95,18 @@
         assertTrue(pay.work() > 0);
         assertEquals(3 * "served".length(), all(ledger, "lookup").bytes());
         for (long period : ledger.periods()) {
-            assertEquals(List.of(Ledger.Part.WHOLE), List.copyOf(ledger.standing(period, List.of()).values()));
+            assertEquals(
+                    List.of(Ledger.Part.WHOLE),
+                    List.copyOf(ledger.standing(period, List.of()).values()));
         }
     }
 
     @Test
     void whatWasNeverWrittenWhileItRanIsWrittenAtItsEnd() throws Exception {
-        stage.start(Extensions.parse("x.toml", "[ledger]\nfolder = \"" + folder.resolve("books")
-            + "\"\ninstance = \"agente-1\"\nwrite_s = 3600\n", Config.of(stage.config)));
+        stage.start(Extensions.parse(
+                "x.toml",
+                "[ledger]\nfolder = \"" + folder.resolve("books") + "\"\ninstance = \"agente-1\"\nwrite_s = 3600\n",
+                Config.of(stage.config)));
         ask(2, "pay");
         stage.agent.stop();
         assertEquals(2, all(look().ledger(), "pay").requests());
@@ -121,10 +131,12 @@
 
     @Test
     void booksThatCannotBeUsedStopTheStartInOneLine() throws Exception {
-        Books.open(new FolderDisk(folder.resolve("books")), Store.Options.USUAL, "agente-2").close();
+        Books.open(new FolderDisk(folder.resolve("books")), Store.Options.USUAL, "agente-2")
+                .close();
         IOException e = assertThrows(IOException.class, () -> stage.start(ledger("")));
-        assertEquals("ledger " + folder.resolve("books") + ": these are the books of agente-2, not of agente-1",
-            e.getMessage());
+        assertEquals(
+                "ledger " + folder.resolve("books") + ": these are the books of agente-2, not of agente-1",
+                e.getMessage());
         Path keys = folder.resolve("keys");
         Files.writeString(keys, "1 00\n");
         assertThrows(IOException.class, () -> stage.start(ledger("keys = \"" + keys + "\"\n")));
--- a/src/test/java/gatefront/agent/MemoryTest.java
+++ b/src/test/java/gatefront/agent/MemoryTest.java
@@ -29,6 +29,7 @@
 class MemoryTest {
     @TempDir
     private Path folder;
+
     private Stage stage;
     private final CountDownLatch release = new CountDownLatch(1);
 
@@ -44,8 +45,8 @@
     }
 
     private Stage start(String caps) throws IOException, TomlException {
-        return stage.start(Extensions.parse("x.toml", "[memory]\nstatus = \"127.0.0.1:0\"\n" + caps,
-            Config.of(stage.config)));
+        return stage.start(
+                Extensions.parse("x.toml", "[memory]\nstatus = \"127.0.0.1:0\"\n" + caps, Config.of(stage.config)));
     }
 
     private static String cap(Purpose purpose, String figures) {
@@ -57,16 +58,19 @@
     }
 
     private JsonNode page() {
-        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.agent.statusAddress().getPort())) {
+        try (Socket socket = new Socket(
+                InetAddress.getLoopbackAddress(), stage.agent.statusAddress().getPort())) {
             Peer.write(socket, "GET /status.json HTTP/1.1\r\nHost: a\r\n\r\n");
-            return new ObjectMapper().readTree(Peer.read(socket.getInputStream()).text());
+            return new ObjectMapper()
+                    .readTree(Peer.read(socket.getInputStream()).text());
         } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
     private void empties(Purpose purpose) {
-        Stage.await(() -> held(purpose).get("entries").asLong() == 0 && held(purpose).get("bytes").asLong() == 0);
+        Stage.await(() -> held(purpose).get("entries").asLong() == 0
+                && held(purpose).get("bytes").asLong() == 0);
     }
 
     private List<CompletableFuture<Peer.Message>> together(int n, String kind, String body) {
@@ -107,7 +111,8 @@
     void bodiesOverTheirCapAreRefusedAndGivenBack() throws Exception {
         slow();
         start(cap(Purpose.REQUESTS, "kib = 4"));
-        CompletableFuture<Peer.Message> first = together(1, "pay", "x".repeat(3_000)).get(0);
+        CompletableFuture<Peer.Message> first =
+                together(1, "pay", "x".repeat(3_000)).get(0);
         Stage.await(() -> held(Purpose.REQUESTS).get("bytes").asLong() == 3_000);
         Peer.Message refused = Stage.exchange(stage.dial(), stage.request("pay", 8_000, "x".repeat(2_000)));
         assertEquals(503, refused.status());
@@ -134,7 +139,9 @@
     void anAnswerOverTheCapEndsItsAttemptAndIsGivenBack() throws Exception {
         stage.server((message, socket) -> Peer.answer(socket, 200, "", "x".repeat(8_000)));
         start(cap(Purpose.SERVER_ANSWERS, "kib = 4"));
-        assertEquals(502, Stage.exchange(stage.dial(), stage.request("order", 2_000, "")).status());
+        assertEquals(
+                502,
+                Stage.exchange(stage.dial(), stage.request("order", 2_000, "")).status());
         empties(Purpose.SERVER_ANSWERS);
         assertTrue(held(Purpose.SERVER_ANSWERS).get("turned_away").asLong() > 0);
     }
@@ -192,7 +199,8 @@
             begun.add(caller);
             if (i < 3) {
                 int all = i + 1;
-                Stage.await(() -> held(Purpose.CALLER_CONNECTIONS).get("entries").asLong() == all);
+                Stage.await(
+                        () -> held(Purpose.CALLER_CONNECTIONS).get("entries").asLong() == all);
             }
         }
         Thread.sleep(300);
@@ -258,14 +266,16 @@
     void thePageIsForPeopleTooAndSaysWhatElseThereIs() throws Exception {
         stage.server((message, socket) -> Peer.answer(socket, 200, "", "served"));
         start("");
-        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.agent.statusAddress().getPort())) {
+        try (Socket socket = new Socket(
+                InetAddress.getLoopbackAddress(), stage.agent.statusAddress().getPort())) {
             Peer.write(socket, "GET /status HTTP/1.1\r\nHost: a\r\n\r\n");
             String text = Peer.read(socket.getInputStream()).text();
             for (Purpose each : Purpose.values()) {
                 assertTrue(text.contains(each.word()), text);
             }
         }
-        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.agent.statusAddress().getPort())) {
+        try (Socket socket = new Socket(
+                InetAddress.getLoopbackAddress(), stage.agent.statusAddress().getPort())) {
             Peer.write(socket, "GET /other HTTP/1.1\r\nHost: a\r\n\r\n");
             assertEquals(404, Peer.read(socket.getInputStream()).status());
         }
@@ -322,18 +332,25 @@
         for (List<String> each : List.of(
                 List.of("status = \"10.0.0.1:1\"", "x.toml:2: memory.status: is to be a loopback address"),
                 List.of("status = \"here\"", "x.toml:2: memory.status: is to be a literal address"),
-                List.of("[[memory.caps]]\npurpose = \"cals\"\nentries = 3",
-                    "x.toml:3: memory.caps.0.purpose: \"cals\" is none of"),
+                List.of(
+                        "[[memory.caps]]\npurpose = \"cals\"\nentries = 3",
+                        "x.toml:3: memory.caps.0.purpose: \"cals\" is none of"),
                 List.of("[[memory.caps]]\npurpose = \"calls\"", "memory.caps.0.entries: is missing"),
                 List.of("[[memory.caps]]\npurpose = \"calls\"\nkib = 3", "memory.caps.0.kib: means nothing for calls"),
-                List.of("[[memory.caps]]\npurpose = \"requests\"\nentries = 3",
-                    "memory.caps.0.entries: means nothing for requests"),
-                List.of("[[memory.caps]]\npurpose = \"registry\"\nentries = 3",
-                    "memory.caps.0.purpose: registry has its cap in keys of [registry]"),
-                List.of("[[memory.caps]]\npurpose = \"calls\"\nentries = 0",
-                    "memory.caps.0.entries: 0 is not within 1"))) {
-            String message = assertThrows(TomlException.class, () -> Extensions.parse("x.toml",
-                "[memory]\n" + each.get(0) + "\n", Config.of(stage.config))).getMessage();
+                List.of(
+                        "[[memory.caps]]\npurpose = \"requests\"\nentries = 3",
+                        "memory.caps.0.entries: means nothing for requests"),
+                List.of(
+                        "[[memory.caps]]\npurpose = \"registry\"\nentries = 3",
+                        "memory.caps.0.purpose: registry has its cap in keys of [registry]"),
+                List.of(
+                        "[[memory.caps]]\npurpose = \"calls\"\nentries = 0",
+                        "memory.caps.0.entries: 0 is not within 1"))) {
+            String message = assertThrows(
+                            TomlException.class,
+                            () -> Extensions.parse(
+                                    "x.toml", "[memory]\n" + each.get(0) + "\n", Config.of(stage.config)))
+                    .getMessage();
             assertTrue(message.contains(each.get(1)) && message.lines().count() == 1, message);
         }
     }
--- a/src/test/java/gatefront/agent/OperationTest.java
+++ b/src/test/java/gatefront/agent/OperationTest.java
@@ -32,6 +32,7 @@
 class OperationTest {
     @TempDir
     private Path shared;
+
     private Stage stage;
     private final List<Agent> agents = new ArrayList<>();
     private final List<Socket> waiting = new ArrayList<>();
@@ -63,7 +64,8 @@
     }
 
     private static Peer.Message raw(Agent agent, String text) {
-        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), agent.management().getPort())) {
+        try (Socket socket =
+                new Socket(InetAddress.getLoopbackAddress(), agent.management().getPort())) {
             socket.setSoTimeout((int) Stage.GENEROUS_MS);
             Peer.write(socket, text);
             return Peer.read(socket.getInputStream());
@@ -74,8 +76,11 @@
 
     private Map<String, Long> stats() {
         Map<String, Long> figures = new HashMap<>();
-        door("GET", "/stats").text().lines().forEach(line -> figures.put(line.substring(0, line.indexOf('=')),
-            Long.valueOf(line.substring(line.indexOf('=') + 1))));
+        door("GET", "/stats")
+                .text()
+                .lines()
+                .forEach(line -> figures.put(
+                        line.substring(0, line.indexOf('=')), Long.valueOf(line.substring(line.indexOf('=') + 1))));
         return figures;
     }
 
@@ -95,7 +100,10 @@
         assertEquals(405, door("POST", "/stats").status());
         assertEquals(400, raw(stage.agent, "nonsense\r\n\r\n").status());
         assertEquals(400, door("POST", "/backends/%zz/maint").status());
-        assertEquals(431, raw(stage.agent, "GET /" + "a".repeat(9000) + " HTTP/1.1\r\n\r\n").status());
+        assertEquals(
+                431,
+                raw(stage.agent, "GET /" + "a".repeat(9000) + " HTTP/1.1\r\n\r\n")
+                        .status());
         assertEquals(0, stats().get("pool_ejected"));
         assertEquals("a", stage.call("lookup").text());
     }
@@ -106,7 +114,8 @@
         start();
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            Socket each = new Socket(InetAddress.getLoopbackAddress(), stage.agent.management().getPort());
+            Socket each = new Socket(
+                    InetAddress.getLoopbackAddress(), stage.agent.management().getPort());
             Peer.write(each, "GET /st");
             silent.add(each);
         }
@@ -144,8 +153,12 @@
         assertEquals(0, figures.get("ok.pay"));
         assertEquals(0, figures.get("active"));
         assertEquals(1, figures.get("pool_size"));
-        assertEquals(stage.servers.get(0).requests.stream().filter(each -> !each.target().equals("/healthz")).count()
-            - tried, figures.get("tries"));
+        assertEquals(
+                stage.servers.get(0).requests.stream()
+                                .filter(each -> !each.target().equals("/healthz"))
+                                .count()
+                        - tried,
+                figures.get("tries"));
     }
 
     @Test
@@ -188,8 +201,8 @@
     void anAttemptThatWaitsForItsConnectionIsNotSentAfterABan() throws Exception {
         stage.settings("caps", caps -> caps.put("dial-timeout-us", 5_000_000));
         ServerSocket first = takesNone();
-        ((ArrayNode) stage.config.get("known").get("endpoints")).add(Stage.endpoint(1, "127.0.0.1:"
-            + first.getLocalPort(), "Ready"));
+        ((ArrayNode) stage.config.get("known").get("endpoints"))
+                .add(Stage.endpoint(1, "127.0.0.1:" + first.getLocalPort(), "Ready"));
         Peer second = stage.peer(answers("b"));
         start();
         Socket caller = stage.dial();
@@ -280,9 +293,15 @@
         stage.config.put("listen", "127.0.0.1:" + port);
         Path file = files.resolve("config.json");
         Files.writeString(file, stage.config.toString());
-        ProcessBuilder program = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-Xmx48m", "-cp", System.getProperty("java.class.path"), "gatefront.cli.Main", "serve")
-            .redirectErrorStream(true).redirectOutput(files.resolve("log").toFile());
+        ProcessBuilder program = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-Xmx48m",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "gatefront.cli.Main",
+                        "serve")
+                .redirectErrorStream(true)
+                .redirectOutput(files.resolve("log").toFile());
         program.environment().put("RELAY_CONFIG", file.toString());
         program.environment().put("RELAY_MANAGEMENT", "127.0.0.1:" + management);
         program.environment().put("TMPDIR", shared.toString());
@@ -328,7 +347,7 @@
     void aNewProcessThatCannotTakeOverEndsAndLeavesTheOldOneAlone() throws Exception {
         stage.server(answers("a"));
         try (ServerSocket held = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Neighbour old = new Neighbour(shared, "old", line -> { });
+            Neighbour old = new Neighbour(shared, "old", line -> {});
             stage.config.put("listen", "127.0.0.1:" + held.getLocalPort());
             Agent fresh = Agent.start(Config.of(stage.config), shared);
             fresh.awaitEnd();
@@ -352,10 +371,15 @@
                 Socket socket = null;
                 for (int n = 0; !over.get(); n++) {
                     if (socket == null || !keeps) {
-                        socket = new Socket(InetAddress.getLoopbackAddress(), stage.agent.address().getPort());
+                        socket = new Socket(
+                                InetAddress.getLoopbackAddress(),
+                                stage.agent.address().getPort());
                     }
-                    Peer.write(socket, "GET /lookup HTTP/1.1\r\nHost: a\r\nRequest-Id: f" + Thread.currentThread().getId()
-                        + "x" + n + "\r\nRequest-Class: lookup\r\nRequest-Timeout-Ms: 3000\r\n\r\n");
+                    Peer.write(
+                            socket,
+                            "GET /lookup HTTP/1.1\r\nHost: a\r\nRequest-Id: f"
+                                    + Thread.currentThread().getId() + "x" + n
+                                    + "\r\nRequest-Class: lookup\r\nRequest-Timeout-Ms: 3000\r\n\r\n");
                     String connection = Peer.read(socket.getInputStream()).header("Connection");
                     served.incrementAndGet();
                     if (!keeps || "close".equals(connection)) {
@@ -369,7 +393,8 @@
         long worst = 0;
         for (int i = 0; i < 60; i++) {
             long begin = System.nanoTime();
-            assertEquals(200, door("GET", i % 2 == 0 ? "/stats" : "/healthcheck").status());
+            assertEquals(
+                    200, door("GET", i % 2 == 0 ? "/stats" : "/healthcheck").status());
             worst = Math.max(worst, System.nanoTime() - begin);
         }
         over.set(true);
@@ -377,7 +402,9 @@
     }
 
     private static long calls(Peer server) {
-        return server.requests.stream().filter(each -> each.target().startsWith("/lookup")).count();
+        return server.requests.stream()
+                .filter(each -> each.target().startsWith("/lookup"))
+                .count();
     }
 
     /** A port that both processes are told, with something else on neither. */
@@ -406,9 +433,10 @@
         Socket held = stage.dial();
         Peer.write(held, stage.request("order", 8000, "body"));
         Stage.await(() -> stage.servers.stream().anyMatch(each -> each.requests.stream()
-            .anyMatch(m -> m.target().startsWith("/order"))));
+                .anyMatch(m -> m.target().startsWith("/order"))));
         Socket kept = stage.dial();
-        assertEquals("a", Stage.exchange(kept, stage.request("lookup", 8000, "")).text());
+        assertEquals(
+                "a", Stage.exchange(kept, stage.request("lookup", 8000, "")).text());
         start();
         assertEquals(1, stats().get("pool_ejected"), "the ban holds in the new process");
         // A ban at either door binds both.
@@ -454,7 +482,8 @@
         Stage.await(() -> stats().get("pool_ejected") == 0);
         Socket slow = stage.dial();
         Peer.write(slow, stage.request("order", 8000, "body"));
-        Stage.await(() -> stage.arrived() > 0 && first.budget().of(gatefront.budget.Purpose.CALLS).entries() > 0);
+        Stage.await(() -> stage.arrived() > 0
+                && first.budget().of(gatefront.budget.Purpose.CALLS).entries() > 0);
         start();
         Agent second = stage.agent;
         Peer.daemon(first::stop);
@@ -488,9 +517,11 @@
         assertEquals(200, door("GET", "/healthcheck").status());
         // Nor does it think that somebody takes over: told to end it serves on, as before a restart.
         Socket kept = stage.dial();
-        assertEquals("a", Stage.exchange(kept, stage.request("lookup", 8000, "")).text());
+        assertEquals(
+                "a", Stage.exchange(kept, stage.request("lookup", 8000, "")).text());
         Peer.daemon(stage.agent::stop);
         Stage.await(() -> door("GET", "/healthcheck").status() == 503);
-        assertEquals(null, Stage.exchange(kept, stage.request("lookup", 8000, "")).header("Connection"));
+        assertEquals(
+                null, Stage.exchange(kept, stage.request("lookup", 8000, "")).header("Connection"));
     }
 }
--- a/src/test/java/gatefront/agent/Peer.java
+++ b/src/test/java/gatefront/agent/Peer.java
@@ -43,9 +43,11 @@
     final ServerSocket listener;
     /** All requests but health checks, in the order of their arrival. */
     final List<Message> requests = new CopyOnWriteArrayList<>();
+
     final List<Socket> sockets = new CopyOnWriteArrayList<>();
     /** Connections that the other side has ended. */
     final List<Socket> ended = new CopyOnWriteArrayList<>();
+
     private final Script script;
 
     Peer(Script script) throws IOException {
@@ -118,8 +120,9 @@
 
     /** An answer with a body. */
     static void answer(Socket socket, int status, String headers, String body) throws IOException {
-        write(socket, "HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n"
-            + body);
+        write(
+                socket,
+                "HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
     /** Ends a connection with a reset. */
--- a/src/test/java/gatefront/agent/RegistrySourceTest.java
+++ b/src/test/java/gatefront/agent/RegistrySourceTest.java
@@ -42,34 +42,42 @@
     @AfterEach
     void end() throws Exception {
         stage.close();
-        sockets.close(() -> { });
+        sockets.close(() -> {});
     }
 
     private void serve(RegistrySettings.Kind kind) throws Exception {
-        registry = kind == RegistrySettings.Kind.ETCD ? new EtcdStand(sockets, () -> keys)
-            : new ConsulStand(sockets, () -> keys);
-        registry.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync();
+        registry = kind == RegistrySettings.Kind.ETCD
+                ? new EtcdStand(sockets, () -> keys)
+                : new ConsulStand(sockets, () -> keys);
+        registry.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .sync();
     }
 
     private Extensions extensions(RegistrySettings.Kind kind, String rest) throws TomlException {
-        return Extensions.parse("x.toml", """
+        return Extensions.parse(
+                "x.toml",
+                """
             [registry]
             kind = "%s"
             endpoints = ["127.0.0.1:%d"]
             prefix = "oaxaca/"
             %s
-            """.formatted(kind.name().toLowerCase(), registry.address().getPort(), rest), Config.of(stage.config));
+            """
+                        .formatted(kind.name().toLowerCase(), registry.address().getPort(), rest),
+                Config.of(stage.config));
     }
 
     private void put(String key, ObjectNode value) throws Exception {
-        sockets.loop().submit(() -> {
-            if (value == null) {
-                keys.delete("oaxaca/" + key);
-            } else {
-                keys.put("oaxaca/" + key, value.toString());
-            }
-            registry.news();
-        }).sync();
+        sockets.loop()
+                .submit(() -> {
+                    if (value == null) {
+                        keys.delete("oaxaca/" + key);
+                    } else {
+                        keys.put("oaxaca/" + key, value.toString());
+                    }
+                    registry.news();
+                })
+                .sync();
     }
 
     private ObjectNode nodo(int number, Peer peer) {
@@ -185,8 +193,9 @@
         Peer second = peer();
         put("nodos/s-2", nodo(2, second));
         put("nodos/s-1", null);
-        sockets.loop().submit(() -> registry.down(false,
-            new InetSocketAddress(InetAddress.getLoopbackAddress(), port))).sync();
+        sockets.loop()
+                .submit(() -> registry.down(false, new InetSocketAddress(InetAddress.getLoopbackAddress(), port)))
+                .sync();
         only(second, first);
     }
 }
--- a/src/test/java/gatefront/agent/RegistryTableTest.java
+++ b/src/test/java/gatefront/agent/RegistryTableTest.java
@@ -17,7 +17,8 @@
 
 /** The table of the registry: what is wrong is one line with file, line, key and what was meant. */
 class RegistryTableTest {
-    private static final String GOOD = """
+    private static final String GOOD =
+            """
         [registry]
         kind = "etcd"
         endpoints = ["127.0.0.1:2379"]
@@ -28,7 +29,8 @@
     private Path folder;
 
     private static RegistrySettings read(String text) throws TomlException {
-        return Extensions.parse("x.toml", text, Config.read(Path.of("src/test/resources/config.json"))).registry();
+        return Extensions.parse("x.toml", text, Config.read(Path.of("src/test/resources/config.json")))
+                .registry();
     }
 
     private static void wrong(String why, String text) {
@@ -45,8 +47,8 @@
         assertEquals(30_000_000, settings.bounds().stale());
         assertNull(settings.user());
         assertNull(read(""), "no registry where there is no table");
-        RegistrySettings consul = read(GOOD.replace("etcd", "consul")
-            + "padron = \"instead\"\nreads = \"consistent\"\n");
+        RegistrySettings consul =
+                read(GOOD.replace("etcd", "consul") + "padron = \"instead\"\nreads = \"consistent\"\n");
         assertTrue(consul.instead());
         assertEquals(0, consul.bounds().ask(), "its reads end by themselves");
     }
@@ -58,17 +60,21 @@
         assertEquals("clave", settings.password());
         Files.writeString(secret, "two words");
         wrong("is to hold one word", GOOD + "user = \"agente\"\npassword_file = \"" + secret + "\"\n");
-        String missing = assertThrows(TomlException.class, () -> read(GOOD + "user = \"agente\"\npassword_file = \""
-            + folder.resolve("none") + "\"\n")).getMessage();
+        String missing = assertThrows(
+                        TomlException.class,
+                        () -> read(GOOD + "user = \"agente\"\npassword_file = \"" + folder.resolve("none") + "\"\n"))
+                .getMessage();
         assertTrue(missing.contains("no such file (password_file of the registry)"), missing);
     }
 
     @Test
     void whatIsWrongIsOneLine() {
-        wrong("x.toml:2: registry.kind: \"etcdd\" is none of etcd, consul; is \"etcd\" meant?",
-            GOOD.replace("etcd", "etcdd"));
-        wrong("x.toml:3: registry.endpoints: \"localhost:1\" is to be a literal address", GOOD.replace("127.0.0.1:2379",
-            "localhost:1"));
+        wrong(
+                "x.toml:2: registry.kind: \"etcdd\" is none of etcd, consul; is \"etcd\" meant?",
+                GOOD.replace("etcd", "etcdd"));
+        wrong(
+                "x.toml:3: registry.endpoints: \"localhost:1\" is to be a literal address",
+                GOOD.replace("127.0.0.1:2379", "localhost:1"));
         wrong("registry.endpoints: is missing", GOOD.replace("endpoints = [\"127.0.0.1:2379\"]", ""));
         wrong("x.toml:4: registry.prefix: is to be words with a slash behind each", GOOD.replace("oaxaca/", "oaxaca"));
         wrong("x.toml:5: registry.token_file: means nothing for etcd", GOOD + "token_file = \"x\"");
@@ -76,8 +82,9 @@
         wrong("x.toml:5: registry.silence_s: is to be at least twice ask_s", GOOD + "silence_s = 3");
         wrong("registry.stale_s: is to be at least silence_s", GOOD + "stale_s = 5");
         wrong("x.toml:5: registry.reads: \"consistent\" is what etcd does", GOOD + "reads = \"consistent\"");
-        wrong("x.toml:5: registry.state_file: its folder /no/such is not there",
-            GOOD + "state_file = \"/no/such/file\"");
+        wrong(
+                "x.toml:5: registry.state_file: its folder /no/such is not there",
+                GOOD + "state_file = \"/no/such/file\"");
         wrong("x.toml:5: registry.keyz: is not known here; is \"keys\" meant?", GOOD + "keyz = 3");
     }
 }
--- a/src/test/java/gatefront/agent/ReloadTest.java
+++ b/src/test/java/gatefront/agent/ReloadTest.java
@@ -23,6 +23,7 @@
 class ReloadTest {
     @TempDir
     private Path dir;
+
     private Stage stage;
     private Path file;
 
@@ -47,8 +48,12 @@
     private Peer discoveryOf(Peer server) throws IOException {
         return stage.peer((message, socket) -> {
             if (!message.target().contains("since")) {
-                Peer.answer(socket, 200, "", "{\"index\":1,\"snapshot\":true,\"endpoints\":["
-                    + Stage.endpoint(9, server.address(), "Ready") + "]}");
+                Peer.answer(
+                        socket,
+                        200,
+                        "",
+                        "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + Stage.endpoint(9, server.address(), "Ready")
+                                + "]}");
             }
         });
     }
@@ -76,7 +81,9 @@
         }
         Stage.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
         assertEquals("/v1/servers", asked(other).get(0));
-        assertEquals(1, asked(other).stream().filter(each -> each.equals("/v1/servers")).count());
+        assertEquals(
+                1,
+                asked(other).stream().filter(each -> each.equals("/v1/servers")).count());
         for (int i = 0; i < 5; i++) {
             assertEquals("new", stage.call("order").text(), "the new list is the whole list");
         }
@@ -144,7 +151,7 @@
     /** A padrón that says nothing must not keep a process that is asked to end, nor make its end a failure. */
     @Test
     void theProgramEndsInOrderWhileItsFirstListIsAwaited() throws Exception {
-        Peer silent = stage.peer((message, socket) -> { });
+        Peer silent = stage.peer((message, socket) -> {});
         write(silent.address());
         Process process = program("-Xmx48m");
         try {
@@ -160,7 +167,7 @@
     /** Discovery moves before its first answer has come. */
     @Test
     void theProgramTakesItsFirstListFromWhereDiscoveryHasMoved() throws Exception {
-        Peer silent = stage.peer((message, socket) -> { });
+        Peer silent = stage.peer((message, socket) -> {});
         Peer other = discoveryOf(stage.peer((message, socket) -> Peer.answer(socket, 200, "", "new")));
         write(silent.address());
         Process process = program("-Xmx48m");
@@ -245,15 +252,24 @@
     }
 
     private Process program(String option, String signals) throws IOException {
-        ProcessBuilder program = new ProcessBuilder("env", signals,
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            option, "-cp", System.getProperty("java.class.path"), "gatefront.cli.Main", "serve")
-            .redirectErrorStream(true).redirectOutput(dir.resolve("log").toFile());
+        ProcessBuilder program = new ProcessBuilder(
+                        "env",
+                        signals,
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        option,
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "gatefront.cli.Main",
+                        "serve")
+                .redirectErrorStream(true)
+                .redirectOutput(dir.resolve("log").toFile());
         program.environment().put("RELAY_CONFIG", file.toString());
         return program.start();
     }
 
     private static void signal(Process process, String name) throws Exception {
-        new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor();
+        new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
+                .start()
+                .waitFor();
     }
 }
--- a/src/test/java/gatefront/agent/SettingsReloadTest.java
+++ b/src/test/java/gatefront/agent/SettingsReloadTest.java
@@ -26,6 +26,7 @@
 class SettingsReloadTest {
     @TempDir
     private Path dir;
+
     private Stage stage;
     private Path file;
     private final CountDownLatch go = new CountDownLatch(1);
@@ -74,7 +75,8 @@
     }
 
     private String stats() {
-        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.agent.management().getPort())) {
+        try (Socket socket = new Socket(
+                InetAddress.getLoopbackAddress(), stage.agent.management().getPort())) {
             Peer.write(socket, "GET /stats HTTP/1.1\r\nHost: a\r\n\r\n");
             return Peer.read(socket.getInputStream()).text();
         } catch (IOException e) {
@@ -83,12 +85,16 @@
     }
 
     private long figure(String name) {
-        return stats().lines().filter(line -> line.startsWith(name + "=")).mapToLong(line ->
-            Long.parseLong(line.substring(name.length() + 1))).findFirst().orElse(-1);
+        return stats().lines()
+                .filter(line -> line.startsWith(name + "="))
+                .mapToLong(line -> Long.parseLong(line.substring(name.length() + 1)))
+                .findFirst()
+                .orElse(-1);
     }
 
     private int status(String type) throws IOException {
-        return Stage.exchange(stage.dial(), stage.request("order", 8000, "body").replace("order", type)).status();
+        return Stage.exchange(stage.dial(), stage.request("order", 8000, "body").replace("order", type))
+                .status();
     }
 
     @Test
@@ -112,7 +118,7 @@
         assertEquals(2, figure("ok.order"), "counts of a dropped class stay");
         assertEquals(1, figure("ok.extra"));
         assertEquals(1, figure("ok.lookup"));
-        reload(config -> { });
+        reload(config -> {});
         assertEquals(200, status("order"));
         assertEquals(3, figure("ok.order"), "a name keeps its number");
     }
@@ -121,8 +127,9 @@
     void anOpenRequestKeepsItsClassAndOthersHaveTheNewOne() throws Exception {
         Socket held = stage.dial();
         Peer.write(held, stage.request("order", 8000, "body").replace("?q=1", "?held"));
-        Stage.await(() -> stage.arrived() > 0 && stage.servers.get(0).requests.stream()
-            .anyMatch(each -> each.target().contains("held")));
+        Stage.await(() -> stage.arrived() > 0
+                && stage.servers.get(0).requests.stream()
+                        .anyMatch(each -> each.target().contains("held")));
         reload(config -> ((ObjectNode) classes(config).get(2)).put("semantics", "safe"));
         assertEquals(400, stage.call("order").status(), "a POST is no form of a safe class");
         String get = stage.request("lookup", 8000, "").replace("lookup", "order");
@@ -163,21 +170,23 @@
             broken.add(whole.substring(0, cut));
         }
         List<Consumer<ObjectNode>> changes = List.of(
-            c -> c.remove("settings"), c -> c.remove("limits"), c -> c.remove("discovery"),
-            c -> ((ObjectNode) c.get("settings")).remove("classes"),
-            c -> ((ObjectNode) c.get("settings")).remove("caps"),
-            c -> ((ObjectNode) c.get("settings")).remove("deductions"),
-            c -> ((ObjectNode) c.get("settings").get("caps")).remove("max-attempts"),
-            c -> ((ObjectNode) c.get("settings").get("caps")).put("max-attempts", 0),
-            c -> ((ObjectNode) c.get("settings").get("caps")).put("max-attempts", "many"),
-            c -> classes(c).removeAll(),
-            c -> ((ObjectNode) classes(c).get(1)).put("give-up-us", 0),
-            c -> ((ObjectNode) classes(c).get(1)).put("give-up-us", -5),
-            c -> ((ObjectNode) classes(c).get(1)).remove("give-up-us"),
-            c -> ((ObjectNode) classes(c).get(1)).remove("worth"),
-            c -> ((ObjectNode) classes(c).get(1)).remove("name"),
-            c -> ((ObjectNode) classes(c).get(1)).put("name", "order"),
-            c -> ((ObjectNode) classes(c).get(1)).put("semantics", "sometimes"));
+                c -> c.remove("settings"),
+                c -> c.remove("limits"),
+                c -> c.remove("discovery"),
+                c -> ((ObjectNode) c.get("settings")).remove("classes"),
+                c -> ((ObjectNode) c.get("settings")).remove("caps"),
+                c -> ((ObjectNode) c.get("settings")).remove("deductions"),
+                c -> ((ObjectNode) c.get("settings").get("caps")).remove("max-attempts"),
+                c -> ((ObjectNode) c.get("settings").get("caps")).put("max-attempts", 0),
+                c -> ((ObjectNode) c.get("settings").get("caps")).put("max-attempts", "many"),
+                c -> classes(c).removeAll(),
+                c -> ((ObjectNode) classes(c).get(1)).put("give-up-us", 0),
+                c -> ((ObjectNode) classes(c).get(1)).put("give-up-us", -5),
+                c -> ((ObjectNode) classes(c).get(1)).remove("give-up-us"),
+                c -> ((ObjectNode) classes(c).get(1)).remove("worth"),
+                c -> ((ObjectNode) classes(c).get(1)).remove("name"),
+                c -> ((ObjectNode) classes(c).get(1)).put("name", "order"),
+                c -> ((ObjectNode) classes(c).get(1)).put("semantics", "sometimes"));
         for (Consumer<ObjectNode> each : changes) {
             ObjectNode copy = stage.config.deepCopy();
             ((ObjectNode) classes(copy).get(0)).put("name", "other");
--- a/src/test/java/gatefront/agent/Stage.java
+++ b/src/test/java/gatefront/agent/Stage.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gatefront.engine.Engine;
 import gatefront.config.Config;
+import gatefront.engine.Engine;
 import gatefront.policy.Balancer;
 import gatefront.policy.Rules;
 import java.io.Closeable;
@@ -35,6 +35,7 @@
     final List<Peer> peers = new ArrayList<>();
     /** What discovery answers to the calls after the first, one each; it waits while there is none. */
     final BlockingQueue<Peer.Script> news = new LinkedBlockingQueue<>();
+
     final Peer discovery;
     Agent agent;
     private final List<Socket> clients = new ArrayList<>();
@@ -68,8 +69,15 @@
     }
 
     static ObjectNode endpoint(int number, String address, String status) {
-        return JSON.createObjectNode().put("name", "s-" + number).put("address", address).put("zone", "a")
-            .put("type", "small").put("group", 0).put("status", status).put("weight", 1.0).put("since_ms", 0);
+        return JSON.createObjectNode()
+                .put("name", "s-" + number)
+                .put("address", address)
+                .put("zone", "a")
+                .put("type", "small")
+                .put("group", 0)
+                .put("status", status)
+                .put("weight", 1.0)
+                .put("since_ms", 0);
     }
 
     /** Discovery's answer with changes. */
@@ -106,11 +114,11 @@
     Function<Engine, Balancer> overheard(BiConsumer<String, Object[]> before) {
         return agent -> {
             Balancer rules = new Rules(Config.of(config).settings(), 1, 0, agent);
-            return (Balancer) Proxy.newProxyInstance(Balancer.class.getClassLoader(),
-                new Class<?>[] {Balancer.class}, (proxy, method, details) -> {
-                    before.accept(method.getName(), details);
-                    return method.invoke(rules, details);
-                });
+            return (Balancer) Proxy.newProxyInstance(
+                    Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, details) -> {
+                        before.accept(method.getName(), details);
+                        return method.invoke(rules, details);
+                    });
         };
     }
 
@@ -127,7 +135,8 @@
 
     /** A connection of the application's. */
     Socket dial() throws IOException {
-        Socket socket = new Socket(InetAddress.getLoopbackAddress(), agent.address().getPort());
+        Socket socket =
+                new Socket(InetAddress.getLoopbackAddress(), agent.address().getPort());
         socket.setSoTimeout((int) GENEROUS_MS);
         clients.add(socket);
         return socket;
@@ -137,9 +146,9 @@
     String request(String type, long timeoutMs, String body) {
         String method = type.equals("lookup") ? "GET" : "POST";
         return method + " /" + type + "?q=1 HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: id" + ++requests
-            + "\r\nRequest-Class: " + type + "\r\nRequest-Timeout-Ms: " + timeoutMs + "\r\n"
-            + (type.equals("pay") ? "Idempotency-Key: k" + requests + "\r\n" : "")
-            + (method.equals("POST") ? "Content-Length: " + body.length() + "\r\n" : "") + "\r\n" + body;
+                + "\r\nRequest-Class: " + type + "\r\nRequest-Timeout-Ms: " + timeoutMs + "\r\n"
+                + (type.equals("pay") ? "Idempotency-Key: k" + requests + "\r\n" : "")
+                + (method.equals("POST") ? "Content-Length: " + body.length() + "\r\n" : "") + "\r\n" + body;
     }
 
     /** Sends a request on a new connection and returns its answer. */
--- a/src/test/java/gatefront/agent/ThriftAgentTest.java
+++ b/src/test/java/gatefront/agent/ThriftAgentTest.java
@@ -41,9 +41,13 @@
     private static final AtomicInteger IDS = new AtomicInteger();
 
     static Stream<Form> forms() {
-        return Stream.of(new Form(true, Encoding.BINARY), new Form(true, Encoding.COMPACT),
-            new Form(false, Encoding.BINARY), new Form(false, Encoding.COMPACT), new Form(true, Encoding.BINARY_OLD),
-            new Form(false, Encoding.BINARY_OLD));
+        return Stream.of(
+                new Form(true, Encoding.BINARY),
+                new Form(true, Encoding.COMPACT),
+                new Form(false, Encoding.BINARY),
+                new Form(false, Encoding.COMPACT),
+                new Form(true, Encoding.BINARY_OLD),
+                new Form(false, Encoding.BINARY_OLD));
     }
 
     private static Args args(String type, long timeoutMs, String text) {
@@ -167,11 +171,18 @@
             Processor other = stage.server(work);
             stage.start();
             int before = 0;
-            for (int type : new int[] {TApplicationException.UNKNOWN_METHOD, TApplicationException.INVALID_PROTOCOL,
-                TApplicationException.PROTOCOL_ERROR, TApplicationException.INVALID_MESSAGE_TYPE}) {
+            for (int type : new int[] {
+                TApplicationException.UNKNOWN_METHOD,
+                TApplicationException.INVALID_PROTOCOL,
+                TApplicationException.PROTOCOL_ERROR,
+                TApplicationException.INVALID_MESSAGE_TYPE
+            }) {
                 Args args = args("lookup", 5_000, String.valueOf(type));
-                assertEquals(type, assertThrows(TApplicationException.class,
-                    () -> stage.client().call("lookup", args)).getType());
+                assertEquals(
+                        type,
+                        assertThrows(TApplicationException.class, () -> stage.client()
+                                        .call("lookup", args))
+                                .getType());
                 assertEquals(++before, one.calls.get() + other.calls.get());
             }
         }
@@ -222,11 +233,11 @@
     @MethodSource("forms")
     void repliesToAnotherCallOrOfAnotherKindAreNoAnswers(Form form) throws Exception {
         List<Answer> lies = List.of(
-            (call, out) -> reply(out, call.name, TMessageType.REPLY, call.seqid + 1),
-            (call, out) -> reply(out, "another", TMessageType.REPLY, call.seqid),
-            (call, out) -> reply(out, call.name, TMessageType.CALL, call.seqid),
-            (call, out) -> reply(out, call.name, (byte) 4, call.seqid),
-            (call, out) -> out.getTransport().write(new byte[] {0x7f, 1, 2, 3, 4, 5, 6, 7, 8, 9}));
+                (call, out) -> reply(out, call.name, TMessageType.REPLY, call.seqid + 1),
+                (call, out) -> reply(out, "another", TMessageType.REPLY, call.seqid),
+                (call, out) -> reply(out, call.name, TMessageType.CALL, call.seqid),
+                (call, out) -> reply(out, call.name, (byte) 4, call.seqid),
+                (call, out) -> out.getTransport().write(new byte[] {0x7f, 1, 2, 3, 4, 5, 6, 7, 8, 9}));
         for (Answer lie : lies) {
             try (ThriftStage stage = new ThriftStage(form)) {
                 AtomicInteger calls = new AtomicInteger();
@@ -306,15 +317,26 @@
         try (ThriftStage stage = new ThriftStage(form)) {
             Processor nodo = stage.server((method, args) -> served("done"));
             Client client = stage.start().client();
-            assertEquals(TApplicationException.UNKNOWN_METHOD, assertThrows(TApplicationException.class,
-                () -> client.call("nada", args("lookup", 5_000, ""))).getType());
-            for (Args wrong : List.of(new Args("", 5_000, null, ""), new Args("a b", 5_000, null, ""),
-                new Args("x1", 0, null, ""), new Args("x2", -1, null, ""), new Args("x3", 5_000, "key", ""))) {
-                assertEquals(TApplicationException.PROTOCOL_ERROR, assertThrows(TApplicationException.class,
-                    () -> client.call("lookup", wrong)).getType());
+            assertEquals(
+                    TApplicationException.UNKNOWN_METHOD,
+                    assertThrows(TApplicationException.class, () -> client.call("nada", args("lookup", 5_000, "")))
+                            .getType());
+            for (Args wrong : List.of(
+                    new Args("", 5_000, null, ""),
+                    new Args("a b", 5_000, null, ""),
+                    new Args("x1", 0, null, ""),
+                    new Args("x2", -1, null, ""),
+                    new Args("x3", 5_000, "key", ""))) {
+                assertEquals(
+                        TApplicationException.PROTOCOL_ERROR,
+                        assertThrows(TApplicationException.class, () -> client.call("lookup", wrong))
+                                .getType());
             }
-            assertEquals(TApplicationException.PROTOCOL_ERROR, assertThrows(TApplicationException.class,
-                () -> client.call("pay", new Args("x4", 5_000, null, ""))).getType(), "a payment without its key");
+            assertEquals(
+                    TApplicationException.PROTOCOL_ERROR,
+                    assertThrows(TApplicationException.class, () -> client.call("pay", new Args("x4", 5_000, null, "")))
+                            .getType(),
+                    "a payment without its key");
             assertEquals(0, nodo.calls.get(), "nothing of it was sent on");
             assertEquals("done", client.call("lookup", args("lookup", 5_000, "")).success);
         }
@@ -326,8 +348,8 @@
         try (ThriftStage stage = new ThriftStage(form)) {
             stage.server((method, args) -> refused());
             Client client = stage.start().client();
-            TApplicationException said = assertThrows(TApplicationException.class,
-                () -> client.call("undeclared", args("lookup", 1_000, "")));
+            TApplicationException said = assertThrows(
+                    TApplicationException.class, () -> client.call("undeclared", args("lookup", 1_000, "")));
             assertEquals(TApplicationException.INTERNAL_ERROR, said.getType());
             assertTrue(said.getMessage().contains("retry_after_ms="), said.getMessage());
         }
@@ -383,8 +405,10 @@
             Stage.await(() -> nodo.calls.get() == 2);
             Thread ending = Peer.daemon(stage.agent::stop);
             Client asking = stage.client();
-            assertEquals("asked", asking.call("lookup", args("lookup", 5_000, "asked")).success,
-                "it serves on while it may");
+            assertEquals(
+                    "asked",
+                    asking.call("lookup", args("lookup", 5_000, "asked")).success,
+                    "it serves on while it may");
             go.countDown();
             assertEquals("held", held.receive("order").success);
             Stage.await(() -> ended(idle));
@@ -418,8 +442,10 @@
             client.send("pay", args);
             Stage.await(() -> nodo.calls.get() == 1);
             try (Socket http = new Socket("127.0.0.1", stage.agent.address().getPort())) {
-                Peer.write(http, "POST /pay HTTP/1.1\r\nHost: a\r\nRequest-Id: " + args.requestId + "\r\nRequest-Class: "
-                    + "pay\r\nRequest-Timeout-Ms: 5000\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n");
+                Peer.write(
+                        http,
+                        "POST /pay HTTP/1.1\r\nHost: a\r\nRequest-Id: " + args.requestId + "\r\nRequest-Class: "
+                                + "pay\r\nRequest-Timeout-Ms: 5000\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n");
                 assertEquals(409, Peer.read(http.getInputStream()).status());
             }
             go.countDown();
--- a/src/test/java/gatefront/agent/ThriftPeersTest.java
+++ b/src/test/java/gatefront/agent/ThriftPeersTest.java
@@ -26,8 +26,8 @@
 import org.apache.thrift.protocol.TMultiplexedProtocol;
 import org.apache.thrift.protocol.TProtocol;
 import org.apache.thrift.protocol.TProtocolFactory;
-import org.apache.thrift.server.TThreadedSelectorServer;
 import org.apache.thrift.server.TThreadPoolServer;
+import org.apache.thrift.server.TThreadedSelectorServer;
 import org.apache.thrift.transport.TMemoryInputTransport;
 import org.apache.thrift.transport.TNonblockingServerSocket;
 import org.apache.thrift.transport.TNonblockingSocket;
@@ -55,8 +55,12 @@
         private final Args args;
         private final TProtocolFactory protocols;
 
-        Lookup(TAsyncClient client, TProtocolFactory protocols, TNonblockingSocket socket, Args args,
-               AsyncMethodCallback<Result> then) {
+        Lookup(
+                TAsyncClient client,
+                TProtocolFactory protocols,
+                TNonblockingSocket socket,
+                Args args,
+                AsyncMethodCallback<Result> then) {
             super(client, protocols, socket, then, false);
             this.args = args;
             this.protocols = protocols;
@@ -71,7 +75,8 @@
 
         @Override
         protected Result getResult() throws Exception {
-            TProtocol in = protocols.getProtocol(new TMemoryInputTransport(getFrameBuffer().array()));
+            TProtocol in = protocols.getProtocol(
+                    new TMemoryInputTransport(getFrameBuffer().array()));
             TMessage message = in.readMessageBegin();
             assertEquals("lookup", message.name);
             Result result = new Result();
@@ -108,18 +113,19 @@
     @Test
     void asynchronousClientsAndNonblockingServersAreServed() throws Exception {
         for (Encoding encoding : List.of(Encoding.BINARY, Encoding.COMPACT)) {
-            TProtocolFactory protocols = encoding == Encoding.COMPACT ? new TCompactProtocol.Factory()
-                : new TBinaryProtocol.Factory();
+            TProtocolFactory protocols =
+                    encoding == Encoding.COMPACT ? new TCompactProtocol.Factory() : new TBinaryProtocol.Factory();
             try (ThriftStage stage = new ThriftStage(new Form(true, encoding))) {
                 stage.server(address -> new TThreadedSelectorServer(
-                    new TThreadedSelectorServer.Args(new TNonblockingServerSocket(address)).protocolFactory(protocols)
-                        .processor(new Cuenta.Processor((method, args) -> served(args.text)))));
+                        new TThreadedSelectorServer.Args(new TNonblockingServerSocket(address))
+                                .protocolFactory(protocols)
+                                .processor(new Cuenta.Processor((method, args) -> served(args.text)))));
                 stage.start();
                 TAsyncClientManager manager = new TAsyncClientManager();
                 List<CompletableFuture<Result>> results = new ArrayList<>();
                 for (int i = 0; i < 20; i++) {
-                    TNonblockingSocket socket = new TNonblockingSocket("127.0.0.1",
-                        stage.agent.thriftAddress().getPort());
+                    TNonblockingSocket socket = new TNonblockingSocket(
+                            "127.0.0.1", stage.agent.thriftAddress().getPort());
                     results.add(new AsyncClient(protocols, manager, socket).call(protocols, socket, args("a" + i)));
                 }
                 for (int i = 0; i < 20; i++) {
@@ -133,25 +139,27 @@
     @Test
     void multiplexedServicesAreFoundByTheirMethodsAndPassedOnWithTheirNames() throws Exception {
         for (Encoding encoding : List.of(Encoding.BINARY, Encoding.COMPACT)) {
-            TProtocolFactory protocols = encoding == Encoding.COMPACT ? new TCompactProtocol.Factory()
-                : new TBinaryProtocol.Factory();
+            TProtocolFactory protocols =
+                    encoding == Encoding.COMPACT ? new TCompactProtocol.Factory() : new TBinaryProtocol.Factory();
             try (ThriftStage stage = new ThriftStage(new Form(true, encoding))) {
                 TMultiplexedProcessor services = new TMultiplexedProcessor();
-                services.registerProcessor("Cuentas", new Cuenta.Processor((method, args) ->
-                    served("cuentas " + method)));
-                services.registerProcessor("Avisos", new Cuenta.Processor((method, args) ->
-                    served("avisos " + method)));
+                services.registerProcessor(
+                        "Cuentas", new Cuenta.Processor((method, args) -> served("cuentas " + method)));
+                services.registerProcessor(
+                        "Avisos", new Cuenta.Processor((method, args) -> served("avisos " + method)));
                 services.registerDefault(new Cuenta.Processor((method, args) -> served("default " + method)));
                 stage.server(address -> new TThreadPoolServer(new TThreadPoolServer.Args(new TServerSocket(address))
-                    .processor(services).protocolFactory(protocols)
-                    .transportFactory(new TFramedTransport.Factory())));
+                        .processor(services)
+                        .protocolFactory(protocols)
+                        .transportFactory(new TFramedTransport.Factory())));
                 stage.start();
                 for (String service : List.of("Cuentas", "Avisos")) {
                     TProtocol plain = protocols.getProtocol(new TFramedTransport(new TSocket(stage.dial())));
                     Client client = new Client(new TMultiplexedProtocol(plain, service));
                     Result result = client.call("lookup", args(""));
-                    assertTrue(result.success.equals(service.toLowerCase(java.util.Locale.ROOT) + " lookup"),
-                        result.success);
+                    assertTrue(
+                            result.success.equals(service.toLowerCase(java.util.Locale.ROOT) + " lookup"),
+                            result.success);
                 }
                 assertEquals("default lookup", stage.client().call("lookup", args("")).success);
             }
--- a/src/test/java/gatefront/agent/ThriftStage.java
+++ b/src/test/java/gatefront/agent/ThriftStage.java
@@ -43,6 +43,7 @@
     final Peer discovery;
     /** Where the nodos listen: one port, an address each. */
     private final int port;
+
     private int nodos;
     Agent agent;
 
@@ -61,8 +62,9 @@
     }
 
     static TProtocol protocol(Encoding encoding, TTransport transport) {
-        return encoding == Encoding.COMPACT ? new TCompactProtocol(transport)
-            : new TBinaryProtocol(transport, encoding == Encoding.BINARY, encoding == Encoding.BINARY);
+        return encoding == Encoding.COMPACT
+                ? new TCompactProtocol(transport)
+                : new TBinaryProtocol(transport, encoding == Encoding.BINARY, encoding == Encoding.BINARY);
     }
 
     /** Lists a nodo at an address of its own, and returns that. */
@@ -77,8 +79,9 @@
         Cuenta.Processor processor = new Cuenta.Processor(work);
         TProtocolFactory protocols = transport -> protocol(form.encoding(), transport);
         TServer server = new TThreadPoolServer(new TThreadPoolServer.Args(new TServerSocket(list()))
-            .processor(processor).protocolFactory(protocols)
-            .transportFactory(form.framed() ? new TFramedTransport.Factory() : new TTransportFactory()));
+                .processor(processor)
+                .protocolFactory(protocols)
+                .transportFactory(form.framed() ? new TFramedTransport.Factory() : new TTransportFactory()));
         servers.add(server);
         Peer.daemon(server::serve);
         return processor;
@@ -113,14 +116,26 @@
             methods.put(each, new Method(classes.indexOf(each), true));
         }
         methods.put("undeclared", new Method(classes.indexOf("lookup"), false));
-        agent = Agent.start(read, new Extensions(new ThriftSettings(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), null,
-            port, form.framed(), true, methods), null, null, null));
+        agent = Agent.start(
+                read,
+                new Extensions(
+                        new ThriftSettings(
+                                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                                null,
+                                port,
+                                form.framed(),
+                                true,
+                                methods),
+                        null,
+                        null,
+                        null));
         Stage.await(() -> agent.isReady());
         return this;
     }
 
     Socket dial() throws IOException {
-        Socket socket = new Socket(InetAddress.getLoopbackAddress(), agent.thriftAddress().getPort());
+        Socket socket = new Socket(
+                InetAddress.getLoopbackAddress(), agent.thriftAddress().getPort());
         socket.setSoTimeout((int) Stage.GENEROUS_MS);
         sockets.add(socket);
         return socket;
@@ -128,8 +143,8 @@
 
     Cuenta.Client client() throws IOException, TException {
         TTransport transport = new TSocket(dial());
-        return new Cuenta.Client(protocol(form.encoding(), form.framed() ? new TFramedTransport(transport)
-            : transport));
+        return new Cuenta.Client(
+                protocol(form.encoding(), form.framed() ? new TFramedTransport(transport) : transport));
     }
 
     @Override
--- a/src/test/java/gatefront/bookkeeping/BooksTest.java
+++ b/src/test/java/gatefront/bookkeeping/BooksTest.java
@@ -131,15 +131,18 @@
         first.use(1, cell(1, "mitla", 5));
         assertThrows(IOException.class, () -> Books.open(disk, Store.Options.USUAL, "a"), "started twice");
         first.close();
-        assertEquals("these are the books of a, not of b",
-            assertThrows(IOException.class, () -> Books.open(disk, Store.Options.USUAL, "b")).getMessage());
+        assertEquals(
+                "these are the books of a, not of b",
+                assertThrows(IOException.class, () -> Books.open(disk, Store.Options.USUAL, "b"))
+                        .getMessage());
         Books second = Books.open(disk, Store.Options.USUAL, "a");
         second.use(1, cell(1, "mitla", 2));
         second.close(1);
         assertEquals(new EntryId("a", 1, 0), second.own(1, 1).get(0).id());
         assertEquals(7, second.ledger().total(1, "mitla").requests());
-        assertEquals(Map.of("a/0", Ledger.Part.UNKNOWN, "a/1", Ledger.Part.WHOLE),
-            second.ledger().standing(1, List.of("a")));
+        assertEquals(
+                Map.of("a/0", Ledger.Part.UNKNOWN, "a/1", Ledger.Part.WHOLE),
+                second.ledger().standing(1, List.of("a")));
         second.close();
     }
 
@@ -175,13 +178,20 @@
     @Test
     void messagesFromAnywhereAreReadOrRefused() {
         Random random = new Random(1);
-        Entry entry = new Entry(new EntryId("agente-1", 3, 9), Entry.Kind.CORRECTION, 7, "mitla", "pago",
-            new Amounts(-1, 2, -3, 4), new EntryId("b", 0, 1), "wrong");
+        Entry entry = new Entry(
+                new EntryId("agente-1", 3, 9),
+                Entry.Kind.CORRECTION,
+                7,
+                "mitla",
+                "pago",
+                new Amounts(-1, 2, -3, 4),
+                new EntryId("b", 0, 1),
+                "wrong");
         byte[] whole = EntryCodec.write(entry);
         int read = 0;
         for (int i = 0; i < 100_000; i++) {
-            byte[] bytes = Arrays.copyOf(whole, random.nextInt(4) == 0 ? random.nextInt(whole.length + 9)
-                : whole.length);
+            byte[] bytes =
+                    Arrays.copyOf(whole, random.nextInt(4) == 0 ? random.nextInt(whole.length + 9) : whole.length);
             for (int j = random.nextInt(4); j > 0 && bytes.length > 0; j--) {
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
             }
--- a/src/test/java/gatefront/bookkeeping/Receiver.java
+++ b/src/test/java/gatefront/bookkeeping/Receiver.java
@@ -17,6 +17,7 @@
     private long last;
     /** How many it will never forget: those of its last copy. */
     private int copied;
+
     int forgot;
     int refused;
 
--- a/src/test/java/gatefront/budget/BudgetTest.java
+++ b/src/test/java/gatefront/budget/BudgetTest.java
@@ -27,8 +27,14 @@
         assertFalse(account.grow(40));
         account.give(60);
         account.give(1);
-        assertEquals(List.of(0L, 0L, 2L, 100L, 3L), List.of(account.entries(), account.bytes(), account.entriesHigh(),
-            account.bytesHigh(), account.turnedAway()));
+        assertEquals(
+                List.of(0L, 0L, 2L, 100L, 3L),
+                List.of(
+                        account.entries(),
+                        account.bytes(),
+                        account.entriesHigh(),
+                        account.bytesHigh(),
+                        account.turnedAway()));
     }
 
     @Test
--- a/src/test/java/gatefront/cli/LedgerCommandTest.java
+++ b/src/test/java/gatefront/cli/LedgerCommandTest.java
@@ -24,6 +24,7 @@
 class LedgerCommandTest {
     @TempDir
     private Path dir;
+
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
@@ -83,14 +84,17 @@
         assertTrue(out.toString().startsWith("whole: 3 entries, 1 segments"), out.toString());
         Path file;
         try (Stream<Path> files = Files.list(Path.of(folder))) {
-            file = files.filter(each -> each.toString().endsWith(".log")).max(Comparator.naturalOrder()).orElseThrow();
+            file = files.filter(each -> each.toString().endsWith(".log"))
+                    .max(Comparator.naturalOrder())
+                    .orElseThrow();
         }
         byte[] bytes = Files.readAllBytes(file);
         bytes[300] ^= 1;
         Files.write(file, bytes);
         assertEquals(Commands.BROKEN, run("ledger", "verify", folder));
-        assertEquals("DAMAGED " + file.getFileName() + " at 189: is not what was forced to the disk there",
-            out.toString().strip());
+        assertEquals(
+                "DAMAGED " + file.getFileName() + " at 189: is not what was forced to the disk there",
+                out.toString().strip());
         assertEquals(1, run("ledger", "show", folder), "nothing is shown of books that are damaged");
         assertEquals(1, run("ledger", "verify", dir.resolve("nowhere").toString()));
         assertEquals(1, err.toString().lines().count(), err.toString());
@@ -126,19 +130,52 @@
     @Test
     void aCorrectionIsAnEntryMore() throws IOException {
         String folder = books("a", "agente-1", 4);
-        assertEquals(0, run("ledger", "correct", folder, "agente-1/0/0", "--period", "8", "--requests", "-1",
-            "--why", "a test terminal"));
+        assertEquals(
+                0,
+                run(
+                        "ledger",
+                        "correct",
+                        folder,
+                        "agente-1/0/0",
+                        "--period",
+                        "8",
+                        "--requests",
+                        "-1",
+                        "--why",
+                        "a test terminal"));
         assertEquals(0, run("ledger", "show", folder));
         assertTrue(out.toString().contains("period 8"), out.toString());
         assertTrue(out.toString().contains("-1"), out.toString());
-        assertEquals(1, run("ledger", "correct", folder, "agente-1/0/9", "--period", "8", "--requests", "-1",
-            "--why", "no such entry"));
-        assertEquals(2, run("ledger", "correct", folder, "agente-1", "--period", "8", "--requests", "-1",
-            "--why", "x"));
+        assertEquals(
+                1,
+                run(
+                        "ledger",
+                        "correct",
+                        folder,
+                        "agente-1/0/9",
+                        "--period",
+                        "8",
+                        "--requests",
+                        "-1",
+                        "--why",
+                        "no such entry"));
+        assertEquals(
+                2, run("ledger", "correct", folder, "agente-1", "--period", "8", "--requests", "-1", "--why", "x"));
         assertEquals(2, run("ledger", "correct", folder, "agente-1/0/0", "--period", "8", "--why", "of nothing"));
         try (Books held = Books.open(new FolderDisk(Path.of(folder)), Store.Options.USUAL, "agente-1")) {
-            assertEquals(1, run("ledger", "correct", folder, "agente-1/0/0", "--period", "8", "--requests", "-1",
-                "--why", "while the agent runs"));
+            assertEquals(
+                    1,
+                    run(
+                            "ledger",
+                            "correct",
+                            folder,
+                            "agente-1/0/0",
+                            "--period",
+                            "8",
+                            "--requests",
+                            "-1",
+                            "--why",
+                            "while the agent runs"));
             assertTrue(err.toString().contains("somebody else has this store open"), err.toString());
         }
     }
--- a/src/test/java/gatefront/cli/MainTest.java
+++ b/src/test/java/gatefront/cli/MainTest.java
@@ -25,8 +25,10 @@
     void serveWithoutAUsableConfigurationSaysWhyInOneLine() {
         assertEquals(1, Main.serve(null, null, null, null, new PrintStream(err)));
         assertEquals(1, Main.serve("no/such/file", null, null, null, new PrintStream(err)));
-        assertEquals("gatefront: RELAY_CONFIG is not set" + System.lineSeparator()
-            + "gatefront: cannot read no/such/file: no/such/file", err.toString().strip());
+        assertEquals(
+                "gatefront: RELAY_CONFIG is not set" + System.lineSeparator()
+                        + "gatefront: cannot read no/such/file: no/such/file",
+                err.toString().strip());
     }
 
     @Test
@@ -34,6 +36,7 @@
         assertEquals(2, run());
         assertEquals(2, run("sing"));
         assertEquals("", out.toString());
-        assertEquals(Main.USAGE + System.lineSeparator() + Main.USAGE, err.toString().strip());
+        assertEquals(
+                Main.USAGE + System.lineSeparator() + Main.USAGE, err.toString().strip());
     }
 }
--- a/src/test/java/gatefront/cli/RecoveryCommandTest.java
+++ b/src/test/java/gatefront/cli/RecoveryCommandTest.java
@@ -15,6 +15,7 @@
 class RecoveryCommandTest {
     @TempDir
     private Path dir;
+
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
@@ -36,7 +37,8 @@
         assertEquals(0, run("recovery", "show", folder, "--json"));
         assertTrue(out.toString().startsWith("{\"instance\":\"a\",\"life\":1,"), out.toString());
         Files.createDirectory(dir.resolve("empty"));
-        assertEquals(Commands.BROKEN, run("recovery", "show", dir.resolve("empty").toString()));
+        assertEquals(
+                Commands.BROKEN, run("recovery", "show", dir.resolve("empty").toString()));
         assertTrue(out.toString().startsWith("MISSING "), out.toString());
         assertEquals(2, run("recovery"));
     }
--- a/src/test/java/gatefront/cli/RegistryCommandTest.java
+++ b/src/test/java/gatefront/cli/RegistryCommandTest.java
@@ -33,14 +33,15 @@
             keys.put("oaxaca/nodos/a", "1");
             keys.put("elsewhere", "2");
             keys.put("oaxaca/nodos/b", "3");
-            RegistryStand stand = kind.equals("etcd") ? new EtcdStand(sockets, () -> keys)
-                : new ConsulStand(sockets, () -> keys);
-            stand.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync();
+            RegistryStand stand =
+                    kind.equals("etcd") ? new EtcdStand(sockets, () -> keys) : new ConsulStand(sockets, () -> keys);
+            stand.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                    .sync();
             String url = kind + "://127.0.0.1:" + stand.address().getPort();
             assertEquals(0, run("registry", "watch", "--once", url, "oaxaca/"), err.toString());
             assertEquals("2 put oaxaca/nodos/a 1\n4 put oaxaca/nodos/b 3\n", out.toString());
         } finally {
-            sockets.close(() -> { });
+            sockets.close(() -> {});
         }
     }
 
--- a/src/test/java/gatefront/cli/RehearseCommandTest.java
+++ b/src/test/java/gatefront/cli/RehearseCommandTest.java
@@ -16,6 +16,7 @@
 class RehearseCommandTest {
     @TempDir
     private Path dir;
+
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
@@ -27,14 +28,20 @@
 
     private String plan(String name, String more) throws Exception {
         Path file = dir.resolve(name);
-        Files.writeString(file, PlanReader.builtInText("demo").replace("seconds = 1", "seconds = 6")
-            .replace("rate = 1", "rate = 60") + more);
+        Files.writeString(
+                file,
+                PlanReader.builtInText("demo")
+                                .replace("seconds = 1", "seconds = 6")
+                                .replace("rate = 1", "rate = 60")
+                        + more);
         return file.toString();
     }
 
     @Test
     void aDayThatKeepsTheRulesEndsWithNoughtAndWritesItsReport() throws Exception {
-        assertEquals(0, run("rehearse", plan("a.toml", ""), "--report", dir.resolve("r").toString()));
+        assertEquals(
+                0,
+                run("rehearse", plan("a.toml", ""), "--report", dir.resolve("r").toString()));
         assertTrue(out.toString().contains("all rules kept"), out.toString());
         assertTrue(Files.readString(dir.resolve("r/report.json")).startsWith("{"));
         assertEquals(0, run("rehearse", plan("a.toml", ""), "--json"));
@@ -46,10 +53,12 @@
     /** A budget so small that one request is too much for a nodo that has just started. */
     @Test
     void aDayThatBreaksARuleEndsWithThreeAndNamesIt() throws Exception {
-        String falls = plan("b.toml", "[rules]\nfall_multiple = 1\nfall_s = 0.1\n[[faults]]\nkind = \"die\"\n"
-            + "at_s = 1\nfor_s = 1\nshare = 1.0\n");
-        Files.writeString(Path.of(falls), Files.readString(Path.of(falls))
-            .replace("count = 4", "count = 4\ncold_from = 0.15"));
+        String falls = plan(
+                "b.toml",
+                "[rules]\nfall_multiple = 1\nfall_s = 0.1\n[[faults]]\nkind = \"die\"\n"
+                        + "at_s = 1\nfor_s = 1\nshare = 1.0\n");
+        Files.writeString(
+                Path.of(falls), Files.readString(Path.of(falls)).replace("count = 4", "count = 4\ncold_from = 0.15"));
         assertEquals(Commands.BROKEN, run("rehearse", falls));
         assertTrue(out.toString().contains("BROKEN no cold fall"), out.toString());
         Path small = dir.resolve("small.toml");
--- a/src/test/java/gatefront/connection/UpstreamContract.java
+++ b/src/test/java/gatefront/connection/UpstreamContract.java
@@ -58,7 +58,8 @@
     /** What the nodo does with a call that has come whole. */
     private Script script = (ctx, reply) -> send(ctx, reply);
     /** What it does when the first bytes of a connection have come. */
-    private Script first = (ctx, reply) -> { };
+    private Script first = (ctx, reply) -> {};
+
     private int accepted;
     private int whole;
     private int ended;
@@ -89,8 +90,8 @@
     }
 
     private Host host(String name, int last) throws Exception {
-        return network.host(name, InetAddress.getByAddress(new byte[] {127, 0, 0, (byte) last}), 0, 1 << 24,
-            line -> { });
+        return network.host(
+                name, InetAddress.getByAddress(new byte[] {127, 0, 0, (byte) last}), 0, 1 << 24, line -> {});
     }
 
     private void use(Transport transport) {
@@ -99,43 +100,45 @@
     }
 
     private void list(Balancer.Phase phase) {
-        upstream.listed(new Endpoint(new Balancer.Server(SERVER, 0, 0, 0, phase, 1, 0), "nodo",
-            nodo.at(NODO_PORT)));
+        upstream.listed(new Endpoint(new Balancer.Server(SERVER, 0, 0, 0, phase, 1, 0), "nodo", nodo.at(NODO_PORT)));
     }
 
     private void listen() {
-        new ServerBootstrap().group(nodo.loop()).channelFactory(nodo.listeners())
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel ch) {
-                    accepted++;
-                    ch.pipeline().addLast(new ChannelInboundHandlerAdapter() {
-                        private boolean begun;
-
-                        @Override
-                        public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-                            if (!begun) {
-                                begun = true;
-                                first.run(ctx, null);
+        new ServerBootstrap()
+                .group(nodo.loop())
+                .channelFactory(nodo.listeners())
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel ch) {
+                        accepted++;
+                        ch.pipeline().addLast(new ChannelInboundHandlerAdapter() {
+                            private boolean begun;
+
+                            @Override
+                            public void channelRead(ChannelHandlerContext ctx, Object bytes) {
+                                if (!begun) {
+                                    begun = true;
+                                    first.run(ctx, null);
+                                }
+                                ctx.fireChannelRead(bytes);
+                            }
+
+                            @Override
+                            public void channelInactive(ChannelHandlerContext ctx) {
+                                ended++;
+                            }
+                        });
+                        decode(ch.pipeline());
+                        ch.pipeline().addLast(new SimpleChannelInboundHandler<>() {
+                            @Override
+                            protected void channelRead0(ChannelHandlerContext ctx, Object call) {
+                                whole++;
+                                script.run(ctx, reply(call));
                             }
-                            ctx.fireChannelRead(bytes);
-                        }
-
-                        @Override
-                        public void channelInactive(ChannelHandlerContext ctx) {
-                            ended++;
-                        }
-                    });
-                    decode(ch.pipeline());
-                    ch.pipeline().addLast(new SimpleChannelInboundHandler<>() {
-                        @Override
-                        protected void channelRead0(ChannelHandlerContext ctx, Object call) {
-                            whole++;
-                            script.run(ctx, reply(call));
-                        }
-                    });
-                }
-            }).bind((InetSocketAddress) nodo.at(NODO_PORT));
+                        });
+                    }
+                })
+                .bind((InetSocketAddress) nodo.at(NODO_PORT));
         run(0);
     }
 
@@ -214,7 +217,8 @@
         attempt(1_000);
         run(100);
         assertEquals(2, accepted, "at the same time, each on its own");
-        assertEquals(5, results.stream().filter(each -> each.outcome() == Outcome.OK).count());
+        assertEquals(
+                5, results.stream().filter(each -> each.outcome() == Outcome.OK).count());
     }
 
     /** A nodo restarts under half a call: it never ran, for its last byte never left. */
@@ -271,8 +275,8 @@
     @Test
     public void aReplyThatComesTooLateMeetsNoLaterCall() {
         int[] calls = {0};
-        script = (ctx, reply) -> ctx.executor().schedule(() -> send(ctx, reply), calls[0]++ == 0 ? 300 : 0,
-            TimeUnit.MILLISECONDS);
+        script = (ctx, reply) ->
+                ctx.executor().schedule(() -> send(ctx, reply), calls[0]++ == 0 ? 300 : 0, TimeUnit.MILLISECONDS);
         attempt(100);
         run(103);
         assertEquals(Outcome.TIMEOUT, results.get(0).outcome());
@@ -284,7 +288,7 @@
 
     @Test
     public void aCancelledCallEndsAtOnceAndItsConnectionWithIt() {
-        script = (ctx, reply) -> { };
+        script = (ctx, reply) -> {};
         Upstream.Attempt attempt = attempt(1_000);
         run(10);
         attempt.cancel();
@@ -341,7 +345,9 @@
         attempt(1_000);
         list(Balancer.Phase.DRAINING);
         run(2_000);
-        assertEquals(List.of(Outcome.NEVER_SENT), results.stream().map(Result::outcome).toList());
+        assertEquals(
+                List.of(Outcome.NEVER_SENT),
+                results.stream().map(Result::outcome).toList());
         assertEquals(0, whole);
         assertEquals(0, upstream.size());
     }
@@ -367,8 +373,8 @@
         upstream.gone(SERVER);
         run(10);
         assertEquals(1, ended);
-        upstream.listed(new Endpoint(new Balancer.Server(SERVER + 1, 0, 0, 0, Balancer.Phase.READY, 1, 0), "other",
-            nodo.at(NODO_PORT)));
+        upstream.listed(new Endpoint(
+                new Balancer.Server(SERVER + 1, 0, 0, 0, Balancer.Phase.READY, 1, 0), "other", nodo.at(NODO_PORT)));
         upstream.send(SERVER + 1, call(), 1_000_000, results::add);
         run(1_000);
         assertEquals(Outcome.OK, results.get(1).outcome());
--- a/src/test/java/gatefront/drill/DrillTest.java
+++ b/src/test/java/gatefront/drill/DrillTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import gatefront.drill.Frames.Reply;
 import java.io.IOException;
 import java.util.List;
-import gatefront.drill.Frames.Reply;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -26,13 +26,22 @@
 
     @Test
     void anEmptyBatchIsAnsweredEmpty() throws IOException {
-        assertEquals(List.of(List.of(), List.of()), new Frames().frame(1).frame(2).run());
+        assertEquals(
+                List.of(List.of(), List.of()), new Frames().frame(1).frame(2).run());
     }
 
     @Test
     void aRequestIsSentToAListedServerAndItsOutcomeClosesIt() throws IOException {
-        var replies = new Frames().spawn(3).list(0, 0x91f03b7cL).announce(3, 0, 2).frame(1000)
-            .submit(3, 77, 5_000_000).frame(2000).finished(3, 77, 0x91f03b7cL, 200, 2).frame(3000).run();
+        var replies = new Frames()
+                .spawn(3)
+                .list(0, 0x91f03b7cL)
+                .announce(3, 0, 2)
+                .frame(1000)
+                .submit(3, 77, 5_000_000)
+                .frame(2000)
+                .finished(3, 77, 0x91f03b7cL, 200, 2)
+                .frame(3000)
+                .run();
         List<Reply> sends = of(replies.get(1), SEND);
         assertEquals(1, sends.size());
         assertEquals(3, sends.get(0).instance());
@@ -45,15 +54,31 @@
 
     @Test
     void aRestartInOneBatchForgetsTheList() throws IOException {
-        var replies = new Frames().spawn(3).list(0, 5).announce(3, 0, 2)
-            .record(19, out -> out.writeShort(3)).spawn(3).submit(3, 1, 5_000_000).frame(1000).run();
+        var replies = new Frames()
+                .spawn(3)
+                .list(0, 5)
+                .announce(3, 0, 2)
+                .record(19, out -> out.writeShort(3))
+                .spawn(3)
+                .submit(3, 1, 5_000_000)
+                .frame(1000)
+                .run();
         assertTrue(of(replies.get(0), SEND).isEmpty());
     }
 
     @Test
     void aListNumberUsedAgainInOneBatchIsResolvedByOrder() throws IOException {
-        var replies = new Frames().spawn(1).spawn(2).list(0, 5).announce(1, 0, 2).list(0, 6).announce(2, 0, 2)
-            .submit(1, 1, 5_000_000).submit(2, 2, 5_000_000).frame(1000).run();
+        var replies = new Frames()
+                .spawn(1)
+                .spawn(2)
+                .list(0, 5)
+                .announce(1, 0, 2)
+                .list(0, 6)
+                .announce(2, 0, 2)
+                .submit(1, 1, 5_000_000)
+                .submit(2, 2, 5_000_000)
+                .frame(1000)
+                .run();
         List<Reply> sends = of(replies.get(0), SEND);
         sends.forEach(s -> s.fields().getLong());
         assertEquals(List.of(5, 6), sends.stream().map(s -> s.fields().getInt()).toList());
@@ -61,22 +86,33 @@
 
     @Test
     void anExceptionInTheModuleIsToldAsItsDeath() throws IOException {
-        var replies = new Frames().spawn(1).record(20, out -> {
-            out.writeShort(1);
-            out.writeLong(9);
-            out.writeLong(0);
-            out.writeByte(0);
-            out.writeLong(5_000_000);
-            out.writeByte(200); // no such class
-            out.writeShort(0);
-            out.writeInt(0);
-        }).frame(1000).run();
+        var replies = new Frames()
+                .spawn(1)
+                .record(20, out -> {
+                    out.writeShort(1);
+                    out.writeLong(9);
+                    out.writeLong(0);
+                    out.writeByte(0);
+                    out.writeLong(5_000_000);
+                    out.writeByte(200); // no such class
+                    out.writeShort(0);
+                    out.writeInt(0);
+                })
+                .frame(1000)
+                .run();
         assertEquals(1, of(replies.get(0), 25).size());
     }
 
     @Test
     void logLinesCarryTheServersState() throws IOException {
-        var replies = new Frames().spawn(1).list(0, 5).announce(1, 0, 3).list(1).announce(1, 1, 3).frame(1000).run();
+        var replies = new Frames()
+                .spawn(1)
+                .list(0, 5)
+                .announce(1, 0, 3)
+                .list(1)
+                .announce(1, 1, 3)
+                .frame(1000)
+                .run();
         assertEquals(1, of(replies.get(0), LOG).size());
     }
 
@@ -89,60 +125,77 @@
 
     @Test
     void aTruncatedFrameIsNamed() {
-        assertEquals("frame 2: input ends inside the frame",
-            failure(new Frames().frame(1).raw(new byte[] {0, 0, 0, 12, 0})));
+        assertEquals(
+                "frame 2: input ends inside the frame",
+                failure(new Frames().frame(1).raw(new byte[] {0, 0, 0, 12, 0})));
     }
 
     @Test
     void aFrameLengthThatCannotBeIsNamed() {
-        assertEquals("frame 1: length 4294967295 is not possible",
-            failure(new Frames().raw(new byte[] {-1, -1, -1, -1})));
+        assertEquals(
+                "frame 1: length 4294967295 is not possible", failure(new Frames().raw(new byte[] {-1, -1, -1, -1})));
     }
 
     /** Failed before: two gigabytes were set aside for a frame that said it had them. */
     @Test
     void aFrameLargerThanAnyHostSendsIsNamedAndNotSetAside() {
-        assertEquals("frame 1: length 1879048192 is not possible",
-            failure(new Frames().raw(new byte[] {0x70, 0, 0, 0})));
+        assertEquals(
+                "frame 1: length 1879048192 is not possible", failure(new Frames().raw(new byte[] {0x70, 0, 0, 0})));
     }
 
     @Test
     void aRecordTooShortForItsFieldsIsNamed() {
-        assertEquals("frame 1 record 2 (code 20): too short for its fields",
-            failure(new Frames().spawn(1).record(20, out -> out.writeShort(1)).frame(1)));
+        assertEquals(
+                "frame 1 record 2 (code 20): too short for its fields",
+                failure(new Frames()
+                        .spawn(1)
+                        .record(20, out -> out.writeShort(1))
+                        .frame(1)));
     }
 
     @Test
     void aRecordLongerThanItsFieldsIsNamed() {
-        assertEquals("frame 1 record 2 (code 26): 1 bytes too many",
-            failure(new Frames().spawn(1).record(26, out -> {
-                out.writeShort(1);
-                out.writeLong(0);
-                out.writeByte(0);
-            }).frame(1)));
+        assertEquals(
+                "frame 1 record 2 (code 26): 1 bytes too many",
+                failure(new Frames()
+                        .spawn(1)
+                        .record(26, out -> {
+                            out.writeShort(1);
+                            out.writeLong(0);
+                            out.writeByte(0);
+                        })
+                        .frame(1)));
     }
 
     @Test
     void aRecordOverTheFrameIsNamed() {
         assertTrue(failure(new Frames().raw(Frames.bytes(out -> {
-            out.writeInt(17);
-            out.writeInt(1);
-            out.writeLong(0);
-            out.writeByte(19);
-            out.writeInt(100);
-        }))).startsWith("frame 1 record 1 (code 19): size 100 is over the frame"));
+                    out.writeInt(17);
+                    out.writeInt(1);
+                    out.writeLong(0);
+                    out.writeByte(19);
+                    out.writeInt(100);
+                })))
+                .startsWith("frame 1 record 1 (code 19): size 100 is over the frame"));
     }
 
     @Test
     void unknownCodesInstancesListsAndOutcomesAreNamed() {
-        assertEquals("frame 1 record 2 (code 99): unknown code",
-            failure(new Frames().spawn(1).record(99, out -> out.writeShort(1)).frame(1)));
-        assertEquals("frame 1 record 1 (code 20): instance 4 was never started",
-            failure(new Frames().submit(4, 1, 1).frame(1)));
-        assertEquals("frame 1 record 2 (code 21): list 2 was never defined",
-            failure(new Frames().spawn(1).announce(1, 2, 3).frame(1)));
-        assertEquals("frame 1 record 2 (code 22): unknown outcome 999",
-            failure(new Frames().spawn(1).finished(1, 1, 1, 999, 0).frame(1)));
+        assertEquals(
+                "frame 1 record 2 (code 99): unknown code",
+                failure(new Frames()
+                        .spawn(1)
+                        .record(99, out -> out.writeShort(1))
+                        .frame(1)));
+        assertEquals(
+                "frame 1 record 1 (code 20): instance 4 was never started",
+                failure(new Frames().submit(4, 1, 1).frame(1)));
+        assertEquals(
+                "frame 1 record 2 (code 21): list 2 was never defined",
+                failure(new Frames().spawn(1).announce(1, 2, 3).frame(1)));
+        assertEquals(
+                "frame 1 record 2 (code 22): unknown outcome 999",
+                failure(new Frames().spawn(1).finished(1, 1, 1, 999, 0).frame(1)));
     }
 
     // ---- settings ----
@@ -151,33 +204,52 @@
     @ValueSource(strings = {"caps.max-attempts", "classes.0.semantics", "discovery", "granularity-us", "me"})
     void aMissingSettingIsNamed(String key) {
         String without = Frames.SETTINGS.replaceAll("(?m)^" + key.replace(".", "\\.") + "=.*\n", "");
-        assertEquals("settings: " + key + " is missing", failure(new Frames().spawn(1, without).frame(1)));
+        assertEquals(
+                "settings: " + key + " is missing",
+                failure(new Frames().spawn(1, without).frame(1)));
     }
 
     @Test
     void anUnusableSettingIsNamed() {
         String bad = Frames.SETTINGS.replace("semantics=safe", "semantics=perhaps");
-        assertEquals("settings: classes.0.semantics has an unusable value: perhaps",
-            failure(new Frames().spawn(1, bad).frame(1)));
+        assertEquals(
+                "settings: classes.0.semantics has an unusable value: perhaps",
+                failure(new Frames().spawn(1, bad).frame(1)));
         String letters = Frames.SETTINGS.replace("group-size=2", "group-size=two");
-        assertEquals("settings: group-size has an unusable value: two",
-            failure(new Frames().spawn(1, letters).frame(1)));
+        assertEquals(
+                "settings: group-size has an unusable value: two",
+                failure(new Frames().spawn(1, letters).frame(1)));
     }
 
     /** Failed before: these were taken, and showed only as a failed decision or a stack trace later. */
     @ParameterizedTest
-    @ValueSource(strings = {"group-size=0", "granularity-us=0", "caps.max-attempts=-1", "locality=7", "me=-1",
-        "classes.0.aim-us=0", "group-size=Infinity"})
+    @ValueSource(
+            strings = {
+                "group-size=0",
+                "granularity-us=0",
+                "caps.max-attempts=-1",
+                "locality=7",
+                "me=-1",
+                "classes.0.aim-us=0",
+                "group-size=Infinity"
+            })
     void aSettingOutOfRangeIsNamed(String pair) {
         String key = pair.substring(0, pair.indexOf('='));
         String bad = Frames.SETTINGS.replaceAll("(?m)^" + key.replace(".", "\\.") + "=.*\n", pair + "\n");
-        assertEquals("settings: " + key + " has an unusable value: " + pair.substring(key.length() + 1),
-            failure(new Frames().spawn(1, bad).frame(1)));
+        assertEquals(
+                "settings: " + key + " has an unusable value: " + pair.substring(key.length() + 1),
+                failure(new Frames().spawn(1, bad).frame(1)));
     }
 
     @Test
     void unknownSettingsAreIgnored() throws IOException {
-        assertEquals(1, new Frames().spawn(1, Frames.SETTINGS + "new.thing=1\n").frame(1).run().size());
+        assertEquals(
+                1,
+                new Frames()
+                        .spawn(1, Frames.SETTINGS + "new.thing=1\n")
+                        .frame(1)
+                        .run()
+                        .size());
     }
 
     @Test
--- a/src/test/java/gatefront/drill/Frames.java
+++ b/src/test/java/gatefront/drill/Frames.java
@@ -11,7 +11,8 @@
 
 /** Builds frames for the drill and takes its replies apart. */
 final class Frames {
-    static final String SETTINGS = """
+    static final String SETTINGS =
+            """
         caps.cancel=true
         caps.max-attempts=3
         caps.may-duplicate=false
@@ -44,7 +45,7 @@
     }
 
     /** A record of a reply. */
-    record Reply(int code, int instance, ByteBuffer fields) { }
+    record Reply(int code, int instance, ByteBuffer fields) {}
 
     private final ByteArrayOutputStream all = new ByteArrayOutputStream();
     private final List<byte[]> records = new ArrayList<>();
--- a/src/test/java/gatefront/example/Embedding.java
+++ b/src/test/java/gatefront/example/Embedding.java
@@ -1,9 +1,9 @@
 package gatefront.example;
 
-import java.util.ArrayList;
-import java.util.List;
 import gatefront.policy.Balancer;
 import gatefront.policy.CheckedBalancer;
+import java.util.ArrayList;
+import java.util.List;
 
 /** The README's example. What stands between the two marks is printed there, and a test holds them equal. */
 final class Embedding implements Balancer.Actions {
@@ -12,27 +12,46 @@
     // README begins
     static Balancer.Settings settings() {
         var lookup = new Balancer.RequestClass(
-            300_000, 0, 2_000_000,                             // wanted within 0.3 s, given up after 2 s
-            Balancer.Semantics.SAFE, Balancer.Scope.ALL, 0,    // may run any number of times
-            1, 0, false);                                      // worth 1; nothing if late; not streamed
+                300_000,
+                0,
+                2_000_000, // wanted within 0.3 s, given up after 2 s
+                Balancer.Semantics.SAFE,
+                Balancer.Scope.ALL,
+                0, // may run any number of times
+                1,
+                0,
+                false); // worth 1; nothing if late; not streamed
         return new Balancer.Settings(
-            0, 3, 0, 2, 5_000,                                 // agent 0 of 3, in zone 0 of 2; 5 ms ticks
-            false, false, false, false, 1,
-            new Balancer.Permits(3, false, true, true, false, 0),
-            new Balancer.Obligations(20_000, 500_000, 0.2, 20_000_000, 3, 1_000_000, 10_000_000),
-            new Balancer.Prices(0.05, 0.01, 0.05, 0.05, 0),
-            new Balancer.Goal(1, 0, 0, 0),
-            List.of(lookup), List.of(), List.of());
+                0,
+                3,
+                0,
+                2,
+                5_000, // agent 0 of 3, in zone 0 of 2; 5 ms ticks
+                false,
+                false,
+                false,
+                false,
+                1,
+                new Balancer.Permits(3, false, true, true, false, 0),
+                new Balancer.Obligations(20_000, 500_000, 0.2, 20_000_000, 3, 1_000_000, 10_000_000),
+                new Balancer.Prices(0.05, 0.01, 0.05, 0.05, 0),
+                new Balancer.Goal(1, 0, 0, 0),
+                List.of(lookup),
+                List.of(),
+                List.of());
     }
 
     static void run(Balancer.Actions host) {
-        long now = 0;                                          // microseconds of the host's own clock
+        long now = 0; // microseconds of the host's own clock
         Balancer balancer = new CheckedBalancer(settings(), 42, now, host);
-        balancer.servers(now, Balancer.ListKind.FULL, List.of(
-            new Balancer.Server(7, 0, 0, 0, Balancer.Phase.READY, 1, 0),
-            new Balancer.Server(8, 1, 0, 0, Balancer.Phase.READY, 1, 0)));
+        balancer.servers(
+                now,
+                Balancer.ListKind.FULL,
+                List.of(
+                        new Balancer.Server(7, 0, 0, 0, Balancer.Phase.READY, 1, 0),
+                        new Balancer.Server(8, 1, 0, 0, Balancer.Phase.READY, 1, 0)));
         balancer.request(now, new Balancer.Request(1, 0, 0, 0, 0, now + 1_000_000, false, false));
-        now += 40_000;                                         // the host has called send(1, 7, ...) over its network
+        now += 40_000; // the host has called send(1, 7, ...) over its network
         balancer.outcome(now, 1, 0, 7, Balancer.Outcome.OK, 40_000, true, new double[0]);
     }
 
--- a/src/test/java/gatefront/http/HttpUpstreamTest.java
+++ b/src/test/java/gatefront/http/HttpUpstreamTest.java
@@ -19,14 +19,14 @@
 class HttpUpstreamTest extends UpstreamContract {
     @Override
     protected PooledUpstream upstream(Transport transport, int port) {
-        return new HttpUpstream(transport, Config.read(Path.of("src/test/resources/config.json")), 50,
-            new Budget(1 << 24, Map.of()));
+        return new HttpUpstream(
+                transport, Config.read(Path.of("src/test/resources/config.json")), 50, new Budget(1 << 24, Map.of()));
     }
 
     @Override
     protected Payload call() {
-        return new HttpUpstream.Outgoing(HttpMethod.POST, "/order?q=1", new DefaultHttpHeaders(),
-            "cuerpo".getBytes(StandardCharsets.US_ASCII));
+        return new HttpUpstream.Outgoing(
+                HttpMethod.POST, "/order?q=1", new DefaultHttpHeaders(), "cuerpo".getBytes(StandardCharsets.US_ASCII));
     }
 
     @Override
@@ -37,6 +37,6 @@
     @Override
     protected byte[] reply(Object call) {
         return "HTTP/1.1 200 OK\r\nServer-Load: inflight=1,queue=0\r\nContent-Length: 5\r\n\r\nhecho"
-            .getBytes(StandardCharsets.US_ASCII);
+                .getBytes(StandardCharsets.US_ASCII);
     }
 }
--- a/src/test/java/gatefront/keeping/KeeperTest.java
+++ b/src/test/java/gatefront/keeping/KeeperTest.java
@@ -22,6 +22,7 @@
 class KeeperTest {
     @TempDir
     private Path dir;
+
     private final BlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
     private long clock = 5_000_000;
 
@@ -60,8 +61,9 @@
         Keeper.Opened second = open("a");
         assertEquals(Store.WHOLE, second.state());
         assertEquals("life 2", second.why());
-        assertEquals(Map.of("nodo-1", new Bans.Entry(true, 7), "nodo-2", new Bans.Entry(false, 9)),
-            second.kept().bans());
+        assertEquals(
+                Map.of("nodo-1", new Bans.Entry(true, 7), "nodo-2", new Bans.Entry(false, 9)),
+                second.kept().bans());
         assertEquals(6_000_000, second.kept().upTo());
         assertEquals(42, second.kept().listAt());
         assertArrayEquals(new byte[] {1, 2, 3}, second.kept().list());
@@ -80,8 +82,9 @@
             assertTrue(files.anyMatch(each -> each.toString().endsWith(".snap")));
         }
         Keeper.Opened again = open("a");
-        assertEquals(Map.of("nodo-1", new Bans.Entry(true, 7), "nodo-2", new Bans.Entry(false, 5_199)),
-            again.kept().bans());
+        assertEquals(
+                Map.of("nodo-1", new Bans.Entry(true, 7), "nodo-2", new Bans.Entry(false, 5_199)),
+                again.kept().bans());
         assertEquals(2, again.kept().life() + 1);
         end(again.keeper());
     }
@@ -110,7 +113,9 @@
             end(keeper);
             Path newest;
             try (var files = Files.list(dir.resolve("kept"))) {
-                newest = files.filter(each -> each.toString().endsWith(".log")).max(Path::compareTo).orElseThrow();
+                newest = files.filter(each -> each.toString().endsWith(".log"))
+                        .max(Path::compareTo)
+                        .orElseThrow();
             }
             byte[] bytes = Files.readAllBytes(newest);
             bytes[bytes.length / 2] ^= 4;
--- a/src/test/java/gatefront/ledger/LedgerTest.java
+++ b/src/test/java/gatefront/ledger/LedgerTest.java
@@ -24,8 +24,15 @@
     }
 
     private static Entry correction(String instance, long sequence, long period, EntryId of, long requests) {
-        return new Entry(id(instance, sequence), Entry.Kind.CORRECTION, period, "", "", new Amounts(requests, 0, 0, 0),
-            of, "counted twice");
+        return new Entry(
+                id(instance, sequence),
+                Entry.Kind.CORRECTION,
+                period,
+                "",
+                "",
+                new Amounts(requests, 0, 0, 0),
+                of,
+                "counted twice");
     }
 
     private static Ledger of(List<Entry> entries) throws Ledger.Conflict {
@@ -47,8 +54,8 @@
 
     @Test
     void aCorrectionIsAnEntryOfItsOwnInTheOpenPeriodAndCountsWithWhatItCorrects() throws Exception {
-        Ledger ledger = of(List.of(use("a", 0, 7, "mitla", 5), use("a", 1, 8, "etla", 1),
-            correction("b", 0, 8, id("a", 0), -2)));
+        Ledger ledger = of(
+                List.of(use("a", 0, 7, "mitla", 5), use("a", 1, 8, "etla", 1), correction("b", 0, 8, id("a", 0), -2)));
         assertEquals(5, ledger.total(7, "mitla").requests(), "what is closed is not changed");
         assertEquals(-2, ledger.total(8, "mitla").requests());
         ledger = ledger.with(correction("b", 1, 9, id("b", 0), 1));
@@ -82,8 +89,9 @@
             long[] sums = new long[3];
             for (int i = 0; i < 30; i++) {
                 int of = entries.isEmpty() || random.nextInt(3) > 0 ? -1 : random.nextInt(entries.size());
-                Entry made = of < 0 ? use("a", i, random.nextInt(3), "t" + random.nextInt(3), random.nextInt(100))
-                    : correction("a", i, random.nextInt(3), entries.get(of).id(), random.nextInt(21) - 10);
+                Entry made = of < 0
+                        ? use("a", i, random.nextInt(3), "t" + random.nextInt(3), random.nextInt(100))
+                        : correction("a", i, random.nextInt(3), entries.get(of).id(), random.nextInt(21) - 10);
                 entries.add(made);
                 sums[(int) made.period()] += made.amounts().requests();
             }
@@ -94,8 +102,11 @@
             Ledger two = of(other);
             for (long period = 0; period < 3; period++) {
                 assertEquals(one.totals(period), two.totals(period));
-                assertEquals(sums[(int) period],
-                    one.totals(period).values().stream().mapToLong(Amounts::requests).sum());
+                assertEquals(
+                        sums[(int) period],
+                        one.totals(period).values().stream()
+                                .mapToLong(Amounts::requests)
+                                .sum());
             }
             assertEquals(List.of(), two.waiting());
             assertEquals(entries.size(), two.size());
@@ -104,11 +115,24 @@
 
     @Test
     void thePartOfAnInstanceThatNeverClosedIsNotKnownAndNotNothing() throws Exception {
-        Ledger ledger = of(List.of(use("a", 0, 7, "mitla", 5), use("a", 1, 7, "etla", 1),
-            Entry.closed(id("a", 2), 7, 2), use("b", 0, 7, "mitla", 1), use("c", 1, 7, "mitla", 1),
-            Entry.closed(id("c", 2), 7, 2)));
-        assertEquals(Map.of("a/1", Ledger.Part.WHOLE, "b/1", Ledger.Part.UNKNOWN, "c/1", Ledger.Part.INCOMPLETE,
-            "d", Ledger.Part.UNKNOWN), ledger.standing(7, List.of("a", "b", "c", "d")));
+        Ledger ledger = of(List.of(
+                use("a", 0, 7, "mitla", 5),
+                use("a", 1, 7, "etla", 1),
+                Entry.closed(id("a", 2), 7, 2),
+                use("b", 0, 7, "mitla", 1),
+                use("c", 1, 7, "mitla", 1),
+                Entry.closed(id("c", 2), 7, 2)));
+        assertEquals(
+                Map.of(
+                        "a/1",
+                        Ledger.Part.WHOLE,
+                        "b/1",
+                        Ledger.Part.UNKNOWN,
+                        "c/1",
+                        Ledger.Part.INCOMPLETE,
+                        "d",
+                        Ledger.Part.UNKNOWN),
+                ledger.standing(7, List.of("a", "b", "c", "d")));
         Entry again = Entry.use(new EntryId("b", 2, 0), 7, "mitla", "consulta", Amounts.NONE);
         Ledger back = ledger.with(again).with(Entry.closed(new EntryId("b", 2, 1), 7, 1));
         assertEquals(Ledger.Part.UNKNOWN, back.standing(7, List.of()).get("b/1"), "its first life never ended");
--- a/src/test/java/gatefront/ledger/ReconcileTest.java
+++ b/src/test/java/gatefront/ledger/ReconcileTest.java
@@ -14,8 +14,12 @@
     private static final int MANY = 1_000_000;
 
     private static Entry entry(int i, long requests) {
-        return Entry.use(new EntryId("agente-" + i % 5, 1, i / 5), 7, "municipio-" + i % 8, "consulta-saldo",
-            new Amounts(requests, 2, 3, 4));
+        return Entry.use(
+                new EntryId("agente-" + i % 5, 1, i / 5),
+                7,
+                "municipio-" + i % 8,
+                "consulta-saldo",
+                new Amounts(requests, 2, 3, 4));
     }
 
     private static List<Entry> entries(int n) {
@@ -58,7 +62,9 @@
             List<Entry> theirs = new ArrayList<>(all);
             TreeSet<EntryId> ids = differ(theirs, differences[i], new Random(i));
             Reconcile.Result result = Reconcile.run(own, Reconcile.Other.of(new Digests(theirs)));
-            assertEquals(List.copyOf(ids), result.differences().stream().map(Reconcile.Difference::id).toList());
+            assertEquals(
+                    List.copyOf(ids),
+                    result.differences().stream().map(Reconcile.Difference::id).toList());
             bytes[i] = result.bytes();
         }
         assertEquals(Digests.Sum.BYTES, bytes[0]);
@@ -75,16 +81,28 @@
             List<Entry> two = new ArrayList<>(one);
             TreeSet<EntryId> ids = differ(two, Math.min(one.size() / 3, random.nextInt(12)), random);
             Reconcile.Result result = Reconcile.run(new Digests(one), Reconcile.Other.of(new Digests(two)));
-            assertEquals(List.copyOf(ids), result.differences().stream().map(Reconcile.Difference::id).toList());
+            assertEquals(
+                    List.copyOf(ids),
+                    result.differences().stream().map(Reconcile.Difference::id).toList());
             for (Reconcile.Difference each : result.differences()) {
-                assertEquals(one.stream().filter(its -> its.id().equals(each.id())).findAny().orElse(null),
-                    each.here());
-                assertEquals(two.stream().filter(its -> its.id().equals(each.id())).findAny().orElse(null),
-                    each.there());
+                assertEquals(
+                        one.stream()
+                                .filter(its -> its.id().equals(each.id()))
+                                .findAny()
+                                .orElse(null),
+                        each.here());
+                assertEquals(
+                        two.stream()
+                                .filter(its -> its.id().equals(each.id()))
+                                .findAny()
+                                .orElse(null),
+                        each.there());
             }
         }
-        assertEquals(List.of(), Reconcile.run(new Digests(List.of()),
-            Reconcile.Other.of(new Digests(List.of()))).differences());
+        assertEquals(
+                List.of(),
+                Reconcile.run(new Digests(List.of()), Reconcile.Other.of(new Digests(List.of())))
+                        .differences());
     }
 
     /** One that tells other sums each time makes no endless work. */
--- a/src/test/java/gatefront/membership/BansTest.java
+++ b/src/test/java/gatefront/membership/BansTest.java
@@ -20,8 +20,8 @@
     private final Bans bans = new Bans();
 
     private static Endpoint endpoint(String name, Phase phase, long startedAt) {
-        return new Endpoint(new Server(name.hashCode(), 0, 0, 0, phase, 1, startedAt), name,
-            new InetSocketAddress("127.0.0.1", 1));
+        return new Endpoint(
+                new Server(name.hashCode(), 0, 0, 0, phase, 1, startedAt), name, new InetSocketAddress("127.0.0.1", 1));
     }
 
     private static Phase phase(List<Endpoint> told) {
@@ -50,8 +50,18 @@
         bans.call("a", true, 5);
         bans.call("a", false, 8);
         assertEquals(8, bans.line("a").get(0).server().startedAt());
-        assertEquals(8, bans.told(ListKind.DELTA, List.of(endpoint("a", Phase.READY, 3))).get(0).server().startedAt());
-        assertEquals(9, bans.told(ListKind.DELTA, List.of(endpoint("a", Phase.READY, 9))).get(0).server().startedAt());
+        assertEquals(
+                8,
+                bans.told(ListKind.DELTA, List.of(endpoint("a", Phase.READY, 3)))
+                        .get(0)
+                        .server()
+                        .startedAt());
+        assertEquals(
+                9,
+                bans.told(ListKind.DELTA, List.of(endpoint("a", Phase.READY, 9)))
+                        .get(0)
+                        .server()
+                        .startedAt());
     }
 
     @Test
@@ -111,7 +121,8 @@
             for (Bans each : both) {
                 Set<String> drained = new HashSet<>();
                 list.keySet().forEach(name -> each.line(name).stream()
-                    .filter(line -> line.server().phase() == Phase.DRAINING).forEach(line -> drained.add(name)));
+                        .filter(line -> line.server().phase() == Phase.DRAINING)
+                        .forEach(line -> drained.add(name)));
                 assertEquals(out, drained, "seed " + seed);
                 assertEquals(out.size(), each.out());
             }
--- a/src/test/java/gatefront/membership/MembershipTest.java
+++ b/src/test/java/gatefront/membership/MembershipTest.java
@@ -24,8 +24,10 @@
     private final Membership membership = new Membership(List.of("padrón", "registry"), lines::add);
 
     private static Endpoint nodo(String name, Phase phase, long startedAt, int port) {
-        return new Endpoint(new Server(name.hashCode(), 0, 0, 0, phase, 2, startedAt), name,
-            InetSocketAddress.createUnresolved("127.0.0.1", port));
+        return new Endpoint(
+                new Server(name.hashCode(), 0, 0, 0, phase, 2, startedAt),
+                name,
+                InetSocketAddress.createUnresolved("127.0.0.1", port));
     }
 
     private static Endpoint ready(String name) {
@@ -33,8 +35,11 @@
     }
 
     private static String text(List<Endpoint> endpoints) {
-        return endpoints.stream().map(each -> each.name() + " " + each.server().phase() + " " + each.server().weight())
-            .sorted().collect(Collectors.joining(", "));
+        return endpoints.stream()
+                .map(each -> each.name() + " " + each.server().phase() + " "
+                        + each.server().weight())
+                .sorted()
+                .collect(Collectors.joining(", "));
     }
 
     private String told(int source, ListKind kind, Endpoint... endpoints) {
@@ -112,8 +117,8 @@
     void policiesLieOverWhateverSource() {
         told(PADRON, ListKind.FULL, ready("a"), ready("b"));
         assertEquals("a DRAINING 1.0", text(membership.policies(Map.of("a", new Policy(true, 0.5)), Map.of())));
-        assertEquals("a READY 1.0, b READY 1.0",
-            text(membership.policies(Map.of(), Map.of(0, new Policy(false, 0.5)))));
+        assertEquals(
+                "a READY 1.0, b READY 1.0", text(membership.policies(Map.of(), Map.of(0, new Policy(false, 0.5)))));
         assertEquals("c READY 1.0", told(OTHER, ListKind.FULL, ready("c")));
         assertEquals("a READY 2.0, b READY 2.0, c READY 2.0", text(membership.policies(Map.of(), Map.of())));
     }
@@ -123,7 +128,7 @@
     void theChangesAddUpToTheList() {
         for (int seed = 0; seed < 300; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Membership mixed = new Membership(List.of("padrón", "registry"), line -> { });
+            Membership mixed = new Membership(List.of("padrón", "registry"), line -> {});
             Map<String, Endpoint> known = new HashMap<>();
             for (int step = 0; step < 200; step++) {
                 List<Endpoint> some = new ArrayList<>();
@@ -132,8 +137,8 @@
                 }
                 ListKind kind = random.nextBoolean() ? ListKind.DELTA : ListKind.FULL;
                 List<Endpoint> changed = random.nextInt(6) == 0
-                    ? mixed.policies(Map.of("n1", new Policy(random.nextBoolean(), 0.5)), Map.of())
-                    : mixed.told(random.nextInt(2), kind, some);
+                        ? mixed.policies(Map.of("n1", new Policy(random.nextBoolean(), 0.5)), Map.of())
+                        : mixed.told(random.nextInt(2), kind, some);
                 for (Endpoint each : changed) {
                     if (each.server().phase() == Phase.GONE) {
                         assertTrue(known.remove(each.name()) != null, "gone twice");
--- a/src/test/java/gatefront/padron/DiscoveryTest.java
+++ b/src/test/java/gatefront/padron/DiscoveryTest.java
@@ -36,7 +36,7 @@
     private static final long MS = 1_000_000;
     private static final int PORT = 8500;
     private static final String ENTRY = "{\"name\":\"s-%d\",\"address\":\"127.0.0.1:80\",\"zone\":\"a\","
-        + "\"type\":\"small\",\"group\":0,\"status\":\"Ready\",\"weight\":1,\"since_ms\":0}";
+            + "\"type\":\"small\",\"group\":0,\"status\":\"Ready\",\"weight\":1,\"since_ms\":0}";
 
     private final VirtualTime time = new VirtualTime();
     private final Network network = new Network(time, 0, (from, to, bytes) -> 10 * MS);
@@ -45,6 +45,7 @@
     private final Deque<Script> scripts = new ArrayDeque<>();
     /** What it was asked, and when, in milliseconds. */
     private final List<String> asked = new ArrayList<>();
+
     private final List<Long> askedAt = new ArrayList<>();
     private final List<String> heard = new ArrayList<>();
     private int connections;
@@ -61,37 +62,44 @@
     }
 
     private Host host(String name, int last) throws Exception {
-        return network.host(name, InetAddress.getByAddress(new byte[] {127, 0, 0, (byte) last}), 0, 1 << 24,
-            line -> { });
+        return network.host(
+                name, InetAddress.getByAddress(new byte[] {127, 0, 0, (byte) last}), 0, 1 << 24, line -> {});
     }
 
     private void listen() {
-        new ServerBootstrap().group(padron.loop()).channelFactory(padron.listeners())
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel ch) {
-                    connections++;
-                    ch.closeFuture().addListener(closed -> ended++);
-                    ch.pipeline().addLast(new HttpRequestDecoder(), new HttpObjectAggregator(1 << 16),
-                        new SimpleChannelInboundHandler<FullHttpRequest>() {
-                            @Override
-                            protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-                                asked.add(request.uri());
-                                askedAt.add(time.nanoTime() / MS);
-                                if (!scripts.isEmpty()) {
-                                    scripts.pollFirst().run(ctx);
-                                }
-                            }
-                        });
-                }
-            }).bind(padron.at(PORT));
+        new ServerBootstrap()
+                .group(padron.loop())
+                .channelFactory(padron.listeners())
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel ch) {
+                        connections++;
+                        ch.closeFuture().addListener(closed -> ended++);
+                        ch.pipeline()
+                                .addLast(
+                                        new HttpRequestDecoder(),
+                                        new HttpObjectAggregator(1 << 16),
+                                        new SimpleChannelInboundHandler<FullHttpRequest>() {
+                                            @Override
+                                            protected void channelRead0(
+                                                    ChannelHandlerContext ctx, FullHttpRequest request) {
+                                                asked.add(request.uri());
+                                                askedAt.add(time.nanoTime() / MS);
+                                                if (!scripts.isEmpty()) {
+                                                    scripts.pollFirst().run(ctx);
+                                                }
+                                            }
+                                        });
+                    }
+                })
+                .bind(padron.at(PORT));
         run(0);
     }
 
     private Discovery follow(String name, int last, String seed) throws Exception {
         Host agent = host(name, last);
-        ObjectNode root = (ObjectNode) new ObjectMapper()
-            .readTree(Files.readAllBytes(Path.of("src/test/resources/config.json")));
+        ObjectNode root =
+                (ObjectNode) new ObjectMapper().readTree(Files.readAllBytes(Path.of("src/test/resources/config.json")));
         root.put("discovery", "127.0.0.2:" + PORT).put("seed", seed);
         Discovery discovery = new Discovery(agent, Config.of(root), new Discovery.Listener() {
             @Override
@@ -117,8 +125,9 @@
     }
 
     private static void write(ChannelHandlerContext ctx, int status, String body, int length) {
-        ctx.writeAndFlush(Unpooled.copiedBuffer("HTTP/1.1 " + status + " x\r\nContent-Length: " + length + "\r\n\r\n"
-            + body, StandardCharsets.US_ASCII));
+        ctx.writeAndFlush(Unpooled.copiedBuffer(
+                "HTTP/1.1 " + status + " x\r\nContent-Length: " + length + "\r\n\r\n" + body,
+                StandardCharsets.US_ASCII));
     }
 
     private static Script list(long index, boolean whole, int... servers) {
@@ -126,8 +135,10 @@
         for (int each : servers) {
             entries.add(String.format(ENTRY, each));
         }
-        return says(200, "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":["
-            + String.join(",", entries) + "]}");
+        return says(
+                200,
+                "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[" + String.join(",", entries)
+                        + "]}");
     }
 
     private String lastAsked() {
@@ -205,10 +216,10 @@
     @Test
     void nothingIsHeardOfAConnectionThatWasGivenUp() throws Exception {
         scripts.add(ctx -> ctx.writeAndFlush(Unpooled.copiedBuffer(
-            "HTTP/1.1 200 x\r\nConnection: close\r\nContent-Length: 42\r\n\r\n"
-                + "{\"index\":4,\"snapshot\":true,\"endpoints\":[]}"
-                + "HTTP/1.1 200 x\r\nContent-Length: 42\r\n\r\n{\"index\":9,\"snapshot\":true,\"endpoints\":[]}",
-            StandardCharsets.US_ASCII)));
+                "HTTP/1.1 200 x\r\nConnection: close\r\nContent-Length: 42\r\n\r\n"
+                        + "{\"index\":4,\"snapshot\":true,\"endpoints\":[]}"
+                        + "HTTP/1.1 200 x\r\nContent-Length: 42\r\n\r\n{\"index\":9,\"snapshot\":true,\"endpoints\":[]}",
+                StandardCharsets.US_ASCII)));
         follow("agent", 1, "1");
         run(300);
         assertEquals(List.of("FULL []"), heard);
@@ -234,8 +245,12 @@
     void agentsThatAreTurnedAwayTogetherDoNotComeBackTogether() throws Exception {
         DiscoveryTest day = crowd(20, 503, 4_000);
         List<Long> later = day.askedAt.stream().filter(at -> at > 1_000).toList();
-        long busiest = later.stream().mapToLong(at -> later.stream().filter(other -> other >= at && other < at + 20)
-            .count()).max().orElse(0);
+        long busiest = later.stream()
+                .mapToLong(at -> later.stream()
+                        .filter(other -> other >= at && other < at + 20)
+                        .count())
+                .max()
+                .orElse(0);
         assertTrue(later.size() > 20 && busiest <= 8, busiest + " of 20 agents within 20 ms");
     }
 
--- a/src/test/java/gatefront/policy/CheckedBalancerTest.java
+++ b/src/test/java/gatefront/policy/CheckedBalancerTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.Arrays;
-import java.util.Collections;
-import java.util.List;
 import gatefront.policy.Balancer.ListKind;
 import gatefront.policy.Balancer.Outcome;
 import gatefront.policy.Balancer.Request;
+import java.util.Arrays;
+import java.util.Collections;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Wrong use: an exception from the checked balancer; from the module alone the disregard that README states. */
@@ -43,47 +43,59 @@
     @Test
     void nullsAreNamed() {
         assertEquals("settings", message(NullPointerException.class, () -> new CheckedBalancer(null, 1, 0, hand)));
-        assertEquals("actions",
-            message(NullPointerException.class, () -> new CheckedBalancer(Hand.safe(), 1, 0, null)));
+        assertEquals(
+                "actions", message(NullPointerException.class, () -> new CheckedBalancer(Hand.safe(), 1, 0, null)));
         assertEquals("request", message(NullPointerException.class, () -> checked.request(hand.now, null)));
-        assertEquals("entries",
-            message(NullPointerException.class, () -> checked.servers(hand.now, ListKind.FULL, null)));
-        assertEquals("an entry", message(NullPointerException.class,
-            () -> checked.servers(hand.now, ListKind.FULL, Collections.singletonList(null))));
+        assertEquals(
+                "entries", message(NullPointerException.class, () -> checked.servers(hand.now, ListKind.FULL, null)));
+        assertEquals(
+                "an entry",
+                message(
+                        NullPointerException.class,
+                        () -> checked.servers(hand.now, ListKind.FULL, Collections.singletonList(null))));
         assertEquals("kind", message(NullPointerException.class, () -> checked.servers(hand.now, null, List.of())));
-        assertEquals("outcome",
-            message(NullPointerException.class, () -> checked.probed(hand.now, 1, null, 0, NO_LOAD)));
-        assertEquals("load",
-            message(NullPointerException.class, () -> checked.probed(hand.now, 1, Outcome.OK, 0, null)));
+        assertEquals(
+                "outcome", message(NullPointerException.class, () -> checked.probed(hand.now, 1, null, 0, NO_LOAD)));
+        assertEquals(
+                "load", message(NullPointerException.class, () -> checked.probed(hand.now, 1, Outcome.OK, 0, null)));
         assertEquals("message", message(NullPointerException.class, () -> checked.message(hand.now, 1, null)));
     }
 
     @Test
     void timeThatRunsBackwardsIsNamed() {
         checked.timer(hand.now + 10, 99);
-        assertEquals("time runs backwards: " + (hand.now + 9) + " after " + (hand.now + 10),
-            message(IllegalArgumentException.class, () -> checked.timer(hand.now + 9, 99)));
+        assertEquals(
+                "time runs backwards: " + (hand.now + 9) + " after " + (hand.now + 10),
+                message(IllegalArgumentException.class, () -> checked.timer(hand.now + 9, 99)));
     }
 
     @Test
     void idsUsedTwiceAndUnknownClassesAreNamed() {
         checked.request(hand.now, request(5, 0));
-        assertEquals("request 5 has come before",
-            message(IllegalArgumentException.class, () -> checked.request(hand.now, request(5, 0))));
+        assertEquals(
+                "request 5 has come before",
+                message(IllegalArgumentException.class, () -> checked.request(hand.now, request(5, 0))));
         assertThrows(IndexOutOfBoundsException.class, () -> checked.request(hand.now, request(6, 1)));
     }
 
     @Test
     void outcomesOfUnknownRequestsAndAttemptsAndOutcomesToldTwiceAreNamed() {
         listTwo(checked);
-        assertEquals("request 4 is not known, or has ended", message(IllegalArgumentException.class,
-            () -> checked.outcome(hand.now, 4, 0, 1, Outcome.OK, 1, true, NO_LOAD)));
+        assertEquals(
+                "request 4 is not known, or has ended",
+                message(
+                        IllegalArgumentException.class,
+                        () -> checked.outcome(hand.now, 4, 0, 1, Outcome.OK, 1, true, NO_LOAD)));
         checked.request(hand.now, request(5, 0));
-        assertThrows(IndexOutOfBoundsException.class,
-            () -> checked.outcome(hand.now, 5, 1, 1, Outcome.OK, 1, true, NO_LOAD));
+        assertThrows(
+                IndexOutOfBoundsException.class,
+                () -> checked.outcome(hand.now, 5, 1, 1, Outcome.OK, 1, true, NO_LOAD));
         checked.outcome(hand.now, 5, 0, hand.target(5), Outcome.ERROR, 1, false, NO_LOAD);
-        assertEquals("attempt 0 of request 5 has ended", message(IllegalArgumentException.class,
-            () -> checked.outcome(hand.now, 5, 0, 1, Outcome.OK, 1, true, NO_LOAD)));
+        assertEquals(
+                "attempt 0 of request 5 has ended",
+                message(
+                        IllegalArgumentException.class,
+                        () -> checked.outcome(hand.now, 5, 0, 1, Outcome.OK, 1, true, NO_LOAD)));
     }
 
     @Test
@@ -97,8 +109,9 @@
         };
         self[0] = new CheckedBalancer(Hand.safe(), 1, rash.now, rash);
         listTwo(self[0]);
-        assertEquals("an action has called back into the balancer",
-            message(IllegalStateException.class, () -> self[0].request(rash.now, request(5, 0))));
+        assertEquals(
+                "an action has called back into the balancer",
+                message(IllegalStateException.class, () -> self[0].request(rash.now, request(5, 0))));
     }
 
     @Test
@@ -129,6 +142,7 @@
         hand.pass(60 * Hand.SECOND);
         hand.serve(1000);
         assertEquals(22, hand.all("send").size());
-        assertTrue(Arrays.asList("refuse", "fail").stream().allMatch(w -> hand.all(w).isEmpty()));
+        assertTrue(Arrays.asList("refuse", "fail").stream()
+                .allMatch(w -> hand.all(w).isEmpty()));
     }
 }
