--- a/src/test/java/gatefront/policy/ClassFailureTest.java
+++ b/src/test/java/gatefront/policy/ClassFailureTest.java
@@ -24,7 +24,7 @@
     private static Hand two() {
         var safe = Hand.type(Semantics.SAFE, Scope.ALL);
         return new Hand(Hand.settings(List.of(safe, safe), new Permits(4, false, true, false, false, 0), 1, 1))
-            .full(Hand.server(1, 0), Hand.server(2, 0));
+                .full(Hand.server(1, 0), Hand.server(2, 0));
     }
 
     /** A request of this class each 20 ms and server; those for server 1 end as given, and all others are answered. */
@@ -160,7 +160,7 @@
     @Test
     void aKeyedRepeatGoesToTheRemovedServerOfItsGroupAtOnce() {
         Hand hand = new Hand(Hand.settings(Semantics.KEYED, Scope.CELL))
-            .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 1));
+                .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 1));
         for (int i = 0; i < 2; i++) {
             hand.balancer.probed(hand.now, 2, Outcome.TIMEOUT, Hand.SECOND, new double[0]);
         }
--- a/src/test/java/gatefront/policy/ColdFleetTest.java
+++ b/src/test/java/gatefront/policy/ColdFleetTest.java
@@ -10,7 +10,6 @@
 import gatefront.policy.Balancer.Scope;
 import gatefront.policy.Balancer.Semantics;
 import gatefront.policy.Balancer.Server;
-import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -23,8 +22,13 @@
     private static final int DEMAND = 30;
 
     private static Hand hand(long seed, int zones) {
-        return new Hand(Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(4, false, true, false, false, 0), zones, AGENTS), seed);
+        return new Hand(
+                Hand.settings(
+                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                        new Permits(4, false, true, false, false, 0),
+                        zones,
+                        AGENTS),
+                seed);
     }
 
     private static Server[] servers(int from, int count, int zone, long startedAt) {
@@ -109,8 +113,16 @@
         int demand = 10;
         long[] sent = new long[221];
         for (int agent = 0; agent < 100; agent++) {
-            Hand hand = new Hand(Hand.as(agent, Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-                new Permits(4, false, true, false, false, 0), 1, 100)), agent).full(servers(1, 80, 0, 0));
+            Hand hand = new Hand(
+                            Hand.as(
+                                    agent,
+                                    Hand.settings(
+                                            List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                                            new Permits(4, false, true, false, false, 0),
+                                            1,
+                                            100)),
+                            agent)
+                    .full(servers(1, 80, 0, 0));
             live(hand, 5, 50_000, demand);
             hand.list(ListKind.DELTA, servers(101, 120, 0, hand.now));
             int before = hand.all("send").size();
@@ -143,8 +155,8 @@
     }
 
     private static Hand reporting(int agents) {
-        var s = Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(4, false, true, false, false, 0), 1, agents);
+        var s = Hand.settings(
+                List.of(Hand.type(Semantics.SAFE, Scope.ALL)), new Permits(4, false, true, false, false, 0), 1, agents);
         return new Hand(Hand.with(s, s.prices(), s.obligations(), Balancer.LoadField.QUEUED), 7);
     }
 
@@ -183,7 +195,8 @@
             for (int i = 0; i < 20; i++) {
                 hand.request();
             }
-            most[busy] = (int) hand.all("send").stream().filter(act -> act.id() > 150).count();
+            most[busy] = (int)
+                    hand.all("send").stream().filter(act -> act.id() > 150).count();
         }
         assertTrue(most[1] < most[0], most[0] + " and " + most[1]);
     }
@@ -191,11 +204,17 @@
     /** However well it keeps up, its room ends: a report is late, and the agents have it alike. */
     @Test
     void theRoomOfAColdServerThatKeepsUpIsBounded() {
-        var s = Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(4, false, true, false, false, 0), 1, 1);
+        var s = Hand.settings(
+                List.of(Hand.type(Semantics.SAFE, Scope.ALL)), new Permits(4, false, true, false, false, 0), 1, 1);
         double surely = 0.02;
-        Hand hand = new Hand(Hand.with(s, s.prices(), new Balancer.Obligations(20_000, 500_000, surely,
-            10_000 * Hand.SECOND, 3, Hand.SECOND, 10 * Hand.SECOND), Balancer.LoadField.QUEUED), 7);
+        Hand hand = new Hand(
+                Hand.with(
+                        s,
+                        s.prices(),
+                        new Balancer.Obligations(
+                                20_000, 500_000, surely, 10_000 * Hand.SECOND, 3, Hand.SECOND, 10 * Hand.SECOND),
+                        Balancer.LoadField.QUEUED),
+                7);
         hand.report = new double[] {0};
         hand.full(servers(1, 4, 0, 0));
         int demand = 200; // one for each tick
@@ -228,7 +247,7 @@
     private static boolean sentAfterTimeOutsOf(long... spent) {
         var types = List.of(Hand.type(Semantics.SAFE, Scope.ALL), Hand.type(Semantics.SAFE, Scope.ALL));
         Hand hand = new Hand(Hand.settings(types, new Permits(1, false, true, false, false, 0), 1, 1), 7)
-            .full(Hand.server(1, 0));
+                .full(Hand.server(1, 0));
         for (int i = 0; i < 40; i++) {
             for (int type = 0; type < 2; type++) {
                 long id = hand.request(type, 0);
--- a/src/test/java/gatefront/policy/Hand.java
+++ b/src/test/java/gatefront/policy/Hand.java
@@ -1,22 +1,22 @@
 package gatefront.policy;
 
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.List;
 import gatefront.policy.Balancer.Goal;
 import gatefront.policy.Balancer.ListKind;
+import gatefront.policy.Balancer.Obligations;
 import gatefront.policy.Balancer.Outcome;
 import gatefront.policy.Balancer.Permits;
 import gatefront.policy.Balancer.Phase;
 import gatefront.policy.Balancer.Prices;
 import gatefront.policy.Balancer.Request;
 import gatefront.policy.Balancer.RequestClass;
-import gatefront.policy.Balancer.Obligations;
 import gatefront.policy.Balancer.Scope;
 import gatefront.policy.Balancer.Semantics;
 import gatefront.policy.Balancer.Server;
 import gatefront.policy.Balancer.Settings;
 import gatefront.policy.Balancer.Tenant;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
 
 /** Drives one balancer by hand: a hand-turned clock, recorded actions, due timers. */
 class Hand implements Balancer.Actions {
@@ -24,9 +24,9 @@
     static final long TICK = 5_000;
 
     /** What was done: the words of the action and its numbers. */
-    record Act(String what, long id, long server, long value) { }
+    record Act(String what, long id, long server, long value) {}
 
-    private record Timer(long token, long at) { }
+    private record Timer(long token, long at) {}
 
     final List<Act> acts = new ArrayList<>();
     final List<String> lines = new ArrayList<>();
@@ -35,6 +35,7 @@
     long now = 100 * SECOND;
     /** What servers report with each answer. */
     double[] report = new double[0];
+
     private long nextId = 1;
 
     Hand(Settings settings) {
@@ -63,25 +64,76 @@
         return settings(classes, permits, zones, agents, false, false, List.of());
     }
 
-    static Settings settings(List<RequestClass> classes, Permits permits, int zones, int agents, boolean ask,
-                             boolean warmKeys, List<Tenant> tenants) {
-        return new Settings(0, agents, 0, zones, TICK, ask, warmKeys, false, false, 0.1, permits,
-            new Obligations(20_000, 500_000, 0.2, 20 * SECOND, 3, SECOND, 10 * SECOND),
-            new Prices(0.2, 0.01, 0.05, 0.05, 0.01), new Goal(0.6, 0.2, 0.2, 0), classes, tenants, List.of());
+    static Settings settings(
+            List<RequestClass> classes,
+            Permits permits,
+            int zones,
+            int agents,
+            boolean ask,
+            boolean warmKeys,
+            List<Tenant> tenants) {
+        return new Settings(
+                0,
+                agents,
+                0,
+                zones,
+                TICK,
+                ask,
+                warmKeys,
+                false,
+                false,
+                0.1,
+                permits,
+                new Obligations(20_000, 500_000, 0.2, 20 * SECOND, 3, SECOND, 10 * SECOND),
+                new Prices(0.2, 0.01, 0.05, 0.05, 0.01),
+                new Goal(0.6, 0.2, 0.2, 0),
+                classes,
+                tenants,
+                List.of());
     }
 
     /** The same for the agent of this number. */
     static Settings as(int agent, Settings s) {
-        return new Settings(agent, s.agents(), s.zone(), s.zones(), s.tick(), s.askDiscovery(), s.warmKeys(),
-            s.listedWeights(), s.worthByWork(), s.overQuotaWorth(), s.permits(), s.obligations(), s.prices(), s.goal(),
-            s.classes(), s.tenants(), s.loadFields());
+        return new Settings(
+                agent,
+                s.agents(),
+                s.zone(),
+                s.zones(),
+                s.tick(),
+                s.askDiscovery(),
+                s.warmKeys(),
+                s.listedWeights(),
+                s.worthByWork(),
+                s.overQuotaWorth(),
+                s.permits(),
+                s.obligations(),
+                s.prices(),
+                s.goal(),
+                s.classes(),
+                s.tenants(),
+                s.loadFields());
     }
 
     /** The same with other prices, rules on cold servers, and fields that servers report. */
     static Settings with(Settings s, Prices prices, Obligations obligations, Balancer.LoadField... fields) {
-        return new Settings(s.agent(), s.agents(), s.zone(), s.zones(), s.tick(), s.askDiscovery(), s.warmKeys(),
-            s.listedWeights(), s.worthByWork(), s.overQuotaWorth(), s.permits(), obligations, prices, s.goal(),
-            s.classes(), s.tenants(), List.of(fields));
+        return new Settings(
+                s.agent(),
+                s.agents(),
+                s.zone(),
+                s.zones(),
+                s.tick(),
+                s.askDiscovery(),
+                s.warmKeys(),
+                s.listedWeights(),
+                s.worthByWork(),
+                s.overQuotaWorth(),
+                s.permits(),
+                obligations,
+                prices,
+                s.goal(),
+                s.classes(),
+                s.tenants(),
+                List.of(fields));
     }
 
     static Server server(long id, int zone) {
@@ -121,8 +173,8 @@
     }
 
     void end(long id, int attempt, Outcome outcome, long spent) {
-        balancer.outcome(now, id, attempt, sends(id).get(attempt).server(), outcome, spent,
-            outcome == Outcome.OK, report);
+        balancer.outcome(
+                now, id, attempt, sends(id).get(attempt).server(), outcome, spent, outcome == Outcome.OK, report);
     }
 
     /** Moves the clock on in ticks, delivering timers as they come due. */
@@ -166,7 +218,7 @@
             for (int i = 0; i < repeats; i++) {
                 repeat();
             }
-            for (long next = now + SECOND / perSecond; now < next;) {
+            for (long next = now + SECOND / perSecond; now < next; ) {
                 pass(TICK);
                 for (; seen < acts.size(); seen++) {
                     Act act = acts.get(seen);
--- a/src/test/java/gatefront/policy/MechanismTest.java
+++ b/src/test/java/gatefront/policy/MechanismTest.java
@@ -5,6 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import gatefront.policy.Balancer.Outcome;
+import gatefront.policy.Balancer.Permits;
+import gatefront.policy.Balancer.Scope;
+import gatefront.policy.Balancer.Semantics;
+import gatefront.policy.Balancer.Server;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
@@ -14,11 +19,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import gatefront.policy.Balancer.Outcome;
-import gatefront.policy.Balancer.Permits;
-import gatefront.policy.Balancer.Scope;
-import gatefront.policy.Balancer.Semantics;
-import gatefront.policy.Balancer.Server;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -29,8 +29,7 @@
     private static final double[] NO_LOAD = new double[0];
 
     private static Hand four() {
-        return new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0),
-            Hand.server(4, 1));
+        return new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 1));
     }
 
     private static void failProbes(Hand hand, long server, int times) {
@@ -42,9 +41,12 @@
     @Test
     void everyServerOfTheOwnZoneIsProbedOnTheIntervalAndNotInStep() {
         // A single agent, so that the whole interval is its own.
-        Hand hand = new Hand(Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(4, false, true, true, false, 0), 2, 1)).full(Hand.server(1, 0), Hand.server(2, 0),
-                Hand.server(3, 0), Hand.server(4, 0), Hand.server(5, 1));
+        Hand hand = new Hand(Hand.settings(
+                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                        new Permits(4, false, true, true, false, 0),
+                        2,
+                        1))
+                .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 0), Hand.server(5, 1));
         for (int i = 0; i < 1000; i++) {
             hand.pass(Hand.TICK);
             for (Hand.Act probe : List.copyOf(hand.all("probe"))) {
@@ -56,7 +58,8 @@
         List<Hand.Act> probes = hand.all("probe");
         assertEquals(4, probes.stream().map(Hand.Act::server).distinct().count());
         assertTrue(probes.size() >= 16 && probes.size() <= 24, "probes in 5 s: " + probes.size());
-        assertEquals(probes.size(), probes.stream().map(Hand.Act::value).distinct().count());
+        assertEquals(
+                probes.size(), probes.stream().map(Hand.Act::value).distinct().count());
     }
 
     /** Failed before: every agent probed every server once a second, however many agents there were. */
@@ -65,13 +68,19 @@
         for (int agents : new int[] {5, 50, 500}) {
             int probes = 0;
             for (int seed = 0; seed < agents; seed++) {
-                Hand hand = new Hand(Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-                    new Permits(4, false, true, true, false, 0), 1, agents), seed)
-                    .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 0));
+                Hand hand = new Hand(
+                                Hand.settings(
+                                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                                        new Permits(4, false, true, true, false, 0),
+                                        1,
+                                        agents),
+                                seed)
+                        .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 0));
                 for (int i = 0; i < 1000; i++) {
                     int before = hand.all("probe").size();
                     hand.pass(2 * Hand.TICK);
-                    for (Hand.Act probe : hand.all("probe").subList(before, hand.all("probe").size())) {
+                    for (Hand.Act probe :
+                            hand.all("probe").subList(before, hand.all("probe").size())) {
                         hand.balancer.probed(hand.now, probe.server(), Outcome.OK, 1000, NO_LOAD);
                     }
                 }
@@ -87,15 +96,18 @@
     void probesAreTheRarerTheMoreTheyCost() {
         int[] probes = new int[2];
         for (int dear = 0; dear < 2; dear++) {
-            var s = Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-                new Permits(4, false, true, true, false, 0), 1, 1);
-            Hand hand = new Hand(Hand.with(s, new Balancer.Prices(0.2, dear == 0 ? 0.01 : 0.12, 0.05, 0.05, 0.01),
-                s.obligations())).full(Hand.server(1, 0), Hand.server(2, 0));
+            var s = Hand.settings(
+                    List.of(Hand.type(Semantics.SAFE, Scope.ALL)), new Permits(4, false, true, true, false, 0), 1, 1);
+            Hand hand = new Hand(Hand.with(
+                            s, new Balancer.Prices(0.2, dear == 0 ? 0.01 : 0.12, 0.05, 0.05, 0.01), s.obligations()))
+                    .full(Hand.server(1, 0), Hand.server(2, 0));
             for (int i = 0; i < 6000; i++) {
                 int before = hand.all("probe").size();
                 hand.pass(Hand.TICK);
-                hand.all("probe").stream().skip(before).toList().forEach(probe ->
-                    hand.balancer.probed(hand.now, probe.server(), Outcome.OK, 1000, NO_LOAD));
+                hand.all("probe").stream()
+                        .skip(before)
+                        .toList()
+                        .forEach(probe -> hand.balancer.probed(hand.now, probe.server(), Outcome.OK, 1000, NO_LOAD));
             }
             probes[dear] = hand.all("probe").size();
         }
@@ -105,8 +117,12 @@
 
     @Test
     void noProbesWhereTheHostPermitsNone() {
-        Hand hand = new Hand(Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(3, false, true, false, false, 0), 1, 1)).full(Hand.server(1, 0));
+        Hand hand = new Hand(Hand.settings(
+                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                        new Permits(3, false, true, false, false, 0),
+                        1,
+                        1))
+                .full(Hand.server(1, 0));
         hand.pass(5 * SECOND);
         assertTrue(hand.all("probe").isEmpty());
     }
@@ -197,7 +213,8 @@
             }
             hand.pass(100_000);
         }
-        long removed = hand.lines.stream().filter(l -> l.contains("passive Unhealthy")).count();
+        long removed =
+                hand.lines.stream().filter(l -> l.contains("passive Unhealthy")).count();
         assertTrue(removed <= 2, "removed " + removed);
     }
 
@@ -280,7 +297,7 @@
         var cheap = new Balancer.RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, false);
         var dear = new Balancer.RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 8, 0, false);
         Hand hand = new Hand(Hand.settings(List.of(cheap, dear), new Permits(3, false, true, true, false, 0), 1, 2))
-            .full(Hand.server(1, 0));
+                .full(Hand.server(1, 0));
         List<Long> first = new ArrayList<>();
         while (first.isEmpty() || hand.target(first.get(first.size() - 1)) == 1) {
             first.add(hand.request(0, 0));
@@ -304,8 +321,7 @@
             hand.request(); // more than one server can take: most wait and are refused
         }
         hand.pass(SECOND);
-        hand.balancer.request(hand.now,
-            new Balancer.Request(9999, 0, 0, 0, 0, hand.now + 3 * SECOND, true, false));
+        hand.balancer.request(hand.now, new Balancer.Request(9999, 0, 0, 0, 0, hand.now + 3 * SECOND, true, false));
         assertEquals(1, hand.of("refuse", 9999).size());
         assertTrue(hand.sends(9999).isEmpty());
     }
@@ -325,8 +341,10 @@
         hand.pass(200_000); // the old may cross since 200 ms of waiting, and have filled the other zone
         assertTrue(newer.stream().noneMatch(id -> hand.target(id) == 4));
         hand.pass(30_000); // now the newer may, too
-        hand.acts.stream().filter(a -> a.what().equals("send") && a.server() == 4).toList()
-            .forEach(a -> hand.end(a.id(), 0, Outcome.OK, 200_000));
+        hand.acts.stream()
+                .filter(a -> a.what().equals("send") && a.server() == 4)
+                .toList()
+                .forEach(a -> hand.end(a.id(), 0, Outcome.OK, 200_000));
         assertTrue(newer.stream().anyMatch(id -> hand.target(id) == 4));
     }
 
@@ -362,8 +380,12 @@
 
     @Test
     void aLimitBelowOnePausesTheServerAndAFewFastAnswersEndThat() {
-        Hand hand = new Hand(Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(3, false, true, true, false, 0), 1, 13)).full(Hand.server(1, 0));
+        Hand hand = new Hand(Hand.settings(
+                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                        new Permits(3, false, true, true, false, 0),
+                        1,
+                        13))
+                .full(Hand.server(1, 0));
         for (int i = 0; i < 10; i++) {
             hand.serve(900_000); // slow
             hand.pass(2 * SECOND);
@@ -395,7 +417,9 @@
         int before = hand.acts.size();
         hand.balancer.request(hand.now, new Balancer.Request(777, 0, 0, 0, 0, hand.now + left, false, false));
         return hand.acts.subList(before, hand.acts.size()).stream()
-            .filter(a -> a.id() == 777 && !a.what().equals("timer")).findFirst().orElse(null);
+                .filter(a -> a.id() == 777 && !a.what().equals("timer"))
+                .findFirst()
+                .orElse(null);
     }
 
     @Test
@@ -410,8 +434,8 @@
     void firstTriesAreNotTakenForRepeatsWhenEarlyRepeatsBringMore() {
         Hand hand = afterManyFirstTries(false);
         for (int i = 0; i < 3; i++) {
-            hand.balancer.request(hand.now,
-                new Balancer.Request(900 + i, 0, 0, 0, 0, hand.now + 3 * SECOND + 900_000, false, false));
+            hand.balancer.request(
+                    hand.now, new Balancer.Request(900 + i, 0, 0, 0, 0, hand.now + 3 * SECOND + 900_000, false, false));
             hand.end(900 + i, 0, Outcome.OK, 1000);
         }
         for (int i = 0; i < 30; i++) {
@@ -424,8 +448,12 @@
     private static Hand sixty() {
         Server[] servers = new Server[60];
         Arrays.setAll(servers, i -> Hand.server(i + 1, 0));
-        return new Hand(Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(1, false, true, false, false, 0), 1, 1)).full(servers);
+        return new Hand(Hand.settings(
+                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                        new Permits(1, false, true, false, false, 0),
+                        1,
+                        1))
+                .full(servers);
     }
 
     /** Failed before: work that runs out of time at full servers was sent on and on, 26 a second of 50. */
@@ -494,12 +522,16 @@
             hand.end(each.id(), 0, Outcome.OK, 20_000);
         }
         int ended = hand.all("send").size() - before - begun;
-        assertTrue(begun >= out.size() && ended <= 2, begun + " when " + out.size() + " began, " + ended + " at their end");
+        assertTrue(
+                begun >= out.size() && ended <= 2,
+                begun + " when " + out.size() + " began, " + ended + " at their end");
     }
 
     /** What fails at once, or was never wanted for longer, has found no full server, and costs nothing. */
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"ERROR", "RESET", "CONNECT_FAILED", "NEVER_SENT"})
+    @EnumSource(
+            value = Outcome.class,
+            names = {"ERROR", "RESET", "CONNECT_FAILED", "NEVER_SENT"})
     void whatEndsForAnotherReasonGivesItsCreditBack(Outcome outcome) {
         Hand hand = bounded(sixty());
         for (int i = 0; i < 40; i++) {
@@ -543,14 +575,13 @@
     void theThirdTryIsReckonedFromTheFirst() {
         Hand hand = afterManyFirstTries(false);
         for (int i = 0; i < 2; i++) {
-            hand.balancer.request(hand.now,
-                new Balancer.Request(901 + i, 0, 0, 0, 5_000, hand.now + 3 * SECOND, i > 0, false));
+            hand.balancer.request(
+                    hand.now, new Balancer.Request(901 + i, 0, 0, 0, 5_000, hand.now + 3 * SECOND, i > 0, false));
             hand.balancer.clientLeft(hand.now, 901 + i);
             hand.end(901 + i, 0, Outcome.CANCELLED, 0);
             hand.pass(600_000);
         }
-        hand.balancer.request(hand.now,
-            new Balancer.Request(903, 0, 0, 0, 5_000, hand.now + 3 * SECOND, true, false));
+        hand.balancer.request(hand.now, new Balancer.Request(903, 0, 0, 0, 5_000, hand.now + 3 * SECOND, true, false));
         assertEquals(1, hand.of("refuse", 903).size(), "1.2 s of 1 s are over");
     }
 
@@ -566,8 +597,8 @@
         }
         hand.pass(3 * SECOND);
         for (int i : new int[] {0, 1_099}) { // the first is forgotten, the last is known to be past its aim
-            hand.balancer.request(hand.now,
-                new Balancer.Request(9_000 + i, 0, 0, 0, 5_000 + i, hand.now + 3 * SECOND, true, false));
+            hand.balancer.request(
+                    hand.now, new Balancer.Request(9_000 + i, 0, 0, 0, 5_000 + i, hand.now + 3 * SECOND, true, false));
             assertEquals(i == 0 ? 0 : 1, hand.of("refuse", 9_000 + i).size(), "number " + i);
         }
     }
@@ -578,9 +609,18 @@
 
     @Test
     void whenHalfTheSubsetDrainsRepeatsThatWaitGoToTheOthersAndEachEndsOnce() {
-        Hand hand = new Hand(Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(6, false, true, false, false, 0), 1, 1)).full(Hand.server(1, 0), Hand.server(2, 0),
-            Hand.server(3, 0), Hand.server(4, 0), Hand.server(5, 0), Hand.server(6, 0));
+        Hand hand = new Hand(Hand.settings(
+                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                        new Permits(6, false, true, false, false, 0),
+                        1,
+                        1))
+                .full(
+                        Hand.server(1, 0),
+                        Hand.server(2, 0),
+                        Hand.server(3, 0),
+                        Hand.server(4, 0),
+                        Hand.server(5, 0),
+                        Hand.server(6, 0));
         for (int i = 0; i < 100; i++) {
             hand.request(); // more than all have room for
         }
@@ -595,9 +635,15 @@
         hand.pass(2 * SECOND);
         List<Hand.Act> after = hand.all("send").subList(before, hand.all("send").size());
         assertTrue(after.stream().allMatch(each -> each.server() > 3), "nothing new to those that drain");
-        assertTrue(after.stream().anyMatch(each -> failed.stream().anyMatch(one -> one.id() == each.id())), "repeats go on");
+        assertTrue(
+                after.stream().anyMatch(each -> failed.stream().anyMatch(one -> one.id() == each.id())),
+                "repeats go on");
         for (Hand.Act each : failed) {
-            assertEquals(1, hand.of("refuse", each.id()).size() + hand.of("fail", each.id()).size(), "one end");
+            assertEquals(
+                    1,
+                    hand.of("refuse", each.id()).size()
+                            + hand.of("fail", each.id()).size(),
+                    "one end");
         }
     }
 
@@ -621,10 +667,12 @@
     /** One of a caller that waits a quarter of the usual answer's time; returns what was done with it at once. */
     private static String hurried(Hand hand, long id, long cost, boolean repeated) {
         int before = hand.acts.size();
-        hand.balancer.request(hand.now,
-            new Balancer.Request(id, 0, 0, 0, cost, hand.now + 50_000, repeated, false));
+        hand.balancer.request(hand.now, new Balancer.Request(id, 0, 0, 0, cost, hand.now + 50_000, repeated, false));
         return hand.acts.subList(before, hand.acts.size()).stream()
-            .filter(a -> a.id() == id && !a.what().equals("timer")).map(Hand.Act::what).findFirst().orElse("held");
+                .filter(a -> a.id() == id && !a.what().equals("timer"))
+                .map(Hand.Act::what)
+                .findFirst()
+                .orElse("held");
     }
 
     /** Failed before: the little time that its repeat brings was taken for time spent, and refused at once. */
@@ -648,8 +696,7 @@
         hand.pass(500_000);
         assertEquals("send", hurried(hand, 902, 6_000, true), "another one's repeat");
         hand.pass(3 * SECOND);
-        hand.balancer.request(hand.now,
-            new Balancer.Request(903, 0, 0, 0, 5_000, hand.now + 3 * SECOND, true, false));
+        hand.balancer.request(hand.now, new Balancer.Request(903, 0, 0, 0, 5_000, hand.now + 3 * SECOND, true, false));
         assertEquals(1, hand.of("refuse", 903).size());
         assertTrue(hand.sends(903).isEmpty());
     }
@@ -661,16 +708,23 @@
         hand.repeat(); // clients here mark their repeats
         hand.pass(SECOND + 10_000); // those held are turned away
         assertEquals("refuse", hurried(hand, 901, 5_000, false));
-        hand.all("send").stream().filter(each -> each.id() < 900)
-            .forEach(each -> hand.end(each.id(), 0, Outcome.TIMEOUT, SECOND));
+        hand.all("send").stream()
+                .filter(each -> each.id() < 900)
+                .forEach(each -> hand.end(each.id(), 0, Outcome.TIMEOUT, SECOND));
         hand.pass(6 * SECOND);
         assertEquals("send", hurried(hand, 902, 6_000, false), "a second later there is room again");
     }
 
     @Test
     void keysStayWithTheirTwoServersAtEveryAgent() {
-        var settings = Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(3, false, true, true, false, 0), 1, 2, false, true, List.of());
+        var settings = Hand.settings(
+                List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                new Permits(3, false, true, true, false, 0),
+                1,
+                2,
+                false,
+                true,
+                List.of());
         Hand one = new Hand(settings, 1);
         Hand other = new Hand(settings, 2);
         for (Hand hand : List.of(one, other)) {
@@ -686,8 +740,14 @@
     }
 
     private static Balancer.Settings keyed(int zones) {
-        return Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(3, false, true, true, false, 0), zones, 2, false, true, List.of());
+        return Hand.settings(
+                List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                new Permits(3, false, true, true, false, 0),
+                zones,
+                2,
+                false,
+                true,
+                List.of());
     }
 
     @Test
@@ -727,7 +787,8 @@
             }
             hand.pass(SECOND / 4);
             while (!out.isEmpty()) {
-                List<Long> sent = out.stream().filter(r -> !hand.sends(r).isEmpty()).toList();
+                List<Long> sent =
+                        out.stream().filter(r -> !hand.sends(r).isEmpty()).toList();
                 sent.forEach(r -> hand.end(r, 0, Outcome.OK, SECOND / 4));
                 out.removeAll(sent);
                 out.removeIf(r -> !hand.of("refuse", r).isEmpty());
@@ -755,8 +816,14 @@
 
     @Test
     void discoveryThatMustBeAskedIsAskedAgainAfterAFailureWithBackOff() {
-        Hand hand = new Hand(Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(3, false, true, true, false, 0), 1, 2, true, false, List.of()));
+        Hand hand = new Hand(Hand.settings(
+                List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                new Permits(3, false, true, true, false, 0),
+                1,
+                2,
+                true,
+                false,
+                List.of()));
         assertEquals(1, hand.all("watch").size());
         for (int i = 0; i < 3; i++) {
             hand.list(Balancer.ListKind.FAILED);
@@ -771,8 +838,12 @@
         for (int i = 0; i < servers; i++) {
             list[i] = Hand.server(i + 1, 0);
         }
-        return new Hand(Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(4, false, true, false, false, 0), 1, agents)).full(list);
+        return new Hand(Hand.settings(
+                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                        new Permits(4, false, true, false, false, 0),
+                        1,
+                        agents))
+                .full(list);
     }
 
     private static long used(Hand hand) {
@@ -833,7 +904,8 @@
         for (int i = 0; i < 20; i++) {
             hand.serve(50_000);
         }
-        List<Long> first = hand.all("send").stream().map(Hand.Act::server).distinct().toList();
+        List<Long> first =
+                hand.all("send").stream().map(Hand.Act::server).distinct().toList();
         for (long server : first) {
             hand.balancer.probed(hand.now, server, Outcome.CONNECT_FAILED, SECOND, NO_LOAD);
             hand.pass(SECOND);
@@ -850,15 +922,23 @@
         for (int i = 0; i < list.length; i++) {
             list[i] = Hand.server(i + 1, 0);
         }
-        Hand hand = new Hand(Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(4, false, true, true, false, 0), 1, 400)).full(list);
+        Hand hand = new Hand(Hand.settings(
+                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                        new Permits(4, false, true, true, false, 0),
+                        1,
+                        400))
+                .full(list);
         for (int i = 0; i < 200_000 && hand.all("probe").size() < 30; i++) {
             int before = hand.all("probe").size();
             hand.pass(20 * Hand.TICK);
-            hand.all("probe").stream().skip(before).toList().forEach(probe ->
-                hand.balancer.probed(hand.now, probe.server(), Outcome.CONNECT_FAILED, SECOND, NO_LOAD));
-        }
-        long probed = hand.all("probe").stream().map(Hand.Act::server).distinct().count();
+            hand.all("probe").stream()
+                    .skip(before)
+                    .toList()
+                    .forEach(probe ->
+                            hand.balancer.probed(hand.now, probe.server(), Outcome.CONNECT_FAILED, SECOND, NO_LOAD));
+        }
+        long probed =
+                hand.all("probe").stream().map(Hand.Act::server).distinct().count();
         assertTrue(probed > 3, "probed " + probed);
     }
 
@@ -867,7 +947,7 @@
     void aRefusedConnectionRestsTheServerForEveryClassAndIsNoRestart() {
         var types = List.of(Hand.type(Semantics.SAFE, Scope.ALL), Hand.type(Semantics.SAFE, Scope.ALL));
         Hand hand = new Hand(Hand.settings(types, new Permits(4, false, true, false, false, 0), 1, 2))
-            .full(Hand.server(1, 0));
+                .full(Hand.server(1, 0));
         for (int i = 0; i < 20; i++) {
             hand.serve(100_000);
         }
@@ -884,8 +964,12 @@
     /** Failed before (in a first draft): one that came back was taken for idle while requests were out there. */
     @Test
     void aServerThatComesBackWhileRequestsAreOutThereIsKnown() {
-        Hand hand = new Hand(Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(4, false, true, false, false, 0), 1, 2)).full(Hand.server(1, 0));
+        Hand hand = new Hand(Hand.settings(
+                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                        new Permits(4, false, true, false, false, 0),
+                        1,
+                        2))
+                .full(Hand.server(1, 0));
         for (int i = 0; i < 3; i++) {
             hand.request();
         }
@@ -899,8 +983,12 @@
 
     @Test
     void ofTwoWithAsManyInFlightTheOneWithShorterAnswersIsTakenMoreOften() {
-        Hand hand = new Hand(Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(4, false, true, false, false, 0), 1, 4)).full(Hand.server(1, 0), Hand.server(2, 0));
+        Hand hand = new Hand(Hand.settings(
+                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                        new Permits(4, false, true, false, false, 0),
+                        1,
+                        4))
+                .full(Hand.server(1, 0), Hand.server(2, 0));
         int toFast = 0;
         for (int i = 0; i < 100; i++) {
             long id = hand.request();
@@ -949,7 +1037,6 @@
             }
             sentAgainAfter[late] = hand.now - began;
         }
-        assertTrue(sentAgainAfter[1] >= 2 * sentAgainAfter[0],
-            sentAgainAfter[0] + " and " + sentAgainAfter[1]);
+        assertTrue(sentAgainAfter[1] >= 2 * sentAgainAfter[0], sentAgainAfter[0] + " and " + sentAgainAfter[1]);
     }
 }
--- a/src/test/java/gatefront/policy/OnCallTest.java
+++ b/src/test/java/gatefront/policy/OnCallTest.java
@@ -3,6 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import gatefront.policy.Balancer.ListKind;
+import gatefront.policy.Balancer.Outcome;
+import gatefront.policy.Balancer.Phase;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -10,9 +13,6 @@
 import java.util.TreeSet;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import gatefront.policy.Balancer.ListKind;
-import gatefront.policy.Balancer.Outcome;
-import gatefront.policy.Balancer.Phase;
 import org.junit.jupiter.api.Test;
 
 /** The on-call page shows the lines that the module really prints, all of them and no others. */
@@ -55,7 +55,8 @@
     void thePageShowsEachLineAsItIsPrintedAndNoOther() throws IOException {
         String page = Files.readString(Path.of("docs/on-call.md"));
         Set<String> shown = new TreeSet<>();
-        Matcher code = Pattern.compile("`((?:active|passive|cold|draining|ready|gone)[^`]*)`").matcher(page);
+        Matcher code = Pattern.compile("`((?:active|passive|cold|draining|ready|gone)[^`]*)`")
+                .matcher(page);
         while (code.find()) {
             shown.add(code.group(1));
         }
--- a/src/test/java/gatefront/policy/RandomRunTest.java
+++ b/src/test/java/gatefront/policy/RandomRunTest.java
@@ -4,11 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.SplittableRandom;
 import gatefront.policy.Balancer.ListKind;
 import gatefront.policy.Balancer.Outcome;
 import gatefront.policy.Balancer.Permits;
@@ -18,6 +13,11 @@
 import gatefront.policy.Balancer.Semantics;
 import gatefront.policy.Balancer.Server;
 import gatefront.policy.Balancer.Tenant;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -71,22 +71,43 @@
         List<RequestClass> classes = new ArrayList<>();
         for (Semantics semantics : Semantics.values()) {
             for (Scope scope : Scope.values()) {
-                classes.add(new RequestClass(SECOND / 2 + random.nextLong(SECOND), random.nextInt(2), 4 * SECOND,
-                    semantics, scope, SECOND, 1 + random.nextInt(5), random.nextInt(2) * 0.3, false));
+                classes.add(new RequestClass(
+                        SECOND / 2 + random.nextLong(SECOND),
+                        random.nextInt(2),
+                        4 * SECOND,
+                        semantics,
+                        scope,
+                        SECOND,
+                        1 + random.nextInt(5),
+                        random.nextInt(2) * 0.3,
+                        false));
             }
         }
-        permits = new Permits(1 + random.nextInt(5), random.nextBoolean(), random.nextBoolean(),
-            random.nextBoolean(), random.nextBoolean(), random.nextBoolean() ? SECOND : 0);
+        permits = new Permits(
+                1 + random.nextInt(5),
+                random.nextBoolean(),
+                random.nextBoolean(),
+                random.nextBoolean(),
+                random.nextBoolean(),
+                random.nextBoolean() ? SECOND : 0);
         int zones = 1 + random.nextInt(5);
-        hand = new Hand(Hand.settings(classes, permits, zones, 1 + random.nextInt(9), random.nextBoolean(),
-            random.nextBoolean(), List.of(new Tenant(10, 0.5), new Tenant(10, 0.5))), seed);
+        hand = new Hand(
+                Hand.settings(
+                        classes,
+                        permits,
+                        zones,
+                        1 + random.nextInt(9),
+                        random.nextBoolean(),
+                        random.nextBoolean(),
+                        List.of(new Tenant(10, 0.5), new Tenant(10, 0.5))),
+                seed);
         for (int step = 0; step < 4000; step++) {
             step(random, classes, zones);
             check();
             hand.pass(Hand.TICK);
             check();
         }
-        for (long end = hand.now + 7 * SECOND; hand.now < end;) {
+        for (long end = hand.now + 7 * SECOND; hand.now < end; ) {
             hand.pass(Hand.TICK);
             check();
         }
@@ -101,18 +122,28 @@
     private void step(SplittableRandom random, List<RequestClass> classes, int zones) {
         int what = random.nextInt(20);
         if (what == 0) {
-            Server server = new Server(1 + random.nextInt(8), random.nextInt(zones), random.nextInt(3), 0,
-                Phase.values()[Math.max(0, random.nextInt(8) - 5)], 1, random.nextInt(9) == 0 ? hand.now : 0);
+            Server server = new Server(
+                    1 + random.nextInt(8),
+                    random.nextInt(zones),
+                    random.nextInt(3),
+                    0,
+                    Phase.values()[Math.max(0, random.nextInt(8) - 5)],
+                    1,
+                    random.nextInt(9) == 0 ? hand.now : 0);
             Server before = listed.get(server.id());
             if (before != null) { // a server keeps its place
-                server = new Server(server.id(), before.zone(), before.cell(), 0, server.phase(), 1,
-                    server.startedAt());
+                server =
+                        new Server(server.id(), before.zone(), before.cell(), 0, server.phase(), 1, server.startedAt());
             }
             listed.put(server.id(), server);
             hand.list(ListKind.DELTA, server);
         } else if (what == 1) {
-            hand.balancer.probed(hand.now, 1 + random.nextInt(8), Outcome.values()[Math.max(0, random.nextInt(20) - 16)], 1000,
-                new double[0]);
+            hand.balancer.probed(
+                    hand.now,
+                    1 + random.nextInt(8),
+                    Outcome.values()[Math.max(0, random.nextInt(20) - 16)],
+                    1000,
+                    new double[0]);
         } else if (what == 2) {
             hand.list(ListKind.FAILED);
         } else if (what < 10) {
@@ -120,8 +151,17 @@
             long deadline = hand.now + 300_000 + random.nextLong(3 * SECOND);
             long id = 1_000_000 + requests.size();
             requests.put(id, new Known(classes.get(c), deadline));
-            hand.balancer.request(hand.now, new Balancer.Request(id, c, random.nextInt(2), random.nextInt(5),
-                random.nextInt(50_000), deadline, random.nextInt(5) == 0, false));
+            hand.balancer.request(
+                    hand.now,
+                    new Balancer.Request(
+                            id,
+                            c,
+                            random.nextInt(2),
+                            random.nextInt(5),
+                            random.nextInt(50_000),
+                            deadline,
+                            random.nextInt(5) == 0,
+                            false));
         } else {
             List<Long> ids = new ArrayList<>(requests.keySet());
             ids.sort(null);
@@ -163,14 +203,15 @@
                     assertTrue(hand.now <= known.deadline + 20_000, "in time");
                     known.answers++;
                     for (int a = 0; a < known.outcomes.size() && act.what().equals("refuse"); a++) {
-                        boolean harmless = known.type.semantics() == Semantics.SAFE || !known.mayHaveRun(a)
-                            || known.type.semantics() == Semantics.KEYED && known.type.scope() == Scope.ALL;
+                        boolean harmless = known.type.semantics() == Semantics.SAFE
+                                || !known.mayHaveRun(a)
+                                || known.type.semantics() == Semantics.KEYED && known.type.scope() == Scope.ALL;
                         assertTrue(harmless, "a refusal is harmless");
                     }
                 }
                 case "cancel" -> assertTrue(permits.cancel(), "cancelling is permitted");
                 case "probe" -> assertTrue(permits.probes(), "probing is permitted");
-                default -> { }
+                default -> {}
             }
         }
     }
@@ -190,9 +231,11 @@
                     assertTrue(hand.now < known.sentAt.get(a) + known.type.window(), "window");
                     Server old = listed.get(known.servers.get(a));
                     Server next = listed.get(act.server());
-                    assertTrue(known.type.scope() == Scope.ALL
-                        || known.type.scope() == Scope.ZONE && old.zone() == next.zone()
-                        || known.type.scope() == Scope.CELL && old.cell() == next.cell(), "group");
+                    assertTrue(
+                            known.type.scope() == Scope.ALL
+                                    || known.type.scope() == Scope.ZONE && old.zone() == next.zone()
+                                    || known.type.scope() == Scope.CELL && old.cell() == next.cell(),
+                            "group");
                 }
             }
         }
--- a/src/test/java/gatefront/policy/RulesTest.java
+++ b/src/test/java/gatefront/policy/RulesTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.List;
 import gatefront.policy.Balancer.ListKind;
 import gatefront.policy.Balancer.Outcome;
 import gatefront.policy.Balancer.Permits;
@@ -12,6 +11,7 @@
 import gatefront.policy.Balancer.Scope;
 import gatefront.policy.Balancer.Semantics;
 import gatefront.policy.Balancer.Server;
+import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
@@ -20,8 +20,7 @@
     private static final long SECOND = Hand.SECOND;
 
     private static Hand two(Semantics semantics, Scope scope) {
-        return new Hand(Hand.settings(semantics, scope)).full(Hand.server(1, 0), Hand.server(2, 0),
-            Hand.server(3, 1));
+        return new Hand(Hand.settings(semantics, scope)).full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 1));
     }
 
     // ---- one final answer, in time ----
@@ -81,7 +80,7 @@
     void aStartedStreamHasNoDeadline() {
         var streamed = new Balancer.RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, true);
         Hand hand = new Hand(Hand.settings(List.of(streamed), new Permits(3, false, true, true, false, 0), 1, 1))
-            .full(Hand.server(1, 0));
+                .full(Hand.server(1, 0));
         long id = hand.request();
         hand.balancer.streamStarted(hand.now, id, 0, 1, 100);
         hand.pass(10 * SECOND);
@@ -115,7 +114,7 @@
     void keyedByZoneGoesAgainOnlyInsideTheZone() {
         for (long seed = 0; seed < 20; seed++) {
             Hand hand = new Hand(Hand.settings(Semantics.KEYED, Scope.ZONE), seed)
-                .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 1), Hand.server(4, 1));
+                    .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 1), Hand.server(4, 1));
             long id = hand.request();
             hand.end(id, 0, Outcome.RESET, 1000);
             hand.pass(10_000);
@@ -131,8 +130,10 @@
 
     @Test
     void keyedByCellStaysInTheCellEvenWhenTheZoneHasMore() {
-        Hand hand = new Hand(Hand.settings(Semantics.KEYED, Scope.CELL)).full(
-            new Balancer.Server(1, 0, 10, 0, Phase.READY, 1, 0), new Balancer.Server(2, 0, 11, 0, Phase.READY, 1, 0));
+        Hand hand = new Hand(Hand.settings(Semantics.KEYED, Scope.CELL))
+                .full(
+                        new Balancer.Server(1, 0, 10, 0, Phase.READY, 1, 0),
+                        new Balancer.Server(2, 0, 11, 0, Phase.READY, 1, 0));
         long id = hand.request();
         hand.end(id, 0, Outcome.ERROR, 1000);
         hand.pass(2 * SECOND);
@@ -142,10 +143,10 @@
 
     @Test
     void keyedIsNotSentAfterTheWindow() {
-        var late = new Balancer.RequestClass(3 * SECOND, 0, 4 * SECOND, Semantics.KEYED, Scope.ALL, SECOND, 1, 0,
-            false);
+        var late =
+                new Balancer.RequestClass(3 * SECOND, 0, 4 * SECOND, Semantics.KEYED, Scope.ALL, SECOND, 1, 0, false);
         Hand hand = new Hand(Hand.settings(List.of(late), new Permits(4, false, true, true, false, 0), 1, 1))
-            .full(Hand.server(1, 0), Hand.server(2, 0));
+                .full(Hand.server(1, 0), Hand.server(2, 0));
         long id = hand.request();
         hand.pass(900_000);
         hand.end(id, 0, Outcome.RESET, 900_000);
@@ -164,9 +165,12 @@
 
     @Test
     void theAttemptsCapHolds() {
-        Hand hand = new Hand(Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(2, false, true, true, false, 0), 1, 1))
-            .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 0));
+        Hand hand = new Hand(Hand.settings(
+                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                        new Permits(2, false, true, true, false, 0),
+                        1,
+                        1))
+                .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 0));
         long id = hand.request();
         hand.end(id, 0, Outcome.CONNECT_FAILED, 1000);
         hand.end(id, 1, Outcome.CONNECT_FAILED, 1000);
@@ -206,7 +210,9 @@
     // ---- cold servers ----
 
     private static int sentTo(Hand hand, long server, long id0) {
-        return (int) hand.all("send").stream().filter(a -> a.server() == server && a.id() >= id0).count();
+        return (int) hand.all("send").stream()
+                .filter(a -> a.server() == server && a.id() >= id0)
+                .count();
     }
 
     @Test
@@ -221,7 +227,8 @@
         for (int i = 0; i < 40; i++) {
             hand.serve(25_000);
         }
-        // Its part of 40 a second is 13; a fifth of it is sure, and twice that leaves room: 5 in this second, 1 to begin.
+        // Its part of 40 a second is 13; a fifth of it is sure, and twice that leaves room: 5 in this second, 1 to
+        // begin.
         int sent = sentTo(hand, 3, from);
         assertTrue(sent >= 2 && sent <= 7, "sent " + sent);
     }
@@ -287,8 +294,16 @@
             int all = 0;
             // All agents together send some 350 requests a second, 17 to a server; each draws from its own few servers.
             for (int seed = 0; seed < agents; seed++) {
-                Hand hand = new Hand(Hand.as(seed, Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-                    new Permits(4, false, true, false, false, 0), 1, agents)), seed).full(list);
+                Hand hand = new Hand(
+                                Hand.as(
+                                        seed,
+                                        Hand.settings(
+                                                List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                                                new Permits(4, false, true, false, false, 0),
+                                                1,
+                                                agents)),
+                                seed)
+                        .full(list);
                 SplittableRandom random = new SplittableRandom(seed);
                 long from = 0;
                 long began = hand.now;
@@ -305,9 +320,11 @@
                 }
                 cold += sentTo(hand, 1, from);
                 long first = from;
-                all += (int) hand.all("send").stream().filter(a -> a.id() >= first).count();
+                all += (int)
+                        hand.all("send").stream().filter(a -> a.id() >= first).count();
             }
-            // A fifth of it is surely warm, up to 0.28 after these 2 s: 8, and twice that may be sent. Failed before: that
+            // A fifth of it is surely warm, up to 0.28 after these 2 s: 8, and twice that may be sent. Failed before:
+            // that
             // was 4 and 0, for each agent shared its demand over servers that it never draws from.
             assertTrue(cold >= (agents == 40 ? 6 : 3) && cold <= 18, agents + " agents: " + cold + " of " + all);
         }
--- a/src/test/java/gatefront/policy/SettingsChangeTest.java
+++ b/src/test/java/gatefront/policy/SettingsChangeTest.java
@@ -40,7 +40,10 @@
 
     @Test
     void anUnsafeRequestWhoseClassTurnsSafeDoesNotGoAgain() {
-        assertEquals(1, attempts(settings(4, Semantics.UNSAFE), settings(4, Semantics.SAFE)).get(0));
+        assertEquals(
+                1,
+                attempts(settings(4, Semantics.UNSAFE), settings(4, Semantics.SAFE))
+                        .get(0));
     }
 
     @Test
@@ -71,20 +74,26 @@
     void whileEveryServerDrainsWhatComesIsRefusedAtOnce() {
         Hand hand = new Hand(settings(4, Semantics.UNSAFE));
         long first = hand.request();
-        assertEquals(0, hand.acts.stream().filter(each -> each.what().equals("refuse")).count());
+        assertEquals(
+                0,
+                hand.acts.stream().filter(each -> each.what().equals("refuse")).count());
         hand.full(Hand.server(1, 0), Hand.server(2, 1));
         assertEquals(1, hand.sends(first).size(), "what came before the list has waited for it");
         hand.full(Hand.server(1, 0, Balancer.Phase.DRAINING, 0), Hand.server(2, 1, Balancer.Phase.DRAINING, 0));
         long id = hand.request();
-        assertEquals(1, hand.acts.stream().filter(each -> each.what().equals("refuse") && each.id() == id).count());
+        assertEquals(
+                1,
+                hand.acts.stream()
+                        .filter(each -> each.what().equals("refuse") && each.id() == id)
+                        .count());
         hand.full(Hand.server(1, 0), Hand.server(2, 1));
         assertEquals(1, hand.sends(hand.request()).size());
     }
 
     @Test
     void theCheckedModuleHoldsItsHostToTheNumbersOfClasses() {
-        Balancer checked = new CheckedBalancer(settings(4, Semantics.SAFE, Semantics.SAFE), 1, 0,
-            new Hand(settings(4, Semantics.SAFE)));
+        Balancer checked = new CheckedBalancer(
+                settings(4, Semantics.SAFE, Semantics.SAFE), 1, 0, new Hand(settings(4, Semantics.SAFE)));
         assertThrows(IllegalArgumentException.class, () -> checked.settings(1, settings(4, Semantics.SAFE)));
         checked.settings(1, settings(4, Semantics.SAFE, Semantics.KEYED, Semantics.SAFE));
         checked.request(1, new Balancer.Request(1, 2, 0, 0, 0, 1_000_000, false, false));
--- a/src/test/java/gatefront/policy/SettingsTest.java
+++ b/src/test/java/gatefront/policy/SettingsTest.java
@@ -3,9 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
-import java.util.List;
-import gatefront.policy.Balancer.ListKind;
 import gatefront.policy.Balancer.Outcome;
 import gatefront.policy.Balancer.Permits;
 import gatefront.policy.Balancer.Prices;
@@ -16,6 +13,8 @@
 import gatefront.policy.Balancer.Server;
 import gatefront.policy.Balancer.Settings;
 import gatefront.policy.Balancer.Tenant;
+import java.util.ArrayList;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Settings at the ends of their ranges: sane behaviour and kept rules. */
@@ -24,9 +23,24 @@
     private static final Permits ALL = new Permits(4, false, true, true, false, SECOND);
 
     private static Settings with(Settings s, Prices prices, List<Tenant> tenants) {
-        return new Settings(s.agent(), s.agents(), s.zone(), s.zones(), s.tick(), s.askDiscovery(), s.warmKeys(),
-            s.listedWeights(), s.worthByWork(), s.overQuotaWorth(), s.permits(), s.obligations(), prices, s.goal(),
-            s.classes(), tenants, s.loadFields());
+        return new Settings(
+                s.agent(),
+                s.agents(),
+                s.zone(),
+                s.zones(),
+                s.tick(),
+                s.askDiscovery(),
+                s.warmKeys(),
+                s.listedWeights(),
+                s.worthByWork(),
+                s.overQuotaWorth(),
+                s.permits(),
+                s.obligations(),
+                prices,
+                s.goal(),
+                s.classes(),
+                tenants,
+                s.loadFields());
     }
 
     private static Hand hand(RequestClass type, Permits permits, int zones) {
@@ -65,7 +79,7 @@
     @Test
     void zeroPricesCrossZonesAsSoonAsTheOwnOneIsFull() {
         Hand hand = new Hand(with(Hand.safe(), new Prices(0, 0, 0, 0, 0), List.of()))
-            .full(Hand.server(1, 0), Hand.server(2, 1));
+                .full(Hand.server(1, 0), Hand.server(2, 1));
         List<Long> targets = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             targets.add(hand.target(hand.request()));
@@ -77,7 +91,7 @@
     @Test
     void aPriceOverOneNeverCrossesWhileTheOwnZoneIsAvailable() {
         Hand hand = new Hand(with(Hand.safe(), new Prices(3, 0, 0, 0, 0), List.of()))
-            .full(Hand.server(1, 0), Hand.server(2, 1));
+                .full(Hand.server(1, 0), Hand.server(2, 1));
         for (int i = 0; i < 20; i++) {
             hand.request();
         }
@@ -130,7 +144,11 @@
         assertEquals(0, hand.sends(id).get(0).value(), "no time-out");
         hand.balancer.streamStarted(hand.now, id, 0, hand.target(id), 1000);
         hand.pass(8 * SECOND);
-        assertEquals(0, hand.of("refuse", id).size() + hand.of("fail", id).size() + hand.of("cancel", id).size());
+        assertEquals(
+                0,
+                hand.of("refuse", id).size()
+                        + hand.of("fail", id).size()
+                        + hand.of("cancel", id).size());
         hand.end(id, 0, Outcome.OK, 8 * SECOND);
         assertEquals(1, hand.sends(id).size());
     }
@@ -149,9 +167,10 @@
     @Test
     void aRequestKeyedByCellThatMayHaveRunStaysInItsCell() {
         Hand hand = hand(Hand.type(Semantics.KEYED, Scope.CELL), ALL, 1);
-        hand.full(new Server(1, 0, 5, 0, Balancer.Phase.READY, 1, 0),
-            new Server(2, 0, 6, 0, Balancer.Phase.READY, 1, 0),
-            new Server(3, 0, 6, 0, Balancer.Phase.READY, 1, 0));
+        hand.full(
+                new Server(1, 0, 5, 0, Balancer.Phase.READY, 1, 0),
+                new Server(2, 0, 6, 0, Balancer.Phase.READY, 1, 0),
+                new Server(3, 0, 6, 0, Balancer.Phase.READY, 1, 0));
         int resent = 0;
         for (int i = 0; i < 12; i++) {
             long id = hand.request(0, 9);
@@ -179,8 +198,8 @@
         }
         for (List<Tenant> some : List.of(tenants, List.<Tenant>of())) {
             Hand hand = new Hand(with(Hand.safe(), Hand.safe().prices(), some)).full(Hand.server(1, 0));
-            hand.balancer.request(hand.now, new Request(900, 0, Math.max(0, some.size() - 1), 0, 0,
-                hand.now + SECOND, false, false));
+            hand.balancer.request(
+                    hand.now, new Request(900, 0, Math.max(0, some.size() - 1), 0, 0, hand.now + SECOND, false, false));
             assertEquals(1, hand.sends(900).size());
         }
     }
--- a/src/test/java/gatefront/recovery/RecoveryTest.java
+++ b/src/test/java/gatefront/recovery/RecoveryTest.java
@@ -19,7 +19,7 @@
 
     private static Verdict judged(Piece piece, Source source, String instance, long age, boolean damaged) {
         return Beliefs.judge(new Claim(piece, source, instance, NOW - age * SECOND, damaged), "a", NOW, BOUNDS)
-            .verdict();
+                .verdict();
     }
 
     @Test
@@ -91,14 +91,18 @@
                         lost |= state != Store.WHOLE && state != Store.IN_USE;
                     }
                     case 1 -> {
-                        Claim claim = new Claim(Piece.values()[random.nextInt(2)],
-                            Source.values()[random.nextInt(3)], List.of("a", "b").get(random.nextInt(2)),
-                            now + random.nextLong(-2_000 * SECOND, 100 * SECOND), random.nextInt(5) == 0);
+                        Claim claim = new Claim(
+                                Piece.values()[random.nextInt(2)],
+                                Source.values()[random.nextInt(3)],
+                                List.of("a", "b").get(random.nextInt(2)),
+                                now + random.nextLong(-2_000 * SECOND, 100 * SECOND),
+                                random.nextInt(5) == 0);
                         Verdict verdict = recovery.claim(claim, now).verdict();
                         lost |= claim.piece() == Piece.BANS && verdict != Verdict.BELIEVED;
                         assertTrue(claim.instance().equals("a") || verdict == Verdict.DROPPED);
-                        assertTrue(claim.upTo() <= now + BOUNDS.ahead() || verdict != Verdict.BELIEVED
-                            || claim.source() == Source.NEIGHBOUR);
+                        assertTrue(claim.upTo() <= now + BOUNDS.ahead()
+                                || verdict != Verdict.BELIEVED
+                                || claim.source() == Source.NEIGHBOUR);
                     }
                     case 2 -> {
                         recovery.listed(now);
@@ -116,8 +120,13 @@
                 assertTrue(stage >= before, "seed " + seed);
                 before = stage;
             }
-            assertTrue(!lost || lines.stream().anyMatch(each -> each.contains("store") || each.contains("doubted")
-                || each.contains("dropped")), "seed " + seed + ": " + lines);
+            assertTrue(
+                    !lost
+                            || lines.stream()
+                                    .anyMatch(each -> each.contains("store")
+                                            || each.contains("doubted")
+                                            || each.contains("dropped")),
+                    "seed " + seed + ": " + lines);
         }
     }
 
--- a/src/test/java/gatefront/registry/ConsulCallsTest.java
+++ b/src/test/java/gatefront/registry/ConsulCallsTest.java
@@ -27,8 +27,18 @@
 
     @Override
     RegistrySettings settings() {
-        return new RegistrySettings(kind(), addresses(), PREFIX, true, null, null, token, service,
-            RegistrySettings.Reads.USUAL, bounds(), null);
+        return new RegistrySettings(
+                kind(),
+                addresses(),
+                PREFIX,
+                true,
+                null,
+                null,
+                token,
+                service,
+                RegistrySettings.Reads.USUAL,
+                bounds(),
+                null);
     }
 
     @Test
@@ -43,8 +53,9 @@
         put("nodos/a", "2");
         run(3 * SECOND);
         assertEquals("1", known("nodos/a"));
-        assertTrue(lines.stream().anyMatch(each -> each.contains("answer 403, the token has no right to oaxaca/")),
-            lines.toString());
+        assertTrue(
+                lines.stream().anyMatch(each -> each.contains("answer 403, the token has no right to oaxaca/")),
+                lines.toString());
         assertTrue(lines.stream().noneMatch(each -> each.contains("s3cret")), "secrets are not logged");
     }
 
@@ -54,8 +65,10 @@
         service = "cuentas";
         store.put("cuentas/s-1", "3000 a passing");
         follow();
-        assertEquals("{\"address\":\"127.0.0.1:3000\",\"zone\":\"a\",\"type\":\"small\",\"group\":0,"
-            + "\"status\":\"Ready\",\"weight\":2.0,\"since_ms\":0}", known("nodos/s-1"));
+        assertEquals(
+                "{\"address\":\"127.0.0.1:3000\",\"zone\":\"a\",\"type\":\"small\",\"group\":0,"
+                        + "\"status\":\"Ready\",\"weight\":2.0,\"since_ms\":0}",
+                known("nodos/s-1"));
         store.put("cuentas/s-1", "3000 a critical");
         news();
         run(300 * MS);
@@ -91,16 +104,20 @@
 
     /** As documented an index below 1 is a fault; and a list of other keys is no answer to what was asked. */
     @ParameterizedTest
-    @ValueSource(strings = {"0|[]", "90|[{\"Key\":\"else/b\",\"Value\":\"\",\"CreateIndex\":1,\"ModifyIndex\":2}]",
-        "90|[{\"Key\":\"oaxaca/b\",\"Value\":\"\",\"CreateIndex\":5,\"ModifyIndex\":2}]",
-        "90|[{\"Key\":\"oaxaca/b\",\"Value\":\"\",\"CreateIndex\":5,\"ModifyIndex\":91}]"})
+    @ValueSource(
+            strings = {
+                "0|[]",
+                "90|[{\"Key\":\"else/b\",\"Value\":\"\",\"CreateIndex\":1,\"ModifyIndex\":2}]",
+                "90|[{\"Key\":\"oaxaca/b\",\"Value\":\"\",\"CreateIndex\":5,\"ModifyIndex\":2}]",
+                "90|[{\"Key\":\"oaxaca/b\",\"Value\":\"\",\"CreateIndex\":5,\"ModifyIndex\":91}]"
+            })
     void anIndexOrAListThatCannotBeIsNotBelieved(String answer) throws Exception {
         put("nodos/a", "1");
         follow();
         down(true);
         String body = answer.split("\\|")[1];
         liars("HTTP/1.1 200 OK\r\nX-Consul-Index: " + answer.split("\\|")[0] + "\r\nContent-Length: " + body.length()
-            + "\r\n\r\n" + body);
+                + "\r\n\r\n" + body);
         run(5 * SECOND);
         assertEquals("1", known("nodos/a"));
         assertEquals(1, client.follower().entries().size());
--- a/src/test/java/gatefront/registry/EtcdCallsTest.java
+++ b/src/test/java/gatefront/registry/EtcdCallsTest.java
@@ -26,8 +26,18 @@
 
     @Override
     RegistrySettings settings() {
-        return new RegistrySettings(kind(), addresses(), PREFIX, true, password == null ? null : "agente", password,
-            null, null, RegistrySettings.Reads.USUAL, bounds(), null);
+        return new RegistrySettings(
+                kind(),
+                addresses(),
+                PREFIX,
+                true,
+                password == null ? null : "agente",
+                password,
+                null,
+                null,
+                RegistrySettings.Reads.USUAL,
+                bounds(),
+                null);
     }
 
     /** From now on members want this password, and give a token for it. */
--- a/src/test/java/gatefront/registry/GrpcPeerTest.java
+++ b/src/test/java/gatefront/registry/GrpcPeerTest.java
@@ -66,8 +66,12 @@
                 }
             }
         };
-        return MethodDescriptor.<byte[], byte[]>newBuilder().setType(type).setFullMethodName(path.substring(1))
-            .setRequestMarshaller(bytes).setResponseMarshaller(bytes).build();
+        return MethodDescriptor.<byte[], byte[]>newBuilder()
+                .setType(type)
+                .setFullMethodName(path.substring(1))
+                .setRequestMarshaller(bytes)
+                .setResponseMarshaller(bytes)
+                .build();
     }
 
     /**
@@ -103,33 +107,40 @@
                 public void onNext(byte[] request) {
                     asked.add(request);
                     boolean watches = !Arrays.equals(EtcdMessages.progress(), request);
-                    send(answer, () -> Protobuf.message(out -> {
-                        out.writeByteArray(1, header(revision.get()));
-                        out.writeBool(3, watches);
-                    }));
+                    send(
+                            answer,
+                            () -> Protobuf.message(out -> {
+                                out.writeByteArray(1, header(revision.get()));
+                                out.writeBool(3, watches);
+                            }));
                     if (watches) {
                         begun.add(answer);
                     }
                 }
 
                 @Override
-                public void onError(Throwable why) { }
+                public void onError(Throwable why) {}
 
                 @Override
-                public void onCompleted() { }
+                public void onCompleted() {}
             };
         });
         Server server = NettyServerBuilder.forAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
-            .addService(ServerServiceDefinition.builder("etcdserverpb.KV").addMethod(
-                method(EtcdMessages.RANGE, MethodDescriptor.MethodType.UNARY), range).build())
-            .addService(ServerServiceDefinition.builder("etcdserverpb.Watch").addMethod(
-                method(EtcdMessages.WATCH, MethodDescriptor.MethodType.BIDI_STREAMING), watch).build())
-            .build().start();
+                .addService(ServerServiceDefinition.builder("etcdserverpb.KV")
+                        .addMethod(method(EtcdMessages.RANGE, MethodDescriptor.MethodType.UNARY), range)
+                        .build())
+                .addService(ServerServiceDefinition.builder("etcdserverpb.Watch")
+                        .addMethod(method(EtcdMessages.WATCH, MethodDescriptor.MethodType.BIDI_STREAMING), watch)
+                        .build())
+                .build()
+                .start();
         SocketTransport sockets = new SocketTransport();
         BlockingQueue<Change> told = new LinkedBlockingQueue<>();
-        RegistrySettings settings = RegistrySettings.of(RegistrySettings.Kind.ETCD,
-            List.of(new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getPort())), "oaxaca/",
-            new Bounds(50_000, 1_000_000, 0, 60_000_000, 120_000_000, 300_000_000, 0, 1_000));
+        RegistrySettings settings = RegistrySettings.of(
+                RegistrySettings.Kind.ETCD,
+                List.of(new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getPort())),
+                "oaxaca/",
+                new Bounds(50_000, 1_000_000, 0, 60_000_000, 120_000_000, 300_000_000, 0, 1_000));
         RegistryClient client = new RegistryClient(sockets, settings, 1, (full, changes, all) -> told.addAll(changes));
         try {
             sockets.loop().execute(client::start);
@@ -137,25 +148,33 @@
                 assertEquals(new Change("oaxaca/nodos/" + i, large, 4, 4), told.poll(GENEROUS_S, TimeUnit.SECONDS));
             }
             StreamObserver<byte[]> first = begun.poll(GENEROUS_S, TimeUnit.SECONDS);
-            send(first, () -> Protobuf.message(out -> {
-                revision.set(6);
-                out.writeByteArray(1, header(6));
-                out.writeByteArray(11, Protobuf.message(event -> event.writeByteArray(2, kv("oaxaca/nodos/0", "new", 6))));
-                out.writeByteArray(11, Protobuf.message(event -> {
-                    event.writeEnum(1, 1);
-                    event.writeByteArray(2, kv("oaxaca/nodos/1", "", 6));
-                }));
-            }));
+            send(
+                    first,
+                    () -> Protobuf.message(out -> {
+                        revision.set(6);
+                        out.writeByteArray(1, header(6));
+                        out.writeByteArray(
+                                11, Protobuf.message(event -> event.writeByteArray(2, kv("oaxaca/nodos/0", "new", 6))));
+                        out.writeByteArray(11, Protobuf.message(event -> {
+                            event.writeEnum(1, 1);
+                            event.writeByteArray(2, kv("oaxaca/nodos/1", "", 6));
+                        }));
+                    }));
             assertEquals(new Change("oaxaca/nodos/0", "new", 6, 6), told.poll(GENEROUS_S, TimeUnit.SECONDS));
             assertEquals(Change.deleted("oaxaca/nodos/1", 6), told.poll(GENEROUS_S, TimeUnit.SECONDS));
             // The stream ends with a status: the next watch begins behind what was told.
-            first.onError(io.grpc.Status.UNAVAILABLE.withDescription("leader changed").asRuntimeException());
+            first.onError(
+                    io.grpc.Status.UNAVAILABLE.withDescription("leader changed").asRuntimeException());
             StreamObserver<byte[]> second = begun.poll(GENEROUS_S, TimeUnit.SECONDS);
-            send(second, () -> Protobuf.message(out -> {
-                revision.set(7);
-                out.writeByteArray(1, header(7));
-                out.writeByteArray(11, Protobuf.message(event -> event.writeByteArray(2, kv("oaxaca/nodos/1", "back", 7))));
-            }));
+            send(
+                    second,
+                    () -> Protobuf.message(out -> {
+                        revision.set(7);
+                        out.writeByteArray(1, header(7));
+                        out.writeByteArray(
+                                11,
+                                Protobuf.message(event -> event.writeByteArray(2, kv("oaxaca/nodos/1", "back", 7))));
+                    }));
             assertEquals(new Change("oaxaca/nodos/1", "back", 7, 7), told.poll(GENEROUS_S, TimeUnit.SECONDS));
             byte[] resumed = EtcdMessages.watch(EtcdMessages.bytes("oaxaca/"), EtcdMessages.behind("oaxaca/"), 7);
             assertTrue(asked.stream().anyMatch(each -> Arrays.equals(resumed, each)), "resumed from revision 7");
--- a/src/test/java/gatefront/registry/NodoValuesTest.java
+++ b/src/test/java/gatefront/registry/NodoValuesTest.java
@@ -19,17 +19,17 @@
 /** What a value says, and what is done with one that cannot be meant. */
 class NodoValuesTest {
     private static final String NODO = "{'v':%d,'address':'127.0.0.1:3000','zone':'a','type':'small','group':0,"
-        + "'status':'%s','weight':1.0,'since_ms':0,'colour':'unknown here'}";
+            + "'status':'%s','weight':1.0,'since_ms':0,'colour':'unknown here'}";
 
     private final List<String> lines = new ArrayList<>();
     private final NodoValues values =
-        new NodoValues(Config.read(Path.of("src/test/resources/config.json")), "p/", lines::add);
+            new NodoValues(Config.read(Path.of("src/test/resources/config.json")), "p/", lines::add);
     private long revision;
 
     private NodoValues.News put(String key, String value) {
         revision++;
-        return values.changed(List.of(new Change("p/" + key, value == null ? null : value.replace('\'', '"'), 1,
-            revision)));
+        return values.changed(
+                List.of(new Change("p/" + key, value == null ? null : value.replace('\'', '"'), 1, revision)));
     }
 
     private Phase phase() {
@@ -39,17 +39,32 @@
     @Test
     void aNodoOfAVersionThatIsNotKnownLeavesTheLastGoodOne() {
         put("nodos/s-1", NODO.formatted(1, "Ready"));
-        assertEquals(List.of(), put("nodos/s-1", NODO.formatted(2, "Terminating")).servers());
+        assertEquals(
+                List.of(), put("nodos/s-1", NODO.formatted(2, "Terminating")).servers());
         assertEquals(Phase.READY, phase());
         assertEquals(1, lines.size(), lines.toString());
-        assertTrue(lines.get(0).contains("p/nodos/s-1 at revision 2") && lines.get(0).contains("version 2"), lines.get(0));
+        assertTrue(
+                lines.get(0).contains("p/nodos/s-1 at revision 2")
+                        && lines.get(0).contains("version 2"),
+                lines.get(0));
         put("nodos/s-1", NODO.formatted(1, "Terminating"));
         assertEquals(Phase.DRAINING, phase());
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"{'weight_factor':0}", "{'weight_factor':-1}", "{'weight_factor':101}",
-        "{'weight_factor':'1'}", "{'drain':1}", "{'v':2,'drain':true}", "[]", "{", "", "7"})
+    @ValueSource(
+            strings = {
+                "{'weight_factor':0}",
+                "{'weight_factor':-1}",
+                "{'weight_factor':101}",
+                "{'weight_factor':'1'}",
+                "{'drain':1}",
+                "{'v':2,'drain':true}",
+                "[]",
+                "{",
+                "",
+                "7"
+            })
     void aPolicyThatCannotBeMeantLeavesTheLastGoodOne(String value) {
         assertTrue(put("policies/nodos/s-1", "{'weight_factor':0.5}").policies());
         assertFalse(put("policies/nodos/s-1", value).policies());
@@ -60,8 +75,16 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"{}", "{'in_progress':-1}", "{'in_progress':1.5}", "{'in_progress':1000001}",
-        "{'in_progress':'4'}", "{'in_progress':99999999999}", "{'v':2,'in_progress':1}"})
+    @ValueSource(
+            strings = {
+                "{}",
+                "{'in_progress':-1}",
+                "{'in_progress':1.5}",
+                "{'in_progress':1000001}",
+                "{'in_progress':'4'}",
+                "{'in_progress':99999999999}",
+                "{'v':2,'in_progress':1}"
+            })
     void aLimitThatCannotBeMeantLeavesTheLastGoodOne(String value) {
         assertTrue(put("policies/clases/pay", "{'in_progress':40}").limits());
         assertFalse(put("policies/clases/pay", value).limits());
--- a/src/test/java/gatefront/registry/RegistryContract.java
+++ b/src/test/java/gatefront/registry/RegistryContract.java
@@ -4,15 +4,15 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import gatefront.registry.follower.Bounds;
+import gatefront.registry.follower.Change;
+import gatefront.registry.follower.Entry;
+import gatefront.registry.follower.Follower;
 import gatefront.rehearsal.net.Host;
 import gatefront.rehearsal.net.Network;
 import gatefront.rehearsal.net.VirtualTime;
 import gatefront.rehearsal.registry.RegistryStand;
 import gatefront.rehearsal.world.KeyValues;
-import gatefront.registry.follower.Bounds;
-import gatefront.registry.follower.Change;
-import gatefront.registry.follower.Entry;
-import gatefront.registry.follower.Follower;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -59,8 +59,8 @@
 
     Bounds bounds() {
         boolean etcd = kind() == RegistrySettings.Kind.ETCD;
-        return new Bounds(50_000, 1_000_000, etcd ? 0 : 60_000, etcd ? 2_000_000 : 0, 6_000_000, 15_000_000,
-            600_000_000, 20_000);
+        return new Bounds(
+                50_000, 1_000_000, etcd ? 0 : 60_000, etcd ? 2_000_000 : 0, 6_000_000, 15_000_000, 600_000_000, 20_000);
     }
 
     RegistrySettings settings() {
@@ -72,8 +72,8 @@
     }
 
     final Host host(String name, int net, int last) throws Exception {
-        return network.host(name, InetAddress.getByAddress(new byte[] {127, 0, (byte) net, (byte) last}), 0, 1 << 26,
-            lines::add);
+        return network.host(
+                name, InetAddress.getByAddress(new byte[] {127, 0, (byte) net, (byte) last}), 0, 1 << 26, lines::add);
     }
 
     @BeforeEach
@@ -133,9 +133,11 @@
 
     /** Everything that the registry has is known, and nothing else. */
     final void same() {
-        assertEquals(store.range(PREFIX, END, store.revision()).stream()
-            .map(each -> new Entry(each.key(), each.value(), each.created(), each.modified())).toList(),
-            List.copyOf(client.follower().entries().values()));
+        assertEquals(
+                store.range(PREFIX, END, store.revision()).stream()
+                        .map(each -> new Entry(each.key(), each.value(), each.created(), each.modified()))
+                        .toList(),
+                List.copyOf(client.follower().entries().values()));
     }
 
     /** Of one key, each value was told once, in the order of their revisions. */
@@ -164,7 +166,9 @@
         delete("nodos/a");
         put("nodos/c", "4");
         run(200 * MS);
-        assertEquals(List.of("1", "3", "null", "4"), told.stream().map(each -> String.valueOf(each.value())).toList());
+        assertEquals(
+                List.of("1", "3", "null", "4"),
+                told.stream().map(each -> String.valueOf(each.value())).toList());
         same();
         once();
         assertEquals(1, client.follower().entries().size());
@@ -224,7 +228,9 @@
         run(300 * MS);
         same();
         once();
-        assertEquals(store.revision(), client.follower().entries().get(PREFIX + "nodos/a").created());
+        assertEquals(
+                store.revision(),
+                client.follower().entries().get(PREFIX + "nodos/a").created());
     }
 
     @Test
@@ -266,9 +272,13 @@
     void aCallThatIsSilentIsGivenUpAndTheStateStays() throws Exception {
         put("nodos/a", "1");
         follow();
-        int connected = (int) members.stream().filter(each -> each.connections() > 0).count();
+        int connected =
+                (int) members.stream().filter(each -> each.connections() > 0).count();
         assertEquals(1, connected);
-        RegistryStand mute = members.stream().filter(each -> each.connections() > 0).findFirst().orElseThrow();
+        RegistryStand mute = members.stream()
+                .filter(each -> each.connections() > 0)
+                .findFirst()
+                .orElseThrow();
         mute.silent(true);
         put("nodos/a", "2");
         run(500 * MS);
@@ -374,12 +384,14 @@
                     case 1 -> world.members.get(member).down(true, null);
                     case 2 -> {
                         world.members.get(member).down(true, null);
-                        world.members.get(member).down(false, world.hosts.get(member).at(PORT));
+                        world.members
+                                .get(member)
+                                .down(false, world.hosts.get(member).at(PORT));
                     }
                     case 3 -> world.store.compact(world.store.revision() - random.nextInt(5));
                     case 4 -> world.members.get(member).silent(random.nextBoolean());
                     case 5 -> world.members.get(member).lag(random.nextInt(3));
-                    default -> { }
+                    default -> {}
                 }
                 world.run(random.nextLong(400 * MS));
                 world.once();
@@ -420,7 +432,7 @@
         put("nodos/a", "1");
         List<RegistryClient> agents = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            agents.add(follow(i, (full, changes, all) -> { }));
+            agents.add(follow(i, (full, changes, all) -> {}));
             agents.get(i).start();
         }
         run(5 * SECOND);
@@ -448,19 +460,23 @@
     final List<Channel> liars(String answer) {
         List<Channel> liars = new ArrayList<>();
         for (int i = 0; i < MEMBERS; i++) {
-            liars.add(new ServerBootstrap().group(hosts.get(i).loop()).channelFactory(hosts.get(i).listeners())
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel ch) {
-                        ch.pipeline().addLast(new ChannelInboundHandlerAdapter() {
-                            @Override
-                            public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-                                ReferenceCountUtil.release(bytes);
-                                ctx.writeAndFlush(Unpooled.wrappedBuffer(answer.getBytes()));
-                            }
-                        });
-                    }
-                }).bind(hosts.get(i).at(PORT)).channel());
+            liars.add(new ServerBootstrap()
+                    .group(hosts.get(i).loop())
+                    .channelFactory(hosts.get(i).listeners())
+                    .childHandler(new ChannelInitializer<Channel>() {
+                        @Override
+                        protected void initChannel(Channel ch) {
+                            ch.pipeline().addLast(new ChannelInboundHandlerAdapter() {
+                                @Override
+                                public void channelRead(ChannelHandlerContext ctx, Object bytes) {
+                                    ReferenceCountUtil.release(bytes);
+                                    ctx.writeAndFlush(Unpooled.wrappedBuffer(answer.getBytes()));
+                                }
+                            });
+                        }
+                    })
+                    .bind(hosts.get(i).at(PORT))
+                    .channel());
         }
         return liars;
     }
--- a/src/test/java/gatefront/registry/RegistryLoopbackTest.java
+++ b/src/test/java/gatefront/registry/RegistryLoopbackTest.java
@@ -3,13 +3,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import gatefront.registry.follower.Bounds;
+import gatefront.registry.follower.Change;
+import gatefront.registry.follower.Entry;
 import gatefront.rehearsal.registry.ConsulStand;
 import gatefront.rehearsal.registry.EtcdStand;
 import gatefront.rehearsal.registry.RegistryStand;
 import gatefront.rehearsal.world.KeyValues;
-import gatefront.registry.follower.Bounds;
-import gatefront.registry.follower.Change;
-import gatefront.registry.follower.Entry;
 import gatefront.transport.SocketTransport;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -35,17 +35,25 @@
         List<RegistryStand> members = new ArrayList<>();
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            RegistryStand member = kind == RegistrySettings.Kind.ETCD ? new EtcdStand(sockets, () -> store)
-                : new ConsulStand(sockets, () -> store);
-            member.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync();
+            RegistryStand member = kind == RegistrySettings.Kind.ETCD
+                    ? new EtcdStand(sockets, () -> store)
+                    : new ConsulStand(sockets, () -> store);
+            member.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                    .sync();
             members.add(member);
             addresses.add(member.address());
         }
         boolean etcd = kind == RegistrySettings.Kind.ETCD;
         List<Change> told = new ArrayList<>();
-        RegistryClient client = new RegistryClient(sockets, RegistrySettings.of(kind, addresses, "a/",
-            new Bounds(5_000, 50_000, etcd ? 0 : 2_000, etcd ? 100_000 : 0, 500_000, 2_000_000, 0, 1_000)), 1,
-            (full, changes, all) -> told.addAll(changes));
+        RegistryClient client = new RegistryClient(
+                sockets,
+                RegistrySettings.of(
+                        kind,
+                        addresses,
+                        "a/",
+                        new Bounds(5_000, 50_000, etcd ? 0 : 2_000, etcd ? 100_000 : 0, 500_000, 2_000_000, 0, 1_000)),
+                1,
+                (full, changes, all) -> told.addAll(changes));
         try {
             sockets.loop().submit(client::start).sync();
             SplittableRandom random = new SplittableRandom(4);
@@ -54,29 +62,38 @@
                 int step = i;
                 int what = random.nextInt(12);
                 int member = random.nextInt(members.size());
-                sockets.loop().submit(() -> {
-                    store.put("a/" + step % 7, "v" + step);
-                    if (what == 0) {
-                        members.get(member).cut();
-                    } else if (what == 1) {
-                        store.compact(store.revision() - 1);
-                    } else if (what == 2 && !down[member]) {
-                        down[member] = true;
-                        members.get(member).down(true, null);
-                        // A socket is free only after its loop has looked once more.
-                        sockets.loop().schedule(() -> {
-                            members.get(member).down(false, addresses.get(member));
-                            down[member] = false;
-                        }, 20, TimeUnit.MILLISECONDS);
-                    }
-                    members.forEach(RegistryStand::news);
-                }).sync();
+                sockets.loop()
+                        .submit(() -> {
+                            store.put("a/" + step % 7, "v" + step);
+                            if (what == 0) {
+                                members.get(member).cut();
+                            } else if (what == 1) {
+                                store.compact(store.revision() - 1);
+                            } else if (what == 2 && !down[member]) {
+                                down[member] = true;
+                                members.get(member).down(true, null);
+                                // A socket is free only after its loop has looked once more.
+                                sockets.loop()
+                                        .schedule(
+                                                () -> {
+                                                    members.get(member).down(false, addresses.get(member));
+                                                    down[member] = false;
+                                                },
+                                                20,
+                                                TimeUnit.MILLISECONDS);
+                            }
+                            members.forEach(RegistryStand::news);
+                        })
+                        .sync();
                 Thread.sleep(random.nextInt(8));
             }
             long end = System.nanoTime() + GENEROUS_NANOS;
             List<Entry> there = store.range("a/", KeyValues.behind("a/"), store.revision()).stream()
-                .map(each -> new Entry(each.key(), each.value(), each.created(), each.modified())).toList();
-            while (!sockets.loop().submit(() -> List.copyOf(client.follower().entries().values())).get()
+                    .map(each -> new Entry(each.key(), each.value(), each.created(), each.modified()))
+                    .toList();
+            while (!sockets.loop()
+                    .submit(() -> List.copyOf(client.follower().entries().values()))
+                    .get()
                     .equals(there)) {
                 assertTrue(System.nanoTime() < end, "does not come to the registry's state");
                 Thread.sleep(5);
--- a/src/test/java/gatefront/registry/ResyncFigures.java
+++ b/src/test/java/gatefront/registry/ResyncFigures.java
@@ -1,10 +1,10 @@
 package gatefront.registry;
 
+import gatefront.registry.follower.Bounds;
 import gatefront.rehearsal.registry.ConsulStand;
 import gatefront.rehearsal.registry.EtcdStand;
 import gatefront.rehearsal.registry.RegistryStand;
 import gatefront.rehearsal.world.KeyValues;
-import gatefront.registry.follower.Bounds;
 import gatefront.transport.SocketTransport;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -28,25 +28,44 @@
         KeyValues store = new KeyValues(1);
         TreeMap<String, String> all = new TreeMap<>();
         for (int i = 0; i < KEYS; i++) {
-            all.put("oaxaca/nodos/nodo-" + i, "{\"address\":\"10.1.0." + i % 250 + ":3000\",\"zone\":\"a\","
-                + "\"type\":\"m2\",\"group\":3,\"status\":\"Ready\",\"weight\":1.0,\"since_ms\":0}");
+            all.put(
+                    "oaxaca/nodos/nodo-" + i,
+                    "{\"address\":\"10.1.0." + i % 250 + ":3000\",\"zone\":\"a\","
+                            + "\"type\":\"m2\",\"group\":3,\"status\":\"Ready\",\"weight\":1.0,\"since_ms\":0}");
         }
         store.commit(all);
         boolean etcd = kind == RegistrySettings.Kind.ETCD;
         RegistryStand member = etcd ? new EtcdStand(there, () -> store) : new ConsulStand(there, () -> store);
-        member.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync();
-        RegistryClient client = new RegistryClient(here, RegistrySettings.of(kind, List.of(member.address()),
-            "oaxaca/", new Bounds(50_000, 1_000_000, etcd ? 0 : 60_000, etcd ? 2_000_000 : 0, 8_000_000, 30_000_000,
-            0, 20_000)), 1, (full, changes, now) -> { });
+        member.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .sync();
+        RegistryClient client = new RegistryClient(
+                here,
+                RegistrySettings.of(
+                        kind,
+                        List.of(member.address()),
+                        "oaxaca/",
+                        new Bounds(
+                                50_000,
+                                1_000_000,
+                                etcd ? 0 : 60_000,
+                                etcd ? 2_000_000 : 0,
+                                8_000_000,
+                                30_000_000,
+                                0,
+                                20_000)),
+                1,
+                (full, changes, now) -> {});
         here.loop().submit(client::start).sync();
         double[] millis = new double[ROUNDS];
         for (int round = -5; round < ROUNDS; round++) {
             int value = round;
-            there.loop().submit(() -> {
-                store.put("oaxaca/nodos/nodo-1", "{" + value + "}");
-                store.compact(store.revision());
-                member.cut();
-            }).sync();
+            there.loop()
+                    .submit(() -> {
+                        store.put("oaxaca/nodos/nodo-1", "{" + value + "}");
+                        store.compact(store.revision());
+                        member.cut();
+                    })
+                    .sync();
             long began = System.nanoTime();
             while (here.loop().submit(() -> client.follower().revision()).get() < store.revision()) {
                 Thread.sleep(1);
@@ -56,8 +75,9 @@
             }
         }
         Arrays.sort(millis);
-        System.out.printf("%s, %d nodos: median %.0f ms, worst of %d %.0f ms%n", kind, KEYS, millis[ROUNDS / 2],
-            ROUNDS, millis[ROUNDS - 1]);
+        System.out.printf(
+                "%s, %d nodos: median %.0f ms, worst of %d %.0f ms%n",
+                kind, KEYS, millis[ROUNDS / 2], ROUNDS, millis[ROUNDS - 1]);
         here.loop().submit(client::close).sync();
     }
 }
--- a/src/test/java/gatefront/registry/StateFileTest.java
+++ b/src/test/java/gatefront/registry/StateFileTest.java
@@ -16,8 +16,11 @@
 
 /** The state on disk: whole, or not used. */
 class StateFileTest {
-    private static final StateFile.Kept KEPT = new StateFile.Kept(7, 42, 1_796_112_000_000L,
-        List.of(new Entry("oaxaca/nodos/a", "{\"zone\":\"año\"}\n", 3, 40), new Entry("oaxaca/nodos/b", "", 5, 5)));
+    private static final StateFile.Kept KEPT = new StateFile.Kept(
+            7,
+            42,
+            1_796_112_000_000L,
+            List.of(new Entry("oaxaca/nodos/a", "{\"zone\":\"año\"}\n", 3, 40), new Entry("oaxaca/nodos/b", "", 5, 5)));
 
     @TempDir
     private Path folder;
@@ -46,8 +49,8 @@
             bad[i] ^= 1;
             Files.write(file, bad);
             IOException why = assertThrows(IOException.class, () -> StateFile.read(file), "byte " + i);
-            assertTrue(why.getMessage().lines().count() == 1 && why.getMessage().contains("not used"),
-                why.getMessage());
+            assertTrue(
+                    why.getMessage().lines().count() == 1 && why.getMessage().contains("not used"), why.getMessage());
             Files.write(file, java.util.Arrays.copyOf(good, i));
             assertThrows(IOException.class, () -> StateFile.read(file), "length " + i);
         }
--- a/src/test/java/gatefront/registry/follower/FollowerModelTest.java
+++ b/src/test/java/gatefront/registry/follower/FollowerModelTest.java
@@ -6,7 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gatefront.rehearsal.world.KeyValues;
-import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
@@ -24,8 +23,8 @@
     private static final String PREFIX = "a/";
     private static final String END = KeyValues.behind(PREFIX);
     private static final long MS = 1_000;
-    private static final Bounds BOUNDS = new Bounds(50 * MS, 1_000 * MS, 0, 2_000 * MS, 6_000 * MS, 15_000 * MS,
-        60_000 * MS, 1_000);
+    private static final Bounds BOUNDS =
+            new Bounds(50 * MS, 1_000 * MS, 0, 2_000 * MS, 6_000 * MS, 15_000 * MS, 60_000 * MS, 1_000);
 
     /** What was met over all histories: a fault that never happens proves nothing. */
     private final Map<String, Integer> met = new TreeMap<>();
@@ -35,8 +34,18 @@
         for (int seed = 0; seed < HISTORIES; seed++) {
             new World(seed, met, 0).play();
         }
-        for (String each : List.of("compacted", "dropped", "silent", "repeated", "fragments", "lagging", "restored",
-                "restored under the same name", "full with changes", "changes", "not believed",
+        for (String each : List.of(
+                "compacted",
+                "dropped",
+                "silent",
+                "repeated",
+                "fragments",
+                "lagging",
+                "restored",
+                "restored under the same name",
+                "full with changes",
+                "changes",
+                "not believed",
                 "deleted and made again")) {
             assertTrue(met.getOrDefault(each, 0) > 200, each + " was met " + met.get(each) + " times of " + met);
         }
@@ -53,13 +62,13 @@
 
     /** A registry, a follower, and the way between. */
     private static final class World implements Follower.Actions {
-        private record Event(long at, long order, Runnable what) { }
+        private record Event(long at, long order, Runnable what) {}
 
         private final SplittableRandom random;
         private final Map<String, Integer> met;
         private final long pause;
-        private final PriorityQueue<Event> events = new PriorityQueue<>(
-            Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
+        private final PriorityQueue<Event> events =
+                new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
         private final Follower follower;
         private KeyValues store = new KeyValues(1);
         private KeyValues twin = new KeyValues(1);
@@ -71,11 +80,13 @@
         private boolean calm;
         /** The watch that stands at the registry: its call, how far it has told, by how much its member lags. */
         private long watching = -1;
+
         private long told;
         private long lag;
         private long lastArrival;
         /** Up to which the twin's changes were applied, and whether its history may be another than theirs. */
         private long checked = -1;
+
         private boolean blurred;
         private long histories = 1;
 
@@ -83,9 +94,18 @@
             this.random = new SplittableRandom(seed);
             this.met = met;
             this.pause = pause;
-            this.follower = new Follower(new Bounds(BOUNDS.backoffLeast(), BOUNDS.backoffMost(), pause,
-                pause > 0 ? 0 : BOUNDS.ask(), BOUNDS.silence(), BOUNDS.stale(), BOUNDS.reread(), BOUNDS.keys()), seed,
-                this);
+            this.follower = new Follower(
+                    new Bounds(
+                            BOUNDS.backoffLeast(),
+                            BOUNDS.backoffMost(),
+                            pause,
+                            pause > 0 ? 0 : BOUNDS.ask(),
+                            BOUNDS.silence(),
+                            BOUNDS.stale(),
+                            BOUNDS.reread(),
+                            BOUNDS.keys()),
+                    seed,
+                    this);
         }
 
         void play() {
@@ -100,8 +120,10 @@
             if (follower.state() == Follower.State.LISTING) { // everything is being read anew, as it is now and then
                 run(now + 1_000 * MS);
             }
-            assertEquals(entries(store.range(PREFIX, END, store.revision())), List.copyOf(follower.entries().values()),
-                "the end is the registry's");
+            assertEquals(
+                    entries(store.range(PREFIX, END, store.revision())),
+                    List.copyOf(follower.entries().values()),
+                    "the end is the registry's");
             assertEquals(Follower.State.WATCHING, follower.state());
             assertTrue(follower.age(now) < BOUNDS.stale());
         }
@@ -190,13 +212,16 @@
         }
 
         private static Change change(KeyValues.Event event) {
-            return event.after() == null ? Change.deleted(event.key(), event.revision())
-                : new Change(event.key(), event.after().value(), event.after().created(), event.revision());
+            return event.after() == null
+                    ? Change.deleted(event.key(), event.revision())
+                    : new Change(
+                            event.key(), event.after().value(), event.after().created(), event.revision());
         }
 
         private List<Entry> entries(List<KeyValues.Kv> all) {
-            return all.stream().map(each -> new Entry(each.key(), each.value(), each.created(), each.modified()))
-                .toList();
+            return all.stream()
+                    .map(each -> new Entry(each.key(), each.value(), each.created(), each.modified()))
+                    .toList();
         }
 
         @Override
@@ -209,8 +234,8 @@
                     arrive(() -> follower.failed(now, call, "dropped", false));
                     return;
                 }
-                long revision = behind ? Math.max(store.oldest() - 1, store.revision() - random.nextInt(5))
-                    : store.revision();
+                long revision =
+                        behind ? Math.max(store.oldest() - 1, store.revision() - random.nextInt(5)) : store.revision();
                 read(call, revision, sure);
             });
         }
@@ -221,7 +246,9 @@
             long history = store.history();
             arrive(() -> {
                 follower.listed(now, call, history, revision, sure, all);
-                if (follower.revision() == revision && follower.history() == history && of == twin
+                if (follower.revision() == revision
+                        && follower.history() == history
+                        && of == twin
                         && List.copyOf(follower.entries().values()).equals(all)) {
                     checked = revision;
                     blurred = false;
@@ -283,13 +310,16 @@
                 return;
             }
             long until = calm ? store.revision() : store.revision() - lag;
-            List<KeyValues.Event> due = news.stream().filter(each -> each.revision() <= until).toList();
+            List<KeyValues.Event> due =
+                    news.stream().filter(each -> each.revision() <= until).toList();
             if (due.isEmpty()) {
                 return;
             }
             if (!calm && random.nextInt(5) == 0 && store.since(PREFIX, END, told - 3) != null) {
                 count("repeated");
-                due = store.since(PREFIX, END, told - 3).stream().filter(each -> each.revision() <= until).toList();
+                due = store.since(PREFIX, END, told - 3).stream()
+                        .filter(each -> each.revision() <= until)
+                        .toList();
             }
             told = due.get(due.size() - 1).revision();
             List<Change> all = due.stream().map(World::change).toList();
@@ -339,14 +369,18 @@
             assertEquals(known, applied, "the changes add up to the state");
             if (!full && !blurred) {
                 long upTo = follower.revision();
-                assertEquals(twin.since(PREFIX, END, checked).stream().filter(each -> each.revision() <= upTo)
-                    .map(World::change).toList(), changes);
+                assertEquals(
+                        twin.since(PREFIX, END, checked).stream()
+                                .filter(each -> each.revision() <= upTo)
+                                .map(World::change)
+                                .toList(),
+                        changes);
                 checked = upTo;
             }
         }
 
         @Override
-        public void stale(boolean now) { }
+        public void stale(boolean now) {}
 
         @Override
         public void log(String line) {
--- a/src/test/java/gatefront/registry/follower/NoActions.java
+++ b/src/test/java/gatefront/registry/follower/NoActions.java
@@ -5,26 +5,26 @@
 /** Does nothing of what a follower asks for; tests override what they look at. */
 class NoActions implements Follower.Actions {
     @Override
-    public void list(long call, boolean quorum) { }
+    public void list(long call, boolean quorum) {}
 
     @Override
-    public void watch(long call, long revision) { }
+    public void watch(long call, long revision) {}
 
     @Override
-    public void ask(long call) { }
+    public void ask(long call) {}
 
     @Override
-    public void drop(boolean failed) { }
+    public void drop(boolean failed) {}
 
     @Override
-    public void timer(long delay) { }
+    public void timer(long delay) {}
 
     @Override
-    public void changed(boolean full, List<Change> changes) { }
+    public void changed(boolean full, List<Change> changes) {}
 
     @Override
-    public void stale(boolean now) { }
+    public void stale(boolean now) {}
 
     @Override
-    public void log(String line) { }
+    public void log(String line) {}
 }
--- a/src/test/java/gatefront/registry/follower/RegistryFigures.java
+++ b/src/test/java/gatefront/registry/follower/RegistryFigures.java
@@ -38,8 +38,12 @@
     private static List<Entry> entries() {
         List<Entry> all = new ArrayList<>();
         for (int i = 0; i < KEYS; i++) {
-            all.add(new Entry("oaxaca/nodos/nodo-" + i, "{\"address\":\"10.1.0." + i % 250 + ":3000\",\"zone\":\"a\","
-                + "\"type\":\"m2\",\"group\":3,\"status\":\"Ready\",\"weight\":1.0,\"since_ms\":0}", 1, 1 + i));
+            all.add(new Entry(
+                    "oaxaca/nodos/nodo-" + i,
+                    "{\"address\":\"10.1.0." + i % 250 + ":3000\",\"zone\":\"a\","
+                            + "\"type\":\"m2\",\"group\":3,\"status\":\"Ready\",\"weight\":1.0,\"since_ms\":0}",
+                    1,
+                    1 + i));
         }
         return all;
     }
@@ -64,8 +68,8 @@
             int n = 1_000_000;
             long from = follower.revision();
             for (int i = 1; i <= n; i++) {
-                follower.changes(0, quiet.call,
-                    List.of(new Change("oaxaca/nodos/nodo-" + i % KEYS, "x", 1, from + i)), false);
+                follower.changes(
+                        0, quiet.call, List.of(new Change("oaxaca/nodos/nodo-" + i % KEYS, "x", 1, from + i)), false);
             }
             System.out.printf("changes a second, one a message: %.0f%n", n / ((System.nanoTime() - began) / 1e9));
             began = System.nanoTime();
@@ -109,8 +113,9 @@
                 for (int each : calls) {
                     most = Math.max(most, each);
                 }
-                System.out.printf("%d agents, %s jitter: %d calls in the fullest tenth of a second%n", agents,
-                    jitter ? "with" : "without", most);
+                System.out.printf(
+                        "%d agents, %s jitter: %d calls in the fullest tenth of a second%n",
+                        agents, jitter ? "with" : "without", most);
             }
         }
     }
--- a/src/test/java/gatefront/rehearsal/CrowdTest.java
+++ b/src/test/java/gatefront/rehearsal/CrowdTest.java
@@ -56,7 +56,9 @@
         crowd.cold(2, 30, 40);
         crowd.cold(3, 10, 60);
         assertEquals(0.4, crowd.coldPart());
-        assertEquals("[0.1667,0.1667,0.1667,0.1667,0.75]", json().get("cold_sent_of_borne_quartiles").toString());
+        assertEquals(
+                "[0.1667,0.1667,0.1667,0.1667,0.75]",
+                json().get("cold_sent_of_borne_quartiles").toString());
         assertEquals(2, json().get("cold_nodos").asInt());
     }
 
--- a/src/test/java/gatefront/rehearsal/FaultsTest.java
+++ b/src/test/java/gatefront/rehearsal/FaultsTest.java
@@ -42,8 +42,10 @@
     }
 
     private static boolean said(Outcome outcome, double from, double until, String line) {
-        return outcome.log().stream().anyMatch(each -> each.contains(line)
-            && Double.parseDouble(each.split(" ")[0]) >= from && Double.parseDouble(each.split(" ")[0]) <= until);
+        return outcome.log().stream()
+                .anyMatch(each -> each.contains(line)
+                        && Double.parseDouble(each.split(" ")[0]) >= from
+                        && Double.parseDouble(each.split(" ")[0]) <= until);
     }
 
     /** What a nodo held a core on average in some seconds. */
@@ -64,7 +66,8 @@
     }
 
     private static int served(Outcome outcome, int nodo, int from, int until) {
-        return java.util.Arrays.stream(outcome.record().served.get(nodo - 1), from, until).sum();
+        return java.util.Arrays.stream(outcome.record().served.get(nodo - 1), from, until)
+                .sum();
     }
 
     @Test
@@ -138,7 +141,8 @@
     /** How many nodos beyond the first ones have run by this second. */
     private static long starts(Outcome outcome, int second) {
         return java.util.stream.IntStream.range(14, outcome.record().load.size())
-            .filter(i -> outcome.record().load.get(i)[second] >= 0).count();
+                .filter(i -> outcome.record().load.get(i)[second] >= 0)
+                .count();
     }
 
     @Test
@@ -173,8 +177,9 @@
 
     @Test
     void aReloadMovesEveryAgentToThePadronsNewAddress() throws Exception {
-        Outcome outcome = play(fault(Kind.AGENT_RELOAD, 5, 1, 1, "agent-1", "agent-2", "agent-3", "agent-4",
-            "agent-5"), fault(Kind.LEAVE, 10, 3, 1, "nodo-4"));
+        Outcome outcome = play(
+                fault(Kind.AGENT_RELOAD, 5, 1, 1, "agent-1", "agent-2", "agent-3", "agent-4", "agent-5"),
+                fault(Kind.LEAVE, 10, 3, 1, "nodo-4"));
         for (int i = 1; i <= 5; i++) {
             says(outcome, 10, 13, "agent-" + i + " server nodo-4 draining: nothing new is sent");
         }
@@ -183,10 +188,14 @@
     /** The hard case: what is in flight when a quarter dies is tried again, and the quarter comes back cold. */
     @Test
     void overlappingFaultsInTheMiddleOfRetriesKeepTheRules() throws Exception {
-        Outcome outcome = play(fault(Kind.FAIL, 4, 10, 0.5, "nodo-5", "nodo-6", "nodo-7"),
-            fault(Kind.DIE, 6, 4, 1, "nodo-1", "nodo-2", "nodo-3"), fault(Kind.JUMP, 5, 6, 1.8),
-            fault(Kind.DRAIN, 7, 4, 1, "nodo-8"), fault(Kind.CUT_OFF, 8, 3, 1, "nodo-9"),
-            fault(Kind.AGENT_KILL, 8, 2, 1, "agent-3"), fault(Kind.AGENT_RESTART, 7, 2, 1, "agent-1"));
+        Outcome outcome = play(
+                fault(Kind.FAIL, 4, 10, 0.5, "nodo-5", "nodo-6", "nodo-7"),
+                fault(Kind.DIE, 6, 4, 1, "nodo-1", "nodo-2", "nodo-3"),
+                fault(Kind.JUMP, 5, 6, 1.8),
+                fault(Kind.DRAIN, 7, 4, 1, "nodo-8"),
+                fault(Kind.CUT_OFF, 8, 3, 1, "nodo-9"),
+                fault(Kind.AGENT_KILL, 8, 2, 1, "agent-3"),
+                fault(Kind.AGENT_RESTART, 7, 2, 1, "agent-1"));
         int attempts = 0;
         int tries = 0;
         for (int s = 4; s < 10; s++) {
@@ -201,7 +210,7 @@
     @Test
     void idleConnectionsThatNodosCloseCostNothing() throws Exception {
         String text = PlanWriter.text(PlanReader.builtIn("calm").withSeconds(SECONDS))
-            .replaceAll("idle_s = .*", "idle_s = 0.2");
+                .replaceAll("idle_s = .*", "idle_s = 0.2");
         Outcome outcome = new Rehearsal(PlanReader.parse("idle", text), 2).play();
         assertEquals(List.of(), outcome.breaches());
         assertTrue(outcome.record().closedIdle > 50, outcome.record().closedIdle + " closed");
@@ -221,51 +230,68 @@
         List<Fault> waves = new ArrayList<>(List.of(fault(Kind.JUMP, 2, 16, 1.6)));
         for (int i = 0; i < 12; i++) {
             int first = 1 + 4 * (i % 3);
-            waves.add(fault(Kind.DIE, 3 + i, 1, 1, "nodo-" + first, "nodo-" + (first + 1), "nodo-" + (first + 2),
-                "nodo-" + (first + 3)));
+            waves.add(fault(
+                    Kind.DIE,
+                    3 + i,
+                    1,
+                    1,
+                    "nodo-" + first,
+                    "nodo-" + (first + 1),
+                    "nodo-" + (first + 2),
+                    "nodo-" + (first + 3)));
         }
         Plan plan = PlanReader.builtIn("calm").withSeconds(SECONDS).with(waves);
         int keyed = plan.classes().stream().map(Plan.Kind::name).toList().indexOf("pago-recibo");
         long window = (long) (1000 * plan.classes().get(keyed).windowMs());
         Outcome outcome = new Rehearsal(plan, 2, agent -> new FaultyAgentTest.Faulty(agent) {
-            private final Map<Long, Integer> zones = new HashMap<>();
-            private final Map<Long, Long> lost = new HashMap<>();
-            private final Map<Long, Integer> lostIn = new HashMap<>();
-            private final Set<Long> payments = new HashSet<>();
+                    private final Map<Long, Integer> zones = new HashMap<>();
+                    private final Map<Long, Long> lost = new HashMap<>();
+                    private final Map<Long, Integer> lostIn = new HashMap<>();
+                    private final Set<Long> payments = new HashSet<>();
 
-            @Override
-            public void servers(long now, ListKind kind, List<Server> entries) {
-                entries.forEach(each -> zones.put(each.id(), each.zone()));
-                super.servers(now, kind, entries);
-            }
+                    @Override
+                    public void servers(long now, ListKind kind, List<Server> entries) {
+                        entries.forEach(each -> zones.put(each.id(), each.zone()));
+                        super.servers(now, kind, entries);
+                    }
 
-            @Override
-            public void request(long now, Request request) {
-                if (request.requestClass() == keyed) {
-                    payments.add(request.id());
-                }
-                super.request(now, request);
-            }
+                    @Override
+                    public void request(long now, Request request) {
+                        if (request.requestClass() == keyed) {
+                            payments.add(request.id());
+                        }
+                        super.request(now, request);
+                    }
 
-            @Override
-            public void outcome(long now, long request, int attempt, long server, Outcome how, long spent,
-                                boolean closed, double[] load) {
-                Long since = lost.get(request);
-                if (since != null) {
-                    again[how == Outcome.OK ? 0 : 1]++;
-                    if (!zones.get(server).equals(lostIn.get(request)) || now - spent > since + window) {
-                        wrong.add(request + " at " + server);
+                    @Override
+                    public void outcome(
+                            long now,
+                            long request,
+                            int attempt,
+                            long server,
+                            Outcome how,
+                            long spent,
+                            boolean closed,
+                            double[] load) {
+                        Long since = lost.get(request);
+                        if (since != null) {
+                            again[how == Outcome.OK ? 0 : 1]++;
+                            if (!zones.get(server).equals(lostIn.get(request)) || now - spent > since + window) {
+                                wrong.add(request + " at " + server);
+                            }
+                        } else if (how == Outcome.RESET && payments.contains(request)) {
+                            seen[0]++;
+                            lost.put(request, now - spent);
+                            lostIn.put(request, zones.get(server));
+                        }
+                        super.outcome(now, request, attempt, server, how, spent, closed, load);
                     }
-                } else if (how == Outcome.RESET && payments.contains(request)) {
-                    seen[0]++;
-                    lost.put(request, now - spent);
-                    lostIn.put(request, zones.get(server));
-                }
-                super.outcome(now, request, attempt, server, how, spent, closed, load);
-            }
-        }).play();
+                })
+                .play();
         assertEquals(List.of(), outcome.breaches());
         assertEquals(List.of(), wrong);
-        assertTrue(again[0] > 3, again[0] + " payments were served by the attempt after, " + again[1] + " not, lost " + seen[0]);
+        assertTrue(
+                again[0] > 3,
+                again[0] + " payments were served by the attempt after, " + again[1] + " not, lost " + seen[0]);
     }
 }
--- a/src/test/java/gatefront/rehearsal/FaultyAgentTest.java
+++ b/src/test/java/gatefront/rehearsal/FaultyAgentTest.java
@@ -43,11 +43,18 @@
         }
 
         @Override
-        public void streamStarted(long now, long request, int attempt, long server, long spent) { }
+        public void streamStarted(long now, long request, int attempt, long server, long spent) {}
 
         @Override
-        public void outcome(long now, long request, int attempt, long server, Outcome outcome, long spent,
-                            boolean closed, double[] load) {
+        public void outcome(
+                long now,
+                long request,
+                int attempt,
+                long server,
+                Outcome outcome,
+                long spent,
+                boolean closed,
+                double[] load) {
             right.outcome(now, request, attempt, server, outcome, spent, closed, load);
         }
 
@@ -62,7 +69,7 @@
         }
 
         @Override
-        public void message(long now, int from, byte[] message) { }
+        public void message(long now, int from, byte[] message) {}
 
         @Override
         public void settings(long now, Settings changed) {
@@ -87,10 +94,12 @@
 
     /** A short day on which half of the nodos fail a part of the requests at once, and others are slow. */
     private static Plan failing() throws Exception {
-        return PlanReader.builtIn("calm").withSeconds(15).with(List.of(
-            new Fault(Fault.Kind.SLOW, at(1), at(10), 0.2, List.of(), at(2), at(1)),
-            new Fault(Fault.Kind.FAIL, at(2), at(10), 0.5, List.of(), at(0.3), at(1)),
-            new Fault(Fault.Kind.PADRON_SILENT, at(4), at(1), 0, List.of(), at(1), at(1))));
+        return PlanReader.builtIn("calm")
+                .withSeconds(15)
+                .with(List.of(
+                        new Fault(Fault.Kind.SLOW, at(1), at(10), 0.2, List.of(), at(2), at(1)),
+                        new Fault(Fault.Kind.FAIL, at(2), at(10), 0.5, List.of(), at(0.3), at(1)),
+                        new Fault(Fault.Kind.PADRON_SILENT, at(4), at(1), 0, List.of(), at(1), at(1))));
     }
 
     private static Range at(double figure) {
@@ -105,8 +114,15 @@
     private static Balancer refuses(Engine agent) {
         return new Faulty(agent) {
             @Override
-            public void outcome(long now, long request, int attempt, long server, Outcome outcome, long spent,
-                                boolean closed, double[] load) {
+            public void outcome(
+                    long now,
+                    long request,
+                    int attempt,
+                    long server,
+                    Outcome outcome,
+                    long spent,
+                    boolean closed,
+                    double[] load) {
                 if (outcome == Outcome.ERROR || outcome == Outcome.RESET) {
                     agent.refuse(request, 0);
                     super.outcome(now, request, attempt, server, outcome, spent, true, load);
@@ -118,8 +134,11 @@
     }
 
     private static Breach first(gatefront.rehearsal.Outcome outcome, Rule rule) {
-        return outcome.breaches().stream().filter(each -> each.rule() == rule).findFirst()
-            .orElseThrow(() -> new AssertionError("not caught: " + outcome.breaches().stream().limit(3).toList()));
+        return outcome.breaches().stream()
+                .filter(each -> each.rule() == rule)
+                .findFirst()
+                .orElseThrow(() -> new AssertionError(
+                        "not caught: " + outcome.breaches().stream().limit(3).toList()));
     }
 
     /** Every 50th request is sent to two servers at once. */
@@ -155,15 +174,25 @@
             public void servers(long now, ListKind kind, List<Server> entries) {
                 List<Server> all = new ArrayList<>();
                 for (Server each : entries) {
-                    all.add(new Server(each.id(), each.zone(), each.cell(), each.kind(), Phase.READY, each.weight(),
-                        each.startedAt()));
+                    all.add(new Server(
+                            each.id(),
+                            each.zone(),
+                            each.cell(),
+                            each.kind(),
+                            Phase.READY,
+                            each.weight(),
+                            each.startedAt()));
                 }
                 super.servers(now, kind, all);
             }
         });
         // The agent keeps no connection to it, but the module goes on choosing it: what it sends is never sent.
-        assertEquals(0, outcome.breaches().stream().filter(each -> each.rule() == Rule.DRAINS_KEPT).count(),
-            "the engine holds the rule though the module does not");
+        assertEquals(
+                0,
+                outcome.breaches().stream()
+                        .filter(each -> each.rule() == Rule.DRAINS_KEPT)
+                        .count(),
+                "the engine holds the rule though the module does not");
     }
 
     /** Requests of every class are refused once an attempt has failed, whatever it may have done. */
@@ -188,11 +217,25 @@
             }
 
             @Override
-            public void outcome(long now, long request, int attempt, long server, Outcome outcome, long spent,
-                                boolean closed, double[] load) {
-                int zone = listed.stream().filter(each -> each.id() == server).findFirst().orElseThrow().zone();
+            public void outcome(
+                    long now,
+                    long request,
+                    int attempt,
+                    long server,
+                    Outcome outcome,
+                    long spent,
+                    boolean closed,
+                    double[] load) {
+                int zone = listed.stream()
+                        .filter(each -> each.id() == server)
+                        .findFirst()
+                        .orElseThrow()
+                        .zone();
                 if (outcome == Outcome.ERROR && attempt == 0 && !closed) {
-                    Server other = listed.stream().filter(each -> each.zone() != zone).findFirst().orElseThrow();
+                    Server other = listed.stream()
+                            .filter(each -> each.zone() != zone)
+                            .findFirst()
+                            .orElseThrow();
                     agent.send(request, other.id(), 300_000);
                 }
                 super.outcome(now, request, attempt, server, outcome, spent, true, load);
@@ -242,8 +285,15 @@
             }
 
             @Override
-            public void outcome(long now, long request, int attempt, long server, Outcome outcome, long spent,
-                                boolean closed, double[] load) {
+            public void outcome(
+                    long now,
+                    long request,
+                    int attempt,
+                    long server,
+                    Outcome outcome,
+                    long spent,
+                    boolean closed,
+                    double[] load) {
                 if (cold != 0 && !closed) {
                     agent.fail(request);
                 }
@@ -277,8 +327,11 @@
             }
         });
         Breach breach = first(outcome, Rule.NOTHING_LEFT);
-        assertTrue(outcome.breaches().stream().anyMatch(each -> each.what().contains("time stands still")
-            && each.what().contains("agent-")), breach.toString());
+        assertTrue(
+                outcome.breaches().stream()
+                        .anyMatch(each -> each.what().contains("time stands still")
+                                && each.what().contains("agent-")),
+                breach.toString());
     }
 
     /** A broken seed is cut down, and what is written breaks the same rule when it is read again. */
@@ -287,11 +340,16 @@
         List<String> steps = new ArrayList<>();
         assertNull(Shrink.shrink(failing(), 1, steps::add), "nothing breaks, nothing to cut down");
         Plan small = Shrink.shrink(failing(), 1, FaultyAgentTest::refuses, steps::add);
-        assertEquals(List.of(Fault.Kind.FAIL), small.faults().stream().map(Fault::kind).toList(), steps.toString());
+        assertEquals(
+                List.of(Fault.Kind.FAIL),
+                small.faults().stream().map(Fault::kind).toList(),
+                steps.toString());
         assertTrue(small.faults().get(0).names().size() < 7, steps.toString());
         assertTrue(small.seconds() < 15 && small.callers().rate() <= 210, steps.toString());
         Plan again = PlanReader.parse("again", PlanWriter.text(small));
-        assertEquals("refused, though an attempt may have run",
-            first(play(again, FaultyAgentTest::refuses), Rule.NO_EFFECT_TWICE).what());
+        assertEquals(
+                "refused, though an attempt may have run",
+                first(play(again, FaultyAgentTest::refuses), Rule.NO_EFFECT_TWICE)
+                        .what());
     }
 }
--- a/src/test/java/gatefront/rehearsal/FaultyFrontTest.java
+++ b/src/test/java/gatefront/rehearsal/FaultyFrontTest.java
@@ -30,14 +30,18 @@
     }
 
     private static Breach first(Outcome outcome, Rule rule, String what) {
-        return outcome.breaches().stream().filter(each -> each.rule() == rule && each.what().contains(what)).findFirst()
-            .orElseThrow(() -> new AssertionError("not caught: " + outcome.breaches().stream().limit(3).toList()));
+        return outcome.breaches().stream()
+                .filter(each -> each.rule() == rule && each.what().contains(what))
+                .findFirst()
+                .orElseThrow(() -> new AssertionError(
+                        "not caught: " + outcome.breaches().stream().limit(3).toList()));
     }
 
     private static Outcome play(double seconds, Supplier<ChannelHandler> accepted, Supplier<ChannelHandler> dialled)
             throws Exception {
         return new Rehearsal(PlanReader.builtIn("calm").withSeconds(seconds), 1)
-            .outside(right -> new Tampered(right, accepted, dialled)).play();
+                .outside(right -> new Tampered(right, accepted, dialled))
+                .play();
     }
 
     /** Does something else with the body of every hundredth answer. */
@@ -52,8 +56,9 @@
 
         @Override
         public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
-            boolean served = message instanceof ByteBuf bytes && bytes.readableBytes() > 100
-                && bytes.toString(StandardCharsets.US_ASCII).startsWith("nodo-");
+            boolean served = message instanceof ByteBuf bytes
+                    && bytes.readableBytes() > 100
+                    && bytes.toString(StandardCharsets.US_ASCII).startsWith("nodo-");
             Object other = served && ++count[0] % 100 == 0 ? instead((ByteBuf) message) : message;
             if (other == null) {
                 ReferenceCountUtil.release(message);
@@ -67,12 +72,15 @@
     @Test
     void anAnswerThatNeverLeavesIsCaught() throws Exception {
         int[] count = {0};
-        Outcome outcome = play(6, () -> new Answers(count) {
-            @Override
-            Object instead(ByteBuf answer) {
-                return null;
-            }
-        }, FaultyFrontTest::nothing);
+        Outcome outcome = play(
+                6,
+                () -> new Answers(count) {
+                    @Override
+                    Object instead(ByteBuf answer) {
+                        return null;
+                    }
+                },
+                FaultyFrontTest::nothing);
         Breach breach = first(outcome, Rule.ONE_ANSWER, "no final answer in its time");
         assertTrue(breach.history().stream().anyMatch(line -> line.contains("effect at")), breach.toString());
     }
@@ -80,40 +88,46 @@
     @Test
     void anAnswerThatIsChangedOnItsWayIsCaught() throws Exception {
         int[] count = {0};
-        Outcome outcome = play(6, () -> new Answers(count) {
-            @Override
-            Object instead(ByteBuf answer) {
-                byte[] bytes = ByteBufUtil.getBytes(answer);
-                bytes[bytes.length - 1] ^= 1;
-                answer.release();
-                return Unpooled.wrappedBuffer(bytes);
-            }
-        }, FaultyFrontTest::nothing);
+        Outcome outcome = play(
+                6,
+                () -> new Answers(count) {
+                    @Override
+                    Object instead(ByteBuf answer) {
+                        byte[] bytes = ByteBufUtil.getBytes(answer);
+                        bytes[bytes.length - 1] ^= 1;
+                        answer.release();
+                        return Unpooled.wrappedBuffer(bytes);
+                    }
+                },
+                FaultyFrontTest::nothing);
         first(outcome, Rule.ONE_ANSWER, "served with what no nodo made");
     }
 
     @Test
     void anAnswerCutOffWithItsConnectionIsCaught() throws Exception {
         int[] count = {0};
-        Outcome outcome = play(6, () -> new Answers(count) {
-            private boolean cut;
-
-            @Override
-            Object instead(ByteBuf answer) {
-                cut = true;
-                ByteBuf half = answer.copy(0, answer.readableBytes() / 2);
-                answer.release();
-                return half;
-            }
-
-            @Override
-            public void flush(ChannelHandlerContext ctx) {
-                ctx.flush();
-                if (cut) {
-                    ctx.close();
-                }
-            }
-        }, FaultyFrontTest::nothing);
+        Outcome outcome = play(
+                6,
+                () -> new Answers(count) {
+                    private boolean cut;
+
+                    @Override
+                    Object instead(ByteBuf answer) {
+                        cut = true;
+                        ByteBuf half = answer.copy(0, answer.readableBytes() / 2);
+                        answer.release();
+                        return half;
+                    }
+
+                    @Override
+                    public void flush(ChannelHandlerContext ctx) {
+                        ctx.flush();
+                        if (cut) {
+                            ctx.close();
+                        }
+                    }
+                },
+                FaultyFrontTest::nothing);
         first(outcome, Rule.ONE_ANSWER, "lost");
     }
 
@@ -124,16 +138,21 @@
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
                 if (((InetSocketAddress) ctx.channel().remoteAddress()).getPort() >= PADRON_PORTS) {
-                    ctx.executor().schedule(() -> {
-                        ctx.fireChannelRead(message);
-                        ctx.fireChannelReadComplete();
-                    }, 2, TimeUnit.SECONDS);
+                    ctx.executor()
+                            .schedule(
+                                    () -> {
+                                        ctx.fireChannelRead(message);
+                                        ctx.fireChannelReadComplete();
+                                    },
+                                    2,
+                                    TimeUnit.SECONDS);
                 } else {
                     ctx.fireChannelRead(message);
                 }
             }
         });
-        assertTrue(first(outcome, Rule.DRAINS_KEPT, "was told that it drains or is gone").what()
-            .startsWith("sent to nodo-3"));
+        assertTrue(first(outcome, Rule.DRAINS_KEPT, "was told that it drains or is gone")
+                .what()
+                .startsWith("sent to nodo-3"));
     }
 }
--- a/src/test/java/gatefront/rehearsal/ProcessRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/ProcessRehearsalTest.java
@@ -23,17 +23,25 @@
 @Timeout(120)
 class ProcessRehearsalTest {
     private static final int AGENTS = 14;
+
     @TempDir
     private Path dir;
 
     private ProcessOutcome play(String plan, double seconds, String... without) throws Exception {
         String text = ProcessPlanReader.builtInText(plan).replaceFirst("seconds = \\d+", "seconds = " + seconds);
-        return new ProcessRehearsal(ProcessPlanReader.parse(plan, text, AGENTS), 1, RealRehearsal.ownCommand(),
-            Set.of(without), dir.resolve("history.jsonl")).play(done -> { });
+        return new ProcessRehearsal(
+                        ProcessPlanReader.parse(plan, text, AGENTS),
+                        1,
+                        RealRehearsal.ownCommand(),
+                        Set.of(without),
+                        dir.resolve("history.jsonl"))
+                .play(done -> {});
     }
 
     private static long broken(ProcessOutcome outcome, Rule rule) {
-        return outcome.outcome().breaches().stream().filter(each -> each.rule() == rule).count();
+        return outcome.outcome().breaches().stream()
+                .filter(each -> each.rule() == rule)
+                .count();
     }
 
     @Test
@@ -41,16 +49,19 @@
         ProcessOutcome outcome = play("state-lost", 15);
         assertEquals(List.of(), outcome.hand().breaches());
         assertTrue(outcome.hand().held() >= 2 * AGENTS, "every agent said yes to both calls");
-        assertEquals(0, broken(outcome, Rule.NO_EFFECT_TWICE), outcome.breaches().toString());
+        assertEquals(
+                0, broken(outcome, Rule.NO_EFFECT_TWICE), outcome.breaches().toString());
         String history = Files.readString(dir.resolve("history.jsonl"));
-        for (String each : List.of("no store", "the store is damaged", "that of agent-1", "before this start: either")) {
+        for (String each :
+                List.of("no store", "the store is damaged", "that of agent-1", "before this start: either")) {
             assertTrue(history.contains(each), each);
         }
     }
 
     @Test
     void withoutWhatKeepsThemTheJudgeFindsIt() throws Exception {
-        assertNotEquals(0, play("state-lost", 15, "kept-bans", "named-loss").hand().count());
+        assertNotEquals(
+                0, play("state-lost", 15, "kept-bans", "named-loss").hand().count());
     }
 
     @Test
@@ -67,9 +78,19 @@
 
     @Test
     void whoKillsTheRigKillsItsProcesses() throws Exception {
-        Process rig = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-            System.getProperty("java.class.path"), "gatefront.cli.Main", "rehearse", "processes", "crash-loop",
-            "--agents", "3").redirectErrorStream(true).redirectOutput(dir.resolve("out").toFile()).start();
+        Process rig = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "gatefront.cli.Main",
+                        "rehearse",
+                        "processes",
+                        "crash-loop",
+                        "--agents",
+                        "3")
+                .redirectErrorStream(true)
+                .redirectOutput(dir.resolve("out").toFile())
+                .start();
         List<ProcessHandle> children = List.of();
         while (children.size() < 4) { // the warden and three agents
             assertTrue(rig.isAlive(), Files.readString(dir.resolve("out")));
--- a/src/test/java/gatefront/rehearsal/RealRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/RealRehearsalTest.java
@@ -20,8 +20,9 @@
 /** The same stand-ins on loopback sockets, with agents in processes of their own. Nothing here is timed exactly. */
 class RealRehearsalTest {
     private static Plan small(Fault... faults) throws Exception {
-        String text = PlanReader.builtInText("demo").replace("seconds = 1", "seconds = 8")
-            .replace("rate = 1", "rate = 40");
+        String text = PlanReader.builtInText("demo")
+                .replace("seconds = 1", "seconds = 8")
+                .replace("rate = 1", "rate = 40");
         return PlanReader.parse("small", text).with(List.of(faults));
     }
 
@@ -35,21 +36,37 @@
 
     @Test
     void agentsInProcessesServeThroughADeathARestartAndAReload() throws Exception {
-        Outcome outcome = new RealRehearsal(small(fault(Fault.Kind.DIE, 1, 2, "nodo-1"),
-            fault(Fault.Kind.AGENT_RELOAD, 1.5, 0, "agent-1"), fault(Fault.Kind.AGENT_RESTART, 2, 0, "agent-1")), 1,
-            RealRehearsal.ownCommand()).play(done -> { });
+        Outcome outcome = new RealRehearsal(
+                        small(
+                                fault(Fault.Kind.DIE, 1, 2, "nodo-1"),
+                                fault(Fault.Kind.AGENT_RELOAD, 1.5, 0, "agent-1"),
+                                fault(Fault.Kind.AGENT_RESTART, 2, 0, "agent-1")),
+                        1,
+                        RealRehearsal.ownCommand())
+                .play(done -> {});
         assertTrue(outcome.service() > 0.3, outcome.line());
-        assertEquals(2, outcome.log().stream().filter(each -> each.contains("listening on")).count(),
-            outcome.log().toString());
-        assertEquals(0, outcome.breaches().stream().filter(each -> each.rule() == Rule.NO_EFFECT_TWICE
-            && each.what().contains("has happened")).count(), outcome.breaches().toString());
+        assertEquals(
+                2,
+                outcome.log().stream()
+                        .filter(each -> each.contains("listening on"))
+                        .count(),
+                outcome.log().toString());
+        assertEquals(
+                0,
+                outcome.breaches().stream()
+                        .filter(each -> each.rule() == Rule.NO_EFFECT_TWICE
+                                && each.what().contains("has happened"))
+                        .count(),
+                outcome.breaches().toString());
     }
 
     @Test
     void anAgentThatDoesNotStartIsSaidInOneLine() throws Exception {
         List<String> nothing = List.of("sh", "-c", "exit 1");
-        assertEquals("agent-1 did not get ready", assertThrows(IOException.class,
-            () -> new RealRehearsal(small(), 1, nothing).play(done -> { })).getMessage());
+        assertEquals(
+                "agent-1 did not get ready",
+                assertThrows(IOException.class, () -> new RealRehearsal(small(), 1, nothing).play(done -> {}))
+                        .getMessage());
     }
 
     @Test
@@ -57,7 +74,7 @@
         List<String> log = new ArrayList<>();
         try (Demo demo = new Demo(PlanReader.builtIn("demo"), RealRehearsal.ownCommand(), log::add)) {
             URI uri = URI.create("http://" + demo.address().getAddress().getHostAddress() + ":"
-                + demo.address().getPort() + "/consulta-saldo");
+                    + demo.address().getPort() + "/consulta-saldo");
             HttpURLConnection call = (HttpURLConnection) uri.toURL().openConnection();
             call.setRequestProperty("Request-Id", "by-hand");
             call.setRequestProperty("Request-Class", "consulta-saldo");
--- a/src/test/java/gatefront/rehearsal/RegistryRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/RegistryRehearsalTest.java
@@ -35,7 +35,8 @@
     @Test
     void theSameSeedGivesTheSameReport() throws Exception {
         Plan plan = PlanReader.builtIn("registry").withSeconds(15);
-        assertEquals(new String(Report.bytes(new Rehearsal(plan, 3).play())),
-            new String(Report.bytes(new Rehearsal(plan, 3).play())));
+        assertEquals(
+                new String(Report.bytes(new Rehearsal(plan, 3).play())),
+                new String(Report.bytes(new Rehearsal(plan, 3).play())));
     }
 }
--- a/src/test/java/gatefront/rehearsal/RehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/RehearsalTest.java
@@ -34,8 +34,13 @@
     /** Guards against identity hash codes, salted orders, heap sizes and core counts that find their way in. */
     @Test
     void jvmsWithOtherHeapsAndCoresGiveTheSameBytes() throws Exception {
-        Path small = other("-Xmx96m", "-XX:ActiveProcessorCount=1", "-XX:+UseSerialGC", "-Duser.language=es",
-            "-Duser.country=MX", "-XX:hashCode=2");
+        Path small = other(
+                "-Xmx96m",
+                "-XX:ActiveProcessorCount=1",
+                "-XX:+UseSerialGC",
+                "-Duser.language=es",
+                "-Duser.country=MX",
+                "-XX:hashCode=2");
         Path large = other("-Xmx600m", "-XX:ActiveProcessorCount=8", "-XX:TieredStopAtLevel=1");
         byte[] bytes = Files.readAllBytes(small.resolve("report.json"));
         assertTrue(bytes.length > 1000);
@@ -45,16 +50,27 @@
 
     private Path other(String... options) throws Exception {
         Path folder = dir.resolve("report" + options[0]);
-        List<String> command = new java.util.ArrayList<>(List.of(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString()));
+        List<String> command = new java.util.ArrayList<>(
+                List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
         command.addAll(List.of(options));
-        command.addAll(List.of("-XX:+UnlockExperimentalVMOptions", "-cp", System.getProperty("java.class.path"),
-            "gatefront.cli.Main", "rehearse", "rough", "--seed", "5", "--report", folder.toString()));
+        command.addAll(List.of(
+                "-XX:+UnlockExperimentalVMOptions",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "gatefront.cli.Main",
+                "rehearse",
+                "rough",
+                "--seed",
+                "5",
+                "--report",
+                folder.toString()));
         if (command.remove("-XX:hashCode=2")) {
             command.add(command.indexOf("-cp"), "-XX:hashCode=2");
         }
-        Process process = new ProcessBuilder(command).redirectErrorStream(true)
-            .redirectOutput(dir.resolve("out" + options[0]).toFile()).start();
+        Process process = new ProcessBuilder(command)
+                .redirectErrorStream(true)
+                .redirectOutput(dir.resolve("out" + options[0]).toFile())
+                .start();
         assertTrue(process.waitFor(120, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue(), Files.readString(dir.resolve("out" + options[0])));
         return folder;
@@ -77,7 +93,7 @@
 
     @Test
     void seedsAreSummedUpInTheirOrder() throws Exception {
-        Seeds.Summary summary = Seeds.play(rough(12), 1, 6, done -> { }, broken -> { });
+        Seeds.Summary summary = Seeds.play(rough(12), 1, 6, done -> {}, broken -> {});
         assertEquals(6, summary.played());
         assertEquals(0, summary.broken(), summary.text());
         Outcome third = new Rehearsal(rough(12), 3).play();
--- a/src/test/java/gatefront/rehearsal/ThriftRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/ThriftRehearsalTest.java
@@ -29,7 +29,9 @@
         Plan plan = PlanReader.builtIn("rough").withProtocol("framed-compact");
         for (int seed = 1; seed <= 6; seed++) {
             Outcome outcome = new Rehearsal(plan, seed).play();
-            assertTrue(outcome.breaches().isEmpty(), () -> outcome.breaches().get(0).toString());
+            assertTrue(
+                    outcome.breaches().isEmpty(),
+                    () -> outcome.breaches().get(0).toString());
         }
         assertArrayEquals(Report.bytes(new Rehearsal(plan, 3).play()), Report.bytes(new Rehearsal(plan, 3).play()));
         Plan again = PlanReader.parse("again", PlanWriter.text(plan));
--- a/src/test/java/gatefront/rehearsal/check/RuleCheckerTest.java
+++ b/src/test/java/gatefront/rehearsal/check/RuleCheckerTest.java
@@ -18,11 +18,13 @@
     private static final int ALL = 2;
     private static final int UNSAFE = 3;
 
-    private final RuleChecker checker = new RuleChecker(new RuleChecker.Limits(20_000, 500_000, 1_000), List.of(
-        new RuleChecker.Kind("safe", Semantics.SAFE, Scope.ALL, 0),
-        new RuleChecker.Kind("zone", Semantics.KEYED, Scope.ZONE, 4_000_000),
-        new RuleChecker.Kind("all", Semantics.KEYED, Scope.ALL, 2_000_000),
-        new RuleChecker.Kind("unsafe", Semantics.UNSAFE, Scope.ALL, 0)));
+    private final RuleChecker checker = new RuleChecker(
+            new RuleChecker.Limits(20_000, 500_000, 1_000),
+            List.of(
+                    new RuleChecker.Kind("safe", Semantics.SAFE, Scope.ALL, 0),
+                    new RuleChecker.Kind("zone", Semantics.KEYED, Scope.ZONE, 4_000_000),
+                    new RuleChecker.Kind("all", Semantics.KEYED, Scope.ALL, 2_000_000),
+                    new RuleChecker.Kind("unsafe", Semantics.UNSAFE, Scope.ALL, 0)));
 
     private void taken(int kind) {
         checker.taken(0, "r", kind, 0, 1_000_000);
@@ -46,7 +48,9 @@
     private void broken(Rule rule, String what) {
         assertEquals(1, checker.count(), checker.breaches().toString());
         assertEquals(rule, checker.breaches().get(0).rule());
-        assertTrue(checker.breaches().get(0).what().contains(what), checker.breaches().get(0).what());
+        assertTrue(
+                checker.breaches().get(0).what().contains(what),
+                checker.breaches().get(0).what());
     }
 
     @Test
@@ -67,8 +71,9 @@
         checker.answered(100_000, "r", 200, "body");
         broken(Rule.ONE_ANSWER, "what no nodo made");
         assertEquals("r", checker.breaches().get(0).request());
-        assertEquals(List.of("0.000000 taken by agent-1, safe", "0.100000 answered 200"),
-            checker.breaches().get(0).history());
+        assertEquals(
+                List.of("0.000000 taken by agent-1, safe", "0.100000 answered 200"),
+                checker.breaches().get(0).history());
     }
 
     @Test
@@ -251,8 +256,9 @@
         sent(10, 0, 0);
         checker.close(5_000_000);
         assertEquals(2, checker.count());
-        assertEquals(List.of(Rule.ONE_ANSWER, Rule.NOTHING_LEFT),
-            checker.breaches().stream().map(RuleChecker.Breach::rule).toList());
+        assertEquals(
+                List.of(Rule.ONE_ANSWER, Rule.NOTHING_LEFT),
+                checker.breaches().stream().map(RuleChecker.Breach::rule).toList());
     }
 
     @Test
--- a/src/test/java/gatefront/rehearsal/net/NetworkTest.java
+++ b/src/test/java/gatefront/rehearsal/net/NetworkTest.java
@@ -47,8 +47,8 @@
     }
 
     private Host host(String name, int last) throws Exception {
-        return network.host(name, InetAddress.getByAddress(new byte[] {127, 0, 0, (byte) last}), 0, 1 << 20,
-            line -> { });
+        return network.host(
+                name, InetAddress.getByAddress(new byte[] {127, 0, 0, (byte) last}), 0, 1 << 20, line -> {});
     }
 
     /** Notes with the time in milliseconds what a channel's handler hears. */
@@ -71,8 +71,8 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             ByteBuf bytes = (ByteBuf) message;
-            note("read " + (bytes.readableBytes() < 20 ? bytes.toString(StandardCharsets.US_ASCII)
-                : bytes.readableBytes()));
+            note("read "
+                    + (bytes.readableBytes() < 20 ? bytes.toString(StandardCharsets.US_ASCII) : bytes.readableBytes()));
             bytes.release();
         }
 
@@ -93,22 +93,29 @@
     }
 
     private void listen(boolean halfClosure) {
-        new ServerBootstrap().group(there.loop()).channelFactory(there.listeners())
-            .childOption(ChannelOption.ALLOW_HALF_CLOSURE, halfClosure)
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel ch) {
-                    accepted = ch;
-                    ch.pipeline().addLast(new Notes("server"));
-                }
-            }).bind(there.at(80));
+        new ServerBootstrap()
+                .group(there.loop())
+                .channelFactory(there.listeners())
+                .childOption(ChannelOption.ALLOW_HALF_CLOSURE, halfClosure)
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel ch) {
+                        accepted = ch;
+                        ch.pipeline().addLast(new Notes("server"));
+                    }
+                })
+                .bind(there.at(80));
         run(0);
     }
 
     private ChannelFuture dial() {
-        return new Bootstrap().group(here.loop()).channelFactory(here.dialers())
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 2000).option(ChannelOption.TCP_NODELAY, true)
-            .handler(new Notes("client")).connect(there.at(80));
+        return new Bootstrap()
+                .group(here.loop())
+                .channelFactory(here.dialers())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 2000)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .handler(new Notes("client"))
+                .connect(there.at(80));
     }
 
     private Channel connect(boolean halfClosure) {
@@ -139,8 +146,9 @@
         client.writeAndFlush(bytes("b"));
         accepted.writeAndFlush(bytes("c"));
         run(20);
-        assertEquals(List.of("11 client read c", "11 server read a", "11 server read b"),
-            heard.stream().sorted().toList());
+        assertEquals(
+                List.of("11 client read c", "11 server read a", "11 server read b"),
+                heard.stream().sorted().toList());
     }
 
     @Test
@@ -255,7 +263,8 @@
         accepted.config().setAutoRead(true);
         run(1000);
         assertTrue(client.isWritable());
-        assertEquals(64, heard.stream().filter(each -> each.contains("read 8192")).count());
+        assertEquals(
+                64, heard.stream().filter(each -> each.contains("read 8192")).count());
     }
 
     @Test
@@ -276,20 +285,37 @@
     @Test
     void eventsOfOneInstantRunInTheDocumentedOrder() {
         there.loop().schedule(() -> heard.add("there a"), 5, TimeUnit.MILLISECONDS);
-        here.loop().schedule(() -> {
-            heard.add("here a");
-            here.loop().execute(() -> heard.add("here, made now"));
-            there.loop().execute(() -> heard.add("there, given now"));
-        }, 5, TimeUnit.MILLISECONDS);
+        here.loop()
+                .schedule(
+                        () -> {
+                            heard.add("here a");
+                            here.loop().execute(() -> heard.add("here, made now"));
+                            there.loop().execute(() -> heard.add("there, given now"));
+                        },
+                        5,
+                        TimeUnit.MILLISECONDS);
         here.loop().schedule(() -> heard.add("here b"), 5, TimeUnit.MILLISECONDS);
-        there.loop().schedule(() -> {
-            heard.add("there b");
-            here.loop().execute(() -> heard.add("here, given now"));
-        }, 5, TimeUnit.MILLISECONDS);
+        there.loop()
+                .schedule(
+                        () -> {
+                            heard.add("there b");
+                            here.loop().execute(() -> heard.add("here, given now"));
+                        },
+                        5,
+                        TimeUnit.MILLISECONDS);
         here.loop().schedule(() -> heard.add("here earlier"), 4, TimeUnit.MILLISECONDS);
         run(10);
-        assertEquals(List.of("here earlier", "here a", "here b", "here, made now", "there, given now", "there a",
-            "there b", "here, given now"), heard);
+        assertEquals(
+                List.of(
+                        "here earlier",
+                        "here a",
+                        "here b",
+                        "here, made now",
+                        "there, given now",
+                        "there a",
+                        "there b",
+                        "here, given now"),
+                heard);
     }
 
     @Test
@@ -306,13 +332,14 @@
     void tasksThatMakeTasksForNowAreFound() {
         assertTimeoutPreemptively(Duration.ofSeconds(60), () -> {
             VirtualTime own = new VirtualTime(); // loops belong to the thread that made their clock
-            Host host = new Network(own, 0, (from, to, bytes) -> MS).host("here", InetAddress.getLoopbackAddress(), 0,
-                1 << 20, line -> { });
+            Host host = new Network(own, 0, (from, to, bytes) -> MS)
+                    .host("here", InetAddress.getLoopbackAddress(), 0, 1 << 20, line -> {});
             own.run(10 * MS);
             Runnable[] again = new Runnable[1];
             again[0] = () -> host.loop().schedule(again[0], 0, TimeUnit.NANOSECONDS);
             again[0].run();
-            String said = assertThrows(VirtualTime.LivelockException.class, () -> own.run(20 * MS)).getMessage();
+            String said = assertThrows(VirtualTime.LivelockException.class, () -> own.run(20 * MS))
+                    .getMessage();
             assertTrue(said.contains("here") && said.contains("0.010000 s"), said);
         });
     }
--- a/src/test/java/gatefront/rehearsal/processes/ProcessPartsTest.java
+++ b/src/test/java/gatefront/rehearsal/processes/ProcessPartsTest.java
@@ -42,7 +42,11 @@
         Folders.copy(dir.resolve("a"), dir.resolve("b"));
         Folders.flip(dir.resolve("a"), 1234);
         byte[] flipped = Files.readAllBytes(file);
-        assertEquals(1, java.util.stream.IntStream.range(0, 100).filter(i -> flipped[i] != 0).count());
+        assertEquals(
+                1,
+                java.util.stream.IntStream.range(0, 100)
+                        .filter(i -> flipped[i] != 0)
+                        .count());
         Folders.tear(dir.resolve("a"));
         assertEquals(75, Files.size(file));
         assertArrayEquals(new byte[100], Files.readAllBytes(dir.resolve("b/inner/f")));
@@ -125,7 +129,8 @@
     @Test
     void builtInPlansAreReadAtTheirSizeAndSmaller() throws TomlException {
         for (String each : ProcessPlanReader.BUILT_IN) {
-            assertEquals(24, ProcessPlanReader.builtIn(each, null).day().agents().count());
+            assertEquals(
+                    24, ProcessPlanReader.builtIn(each, null).day().agents().count());
             ProcessPlan small = ProcessPlanReader.builtIn(each, 14);
             assertEquals(14, small.day().nodos().count());
             assertTrue(small.firstFault() > 0);
@@ -135,10 +140,13 @@
 
     @Test
     void whatIsWrongWithAPlanIsOneLineAndItsPlace() {
-        assertEquals("p:6: faults.0.state: goes with kind = \"kill\": a folder is changed while its process is dead",
-            wrong("kind = \"term\"\nat_s = 1\nstate = \"wiped\"\n"));
-        assertEquals("p:4: faults.0.kind: \"kil\" is none of kill, term, stop, crash-loop, cut, delay, throttle, "
-            + "reset, half-open, out, back; is \"kill\" meant?", wrong("kind = \"kil\"\nat_s = 1\n"));
+        assertEquals(
+                "p:6: faults.0.state: goes with kind = \"kill\": a folder is changed while its process is dead",
+                wrong("kind = \"term\"\nat_s = 1\nstate = \"wiped\"\n"));
+        assertEquals(
+                "p:4: faults.0.kind: \"kil\" is none of kill, term, stop, crash-loop, cut, delay, throttle, "
+                        + "reset, half-open, out, back; is \"kill\" meant?",
+                wrong("kind = \"kil\"\nat_s = 1\n"));
         assertTrue(wrong("kind = \"out\"\nat_s = 1\n").contains("says who is taken out"));
         assertTrue(wrong("kind = \"kill\"\nat_s = 1\nnodos = [\"nodo-1\"]\n").contains("means nothing for kill"));
         assertTrue(wrong("kind = \"cut\"\nat_s = 1\n").contains("says which links"));
@@ -146,11 +154,13 @@
         assertTrue(wrong("kind = \"kill\"\nat_s = 1\nstate = \"older\"\n").contains("saved_s"));
         assertTrue(wrong("kind = \"kill\"\nat_s = 1\nnames = [\"agent-99\"]\n").contains("agent-1 to agent-24"));
         assertTrue(wrong("kind = \"kill\"\nat_s = 1\n[[world]]\nkind = \"agent-kill\"\nat_s = 1\n")
-            .contains("not of the world"));
+                .contains("not of the world"));
     }
 
     private static String wrong(String fault) {
-        return assertThrows(TomlException.class, () -> ProcessPlanReader.parse("p",
-            "name = \"p\"\nseconds = 10\n[[faults]]\n" + fault, null)).getMessage();
+        return assertThrows(
+                        TomlException.class,
+                        () -> ProcessPlanReader.parse("p", "name = \"p\"\nseconds = 10\n[[faults]]\n" + fault, null))
+                .getMessage();
     }
 }
--- a/src/test/java/gatefront/rehearsal/processes/RelayTest.java
+++ b/src/test/java/gatefront/rehearsal/processes/RelayTest.java
@@ -51,7 +51,7 @@
     /** Shapes it, and waits until the loop has heard: what is read in the same turn would come before. */
     private void shape(Way way, Shape shape) throws InterruptedException {
         relay.shape(way, shape);
-        group.next().submit(() -> { }).sync();
+        group.next().submit(() -> {}).sync();
     }
 
     @AfterEach
--- a/src/test/java/gatefront/rehearsal/world/WorldTest.java
+++ b/src/test/java/gatefront/rehearsal/world/WorldTest.java
@@ -16,7 +16,7 @@
 class WorldTest {
     private static final NodoModel.Warmth COLD = new NodoModel.Warmth(0.1, 10_000_000);
     private static final NodoModel.Machine TWO_CORES =
-        new NodoModel.Machine(2, 1, 3, 2, 0.5, 1, COLD, COLD, 3, 1_000_000);
+            new NodoModel.Machine(2, 1, 3, 2, 0.5, 1, COLD, COLD, 3, 1_000_000);
     private final Draw draw = new Draw(1, "test");
 
     private NodoModel warm() {
@@ -25,12 +25,13 @@
 
     @Test
     void aNodoThatWarmsUpSoonerThanStatedIsMeasuredByWhatIsStated() {
-        NodoModel.Machine machine = new NodoModel.Machine(2, 1, 3, 100, 0, 1, new NodoModel.Warmth(0.5, 2_000_000), COLD,
-            3, 1_000_000);
+        NodoModel.Machine machine =
+                new NodoModel.Machine(2, 1, 3, 100, 0, 1, new NodoModel.Warmth(0.5, 2_000_000), COLD, 3, 1_000_000);
         NodoModel model = new NodoModel(machine, draw, 0, true);
         assertEquals(2 * 0.5, model.capacity(0), 1e-9);
         model.arrive(0, 1, 300_000, 0);
-        assertEquals(300_000 / (3 * 2 * 0.1 * 1_000_000), model.pressed(), 1e-9, "of what topples it by what is stated");
+        assertEquals(
+                300_000 / (3 * 2 * 0.1 * 1_000_000), model.pressed(), 1e-9, "of what topples it by what is stated");
         assertEquals(300_000, model.coldSent(), 1e-9);
         model.advance(1_000_000);
         assertEquals(1_250_000, model.coldBorne(), 20_000, "from 1.0 to 1.5 cores in a second");
@@ -145,10 +146,8 @@
         assertNotEquals(Patience.NEVER, patience.again(0, 1, Fate.FAILED, Repeat.SAFE, 0, 9_000_000, 0));
         assertEquals(Patience.NEVER, patience.again(0, 1, Fate.FAILED, Repeat.CAREFUL, 0, 9_000_000, 0));
         assertNotEquals(Patience.NEVER, patience.again(0, 1, Fate.REFUSED, Repeat.CAREFUL, 0, 9_000_000, 0));
-        assertEquals(Patience.NEVER,
-            patience.again(5, 1, Fate.TIMED_OUT, Repeat.KEYED_EVERYWHERE, 5, 9_000_000, 0));
-        assertNotEquals(Patience.NEVER,
-            patience.again(4, 1, Fate.TIMED_OUT, Repeat.KEYED_EVERYWHERE, 5, 9_000_000, 0));
+        assertEquals(Patience.NEVER, patience.again(5, 1, Fate.TIMED_OUT, Repeat.KEYED_EVERYWHERE, 5, 9_000_000, 0));
+        assertNotEquals(Patience.NEVER, patience.again(4, 1, Fate.TIMED_OUT, Repeat.KEYED_EVERYWHERE, 5, 9_000_000, 0));
         assertEquals(Patience.NEVER, patience.again(0, 3, Fate.REFUSED, Repeat.SAFE, 0, 9_000_000, 0), "two at most");
         assertTrue(patience.again(0, 1, Fate.REFUSED, Repeat.SAFE, 0, 9_000_000, 700_000) >= 700_000);
         assertEquals(Patience.NEVER, patience.again(0, 1, Fate.REFUSED, Repeat.SAFE, 0, 600_000, 700_000));
@@ -165,7 +164,9 @@
         padron.put("nodo-2", Padron.Status.READY); // unknown: nothing to say
         Padron.Listing news = padron.since(before);
         assertFalse(news.whole());
-        assertEquals(List.of(Padron.Status.GONE), news.entries().stream().map(Padron.Entry::status).toList());
+        assertEquals(
+                List.of(Padron.Status.GONE),
+                news.entries().stream().map(Padron.Entry::status).toList());
         assertEquals(List.of(), padron.whole().entries());
         for (int i = 0; i <= Padron.KEPT; i++) {
             padron.put(entry);
@@ -180,10 +181,22 @@
         int[] came = new int[3];
         int b = 0;
         double work = 0;
-        Demand demand = new Demand(new Draw(5, "d"), 200, kinds, new double[] {1, 1}, new double[] {2, 1}, 0.4,
-            List.of(new Demand.Jump(10_000_000, 20_000_000, 2)));
-        Demand same = new Demand(new Draw(5, "d"), 200, kinds, new double[] {1, 1}, new double[] {2, 1}, 0.4,
-            List.of(new Demand.Jump(10_000_000, 20_000_000, 2)));
+        Demand demand = new Demand(
+                new Draw(5, "d"),
+                200,
+                kinds,
+                new double[] {1, 1},
+                new double[] {2, 1},
+                0.4,
+                List.of(new Demand.Jump(10_000_000, 20_000_000, 2)));
+        Demand same = new Demand(
+                new Draw(5, "d"),
+                200,
+                kinds,
+                new double[] {1, 1},
+                new double[] {2, 1},
+                0.4,
+                List.of(new Demand.Jump(10_000_000, 20_000_000, 2)));
         for (Demand.Want want = demand.next(); want.at() < 30_000_000; want = demand.next()) {
             assertEquals(want, same.next());
             came[(int) (want.at() / 10_000_000)]++;
--- a/src/test/java/gatefront/storage/MemoryDisk.java
+++ b/src/test/java/gatefront/storage/MemoryDisk.java
@@ -22,7 +22,14 @@
     private static final int PAGE = 64;
 
     /** What a step is asked to do instead of what it should. */
-    enum Fault { NONE, POWER, WRITE_FAILS, HALF_WRITTEN, SYNC_FAILS, FULL }
+    enum Fault {
+        NONE,
+        POWER,
+        WRITE_FAILS,
+        HALF_WRITTEN,
+        SYNC_FAILS,
+        FULL
+    }
 
     /** The machine has lost its power. */
     static final class PowerException extends IOException {
@@ -59,7 +66,7 @@
     }
 
     /** Something done to names since they were forced. */
-    private record Deed(String from, String to, Data data) { }
+    private record Deed(String from, String to, Data data) {}
 
     private Map<String, Data> names = new HashMap<>();
     private Map<String, Data> forcedNames = new HashMap<>();
@@ -71,6 +78,7 @@
     int steps;
     /** The step at which something goes wrong, and what. */
     int faultAt = -1;
+
     Fault fault = Fault.NONE;
     /** While set, nothing that takes room goes well. */
     boolean full;
@@ -257,6 +265,6 @@
         }
 
         @Override
-        public void close() { }
+        public void close() {}
     }
 }
--- a/src/test/java/gatefront/storage/StoreCrashTest.java
+++ b/src/test/java/gatefront/storage/StoreCrashTest.java
@@ -42,6 +42,7 @@
         final TreeMap<Long, String> unsure = new TreeMap<>();
         /** Told to be lost; a crash before the store has written again may bring them back. */
         final TreeMap<Long, String> doubted = new TreeMap<>();
+
         int made;
     }
 
@@ -170,8 +171,12 @@
         check(model, held);
         Verify verify = Verify.of(disk, options(seed).keys(), Replay.NOBODY);
         assertEquals(null, verify.damage());
-        assertEquals(held.all.size(), verify.records() + (verify.snapshot() == 0 ? 0 : held.all.headMap(
-            verify.snapshot()).size()));
+        assertEquals(
+                held.all.size(),
+                verify.records()
+                        + (verify.snapshot() == 0
+                                ? 0
+                                : held.all.headMap(verify.snapshot()).size()));
     }
 
     @Test
--- a/src/test/java/gatefront/storage/StoreTest.java
+++ b/src/test/java/gatefront/storage/StoreTest.java
@@ -26,8 +26,10 @@
 class StoreTest {
     private static final String FIRST = "1 " + "0a".repeat(32) + "\n";
     private static final String BOTH = FIRST + "# newer\n2 " + "0b".repeat(32) + "\n";
+
     @TempDir
     private Path folder;
+
     private final MemoryDisk disk = new MemoryDisk(1);
     private final List<String> held = new ArrayList<>();
     private final Replay replay = new Replay() {
@@ -90,12 +92,14 @@
                     disk.flip(name, at, bit);
                     Verify verify = Verify.of(disk, options(keys, 1, 1).keys(), Replay.NOBODY);
                     assertFalse(verify.clean(), name + " at " + at);
-                    assertTrue(verify.damage() == null || verify.damage().file().equals(name)
-                        || at < Head.BYTES, () -> name + ": " + verify.damage());
+                    assertTrue(
+                            verify.damage() == null || verify.damage().file().equals(name) || at < Head.BYTES,
+                            () -> name + ": " + verify.damage());
                     disk.flip(name, at, bit);
                 }
             }
-            assertTrue(Verify.of(disk, options(keys, 1, 1).keys(), Replay.NOBODY).clean());
+            assertTrue(
+                    Verify.of(disk, options(keys, 1, 1).keys(), Replay.NOBODY).clean());
             for (String name : disk.names()) {
                 disk.delete(name);
             }
@@ -105,8 +109,11 @@
     @Test
     void aStoreWithDamageIsNotOpenedAndNotChanged() throws IOException {
         fill(null);
-        String last = Scan.segmentName(disk.names().stream().filter(each -> each.endsWith(".log"))
-            .mapToLong(each -> Long.parseLong(each.substring(0, 16), 16)).max().orElseThrow());
+        String last = Scan.segmentName(disk.names().stream()
+                .filter(each -> each.endsWith(".log"))
+                .mapToLong(each -> Long.parseLong(each.substring(0, 16), 16))
+                .max()
+                .orElseThrow());
         disk.flip(last, Head.BYTES + 70, 1);
         int before = disk.steps;
         DamageException e = assertThrows(DamageException.class, () -> Store.open(disk, Store.Options.USUAL, replay));
@@ -119,7 +126,10 @@
     @Test
     void filesThatAreMissingAreNamed() throws IOException {
         fill(null);
-        List<String> logs = disk.names().stream().filter(each -> each.endsWith(".log")).sorted().toList();
+        List<String> logs = disk.names().stream()
+                .filter(each -> each.endsWith(".log"))
+                .sorted()
+                .toList();
         assertTrue(logs.size() >= 3);
         for (int i = 0; i < logs.size(); i++) {
             Disk.File file = disk.open(logs.get(i));
@@ -162,8 +172,8 @@
         Store.open(disk, Store.Options.USUAL, replay).close();
         FolderDisk real = new FolderDisk(folder.resolve("s"));
         Store held = Store.open(real, Store.Options.USUAL, replay);
-        assertThrows(IOException.class, () -> Store.open(new FolderDisk(folder.resolve("s")), Store.Options.USUAL,
-            replay));
+        assertThrows(
+                IOException.class, () -> Store.open(new FolderDisk(folder.resolve("s")), Store.Options.USUAL, replay));
         held.close();
     }
 
@@ -227,7 +237,8 @@
     void whatAnotherKeySignedOrNoneIsNotRead() throws IOException {
         fill(FIRST);
         assertNotNull(Verify.of(disk, Keys.NONE, replay).damage());
-        assertNotNull(Verify.of(disk, Keys.parse("k", "1 " + "0c".repeat(32) + "\n"), replay).damage());
+        assertNotNull(Verify.of(disk, Keys.parse("k", "1 " + "0c".repeat(32) + "\n"), replay)
+                .damage());
         assertNull(Verify.of(disk, Keys.parse("k", BOTH), replay).damage());
     }
 
@@ -240,10 +251,9 @@
         Scan scan = new Scan(disk, Keys.parse("keys", FIRST), replay).run();
         Chain forged = new Chain(Keys.NONE);
         forged.begin(scan.certain().last());
-        disk.create(Scan.segmentName(2)).write(0, Head.write(Head.Kind.SEGMENT, 2, scan.durableNext, scan.durable,
-            forged));
-        IOException e = assertThrows(IOException.class,
-            () -> Store.open(disk, options(FIRST, 1_000, 1 << 20), replay));
+        disk.create(Scan.segmentName(2))
+                .write(0, Head.write(Head.Kind.SEGMENT, 2, scan.durableNext, scan.durable, forged));
+        IOException e = assertThrows(IOException.class, () -> Store.open(disk, options(FIRST, 1_000, 1 << 20), replay));
         assertEquals(Scan.segmentName(2) + " at 72: its head is not signed, and what is before it is", e.getMessage());
     }
 
@@ -258,8 +268,7 @@
     void keysChangeWithoutAGapAndTheOldOneIsNeededUntilASnapshot() throws IOException {
         Store store = Store.open(disk, options(FIRST, 1_000, 1 << 20), replay);
         store.append(group("old"), true);
-        assertThrows(IllegalArgumentException.class,
-            () -> store.keys(Keys.parse("k", "2 " + "0b".repeat(32) + "\n")));
+        assertThrows(IllegalArgumentException.class, () -> store.keys(Keys.parse("k", "2 " + "0b".repeat(32) + "\n")));
         store.keys(Keys.parse("k", BOTH));
         store.append(group("new"), true);
         Keys onlyNew = Keys.parse("k", "2 " + "0b".repeat(32) + "\n");
@@ -273,8 +282,16 @@
 
     @Test
     void aKeyFileIsRefusedInOneLineThatShowsNoKey() throws IOException {
-        for (String wrong : List.of("", "1 0a0b\n", "0 " + "0a".repeat(32) + "\n", FIRST + FIRST, FIRST + "2 zz\n",
-                FIRST + "2 0a", "# nothing\n", "1\n", "1 " + "0a".repeat(300) + "\n")) {
+        for (String wrong : List.of(
+                "",
+                "1 0a0b\n",
+                "0 " + "0a".repeat(32) + "\n",
+                FIRST + FIRST,
+                FIRST + "2 zz\n",
+                FIRST + "2 0a",
+                "# nothing\n",
+                "1\n",
+                "1 " + "0a".repeat(300) + "\n")) {
             IOException e = assertThrows(IOException.class, () -> Keys.parse("file", wrong), wrong);
             assertFalse(e.getMessage().contains("0a") || e.getMessage().contains("\n"), e.getMessage());
         }
@@ -288,8 +305,11 @@
 
     @Test
     void oneWhoFailsWhenToldLeavesTheOthersTheirAnswer() throws Exception {
-        GroupCommit commit = new GroupCommit(Store.open(disk, Store.Options.USUAL, replay),
-            new GroupCommit.Settings(GroupCommit.Policy.GROUP, 500, 64, 16), System::nanoTime, "writer");
+        GroupCommit commit = new GroupCommit(
+                Store.open(disk, Store.Options.USUAL, replay),
+                new GroupCommit.Settings(GroupCommit.Policy.GROUP, 500, 64, 16),
+                System::nanoTime,
+                "writer");
         assertThrows(IllegalArgumentException.class, () -> commit.offer(new byte[Frame.BODY_MOST], null));
         AtomicInteger kept = new AtomicInteger();
         commit.run(its -> {
@@ -316,8 +336,8 @@
     @Test
     void aThreadWritesForThoseWhoMayNotWaitAndAFullQueueTurnsAway() throws Exception {
         Store store = Store.open(new FolderDisk(folder.resolve("g")), Store.Options.USUAL, replay);
-        GroupCommit commit = new GroupCommit(store, new GroupCommit.Settings(GroupCommit.Policy.GROUP, 500, 64, 16),
-            System::nanoTime, "writer");
+        GroupCommit commit = new GroupCommit(
+                store, new GroupCommit.Settings(GroupCommit.Policy.GROUP, 500, 64, 16), System::nanoTime, "writer");
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch begun = new CountDownLatch(1);
         assertTrue(commit.run(its -> {
@@ -353,7 +373,8 @@
         assertEquals(16, kept.get());
         assertEquals(List.of(0L, 1L, 2L, 3L), numbers.subList(0, 4));
         assertFalse(commit.offer(new byte[1], null), "it has ended");
-        Store.open(new FolderDisk(folder.resolve("g")), Store.Options.USUAL, replay).close();
+        Store.open(new FolderDisk(folder.resolve("g")), Store.Options.USUAL, replay)
+                .close();
         assertEquals(16, this.held.size());
         assertEquals("15r15", this.held.get(15));
     }
--- a/src/test/java/gatefront/thrift/MetadataTest.java
+++ b/src/test/java/gatefront/thrift/MetadataTest.java
@@ -18,15 +18,30 @@
     }
 
     private static StructWriter usual(Encoding encoding, long timeoutMs) {
-        return new StructWriter(encoding).string(1, "r-1").i64(2, timeoutMs).string(3, "etla").string(4, "casa")
-            .i64(5, 700).bool(6, true).string(7, "k-1");
+        return new StructWriter(encoding)
+                .string(1, "r-1")
+                .i64(2, timeoutMs)
+                .string(3, "etla")
+                .string(4, "casa")
+                .i64(5, 700)
+                .bool(6, true)
+                .string(7, "k-1");
     }
 
     @Test
     void allFieldsAreReadAndThoseOfLaterVersionsPassedOver() {
         for (Encoding encoding : Encoding.values()) {
-            byte[] metadata = usual(encoding, 250).string(60, "later").struct(61, new StructWriter(encoding).end()).end();
-            Metadata data = of(encoding, new StructWriter(encoding).struct(1, metadata).i32(2, 5).end()).metadata();
+            byte[] metadata = usual(encoding, 250)
+                    .string(60, "later")
+                    .struct(61, new StructWriter(encoding).end())
+                    .end();
+            Metadata data = of(
+                            encoding,
+                            new StructWriter(encoding)
+                                    .struct(1, metadata)
+                                    .i32(2, 5)
+                                    .end())
+                    .metadata();
             assertEquals("r-1", data.requestId);
             assertEquals(250, data.timeoutMs);
             assertEquals("etla", data.tenant);
@@ -42,30 +57,84 @@
     void whatComesTwiceOrAsAnotherTypeOrNotAtAllHasAReason() {
         for (Encoding encoding : Encoding.values()) {
             byte[] metadata = usual(encoding, 250).end();
-            assertEquals("argument 1 comes twice",
-                of(encoding, new StructWriter(encoding).struct(1, metadata).i32(2, 5).struct(1, metadata).end()).wrong());
-            assertEquals("metadata field 1 comes twice", of(encoding, new StructWriter(encoding).struct(1,
-                usual(encoding, 250).string(1, "r-2").end()).end()).wrong());
-            assertEquals("metadata field 2 has another type", of(encoding, new StructWriter(encoding).struct(1,
-                new StructWriter(encoding).string(1, "r-1").string(2, "250").end()).end()).wrong());
-            assertEquals("metadata field 7 has another type", of(encoding, new StructWriter(encoding).struct(1,
-                new StructWriter(encoding).string(1, "r-1").i64(7, 1).end()).end()).wrong());
-            assertEquals("argument 1 is not the metadata struct",
-                of(encoding, new StructWriter(encoding).string(1, "r-1").end()).wrong());
-            assertEquals("argument 1, the metadata, is missing",
-                of(encoding, new StructWriter(encoding).struct(2, metadata).end()).wrong());
+            assertEquals(
+                    "argument 1 comes twice",
+                    of(
+                                    encoding,
+                                    new StructWriter(encoding)
+                                            .struct(1, metadata)
+                                            .i32(2, 5)
+                                            .struct(1, metadata)
+                                            .end())
+                            .wrong());
+            assertEquals(
+                    "metadata field 1 comes twice",
+                    of(
+                                    encoding,
+                                    new StructWriter(encoding)
+                                            .struct(
+                                                    1,
+                                                    usual(encoding, 250)
+                                                            .string(1, "r-2")
+                                                            .end())
+                                            .end())
+                            .wrong());
+            assertEquals(
+                    "metadata field 2 has another type",
+                    of(
+                                    encoding,
+                                    new StructWriter(encoding)
+                                            .struct(
+                                                    1,
+                                                    new StructWriter(encoding)
+                                                            .string(1, "r-1")
+                                                            .string(2, "250")
+                                                            .end())
+                                            .end())
+                            .wrong());
+            assertEquals(
+                    "metadata field 7 has another type",
+                    of(
+                                    encoding,
+                                    new StructWriter(encoding)
+                                            .struct(
+                                                    1,
+                                                    new StructWriter(encoding)
+                                                            .string(1, "r-1")
+                                                            .i64(7, 1)
+                                                            .end())
+                                            .end())
+                            .wrong());
+            assertEquals(
+                    "argument 1 is not the metadata struct",
+                    of(encoding, new StructWriter(encoding).string(1, "r-1").end())
+                            .wrong());
+            assertEquals(
+                    "argument 1, the metadata, is missing",
+                    of(encoding, new StructWriter(encoding).struct(2, metadata).end())
+                            .wrong());
         }
     }
 
     /** Guards against a time that does not fit, which would be read as another. */
     @Test
     void aTimeThatDoesNotFitIsNotWritten() {
-        byte[] arguments = new StructWriter(Encoding.COMPACT).struct(1, usual(Encoding.COMPACT, 63).end()).end();
+        byte[] arguments = new StructWriter(Encoding.COMPACT)
+                .struct(1, usual(Encoding.COMPACT, 63).end())
+                .end();
         Message call = new Message(Encoding.COMPACT, new Header("m", Header.Type.CALL, 1), arguments);
         Metadata data = Metadata.of(call).metadata();
         assertEquals(1, data.timeoutBytes);
-        assertEquals(63, of(Encoding.COMPACT, new ThriftCall(call, data.timeoutAt, 1).body(64)).metadata().timeoutMs);
-        assertEquals(62, of(Encoding.COMPACT, new ThriftCall(call, data.timeoutAt, 1).body(62)).metadata().timeoutMs);
+        assertEquals(
+                63,
+                of(Encoding.COMPACT, new ThriftCall(call, data.timeoutAt, 1).body(64))
+                        .metadata()
+                        .timeoutMs);
+        assertEquals(
+                62,
+                of(Encoding.COMPACT, new ThriftCall(call, data.timeoutAt, 1).body(62))
+                        .metadata()
+                        .timeoutMs);
     }
 
     /** What is left of the time takes the place of what there was, and no other byte changes. */
@@ -76,7 +145,10 @@
             Encoding encoding = Encoding.values()[i % 3];
             long timeout = 1 + random.nextInt(1 << 1 + random.nextInt(21));
             long left = 1 + (long) (random.nextDouble() * timeout);
-            byte[] arguments = new StructWriter(encoding).struct(1, usual(encoding, timeout).end()).i32(2, 5).end();
+            byte[] arguments = new StructWriter(encoding)
+                    .struct(1, usual(encoding, timeout).end())
+                    .i32(2, 5)
+                    .end();
             Message call = new Message(encoding, new Header("m", Header.Type.CALL, 1), arguments);
             Metadata before = Metadata.of(call).metadata();
             byte[] sent = new ThriftCall(call, before.timeoutAt, before.timeoutBytes).body(left);
@@ -89,7 +161,11 @@
             }
             assertEquals("k-1", after.idempotencyKey);
         }
-        assertNull(of(Encoding.COMPACT, new StructWriter(Encoding.COMPACT)
-            .struct(1, usual(Encoding.COMPACT, 9).end()).end()).wrong());
+        assertNull(of(
+                        Encoding.COMPACT,
+                        new StructWriter(Encoding.COMPACT)
+                                .struct(1, usual(Encoding.COMPACT, 9).end())
+                                .end())
+                .wrong());
     }
 }
--- a/src/test/java/gatefront/thrift/ThriftUpstreamTest.java
+++ b/src/test/java/gatefront/thrift/ThriftUpstreamTest.java
@@ -33,16 +33,20 @@
 
         @Override
         protected PooledUpstream upstream(Transport transport, int port) {
-            return new ThriftUpstream(transport, Config.read(Path.of("src/test/resources/config.json")),
-                new ThriftSettings(null, null, port, form.framed(), true, Map.of()), 50,
-                new Budget(1 << 24, Map.of()));
+            return new ThriftUpstream(
+                    transport,
+                    Config.read(Path.of("src/test/resources/config.json")),
+                    new ThriftSettings(null, null, port, form.framed(), true, Map.of()),
+                    50,
+                    new Budget(1 << 24, Map.of()));
         }
 
         @Override
         protected Payload call() {
-            byte[] arguments = new StructWriter(form.encoding()).string(2, "cuerpo").end();
-            return new ThriftCall(new Message(form.encoding(), new Header("order", Header.Type.CALL, 5), arguments),
-                -1, 0);
+            byte[] arguments =
+                    new StructWriter(form.encoding()).string(2, "cuerpo").end();
+            return new ThriftCall(
+                    new Message(form.encoding(), new Header("order", Header.Type.CALL, 5), arguments), -1, 0);
         }
 
         @Override
@@ -53,11 +57,20 @@
         @Override
         protected byte[] reply(Object read) {
             Message call = (Message) read;
-            byte[] result = call.header().name().equals(Conventions.HEALTH) ? Results.health(call.encoding(), true)
-                : new StructWriter(call.encoding()).string(0, "hecho").end();
+            byte[] result = call.header().name().equals(Conventions.HEALTH)
+                    ? Results.health(call.encoding(), true)
+                    : new StructWriter(call.encoding()).string(0, "hecho").end();
             ByteBuf out = Unpooled.buffer();
-            MessageEncoder.write(new Message(call.encoding(), new Header(call.header().name(), Header.Type.REPLY,
-                call.header().seqid()), result), form.framed(), out);
+            MessageEncoder.write(
+                    new Message(
+                            call.encoding(),
+                            new Header(
+                                    call.header().name(),
+                                    Header.Type.REPLY,
+                                    call.header().seqid()),
+                            result),
+                    form.framed(),
+                    out);
             return ByteBufUtil.getBytes(out);
         }
     }
--- a/src/test/java/gatefront/thrift/codec/MessageDecoderTest.java
+++ b/src/test/java/gatefront/thrift/codec/MessageDecoderTest.java
@@ -19,7 +19,6 @@
 import org.apache.thrift.protocol.TMessage;
 import org.apache.thrift.protocol.TProtocol;
 import org.apache.thrift.protocol.TProtocolUtil;
-import org.apache.thrift.protocol.TStruct;
 import org.apache.thrift.protocol.TType;
 import org.apache.thrift.transport.TMemoryInputTransport;
 import org.junit.jupiter.api.Test;
@@ -101,13 +100,14 @@
             byte[] both = glued(first, second);
             List<Object> whole = decode(both);
             assertEquals(2, whole.size(), form + " " + whole);
-            int[] cuts = random.ints(random.nextInt(6), 0, both.length + 1).sorted().toArray();
+            int[] cuts =
+                    random.ints(random.nextInt(6), 0, both.length + 1).sorted().toArray();
             same(whole, decode(both, cuts));
             same(whole.subList(0, 1), decode(first));
             Message message = (Message) whole.get(0);
             assertTrue(first.length >= message.body().length);
-            assertArrayEquals(Arrays.copyOfRange(first, first.length - message.body().length, first.length),
-                message.body());
+            assertArrayEquals(
+                    Arrays.copyOfRange(first, first.length - message.body().length, first.length), message.body());
             ByteBuf again = Unpooled.buffer();
             MessageEncoder.write(message, form.framed(), again);
             byte[] written = new byte[again.readableBytes()];
@@ -145,8 +145,14 @@
     @Test
     void whatOurWriterWritesTheReferenceReads() throws Exception {
         for (Encoding encoding : Encoding.values()) {
-            byte[] inner = new StructWriter(encoding).string(1, "r-1").i64(40, -5).bool(41, true).bool(42, false).end();
-            byte[] body = new StructWriter(encoding).struct(1, inner).i32(2, -77).end();
+            byte[] inner = new StructWriter(encoding)
+                    .string(1, "r-1")
+                    .i64(40, -5)
+                    .bool(41, true)
+                    .bool(42, false)
+                    .end();
+            byte[] body =
+                    new StructWriter(encoding).struct(1, inner).i32(2, -77).end();
             ByteBuf out = Unpooled.buffer();
             MessageEncoder.write(new Message(encoding, new Header("saldo", Type.CALL, -3), body), false, out);
             TProtocol in = Samples.protocol(encoding, new TMemoryInputTransport(out.array(), 0, out.readableBytes()));
@@ -177,10 +183,11 @@
         Random random = new Random(11);
         for (int i = 0; i < 3000; i++) {
             Form form = Samples.FORMS[i % Samples.FORMS.length];
-            Message message = (Message) decode(Samples.withoutUuids(form, random)).get(0);
+            Message message =
+                    (Message) decode(Samples.withoutUuids(form, random)).get(0);
             StructReader reader = new StructReader(message.encoding(), message.body());
-            TProtocol in = Samples.protocol(form.encoding(),
-                new TMemoryInputTransport(message.body(), 0, message.body().length));
+            TProtocol in = Samples.protocol(
+                    form.encoding(), new TMemoryInputTransport(message.body(), 0, message.body().length));
             in.readStructBegin();
             while (reader.next()) {
                 TField field = in.readFieldBegin();
@@ -189,7 +196,8 @@
                     case TType.I64 -> assertEquals(in.readI64(), reader.number());
                     case TType.I32 -> assertEquals(in.readI32(), reader.number().intValue());
                     case TType.I16 -> assertEquals(in.readI16(), reader.number().shortValue());
-                    case TType.BYTE -> assertEquals(in.readByte(), reader.number().byteValue());
+                    case TType.BYTE -> assertEquals(
+                            in.readByte(), reader.number().byteValue());
                     case TType.BOOL -> assertEquals(in.readBool(), reader.bool());
                     case TType.STRING -> {
                         byte[] bytes = new byte[in.readBinary().remaining()];
@@ -227,12 +235,15 @@
         byte[] compact = bytes(0x82, 0x21, 1, 1, 'm');
         byte[] binary = bytes(0x80, 1, 0, 1, 0, 0, 0, 1, 'm', 0, 0, 0, 1);
         for (byte[] lie : List.of(
-            glued(binary, bytes(11, 0, 1, 0x7f, 0xff, 0xff, 0xff)), glued(binary, bytes(11, 0, 1, 0xff, 0, 0, 0)),
-            glued(binary, bytes(15, 0, 1, 12, 0x7f, 0xff, 0xff, 0xff)), glued(binary, bytes(14, 0, 1, 3, 0xff, 0, 0, 0)),
-            glued(binary, bytes(13, 0, 1, 3, 3, 0x40, 0, 0, 0)), glued(binary, bytes(13, 0, 1, 3, 3, 0x80, 0, 0, 0)),
-            glued(compact, bytes(0x18, 0xff, 0xff, 0xff, 0xff, 0x0f)),
-            glued(compact, bytes(0x19, 0xf3, 0xff, 0xff, 0xff, 0x7f)),
-            glued(compact, bytes(0x1b, 0xff, 0xff, 0xff, 0x7f, 0x33)))) {
+                glued(binary, bytes(11, 0, 1, 0x7f, 0xff, 0xff, 0xff)),
+                glued(binary, bytes(11, 0, 1, 0xff, 0, 0, 0)),
+                glued(binary, bytes(15, 0, 1, 12, 0x7f, 0xff, 0xff, 0xff)),
+                glued(binary, bytes(14, 0, 1, 3, 0xff, 0, 0, 0)),
+                glued(binary, bytes(13, 0, 1, 3, 3, 0x40, 0, 0, 0)),
+                glued(binary, bytes(13, 0, 1, 3, 3, 0x80, 0, 0, 0)),
+                glued(compact, bytes(0x18, 0xff, 0xff, 0xff, 0xff, 0x0f)),
+                glued(compact, bytes(0x19, 0xf3, 0xff, 0xff, 0xff, 0x7f)),
+                glued(compact, bytes(0x1b, 0xff, 0xff, 0xff, 0x7f, 0x33)))) {
             assertTrue(why(lie).startsWith("says "), why(lie));
         }
     }
@@ -256,7 +267,8 @@
         assertTrue(why(glued(binary, bytes(99, 0, 1))).contains("type 99"));
         assertTrue(why(bytes(0x80, 1, 0, 1, 0x7f, 0, 0, 0)).contains("name of"));
         assertTrue(why(bytes(0x80, 1, 0, 1, 0, 0, 0, 1, '\n', 0, 0, 0, 1)).contains("character"));
-        assertTrue(why("GET / HTTP/1.1\r\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII)).contains("form"));
+        assertTrue(why("GET / HTTP/1.1\r\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII))
+                .contains("form"));
     }
 
     @Test
--- a/src/test/java/gatefront/thrift/codec/Samples.java
+++ b/src/test/java/gatefront/thrift/codec/Samples.java
@@ -19,13 +19,31 @@
 
 /** Messages as the reference implementation writes them. */
 final class Samples {
-    static final Form[] FORMS = {new Form(true, Encoding.BINARY), new Form(true, Encoding.COMPACT),
-        new Form(false, Encoding.BINARY), new Form(false, Encoding.COMPACT), new Form(true, Encoding.BINARY_OLD),
-        new Form(false, Encoding.BINARY_OLD)};
-    private static final byte[] TYPES = {TType.BOOL, TType.BYTE, TType.DOUBLE, TType.I16, TType.I32, TType.I64,
-        TType.STRING, TType.STRUCT, TType.MAP, TType.SET, TType.LIST, TType.UUID};
+    static final Form[] FORMS = {
+        new Form(true, Encoding.BINARY),
+        new Form(true, Encoding.COMPACT),
+        new Form(false, Encoding.BINARY),
+        new Form(false, Encoding.COMPACT),
+        new Form(true, Encoding.BINARY_OLD),
+        new Form(false, Encoding.BINARY_OLD)
+    };
+    private static final byte[] TYPES = {
+        TType.BOOL,
+        TType.BYTE,
+        TType.DOUBLE,
+        TType.I16,
+        TType.I32,
+        TType.I64,
+        TType.STRING,
+        TType.STRUCT,
+        TType.MAP,
+        TType.SET,
+        TType.LIST,
+        TType.UUID
+    };
     /** All but the last, which the reference writes and reads, but cannot pass over. */
     private static final int WITHOUT_UUID = TYPES.length - 1;
+
     private static final byte[] MESSAGE_TYPES = {1, 2, 3, 4};
 
     /** What writes a struct's fields. */
@@ -33,7 +51,7 @@
         void write(TProtocol to) throws TException;
     }
 
-    private Samples() { }
+    private Samples() {}
 
     /** The reference's protocol on a transport. */
     static TProtocol protocol(Encoding encoding, TTransport transport) {
@@ -70,8 +88,12 @@
     }
 
     private static byte[] random(Form form, Random random, int types) throws TException {
-        return message(form, "metodo" + random.nextInt(100), MESSAGE_TYPES[random.nextInt(4)], random.nextInt(),
-            to -> fields(to, random, 0, types));
+        return message(
+                form,
+                "metodo" + random.nextInt(100),
+                MESSAGE_TYPES[random.nextInt(4)],
+                random.nextInt(),
+                to -> fields(to, random, 0, types));
     }
 
     private static void fields(TProtocol to, Random random, int depth, int types) throws TException {
@@ -90,8 +112,7 @@
         return TYPES[random.nextInt(depth > 4 ? 7 : types)];
     }
 
-    private static void value(TProtocol to, byte type, Random random, int depth, int types)
-            throws TException {
+    private static void value(TProtocol to, byte type, Random random, int depth, int types) throws TException {
         switch (type) {
             case TType.BOOL -> to.writeBool(random.nextBoolean());
             case TType.BYTE -> to.writeByte((byte) random.nextInt());
--- a/src/test/java/gatefront/transport/SharedListenerTest.java
+++ b/src/test/java/gatefront/transport/SharedListenerTest.java
@@ -22,18 +22,23 @@
     private Channel listen(int port) {
         SocketTransport transport = new SocketTransport();
         transports.add(transport);
-        return new ServerBootstrap().group(transport.loop()).channelFactory(transport.sharedListeners())
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel ch) {
-                    accepted.add(ch);
-                }
-            }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)).syncUninterruptibly().channel();
+        return new ServerBootstrap()
+                .group(transport.loop())
+                .channelFactory(transport.sharedListeners())
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel ch) {
+                        accepted.add(ch);
+                    }
+                })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
+                .syncUninterruptibly()
+                .channel();
     }
 
     @AfterEach
     void strike() {
-        transports.forEach(each -> each.close(() -> { }));
+        transports.forEach(each -> each.close(() -> {}));
     }
 
     @Test
@@ -62,8 +67,8 @@
         busy.await();
         List<Socket> callers = new ArrayList<>();
         for (int i = 0; i < 60; i++) { // more than are accepted in one look
-            callers.add(new Socket(InetAddress.getLoopbackAddress(),
-                ((InetSocketAddress) listener.localAddress()).getPort()));
+            callers.add(new Socket(
+                    InetAddress.getLoopbackAddress(), ((InetSocketAddress) listener.localAddress()).getPort()));
         }
         go.countDown();
         listener.closeFuture().sync();
--- a/src/test/java/gatefront/upgrade/NeighbourTest.java
+++ b/src/test/java/gatefront/upgrade/NeighbourTest.java
@@ -18,10 +18,12 @@
 
 /** Two processes of one agent in a folder, by files that may be torn, old or of others. */
 class NeighbourTest {
-    private static final Map<String, Bans.Entry> SOME = Map.of("s 1", new Bans.Entry(true, 7), "s-2",
-        new Bans.Entry(false, 9));
+    private static final Map<String, Bans.Entry> SOME =
+            Map.of("s 1", new Bans.Entry(true, 7), "s-2", new Bans.Entry(false, 9));
+
     @TempDir
     private Path folder;
+
     private final List<String> log = new ArrayList<>();
 
     private Neighbour enter(String name) throws IOException {
