--- a/src/main/java/gatefront/config/Changes.java
+++ b/src/main/java/gatefront/config/Changes.java
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.HashSet;
-import java.util.Iterator;
 import java.util.Map;
 import java.util.Set;
 
@@ -24,8 +23,7 @@
     }
 
     private static void same(String path, JsonNode before, JsonNode now) {
-        for (Iterator<Map.Entry<String, JsonNode>> all = before.fields(); all.hasNext(); ) {
-            Map.Entry<String, JsonNode> each = all.next();
+        for (Map.Entry<String, JsonNode> each : before.properties()) {
             String key = path + "." + each.getKey();
             JsonNode found = now.path(each.getKey());
             kind(key, each.getValue(), found);
--- a/src/test/java/gatefront/cli/LedgerCommandTest.java
+++ b/src/test/java/gatefront/cli/LedgerCommandTest.java
@@ -1,6 +1,7 @@
 package gatefront.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gatefront.bookkeeping.Books;
@@ -163,6 +164,7 @@
                 2, run("ledger", "correct", folder, "agente-1", "--period", "8", "--requests", "-1", "--why", "x"));
         assertEquals(2, run("ledger", "correct", folder, "agente-1/0/0", "--period", "8", "--why", "of nothing"));
         try (Books held = Books.open(new FolderDisk(Path.of(folder)), Store.Options.USUAL, "agente-1")) {
+            assertNotNull(held);
             assertEquals(
                     1,
                     run(
--- a/src/test/java/gatefront/connection/UpstreamContract.java
+++ b/src/test/java/gatefront/connection/UpstreamContract.java
@@ -30,7 +30,6 @@
 import io.netty.channel.ChannelPromise;
 import io.netty.channel.SimpleChannelInboundHandler;
 import java.net.InetAddress;
-import java.net.InetSocketAddress;
 import java.nio.channels.ClosedChannelException;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -138,7 +137,7 @@
                         });
                     }
                 })
-                .bind((InetSocketAddress) nodo.at(NODO_PORT));
+                .bind(nodo.at(NODO_PORT));
         run(0);
     }
 
--- a/src/test/java/gatefront/rehearsal/processes/RelayTest.java
+++ b/src/test/java/gatefront/rehearsal/processes/RelayTest.java
@@ -6,7 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gatefront.rehearsal.processes.Relay.Way;
-import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -35,7 +34,7 @@
     @BeforeEach
     void connect() throws IOException {
         server = new ServerSocket(0, 50, HOST);
-        relay = new Relay((EventLoop) group.next(), HOST, (InetSocketAddress) server.getLocalSocketAddress());
+        relay = new Relay(group.next(), HOST, (InetSocketAddress) server.getLocalSocketAddress());
         near = dial();
         far = server.accept();
         far.setSoTimeout(5_000);
