--- a/src/main/java/gatefront/cli/ProcessesCommand.java
+++ b/src/main/java/gatefront/cli/ProcessesCommand.java
@@ -28,7 +28,8 @@
         name = "processes",
         mixinStandardHelpOptions = true,
         description = {
-            "Play a day with agents in processes of their own, on loopback, and faults of processes, folders and links.",
+            "Play a day with agents in processes of their own, on loopback, "
+                    + "and faults of processes, folders and links.",
             "Built-in plans: restart-most, state-lost, stopped-and-woken, crash-loop.",
             "Exit status: 0 all rules kept, 3 a rule broken, 2 wrong usage, 1 unusable plan."
         })
@@ -121,7 +122,8 @@
         out.printf(
                 Locale.ROOT,
                 "  after the first fault: %d list calls in the fullest second (the padron bears %.0f), "
-                        + "%d connections at the fullest nodo (of %d); the nearest cold nodo got %.2f of what topples it%n",
+                        + "%d connections at the fullest nodo (of %d); "
+                        + "the nearest cold nodo got %.2f of what topples it%n",
                 outcome.listCallsMost(),
                 read.day().padron().callsPerSecond(),
                 outcome.connectionsMost(),
--- a/src/main/java/gatefront/cli/RecoveryCommand.java
+++ b/src/main/java/gatefront/cli/RecoveryCommand.java
@@ -97,7 +97,8 @@
             name = "begin",
             mixinStandardHelpOptions = true,
             description = {
-                "Make an empty store for an agent that has never run, so that its first start does not say that one is lost.",
+                "Make an empty store for an agent that has never run, "
+                        + "so that its first start does not say that one is lost.",
                 "The agent must not run."
             })
     static final class Begin implements Callable<Integer> {
--- a/src/main/java/gatefront/padron/Discovery.java
+++ b/src/main/java/gatefront/padron/Discovery.java
@@ -143,6 +143,7 @@
         }
     }
 
+    /** Stops following the server list and closes the connection to discovery. */
     public void close() {
         closed = true;
         drop();
--- a/src/main/java/gatefront/recovery/Beliefs.java
+++ b/src/main/java/gatefront/recovery/Beliefs.java
@@ -51,7 +51,8 @@
                     claim,
                     Verdict.DOUBTED,
                     "it ends " + seconds(now - claim.upTo()) + " before this start: "
-                            + "either nobody was there, or it was put back; what is out stays out, calls since are not known");
+                            + "either nobody was there, or it was put back; what is out stays out, "
+                            + "calls since are not known");
         }
         return new Finding(
                 claim, Verdict.BELIEVED, "it ends " + seconds(Math.max(0, now - claim.upTo())) + " before this start");
