--- a/src/bench/java/gatefront/bench/CodecBench.java
+++ b/src/bench/java/gatefront/bench/CodecBench.java
@@ -1,6 +1,6 @@
 package gatefront.bench;
 
-import gatefront.http.codec.Decoders;
+import gatefront.http.codec.StrictHttpDecoders;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.PooledByteBufAllocator;
 import io.netty.channel.ChannelHandler;
@@ -40,10 +40,10 @@
                     + "x".repeat(64))
             .getBytes(StandardCharsets.US_ASCII);
 
-    private final EmbeddedChannel requestsIn = channel(new Decoders.Requests());
+    private final EmbeddedChannel requestsIn = channel(new StrictHttpDecoders.Requests());
     private final EmbeddedChannel answersOut = channel(new HttpResponseEncoder());
     private final EmbeddedChannel requestsOut = channel(new HttpRequestEncoder());
-    private final EmbeddedChannel answersIn = channel(new Decoders.Responses());
+    private final EmbeddedChannel answersIn = channel(new StrictHttpDecoders.Responses());
 
     private static EmbeddedChannel channel(ChannelHandler handler) {
         return new EmbeddedChannel(handler);
--- a/src/bench/java/gatefront/bench/DecisionBench.java
+++ b/src/bench/java/gatefront/bench/DecisionBench.java
@@ -1,8 +1,8 @@
 package gatefront.bench;
 
 import gatefront.config.Config;
+import gatefront.policy.AdaptiveBalancer;
 import gatefront.policy.Balancer;
-import gatefront.policy.Rules;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -34,7 +34,7 @@
     @Param({"14", "1000", "10000"})
     public int servers;
 
-    private Rules rules;
+    private AdaptiveBalancer rules;
     private long now = 1_000_000_000;
     private long id;
     private long sentTo;
@@ -84,7 +84,8 @@
     /** Lists the servers. */
     @Setup
     public void set() throws Exception {
-        rules = new Rules(Config.read(Path.of("src/test/resources/config.json")).settings(), 7, now, new Host());
+        rules = new AdaptiveBalancer(
+                Config.read(Path.of("src/test/resources/config.json")).settings(), 7, now, new Host());
         List<Balancer.Server> list = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             list.add(new Balancer.Server(1 + i, 0, 0, 0, Balancer.Phase.READY, 1, 0));
--- a/src/bench/java/gatefront/bench/StorageFigures.java
+++ b/src/bench/java/gatefront/bench/StorageFigures.java
@@ -1,13 +1,13 @@
 package gatefront.bench;
 
-import gatefront.bookkeeping.EntryCodec;
-import gatefront.ledger.Amounts;
-import gatefront.ledger.Entry;
 import gatefront.ledger.EntryId;
-import gatefront.storage.FolderDisk;
+import gatefront.ledger.LedgerEntry;
+import gatefront.ledger.UsageAmounts;
+import gatefront.ledgerstore.LedgerEntryCodec;
+import gatefront.storage.DirectoryDisk;
 import gatefront.storage.GroupCommit;
-import gatefront.storage.Keys;
-import gatefront.storage.Replay;
+import gatefront.storage.RecordConsumer;
+import gatefront.storage.SigningKeys;
 import gatefront.storage.Store;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -31,15 +31,15 @@
     /** Prints a line for each; the argument is a folder on the disk to be measured. */
     public static void main(String[] args) throws Exception {
         Path folder = Files.createTempDirectory(Path.of(args[0]), "storage");
-        byte[] entry = EntryCodec.write(Entry.use(
+        byte[] entry = LedgerEntryCodec.write(LedgerEntry.use(
                 new EntryId("agente-1", 3, 123_456),
                 20_788,
                 "oaxaca-centro",
                 "consulta-saldo",
-                new Amounts(42, 84_000_000, 3_100_000, 81_000)));
+                new UsageAmounts(42, 84_000_000, 3_100_000, 81_000)));
         System.out.printf(Locale.ROOT, "an entry of %d bytes%n", entry.length);
         for (GroupCommit.Policy each : GroupCommit.Policy.values()) {
-            policy(folder.resolve(each.toString()), each, entry, Keys.NONE);
+            policy(folder.resolve(each.toString()), each, entry, SigningKeys.NONE);
         }
         start(folder.resolve("many"), entry);
         try (Stream<Path> all = Files.walk(folder)) {
@@ -47,8 +47,10 @@
         }
     }
 
-    private static void policy(Path folder, GroupCommit.Policy policy, byte[] entry, Keys keys) throws Exception {
-        Store store = Store.open(new FolderDisk(folder), new Store.Options(keys, 4 << 20, 1L << 34), Replay.NOBODY);
+    private static void policy(Path folder, GroupCommit.Policy policy, byte[] entry, SigningKeys keys)
+            throws Exception {
+        Store store = Store.open(
+                new DirectoryDisk(folder), new Store.Options(keys, 4 << 20, 1L << 34), RecordConsumer.NOBODY);
         Histogram micros = new Histogram(60_000_000L, 3);
         AtomicLong lost = new AtomicLong();
         GroupCommit commit = new GroupCommit(
@@ -86,8 +88,8 @@
     }
 
     private static void start(Path folder, byte[] entry) throws IOException {
-        Store.Options options = new Store.Options(Keys.NONE, 4 << 20, 1L << 34);
-        Store store = Store.open(new FolderDisk(folder), options, Replay.NOBODY);
+        Store.Options options = new Store.Options(SigningKeys.NONE, 4 << 20, 1L << 34);
+        Store store = Store.open(new DirectoryDisk(folder), options, RecordConsumer.NOBODY);
         List<byte[]> group = new ArrayList<>();
         for (int i = 0; i < GROUP; i++) {
             group.add(entry);
@@ -98,7 +100,7 @@
         store.close();
         long[] seen = {0};
         long began = System.nanoTime();
-        Store again = Store.open(new FolderDisk(folder), options, new Replay() {
+        Store again = Store.open(new DirectoryDisk(folder), options, new RecordConsumer() {
             @Override
             public void snapshot(byte[] record) {}
 
--- a/src/main/java/gatefront/agent/Agent.java
+++ b/src/main/java/gatefront/agent/Agent.java
@@ -1,25 +1,25 @@
 package gatefront.agent;
 
-import gatefront.budget.Budget;
-import gatefront.budget.Purpose;
+import gatefront.budget.ResourceBudget;
+import gatefront.budget.ResourcePurpose;
 import gatefront.config.Config;
 import gatefront.engine.Engine;
-import gatefront.engine.Front;
+import gatefront.engine.Frontend;
 import gatefront.engine.Upstream;
-import gatefront.http.HttpFront;
+import gatefront.http.HttpFrontend;
 import gatefront.http.HttpUpstream;
 import gatefront.membership.Endpoint;
 import gatefront.padron.Discovery;
 import gatefront.policy.Balancer;
-import gatefront.recovery.Waking;
+import gatefront.recovery.StallDetector;
 import gatefront.status.MemoryWatch;
-import gatefront.status.StatusFront;
-import gatefront.thrift.ThriftFront;
+import gatefront.status.StatusEndpoint;
+import gatefront.thrift.ThriftFrontend;
 import gatefront.thrift.ThriftSettings;
 import gatefront.thrift.ThriftUpstream;
 import gatefront.transport.SocketTransport;
 import gatefront.transport.Transport;
-import gatefront.upgrade.Neighbour;
+import gatefront.upgrade.ProcessHandover;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
@@ -73,27 +73,27 @@
     private Config config;
 
     private final Transport transport;
-    private final Budget budget;
-    private final Map<Purpose, Budget.Cap> usual;
+    private final ResourceBudget budget;
+    private final Map<ResourcePurpose, ResourceBudget.Cap> usual;
     /** Shows what is held; null where nobody asked for it. */
-    private final StatusFront status;
+    private final StatusEndpoint status;
 
     private final EventLoop loop;
     private final Engine engine;
     private final HttpUpstream backends;
     private final Discovery discovery;
     /** Makes one list of several sources; null where the padrón is the only one. */
-    private final Sources sources;
+    private final MembershipSources sources;
 
-    private final HttpFront clients;
+    private final HttpFrontend clients;
     /** What operators do with it; null where they have no door. */
-    private final Operations operations;
+    private final OperatorControls operations;
     /** Writes what municipios use; null where nobody wants it. */
-    private LedgerKeeper keeper;
+    private UsageRecorder keeper;
     /** What it knows over its death; null where nothing is kept. */
-    private Recovering recovering;
+    private StateRecovery recovering;
     /** All of them, that over HTTP first. */
-    private final List<Front> fronts = new ArrayList<>();
+    private final List<Frontend> fronts = new ArrayList<>();
 
     private final CountDownLatch ended = new CountDownLatch(1);
     private final AtomicBoolean stopping = new AtomicBoolean();
@@ -116,7 +116,7 @@
             Config config,
             Extensions extensions,
             Transport transport,
-            Neighbour neighbour,
+            ProcessHandover neighbour,
             Function<Engine, Balancer> module) {
         ThriftSettings thrift = extensions.thrift();
         this.config = config;
@@ -124,11 +124,11 @@
         loop = transport.loop();
         int each = (config.sockets() - SOCKETS_RESERVED) / (thrift == null ? 2 : 4);
         usual = caps(transport.memory(), each * (thrift == null ? 1 : 2));
-        budget = new Budget(transport.memory(), usual);
+        budget = new ResourceBudget(transport.memory(), usual);
         cap(extensions);
         status = extensions.memory() == null || extensions.memory().status() == null
                 ? null
-                : new StatusFront(transport, extensions.memory().status(), budget);
+                : new StatusEndpoint(transport, extensions.memory().status(), budget);
         backends = new HttpUpstream(transport, config, each, budget);
         ThriftUpstream overThrift = thrift == null ? null : new ThriftUpstream(transport, config, thrift, each, budget);
         List<Upstream> upstreams = overThrift == null
@@ -178,26 +178,26 @@
                 module);
         sources = extensions.registry() == null
                 ? null
-                : new Sources(
+                : new MembershipSources(
                         transport,
                         config,
                         extensions.registry(),
-                        budget.of(Purpose.REGISTRY),
+                        budget.of(ResourcePurpose.REGISTRY),
                         engine,
                         this::servers,
                         () -> listed = true);
-        clients = new HttpFront(transport, config, each, this::ready, budget, engine.through(backends));
+        clients = new HttpFrontend(transport, config, each, this::ready, budget, engine.through(backends));
         fronts.add(clients);
         if (thrift != null) {
-            fronts.add(
-                    new ThriftFront(transport, config, thrift, each, this::ready, budget, engine.through(overThrift)));
+            fronts.add(new ThriftFrontend(
+                    transport, config, thrift, each, this::ready, budget, engine.through(overThrift)));
         }
         operations = config.management() == null ? null : operations(this, neighbour);
     }
 
-    private static Operations operations(Agent agent, Neighbour neighbour) {
-        return new Operations(
-                agent.transport, agent.config.management(), neighbour, agent.engine, new Operations.Host() {
+    private static OperatorControls operations(Agent agent, ProcessHandover neighbour) {
+        return new OperatorControls(
+                agent.transport, agent.config.management(), neighbour, agent.engine, new OperatorControls.Host() {
                     @Override
                     public boolean ready() {
                         return agent.ready() && !agent.stopping.get();
@@ -216,21 +216,23 @@
     }
 
     /** What each purpose may hold where nothing else is said; the connections' own limits hold them besides. */
-    static Map<Purpose, Budget.Cap> caps(long memory, int connections) {
-        Map<Purpose, Budget.Cap> caps = new EnumMap<>(Purpose.class);
+    static Map<ResourcePurpose, ResourceBudget.Cap> caps(long memory, int connections) {
+        Map<ResourcePurpose, ResourceBudget.Cap> caps = new EnumMap<>(ResourcePurpose.class);
         // None for callers' connections: a front's own limit leaves out those that end, and an account counts them.
-        caps.put(Purpose.SERVER_CONNECTIONS, new Budget.Cap(connections, -1));
-        caps.put(Purpose.REQUESTS, new Budget.Cap(-1, memory / BODIES_PART));
-        caps.put(Purpose.SERVER_ANSWERS, new Budget.Cap(-1, memory / BODIES_PART));
-        caps.put(Purpose.CALLS, new Budget.Cap(Math.max(CALLS_LEAST, CALLS_A_CONNECTION * connections), -1));
+        caps.put(ResourcePurpose.SERVER_CONNECTIONS, new ResourceBudget.Cap(connections, -1));
+        caps.put(ResourcePurpose.REQUESTS, new ResourceBudget.Cap(-1, memory / BODIES_PART));
+        caps.put(ResourcePurpose.SERVER_ANSWERS, new ResourceBudget.Cap(-1, memory / BODIES_PART));
+        caps.put(
+                ResourcePurpose.CALLS,
+                new ResourceBudget.Cap(Math.max(CALLS_LEAST, CALLS_A_CONNECTION * connections), -1));
         return caps;
     }
 
     /** The caps of a file of our own over the usual ones; what the file does not name has the usual one again. */
     private void cap(Extensions extensions) {
-        Map<Purpose, Budget.Cap> caps = new EnumMap<>(Purpose.class);
-        for (Purpose each : Purpose.values()) {
-            caps.put(each, usual.getOrDefault(each, new Budget.Cap(-1, -1)));
+        Map<ResourcePurpose, ResourceBudget.Cap> caps = new EnumMap<>(ResourcePurpose.class);
+        for (ResourcePurpose each : ResourcePurpose.values()) {
+            caps.put(each, usual.getOrDefault(each, new ResourceBudget.Cap(-1, -1)));
         }
         if (extensions.memory() != null) {
             caps.putAll(extensions.memory().caps());
@@ -239,7 +241,7 @@
     }
 
     /** What it holds, by purpose; to be asked on its loop. */
-    public Budget budget() {
+    public ResourceBudget budget() {
         return budget;
     }
 
@@ -283,30 +285,30 @@
             throws IOException {
         SocketTransport sockets = new SocketTransport(
                 extensions.recovery() == null ? 0 : extensions.recovery().clockOff());
-        Neighbour neighbour = shared == null || config.management() == null
+        ProcessHandover neighbour = shared == null || config.management() == null
                 ? null
-                : new Neighbour(
+                : new ProcessHandover(
                         shared,
                         Long.toHexString(config.seed()) + "-" + Long.toHexString(sockets.wallMicros()),
                         sockets::log);
         Agent agent = new Agent(config, extensions, sockets, neighbour, module);
         if (extensions.ledger() != null) {
             try {
-                agent.keeper = LedgerKeeper.open(sockets, extensions.ledger(), () -> agent.config);
+                agent.keeper = UsageRecorder.open(sockets, extensions.ledger(), () -> agent.config);
             } catch (IOException e) {
                 throw agent.unable(e.getMessage());
             }
             agent.engine.usage(agent.keeper.usage());
         }
         if (extensions.recovery() != null) {
-            agent.recovering = Recovering.open(sockets, extensions.recovery(), config);
+            agent.recovering = StateRecovery.open(sockets, extensions.recovery(), config);
         }
         if (agent.operations != null
                 && !agent.operations.listen().awaitUninterruptibly().isSuccess()) {
             throw agent.unable("cannot listen on " + config.management() + " for the operators");
         }
         agent.serves = !agent.follows();
-        for (Front each : agent.serves ? agent.fronts : List.<Front>of()) {
+        for (Frontend each : agent.serves ? agent.fronts : List.<Frontend>of()) {
             ChannelFuture bound = each.listen().awaitUninterruptibly();
             if (!bound.isSuccess()) {
                 throw agent.unable("cannot listen on "
@@ -382,7 +384,7 @@
         // Guards against sending to what the list before had and this one has not: a new process is told from its first
         // moment, and the list it starts with may be old. Harm: with nobody to tell, calls wait for so long.
         long grace = Math.min(FIRST_LIST_MS, config.settings().obligations().drainGrace() / 1_000);
-        engine.wakes(Waking.starting(transport.nanos() / 1_000, grace * 1_000), grace, () -> {});
+        engine.wakes(StallDetector.starting(transport.nanos() / 1_000, grace * 1_000), grace, () -> {});
         Discovery.Listing known;
         try {
             known = Discovery.decode(recovering == null ? config.known() : recovering.known(config.known()), config);
@@ -429,7 +431,7 @@
         if (recovering != null) {
             recovering.serves();
         }
-        if (recovering == null || recovering.guards(RecoveryTable.Guard.WAKING)) {
+        if (recovering == null || recovering.guards(RecoverySettings.Guard.WAKING)) {
             wakes();
         }
     }
@@ -437,7 +439,7 @@
     /** Guards against sending to a server that drained while this process stood still and was told nothing. */
     private void wakes() {
         long grace = config.settings().obligations().drainGrace();
-        Waking waking = new Waking(Math.max(BEAT_MS * 2_000, grace - BEAT_MS * 1_000), HEAR_MICROS);
+        StallDetector waking = new StallDetector(Math.max(BEAT_MS * 2_000, grace - BEAT_MS * 1_000), HEAR_MICROS);
         engine.wakes(waking, HEAR_MICROS / 1000, () -> {
             say(String.format(
                     Locale.ROOT,
@@ -607,7 +609,7 @@
         long last = longest + KILL_AFTER_MS - LAST_MS;
         loop.execute(() -> {
             boolean handsOver = operations != null && serves && operations.followed();
-            fronts.forEach(handsOver ? Front::handOver : Front::leave);
+            fronts.forEach(handsOver ? Frontend::handOver : Frontend::leave);
             loop.schedule(this::endIfUnused, handsOver ? 0 : LINGER_MS, TimeUnit.MILLISECONDS);
             loop.schedule(this::end, Math.min(SERVE_ON_MOST_MS, last - CLOSING_MS), TimeUnit.MILLISECONDS);
             loop.schedule(engine::giveUpAll, last, TimeUnit.MILLISECONDS);
@@ -615,7 +617,7 @@
     }
 
     private void endIfUnused() {
-        if (fronts.stream().allMatch(Front::isEmpty)) {
+        if (fronts.stream().allMatch(Frontend::isEmpty)) {
             end();
         } else {
             loop.schedule(this::endIfUnused, 10, TimeUnit.MILLISECONDS);
@@ -625,16 +627,16 @@
     private void end() {
         if (!ending) {
             ending = true;
-            fronts.forEach(Front::drain);
-            loop.schedule(() -> fronts.forEach(Front::stopListening), CLOSING_MS / 2, TimeUnit.MILLISECONDS);
+            fronts.forEach(Frontend::drain);
+            loop.schedule(() -> fronts.forEach(Frontend::stopListening), CLOSING_MS / 2, TimeUnit.MILLISECONDS);
             draining();
         }
     }
 
     private void draining() {
         // Answers still being written hold their connections open.
-        if (fronts.stream().allMatch(Front::isEmpty)) {
-            fronts.forEach(Front::stopListening);
+        if (fronts.stream().allMatch(Frontend::isEmpty)) {
+            fronts.forEach(Frontend::stopListening);
             close();
         } else {
             loop.schedule(this::draining, 10, TimeUnit.MILLISECONDS);
--- a/src/main/java/gatefront/agent/Extensions.java
+++ b/src/main/java/gatefront/agent/Extensions.java
@@ -4,11 +4,11 @@
 import gatefront.registry.RegistrySettings;
 import gatefront.thrift.ThriftSettings;
 import gatefront.thrift.ThriftSettings.Method;
-import gatefront.thrift.codec.Encoding;
-import gatefront.thrift.codec.Form;
-import gatefront.toml.Table;
+import gatefront.thrift.codec.MessageFormat;
+import gatefront.thrift.codec.ThriftEncoding;
 import gatefront.toml.TomlException;
 import gatefront.toml.TomlFile;
+import gatefront.toml.TomlTable;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
@@ -28,11 +28,11 @@
 public record Extensions(
         ThriftSettings thrift,
         RegistrySettings registry,
-        MemoryTable memory,
-        LedgerTable ledger,
-        RecoveryTable recovery) {
+        MemorySettings memory,
+        LedgerSettings ledger,
+        RecoverySettings recovery) {
     /** Without anything that is kept. */
-    public Extensions(ThriftSettings thrift, RegistrySettings registry, MemoryTable memory, LedgerTable ledger) {
+    public Extensions(ThriftSettings thrift, RegistrySettings registry, MemorySettings memory, LedgerSettings ledger) {
         this(thrift, registry, memory, ledger, null);
     }
 
@@ -40,8 +40,13 @@
     public static final Extensions NONE = new Extensions(null, null, null, null);
 
     private static final int PORT_MOST = 65_535;
-    private static final Map<String, Encoding> ENCODINGS =
-            Map.of("binary", Encoding.BINARY, "binary-old", Encoding.BINARY_OLD, "compact", Encoding.COMPACT);
+    private static final Map<String, ThriftEncoding> ENCODINGS = Map.of(
+            "binary",
+            ThriftEncoding.BINARY,
+            "binary-old",
+            ThriftEncoding.BINARY_OLD,
+            "compact",
+            ThriftEncoding.COMPACT);
 
     /**
      * Reads the file.
@@ -60,19 +65,19 @@
     }
 
     static Extensions parse(String file, String text, Config config) throws TomlException {
-        Table top = TomlFile.parse(file, text);
-        Table table = top.table("thrift");
+        TomlTable top = TomlFile.parse(file, text);
+        TomlTable table = top.table("thrift");
         ThriftSettings thrift = top.has("thrift") ? thrift(table, config) : null;
-        RegistrySettings registry = top.has("registry") ? RegistryTable.read(top.table("registry")) : null;
-        MemoryTable memory = top.has("memory") ? MemoryTable.read(top.table("memory")) : null;
-        LedgerTable ledger = top.has("ledger") ? LedgerTable.read(top.table("ledger")) : null;
-        RecoveryTable recovery =
-                top.has("recovery") ? RecoveryTable.read(top.table("recovery"), top.table("rehearsal")) : null;
+        RegistrySettings registry = top.has("registry") ? RegistrySettingsReader.read(top.table("registry")) : null;
+        MemorySettings memory = top.has("memory") ? MemorySettings.read(top.table("memory")) : null;
+        LedgerSettings ledger = top.has("ledger") ? LedgerSettings.read(top.table("ledger")) : null;
+        RecoverySettings recovery =
+                top.has("recovery") ? RecoverySettings.read(top.table("recovery"), top.table("rehearsal")) : null;
         top.finish();
         return new Extensions(thrift, registry, memory, ledger, recovery);
     }
 
-    private static ThriftSettings thrift(Table table, Config config) throws TomlException {
+    private static ThriftSettings thrift(TomlTable table, Config config) throws TomlException {
         InetSocketAddress listen;
         try {
             listen = Config.address(table.text("listen", null));
@@ -86,7 +91,8 @@
                     framing.equals("any") ? "protocol" : "framing",
                     "framing and protocol are both told from the first bytes, or both fixed");
         }
-        Form form = framing.equals("any") ? null : new Form(framing.equals("framed"), ENCODINGS.get(protocol));
+        MessageFormat form =
+                framing.equals("any") ? null : new MessageFormat(framing.equals("framed"), ENCODINGS.get(protocol));
         int port = table.whole("nodo_port", -1, 1, PORT_MOST);
         if (!table.has("nodo_port")) {
             throw table.bad("nodo_port", "is missing; it is the port where nodos speak Thrift");
@@ -94,7 +100,7 @@
         boolean framed = table.flag("nodo_framed", true);
         boolean probes = table.word("probes", "http", List.of("http", "thrift")).equals("thrift");
         Map<String, Method> methods = new LinkedHashMap<>();
-        for (Table each : table.tables("methods")) {
+        for (TomlTable each : table.tables("methods")) {
             String name = each.text("name", null);
             int kind = config.classes().indexOf(each.word("class", null, config.classes()));
             if (methods.put(name, new Method(kind, each.flag("declares", false))) != null) {
--- a/src/main/java/gatefront/agent/LedgerTable.java
+++ b/src/main/java/gatefront/agent/LedgerSettings.java
@@ -1,8 +1,8 @@
 package gatefront.agent;
 
 import gatefront.ledger.EntryId;
-import gatefront.toml.Table;
 import gatefront.toml.TomlException;
+import gatefront.toml.TomlTable;
 import java.nio.file.Path;
 
 /**
@@ -15,13 +15,13 @@
  * @param writeMicros how often use is written; what a crash may lose of it
  * @param bytesMost what the books may take
  */
-record LedgerTable(Path folder, String instance, Path keys, long periodMicros, long writeMicros, long bytesMost) {
+record LedgerSettings(Path folder, String instance, Path keys, long periodMicros, long writeMicros, long bytesMost) {
     private static final double DAY = 86_400;
     private static final double WRITE = 10;
     private static final double MEGABYTES = 1_024;
     private static final double MEGABYTES_MOST = 1 << 20;
 
-    static LedgerTable read(Table table) throws TomlException {
+    static LedgerSettings read(TomlTable table) throws TomlException {
         String instance = table.text("instance", null);
         if (!instance.matches(EntryId.NAME)) {
             throw table.bad("instance", "is to be letters, digits, dots and dashes, 64 at the most");
@@ -32,7 +32,7 @@
             throw table.bad("write_s", "is to be half of period_s at the most, for a period to be written in time");
         }
         String keys = table.text("keys", "");
-        return new LedgerTable(
+        return new LedgerSettings(
                 Path.of(table.text("folder", null)),
                 instance,
                 keys.isEmpty() ? null : Path.of(keys),
--- a/src/main/java/gatefront/agent/Sources.java
+++ b/src/main/java/gatefront/agent/MembershipSources.java
@@ -1,14 +1,14 @@
 package gatefront.agent;
 
-import gatefront.budget.Account;
+import gatefront.budget.ResourceAccount;
 import gatefront.config.Config;
 import gatefront.engine.Engine;
 import gatefront.membership.Endpoint;
 import gatefront.membership.Membership;
-import gatefront.membership.Policy;
+import gatefront.membership.ServerOverride;
 import gatefront.policy.Balancer.ListKind;
-import gatefront.registry.RegistryFeed;
 import gatefront.registry.RegistrySettings;
+import gatefront.registry.RegistrySource;
 import gatefront.transport.Transport;
 import java.util.List;
 import java.util.Map;
@@ -16,12 +16,12 @@
 import java.util.stream.Collectors;
 
 /** Makes one list for the engine where there are more sources than the padrón; not loaded where there are none. */
-final class Sources {
+final class MembershipSources {
     private static final int PADRON = 0;
 
     private final BiConsumer<ListKind, List<Endpoint>> servers;
     private final Membership membership;
-    private final RegistryFeed registry;
+    private final RegistrySource registry;
     private final boolean padron;
     private final Runnable listed;
 
@@ -32,11 +32,11 @@
      * @param servers is told of the one list
      * @param listed told when one of them has said what there is
      */
-    Sources(
+    MembershipSources(
             Transport transport,
             Config config,
             RegistrySettings settings,
-            Account held,
+            ResourceAccount held,
             Engine engine,
             BiConsumer<ListKind, List<Endpoint>> servers,
             Runnable listed) {
@@ -45,14 +45,14 @@
         this.padron = !settings.instead();
         this.membership = new Membership(padron ? List.of("padrón", "registry") : List.of("registry"), transport::log);
         int place = padron ? PADRON + 1 : 0;
-        this.registry = new RegistryFeed(transport, config, settings, held, new RegistryFeed.Listener() {
+        this.registry = new RegistrySource(transport, config, settings, held, new RegistrySource.Listener() {
             @Override
             public void list(ListKind kind, List<Endpoint> endpoints) {
                 told(place, kind, endpoints);
             }
 
             @Override
-            public void policies(Map<String, Policy> servers, Map<Integer, Policy> zones) {
+            public void policies(Map<String, ServerOverride> servers, Map<Integer, ServerOverride> zones) {
                 changed(membership.policies(servers, zones));
             }
 
--- a/src/main/java/gatefront/agent/MemoryTable.java
+++ b/src/main/java/gatefront/agent/MemorySettings.java
@@ -1,10 +1,10 @@
 package gatefront.agent;
 
-import gatefront.budget.Budget;
-import gatefront.budget.Purpose;
+import gatefront.budget.ResourceBudget;
+import gatefront.budget.ResourcePurpose;
 import gatefront.config.Config;
-import gatefront.toml.Table;
 import gatefront.toml.TomlException;
+import gatefront.toml.TomlTable;
 import java.net.InetSocketAddress;
 import java.util.Arrays;
 import java.util.EnumMap;
@@ -17,11 +17,11 @@
  * @param status where the page is, or null if there is none
  * @param caps by purpose, those that are not the usual
  */
-record MemoryTable(InetSocketAddress status, Map<Purpose, Budget.Cap> caps) {
+record MemorySettings(InetSocketAddress status, Map<ResourcePurpose, ResourceBudget.Cap> caps) {
     private static final int ENTRIES_MOST = 10_000_000;
     private static final double KIB_MOST = 1 << 24;
 
-    static MemoryTable read(Table table) throws TomlException {
+    static MemorySettings read(TomlTable table) throws TomlException {
         InetSocketAddress status = null;
         if (table.has("status")) {
             try {
@@ -33,13 +33,15 @@
                 throw table.bad("status", "is to be a loopback address: the page tells everything to whoever asks");
             }
         }
-        Map<Purpose, Budget.Cap> caps = new EnumMap<>(Purpose.class);
-        List<String> words = Arrays.stream(Purpose.values()).map(Purpose::word).toList();
-        for (Table each : table.tables("caps")) {
-            Purpose purpose = Purpose.values()[words.indexOf(each.word("purpose", null, words))];
+        Map<ResourcePurpose, ResourceBudget.Cap> caps = new EnumMap<>(ResourcePurpose.class);
+        List<String> words = Arrays.stream(ResourcePurpose.values())
+                .map(ResourcePurpose::word)
+                .toList();
+        for (TomlTable each : table.tables("caps")) {
+            ResourcePurpose purpose = ResourcePurpose.values()[words.indexOf(each.word("purpose", null, words))];
             int entries = each.whole("entries", -1, 1, ENTRIES_MOST);
             double kib = each.number("kib", -1.0, 1, KIB_MOST);
-            if (purpose == Purpose.REGISTRY) {
+            if (purpose == ResourcePurpose.REGISTRY) {
                 throw each.bad("purpose", "registry has its cap in keys of [registry]");
             }
             if (entries >= 0 && !purpose.byEntries()) {
@@ -51,10 +53,10 @@
             if (entries < 0 && kib < 0) {
                 throw each.bad("entries", "is missing; a cap is of entries, of kib, or of both");
             }
-            if (caps.put(purpose, new Budget.Cap(entries, kib < 0 ? -1 : (long) (1024 * kib))) != null) {
+            if (caps.put(purpose, new ResourceBudget.Cap(entries, kib < 0 ? -1 : (long) (1024 * kib))) != null) {
                 throw each.bad("purpose", "\"" + purpose.word() + "\" is there twice");
             }
         }
-        return new MemoryTable(status, caps);
+        return new MemorySettings(status, caps);
     }
 }
--- a/src/main/java/gatefront/agent/Operations.java
+++ b/src/main/java/gatefront/agent/OperatorControls.java
@@ -1,13 +1,13 @@
 package gatefront.agent;
 
 import gatefront.engine.Engine;
-import gatefront.engine.Tally;
-import gatefront.management.Door;
-import gatefront.membership.Bans;
+import gatefront.engine.RequestCounters;
+import gatefront.management.ManagementEndpoint;
 import gatefront.membership.Endpoint;
+import gatefront.membership.ServerBans;
 import gatefront.policy.Balancer.ListKind;
 import gatefront.transport.Transport;
-import gatefront.upgrade.Neighbour;
+import gatefront.upgrade.ProcessHandover;
 import io.netty.channel.ChannelFuture;
 import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
@@ -23,7 +23,7 @@
  * What operators do with an agent, put together: the door, bans laid over the list, and what another process of the
  * same agent is told of them. Not loaded where there is no door. All of it runs on the agent's loop.
  */
-final class Operations implements Door.Agent {
+final class OperatorControls implements ManagementEndpoint.Agent {
     /** How often the other process is looked for: a ban at its door is to hold here within the grace of a drain. */
     private static final long LOOK_MS = 100;
     /** A server is back so long after the yes has been written: time for that to arrive. */
@@ -44,28 +44,29 @@
     private final Transport transport;
     private final Host host;
     private final Engine engine;
-    private final Door door;
-    private final Bans bans = new Bans();
+    private final ManagementEndpoint door;
+    private final ServerBans bans = new ServerBans();
     /** Null where nothing is shared. */
-    private final Neighbour neighbour;
+    private final ProcessHandover neighbour;
     /** Servers that are about to be put back; each goes after {@link #RETURN_MS}. */
     private final Map<String, Future<?>> returning = new HashMap<>();
 
     private Future<?> looking;
     /** What is known over a death; null where nothing is kept. */
-    private Recovering recovering;
+    private StateRecovery recovering;
 
     private boolean follows;
     private long applied;
     private long rejected;
 
-    Operations(Transport transport, InetSocketAddress listen, Neighbour neighbour, Engine engine, Host host) {
+    OperatorControls(
+            Transport transport, InetSocketAddress listen, ProcessHandover neighbour, Engine engine, Host host) {
         this.transport = transport;
         this.host = host;
         this.engine = engine;
         this.neighbour = neighbour;
         this.follows = neighbour != null && neighbour.follows();
-        this.door = new Door(transport, listen, this);
+        this.door = new ManagementEndpoint(transport, listen, this);
     }
 
     ChannelFuture listen() {
@@ -91,12 +92,12 @@
      *
      * @param before what this instance knows over its death; null where it keeps nothing
      */
-    void start(Recovering before) {
+    void start(StateRecovery before) {
         recovering = before;
         if (before != null) {
             bans.merge(before.bans());
             bans.changed();
-            if (neighbour != null && !before.guards(RecoveryTable.Guard.KEPT_BANS)) {
+            if (neighbour != null && !before.guards(RecoverySettings.Guard.KEPT_BANS)) {
                 neighbour.look();
             }
             if (neighbour != null && !bans.entries().isEmpty()) {
@@ -155,7 +156,7 @@
     }
 
     @Override
-    public void hand(String backend, boolean out, BiConsumer<Bans.Answer, Boolean> then) {
+    public void hand(String backend, boolean out, BiConsumer<ServerBans.Answer, Boolean> then) {
         if (neighbour != null) {
             look(); // a call at the other door may have come just before
         }
@@ -165,14 +166,14 @@
         }
         if (!out && bans.isOut(backend)) {
             // Guards against a request that is there before the operator has the yes: what is held goes out at once.
-            Map<String, Bans.Entry> soon = new HashMap<>(bans.entries());
+            Map<String, ServerBans.Entry> soon = new HashMap<>(bans.entries());
             soon.put(
                     backend,
-                    new Bans.Entry(
+                    new ServerBans.Entry(
                             false,
                             Math.max(transport.wallMicros(), soon.get(backend).at() + 1)));
             keep(soon, kept -> {
-                then.accept(Bans.Answer.YES, kept);
+                then.accept(ServerBans.Answer.YES, kept);
                 // A call that came meanwhile has the last word.
                 if (bans.isOut(backend) && !returning.containsKey(backend)) {
                     returning.put(
@@ -191,12 +192,12 @@
             });
             return;
         }
-        Bans.Answer answer = apply(backend, out);
+        ServerBans.Answer answer = apply(backend, out);
         keep(bans.entries(), kept -> then.accept(answer, kept));
     }
 
     /** Keeps calls by hand where anything is kept; where nothing is, nobody expects it. */
-    private void keep(Map<String, Bans.Entry> entries, Consumer<Boolean> then) {
+    private void keep(Map<String, ServerBans.Entry> entries, Consumer<Boolean> then) {
         if (recovering == null) {
             then.accept(true);
         } else {
@@ -204,8 +205,8 @@
         }
     }
 
-    private Bans.Answer apply(String backend, boolean out) {
-        Bans.Answer answer = bans.call(backend, out, transport.wallMicros());
+    private ServerBans.Answer apply(String backend, boolean out) {
+        ServerBans.Answer answer = bans.call(backend, out, transport.wallMicros());
         if (bans.changed()) {
             transport.log("server " + backend + (out ? " taken out by hand" : " put back by hand"));
             if (neighbour != null) {
@@ -227,7 +228,7 @@
     @Override
     public Map<String, Long> figures() {
         Map<String, Long> figures = new LinkedHashMap<>();
-        Tally tally = engine.tally();
+        RequestCounters tally = engine.tally();
         List<String> classes = host.classes();
         for (int i = 0; i < classes.size(); i++) {
             figures.put("ok." + classes.get(i), tally.ok(i));
--- a/src/main/java/gatefront/agent/RecoveryTable.java
+++ b/src/main/java/gatefront/agent/RecoverySettings.java
@@ -1,9 +1,9 @@
 package gatefront.agent;
 
 import gatefront.ledger.EntryId;
-import gatefront.recovery.Beliefs;
-import gatefront.toml.Table;
+import gatefront.recovery.StateValidator;
 import gatefront.toml.TomlException;
+import gatefront.toml.TomlTable;
 import java.nio.file.Path;
 import java.util.HashSet;
 import java.util.List;
@@ -19,8 +19,13 @@
  * @param without guards that a rehearsal has switched off
  * @param clockOff by how much a rehearsal has set the time of day off, in microseconds
  */
-record RecoveryTable(
-        Path folder, String instance, Beliefs.Bounds bounds, long markMicros, Set<Guard> without, long clockOff) {
+record RecoverySettings(
+        Path folder,
+        String instance,
+        StateValidator.Bounds bounds,
+        long markMicros,
+        Set<Guard> without,
+        long clockOff) {
     private static final double DOUBT = 30;
     private static final double LIST = 600;
     private static final double AHEAD = 5;
@@ -41,7 +46,7 @@
         }
     }
 
-    static RecoveryTable read(Table table, Table rehearsal) throws TomlException {
+    static RecoverySettings read(TomlTable table, TomlTable rehearsal) throws TomlException {
         String instance = table.text("instance", null);
         if (!instance.matches(EntryId.NAME)) {
             throw table.bad("instance", "is to be letters, digits, dots and dashes, 64 at the most");
@@ -59,10 +64,10 @@
             }
             without.add(Guard.values()[words.indexOf(each)]);
         }
-        return new RecoveryTable(
+        return new RecoverySettings(
                 Path.of(table.text("folder", null)),
                 instance,
-                new Beliefs.Bounds(
+                new StateValidator.Bounds(
                         (long) (1e6 * doubt), (long) (1e6 * table.number("list_s", LIST, 0, 30 * DAY)), (long)
                                 (1e6 * AHEAD)),
                 (long) (1e6 * mark),
--- a/src/main/java/gatefront/agent/RegistryTable.java
+++ b/src/main/java/gatefront/agent/RegistrySettingsReader.java
@@ -4,10 +4,10 @@
 import gatefront.registry.RegistrySettings;
 import gatefront.registry.RegistrySettings.Kind;
 import gatefront.registry.RegistrySettings.Reads;
-import gatefront.registry.follower.Bounds;
-import gatefront.toml.Table;
+import gatefront.registry.follower.FollowerLimits;
 import gatefront.toml.TomlException;
 import gatefront.toml.TomlFile;
+import gatefront.toml.TomlTable;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -16,10 +16,10 @@
 import java.util.Locale;
 
 /** Reads the table {@code [registry]}: which registry an agent follows, and how. */
-public final class RegistryTable {
+public final class RegistrySettingsReader {
     private static final double SECOND = 1e6;
 
-    private RegistryTable() {}
+    private RegistrySettingsReader() {}
 
     /**
      * Takes the table.
@@ -28,7 +28,7 @@
      * @return what it says
      * @throws TomlException if it cannot be used
      */
-    public static RegistrySettings read(Table table) throws TomlException {
+    public static RegistrySettings read(TomlTable table) throws TomlException {
         Kind kind =
                 Kind.valueOf(table.word("kind", null, List.of("etcd", "consul")).toUpperCase(Locale.ROOT));
         List<InetSocketAddress> endpoints = new ArrayList<>();
@@ -82,7 +82,7 @@
         if (stale < silence) {
             throw table.bad("stale_s", "is to be at least silence_s, " + silence);
         }
-        Bounds bounds = new Bounds(
+        FollowerLimits bounds = new FollowerLimits(
                 50_000,
                 (long) (most * SECOND),
                 etcd ? 0 : 60_000,
@@ -110,7 +110,7 @@
     }
 
     /** Secrets stand in files of their own, which can have rights of their own. */
-    private static String secret(Table table, String key) throws TomlException {
+    private static String secret(TomlTable table, String key) throws TomlException {
         if (!table.has(key)) {
             return null;
         }
--- a/src/main/java/gatefront/agent/Recovering.java
+++ b/src/main/java/gatefront/agent/StateRecovery.java
@@ -4,19 +4,19 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import gatefront.config.Config;
-import gatefront.config.EndpointForm;
-import gatefront.keeping.Keeper;
-import gatefront.keeping.Kept;
-import gatefront.membership.Bans;
+import gatefront.config.EndpointJson;
 import gatefront.membership.Endpoint;
+import gatefront.membership.ServerBans;
+import gatefront.persistence.RecoveryStore;
+import gatefront.persistence.StoredState;
 import gatefront.policy.Balancer.ListKind;
 import gatefront.policy.Balancer.Phase;
-import gatefront.recovery.Claim;
-import gatefront.recovery.Finding;
-import gatefront.recovery.Piece;
 import gatefront.recovery.Recovery;
-import gatefront.recovery.Source;
-import gatefront.recovery.Verdict;
+import gatefront.recovery.RestoredState;
+import gatefront.recovery.StateKind;
+import gatefront.recovery.StateSource;
+import gatefront.recovery.TrustLevel;
+import gatefront.recovery.ValidationResult;
 import gatefront.transport.Transport;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
@@ -33,36 +33,37 @@
  * comes. Runs on the agent's loop, but for {@link #open}; state: the list as last told, bounded as that is, and the
  * calls by hand as last handed over.
  */
-final class Recovering {
+final class StateRecovery {
     /** The list is kept no more often than this. */
     private static final long LIST_MS = 2_000;
 
     private final Transport transport;
-    private final RecoveryTable table;
+    private final RecoverySettings table;
     private final Recovery recovery;
-    private final Keeper keeper;
-    private final Kept kept;
+    private final RecoveryStore keeper;
+    private final StoredState kept;
     private final Map<String, Endpoint> listed = new LinkedHashMap<>();
-    private final Map<String, Bans.Entry> handedOver = new HashMap<>();
+    private final Map<String, ServerBans.Entry> handedOver = new HashMap<>();
     private Config config;
-    private Finding bans;
+    private ValidationResult bans;
     private boolean listChanged;
     private boolean writesFail;
 
-    private Recovering(Transport transport, RecoveryTable table, Config config) {
+    private StateRecovery(Transport transport, RecoverySettings table, Config config) {
         this.transport = transport;
         this.table = table;
         this.config = config;
         this.recovery = new Recovery(table.instance(), table.bounds(), transport.wallMicros());
-        Keeper.Opened opened = Keeper.open(table.folder(), table.instance(), transport.loop(), transport::wallMicros);
+        RecoveryStore.Opened opened =
+                RecoveryStore.open(table.folder(), table.instance(), transport.loop(), transport::wallMicros);
         keeper = opened.keeper();
         kept = opened.kept();
         recovery.store(opened.state(), opened.why(), transport.wallMicros());
         if (kept.instance() != null) {
             bans = recovery.claim(
-                    new Claim(
-                            Piece.BANS,
-                            Source.STORE,
+                    new RestoredState(
+                            StateKind.BANS,
+                            StateSource.STORE,
                             kept.instance(),
                             kept.upTo(),
                             opened.state() == Recovery.Store.DAMAGED),
@@ -72,12 +73,12 @@
     }
 
     /** Looks at what was kept; blocks for a moment. */
-    static Recovering open(Transport transport, RecoveryTable table, Config config) {
-        return new Recovering(transport, table, config);
+    static StateRecovery open(Transport transport, RecoverySettings table, Config config) {
+        return new StateRecovery(transport, table, config);
     }
 
     /** Whether a rehearsal has left a guard on. */
-    boolean guards(RecoveryTable.Guard guard) {
+    boolean guards(RecoverySettings.Guard guard) {
         return !table.without().contains(guard);
     }
 
@@ -89,8 +90,8 @@
     }
 
     /** What staff did by hand before, as far as it may be believed; what is doubted stays out. */
-    Map<String, Bans.Entry> bans() {
-        if (bans == null || bans.verdict() == Verdict.DROPPED || !guards(RecoveryTable.Guard.KEPT_BANS)) {
+    Map<String, ServerBans.Entry> bans() {
+        if (bans == null || bans.verdict() == TrustLevel.DROPPED || !guards(RecoverySettings.Guard.KEPT_BANS)) {
             return Map.of();
         }
         handedOver.putAll(kept.bans());
@@ -108,12 +109,12 @@
             } catch (IOException e) {
                 read = false;
             }
-            Finding finding =
-                    recovery.claim(new Claim(Piece.LIST, Source.STORE, kept.instance(), kept.listAt(), !read), now);
-            own = finding.verdict() == Verdict.DROPPED ? null : own;
+            ValidationResult finding = recovery.claim(
+                    new RestoredState(StateKind.LIST, StateSource.STORE, kept.instance(), kept.listAt(), !read), now);
+            own = finding.verdict() == TrustLevel.DROPPED ? null : own;
         }
         if (own == null && configured.path("endpoints").size() > 0) {
-            recovery.claim(new Claim(Piece.LIST, Source.CONFIGURATION, null, -1, false), now);
+            recovery.claim(new RestoredState(StateKind.LIST, StateSource.CONFIGURATION, null, -1, false), now);
         }
         say();
         return own == null ? configured : own;
@@ -143,7 +144,7 @@
         if (listChanged) {
             listChanged = false;
             ArrayNode endpoints = JsonNodeFactory.instance.arrayNode();
-            listed.values().forEach(each -> endpoints.add(EndpointForm.encode(each, config)));
+            listed.values().forEach(each -> endpoints.add(EndpointJson.encode(each, config)));
             keeper.list(
                     transport.wallMicros(),
                     JsonNodeFactory.instance
@@ -172,7 +173,7 @@
      *
      * @param then is told whether all of them are kept, once that is known
      */
-    void keep(Map<String, Bans.Entry> entries, Consumer<Boolean> then) {
+    void keep(Map<String, ServerBans.Entry> entries, Consumer<Boolean> then) {
         int[] out = {1};
         boolean[] all = {true};
         Consumer<IOException> told = fault -> {
@@ -208,7 +209,7 @@
     /** What staff see of it. */
     Map<String, String> words() {
         Map<String, String> words = new LinkedHashMap<>();
-        boolean lost = recovery.lost() && guards(RecoveryTable.Guard.NAMED_LOSS);
+        boolean lost = recovery.lost() && guards(RecoverySettings.Guard.NAMED_LOSS);
         words.put("recovery", lost || !recovery.lost() ? recovery.stage().words() : Recovery.Stage.WHOLE.words());
         words.put("recovery_lost", lost ? "1" : "0");
         words.put("recovery_for_ms", String.valueOf((transport.wallMicros() - recovery.since()) / 1000));
@@ -219,7 +220,7 @@
 
     private void say() {
         List<String> lines = recovery.lines();
-        if (guards(RecoveryTable.Guard.NAMED_LOSS) || !recovery.lost()) {
+        if (guards(RecoverySettings.Guard.NAMED_LOSS) || !recovery.lost()) {
             lines.forEach(transport::log);
         }
     }
--- a/src/main/java/gatefront/agent/LedgerKeeper.java
+++ b/src/main/java/gatefront/agent/UsageRecorder.java
@@ -1,15 +1,15 @@
 package gatefront.agent;
 
-import gatefront.bookkeeping.Books;
 import gatefront.config.Config;
-import gatefront.engine.Usage;
-import gatefront.ledger.Amounts;
+import gatefront.engine.UsageMeter;
 import gatefront.ledger.Ledger;
-import gatefront.ledger.Periods;
-import gatefront.storage.FolderDisk;
-import gatefront.storage.InUseException;
-import gatefront.storage.Keys;
+import gatefront.ledger.PeriodClock;
+import gatefront.ledger.UsageAmounts;
+import gatefront.ledgerstore.LedgerStore;
+import gatefront.storage.DirectoryDisk;
+import gatefront.storage.SigningKeys;
 import gatefront.storage.Store;
+import gatefront.storage.StoreInUseException;
 import gatefront.transport.Transport;
 import java.io.IOException;
 import java.util.List;
@@ -29,37 +29,41 @@
  *
  * <p>A process that takes over from another finds the books open there, and counts until they are not.
  */
-final class LedgerKeeper {
+final class UsageRecorder {
     private static final double MILLIONTHS = 1e6;
     /** Periods without use that are closed one by one; a clock may jump over millions. */
     private static final long PASSED_MOST = 100;
 
     private final Transport transport;
-    private final LedgerTable table;
+    private final LedgerSettings table;
     private final Supplier<Config> config;
     private final Store.Options options;
-    private final Usage usage = new Usage();
+    private final UsageMeter usage = new UsageMeter();
     private final ExecutorService writer = Executors.newSingleThreadExecutor(task -> {
         Thread thread = new Thread(task, "ledger");
         thread.setDaemon(true);
         return thread;
     });
-    private final Periods periods;
+    private final PeriodClock periods;
     /** Of the loop: whether a hand-over is out, and what is handed over next. */
     private boolean out;
 
     private boolean ended;
     private boolean failing;
-    private TreeMap<Ledger.Cell, Amounts> waiting = new TreeMap<>();
+    private TreeMap<Ledger.Cell, UsageAmounts> waiting = new TreeMap<>();
     /** What was handed over last; the writer takes out what it has written. */
-    private TreeMap<Ledger.Cell, Amounts> handed = new TreeMap<>();
+    private TreeMap<Ledger.Cell, UsageAmounts> handed = new TreeMap<>();
     /** Of the writer: null while another process has them; and the first period that it has not closed. */
-    private Books books;
+    private LedgerStore books;
 
     private long closed;
 
-    private LedgerKeeper(
-            Transport transport, LedgerTable table, Supplier<Config> config, Store.Options options, Books books) {
+    private UsageRecorder(
+            Transport transport,
+            LedgerSettings table,
+            Supplier<Config> config,
+            Store.Options options,
+            LedgerStore books) {
         this.transport = transport;
         this.table = table;
         this.config = config;
@@ -69,7 +73,7 @@
         for (long each : books == null ? List.<Long>of() : books.ledger().periods()) {
             last = each;
         }
-        this.periods = new Periods(table.periodMicros(), table.writeMicros(), last, transport.wallMicros());
+        this.periods = new PeriodClock(table.periodMicros(), table.writeMicros(), last, transport.wallMicros());
         this.closed = periods.closing();
     }
 
@@ -79,26 +83,26 @@
      * @param config the configuration as it is now; asked on the loop
      * @throws IOException with one line, if they cannot be used
      */
-    static LedgerKeeper open(Transport transport, LedgerTable table, Supplier<Config> config) throws IOException {
-        Keys keys = table.keys() == null ? Keys.NONE : Keys.read(table.keys());
+    static UsageRecorder open(Transport transport, LedgerSettings table, Supplier<Config> config) throws IOException {
+        SigningKeys keys = table.keys() == null ? SigningKeys.NONE : SigningKeys.read(table.keys());
         Store.Options options = new Store.Options(keys, Store.Options.USUAL.segmentBytes(), table.bytesMost());
-        Books books = null;
+        LedgerStore books = null;
         try {
-            books = Books.open(new FolderDisk(table.folder()), options, table.instance());
+            books = LedgerStore.open(new DirectoryDisk(table.folder()), options, table.instance());
             if (books.begun()) {
                 transport.log(
                         "ledger: " + table.folder() + " holds no books; they are begun now, or all of them are lost");
             }
-        } catch (InUseException e) {
+        } catch (StoreInUseException e) {
             transport.log("ledger: another process writes the books; counting until it has ended");
         } catch (IOException e) {
             throw new IOException("ledger " + table.folder() + ": " + e.getMessage(), e);
         }
-        return new LedgerKeeper(transport, table, config, options, books);
+        return new UsageRecorder(transport, table, config, options, books);
     }
 
     /** Where the engine counts. */
-    Usage usage() {
+    UsageMeter usage() {
         return usage;
     }
 
@@ -117,7 +121,7 @@
         // What was served since the last time counts in the period that was open then.
         take(periods.open());
         periods.at(transport.wallMicros());
-        TreeMap<Ledger.Cell, Amounts> cells = waiting;
+        TreeMap<Ledger.Cell, UsageAmounts> cells = waiting;
         waiting = new TreeMap<>();
         handed = cells;
         out = true;
@@ -134,13 +138,13 @@
                             period,
                             now.tenants().isEmpty() ? "" : now.tenants().get(tenant),
                             now.classes().get(type)),
-                    new Amounts(requests, (long) (MILLIONTHS * worth * requests), work, bytes),
-                    Amounts::plus);
+                    new UsageAmounts(requests, (long) (MILLIONTHS * worth * requests), work, bytes),
+                    UsageAmounts::plus);
         });
     }
 
     /** On the writer: all that is handed over, or what is left of it goes back. */
-    private void write(TreeMap<Ledger.Cell, Amounts> cells, long closing) {
+    private void write(TreeMap<Ledger.Cell, UsageAmounts> cells, long closing) {
         IOException fault = null;
         try {
             into(cells, closing);
@@ -159,13 +163,13 @@
     }
 
     /** Writes cells, period by period, and closes all before one; what was written is no longer among the cells. */
-    private void into(TreeMap<Ledger.Cell, Amounts> cells, long closing) throws IOException {
+    private void into(TreeMap<Ledger.Cell, UsageAmounts> cells, long closing) throws IOException {
         if (books == null) {
-            books = Books.open(new FolderDisk(table.folder()), options, table.instance());
+            books = LedgerStore.open(new DirectoryDisk(table.folder()), options, table.instance());
         }
         while (!cells.isEmpty()) {
             long period = cells.firstKey().period();
-            Map<Ledger.Cell, Amounts> of = cells.headMap(new Ledger.Cell(period + 1, "", ""));
+            Map<Ledger.Cell, UsageAmounts> of = cells.headMap(new Ledger.Cell(period + 1, "", ""));
             books.use(period, of);
             of.clear();
         }
@@ -180,31 +184,31 @@
         }
     }
 
-    private void written(TreeMap<Ledger.Cell, Amounts> left, IOException fault) {
+    private void written(TreeMap<Ledger.Cell, UsageAmounts> left, IOException fault) {
         if (ended) {
             return; // the close has what is left
         }
         out = false;
-        left.forEach((cell, amounts) -> waiting.merge(cell, amounts, Amounts::plus));
+        left.forEach((cell, amounts) -> waiting.merge(cell, amounts, UsageAmounts::plus));
         left.clear();
-        if (fault != null && !failing && !(fault instanceof InUseException)) {
+        if (fault != null && !failing && !(fault instanceof StoreInUseException)) {
             transport.log("ledger: not written, and tried again: " + fault.getMessage());
         } else if (fault == null && failing) {
             transport.log("ledger: written again, nothing is missing");
         }
-        failing = fault != null && !(fault instanceof InUseException);
+        failing = fault != null && !(fault instanceof StoreInUseException);
     }
 
     /** Writes what is left and closes the books; called on the loop, done on the writer. */
     void close(Runnable then) {
         ended = true;
         take(periods.open());
-        TreeMap<Ledger.Cell, Amounts> cells = waiting;
-        TreeMap<Ledger.Cell, Amounts> before = handed;
+        TreeMap<Ledger.Cell, UsageAmounts> cells = waiting;
+        TreeMap<Ledger.Cell, UsageAmounts> before = handed;
         long end = periods.open() + 1;
         writer.execute(() -> {
             try {
-                before.forEach((cell, amounts) -> cells.merge(cell, amounts, Amounts::plus));
+                before.forEach((cell, amounts) -> cells.merge(cell, amounts, UsageAmounts::plus));
                 if (books != null || !cells.isEmpty()) {
                     into(cells, end); // this life makes no more entries: its part of what is open is whole, too
                     books.close();
--- a/src/main/java/gatefront/agent/Warmup.java
+++ b/src/main/java/gatefront/agent/Warmup.java
@@ -1,10 +1,10 @@
 package gatefront.agent;
 
 import gatefront.config.Config;
-import gatefront.http.HttpFront;
+import gatefront.http.HttpFrontend;
 import gatefront.http.HttpUpstream;
+import gatefront.policy.AdaptiveBalancer;
 import gatefront.policy.Balancer;
-import gatefront.policy.Rules;
 import gatefront.transport.Transport;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.DefaultHttpRequest;
@@ -41,7 +41,7 @@
     private final EventLoop loop;
     private final Config config;
     private final HttpUpstream backends;
-    private final HttpFront clients;
+    private final HttpFrontend clients;
     private final InetSocketAddress own;
     private final IntConsumer then;
     private final Balancer module;
@@ -56,7 +56,7 @@
             Transport transport,
             Config config,
             HttpUpstream backends,
-            HttpFront clients,
+            HttpFrontend clients,
             InetSocketAddress own,
             String path,
             IntConsumer then) {
@@ -67,7 +67,7 @@
         this.clients = clients;
         this.own = own;
         this.then = then;
-        this.module = new Rules(config.settings(), config.seed(), micros(), this);
+        this.module = new AdaptiveBalancer(config.settings(), config.seed(), micros(), this);
         this.outgoing = new HttpUpstream.Outgoing(
                 HttpMethod.GET, path, example().headers().remove("Request-Id"), HttpUpstream.NO_BODY);
         this.ends = new HttpUpstream.Outgoing(
@@ -84,7 +84,7 @@
             Transport transport,
             Config config,
             HttpUpstream backends,
-            HttpFront clients,
+            HttpFrontend clients,
             InetSocketAddress own,
             String path,
             IntConsumer then) {
--- a/src/main/java/gatefront/budget/Trend.java
+++ b/src/main/java/gatefront/budget/LeakTrend.java
@@ -4,7 +4,7 @@
  * Finds what rises slowly: the least that was held in each window, since that is what never goes away. A load that
  * comes and goes has a floor that comes and goes too; a leak's only rises.
  */
-public final class Trend {
+public final class LeakTrend {
     private final long window;
     private final int windows;
     private long windowEnds;
@@ -19,7 +19,7 @@
      * @param window how long a window is, in microseconds
      * @param windows after how many in a row, each with a higher floor than the one before, it says so
      */
-    public Trend(long window, int windows) {
+    public LeakTrend(long window, int windows) {
         this.window = window;
         this.windows = windows;
     }
--- a/src/main/java/gatefront/budget/Account.java
+++ b/src/main/java/gatefront/budget/ResourceAccount.java
@@ -2,10 +2,10 @@
 
 /**
  * What is held for one purpose, in entries and in bytes. One thread; no allocation. What is taken must be given back by
- * whoever took it, with the same bytes: {@link Budget#drift} tells where that is not so.
+ * whoever took it, with the same bytes: {@link ResourceBudget#drift} tells where that is not so.
  */
-public final class Account {
-    private final Purpose purpose;
+public final class ResourceAccount {
+    private final ResourcePurpose purpose;
     private long entriesCap;
     private long bytesCap;
     private long entries;
@@ -14,7 +14,7 @@
     private long bytesHigh;
     private long turnedAway;
 
-    Account(Purpose purpose, long entriesCap, long bytesCap) {
+    ResourceAccount(ResourcePurpose purpose, long entriesCap, long bytesCap) {
         this.purpose = purpose;
         this.entriesCap = entriesCap;
         this.bytesCap = bytesCap;
@@ -75,7 +75,7 @@
     }
 
     /** What it is for. */
-    public Purpose purpose() {
+    public ResourcePurpose purpose() {
         return purpose;
     }
 
--- a/src/main/java/gatefront/budget/Budget.java
+++ b/src/main/java/gatefront/budget/ResourceBudget.java
@@ -11,7 +11,7 @@
  * from {@link #TIGHT} of the total on, connections that nobody needs end sooner; from {@link #FULL} on new calls are
  * refused; what has been taken is finished in any case.
  */
-public final class Budget {
+public final class ResourceBudget {
     /** The part of the total from which on idle connections end sooner. */
     public static final double TIGHT = 0.7;
     /** The part of the total from which on new calls are refused. */
@@ -34,12 +34,12 @@
     /** What a purpose really holds, counted one by one. */
     public record Count(long entries, long bytes) {}
 
-    private final Map<Purpose, Account> accounts = new EnumMap<>(Purpose.class);
-    private final Map<Purpose, Trend> trends = new EnumMap<>(Purpose.class);
+    private final Map<ResourcePurpose, ResourceAccount> accounts = new EnumMap<>(ResourcePurpose.class);
+    private final Map<ResourcePurpose, LeakTrend> trends = new EnumMap<>(ResourcePurpose.class);
     /** One for each owner; fronts and upstreams of several protocols share an account. */
-    private final Map<Purpose, List<Supplier<Count>>> recounts = new EnumMap<>(Purpose.class);
+    private final Map<ResourcePurpose, List<Supplier<Count>>> recounts = new EnumMap<>(ResourcePurpose.class);
     /** The same without a map's iterator: they are summed for each call. */
-    private final Account[] all = new Account[Purpose.values().length];
+    private final ResourceAccount[] all = new ResourceAccount[ResourcePurpose.values().length];
 
     private final long total;
 
@@ -52,28 +52,28 @@
      * @param total bytes that all purposes may hold together
      * @param caps by purpose; those not named have none of their own
      */
-    public Budget(long total, Map<Purpose, Cap> caps) {
+    public ResourceBudget(long total, Map<ResourcePurpose, Cap> caps) {
         this.total = total;
-        for (Purpose each : Purpose.values()) {
+        for (ResourcePurpose each : ResourcePurpose.values()) {
             Cap cap = caps.getOrDefault(each, new Cap(-1, -1));
             accounts.put(
                     each,
-                    new Account(
+                    new ResourceAccount(
                             each,
                             cap.entries < 0 ? Long.MAX_VALUE : cap.entries,
                             cap.bytes < 0 ? Long.MAX_VALUE : cap.bytes));
             all[each.ordinal()] = accounts.get(each);
-            trends.put(each, new Trend(MINUTE, RISING));
+            trends.put(each, new LeakTrend(MINUTE, RISING));
         }
     }
 
     /** The account of a purpose; its owner keeps it. */
-    public Account of(Purpose purpose) {
+    public ResourceAccount of(ResourcePurpose purpose) {
         return all[purpose.ordinal()];
     }
 
     /** Other caps from now on. What is held above them stays, and goes as it would have. */
-    public void caps(Map<Purpose, Cap> caps) {
+    public void caps(Map<ResourcePurpose, Cap> caps) {
         caps.forEach((purpose, cap) -> accounts.get(purpose)
                 .cap(cap.entries < 0 ? Long.MAX_VALUE : cap.entries, cap.bytes < 0 ? Long.MAX_VALUE : cap.bytes));
     }
@@ -81,7 +81,7 @@
     /** Bytes held for all purposes. */
     public long bytes() {
         long sum = 0;
-        for (Account each : all) {
+        for (ResourceAccount each : all) {
             sum += each.bytes();
         }
         return sum;
@@ -99,7 +99,7 @@
     }
 
     /** Has an owner count what it holds, for {@link #drift}. */
-    public void recounted(Purpose purpose, Supplier<Count> by) {
+    public void recounted(ResourcePurpose purpose, Supplier<Count> by) {
         recounts.computeIfAbsent(purpose, each -> new ArrayList<>()).add(by);
     }
 
@@ -107,7 +107,7 @@
     public List<String> drift() {
         List<String> lines = new ArrayList<>();
         recounts.forEach((purpose, by) -> {
-            Account account = accounts.get(purpose);
+            ResourceAccount account = accounts.get(purpose);
             long entries = 0;
             long bytes = 0;
             for (Supplier<Count> each : by) {
--- a/src/main/java/gatefront/budget/Purpose.java
+++ b/src/main/java/gatefront/budget/ResourcePurpose.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** What something is held for. Each has one owner, which says what happens when its cap is reached. */
-public enum Purpose {
+public enum ResourcePurpose {
     /** Connections of callers. At the cap the longest silent ends, then the longest kept; else none is accepted. */
     CALLER_CONNECTIONS,
     /** Requests that have come, in part or whole, with their bodies. At the cap: refused, with Retry-After. */
--- a/src/main/java/gatefront/budget/Unexplained.java
+++ b/src/main/java/gatefront/budget/UnaccountedMemory.java
@@ -6,13 +6,13 @@
  *
  * <p>State: two figures.
  */
-public final class Unexplained {
+public final class UnaccountedMemory {
     private final long limit;
     private long base = -1;
     private long sayAt;
 
     /** Growth over so many bytes is said. */
-    public Unexplained(long limit) {
+    public UnaccountedMemory(long limit) {
         this.limit = limit;
         this.sayAt = limit;
     }
--- a/src/main/java/gatefront/cli/LedgerCommand.java
+++ b/src/main/java/gatefront/cli/LedgerCommand.java
@@ -1,17 +1,17 @@
 package gatefront.cli;
 
-import gatefront.bookkeeping.Books;
-import gatefront.bookkeeping.Lines;
-import gatefront.ledger.Amounts;
-import gatefront.ledger.Digests;
-import gatefront.ledger.Entry;
+import gatefront.ledger.DigestTree;
 import gatefront.ledger.EntryId;
 import gatefront.ledger.Ledger;
-import gatefront.ledger.Reconcile;
-import gatefront.storage.FolderDisk;
-import gatefront.storage.Keys;
+import gatefront.ledger.LedgerEntry;
+import gatefront.ledger.Reconciliation;
+import gatefront.ledger.UsageAmounts;
+import gatefront.ledgerstore.EntryFormat;
+import gatefront.ledgerstore.LedgerStore;
+import gatefront.storage.DirectoryDisk;
+import gatefront.storage.SigningKeys;
 import gatefront.storage.Store;
-import gatefront.storage.Verify;
+import gatefront.storage.StoreVerification;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
@@ -64,8 +64,8 @@
         @Option(names = "--keys", paramLabel = "FILE", description = "the keys that signed them")
         Path keyFile;
 
-        Keys keys() throws IOException {
-            return keyFile == null ? Keys.NONE : Keys.read(keyFile);
+        SigningKeys keys() throws IOException {
+            return keyFile == null ? SigningKeys.NONE : SigningKeys.read(keyFile);
         }
 
         PrintWriter out() {
@@ -73,9 +73,10 @@
         }
 
         /** All that is in some books; none of it where a file is not what was written. */
-        Books.Look look(Path which) throws IOException {
-            Books.Look[] look = {new Books.Look(Ledger.EMPTY, null, -1, 0, 0)};
-            Verify verify = Verify.of(FolderDisk.existing(which), keys(), Books.looking(at -> look[0] = at));
+        LedgerStore.Look look(Path which) throws IOException {
+            LedgerStore.Look[] look = {new LedgerStore.Look(Ledger.EMPTY, null, -1, 0, 0)};
+            StoreVerification verify = StoreVerification.of(
+                    DirectoryDisk.existing(which), keys(), LedgerStore.looking(at -> look[0] = at));
             if (verify.damage() != null) {
                 throw verify.damage();
             }
@@ -103,16 +104,16 @@
 
         @Override
         public Integer call() throws IOException {
-            Books.Look look = look(folder);
+            LedgerStore.Look look = look(folder);
             for (long each : look.ledger().periods()) {
                 if (period == null || period == each) {
                     show(look.ledger(), each);
                 }
             }
-            for (Entry each : look.ledger().waiting()) {
+            for (LedgerEntry each : look.ledger().waiting()) {
                 out().println(
                                 json
-                                        ? Lines.json(each)
+                                        ? EntryFormat.json(each)
                                         : "waits: " + each.id() + " corrects " + each.corrects()
                                                 + ", which is not here");
             }
@@ -142,8 +143,8 @@
                                 "work us",
                                 "bytes");
             }
-            for (Map.Entry<Ledger.Cell, Amounts> each : ledger.totals(of).entrySet()) {
-                Amounts its = each.getValue();
+            for (Map.Entry<Ledger.Cell, UsageAmounts> each : ledger.totals(of).entrySet()) {
+                UsageAmounts its = each.getValue();
                 out().printf(
                                 Locale.ROOT,
                                 json
@@ -151,10 +152,10 @@
                                                 + "\"worth_millionths\":%d,\"work_us\":%d,\"bytes\":%d}%n"
                                         : "  %-20s %-20s %12d %16d %16d %16d%n",
                                 json
-                                        ? Lines.quotedJson(each.getKey().tenant())
+                                        ? EntryFormat.quotedJson(each.getKey().tenant())
                                         : each.getKey().tenant(),
                                 json
-                                        ? Lines.quotedJson(each.getKey().type())
+                                        ? EntryFormat.quotedJson(each.getKey().type())
                                         : each.getKey().type(),
                                 its.requests(),
                                 its.worth(),
@@ -181,10 +182,10 @@
         @Override
         public Integer call() throws IOException {
             long[] entries = {0};
-            Verify verify = Verify.of(
-                    FolderDisk.existing(folder),
+            StoreVerification verify = StoreVerification.of(
+                    DirectoryDisk.existing(folder),
                     keys(),
-                    Books.looking(at -> entries[0] = at.ledger().size()));
+                    LedgerStore.looking(at -> entries[0] = at.ledger().size()));
             verify.notes().forEach(each -> out().println("note: " + each));
             if (verify.damage() != null) {
                 out().println("DAMAGED " + verify.damage().getMessage());
@@ -211,13 +212,13 @@
 
         @Override
         public Integer call() throws IOException {
-            Books.Look look = look(folder);
+            LedgerStore.Look look = look(folder);
             if (csv) {
-                out().println(Lines.CSV_HEAD);
+                out().println(EntryFormat.CSV_HEAD);
             }
-            for (Entry each : look.ledger().entries()) {
+            for (LedgerEntry each : look.ledger().entries()) {
                 if (period == null || each.period() == period) {
-                    out().println(csv ? Lines.csv(each) : Lines.json(each));
+                    out().println(csv ? EntryFormat.csv(each) : EntryFormat.json(each));
                 }
             }
             return 0;
@@ -235,19 +236,19 @@
 
         @Override
         public Integer call() throws IOException {
-            Books.Look here = look(folder);
-            Books.Look there = look(other);
-            Reconcile.Result result = Reconcile.run(
-                    new Digests(here.ledger().entries()),
-                    Reconcile.Other.of(new Digests(there.ledger().entries())));
-            for (Reconcile.Difference each : result.differences()) {
+            LedgerStore.Look here = look(folder);
+            LedgerStore.Look there = look(other);
+            Reconciliation.Result result = Reconciliation.run(
+                    new DigestTree(here.ledger().entries()),
+                    Reconciliation.Other.of(new DigestTree(there.ledger().entries())));
+            for (Reconciliation.Difference each : result.differences()) {
                 out().println(each.id()
                         + (each.there() == null
                                 ? " is in " + folder + " alone"
                                 : each.here() == null
                                         ? " is in " + other + " alone"
-                                        : " is not the same in both: " + Lines.json(each.here()) + " and "
-                                                + Lines.json(each.there())));
+                                        : " is not the same in both: " + EntryFormat.json(each.here()) + " and "
+                                                + EntryFormat.json(each.there())));
             }
             out().println(result.differences().size() + " differences; " + result.steps() + " questions, "
                     + result.bytes() + " bytes");
@@ -293,22 +294,22 @@
             } catch (IllegalArgumentException e) {
                 throw new ParameterException(spec.commandLine(), e.getMessage());
             }
-            Amounts by = new Amounts(requests, worth, work, bytes);
+            UsageAmounts by = new UsageAmounts(requests, worth, work, bytes);
             if (by.none()) {
                 throw new ParameterException(
                         spec.commandLine(),
                         "a correction is of something: --requests, --worth, " + "--work or --bytes");
             }
-            Books.Look look = look(folder);
+            LedgerStore.Look look = look(folder);
             if (look.ledger().get(id) == null) {
                 throw new IOException("there is no entry " + id);
             }
             Store.Options usual = Store.Options.USUAL;
-            try (Books books = Books.open(
-                    new FolderDisk(folder),
+            try (LedgerStore books = LedgerStore.open(
+                    new DirectoryDisk(folder),
                     new Store.Options(keys(), usual.segmentBytes(), usual.bytesMost()),
                     look.instance())) {
-                out().println(Lines.json(books.correct(id, period, by, why)));
+                out().println(EntryFormat.json(books.correct(id, period, by, why)));
                 books.close(period); // this life makes no more
             }
             return 0;
--- a/src/main/java/gatefront/cli/ProcessesCommand.java
+++ b/src/main/java/gatefront/cli/ProcessesCommand.java
@@ -1,9 +1,9 @@
 package gatefront.cli;
 
-import gatefront.rehearsal.ProcessOutcome;
+import gatefront.rehearsal.JsonReport;
 import gatefront.rehearsal.ProcessRehearsal;
+import gatefront.rehearsal.ProcessRehearsalResult;
 import gatefront.rehearsal.RealRehearsal;
-import gatefront.rehearsal.Report;
 import gatefront.rehearsal.processes.ProcessPlan;
 import gatefront.rehearsal.processes.ProcessPlanReader;
 import gatefront.toml.TomlException;
@@ -106,7 +106,7 @@
         if (into != null) {
             Files.createDirectories(into);
         }
-        ProcessOutcome outcome = new ProcessRehearsal(
+        ProcessRehearsalResult outcome = new ProcessRehearsal(
                         read,
                         with,
                         RealRehearsal.ownCommand(),
@@ -114,7 +114,7 @@
                         into == null ? null : into.resolve("history.jsonl"))
                 .play(done -> {});
         if (into != null) {
-            Report.write(outcome.outcome(), into);
+            JsonReport.write(outcome.outcome(), into);
         }
         out.println(outcome.line());
         outcome.breaches().stream().limit(LINES).forEach(each -> out.println("  BROKEN " + each));
@@ -132,7 +132,8 @@
         out.flush();
         double full = -1;
         if (!noTwin && read.firstFault() >= 0) {
-            ProcessOutcome twin = new ProcessRehearsal(read.twin(), with, RealRehearsal.ownCommand(), Set.of(), null)
+            ProcessRehearsalResult twin = new ProcessRehearsal(
+                            read.twin(), with, RealRehearsal.ownCommand(), Set.of(), null)
                     .play(done -> {});
             full = outcome.fullAfter(twin);
             out.println("  "
@@ -157,9 +158,9 @@
                 "%d plays: rules kept on %d; the rig was late by over %d ms on %d%n",
                 all.size(),
                 all.stream().filter(each -> each.broken == 0).count(),
-                ProcessOutcome.LATE_MOST / 1000,
+                ProcessRehearsalResult.LATE_MOST / 1000,
                 all.stream()
-                        .filter(each -> each.late > ProcessOutcome.LATE_MOST)
+                        .filter(each -> each.late > ProcessRehearsalResult.LATE_MOST)
                         .count());
         if (full.length > 0) {
             out.printf(
--- a/src/main/java/gatefront/cli/RecoveryCommand.java
+++ b/src/main/java/gatefront/cli/RecoveryCommand.java
@@ -1,8 +1,8 @@
 package gatefront.cli;
 
-import gatefront.keeping.Keeper;
-import gatefront.keeping.Kept;
-import gatefront.membership.Bans;
+import gatefront.membership.ServerBans;
+import gatefront.persistence.RecoveryStore;
+import gatefront.persistence.StoredState;
 import gatefront.recovery.Recovery;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -60,8 +60,8 @@
         @Override
         public Integer call() throws IOException {
             PrintWriter out = spec.commandLine().getOut();
-            Keeper.Look look = Keeper.look(folder);
-            Kept kept = look.kept();
+            RecoveryStore.Look look = RecoveryStore.look(folder);
+            StoredState kept = look.kept();
             if (json) {
                 var root = com.fasterxml.jackson.databind.node.JsonNodeFactory.instance
                         .objectNode()
@@ -80,7 +80,7 @@
             } else {
                 out.println("instance " + kept.instance() + ", life " + kept.life() + ", written up to "
                         + time(kept.upTo()) + ", list of " + time(kept.listAt()));
-                for (Map.Entry<String, Bans.Entry> each : new TreeMap<>(kept.bans()).entrySet()) {
+                for (Map.Entry<String, ServerBans.Entry> each : new TreeMap<>(kept.bans()).entrySet()) {
                     out.println("  " + each.getKey() + (each.getValue().out() ? " out" : " back") + " since "
                             + time(each.getValue().at()));
                 }
@@ -116,7 +116,7 @@
             if (java.nio.file.Files.exists(folder)) {
                 throw new IOException(folder + " is there already; nothing was changed");
             }
-            Keeper.Opened opened = Keeper.open(
+            RecoveryStore.Opened opened = RecoveryStore.open(
                     folder, instance, Runnable::run, () -> TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis()));
             CountDownLatch ended = new CountDownLatch(1);
             opened.keeper().close(ended::countDown);
--- a/src/main/java/gatefront/cli/RegistryCommand.java
+++ b/src/main/java/gatefront/cli/RegistryCommand.java
@@ -1,13 +1,13 @@
 package gatefront.cli;
 
-import gatefront.agent.RegistryTable;
+import gatefront.agent.RegistrySettingsReader;
 import gatefront.registry.RegistryClient;
 import gatefront.registry.RegistrySettings;
-import gatefront.registry.follower.Change;
-import gatefront.registry.follower.Entry;
-import gatefront.toml.Table;
+import gatefront.registry.follower.KeyChange;
+import gatefront.registry.follower.KeyEntry;
 import gatefront.toml.TomlException;
 import gatefront.toml.TomlFile;
+import gatefront.toml.TomlTable;
 import gatefront.transport.SocketTransport;
 import java.io.PrintWriter;
 import java.net.URI;
@@ -75,8 +75,8 @@
             sockets.loop().execute(() -> {
                 client[0] = new RegistryClient(sockets, settings, System.nanoTime(), new RegistryClient.Listener() {
                     @Override
-                    public void changed(boolean full, List<Change> changes, Map<String, Entry> all) {
-                        for (Change each : changes) {
+                    public void changed(boolean full, List<KeyChange> changes, Map<String, KeyEntry> all) {
+                        for (KeyChange each : changes) {
                             out.println(each.modified()
                                     + (each.value() == null
                                             ? " delete " + each.key()
@@ -116,8 +116,8 @@
             add(text, "user", user);
             add(text, "password_file", passwordFile);
             add(text, "token_file", tokenFile);
-            Table top = TomlFile.parse("command line", text.toString());
-            RegistrySettings settings = RegistryTable.read(top.table("registry"));
+            TomlTable top = TomlFile.parse("command line", text.toString());
+            RegistrySettings settings = RegistrySettingsReader.read(top.table("registry"));
             top.finish();
             return settings;
         }
--- a/src/main/java/gatefront/cli/RehearseCommand.java
+++ b/src/main/java/gatefront/cli/RehearseCommand.java
@@ -1,11 +1,11 @@
 package gatefront.cli;
 
-import gatefront.rehearsal.Outcome;
+import gatefront.rehearsal.JsonReport;
+import gatefront.rehearsal.PlanShrinker;
 import gatefront.rehearsal.RealRehearsal;
 import gatefront.rehearsal.Rehearsal;
-import gatefront.rehearsal.Report;
-import gatefront.rehearsal.Seeds;
-import gatefront.rehearsal.Shrink;
+import gatefront.rehearsal.RehearsalResult;
+import gatefront.rehearsal.SeedCampaign;
 import gatefront.rehearsal.check.RuleChecker;
 import gatefront.rehearsal.plan.Fault;
 import gatefront.rehearsal.plan.Plan;
@@ -108,16 +108,16 @@
         }
         boolean watched = System.console() != null && !json;
         long began = System.nanoTime();
-        Outcome outcome = real
+        RehearsalResult outcome = real
                 ? new RealRehearsal(read, seed, RealRehearsal.ownCommand()).play(done -> progress(watched, done))
                 : new Rehearsal(read, seed)
                         .progress(done -> progress(watched, done))
                         .play();
         if (report != null) {
-            Report.write(outcome, report);
+            JsonReport.write(outcome, report);
         }
         if (json) {
-            out.print(new String(Report.bytes(outcome), StandardCharsets.UTF_8));
+            out.print(new String(JsonReport.bytes(outcome), StandardCharsets.UTF_8));
         } else {
             summary(outcome, (System.nanoTime() - began) / 1e9, out);
         }
@@ -167,7 +167,7 @@
         }
     }
 
-    private void summary(Outcome outcome, double wall, PrintWriter out) {
+    private void summary(RehearsalResult outcome, double wall, PrintWriter out) {
         out.println(outcome.line());
         double[] classes = outcome.byClass();
         for (int i = 0; i < classes.length; i++) {
@@ -210,15 +210,15 @@
         long from = range[0];
         long until = range[1];
         boolean watched = System.console() != null;
-        Seeds.Summary summary =
-                Seeds.play(read, from, until, done -> progress(watched, done), outcome -> out.println(outcome.line()));
+        SeedCampaign.Summary summary = SeedCampaign.play(
+                read, from, until, done -> progress(watched, done), outcome -> out.println(outcome.line()));
         out.print(summary.text());
         out.flush();
         return summary.broken() == 0 ? 0 : Commands.BROKEN;
     }
 
     private int shrink(Plan read, PrintWriter out) throws IOException {
-        Plan smallest = Shrink.shrink(read, seed, line -> {
+        Plan smallest = PlanShrinker.shrink(read, seed, line -> {
             out.println(line);
             out.flush();
         });
--- a/src/main/java/gatefront/config/Config.java
+++ b/src/main/java/gatefront/config/Config.java
@@ -150,7 +150,7 @@
      * @throws IllegalArgumentException if the file lacks what the one before had, or makes no sense; one plain line
      */
     public Config changedBy(Config newer) {
-        Changes.check(source, newer.source);
+        SettingsCompatibility.check(source, newer.source);
         List<String> names = new ArrayList<>(classes);
         List<Balancer.RequestClass> types = new ArrayList<>(settings.classes());
         Set<String> gone = new HashSet<>(classes);
--- a/src/main/java/gatefront/config/EndpointForm.java
+++ b/src/main/java/gatefront/config/EndpointJson.java
@@ -8,8 +8,8 @@
 import gatefront.policy.Balancer.Server;
 
 /** One server in the form of the platform's server list, which sources of our own use too. */
-public final class EndpointForm {
-    private EndpointForm() {}
+public final class EndpointJson {
+    private EndpointJson() {}
 
     /** Gives an entry, which {@link #decode} makes the same server of. */
     public static ObjectNode encode(Endpoint endpoint, Config config) {
--- a/src/main/java/gatefront/config/Changes.java
+++ b/src/main/java/gatefront/config/SettingsCompatibility.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 
 /** Whether a newer file of settings is whole: what the one in force has, it has too, and of the same kind. */
-final class Changes {
+final class SettingsCompatibility {
     private static final String CLASSES = "classes";
     private static final String TENANTS = "realms";
 
-    private Changes() {}
+    private SettingsCompatibility() {}
 
     /** An IllegalArgumentException names the key that is missing or of another kind. */
     static void check(JsonNode before, JsonNode now) {
--- a/src/main/java/gatefront/connection/AcceptingFront.java
+++ b/src/main/java/gatefront/connection/AbstractFrontend.java
@@ -1,9 +1,9 @@
 package gatefront.connection;
 
-import gatefront.budget.Account;
-import gatefront.budget.Budget;
-import gatefront.budget.Purpose;
-import gatefront.engine.Front;
+import gatefront.budget.ResourceAccount;
+import gatefront.budget.ResourceBudget;
+import gatefront.budget.ResourcePurpose;
+import gatefront.engine.Frontend;
 import gatefront.transport.Transport;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -27,7 +27,7 @@
  * The callers' connections: how many there may be, how long each may say nothing, how each ends. What a protocol adds
  * is what the bytes mean. All of it runs on the agent's event loop.
  */
-public abstract class AcceptingFront implements Front {
+public abstract class AbstractFrontend implements Frontend {
     /** What a connection is at. */
     protected enum State {
         /** New, and nothing said yet. */
@@ -76,10 +76,10 @@
     /** Of these, by what they are at, the longest at it first. */
     private final Map<State, Set<Connection>> at = new EnumMap<>(State.class);
 
-    private final Budget budget;
-    private final Account callers;
-    private final Account requests;
-    private final Account answers;
+    private final ResourceBudget budget;
+    private final ResourceAccount callers;
+    private final ResourceAccount requests;
+    private final ResourceAccount answers;
     private boolean leaving;
     /** Whether each answer is to be its connection's last, for the end is near. */
     private boolean closing;
@@ -92,15 +92,16 @@
      * @param connectionsMost connections held at the most
      * @param budget of the agent
      */
-    protected AcceptingFront(Transport transport, InetSocketAddress listen, int connectionsMost, Budget budget) {
+    protected AbstractFrontend(
+            Transport transport, InetSocketAddress listen, int connectionsMost, ResourceBudget budget) {
         this.budget = budget;
-        this.callers = budget.of(Purpose.CALLER_CONNECTIONS);
-        this.requests = budget.of(Purpose.REQUESTS);
-        this.answers = budget.of(Purpose.ANSWERS);
-        budget.recounted(Purpose.CALLER_CONNECTIONS, () -> new Budget.Count(connections.size(), 0));
+        this.callers = budget.of(ResourcePurpose.CALLER_CONNECTIONS);
+        this.requests = budget.of(ResourcePurpose.REQUESTS);
+        this.answers = budget.of(ResourcePurpose.ANSWERS);
+        budget.recounted(ResourcePurpose.CALLER_CONNECTIONS, () -> new ResourceBudget.Count(connections.size(), 0));
         budget.recounted(
-                Purpose.REQUESTS,
-                () -> new Budget.Count(
+                ResourcePurpose.REQUESTS,
+                () -> new ResourceBudget.Count(
                         0, connections.stream().mapToLong(each -> each.held).sum()));
         this.transport = transport;
         this.listen = listen;
@@ -114,8 +115,8 @@
                 .option(ChannelOption.SO_BACKLOG, 1024)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Buffers.reads())
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Buffers.MARKS)
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, BufferLimits.reads())
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, BufferLimits.MARKS)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
@@ -238,7 +239,7 @@
 
     /** Whether room gets scarce: clients that keep their connections without need then have to dial again. */
     private boolean pressed() {
-        return connections.size() >= PRESSED * connectionsMost || budget.pressure() != Budget.Pressure.NONE;
+        return connections.size() >= PRESSED * connectionsMost || budget.pressure() != ResourceBudget.Pressure.NONE;
     }
 
     private List<Connection> expired(State state, long nanos) {
--- a/src/main/java/gatefront/connection/LoadReport.java
+++ b/src/main/java/gatefront/connection/LoadReportParser.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** Reads the load reports of servers: {@code name=value} pairs behind commas. */
-public final class LoadReport {
+public final class LoadReportParser {
     private static final double[] NONE = new double[0];
     /** The names of the values as servers write them, where the settings say otherwise. */
     private static final Map<String, String> WRITTEN = Map.of(
@@ -26,7 +26,7 @@
     private final List<String> fields;
 
     /** Reports of these fields, by the settings' names. */
-    public LoadReport(List<String> fields) {
+    public LoadReportParser(List<String> fields) {
         this.fields = List.copyOf(fields);
     }
 
--- a/src/main/java/gatefront/connection/PooledUpstream.java
+++ b/src/main/java/gatefront/connection/PooledUpstream.java
@@ -1,9 +1,9 @@
 package gatefront.connection;
 
-import gatefront.budget.Account;
-import gatefront.budget.Budget;
-import gatefront.budget.Purpose;
-import gatefront.engine.Flow;
+import gatefront.budget.ResourceAccount;
+import gatefront.budget.ResourceBudget;
+import gatefront.budget.ResourcePurpose;
+import gatefront.engine.BodyStream;
 import gatefront.engine.Payload;
 import gatefront.engine.Upstream;
 import gatefront.membership.Endpoint;
@@ -65,8 +65,8 @@
 
     private int connections;
     private int attempts;
-    private final Account held;
-    private final Account answers;
+    private final ResourceAccount held;
+    private final ResourceAccount answers;
 
     /** What is kept for one server at one address. */
     private static final class Pool {
@@ -100,9 +100,13 @@
      * @param budget of the agent
      */
     protected PooledUpstream(
-            Transport transport, int connectionsMost, long connectTimeoutMicros, long idleCloseMicros, Budget budget) {
-        this.held = budget.of(Purpose.SERVER_CONNECTIONS);
-        this.answers = budget.of(Purpose.SERVER_ANSWERS);
+            Transport transport,
+            int connectionsMost,
+            long connectTimeoutMicros,
+            long idleCloseMicros,
+            ResourceBudget budget) {
+        this.held = budget.of(ResourcePurpose.SERVER_CONNECTIONS);
+        this.answers = budget.of(ResourcePurpose.SERVER_ANSWERS);
         this.transport = transport;
         this.loop = transport.loop();
         this.connectionsMost = connectionsMost;
@@ -112,8 +116,8 @@
                 .channelFactory(transport.dialers())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (connectTimeoutMicros / 1000))
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, Buffers.reads())
-                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Buffers.MARKS)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, BufferLimits.reads())
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, BufferLimits.MARKS)
                 .disableResolver(); // addresses are literal; the usual resolvers would keep the loop for ever
         loop.scheduleWithFixedDelay(this::closeOld, SWEEP_SECONDS, SWEEP_SECONDS, TimeUnit.SECONDS);
     }
@@ -279,7 +283,7 @@
         private boolean written;
         private boolean ended;
         /** Its answer, where that is passed on in pieces; and when the server last gave some. */
-        private Flow flow;
+        private BodyStream flow;
 
         private long progressAt;
 
@@ -347,7 +351,7 @@
         }
 
         /** Its answer has begun and is passed on in pieces: from now on it may take as long as the server gives. */
-        public void begun(Payload answer, Flow pieces) {
+        public void begun(Payload answer, BodyStream pieces) {
             flow = pieces;
             if (timer != null) {
                 timer.cancel(false);
@@ -379,7 +383,7 @@
         }
 
         /** Writes the head at once and the body as it comes. */
-        private void pass(Flow upload) {
+        private void pass(BodyStream upload) {
             if (timer != null) {
                 timer.cancel(false);
             }
@@ -387,7 +391,7 @@
             connection.upload = upload;
             to.writeAndFlush(message(request, number, 0)); // the caller's time counts from the last byte
             then.spent();
-            upload.to(new Flow.Taker() {
+            upload.to(new BodyStream.Taker() {
                 @Override
                 public boolean piece(ByteBuf piece) {
                     if (ended) {
@@ -489,7 +493,7 @@
         private Channel channel;
         private Attempt attempt;
         /** The request that is leaving in pieces, or null. */
-        private Flow upload;
+        private BodyStream upload;
 
         private long idleSince;
 
--- a/src/main/java/gatefront/drill/Drill.java
+++ b/src/main/java/gatefront/drill/Drill.java
@@ -1,10 +1,10 @@
 package gatefront.drill;
 
+import gatefront.policy.AdaptiveBalancer;
 import gatefront.policy.Balancer;
 import gatefront.policy.Balancer.ListKind;
 import gatefront.policy.Balancer.Outcome;
 import gatefront.policy.Balancer.Phase;
-import gatefront.policy.Rules;
 import gatefront.policy.SettingsParser;
 import java.io.IOException;
 import java.io.InputStream;
@@ -56,7 +56,7 @@
         if (code == 24) {
             long seed = in.i64();
             Balancer.Settings settings = settings(in.text(in.u32()));
-            decide(() -> instances.put(id, new Rules(settings, seed, now, out)));
+            decide(() -> instances.put(id, new AdaptiveBalancer(settings, seed, now, out)));
             return;
         }
         Balancer instance = instances.get(id);
--- a/src/main/java/gatefront/engine/Flow.java
+++ b/src/main/java/gatefront/engine/BodyStream.java
@@ -9,7 +9,7 @@
  * the taker has no room, so what it holds is bounded by {@link #MOST} and one read more, whatever the body's size. One
  * thread. Pieces are released by whoever has them when it ends; a flow that is over holds none.
  */
-public final class Flow {
+public final class BodyStream {
     /** Bytes that wait at the most before the giver is to stop. */
     static final int MOST = 32 << 10;
 
@@ -54,7 +54,7 @@
     private State state = State.OPEN;
 
     /** Empty, from this giver. */
-    public Flow(Giver giver) {
+    public BodyStream(Giver giver) {
         this.giver = giver;
     }
 
--- a/src/main/java/gatefront/engine/Call.java
+++ b/src/main/java/gatefront/engine/ClientRequest.java
@@ -12,7 +12,7 @@
  * @param repeated whether the caller says that it has asked before
  * @param payload what goes to the server
  */
-public record Call(
+public record ClientRequest(
         String id,
         int requestClass,
         int tenant,
--- a/src/main/java/gatefront/engine/Engine.java
+++ b/src/main/java/gatefront/engine/Engine.java
@@ -1,13 +1,13 @@
 package gatefront.engine;
 
-import gatefront.budget.Account;
-import gatefront.budget.Budget;
-import gatefront.budget.Purpose;
+import gatefront.budget.ResourceAccount;
+import gatefront.budget.ResourceBudget;
+import gatefront.budget.ResourcePurpose;
 import gatefront.limits.ClassLimits;
 import gatefront.membership.Endpoint;
+import gatefront.policy.AdaptiveBalancer;
 import gatefront.policy.Balancer;
-import gatefront.policy.Rules;
-import gatefront.recovery.Waking;
+import gatefront.recovery.StallDetector;
 import gatefront.transport.Transport;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
@@ -43,13 +43,13 @@
 
     private final Source source;
     private final Balancer balancer;
-    private final Budget budget;
-    private final Account calls;
-    private final Account listed;
+    private final ResourceBudget budget;
+    private final ResourceAccount calls;
+    private final ResourceAccount listed;
     private final ClassLimits limits;
-    private final Tally tally;
+    private final RequestCounters tally;
     /** Where use is counted; null where nobody wants it. */
-    private Usage usage;
+    private UsageMeter usage;
     /**
      * Calls taken and not yet done with, by the module's ids, by their exchanges and by their callers' ids: each
      * goes when it is answered and no attempt is out, which its own guard sees to at its deadline at the latest.
@@ -66,7 +66,7 @@
     private long nextId = 1;
     private boolean deciding;
     /** Whether this process has stood still; null where nobody asks. */
-    private Waking waking;
+    private StallDetector waking;
 
     private Runnable whenWoken;
     private long patienceMs;
@@ -88,7 +88,7 @@
     /** A call taken and not yet done with. */
     private static final class Pending {
         final long id;
-        final Call call;
+        final ClientRequest call;
         final Exchange exchange;
         final Upstream upstream;
         final List<Upstream.Attempt> attempts = new ArrayList<>(1);
@@ -100,7 +100,7 @@
         Payload passed;
         Future<?> guard;
 
-        Pending(long id, Call call, Exchange exchange, Upstream upstream) {
+        Pending(long id, ClientRequest call, Exchange exchange, Upstream upstream) {
             this.id = id;
             this.upstream = upstream;
             this.call = call;
@@ -125,17 +125,17 @@
             long seed,
             List<Upstream> upstreams,
             Source source,
-            Budget budget,
+            ResourceBudget budget,
             Function<Engine, Balancer> module) {
         this.budget = budget;
-        this.calls = budget.of(Purpose.CALLS);
-        this.listed = budget.of(Purpose.SERVERS);
-        budget.recounted(Purpose.CALLS, () -> new Budget.Count(open.size(), 0));
-        budget.recounted(Purpose.SERVERS, () -> new Budget.Count(names.size(), 0));
+        this.calls = budget.of(ResourcePurpose.CALLS);
+        this.listed = budget.of(ResourcePurpose.SERVERS);
+        budget.recounted(ResourcePurpose.CALLS, () -> new ResourceBudget.Count(open.size(), 0));
+        budget.recounted(ResourcePurpose.SERVERS, () -> new ResourceBudget.Count(names.size(), 0));
         this.transport = transport;
         this.settings = settings;
         this.limits = new ClassLimits(settings.classes().size());
-        this.tally = new Tally(settings.classes().size());
+        this.tally = new RequestCounters(settings.classes().size());
         this.seed = seed;
         this.loop = transport.loop();
         this.upstreams = List.copyOf(upstreams);
@@ -146,7 +146,7 @@
 
     /** The decision module in service. */
     public static Balancer usual(Engine engine) {
-        return new Rules(engine.settings, engine.seed, engine.now(), engine);
+        return new AdaptiveBalancer(engine.settings, engine.seed, engine.now(), engine);
     }
 
     /** Microseconds of the clock that the module sees. */
@@ -163,12 +163,12 @@
     }
 
     /** How requests have ended; to be asked on its loop. */
-    public Tally tally() {
+    public RequestCounters tally() {
         return tally;
     }
 
     /** Counts use there from now on. */
-    public void usage(Usage into) {
+    public void usage(UsageMeter into) {
         usage = into;
     }
 
@@ -220,7 +220,7 @@
      * @param patienceMs when it is looked at again at the latest
      * @param woken runs after a standstill, to see to it that somebody tells
      */
-    public void wakes(Waking by, long patienceMs, Runnable woken) {
+    public void wakes(StallDetector by, long patienceMs, Runnable woken) {
         waking = by;
         this.patienceMs = patienceMs;
         whenWoken = woken;
@@ -356,10 +356,10 @@
     }
 
     /** What a front hands its calls to, for them to go to the servers by an upstream. */
-    public Front.Listener through(Upstream upstream) {
-        return new Front.Listener() {
+    public Frontend.Listener through(Upstream upstream) {
+        return new Frontend.Listener() {
             @Override
-            public void call(Call call, Exchange exchange) {
+            public void call(ClientRequest call, Exchange exchange) {
                 take(call, exchange, upstream);
             }
 
@@ -370,7 +370,7 @@
         };
     }
 
-    private void take(Call call, Exchange exchange, Upstream upstream) {
+    private void take(ClientRequest call, Exchange exchange, Upstream upstream) {
         // Guards against an effect twice, and against one call getting the other's answer: the second is
         // not passed on, whoever sent it and by whatever protocol, and the first goes on unharmed.
         if (byName.containsKey(call.id())) {
@@ -379,8 +379,8 @@
             return;
         }
         // Guards against falling over with all that is held: what is new is turned away, and told when to come back.
-        if (budget.pressure() == Budget.Pressure.FULL
-                || budget.of(Purpose.ANSWERS).full()
+        if (budget.pressure() == ResourceBudget.Pressure.FULL
+                || budget.of(ResourcePurpose.ANSWERS).full()
                 || !room(call.requestClass())
                 || !calls.take(0)) {
             exchange.refused(RETRY_AFTER_MICROS);
@@ -480,7 +480,7 @@
     private void answered(Pending pending) {
         pending.answered = true;
         tally.ended();
-        Flow upload = pending.call.payload().flow();
+        BodyStream upload = pending.call.payload().flow();
         if (upload != null && upload.isOpen()) {
             upload.cancel(); // nobody will read the rest
         }
--- a/src/main/java/gatefront/engine/Front.java
+++ b/src/main/java/gatefront/engine/Frontend.java
@@ -4,11 +4,11 @@
 import io.netty.channel.ChannelFuture;
 
 /** Where calls come in. Each exchange gets one answer in its turn, whatever else happens to its connection. */
-public interface Front {
+public interface Frontend {
     /** What hears of the calls. */
     interface Listener {
         /** A well-formed call has come; it is owed one answer through its exchange. */
-        void call(Call call, Exchange exchange);
+        void call(ClientRequest call, Exchange exchange);
 
         /** The caller has left with this exchange unanswered. */
         void callerLeft(Exchange exchange);
--- a/src/main/java/gatefront/engine/Payload.java
+++ b/src/main/java/gatefront/engine/Payload.java
@@ -3,7 +3,7 @@
 /** What a protocol carries from a caller to a server or back; the engine passes it on unseen. */
 public interface Payload {
     /** What of it comes in pieces, and can be sent only once; null if it is here whole. */
-    default Flow flow() {
+    default BodyStream flow() {
         return null;
     }
 
--- a/src/main/java/gatefront/engine/Tally.java
+++ b/src/main/java/gatefront/engine/RequestCounters.java
@@ -6,7 +6,7 @@
  * How requests have ended, by the number of their class, and what is under way. One thread; counts from the process's
  * start. A number for each class that there ever was: classes are bounded where they get their numbers.
  */
-public final class Tally {
+public final class RequestCounters {
     private long[] ok;
     private long[] shed;
     private long[] errors;
@@ -14,7 +14,7 @@
     private long active;
 
     /** Nothing yet, of so many classes. */
-    public Tally(int classes) {
+    public RequestCounters(int classes) {
         ok = new long[classes];
         shed = new long[classes];
         errors = new long[classes];
--- a/src/main/java/gatefront/engine/Usage.java
+++ b/src/main/java/gatefront/engine/UsageMeter.java
@@ -6,7 +6,7 @@
  * What was served, by the numbers of its tenant and its class, since it was last taken. One thread. A cell for each
  * pair that there ever was: both are bounded where they get their numbers. A request costs three additions.
  */
-public final class Usage {
+public final class UsageMeter {
     /** Who is told. */
     public interface Taker {
         /** So many requests, of so many microseconds of servers' time and so many bytes. */
--- a/src/main/java/gatefront/http/HttpFront.java
+++ b/src/main/java/gatefront/http/HttpFrontend.java
@@ -1,15 +1,15 @@
 package gatefront.http;
 
-import gatefront.budget.Budget;
+import gatefront.budget.ResourceBudget;
 import gatefront.config.Config;
-import gatefront.connection.AcceptingFront;
-import gatefront.engine.Call;
+import gatefront.connection.AbstractFrontend;
+import gatefront.engine.BodyStream;
+import gatefront.engine.ClientRequest;
 import gatefront.engine.Engine;
-import gatefront.engine.Flow;
 import gatefront.engine.Payload;
 import gatefront.http.HttpUpstream.Outgoing;
 import gatefront.http.HttpUpstream.Served;
-import gatefront.http.codec.Decoders;
+import gatefront.http.codec.StrictHttpDecoders;
 import gatefront.policy.Balancer;
 import gatefront.transport.Transport;
 import io.netty.buffer.ByteBuf;
@@ -47,9 +47,9 @@
  * advance on a connection waits for the answer before it. What is no request as the protocol has it is
  * answered with an error in its turn, and its connection ends. All of it runs on the agent's event loop.
  */
-public final class HttpFront extends AcceptingFront {
+public final class HttpFrontend extends AbstractFrontend {
     /** What a connection has asked: a request, the agent's health (neither), or what earned it an error. */
-    private record Asked(Call request, HttpResponseStatus error, boolean keepAlive) {}
+    private record Asked(ClientRequest request, HttpResponseStatus error, boolean keepAlive) {}
 
     /** What goes from hop to hop only, or is set anew. */
     private static final AsciiString[] NOT_FORWARDED = {
@@ -97,12 +97,12 @@
     private final BooleanSupplier ready;
 
     /** Listens to nobody yet; {@link #listen()} begins. */
-    public HttpFront(
+    public HttpFrontend(
             Transport transport,
             Config config,
             int connectionsMost,
             BooleanSupplier ready,
-            Budget budget,
+            ResourceBudget budget,
             Listener listener) {
         super(transport, config.listen(), connectionsMost, budget);
         this.transport = transport;
@@ -113,7 +113,7 @@
 
     @Override
     protected void init(DuplexChannel channel) {
-        Decoders.Requests decoder = new Decoders.Requests();
+        StrictHttpDecoders.Requests decoder = new StrictHttpDecoders.Requests();
         channel.pipeline().addLast(decoder, new HttpResponseEncoder(), new Caller(channel, decoder));
     }
 
@@ -129,7 +129,7 @@
         private final int bytes;
         private boolean answered;
         /** The answer that is being passed on in pieces, or null. */
-        private Flow passing;
+        private BodyStream passing;
 
         private Exchange(Caller connection, boolean keepAlive, int bytes) {
             this.connection = connection;
@@ -221,7 +221,7 @@
             passing = served.flow();
             connection.write(new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, headers), 0);
             connection.passes();
-            passing.to(new Flow.Taker() {
+            passing.to(new BodyStream.Taker() {
                 @Override
                 public boolean piece(ByteBuf piece) {
                     connection.write(new DefaultHttpContent(piece), piece.readableBytes());
@@ -256,23 +256,23 @@
 
     /** One connection of the application's. */
     private final class Caller extends Connection {
-        private final Decoders.Requests decoder;
+        private final StrictHttpDecoders.Requests decoder;
         private final Deque<Asked> ahead = new ArrayDeque<>();
         /** The exchange that is owed an answer, or null. */
         private Exchange current;
         /** The request whose body is coming in, null for one about health; what has come of the body. */
-        private Call incoming;
+        private ClientRequest incoming;
 
         private boolean keepAlive;
         private ByteBuf body = Unpooled.EMPTY_BUFFER;
         /** The rest of a body that is too long to be held, on its way to a server; null while there is none. */
-        private Flow upload;
+        private BodyStream upload;
 
         private long uploaded;
         /** How the body that is coming in ends. */
         private long length;
 
-        Caller(DuplexChannel channel, Decoders.Requests decoder) {
+        Caller(DuplexChannel channel, StrictHttpDecoders.Requests decoder) {
             super(channel);
             this.decoder = decoder;
         }
@@ -338,11 +338,11 @@
                 add(content.content());
             }
             if (part instanceof LastHttpContent && !deaf && upload != null) {
-                Flow whole = upload;
+                BodyStream whole = upload;
                 upload = null;
                 whole.end();
             } else if (part instanceof LastHttpContent && !deaf) {
-                Call whole =
+                ClientRequest whole =
                         incoming == null || !body.isReadable() ? incoming : with(incoming, ByteBufUtil.getBytes(body));
                 body = Unpooled.EMPTY_BUFFER;
                 ask(new Asked(whole, null, keepAlive));
@@ -368,7 +368,7 @@
         private void begin(HttpRequest head) {
             keepAlive = HttpUtil.isKeepAlive(head);
             incoming = null;
-            length = Decoders.framing(head.headers());
+            length = StrictHttpDecoders.framing(head.headers());
             HttpResponseStatus error = badFraming(head, length);
             if (error == null && !health(head)) {
                 incoming = parse(head);
@@ -378,7 +378,7 @@
                 wrong(error);
                 return;
             }
-            if (length > 0 || length == Decoders.CHUNKED) {
+            if (length > 0 || length == StrictHttpDecoders.CHUNKED) {
                 body = Unpooled.buffer(length > 0 ? (int) Math.min(length, 1024) : 256, HttpUpstream.BODY_MAX);
                 if (HttpUtil.is100ContinueExpected(head) && current == null && ahead.isEmpty()) {
                     channel.writeAndFlush(new DefaultFullHttpResponse(
@@ -417,7 +417,7 @@
 
         /** What has come of a body begins its way to a server, and the rest follows as it comes. */
         private void beginUpload() {
-            Flow pieces = new Flow(new Flow.Giver() {
+            BodyStream pieces = new BodyStream(new BodyStream.Giver() {
                 @Override
                 public void passed(int bytes) {
                     release(bytes);
@@ -449,7 +449,7 @@
 
         /** No more is taken of a body that is on its way: nobody gets it whole, and the caller is told why. */
         private void endUpload(HttpResponseStatus why) {
-            Flow pieces = upload;
+            BodyStream pieces = upload;
             Exchange asked = current;
             if (asked == null || ahead.stream().anyMatch(each -> each.request != null)) {
                 channel.close(); // one that waits for the answers before it: they are not to be overtaken
@@ -463,7 +463,7 @@
         }
 
         /** Guards against a body of which nothing more comes, held open for ever. */
-        private void watch(Flow pieces, long before) {
+        private void watch(BodyStream pieces, long before) {
             transport
                     .loop()
                     .schedule(
@@ -518,7 +518,7 @@
 
         private void take(Asked asked) {
             move(State.OWED);
-            Call request = asked.request;
+            ClientRequest request = asked.request;
             Exchange exchange = new Exchange(this, asked.keepAlive, request == null ? 0 : body(request).length);
             current = exchange;
             try {
@@ -557,9 +557,9 @@
         }
     }
 
-    private static Call with(Call call, byte[] body) {
+    private static ClientRequest with(ClientRequest call, byte[] body) {
         Outgoing without = (Outgoing) call.payload();
-        return new Call(
+        return new ClientRequest(
                 call.id(),
                 call.requestClass(),
                 call.tenant(),
@@ -570,9 +570,9 @@
                 new Outgoing(without.method(), without.uri(), without.headers(), body));
     }
 
-    private static Call with(Call call, Flow body, long length) {
+    private static ClientRequest with(ClientRequest call, BodyStream body, long length) {
         Outgoing without = (Outgoing) call.payload();
-        return new Call(
+        return new ClientRequest(
                 call.id(),
                 call.requestClass(),
                 call.tenant(),
@@ -589,7 +589,7 @@
                         Math.max(-1, length)));
     }
 
-    private static byte[] body(Call call) {
+    private static byte[] body(ClientRequest call) {
         return ((Outgoing) call.payload()).body();
     }
 
@@ -604,7 +604,7 @@
         if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
             return HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED;
         }
-        if (length == Decoders.UNCLEAR) {
+        if (length == StrictHttpDecoders.UNCLEAR) {
             return HttpResponseStatus.BAD_REQUEST;
         }
         if (length > HttpUpstream.LARGE_MAX) {
@@ -614,18 +614,18 @@
         if (expected != null && !expected.equalsIgnoreCase("100-continue")) {
             return HttpResponseStatus.EXPECTATION_FAILED;
         }
-        boolean bodiless = length == 0 || length == Decoders.NO_LENGTH;
+        boolean bodiless = length == 0 || length == StrictHttpDecoders.NO_LENGTH;
         if (head.method().equals(HttpMethod.GET)) {
             return bodiless ? null : HttpResponseStatus.BAD_REQUEST;
         }
-        return length == Decoders.NO_LENGTH ? HttpResponseStatus.LENGTH_REQUIRED : null;
+        return length == StrictHttpDecoders.NO_LENGTH ? HttpResponseStatus.LENGTH_REQUIRED : null;
     }
 
     /**
      * The request as the agent takes it, or null if it is not as the protocol has it. Guards against passing
      * on what a server would turn away, or would close a connection for on which more is waiting.
      */
-    public Call parse(HttpRequest request) {
+    public ClientRequest parse(HttpRequest request) {
         HttpHeaders headers = request.headers();
         String uri = request.uri();
         if (!visible(uri, '!') || !uri.startsWith("/")) {
@@ -646,8 +646,8 @@
         }
         String named = headers.get(REQUEST_CLASS, "");
         int requestClass = config.classNumber(named);
-        long timeout = Decoders.digits(headers.get(HttpUpstream.REQUEST_TIMEOUT), 0);
-        long hint = Decoders.digits(headers.get(WORK_HINT, "0"), -1);
+        long timeout = StrictHttpDecoders.digits(headers.get(HttpUpstream.REQUEST_TIMEOUT), 0);
+        long hint = StrictHttpDecoders.digits(headers.get(WORK_HINT, "0"), -1);
         String id = headers.get(REQUEST_ID, "");
         int tenant = config.tenants().indexOf(headers.get(TENANT, ""));
         if (requestClass < 0
@@ -655,7 +655,7 @@
                 || timeout < 1
                 || timeout > TIMEOUT_MS_MAX
                 || hint < 0
-                || !Call.isId(id)
+                || !ClientRequest.isId(id)
                 || headers.get(HttpHeaderNames.HOST, "").isEmpty()
                 || tenant < 0 && !config.tenants().isEmpty()) {
             return null;
@@ -666,7 +666,8 @@
         String repeat = headers.get(IDEMPOTENCY_KEY);
         // Guards against an effect twice: without its key no server would drop a repeat.
         boolean keyed = semantics == Balancer.Semantics.KEYED;
-        if (!request.method().equals(method) || (keyed ? repeat == null || !Call.isId(repeat) : repeat != null)) {
+        if (!request.method().equals(method)
+                || (keyed ? repeat == null || !ClientRequest.isId(repeat) : repeat != null)) {
             return null;
         }
         for (String option : headers.getAllAsString(HttpHeaderNames.CONNECTION)) {
@@ -677,7 +678,7 @@
             }
         }
         String key = headers.get(AFFINITY_KEY, "");
-        return new Call(
+        return new ClientRequest(
                 id,
                 requestClass,
                 Math.max(0, tenant),
--- a/src/main/java/gatefront/http/HttpUpstream.java
+++ b/src/main/java/gatefront/http/HttpUpstream.java
@@ -1,12 +1,12 @@
 package gatefront.http;
 
-import gatefront.budget.Budget;
+import gatefront.budget.ResourceBudget;
 import gatefront.config.Config;
-import gatefront.connection.LoadReport;
+import gatefront.connection.LoadReportParser;
 import gatefront.connection.PooledUpstream;
-import gatefront.engine.Flow;
+import gatefront.engine.BodyStream;
 import gatefront.engine.Payload;
-import gatefront.http.codec.Decoders;
+import gatefront.http.codec.StrictHttpDecoders;
 import gatefront.policy.Balancer.Outcome;
 import gatefront.transport.Transport;
 import io.netty.buffer.ByteBuf;
@@ -41,7 +41,8 @@
 /** The servers over HTTP/1.1: a request a connection at a time, and what its answer says of it. */
 public final class HttpUpstream extends PooledUpstream {
     /** What is sent: method, target and body go on as they came. */
-    public record Outgoing(HttpMethod method, String uri, HttpHeaders headers, byte[] body, Flow flow, long length)
+    public record Outgoing(
+            HttpMethod method, String uri, HttpHeaders headers, byte[] body, BodyStream flow, long length)
             implements Payload {
         /** With a body that is here whole. */
         public Outgoing(HttpMethod method, String uri, HttpHeaders headers, byte[] body) {
@@ -55,7 +56,8 @@
     }
 
     /** A served answer: the body, whole or in pieces, its length if known, and what tells how to read it. */
-    record Served(byte[] body, Flow flow, long length, String contentType, String contentEncoding) implements Payload {
+    record Served(byte[] body, BodyStream flow, long length, String contentType, String contentEncoding)
+            implements Payload {
         @Override
         public long bytes() {
             return flow == null ? body.length : flow.passed();
@@ -80,20 +82,20 @@
 
     public static final byte[] NO_BODY = new byte[0];
 
-    private final LoadReport load;
+    private final LoadReportParser load;
     private final Outgoing probe;
 
     /** Holds so many connections at the most. */
-    public HttpUpstream(Transport transport, Config config, int connectionsMost, Budget budget) {
+    public HttpUpstream(Transport transport, Config config, int connectionsMost, ResourceBudget budget) {
         super(transport, connectionsMost, config.connectTimeoutMicros(), config.idleCloseMicros(), budget);
-        load = new LoadReport(config.loadFields());
+        load = new LoadReportParser(config.loadFields());
         probe = new Outgoing(
                 HttpMethod.GET, config.loadByProbe() ? "/load" : "/healthz", new DefaultHttpHeaders(), NO_BODY);
     }
 
     @Override
     protected void init(Connection connection, ChannelPipeline pipeline) {
-        Decoders.Responses decoder = new Decoders.Responses();
+        StrictHttpDecoders.Responses decoder = new StrictHttpDecoders.Responses();
         pipeline.addLast(decoder, new HttpRequestEncoder(), new Answers(connection, decoder));
     }
 
@@ -147,17 +149,17 @@
     }
 
     private final class Answers extends Reader {
-        private final Decoders.Responses decoder;
+        private final StrictHttpDecoders.Responses decoder;
         /** The answer that is coming in, or null; one with a status of 1xx goes ahead of the one awaited. */
         private HttpResponse head;
 
         private final ByteBuf body = Unpooled.buffer(0, BODY_MAX);
         /** Where the body goes that is passed on in pieces, or null; and how much of it has come. */
-        private Flow flow;
+        private BodyStream flow;
 
         private long passed;
 
-        Answers(Connection connection, Decoders.Responses decoder) {
+        Answers(Connection connection, StrictHttpDecoders.Responses decoder) {
             super(connection);
             this.decoder = decoder;
         }
@@ -173,7 +175,7 @@
             if (part instanceof LastHttpContent) {
                 HttpResponse whole = head;
                 head = null;
-                if (broke && Decoders.framing(whole.headers()) == Decoders.NO_LENGTH) {
+                if (broke && StrictHttpDecoders.framing(whole.headers()) == StrictHttpDecoders.NO_LENGTH) {
                     return false; // reset in the middle: its end is not the body's
                 }
                 if (whole.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
@@ -187,14 +189,14 @@
         private boolean begin(Attempt attempt, HttpResponse first) {
             head = first;
             int status = first.status().code();
-            long length = Decoders.framing(first.headers());
+            long length = StrictHttpDecoders.framing(first.headers());
             if (status < 200) {
                 return status != 101; // nobody asked for another protocol
             }
             attempt.answering();
             // Guards against a body that nobody will read: one that is too long is not waited for.
-            boolean may = length == Decoders.CHUNKED
-                    || length == Decoders.NO_LENGTH
+            boolean may = length == StrictHttpDecoders.CHUNKED
+                    || length == StrictHttpDecoders.NO_LENGTH
                     || length >= 0 && length <= (status == 200 ? LARGE_MAX : BODY_MAX);
             if (may && status == 200 && length > BODY_MAX) {
                 pass(attempt);
@@ -242,7 +244,7 @@
 
         /** From now on the answer goes to the caller as it comes; an attempt at it is the last. */
         private void pass(Attempt attempt) {
-            Flow pieces = new Flow(new Flow.Giver() {
+            BodyStream pieces = new BodyStream(new BodyStream.Giver() {
                 @Override
                 public void passed(int bytes) {}
 
@@ -261,7 +263,7 @@
             body.clear().capacity(0);
             release();
             passed = come.readableBytes();
-            long length = Decoders.framing(head.headers());
+            long length = StrictHttpDecoders.framing(head.headers());
             attempt.begun(
                     new Served(
                             NO_BODY,
@@ -283,7 +285,7 @@
             int status = whole.status().code();
             boolean turnedAway = (status == 503 || status == 504) && "1".equals(headers.get("Not-Started"));
             Outcome outcome = status == 200 ? Outcome.OK : turnedAway ? Outcome.FULL : Outcome.ERROR;
-            Flow pieces = flow;
+            BodyStream pieces = flow;
             flow = null;
             if (pieces != null) {
                 reading(true);
@@ -301,7 +303,7 @@
                     whole.status().codeClass() == HttpStatusClass.CLIENT_ERROR && !MAY_SUCCEED_LATER.contains(status)
                             ? new Rejection(whole.status())
                             : null;
-            boolean ends = Decoders.framing(headers) != Decoders.NO_LENGTH;
+            boolean ends = StrictHttpDecoders.framing(headers) != StrictHttpDecoders.NO_LENGTH;
             attempt.end(
                     new Result(outcome, load.read(report(attempt, headers, bytes)), served, bad),
                     ends && HttpUtil.isKeepAlive(whole) && !decoder.leftover());
--- a/src/main/java/gatefront/http/codec/Decoders.java
+++ b/src/main/java/gatefront/http/codec/StrictHttpDecoders.java
@@ -17,7 +17,7 @@
  * HTTP/1.1 as the agent reads it from either side: what the library would mend or overlook is an unreadable
  * message here, since two readers that mend differently see different messages in the same bytes.
  */
-public final class Decoders {
+public final class StrictHttpDecoders {
     private static final int LINE_MAX = 4096;
     private static final int HEAD_MAX = 8192;
     /** How a body ends, where no length tells it. */
@@ -26,7 +26,7 @@
     public static final long CHUNKED = -2;
     public static final long UNCLEAR = -3;
 
-    private Decoders() {}
+    private StrictHttpDecoders() {}
 
     private static HttpDecoderConfig strict() {
         return new HttpDecoderConfig()
--- a/src/main/java/gatefront/ledger/Digests.java
+++ b/src/main/java/gatefront/ledger/DigestTree.java
@@ -16,7 +16,7 @@
  * <p>A digest is the first 128 bits of SHA-256, a range's the sum modulo 2^128. It tells an accident, not an enemy who
  * may choose entries; what comes from outside is signed on its way.
  */
-public final class Digests {
+public final class DigestTree {
     /** Children of a range. */
     static final int BRANCHES = 16;
 
@@ -40,9 +40,9 @@
         static final int BYTES = Integer.BYTES + 2 * Long.BYTES;
     }
 
-    private record Placed(long place, long high, long low, Entry entry) {}
+    private record Placed(long place, long high, long low, LedgerEntry entry) {}
 
-    private final Entry[] entries;
+    private final LedgerEntry[] entries;
     private final long[] places;
     /** Sums of the digests of all before each. */
     private final long[] high;
@@ -50,7 +50,7 @@
     private final long[] low;
 
     /** Of some entries, each id once. */
-    public Digests(Iterable<Entry> from) {
+    public DigestTree(Iterable<LedgerEntry> from) {
         List<Placed> placed = new ArrayList<>();
         MessageDigest sha;
         try {
@@ -58,7 +58,7 @@
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e); // every JDK has it
         }
-        for (Entry each : from) {
+        for (LedgerEntry each : from) {
             byte[] of = sha.digest(bytes(text(each)));
             placed.add(new Placed(
                     number(sha.digest(bytes(each.id().toString())), 0), number(of, 0), number(of, Long.BYTES), each));
@@ -66,7 +66,7 @@
         placed.sort(Comparator.<Placed>comparingLong(each -> each.place ^ Long.MIN_VALUE)
                 .thenComparing(each -> each.entry.id()));
         int n = placed.size();
-        entries = new Entry[n];
+        entries = new LedgerEntry[n];
         places = new long[n];
         high = new long[n + 1];
         low = new long[n + 1];
@@ -101,7 +101,7 @@
         return n;
     }
 
-    private static String text(Entry e) {
+    private static String text(LedgerEntry e) {
         return e.id() + "\n" + e.kind() + "\n" + e.period() + "\n" + e.tenant() + "\n" + e.type() + "\n" + e.amounts()
                 + "\n" + e.corrects() + "\n" + e.why();
     }
@@ -141,7 +141,7 @@
     }
 
     /** The entries of a range. */
-    public List<Entry> entries(Range range) {
+    public List<LedgerEntry> entries(Range range) {
         return Arrays.asList(entries).subList(first(range.from), end(range));
     }
 
--- a/src/main/java/gatefront/ledger/Export.java
+++ b/src/main/java/gatefront/ledger/ExportSchedule.java
@@ -13,7 +13,7 @@
  *
  * <p>Pure, one thread. State: a few numbers. One batch is out at a time, for {@link Settings#timeout()} at the most.
  */
-public final class Export {
+public final class ExportSchedule {
     /**
      * How it goes about it; times in microseconds.
      *
@@ -39,7 +39,7 @@
     private int failures;
 
     /** Goes on from what the receiver was last known to have taken. */
-    public Export(Settings settings, long taken, long seed) {
+    public ExportSchedule(Settings settings, long taken, long seed) {
         this.settings = settings;
         this.taken = taken;
         this.random = new SplittableRandom(seed);
--- a/src/main/java/gatefront/ledger/Ledger.java
+++ b/src/main/java/gatefront/ledger/Ledger.java
@@ -26,11 +26,11 @@
     public static final class Conflict extends Exception {
         private static final long serialVersionUID = 1;
 
-        Conflict(Entry one, Entry other) {
+        Conflict(LedgerEntry one, LedgerEntry other) {
             super("entry " + one.id() + " is there as " + line(one) + " and as " + line(other));
         }
 
-        private static String line(Entry entry) {
+        private static String line(LedgerEntry entry) {
             return entry.kind() + " of period " + entry.period() + " " + entry.tenant() + " " + entry.type() + " "
                     + entry.amounts();
         }
@@ -56,10 +56,10 @@
         UNKNOWN
     }
 
-    private final TreePMap<EntryId, Entry> entries;
-    private final TreePMap<Cell, Amounts> cells;
+    private final TreePMap<EntryId, LedgerEntry> entries;
+    private final TreePMap<Cell, UsageAmounts> cells;
     /** By entry that is not here, the corrections that wait for it. */
-    private final PMap<EntryId, TreePMap<EntryId, Entry>> waiting;
+    private final PMap<EntryId, TreePMap<EntryId, LedgerEntry>> waiting;
     /** By period, instance and epoch, what is here and what should be. */
     private final TreePMap<Long, TreePMap<String, Count>> parts;
 
@@ -67,9 +67,9 @@
     private record Count(long here, long made) {}
 
     private Ledger(
-            TreePMap<EntryId, Entry> entries,
-            TreePMap<Cell, Amounts> cells,
-            PMap<EntryId, TreePMap<EntryId, Entry>> waiting,
+            TreePMap<EntryId, LedgerEntry> entries,
+            TreePMap<Cell, UsageAmounts> cells,
+            PMap<EntryId, TreePMap<EntryId, LedgerEntry>> waiting,
             TreePMap<Long, TreePMap<String, Count>> parts) {
         this.entries = entries;
         this.cells = cells;
@@ -83,8 +83,8 @@
      * @throws Conflict if another entry with its id is here
      * @throws ArithmeticException if sums with it are more than a number holds; this ledger is as it was
      */
-    public Ledger with(Entry entry) throws Conflict {
-        Entry here = entries.get(entry.id());
+    public Ledger with(LedgerEntry entry) throws Conflict {
+        LedgerEntry here = entries.get(entry.id());
         if (here != null) {
             if (!here.equals(entry)) {
                 throw new Conflict(here, entry);
@@ -92,22 +92,22 @@
             return this;
         }
         Ledger with = new Ledger(entries.plus(entry.id(), entry), cells, waiting, counted(entry));
-        return entry.kind() == Entry.Kind.CLOSED ? with : with.settled(entry);
+        return entry.kind() == LedgerEntry.Kind.CLOSED ? with : with.settled(entry);
     }
 
-    private TreePMap<Long, TreePMap<String, Count>> counted(Entry entry) {
+    private TreePMap<Long, TreePMap<String, Count>> counted(LedgerEntry entry) {
         TreePMap<String, Count> period = parts.getOrDefault(entry.period(), TreePMap.empty());
         String whose = entry.id().instance() + "/" + entry.id().epoch();
         Count before = period.getOrDefault(whose, new Count(0, -1));
-        Count now = entry.kind() == Entry.Kind.CLOSED
+        Count now = entry.kind() == LedgerEntry.Kind.CLOSED
                 ? new Count(before.here, entry.amounts().requests())
                 : new Count(before.here + 1, before.made);
         return parts.plus(entry.period(), period.plus(whose, now));
     }
 
     /** Counts an entry that is here, and the corrections that have waited for it. */
-    private Ledger settled(Entry entry) {
-        Entry use = origin(entry);
+    private Ledger settled(LedgerEntry entry) {
+        LedgerEntry use = origin(entry);
         if (use == null) {
             EntryId lacks = lacking(entry);
             return new Ledger(
@@ -115,17 +115,17 @@
                     cells,
                     waiting.plus(
                             lacks,
-                            waiting.getOrDefault(lacks, TreePMap.<EntryId, Entry>empty())
+                            waiting.getOrDefault(lacks, TreePMap.<EntryId, LedgerEntry>empty())
                                     .plus(entry.id(), entry)),
                     parts);
         }
         Cell cell = new Cell(entry.period(), use.tenant(), use.type());
         Ledger now = new Ledger(
                 entries,
-                cells.plus(cell, cells.getOrDefault(cell, Amounts.NONE).plus(entry.amounts())),
+                cells.plus(cell, cells.getOrDefault(cell, UsageAmounts.NONE).plus(entry.amounts())),
                 waiting.minus(entry.id()),
                 parts);
-        for (Entry each : waiting.getOrDefault(entry.id(), TreePMap.<EntryId, Entry>empty())
+        for (LedgerEntry each : waiting.getOrDefault(entry.id(), TreePMap.<EntryId, LedgerEntry>empty())
                 .values()) {
             now = now.settled(each);
         }
@@ -133,18 +133,18 @@
     }
 
     /** The entry of use at the end of a chain of corrections; null if a part of it is not here, or it has no end. */
-    private Entry origin(Entry entry) {
-        Entry at = entry;
+    private LedgerEntry origin(LedgerEntry entry) {
+        LedgerEntry at = entry;
         for (int i = 0; at != null && at.corrects() != null; i++) {
             at = i > entries.size() ? null : entries.get(at.corrects());
         }
-        return at == null || at.kind() != Entry.Kind.USE ? null : at;
+        return at == null || at.kind() != LedgerEntry.Kind.USE ? null : at;
     }
 
-    private EntryId lacking(Entry entry) {
-        Entry at = entry;
+    private EntryId lacking(LedgerEntry entry) {
+        LedgerEntry at = entry;
         for (int i = 0; i <= entries.size(); i++) {
-            Entry next = entries.get(at.corrects());
+            LedgerEntry next = entries.get(at.corrects());
             if (next == null || next.corrects() == null) {
                 break;
             }
@@ -154,12 +154,12 @@
     }
 
     /** An entry, or null. */
-    public Entry get(EntryId id) {
+    public LedgerEntry get(EntryId id) {
         return entries.get(id);
     }
 
     /** All entries, in the order of their ids. */
-    public Iterable<Entry> entries() {
+    public Iterable<LedgerEntry> entries() {
         return entries.values();
     }
 
@@ -169,22 +169,22 @@
     }
 
     /** What was used in a period, corrections made in it included, by tenant and class. */
-    public Map<Cell, Amounts> totals(long period) {
+    public Map<Cell, UsageAmounts> totals(long period) {
         return cells.subMap(new Cell(period, "", ""), true, new Cell(period + 1, "", ""), false);
     }
 
     /** What a tenant used in a period, over all classes. */
-    public Amounts total(long period, String tenant) {
-        Amounts total = Amounts.NONE;
-        for (Map.Entry<Cell, Amounts> each : totals(period).entrySet()) {
+    public UsageAmounts total(long period, String tenant) {
+        UsageAmounts total = UsageAmounts.NONE;
+        for (Map.Entry<Cell, UsageAmounts> each : totals(period).entrySet()) {
             total = each.getKey().tenant().equals(tenant) ? total.plus(each.getValue()) : total;
         }
         return total;
     }
 
     /** Corrections of entries that are not here; they count for nothing yet. */
-    public List<Entry> waiting() {
-        List<Entry> all = new ArrayList<>();
+    public List<LedgerEntry> waiting() {
+        List<LedgerEntry> all = new ArrayList<>();
         waiting.values().forEach(each -> all.addAll(each.values()));
         all.sort((a, b) -> a.id().compareTo(b.id()));
         return all;
--- a/src/main/java/gatefront/ledger/Entry.java
+++ b/src/main/java/gatefront/ledger/LedgerEntry.java
@@ -12,8 +12,15 @@
  * @param corrects of a correction, the entry that was wrong; else null
  * @param why of a correction, a sentence; else empty
  */
-public record Entry(
-        EntryId id, Kind kind, long period, String tenant, String type, Amounts amounts, EntryId corrects, String why) {
+public record LedgerEntry(
+        EntryId id,
+        Kind kind,
+        long period,
+        String tenant,
+        String type,
+        UsageAmounts amounts,
+        EntryId corrects,
+        String why) {
     /** What an entry says. */
     public enum Kind {
         /** So much was used. */
@@ -28,7 +35,7 @@
     public static final int TEXT_MOST = 200;
 
     /** Checks what came from outside. */
-    public Entry {
+    public LedgerEntry {
         String wrong = period < 0
                 ? "its period is before time began"
                 : Math.max(tenant.length(), Math.max(type.length(), why.length())) > TEXT_MOST
@@ -46,12 +53,12 @@
     }
 
     /** So much was used. */
-    public static Entry use(EntryId id, long period, String tenant, String type, Amounts amounts) {
-        return new Entry(id, Kind.USE, period, tenant, type, amounts, null, "");
+    public static LedgerEntry use(EntryId id, long period, String tenant, String type, UsageAmounts amounts) {
+        return new LedgerEntry(id, Kind.USE, period, tenant, type, amounts, null, "");
     }
 
     /** Its instance has made so many entries of a period, and makes no more. */
-    public static Entry closed(EntryId id, long period, long entries) {
-        return new Entry(id, Kind.CLOSED, period, "", "", new Amounts(entries, 0, 0, 0), null, "");
+    public static LedgerEntry closed(EntryId id, long period, long entries) {
+        return new LedgerEntry(id, Kind.CLOSED, period, "", "", new UsageAmounts(entries, 0, 0, 0), null, "");
     }
 }
--- a/src/main/java/gatefront/ledger/Periods.java
+++ b/src/main/java/gatefront/ledger/PeriodClock.java
@@ -8,7 +8,7 @@
  *
  * <p>Pure, one thread. State: two numbers.
  */
-public final class Periods {
+public final class PeriodClock {
     private final long length;
     private final long grace;
     private long open;
@@ -22,7 +22,7 @@
      * @param open the period that was open when its ledger was last written; 0 for a new one
      * @param now the wall clock in microseconds since 1970
      */
-    public Periods(long lengthMicros, long graceMicros, long open, long now) {
+    public PeriodClock(long lengthMicros, long graceMicros, long open, long now) {
         if (lengthMicros <= 0 || graceMicros < 0 || graceMicros >= lengthMicros) {
             throw new IllegalArgumentException("a period has a length, and a grace shorter than that");
         }
--- a/src/main/java/gatefront/ledger/Reconcile.java
+++ b/src/main/java/gatefront/ledger/Reconciliation.java
@@ -11,41 +11,41 @@
  * Finds what two instances know differently, by asking the other for sums where they differ and for entries where few
  * are left. What is asked and told grows with the differences, not with what both have.
  */
-public final class Reconcile {
+public final class Reconciliation {
     /** The other instance, as far as this needs it. */
     public interface Other {
         /** What it has in each child of a range. */
-        List<Digests.Sum> children(Digests.Range range);
+        List<DigestTree.Sum> children(DigestTree.Range range);
 
         /** What it has in a range. */
-        List<Entry> entries(Digests.Range range);
+        List<LedgerEntry> entries(DigestTree.Range range);
 
         /** What it has altogether. */
-        Digests.Sum all();
+        DigestTree.Sum all();
 
         /** An instance that is asked without a wire. */
-        static Other of(Digests digests) {
+        static Other of(DigestTree digests) {
             return new Other() {
                 @Override
-                public List<Digests.Sum> children(Digests.Range range) {
+                public List<DigestTree.Sum> children(DigestTree.Range range) {
                     return digests.children(range);
                 }
 
                 @Override
-                public List<Entry> entries(Digests.Range range) {
+                public List<LedgerEntry> entries(DigestTree.Range range) {
                     return digests.entries(range);
                 }
 
                 @Override
-                public Digests.Sum all() {
-                    return digests.sum(Digests.Range.ALL);
+                public DigestTree.Sum all() {
+                    return digests.sum(DigestTree.Range.ALL);
                 }
             };
         }
     }
 
     /** One entry that is not the same on both sides; null on the side that does not have it. */
-    public record Difference(EntryId id, Entry here, Entry there) {}
+    public record Difference(EntryId id, LedgerEntry here, LedgerEntry there) {}
 
     /**
      * What came of it.
@@ -59,30 +59,30 @@
     /** Bytes of an entry on the wire, about. */
     private static final int ENTRY_BYTES = 80;
 
-    private Reconcile() {}
+    private Reconciliation() {}
 
     /** Compares. Whatever the other says, it ends: each question is of a smaller range than the one before. */
-    public static Result run(Digests own, Other other) {
+    public static Result run(DigestTree own, Other other) {
         List<Difference> found = new ArrayList<>();
         int steps = 1;
-        long bytes = Digests.Sum.BYTES;
-        Deque<Digests.Range> differ = new ArrayDeque<>();
-        if (!own.sum(Digests.Range.ALL).equals(other.all())) {
-            differ.add(Digests.Range.ALL);
+        long bytes = DigestTree.Sum.BYTES;
+        Deque<DigestTree.Range> differ = new ArrayDeque<>();
+        if (!own.sum(DigestTree.Range.ALL).equals(other.all())) {
+            differ.add(DigestTree.Range.ALL);
         }
         while (!differ.isEmpty()) {
-            Digests.Range range = differ.poll();
-            List<Digests.Sum> theirs = other.children(range);
+            DigestTree.Range range = differ.poll();
+            List<DigestTree.Sum> theirs = other.children(range);
             steps++;
-            bytes += (long) theirs.size() * Digests.Sum.BYTES;
-            for (int i = 0; i < Digests.BRANCHES; i++) {
-                Digests.Range child = range.child(i);
-                Digests.Sum mine = own.sum(child);
+            bytes += (long) theirs.size() * DigestTree.Sum.BYTES;
+            for (int i = 0; i < DigestTree.BRANCHES; i++) {
+                DigestTree.Range child = range.child(i);
+                DigestTree.Sum mine = own.sum(child);
                 if (mine.equals(theirs.get(i))) {
                     continue;
                 }
-                if (Digests.whole(child, Math.max(mine.count(), theirs.get(i).count()))) {
-                    List<Entry> told = other.entries(child);
+                if (DigestTree.whole(child, Math.max(mine.count(), theirs.get(i).count()))) {
+                    List<LedgerEntry> told = other.entries(child);
                     steps++;
                     bytes += (long) told.size() * ENTRY_BYTES;
                     compare(own.entries(child), told, found);
@@ -95,11 +95,11 @@
         return new Result(found, steps, bytes);
     }
 
-    private static void compare(List<Entry> own, List<Entry> theirs, List<Difference> found) {
-        Map<EntryId, Entry> left = new TreeMap<>();
+    private static void compare(List<LedgerEntry> own, List<LedgerEntry> theirs, List<Difference> found) {
+        Map<EntryId, LedgerEntry> left = new TreeMap<>();
         theirs.forEach(each -> left.put(each.id(), each));
-        for (Entry each : own) {
-            Entry there = left.remove(each.id());
+        for (LedgerEntry each : own) {
+            LedgerEntry there = left.remove(each.id());
             if (!each.equals(there)) {
                 found.add(new Difference(each.id(), each, there));
             }
--- a/src/main/java/gatefront/ledger/Amounts.java
+++ b/src/main/java/gatefront/ledger/UsageAmounts.java
@@ -8,13 +8,13 @@
  * @param work of the servers in microseconds
  * @param bytes of requests and answers
  */
-public record Amounts(long requests, long worth, long work, long bytes) {
+public record UsageAmounts(long requests, long worth, long work, long bytes) {
     /** Nothing. */
-    public static final Amounts NONE = new Amounts(0, 0, 0, 0);
+    public static final UsageAmounts NONE = new UsageAmounts(0, 0, 0, 0);
 
     /** Both together; more than fits is a fault of who made them, and is told. */
-    public Amounts plus(Amounts other) {
-        return new Amounts(
+    public UsageAmounts plus(UsageAmounts other) {
+        return new UsageAmounts(
                 Math.addExact(requests, other.requests),
                 Math.addExact(worth, other.worth),
                 Math.addExact(work, other.work),
@@ -22,8 +22,8 @@
     }
 
     /** What takes it back. */
-    public Amounts negated() {
-        return new Amounts(
+    public UsageAmounts negated() {
+        return new UsageAmounts(
                 Math.negateExact(requests), Math.negateExact(worth), Math.negateExact(work), Math.negateExact(bytes));
     }
 
@@ -31,4 +31,10 @@
     public boolean none() {
         return equals(NONE);
     }
+
+    /** The text that digests are made of: it stays as it is, for another would not compare with digests made before. */
+    @Override
+    public String toString() {
+        return "Amounts[requests=" + requests + ", worth=" + worth + ", work=" + work + ", bytes=" + bytes + "]";
+    }
 }
--- a/src/main/java/gatefront/bookkeeping/Lines.java
+++ b/src/main/java/gatefront/ledgerstore/EntryFormat.java
@@ -1,25 +1,25 @@
-package gatefront.bookkeeping;
+package gatefront.ledgerstore;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.io.JsonStringEncoder;
-import gatefront.ledger.Entry;
+import gatefront.ledger.LedgerEntry;
 import java.io.IOException;
 import java.io.StringWriter;
 import java.util.Locale;
 
 /** Entries on paper, a line each: JSON and CSV (RFC 4180). */
-public final class Lines {
+public final class EntryFormat {
     /** The names of the columns. */
     public static final String CSV_HEAD =
             "id,kind,period,tenant,class,requests," + "worth_millionths,work_us,bytes,corrects,why";
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private Lines() {}
+    private EntryFormat() {}
 
     /** As an object of JSON. */
-    public static String json(Entry entry) {
+    public static String json(LedgerEntry entry) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = JSON.createGenerator(text)) {
             out.writeStartObject();
@@ -44,7 +44,7 @@
     }
 
     /** As a line of {@link #CSV_HEAD}. */
-    public static String csv(Entry entry) {
+    public static String csv(LedgerEntry entry) {
         return entry.id() + "," + word(entry) + "," + entry.period() + "," + quoted(entry.tenant()) + ","
                 + quoted(entry.type()) + "," + entry.amounts().requests() + ","
                 + entry.amounts().worth() + ","
@@ -58,7 +58,7 @@
     }
 
     /** What an entry is called. */
-    public static String word(Entry entry) {
+    public static String word(LedgerEntry entry) {
         return entry.kind().name().toLowerCase(Locale.ROOT);
     }
 
--- a/src/main/java/gatefront/bookkeeping/EntryCodec.java
+++ b/src/main/java/gatefront/ledgerstore/LedgerEntryCodec.java
@@ -1,16 +1,16 @@
-package gatefront.bookkeeping;
+package gatefront.ledgerstore;
 
 import com.google.protobuf.CodedInputStream;
 import com.google.protobuf.CodedOutputStream;
 import com.google.protobuf.WireFormat;
-import gatefront.ledger.Amounts;
-import gatefront.ledger.Entry;
 import gatefront.ledger.EntryId;
+import gatefront.ledger.LedgerEntry;
+import gatefront.ledger.UsageAmounts;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 
 /** An entry as a protobuf message; its fields are in {@code docs/design/ledger.md}. Unknown fields are skipped. */
-public final class EntryCodec {
+public final class LedgerEntryCodec {
     private static final int INSTANCE = 1;
     private static final int EPOCH = 2;
     private static final int SEQUENCE = 3;
@@ -27,10 +27,10 @@
     private static final int OF_SEQUENCE = 14;
     private static final int WHY = 15;
 
-    private EntryCodec() {}
+    private LedgerEntryCodec() {}
 
     /** The message. */
-    public static byte[] write(Entry entry) {
+    public static byte[] write(LedgerEntry entry) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
         CodedOutputStream out = CodedOutputStream.newInstance(bytes);
         try {
@@ -59,7 +59,7 @@
     }
 
     /** The entry of a message, which may come from anywhere. */
-    public static Entry read(byte[] bytes, int from) throws IOException {
+    public static LedgerEntry read(byte[] bytes, int from) throws IOException {
         CodedInputStream in = CodedInputStream.newInstance(bytes, from, bytes.length - from);
         String[] texts = new String[WHY + 1];
         long[] numbers = new long[WHY + 1];
@@ -74,17 +74,17 @@
                 throw new IOException("an entry ends in the middle of a group");
             }
         }
-        if (numbers[KIND] < 0 || numbers[KIND] >= Entry.Kind.values().length || texts[INSTANCE] == null) {
+        if (numbers[KIND] < 0 || numbers[KIND] >= LedgerEntry.Kind.values().length || texts[INSTANCE] == null) {
             throw new IOException("an entry has no id, or is of no kind that is known here");
         }
         try {
-            return new Entry(
+            return new LedgerEntry(
                     new EntryId(texts[INSTANCE], numbers[EPOCH], numbers[SEQUENCE]),
-                    Entry.Kind.values()[(int) numbers[KIND]],
+                    LedgerEntry.Kind.values()[(int) numbers[KIND]],
                     numbers[PERIOD],
                     text(texts[TENANT]),
                     text(texts[TYPE]),
-                    new Amounts(numbers[REQUESTS], numbers[WORTH], numbers[WORK], numbers[BYTES]),
+                    new UsageAmounts(numbers[REQUESTS], numbers[WORTH], numbers[WORK], numbers[BYTES]),
                     texts[OF_INSTANCE] == null
                             ? null
                             : new EntryId(texts[OF_INSTANCE], numbers[OF_EPOCH], numbers[OF_SEQUENCE]),
--- a/src/main/java/gatefront/bookkeeping/Books.java
+++ b/src/main/java/gatefront/ledgerstore/LedgerStore.java
@@ -1,13 +1,13 @@
-package gatefront.bookkeeping;
+package gatefront.ledgerstore;
 
-import gatefront.ledger.Amounts;
-import gatefront.ledger.Entry;
 import gatefront.ledger.EntryId;
 import gatefront.ledger.Ledger;
+import gatefront.ledger.LedgerEntry;
+import gatefront.ledger.UsageAmounts;
 import gatefront.storage.Disk;
-import gatefront.storage.FailedException;
-import gatefront.storage.Replay;
+import gatefront.storage.RecordConsumer;
 import gatefront.storage.Store;
+import gatefront.storage.StoreFailedException;
 import java.io.Closeable;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -24,7 +24,7 @@
  * <p>State: the ledger, bounded by the store's bytes; the ids of its own entries in the order in which they were made,
  * as many as those.
  */
-public final class Books implements Closeable {
+public final class LedgerStore implements Closeable {
     private static final byte ENTRY = 'E';
     private static final byte EPOCH = 'N';
     private static final byte TAKEN = 'T';
@@ -32,7 +32,7 @@
     private static final long LOG_MOST = 100_000;
 
     /** What was replayed. */
-    private static final class Held implements Replay {
+    private static final class Held implements RecordConsumer {
         private Ledger ledger = Ledger.EMPTY;
         private final List<EntryId> own = new ArrayList<>();
         private String instance;
@@ -52,7 +52,7 @@
         private void take(byte[] record) throws IOException {
             switch (record.length == 0 ? 0 : record[0]) {
                 case ENTRY -> {
-                    Entry entry = EntryCodec.read(record, 1);
+                    LedgerEntry entry = LedgerEntryCodec.read(record, 1);
                     Ledger with;
                     try {
                         with = ledger.with(entry);
@@ -85,7 +85,7 @@
     /** By period, how many entries this epoch has made; an entry goes when the period is closed. */
     private final Map<Long, Long> made = new TreeMap<>();
 
-    private Books(Store store, Held held) {
+    private LedgerStore(Store store, Held held) {
         this.store = store;
         this.held = held;
         this.epoch = held.epoch + 1;
@@ -96,7 +96,7 @@
      *
      * @throws IOException with one line, if they are another instance's, in use, damaged, or the disk would not do
      */
-    public static Books open(Disk disk, Store.Options options, String instance) throws IOException {
+    public static LedgerStore open(Disk disk, Store.Options options, String instance) throws IOException {
         if (!instance.matches(EntryId.NAME)) {
             throw new IOException("an instance's name is to match " + EntryId.NAME + ", not " + instance);
         }
@@ -106,7 +106,7 @@
             if (held.instance != null && !held.instance.equals(instance)) {
                 throw new IOException("these are the books of " + held.instance + ", not of " + instance);
             }
-            Books books = new Books(store, held);
+            LedgerStore books = new LedgerStore(store, held);
             held.instance = instance;
             store.append(List.of(books.life()), true);
             return books;
@@ -117,9 +117,9 @@
     }
 
     /** What replaying a store tells, without opening it. */
-    public static Replay looking(java.util.function.Consumer<Look> at) {
+    public static RecordConsumer looking(java.util.function.Consumer<Look> at) {
         Held held = new Held();
-        return new Replay() {
+        return new RecordConsumer() {
             @Override
             public void snapshot(byte[] record) throws IOException {
                 record(0, record);
@@ -142,8 +142,8 @@
                 .array();
     }
 
-    private static byte[] record(Entry entry) {
-        byte[] message = EntryCodec.write(entry);
+    private static byte[] record(LedgerEntry entry) {
+        byte[] message = LedgerEntryCodec.write(entry);
         return ByteBuffer.allocate(1 + message.length).put(ENTRY).put(message).array();
     }
 
@@ -168,18 +168,18 @@
     }
 
     /** Its own entries from a number on. */
-    public List<Entry> own(long from, int count) {
+    public List<LedgerEntry> own(long from, int count) {
         return held.own.subList((int) from, (int) from + count).stream()
                 .map(held.ledger::get)
                 .toList();
     }
 
     /** Writes what was used in a period, all or nothing; cells without use make no entry. */
-    public void use(long period, Map<Ledger.Cell, Amounts> cells) throws FailedException {
-        List<Entry> entries = new ArrayList<>();
-        for (Map.Entry<Ledger.Cell, Amounts> each : cells.entrySet()) {
+    public void use(long period, Map<Ledger.Cell, UsageAmounts> cells) throws StoreFailedException {
+        List<LedgerEntry> entries = new ArrayList<>();
+        for (Map.Entry<Ledger.Cell, UsageAmounts> each : cells.entrySet()) {
             if (!each.getValue().none()) {
-                entries.add(Entry.use(
+                entries.add(LedgerEntry.use(
                         id(entries.size()),
                         period,
                         each.getKey().tenant(),
@@ -191,17 +191,17 @@
     }
 
     /** Writes that an entry was wrong by so much, in the period that is open. */
-    public Entry correct(EntryId wrong, long period, Amounts by, String why) throws IOException {
-        Entry of = held.ledger.get(wrong);
-        if (of == null || of.kind() == Entry.Kind.CLOSED) {
+    public LedgerEntry correct(EntryId wrong, long period, UsageAmounts by, String why) throws IOException {
+        LedgerEntry of = held.ledger.get(wrong);
+        if (of == null || of.kind() == LedgerEntry.Kind.CLOSED) {
             throw new IOException(
                     of == null
                             ? "there is no entry " + wrong
                             : wrong + " closes a period; it has no use " + "that could be corrected");
         }
-        Entry correction;
+        LedgerEntry correction;
         try {
-            correction = new Entry(id(0), Entry.Kind.CORRECTION, period, "", "", by, wrong, why);
+            correction = new LedgerEntry(id(0), LedgerEntry.Kind.CORRECTION, period, "", "", by, wrong, why);
         } catch (IllegalArgumentException e) {
             throw new IOException(e.getMessage(), e);
         }
@@ -210,8 +210,8 @@
     }
 
     /** Writes that this epoch makes no more entries of a period. */
-    public void close(long period) throws FailedException {
-        add(List.of(Entry.closed(id(0), period, made.getOrDefault(period, 0L))));
+    public void close(long period) throws StoreFailedException {
+        add(List.of(LedgerEntry.closed(id(0), period, made.getOrDefault(period, 0L))));
         made.remove(period);
     }
 
@@ -224,7 +224,7 @@
         return new EntryId(held.instance, epoch, sequence + ahead);
     }
 
-    private void add(List<Entry> entries) throws FailedException {
+    private void add(List<LedgerEntry> entries) throws StoreFailedException {
         if (entries.isEmpty()) {
             return;
         }
@@ -232,17 +232,17 @@
         sequence += entries.size();
         Ledger with = held.ledger;
         try {
-            for (Entry each : entries) {
+            for (LedgerEntry each : entries) {
                 with = with.with(each);
             }
         } catch (Ledger.Conflict e) {
             throw new IllegalStateException(e); // its numbers are new
         }
-        store.append(entries.stream().map(Books::record).toList(), true);
+        store.append(entries.stream().map(LedgerStore::record).toList(), true);
         held.ledger = with;
-        for (Entry each : entries) {
+        for (LedgerEntry each : entries) {
             held.own.add(each.id());
-            if (each.kind() != Entry.Kind.CLOSED) {
+            if (each.kind() != LedgerEntry.Kind.CLOSED) {
                 made.merge(each.period(), 1L, Long::sum);
             }
         }
@@ -250,10 +250,10 @@
     }
 
     /** Takes in another instance's entries, after a reconciliation; those that are here already change nothing. */
-    public void takeIn(List<Entry> entries) throws IOException {
+    public void takeIn(List<LedgerEntry> entries) throws IOException {
         Ledger with = held.ledger;
         List<byte[]> records = new ArrayList<>();
-        for (Entry each : entries) {
+        for (LedgerEntry each : entries) {
             if (each.id().instance().equals(held.instance)) {
                 throw new IOException("entry " + each.id() + " is this instance's own, and not from it");
             }
@@ -275,28 +275,28 @@
     }
 
     /** Writes how many the receiver has taken. Where that is lost, some are sent again, which does no harm. */
-    public void taken(long taken) throws FailedException {
+    public void taken(long taken) throws StoreFailedException {
         store.append(List.of(ByteBuffer.allocate(9).put(TAKEN).putLong(taken).array()), true);
         held.taken = taken;
         logged++;
     }
 
     /** A snapshot takes the place of the log, where that has grown long. */
-    public void compact() throws FailedException {
+    public void compact() throws StoreFailedException {
         if (logged >= LOG_MOST) {
             compactNow();
         }
     }
 
     /** A snapshot takes the place of the log. */
-    void compactNow() throws FailedException {
+    void compactNow() throws StoreFailedException {
         Store.Snapshot snapshot = store.snapshot();
         snapshot.add(life());
         snapshot.add(ByteBuffer.allocate(9).put(TAKEN).putLong(held.taken).array());
         for (EntryId each : held.own) { // first, and in their order, which is that of their numbers
             snapshot.add(record(held.ledger.get(each)));
         }
-        for (Entry each : held.ledger.entries()) {
+        for (LedgerEntry each : held.ledger.entries()) {
             if (!each.id().instance().equals(held.instance)) {
                 snapshot.add(record(each));
             }
--- a/src/main/java/gatefront/management/Door.java
+++ b/src/main/java/gatefront/management/ManagementEndpoint.java
@@ -1,7 +1,7 @@
 package gatefront.management;
 
-import gatefront.membership.Bans;
-import gatefront.status.CallServer;
+import gatefront.membership.ServerBans;
+import gatefront.status.OperatorHttpServer;
 import gatefront.transport.Transport;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpMethod;
@@ -16,7 +16,7 @@
  * The operators' door: {@code GET /healthcheck}, {@code GET /stats}, {@code POST /backends/ID/maint} and
  * {@code POST /backends/ID/ready}. A call that is not one of these changes nothing.
  */
-public final class Door extends CallServer {
+public final class ManagementEndpoint extends OperatorHttpServer {
     private static final int CONNECTIONS_MOST = 24;
     private static final long PATIENCE_MS = 5_000;
     private static final String BACKENDS = "/backends/";
@@ -39,13 +39,13 @@
          *
          * @param then hears what came of it, and whether a restart of the agent would still know it, once that is sure
          */
-        void hand(String backend, boolean out, BiConsumer<Bans.Answer, Boolean> then);
+        void hand(String backend, boolean out, BiConsumer<ServerBans.Answer, Boolean> then);
     }
 
     private final Agent agent;
 
     /** Listens to nobody yet. */
-    public Door(Transport transport, InetSocketAddress listen, Agent agent) {
+    public ManagementEndpoint(Transport transport, InetSocketAddress listen, Agent agent) {
         super(transport, listen, CONNECTIONS_MOST, PATIENCE_MS);
         this.agent = agent;
     }
--- a/src/main/java/gatefront/membership/Membership.java
+++ b/src/main/java/gatefront/membership/Membership.java
@@ -22,8 +22,8 @@
     private final List<String> sources;
     private final Consumer<String> log;
     private final Map<String, Told> servers = new LinkedHashMap<>();
-    private Map<String, Policy> ofServers = Map.of();
-    private Map<Integer, Policy> ofZones = Map.of();
+    private Map<String, ServerOverride> ofServers = Map.of();
+    private Map<Integer, ServerOverride> ofZones = Map.of();
 
     /** What is said of one server. */
     private static final class Told {
@@ -116,7 +116,7 @@
      * @param zones all that there are for a zone, by its number
      * @return what has changed by it in the one list
      */
-    public List<Endpoint> policies(Map<String, Policy> servers, Map<Integer, Policy> zones) {
+    public List<Endpoint> policies(Map<String, ServerOverride> servers, Map<Integer, ServerOverride> zones) {
         List<Endpoint> before = all();
         ofServers = Map.copyOf(servers);
         ofZones = Map.copyOf(zones);
@@ -194,9 +194,9 @@
                 since = Math.max(since, each.server().startedAt());
             }
         }
-        Policy policy = ofServers
-                .getOrDefault(first.name(), Policy.NONE)
-                .and(ofZones.getOrDefault(first.server().zone(), Policy.NONE));
+        ServerOverride policy = ofServers
+                .getOrDefault(first.name(), ServerOverride.NONE)
+                .and(ofZones.getOrDefault(first.server().zone(), ServerOverride.NONE));
         return first.with(
                 policy.drain() ? Phase.DRAINING : phase, first.server().weight() * policy.factor(), since);
     }
--- a/src/main/java/gatefront/membership/Bans.java
+++ b/src/main/java/gatefront/membership/ServerBans.java
@@ -17,7 +17,7 @@
  * goes when the list has dropped the server and {@link #KEPT} has passed; one out stays until the call back, and no
  * more than {@link #MOST} are taken.
  */
-public final class Bans {
+public final class ServerBans {
     /** Entries at the most; calls beyond are answered with a no. */
     public static final int MOST = 10_000;
     /** A server put back that is listed no more is remembered for this long, for the other process to hear of it. */
--- a/src/main/java/gatefront/padron/Discovery.java
+++ b/src/main/java/gatefront/padron/Discovery.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import gatefront.config.Config;
-import gatefront.config.EndpointForm;
-import gatefront.http.codec.Decoders;
+import gatefront.config.EndpointJson;
+import gatefront.http.codec.StrictHttpDecoders;
 import gatefront.membership.Endpoint;
 import gatefront.policy.Balancer.ListKind;
 import gatefront.transport.Transport;
@@ -107,7 +107,7 @@
                     protected void initChannel(Channel ch) {
                         ch.pipeline()
                                 .addLast(
-                                        new Decoders.Responses(),
+                                        new StrictHttpDecoders.Responses(),
                                         new HttpRequestEncoder(),
                                         new HttpObjectAggregator(LIST_BYTES_MAX),
                                         new Answers());
@@ -278,7 +278,7 @@
         }
         List<Endpoint> endpoints = new ArrayList<>();
         for (JsonNode entry : root.get("endpoints")) {
-            endpoints.add(EndpointForm.decode(entry, null, config));
+            endpoints.add(EndpointJson.decode(entry, null, config));
         }
         return new Listing(root.get("index").asLong(), root.path("snapshot").asBoolean(), endpoints);
     }
--- a/src/main/java/gatefront/keeping/KeptRecords.java
+++ b/src/main/java/gatefront/persistence/RecoveryRecordCodec.java
@@ -1,10 +1,10 @@
-package gatefront.keeping;
+package gatefront.persistence;
 
 import com.google.protobuf.CodedInputStream;
 import com.google.protobuf.CodedOutputStream;
 import com.google.protobuf.WireFormat;
-import gatefront.membership.Bans;
-import gatefront.storage.Replay;
+import gatefront.membership.ServerBans;
+import gatefront.storage.RecordConsumer;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.util.LinkedHashMap;
@@ -14,7 +14,7 @@
  * The records of what is kept, as protobuf messages behind a byte for the kind; {@code docs/design/recovery.md} has the
  * fields. Unknown fields are skipped; an unknown kind is a newer program's, and nothing of the store is believed then.
  */
-final class KeptRecords implements Replay {
+final class RecoveryRecordCodec implements RecordConsumer {
     private static final byte LIFE = 'L';
     private static final byte MARK = 'M';
     private static final byte BAN = 'B';
@@ -27,7 +27,7 @@
     private static final int BYTES = 5;
     private static final int FIELDS = 6;
 
-    private final Map<String, Bans.Entry> bans = new LinkedHashMap<>();
+    private final Map<String, ServerBans.Entry> bans = new LinkedHashMap<>();
     private String instance;
     private long life;
     private long upTo = -1;
@@ -66,7 +66,7 @@
     }
 
     /** Staff have taken a server out, or put it back. */
-    static byte[] ban(String name, Bans.Entry entry) {
+    static byte[] ban(String name, ServerBans.Entry entry) {
         return message(BAN, out -> {
             out.writeString(NAME, name);
             out.writeSInt64(AT, entry.at());
@@ -129,10 +129,10 @@
             }
             case MARK -> upTo = numbers[AT];
             case BAN -> {
-                if (name.isEmpty() || bans.size() >= Bans.MOST && !bans.containsKey(name)) {
+                if (name.isEmpty() || bans.size() >= ServerBans.MOST && !bans.containsKey(name)) {
                     throw new IOException("a call by hand without a name, or one too many");
                 }
-                bans.put(name, new Bans.Entry(numbers[OUT] != 0, numbers[AT]));
+                bans.put(name, new ServerBans.Entry(numbers[OUT] != 0, numbers[AT]));
                 upTo = Math.max(upTo, numbers[AT]);
             }
             case FORGOTTEN -> bans.remove(name);
@@ -145,7 +145,7 @@
     }
 
     /** What has been read so far. */
-    Kept kept() {
-        return new Kept(instance, life, upTo, Map.copyOf(bans), listAt, list);
+    StoredState kept() {
+        return new StoredState(instance, life, upTo, Map.copyOf(bans), listAt, list);
     }
 }
--- a/src/main/java/gatefront/keeping/Keeper.java
+++ b/src/main/java/gatefront/persistence/RecoveryStore.java
@@ -1,14 +1,14 @@
-package gatefront.keeping;
+package gatefront.persistence;
 
-import gatefront.membership.Bans;
+import gatefront.membership.ServerBans;
 import gatefront.recovery.Recovery;
-import gatefront.storage.DamageException;
-import gatefront.storage.FailedException;
-import gatefront.storage.FolderDisk;
-import gatefront.storage.InUseException;
-import gatefront.storage.Keys;
+import gatefront.storage.CorruptStoreException;
+import gatefront.storage.DirectoryDisk;
+import gatefront.storage.SigningKeys;
 import gatefront.storage.Store;
-import gatefront.storage.Verify;
+import gatefront.storage.StoreFailedException;
+import gatefront.storage.StoreInUseException;
+import gatefront.storage.StoreVerification;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -29,22 +29,22 @@
  * that have come together as one frame, forces it, and tells the loop. One hand-over is out at a time.
  *
  * <p>A store that cannot be believed is set aside, for staff, beside its folder ({@link #ASIDE_MOST} of them are kept),
- * and a new one is begun. State: what waits, by what it is about, so that it is bounded by {@link Bans#MOST}, a list
- * and a mark; on the thread, the same as last written, for snapshots.
+ * and a new one is begun. State: what waits, by what it is about, so that it is bounded by {@link ServerBans#MOST}, a
+ * list and a mark; on the thread, the same as last written, for snapshots.
  */
-public final class Keeper {
+public final class RecoveryStore {
     /** Stores set aside at the most; a further one takes the place of the last. */
     static final int ASIDE_MOST = 3;
     /** Records in the log from which a snapshot takes their place. */
     private static final int LOG_MOST = 5_000;
 
-    private static final Store.Options OPTIONS = new Store.Options(Keys.NONE, 1 << 20, 64 << 20);
+    private static final Store.Options OPTIONS = new Store.Options(SigningKeys.NONE, 1 << 20, 64 << 20);
 
     /** What opening a store has come to. */
-    public record Opened(Keeper keeper, Kept kept, Recovery.Store state, String why) {}
+    public record Opened(RecoveryStore keeper, StoredState kept, Recovery.Store state, String why) {}
 
     /** What a store holds, and the first damage in it or null. */
-    public record Look(Kept kept, String damage) {}
+    public record Look(StoredState kept, String damage) {}
 
     /** What waits to be written about one thing, and who is told. */
     private record Waiting(byte[] record, List<Consumer<IOException>> told) {}
@@ -70,7 +70,7 @@
     private long life;
     private final Map<String, byte[]> state = new LinkedHashMap<>();
 
-    private Keeper(Path folder, String instance, Executor loop, LongSupplier clock) {
+    private RecoveryStore(Path folder, String instance, Executor loop, LongSupplier clock) {
         this.folder = folder;
         this.instance = instance;
         this.loop = loop;
@@ -84,12 +84,12 @@
      * @param clock the time of day in microseconds
      */
     public static Opened open(Path folder, String instance, Executor loop, LongSupplier clock) {
-        Keeper keeper = new Keeper(folder, instance, loop, clock);
-        KeptRecords read = new KeptRecords();
+        RecoveryStore keeper = new RecoveryStore(folder, instance, loop, clock);
+        RecoveryRecordCodec read = new RecoveryRecordCodec();
         try {
             boolean there = Files.isDirectory(folder);
-            keeper.store = Store.open(new FolderDisk(folder), OPTIONS, read);
-            Kept kept = read.kept();
+            keeper.store = Store.open(new DirectoryDisk(folder), OPTIONS, read);
+            StoredState kept = read.kept();
             if (kept.instance() != null && !kept.instance().equals(instance)) {
                 keeper.store.close();
                 String aside = keeper.anew();
@@ -103,13 +103,13 @@
             return kept.instance() == null
                     ? new Opened(
                             keeper,
-                            Kept.NOTHING,
+                            StoredState.NOTHING,
                             Recovery.Store.MISSING,
                             there ? "the folder is empty" : "there is no folder")
                     : new Opened(keeper, kept, Recovery.Store.WHOLE, "life " + (kept.life() + 1));
-        } catch (InUseException e) {
-            return new Opened(keeper, Kept.NOTHING, Recovery.Store.IN_USE, "");
-        } catch (DamageException e) {
+        } catch (StoreInUseException e) {
+            return new Opened(keeper, StoredState.NOTHING, Recovery.Store.IN_USE, "");
+        } catch (CorruptStoreException e) {
             try {
                 String aside = keeper.anew();
                 return new Opened(
@@ -119,14 +119,14 @@
                         keeper, read.kept(), Recovery.Store.UNUSABLE, e.getMessage() + "; and " + again.getMessage());
             }
         } catch (IOException e) {
-            return new Opened(keeper, Kept.NOTHING, Recovery.Store.UNUSABLE, String.valueOf(e.getMessage()));
+            return new Opened(keeper, StoredState.NOTHING, Recovery.Store.UNUSABLE, String.valueOf(e.getMessage()));
         }
     }
 
     /** Looks at a store, which may be in use, and changes nothing. */
     public static Look look(Path folder) throws IOException {
-        KeptRecords read = new KeptRecords();
-        Verify verify = Verify.of(FolderDisk.existing(folder), OPTIONS.keys(), read);
+        RecoveryRecordCodec read = new RecoveryRecordCodec();
+        StoreVerification verify = StoreVerification.of(DirectoryDisk.existing(folder), OPTIONS.keys(), read);
         return new Look(
                 read.kept(), verify.damage() == null ? null : verify.damage().getMessage());
     }
@@ -146,35 +146,38 @@
             Files.delete(aside);
         }
         Files.move(folder, aside);
-        store = Store.open(new FolderDisk(folder), OPTIONS, new KeptRecords());
-        begin(Kept.NOTHING);
+        store = Store.open(new DirectoryDisk(folder), OPTIONS, new RecoveryRecordCodec());
+        begin(StoredState.NOTHING);
         return aside.toString();
     }
 
-    private void begin(Kept kept) throws FailedException {
+    private void begin(StoredState kept) throws StoreFailedException {
         life = kept.life() + 1;
-        kept.bans().forEach((name, entry) -> state.put("ban " + name, KeptRecords.ban(name, entry)));
+        kept.bans().forEach((name, entry) -> state.put("ban " + name, RecoveryRecordCodec.ban(name, entry)));
         if (kept.list() != null) {
-            state.put("list", KeptRecords.list(kept.listAt(), kept.list()));
+            state.put("list", RecoveryRecordCodec.list(kept.listAt(), kept.list()));
         }
-        byte[] record = KeptRecords.life(instance, life, clock.getAsLong());
+        byte[] record = RecoveryRecordCodec.life(instance, life, clock.getAsLong());
         state.put("life", record);
         store.append(List.of(record), true);
     }
 
     /** A call by hand has changed something; told once it is on the disk, or cannot be. */
-    public void ban(String name, Bans.Entry entry, Consumer<IOException> told) {
-        add("ban " + name, entry == null ? KeptRecords.forgotten(name) : KeptRecords.ban(name, entry), told);
+    public void ban(String name, ServerBans.Entry entry, Consumer<IOException> told) {
+        add(
+                "ban " + name,
+                entry == null ? RecoveryRecordCodec.forgotten(name) : RecoveryRecordCodec.ban(name, entry),
+                told);
     }
 
     /** The whole list as it is now. */
     public void list(long at, byte[] list) {
-        add("list", KeptRecords.list(at, list), null);
+        add("list", RecoveryRecordCodec.list(at, list), null);
     }
 
     /** This instance is there. */
     public void mark() {
-        add("mark", KeptRecords.mark(clock.getAsLong()), null);
+        add("mark", RecoveryRecordCodec.mark(clock.getAsLong()), null);
     }
 
     private void add(String about, byte[] record, Consumer<IOException> told) {
@@ -215,13 +218,13 @@
     private IOException write(Map<String, Waiting> handed) {
         try {
             if (store == null) {
-                KeptRecords read = new KeptRecords();
-                store = Store.open(new FolderDisk(folder), OPTIONS, read); // the process before has ended, perhaps
+                RecoveryRecordCodec read = new RecoveryRecordCodec();
+                store = Store.open(new DirectoryDisk(folder), OPTIONS, read); // the process before has ended, perhaps
                 begin(read.kept());
             }
             store.append(handed.values().stream().map(Waiting::record).toList(), true);
             handed.forEach((about, each) -> {
-                if (KeptRecords.ends(each.record)) {
+                if (RecoveryRecordCodec.ends(each.record)) {
                     state.remove(about);
                 } else {
                     state.put(about, each.record);
@@ -239,7 +242,7 @@
         }
     }
 
-    private void compact() throws FailedException {
+    private void compact() throws StoreFailedException {
         Store.Snapshot snapshot = store.snapshot();
         for (byte[] each : state.values()) {
             snapshot.add(each);
--- a/src/main/java/gatefront/keeping/Kept.java
+++ b/src/main/java/gatefront/persistence/StoredState.java
@@ -1,6 +1,6 @@
-package gatefront.keeping;
+package gatefront.persistence;
 
-import gatefront.membership.Bans;
+import gatefront.membership.ServerBans;
 import java.util.Map;
 
 /**
@@ -13,7 +13,8 @@
  * @param listAt of which time the list is
  * @param list the last whole list in the platform's form; null if none was kept
  */
-public record Kept(String instance, long life, long upTo, Map<String, Bans.Entry> bans, long listAt, byte[] list) {
+public record StoredState(
+        String instance, long life, long upTo, Map<String, ServerBans.Entry> bans, long listAt, byte[] list) {
     /** Nothing. */
-    public static final Kept NOTHING = new Kept(null, 0, -1, Map.of(), -1, null);
+    public static final StoredState NOTHING = new StoredState(null, 0, -1, Map.of(), -1, null);
 }
