--- a/src/main/java/gatefront/policy/Rules.java
+++ b/src/main/java/gatefront/policy/AdaptiveBalancer.java
@@ -1,9 +1,9 @@
 // The interface of this module (its types, events and actions) is in Balancer.java.
 package gatefront.policy;
 
-import gatefront.policy.Open.Attempt;
-import gatefront.policy.Target.ByClass;
-import gatefront.policy.Target.Health;
+import gatefront.policy.PendingRequest.Attempt;
+import gatefront.policy.ServerState.ByClass;
+import gatefront.policy.ServerState.Health;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -17,7 +17,7 @@
  * Every decision of one agent's balancer. The ordinary path of a request: of two random available servers of the own
  * zone, the one with fewer of this agent's requests in flight; then other zones; then all.
  */
-public final class Rules implements Balancer {
+public final class AdaptiveBalancer implements Balancer {
     private static final long SECOND = 1_000_000;
     /** Between two probes of a server, by all that share it: a silent one is found for a small price. */
     private static final long PROBE_INTERVAL = SECOND;
@@ -120,17 +120,17 @@
     private Settings settings;
     private final Actions actions;
     private final SplittableRandom random;
-    private final Map<Long, Target> targets = new HashMap<>();
-    private final List<Target> listed = new ArrayList<>(); // in the order of this agent's own hash
-    private final List<Target> scratch = new ArrayList<>();
-    private final Map<Long, Open> open = new HashMap<>();
-    private final Map<Long, Open> byToken = new HashMap<>();
+    private final Map<Long, ServerState> targets = new HashMap<>();
+    private final List<ServerState> listed = new ArrayList<>(); // in the order of this agent's own hash
+    private final List<ServerState> scratch = new ArrayList<>();
+    private final Map<Long, PendingRequest> open = new HashMap<>();
+    private final Map<Long, PendingRequest> byToken = new HashMap<>();
     private final List<ClassState> classes = new ArrayList<>();
     private final List<ClassState> order; // the same, the most valuable first
     private double retries = RETRY_BANK;
     private double credit = Double.MAX_VALUE; // attempts that may be sent; as many as come until one finds no room
     private double spill; // the share of keys that cross zones at once
-    /** By kind of server, what {@link Target#stretch} is for one. */
+    /** By kind of server, what {@link ServerState#stretch} is for one. */
     private final Map<Integer, Double> kindStretch = new HashMap<>();
 
     private final long bornAt;
@@ -162,7 +162,7 @@
     private long askDelay = ASK_BACKOFF;
 
     /** A new instance that knows nothing but its settings; seed for its random choices. */
-    public Rules(Settings settings, long seed, long now, Actions actions) {
+    public AdaptiveBalancer(Settings settings, long seed, long now, Actions actions) {
         this.settings = settings;
         this.actions = actions;
         this.random = new SplittableRandom(seed);
@@ -206,7 +206,8 @@
         long endAt = type.lateShare() > 0
                 ? last
                 : Math.min(last, now + (late && !request.repeated() ? aim : left) - settings.tick());
-        Open req = new Open(request, state, settings.permits().maxAttempts(), nextToken++, now, now - spent, endAt);
+        PendingRequest req = new PendingRequest(
+                request, state, settings.permits().maxAttempts(), nextToken++, now, now - spent, endAt);
         open.put(request.id(), req);
         byToken.put(req.token, req);
         actions.timer(req.token, Math.max(0, endAt - now));
@@ -249,11 +250,11 @@
     }
 
     /** Sends a request if its history permits and a server has room. */
-    private boolean dispatch(Open req, long now) {
+    private boolean dispatch(PendingRequest req, long now) {
         if (req.attempts.size() >= req.attemptsMost || now >= req.endAt || credit < 1) {
             return false;
         }
-        Target target = pick(req, now);
+        ServerState target = pick(req, now);
         if (target == null) {
             return false;
         }
@@ -266,7 +267,7 @@
         return true;
     }
 
-    private void dispatchOrHold(Open req, long now) {
+    private void dispatchOrHold(PendingRequest req, long now) {
         if (!dispatch(req, now)) {
             req.held = true;
             req.state.held.addLast(req);
@@ -286,7 +287,7 @@
         for (ClassState state : order) {
             var queue = state.held;
             while (!queue.isEmpty() && (!queue.peekFirst().held || hopeless(queue.peekFirst(), now))) {
-                Open oldest = queue.pollFirst();
+                PendingRequest oldest = queue.pollFirst();
                 if (oldest.held) {
                     crowdedAt = oldest.endAt - oldest.cameAt > state.times.value() ? now : crowdedAt;
                     finish(oldest, now);
@@ -297,7 +298,7 @@
             }
             // Danger: the oldest would cross zones with too little time left; take the newest that may.
             for (var newest = queue.descendingIterator(); newest.hasNext(); ) {
-                Open req = newest.next();
+                PendingRequest req = newest.next();
                 if (req.held && now - req.cameAt >= patience(req) && !dispatch(req, now)) {
                     break;
                 }
@@ -336,7 +337,7 @@
     }
 
     /** Whether an answer would come too late to be worth the work. */
-    private boolean hopeless(Open req, long now) {
+    private boolean hopeless(PendingRequest req, long now) {
         return now + (long) req.state.times.value() > req.endAt;
     }
 
@@ -350,7 +351,7 @@
             long spent,
             boolean closed,
             double[] load) {
-        Open req = open.get(request);
+        PendingRequest req = open.get(request);
         if (req == null || attempt >= req.attempts.size() || req.attempts.get(attempt).outcome != null) {
             return; // not held any more, or told twice
         }
@@ -376,7 +377,7 @@
     }
 
     /** After a failed attempt: another one where permitted and affordable, or the final answer. */
-    private void again(Open req, long now) {
+    private void again(PendingRequest req, long now) {
         boolean worthIt = !hopeless(req, now) && req.attempts.size() < req.attemptsMost;
         if (worthIt && maySend(req, now) && retries >= 1) {
             retries -= 1;
@@ -387,7 +388,7 @@
     }
 
     /** The final answer for a request that will not be served: a refusal where permitted. */
-    private void finish(Open req, long now) {
+    private void finish(PendingRequest req, long now) {
         if (req.closed) {
             return;
         }
@@ -404,7 +405,7 @@
     }
 
     /** Ends what is out for a request that is not served, and keeps in mind when it came. */
-    private void cancelAll(Open req) {
+    private void cancelAll(PendingRequest req) {
         if (unserved.size() >= UNSERVED_MOST) {
             unserved.clear();
         }
@@ -416,7 +417,7 @@
         }
     }
 
-    private void close(Open req) {
+    private void close(PendingRequest req) {
         req.closed = true;
         req.held = false;
         byToken.remove(req.token);
@@ -427,7 +428,7 @@
 
     @Override
     public void clientLeft(long now, long request) {
-        Open req = open.get(request);
+        PendingRequest req = open.get(request);
         if (req != null && !req.closed) {
             cancelAll(req);
             close(req);
@@ -436,7 +437,7 @@
 
     @Override
     public void streamStarted(long now, long request, int attempt, long server, long spent) {
-        Open req = open.get(request);
+        PendingRequest req = open.get(request);
         if (req != null && !req.attempts.get(attempt).passing) {
             req.streaming = true;
             req.attempts.get(attempt).passing = true;
@@ -458,7 +459,7 @@
         } else if (token == TIMER_ASK) {
             actions.watchServers();
         } else {
-            Open req = byToken.get(token);
+            PendingRequest req = byToken.get(token);
             if (req == null || req.streaming) {
                 return; // answered long ago, or with the client now
             }
@@ -477,7 +478,7 @@
 
     // Danger: an effect twice. Unsafe requests go again only once every attempt provably never ran; keyed ones only
     // inside the window of each that may have run, and where inGroups says.
-    private boolean maySend(Open req, long now) {
+    private boolean maySend(PendingRequest req, long now) {
         Semantics semantics = req.type.semantics();
         boolean sending = req.out() > 0 && !(settings.permits().duplicates() && semantics == Semantics.SAFE);
         if (req.closed || req.streaming || sending) {
@@ -492,7 +493,7 @@
     }
 
     /** Whether a server is in the group of every earlier attempt that may have run. */
-    private boolean inGroups(Open req, Target target) {
+    private boolean inGroups(PendingRequest req, ServerState target) {
         Scope scope = req.type.scope();
         if (req.type.semantics() != Semantics.KEYED || scope == Scope.ALL) {
             return true;
@@ -505,7 +506,7 @@
     }
 
     /** A refusal says that trying again is harmless: danger of an effect twice if it is not. */
-    private boolean mayRefuse(Open req) {
+    private boolean mayRefuse(PendingRequest req) {
         Semantics semantics = req.type.semantics();
         return semantics == Semantics.SAFE
                 || req.attempts.stream().noneMatch(Attempt::mayHaveRun)
@@ -514,12 +515,12 @@
 
     // ---- Pick ----
 
-    private Target pick(Open req, long now) {
+    private ServerState pick(PendingRequest req, long now) {
         if (!maySend(req, now)) {
             return null;
         }
         boolean roams = keyed(req) && (mix(~req.request.key()) >>> 11) * 0x1p-53 < spill;
-        Target best = roams ? draw(req, now, true, 0) : null;
+        ServerState best = roams ? draw(req, now, true, 0) : null;
         if (best == null) {
             best = draw(req, now, true, 1);
             spill -= best == null ? 0 : SPILL_STEP * settings.prices().crossing() * spill;
@@ -547,23 +548,23 @@
     }
 
     /** Whether servers are quicker with this request's key where they met it lately. */
-    private boolean keyed(Open req) {
+    private boolean keyed(PendingRequest req) {
         return settings.warmKeys() && req.request.key() != 0;
     }
 
     /** Crossing zones costs its price: while servers are available here, that part of the time is waited. */
-    private long patience(Open req) {
+    private long patience(PendingRequest req) {
         return (long) ((req.endAt - req.cameAt) * Math.min(1, settings.prices().crossing()));
     }
 
     /** The two-draw pick among servers with room; where: 1 own zone, 0 other zones, -1 all. */
-    private Target draw(Open req, long now, boolean healthy, int where) {
+    private ServerState draw(PendingRequest req, long now, boolean healthy, int where) {
         scratch.clear();
         double room = 0;
         int out = 0;
         int left = keyed(req) ? listed.size() : spread(where == 1 ? SUBSET_LEAST : SUBSET_FAR, now);
         for (int at = 0; at < listed.size() && left > 0; at++) {
-            Target target = listed.get(at);
+            ServerState target = listed.get(at);
             if (target.ready
                     && (!healthy || available(req, target, now))
                     && (where < 0 || (target.listed.zone() == settings.zone()) == (where == 1))) {
@@ -591,14 +592,14 @@
         }
         if (keyed(req)) {
             // All agents draw the same two by the key's hash.
-            Target first = highest(req.request.key(), null);
-            Target second = highest(req.request.key(), first);
+            ServerState first = highest(req.request.key(), null);
+            ServerState second = highest(req.request.key(), first);
             return first.inFlight <= second.inFlight ? first : second;
         }
         int i = random.nextInt(n);
         int j = random.nextInt(n - 1);
-        Target a = scratch.get(i);
-        Target b = scratch.get(j < i ? j : j + 1);
+        ServerState a = scratch.get(i);
+        ServerState b = scratch.get(j < i ? j : j + 1);
         return (a.inFlight != b.inFlight
                         ? a.inFlight < b.inFlight
                         : settings.warmKeys() || stretch(a, now) <= stretch(b, now))
@@ -625,7 +626,7 @@
         scratch.removeIf(target -> target.inFlight > most);
     }
 
-    private Target highest(long key, Target except) {
+    private ServerState highest(long key, ServerState except) {
         return scratch.stream()
                 .filter(target -> target != except)
                 .max(Comparator.comparingLong(target -> mix(key ^ mix(target.id))))
@@ -640,13 +641,13 @@
 
     // ---- Limits and what answers teach ----
 
-    private boolean hasRoom(Target target, long now) {
+    private boolean hasRoom(ServerState target, long now) {
         return target.inFlight < Math.max(1, (int) target.limit)
                 && now >= target.restUntil
                 && (!cold(target, now) || coldBudget(target, now) >= 1);
     }
 
-    private void learn(Open req, Target target, Outcome outcome, long spent, double queued, long now) {
+    private void learn(PendingRequest req, ServerState target, Outcome outcome, long spent, double queued, long now) {
         if (outcome == Outcome.CANCELLED || outcome == Outcome.NEVER_SENT) {
             return; // says nothing about the server
         }
@@ -703,7 +704,7 @@
     }
 
     /** Takes in a load report; returns how many requests wait for each listed core, negative if it does not tell. */
-    private double report(Target target, double[] load, long now) {
+    private double report(ServerState target, double[] load, long now) {
         int at = settings.loadFields().indexOf(LoadField.QUEUED);
         double queued = at < 0 || load.length <= at ? -1 : load[at] / target.weight();
         if (queued >= 0 && cold(target, now)) { // what it keeps up with is less than it can do; the report is late
@@ -719,13 +720,13 @@
         return Math.max(1, settings.obligations().overloadMultiple() - 1);
     }
 
-    private static ByClass of(Open req, Target target) {
+    private static ByClass of(PendingRequest req, ServerState target) {
         return target.byClass[req.request.requestClass()];
     }
 
     // Whether other classes are answered here and have not failed lately. Danger: a release that breaks one class would
     // take the room from all; but where some of every class fail, the server does.
-    private static boolean othersAnswer(Target target, ByClass own, long now) {
+    private static boolean othersAnswer(ServerState target, ByClass own, long now) {
         boolean answered = false;
         for (ByClass each : target.byClass) {
             if (each != own && each.failedAt > 0 && now - each.failedAt < WINDOW) {
@@ -737,7 +738,7 @@
     }
 
     /** An answer's time, against the class's and in part the request's own cost, for a hint may be rough. */
-    private void learnTime(Open req, Target target, long spent, long now) {
+    private void learnTime(PendingRequest req, ServerState target, long spent, long now) {
         ClassState state = req.state;
         double heavy = heavy(req);
         learnCold(req, target, spent, 0, now);
@@ -755,12 +756,12 @@
     }
 
     /** A request's own cost against its class's, in part. */
-    private static double heavy(Open req) {
+    private static double heavy(PendingRequest req) {
         return req.state.meanCost == 0 ? 1 : 0.5 + 0.5 * req.request.cost() / req.state.meanCost;
     }
 
     /** What an answer from a cold server, or none in time, says of the warmth of all. */
-    private void learnCold(Open req, Target target, long spent, double least, long now) {
+    private void learnCold(PendingRequest req, ServerState target, long spent, double least, long now) {
         if (cold(target, now) && req.state.typical > 0) {
             double part = spent * surely(target, now) / (req.state.typical * heavy(req));
             coldStretch += BLEND / 2 * (Math.max(least, Math.min(1, part)) - coldStretch);
@@ -768,15 +769,15 @@
     }
 
     /** A server's answer times against the usual: its own lately, else those of its kind. */
-    private double stretch(Target target, long now) {
+    private double stretch(ServerState target, long now) {
         double usual = kindStretch.getOrDefault(target.listed.kind(), 1.0);
         return usual + (target.stretch - usual) * Math.exp(-(double) (now - target.stretchAt) / RATE_PERIOD);
     }
 
     // Whether an answer was slow for its class and its server's nature. Danger: where the aim leaves room, to pause for
     // a short queue leaves servers idle; so does holding small machines to the pace of the large ones.
-    private boolean slow(Open req, Target target, long spent) {
-        Quantile times = req.state.times;
+    private boolean slow(PendingRequest req, ServerState target, long spent) {
+        QuantileEstimator times = req.state.times;
         double nature = target.pace.known() ? Math.max(1, Math.min(NATURE_MAX, target.pace.lowest())) : 1;
         double most = SLOW_SHARE * (req.endAt - req.cameAt);
         return spent
@@ -788,7 +789,7 @@
     // ---- Health ----
 
     /** Available unless either state is Unhealthy. */
-    private boolean available(Target target, long now) {
+    private boolean available(ServerState target, long now) {
         if (target.passive == Health.UNHEALTHY && now >= target.reactivateAt) {
             target.passive = Health.UNKNOWN;
             target.limit = 1;
@@ -808,7 +809,7 @@
     }
 
     /** The same for a request, whose class may have been removed alone. */
-    private boolean available(Open req, Target target, long now) {
+    private boolean available(PendingRequest req, ServerState target, long now) {
         ByClass own = of(req, target);
         if (own.passive == Health.UNHEALTHY && now >= own.reactivateAt) {
             own.passive = Health.UNKNOWN;
@@ -819,7 +820,7 @@
     }
 
     /** Makes the passive state, or a class's own, Unhealthy when too much fails here, and more than elsewhere. */
-    private void judge(Open req, Target target, boolean alone, long now) {
+    private void judge(PendingRequest req, ServerState target, boolean alone, long now) {
         ByClass own = of(req, target);
         FailureWindow window = alone ? own.window : target.window;
         int total = window.total;
@@ -829,7 +830,7 @@
         }
         int peerTotal = 1;
         int peerFailed = 0;
-        for (Target peer : listed) {
+        for (ServerState peer : listed) {
             if (peer != target && peer.listed.zone() == target.listed.zone()) {
                 FailureWindow theirs = alone ? of(req, peer).window : peer.window;
                 theirs.slideTo(now, WINDOW);
@@ -856,10 +857,10 @@
     }
 
     /** Those it draws from, and what stands before them that is not available and may recover. */
-    private List<Target> watched(long now) {
-        List<Target> watched = new ArrayList<>();
+    private List<ServerState> watched(long now) {
+        List<ServerState> watched = new ArrayList<>();
         int left = spread(SUBSET_LEAST, now);
-        for (Target target : listed) {
+        for (ServerState target : listed) {
             if (left > 0 && target.ready && target.listed.zone() == settings.zone()) {
                 watched.add(target);
                 left -= available(target, now) ? 1 : 0;
@@ -874,12 +875,12 @@
         if (!probing) {
             return;
         }
-        List<Target> watched = watched(now);
+        List<ServerState> watched = watched(now);
         double sharers = (double) settings.agents() * watched.size() / listed.size();
         double interval = PROBE_INTERVAL * Math.max(1, settings.prices().probe() / PROBE_DEAR);
         double mean = interval * Math.max(1, sharers) / watched.size();
         actions.timer(TIMER_PROBE, 1 + (long) (mean * (from + random.nextDouble())));
-        Target target = watched.get(probeTurn++ % watched.size());
+        ServerState target = watched.get(probeTurn++ % watched.size());
         if (from > 0 && !target.probeOut) {
             target.probeOut = true;
             actions.probe(target.id);
@@ -888,7 +889,7 @@
 
     @Override
     public void probed(long now, long server, Outcome outcome, long spent, double[] load) {
-        Target target = targets.get(server);
+        ServerState target = targets.get(server);
         if (target == null) {
             return;
         }
@@ -924,14 +925,14 @@
 
     // ---- Cold start ----
 
-    private void broke(Target target, long now) {
+    private void broke(ServerState target, long now) {
         target.brokenAt = target.broken ? target.brokenAt : now;
         target.broken = true;
     }
 
     // First answer after a break: it may have restarted, so it counts as cold. Danger: a network that resets now and
     // then makes every server cold, over and over; a process does not come back within the time of one more try.
-    private void recovered(Target target, long now) {
+    private void recovered(ServerState target, long now) {
         if (target.broken) {
             target.broken = false;
             if (!cold(target, now) && now - target.brokenAt >= BREAK_LEAST) {
@@ -940,7 +941,7 @@
         }
     }
 
-    private void chill(Target target, long now, long since, long until, String why) {
+    private void chill(ServerState target, long now, long since, long until, String why) {
         target.coldSince = since;
         target.coldRoom = coldRoom();
         target.coldUntil = until;
@@ -950,7 +951,7 @@
     }
 
     /** The part of its capacity that a cold server has at the least. */
-    private double surely(Target target, long now) {
+    private double surely(ServerState target, long now) {
         double share = Math.min(
                 1,
                 Math.max(
@@ -961,18 +962,18 @@
     }
 
     /** Danger: a server that has just started may need longer for one request than anybody waits. */
-    private boolean warmEnough(Open req, Target target, long now) {
+    private boolean warmEnough(PendingRequest req, ServerState target, long now) {
         return !cold(target, now) || coldStretch * req.state.typical / surely(target, now) < req.endAt - now;
     }
 
-    private boolean cold(Target target, long now) {
+    private boolean cold(ServerState target, long now) {
         return now < target.coldUntil;
     }
 
     // Requests this agent may send to a cold server now. Danger: all agents together push it over. Each keeps to the
     // server's part of its own demand among those it draws from, times the part surely warm, and more the better it
     // keeps up by its reports. What is answered elsewhere says nothing to a new agent, nor where a whole zone is cold.
-    private double coldBudget(Target target, long now) {
+    private double coldBudget(ServerState target, long now) {
         int drawn = Math.min(here, spread(SUBSET_LEAST, now)) + Math.min(takers - here, spread(SUBSET_FAR, now));
         double part = target.weight() / weights * (settings.warmKeys() ? 1 : (double) takers / drawn);
         double perSecond = demand(now) * part * surely(target, now) * target.coldRoom;
@@ -1027,14 +1028,14 @@
         }
         // By this agent's own hash: its first few are its subset, and no two agents have the same.
         listed.sort(Comparator.comparingLong(each -> mix(each.id ^ mix(settings.agent()))));
-        List<Target> ready = listed.stream().filter(each -> each.ready).toList();
-        weights = ready.stream().mapToDouble(Target::weight).sum();
+        List<ServerState> ready = listed.stream().filter(each -> each.ready).toList();
+        weights = ready.stream().mapToDouble(ServerState::weight).sum();
         takers = ready.size();
         here = (int) ready.stream()
                 .filter(each -> each.listed.zone() == settings.zone())
                 .count();
         double part = Math.min(1, (double) subset(SUBSET_LEAST) / Math.max(1, listed.size()));
-        for (Target target : listed) {
+        for (ServerState target : listed) {
             target.limit = target.limit == 0 ? LIMIT_START / (settings.agents() * part) : target.limit;
         }
         if (!probing) {
@@ -1045,13 +1046,13 @@
 
     private void apply(long now, Server entry) {
         if (entry.phase() == Phase.GONE) {
-            Target gone = targets.get(entry.id());
+            ServerState gone = targets.get(entry.id());
             if (gone != null) {
                 remove(gone);
             }
             return;
         }
-        Target target = targets.computeIfAbsent(entry.id(), id -> new Target(id, classes.size()));
+        ServerState target = targets.computeIfAbsent(entry.id(), id -> new ServerState(id, classes.size()));
         Server before = target.listed;
         if (before == null || target.gone) {
             listed.add(target);
@@ -1068,7 +1069,7 @@
         }
     }
 
-    private void restart(long now, Target target) {
+    private void restart(long now, ServerState target) {
         target.active = Health.UNKNOWN;
         target.passive = Health.UNKNOWN;
         target.probeFailures = 0;
@@ -1083,7 +1084,7 @@
         }
     }
 
-    private void remove(Target target) {
+    private void remove(ServerState target) {
         if (listed.remove(target)) {
             log(target, "gone from the list");
         }
@@ -1093,13 +1094,13 @@
     }
 
     /** Danger: servers come and go for ever. What is known of one goes with it once nothing is out. */
-    private void forget(Target target) {
+    private void forget(ServerState target) {
         if (target.gone && target.inFlight == 0) {
             targets.remove(target.id);
         }
     }
 
-    private void log(Target target, String what) {
+    private void log(ServerState target, String what) {
         if (target.gone) {
             return; // nobody is to look after it
         }
--- a/src/main/java/gatefront/policy/CheckedBalancer.java
+++ b/src/main/java/gatefront/policy/CheckedBalancer.java
@@ -7,7 +7,7 @@
 
 /**
  * A balancer that holds its host to the contract: wrong use is an exception that says what was wrong, and the
- * balancer behind it is not told. For the time in which a host is written; {@link Rules} itself disregards
+ * balancer behind it is not told. For the time in which a host is written; {@link AdaptiveBalancer} itself disregards
  * what it can.
  */
 public final class CheckedBalancer implements Balancer {
@@ -92,7 +92,7 @@
     private boolean inside;
 
     /**
-     * A checked {@link Rules}.
+     * A checked {@link AdaptiveBalancer}.
      *
      * @param settings what it is told once
      * @param seed for its random choices
@@ -103,7 +103,7 @@
         this.settings = Objects.requireNonNull(settings, "settings");
         this.latest = now;
         Actions counted = new Counted(Objects.requireNonNull(actions, "actions"));
-        this.balancer = new Rules(settings, seed, now, counted);
+        this.balancer = new AdaptiveBalancer(settings, seed, now, counted);
     }
 
     @Override
--- a/src/main/java/gatefront/policy/Open.java
+++ b/src/main/java/gatefront/policy/PendingRequest.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One request that an agent has taken. State only: {@link Rules} decides. */
-final class Open {
+/** One request that an agent has taken. State only: {@link AdaptiveBalancer} decides. */
+final class PendingRequest {
     final Request request;
     final ClassState state;
     /** Its class as it was when it came, and how many attempts it may have. */
@@ -25,7 +25,8 @@
     boolean held;
     boolean streaming;
 
-    Open(Request request, ClassState state, int attemptsMost, long token, long cameAt, long firstAt, long endAt) {
+    PendingRequest(
+            Request request, ClassState state, int attemptsMost, long token, long cameAt, long firstAt, long endAt) {
         this.request = request;
         this.state = state;
         this.type = state.type;
@@ -38,12 +39,12 @@
 
     /** One attempt; its outcome is null while it is out. */
     static final class Attempt {
-        final Target target;
+        final ServerState target;
         final long sentAt;
         Outcome outcome;
         boolean passing;
 
-        Attempt(Target target, long sentAt) {
+        Attempt(ServerState target, long sentAt) {
             this.target = target;
             this.sentAt = sentAt;
         }
@@ -59,7 +60,7 @@
                 attempts.stream().filter(attempt -> attempt.outcome == null).count();
     }
 
-    boolean tried(Target target) {
+    boolean tried(ServerState target) {
         for (Attempt attempt : attempts) {
             if (attempt.target == target) {
                 return true;
--- a/src/main/java/gatefront/policy/Quantile.java
+++ b/src/main/java/gatefront/policy/QuantileEstimator.java
@@ -1,7 +1,7 @@
 package gatefront.policy;
 
 /** Follows a quantile of a stream of positive values, and the lowest it has been. */
-final class Quantile {
+final class QuantileEstimator {
     /** Values before the quantile means anything. */
     private static final int ENOUGH = 50;
     /** A step, as a part of the value. */
@@ -17,7 +17,7 @@
 
     private int count;
 
-    Quantile(double share) {
+    QuantileEstimator(double share) {
         this.share = share;
     }
 
--- a/src/main/java/gatefront/policy/Target.java
+++ b/src/main/java/gatefront/policy/ServerState.java
@@ -3,8 +3,8 @@
 import gatefront.policy.Balancer.Server;
 import java.util.Arrays;
 
-/** What one agent knows of one server. State only: {@link Rules} decides. */
-final class Target {
+/** What one agent knows of one server. State only: {@link AdaptiveBalancer} decides. */
+final class ServerState {
     /** The states of a health check. */
     enum Health {
         UNKNOWN,
@@ -31,7 +31,7 @@
     double stretch = 1; // its answer times against those of all servers, as a mean
     long stretchAt; // when that was last measured
     /** A quantile of its answer times, each as a multiple of its class's lowest. */
-    final Quantile pace = new Quantile(Rules.QUANTILE);
+    final QuantileEstimator pace = new QuantileEstimator(AdaptiveBalancer.QUANTILE);
 
     long answeredAt; // when it last answered
     int failuresInRow; // fast failures in a row, and until when it rests for them
@@ -50,7 +50,7 @@
 
     long brokenAt; // when that was first seen
 
-    Target(long id, int classes) {
+    ServerState(long id, int classes) {
         this.id = id;
         grow(classes);
     }
--- a/src/main/java/gatefront/recovery/Recovery.java
+++ b/src/main/java/gatefront/recovery/Recovery.java
@@ -52,9 +52,9 @@
     }
 
     private final String instance;
-    private final Beliefs.Bounds bounds;
+    private final StateValidator.Bounds bounds;
     private final List<String> lines = new ArrayList<>();
-    private final List<Finding> findings = new ArrayList<>();
+    private final List<ValidationResult> findings = new ArrayList<>();
     private Stage stage = Stage.STARTING;
     private String reason = "it has begun";
     private long since;
@@ -63,7 +63,7 @@
     private String lost;
 
     /** Begins at a time. */
-    public Recovery(String instance, Beliefs.Bounds bounds, long now) {
+    public Recovery(String instance, StateValidator.Bounds bounds, long now) {
         this.instance = instance;
         this.bounds = bounds;
         this.since = now;
@@ -89,11 +89,11 @@
     }
 
     /** Something is there to be believed or not. */
-    public Finding claim(Claim claim, long now) {
-        Finding finding = Beliefs.judge(claim, instance, now, bounds);
+    public ValidationResult claim(RestoredState claim, long now) {
+        ValidationResult finding = StateValidator.judge(claim, instance, now, bounds);
         findings.add(finding);
         say(finding.line());
-        if (claim.piece() == Piece.BANS && finding.verdict() != Verdict.BELIEVED && lost == null) {
+        if (claim.piece() == StateKind.BANS && finding.verdict() != TrustLevel.BELIEVED && lost == null) {
             lost = finding.line();
         }
         step(now);
@@ -157,7 +157,7 @@
     }
 
     /** What was found, in the order of the claims. */
-    public List<Finding> findings() {
+    public List<ValidationResult> findings() {
         return List.copyOf(findings);
     }
 
--- a/src/main/java/gatefront/recovery/Claim.java
+++ b/src/main/java/gatefront/recovery/RestoredState.java
@@ -9,4 +9,4 @@
  * @param upTo the time of day up to which its writer was there to hear of changes, in microseconds; negative if unknown
  * @param damaged whether a part of it could not be read
  */
-public record Claim(Piece piece, Source source, String instance, long upTo, boolean damaged) {}
+public record RestoredState(StateKind piece, StateSource source, String instance, long upTo, boolean damaged) {}
--- a/src/main/java/gatefront/recovery/Waking.java
+++ b/src/main/java/gatefront/recovery/StallDetector.java
@@ -8,7 +8,7 @@
  * <p>Why not by the list's age: while this process stood still nobody told it anything, and its own view of the list
  * looks as fresh as it did before. Times are microseconds of a clock that goes on while the process stands still.
  */
-public final class Waking {
+public final class StallDetector {
     private final long gapMost;
     private final long patience;
     private long last = Long.MIN_VALUE;
@@ -22,14 +22,14 @@
      * @param gapMost so long it may have been busy
      * @param patience so long it waits to hear, then it goes on with what it has
      */
-    public Waking(long gapMost, long patience) {
+    public StallDetector(long gapMost, long patience) {
         this.gapMost = gapMost;
         this.patience = patience;
     }
 
     /** One that has just started and was told nothing yet; it notices no standstill. */
-    public static Waking starting(long now, long patience) {
-        Waking waking = new Waking(Long.MAX_VALUE, patience);
+    public static StallDetector starting(long now, long patience) {
+        StallDetector waking = new StallDetector(Long.MAX_VALUE, patience);
         waking.wokeAt = now;
         waking.doubting = true;
         return waking;
--- a/src/main/java/gatefront/recovery/Piece.java
+++ b/src/main/java/gatefront/recovery/StateKind.java
@@ -1,7 +1,7 @@
 package gatefront.recovery;
 
 /** What an agent may know from before its start. */
-public enum Piece {
+public enum StateKind {
     /** Servers that staff have taken out or put back by hand. */
     BANS("calls by hand"),
     /** The list of servers. */
@@ -9,7 +9,7 @@
 
     private final String words;
 
-    Piece(String words) {
+    StateKind(String words) {
         this.words = words;
     }
 
--- a/src/main/java/gatefront/recovery/Source.java
+++ b/src/main/java/gatefront/recovery/StateSource.java
@@ -1,7 +1,7 @@
 package gatefront.recovery;
 
 /** From where an agent has it. */
-public enum Source {
+public enum StateSource {
     /** The platform's file. */
     CONFIGURATION("the configuration"),
     /** What this instance kept itself. */
@@ -11,7 +11,7 @@
 
     private final String words;
 
-    Source(String words) {
+    StateSource(String words) {
         this.words = words;
     }
 
--- a/src/main/java/gatefront/recovery/Beliefs.java
+++ b/src/main/java/gatefront/recovery/StateValidator.java
@@ -9,7 +9,7 @@
  * time up to which they were written lies long before the start, or after it, there may have been others since, and
  * they are doubted. A list is only a guess until the first whole one comes, so an old one is worse than none.
  */
-public final class Beliefs {
+public final class StateValidator {
     private static final double MICROS = 1e6;
 
     /**
@@ -21,59 +21,63 @@
      */
     public record Bounds(long doubtAfter, long listMost, long ahead) {}
 
-    private Beliefs() {}
+    private StateValidator() {}
 
     /** Judges a claim. */
-    public static Finding judge(Claim claim, String instance, long now, Bounds bounds) {
+    public static ValidationResult judge(RestoredState claim, String instance, long now, Bounds bounds) {
         if (claim.instance() != null && !claim.instance().equals(instance)) {
-            return new Finding(claim, Verdict.DROPPED, "it is that of " + claim.instance());
+            return new ValidationResult(claim, TrustLevel.DROPPED, "it is that of " + claim.instance());
         }
         if (claim.damaged()) {
-            return claim.piece() == Piece.BANS
-                    ? new Finding(claim, Verdict.DOUBTED, "it is damaged; what could be read stays out")
-                    : new Finding(claim, Verdict.DROPPED, "it is damaged");
+            return claim.piece() == StateKind.BANS
+                    ? new ValidationResult(claim, TrustLevel.DOUBTED, "it is damaged; what could be read stays out")
+                    : new ValidationResult(claim, TrustLevel.DROPPED, "it is damaged");
         }
-        return claim.piece() == Piece.BANS ? bans(claim, now, bounds) : list(claim, now, bounds);
+        return claim.piece() == StateKind.BANS ? bans(claim, now, bounds) : list(claim, now, bounds);
     }
 
-    private static Finding bans(Claim claim, long now, Bounds bounds) {
-        if (claim.source() == Source.NEIGHBOUR) {
-            return new Finding(claim, Verdict.BELIEVED, "it says so itself");
+    private static ValidationResult bans(RestoredState claim, long now, Bounds bounds) {
+        if (claim.source() == StateSource.NEIGHBOUR) {
+            return new ValidationResult(claim, TrustLevel.BELIEVED, "it says so itself");
         }
         if (claim.upTo() > now + bounds.ahead) {
-            return new Finding(
+            return new ValidationResult(
                     claim,
-                    Verdict.DOUBTED,
+                    TrustLevel.DOUBTED,
                     seconds(claim.upTo() - now) + " ahead of this clock; what is " + "out stays out");
         }
         if (claim.upTo() < now - bounds.doubtAfter) {
-            return new Finding(
+            return new ValidationResult(
                     claim,
-                    Verdict.DOUBTED,
+                    TrustLevel.DOUBTED,
                     "it ends " + seconds(now - claim.upTo()) + " before this start: "
                             + "either nobody was there, or it was put back; what is out stays out, "
                             + "calls since are not known");
         }
-        return new Finding(
-                claim, Verdict.BELIEVED, "it ends " + seconds(Math.max(0, now - claim.upTo())) + " before this start");
+        return new ValidationResult(
+                claim,
+                TrustLevel.BELIEVED,
+                "it ends " + seconds(Math.max(0, now - claim.upTo())) + " before this start");
     }
 
-    private static Finding list(Claim claim, long now, Bounds bounds) {
-        if (claim.source() == Source.CONFIGURATION) {
-            return new Finding(claim, Verdict.DOUBTED, "it has no date; it serves until the first whole list");
+    private static ValidationResult list(RestoredState claim, long now, Bounds bounds) {
+        if (claim.source() == StateSource.CONFIGURATION) {
+            return new ValidationResult(
+                    claim, TrustLevel.DOUBTED, "it has no date; it serves until the first whole list");
         }
         if (claim.upTo() > now + bounds.ahead) {
-            return new Finding(claim, Verdict.DROPPED, seconds(claim.upTo() - now) + " ahead of this clock");
+            return new ValidationResult(
+                    claim, TrustLevel.DROPPED, seconds(claim.upTo() - now) + " ahead of this clock");
         }
         if (claim.upTo() < now - bounds.listMost) {
-            return new Finding(
+            return new ValidationResult(
                     claim,
-                    Verdict.DROPPED,
+                    TrustLevel.DROPPED,
                     seconds(now - claim.upTo()) + " old, over the " + seconds(bounds.listMost) + " that may be");
         }
-        return new Finding(
+        return new ValidationResult(
                 claim,
-                Verdict.DOUBTED,
+                TrustLevel.DOUBTED,
                 seconds(Math.max(0, now - claim.upTo())) + " old; it serves until the first whole list");
     }
 
--- a/src/main/java/gatefront/recovery/Verdict.java
+++ b/src/main/java/gatefront/recovery/TrustLevel.java
@@ -1,7 +1,7 @@
 package gatefront.recovery;
 
 /** What becomes of a claim. */
-public enum Verdict {
+public enum TrustLevel {
     /** It holds. */
     BELIEVED,
     /** It holds to the safe side alone: what it takes out stays out, what it lets in proves nothing. */
--- a/src/main/java/gatefront/recovery/Finding.java
+++ b/src/main/java/gatefront/recovery/ValidationResult.java
@@ -7,7 +7,7 @@
  * @param verdict what becomes of it
  * @param why in words for staff
  */
-public record Finding(Claim claim, Verdict verdict, String why) {
+public record ValidationResult(RestoredState claim, TrustLevel verdict, String why) {
     /** As a line of the log. */
     public String line() {
         return claim.piece().words() + " from " + claim.source().words() + ": "
--- a/src/main/java/gatefront/registry/ConsulCalls.java
+++ b/src/main/java/gatefront/registry/ConsulConnector.java
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import gatefront.config.Config;
-import gatefront.http.codec.Decoders;
+import gatefront.http.codec.StrictHttpDecoders;
 import gatefront.registry.RegistrySettings.Reads;
-import gatefront.registry.follower.Entry;
 import gatefront.registry.follower.Follower;
+import gatefront.registry.follower.KeyEntry;
 import gatefront.transport.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufInputStream;
@@ -35,7 +35,7 @@
  * Consul's key-value store, or the health of a service, by blocking queries: each answer is the whole state, with an
  * index to wait behind. One connection, one call at a time.
  */
-final class ConsulCalls implements Calls {
+final class ConsulConnector implements RegistryConnector {
     private static final int BODY_BYTES_MOST = 32 << 20;
     private static final int DIAL_MS = 2_000;
     /** Consul has no name for its history; an index that goes back is the only sign of another one. */
@@ -43,7 +43,7 @@
 
     private final Transport transport;
     private final RegistrySettings settings;
-    private final Members members;
+    private final RegistryMembers members;
     private final Follower follower;
     private final Bootstrap bootstrap;
     private Channel channel;
@@ -52,7 +52,7 @@
 
     private boolean quorum;
 
-    ConsulCalls(Transport transport, RegistrySettings settings, Members members, Follower follower) {
+    ConsulConnector(Transport transport, RegistrySettings settings, RegistryMembers members, Follower follower) {
         this.transport = transport;
         this.settings = settings;
         this.members = members;
@@ -68,7 +68,7 @@
                     protected void initChannel(Channel ch) {
                         ch.pipeline()
                                 .addLast(
-                                        new Decoders.Responses(),
+                                        new StrictHttpDecoders.Responses(),
                                         new HttpRequestEncoder(),
                                         new HttpObjectAggregator(BODY_BYTES_MOST),
                                         new Answers());
@@ -173,7 +173,7 @@
             return;
         }
         long index;
-        List<Entry> entries = List.of();
+        List<KeyEntry> entries = List.of();
         try (InputStream body = new ByteBufInputStream(response.content())) {
             index = Long.parseLong(String.valueOf(response.headers().get("X-Consul-Index")));
             long apart = Long.parseLong(response.headers().get("X-Consul-LastContact", "0"));
@@ -206,11 +206,11 @@
         follower.listed(now(), call, HISTORY, index, quorum, entries);
     }
 
-    private List<Entry> decode(JsonNode root, long index) {
+    private List<KeyEntry> decode(JsonNode root, long index) {
         if (root == null || !root.isArray()) {
             throw new IllegalArgumentException("no list of keys");
         }
-        List<Entry> entries = new ArrayList<>();
+        List<KeyEntry> entries = new ArrayList<>();
         for (JsonNode each : root) {
             String key = each.path("Key").asText();
             long created = each.path("CreateIndex").asLong();
@@ -220,7 +220,7 @@
             }
             JsonNode value = each.path("Value"); // null where a key was made without one
             byte[] bytes = value.isTextual() ? Base64.getDecoder().decode(value.asText()) : new byte[0];
-            entries.add(new Entry(key, new String(bytes, StandardCharsets.UTF_8), created, modified));
+            entries.add(new KeyEntry(key, new String(bytes, StandardCharsets.UTF_8), created, modified));
         }
         return entries;
     }
--- a/src/main/java/gatefront/registry/ConsulHealth.java
+++ b/src/main/java/gatefront/registry/ConsulHealth.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gatefront.registry.follower.Entry;
+import gatefront.registry.follower.KeyEntry;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -17,11 +17,11 @@
 final class ConsulHealth {
     private ConsulHealth() {}
 
-    static List<Entry> decode(JsonNode root, String prefix, long index) {
+    static List<KeyEntry> decode(JsonNode root, String prefix, long index) {
         if (root == null || !root.isArray()) {
             throw new IllegalArgumentException("no list of instances");
         }
-        List<Entry> entries = new ArrayList<>();
+        List<KeyEntry> entries = new ArrayList<>();
         Set<String> ids = new HashSet<>();
         for (JsonNode each : root) {
             JsonNode service = each.path("Service");
@@ -31,7 +31,8 @@
             if (!ids.add(id) || !id.matches("[A-Za-z0-9._~-]{1,128}") || created < 1 || modified > index) {
                 throw new IllegalArgumentException("id or index of the instance \"" + id + '"');
             }
-            entries.add(new Entry(prefix + "nodos/" + id, value(each, service).toString(), created, modified));
+            entries.add(
+                    new KeyEntry(prefix + "nodos/" + id, value(each, service).toString(), created, modified));
         }
         return entries;
     }
--- a/src/main/java/gatefront/registry/EtcdCalls.java
+++ b/src/main/java/gatefront/registry/EtcdConnector.java
@@ -1,8 +1,8 @@
 package gatefront.registry;
 
 import gatefront.registry.RegistrySettings.Reads;
-import gatefront.registry.follower.Entry;
 import gatefront.registry.follower.Follower;
+import gatefront.registry.follower.KeyEntry;
 import gatefront.transport.Transport;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -14,20 +14,20 @@
  * etcd, version 3: full reads in pages that are all of one revision, then a watch. One connection; of its calls only
  * the newest is heard.
  */
-final class EtcdCalls implements Calls {
+final class EtcdConnector implements RegistryConnector {
     private static final int MESSAGE_BYTES_MOST = 16 << 20;
     private static final int PAGE = 1_000;
 
     private final Transport transport;
     private final RegistrySettings settings;
-    private final Members members;
+    private final RegistryMembers members;
     private final Follower follower;
     private GrpcConnection connection;
     private GrpcConnection.Call out;
     /** Given by the registry to the user; null while there is none, and dropped when it is no longer good. */
     private String token;
 
-    EtcdCalls(Transport transport, RegistrySettings settings, Members members, Follower follower) {
+    EtcdConnector(Transport transport, RegistrySettings settings, RegistryMembers members, Follower follower) {
         this.transport = transport;
         this.settings = settings;
         this.members = members;
@@ -153,7 +153,7 @@
      * The pages after the first are of its revision: else keys that change meanwhile would be had in part. Where that
      * is compacted meanwhile, or the token expires, the read has failed, and the next one follows as after any failure.
      */
-    private void page(long call, boolean sure, byte[] from, long revision, List<Entry> all) {
+    private void page(long call, boolean sure, byte[] from, long revision, List<KeyEntry> all) {
         List<EtcdMessages.Range> got = new ArrayList<>();
         call(
                 call,
@@ -170,7 +170,7 @@
                 });
     }
 
-    private void paged(long call, boolean sure, long revision, List<Entry> all, EtcdMessages.Range page) {
+    private void paged(long call, boolean sure, long revision, List<KeyEntry> all, EtcdMessages.Range page) {
         long at = revision > 0 ? revision : page.header().revision();
         if (page.more() && page.entries().isEmpty()
                 || all.size() > settings.bounds().keys()) {
--- a/src/main/java/gatefront/registry/EtcdMessages.java
+++ b/src/main/java/gatefront/registry/EtcdMessages.java
@@ -2,8 +2,8 @@
 
 import com.google.protobuf.CodedInputStream;
 import com.google.protobuf.WireFormat;
-import gatefront.registry.follower.Change;
-import gatefront.registry.follower.Entry;
+import gatefront.registry.follower.KeyChange;
+import gatefront.registry.follower.KeyEntry;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -25,7 +25,7 @@
     record Header(long cluster, long revision) {}
 
     /** Keys; {@code more} if the limit has cut them. */
-    record Range(Header header, List<Entry> entries, boolean more) {}
+    record Range(Header header, List<KeyEntry> entries, boolean more) {}
 
     /** News of a watch. */
     record Watched(
@@ -35,7 +35,7 @@
             long compacted,
             String reason,
             boolean fragment,
-            List<Change> changes) {}
+            List<KeyChange> changes) {}
 
     static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
@@ -113,7 +113,7 @@
     static Range range(byte[] message) throws IOException {
         CodedInputStream in = CodedInputStream.newInstance(message);
         Header header = null;
-        List<Entry> entries = new ArrayList<>();
+        List<KeyEntry> entries = new ArrayList<>();
         boolean more = false;
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
             switch (WireFormat.getTagFieldNumber(tag)) {
@@ -134,7 +134,7 @@
         long compacted = 0;
         String reason = "";
         boolean fragment = false;
-        List<Change> changes = new ArrayList<>();
+        List<KeyChange> changes = new ArrayList<>();
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
             switch (WireFormat.getTagFieldNumber(tag)) {
                 case 1 -> header = header(in.readByteArray());
@@ -171,10 +171,10 @@
         return new Header(cluster == 0 ? 1 : cluster, revision);
     }
 
-    private static Change change(byte[] message) throws IOException {
+    private static KeyChange change(byte[] message) throws IOException {
         CodedInputStream in = CodedInputStream.newInstance(message);
         boolean deleted = false;
-        Entry entry = null;
+        KeyEntry entry = null;
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
             switch (WireFormat.getTagFieldNumber(tag)) {
                 case 1 -> deleted = in.readEnum() == 1;
@@ -185,10 +185,10 @@
         if (entry == null) {
             throw new IOException("a change of no key");
         }
-        return deleted ? Change.deleted(entry.key(), entry.modified()) : Change.put(entry);
+        return deleted ? KeyChange.deleted(entry.key(), entry.modified()) : KeyChange.put(entry);
     }
 
-    private static Entry entry(byte[] message) throws IOException {
+    private static KeyEntry entry(byte[] message) throws IOException {
         CodedInputStream in = CodedInputStream.newInstance(message);
         String key = "";
         String value = "";
@@ -206,6 +206,6 @@
         if (key.isEmpty() || modified < 1) {
             throw new IOException("a key without name or revision");
         }
-        return new Entry(key, value, created, modified);
+        return new KeyEntry(key, value, created, modified);
     }
 }
--- a/src/main/java/gatefront/registry/RegistryClient.java
+++ b/src/main/java/gatefront/registry/RegistryClient.java
@@ -1,8 +1,8 @@
 package gatefront.registry;
 
-import gatefront.registry.follower.Change;
-import gatefront.registry.follower.Entry;
 import gatefront.registry.follower.Follower;
+import gatefront.registry.follower.KeyChange;
+import gatefront.registry.follower.KeyEntry;
 import gatefront.transport.Transport;
 import java.util.List;
 import java.util.Map;
@@ -19,7 +19,7 @@
          * @param changes what has changed
          * @param all the keys as they are now
          */
-        void changed(boolean full, List<Change> changes, Map<String, Entry> all);
+        void changed(boolean full, List<KeyChange> changes, Map<String, KeyEntry> all);
 
         /** The registry has not confirmed the keys for too long, or does so again. */
         default void stale(boolean now) {}
@@ -27,7 +27,7 @@
 
     private final Transport transport;
     private final Follower follower;
-    private final Calls calls;
+    private final RegistryConnector calls;
 
     /**
      * A client that asks nothing yet.
@@ -66,7 +66,7 @@
             }
 
             @Override
-            public void changed(boolean full, List<Change> changes) {
+            public void changed(boolean full, List<KeyChange> changes) {
                 listener.changed(full, changes, follower.entries());
             }
 
@@ -80,10 +80,10 @@
                 transport.log("registry: " + line);
             }
         });
-        Members members = new Members(settings.endpoints(), seed);
+        RegistryMembers members = new RegistryMembers(settings.endpoints(), seed);
         this.calls = settings.kind() == RegistrySettings.Kind.CONSUL
-                ? new ConsulCalls(transport, settings, members, follower)
-                : new EtcdCalls(transport, settings, members, follower);
+                ? new ConsulConnector(transport, settings, members, follower)
+                : new EtcdConnector(transport, settings, members, follower);
     }
 
     /** Begins to follow. */
@@ -92,7 +92,7 @@
     }
 
     /** Goes on from a state kept earlier; before {@link #start}. */
-    public void restore(long history, long revision, List<Entry> entries) {
+    public void restore(long history, long revision, List<KeyEntry> entries) {
         follower.restore(history, revision, entries);
     }
 
--- a/src/main/java/gatefront/registry/Calls.java
+++ b/src/main/java/gatefront/registry/RegistryConnector.java
@@ -3,7 +3,7 @@
 import gatefront.registry.follower.Follower;
 
 /** Makes a follower's calls to one kind of registry, and hands it what comes of them. */
-interface Calls {
+interface RegistryConnector {
     /** See {@link Follower.Actions#list}. */
     void list(long call, boolean quorum);
 
--- a/src/main/java/gatefront/registry/Members.java
+++ b/src/main/java/gatefront/registry/RegistryMembers.java
@@ -7,11 +7,11 @@
 import java.util.Random;
 
 /** The members of a registry, in an order of each agent's own, so that they share the agents. */
-final class Members {
+final class RegistryMembers {
     private final List<InetSocketAddress> order;
     private int at;
 
-    Members(List<InetSocketAddress> endpoints, long seed) {
+    RegistryMembers(List<InetSocketAddress> endpoints, long seed) {
         order = new ArrayList<>(endpoints);
         Collections.shuffle(order, new Random(seed));
     }
--- a/src/main/java/gatefront/registry/RegistrySettings.java
+++ b/src/main/java/gatefront/registry/RegistrySettings.java
@@ -1,6 +1,6 @@
 package gatefront.registry;
 
-import gatefront.registry.follower.Bounds;
+import gatefront.registry.follower.FollowerLimits;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
@@ -30,7 +30,7 @@
         String token,
         String service,
         Reads reads,
-        Bounds bounds,
+        FollowerLimits bounds,
         Path stateFile) {
     /** What a registry speaks. */
     public enum Kind {
@@ -51,7 +51,8 @@
     }
 
     /** With the usual reads, without secrets and disk, in place of the padrón. */
-    public static RegistrySettings of(Kind kind, List<InetSocketAddress> endpoints, String prefix, Bounds bounds) {
+    public static RegistrySettings of(
+            Kind kind, List<InetSocketAddress> endpoints, String prefix, FollowerLimits bounds) {
         return new RegistrySettings(
                 kind, List.copyOf(endpoints), prefix, true, null, null, null, null, Reads.USUAL, bounds, null);
     }
--- a/src/main/java/gatefront/registry/RegistryFeed.java
+++ b/src/main/java/gatefront/registry/RegistrySource.java
@@ -1,13 +1,13 @@
 package gatefront.registry;
 
-import gatefront.budget.Account;
+import gatefront.budget.ResourceAccount;
 import gatefront.config.Config;
 import gatefront.membership.Endpoint;
-import gatefront.membership.Policy;
+import gatefront.membership.ServerOverride;
 import gatefront.policy.Balancer.ListKind;
-import gatefront.registry.follower.Change;
-import gatefront.registry.follower.Entry;
 import gatefront.registry.follower.Follower;
+import gatefront.registry.follower.KeyChange;
+import gatefront.registry.follower.KeyEntry;
 import gatefront.transport.Transport;
 import io.netty.util.concurrent.DefaultThreadFactory;
 import java.io.IOException;
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A registry as a source of the server list; keeps its last state on disk where that is configured. */
-public final class RegistryFeed {
+public final class RegistrySource {
     /** What is written in a burst is written once. */
     private static final long SAVE_AFTER_MS = 1_000;
 
@@ -28,7 +28,7 @@
         void list(ListKind kind, List<Endpoint> endpoints);
 
         /** All policies, by the server's name and the zone's number. */
-        void policies(Map<String, Policy> servers, Map<Integer, Policy> zones);
+        void policies(Map<String, ServerOverride> servers, Map<Integer, ServerOverride> zones);
 
         /** How many calls of a class may be in progress, by its index: all limits that there are. */
         void limits(Map<Integer, Integer> classes);
@@ -38,8 +38,8 @@
     private final RegistrySettings settings;
     private final Listener listener;
     private final RegistryClient client;
-    private final NodoValues values;
-    private final Account held;
+    private final RegistryView values;
+    private final ResourceAccount held;
     /** Writes the state, since the loop must not wait for a disk; null where none is kept. */
     private final ExecutorService disk;
 
@@ -54,16 +54,16 @@
      * @param held what the keys count as
      * @param listener told on the loop
      */
-    public RegistryFeed(
-            Transport transport, Config config, RegistrySettings settings, Account held, Listener listener) {
+    public RegistrySource(
+            Transport transport, Config config, RegistrySettings settings, ResourceAccount held, Listener listener) {
         this.held = held;
         this.transport = transport;
         this.settings = settings;
         this.listener = listener;
-        this.values = new NodoValues(config, settings.prefix(), transport::log);
+        this.values = new RegistryView(config, settings.prefix(), transport::log);
         this.client = new RegistryClient(transport, settings, config.seed(), new RegistryClient.Listener() {
             @Override
-            public void changed(boolean full, List<Change> changes, Map<String, Entry> all) {
+            public void changed(boolean full, List<KeyChange> changes, Map<String, KeyEntry> all) {
                 held.set(all.size(), 0);
                 tell(full ? ListKind.FULL : ListKind.DELTA, changes);
                 save();
@@ -86,7 +86,7 @@
     public void start() {
         if (settings.stateFile() != null) {
             try {
-                StateFile.Kept kept = StateFile.read(settings.stateFile());
+                RegistryStateFile.Kept kept = RegistryStateFile.read(settings.stateFile());
                 if (kept != null) {
                     client.restore(kept.history(), kept.revision(), kept.entries());
                     transport.log("registry: begins with revision " + kept.revision() + ", kept "
@@ -94,7 +94,7 @@
                             + settings.stateFile());
                     tell(
                             ListKind.CACHED,
-                            kept.entries().stream().map(Change::put).toList());
+                            kept.entries().stream().map(KeyChange::put).toList());
                 }
             } catch (IOException e) {
                 transport.log("registry: the state kept cannot be used: " + e.getMessage());
@@ -116,8 +116,8 @@
         return client.follower();
     }
 
-    private void tell(ListKind kind, List<Change> changes) {
-        NodoValues.News news = values.changed(changes);
+    private void tell(ListKind kind, List<KeyChange> changes) {
+        RegistryView.News news = values.changed(changes);
         if (news.policies()) {
             listener.policies(values.ofServers(), values.ofZones());
         }
@@ -138,7 +138,7 @@
                             () -> {
                                 saving = false;
                                 Follower follower = client.follower();
-                                StateFile.Kept kept = new StateFile.Kept(
+                                RegistryStateFile.Kept kept = new RegistryStateFile.Kept(
                                         follower.history(),
                                         follower.revision(),
                                         transport.wallMicros() / 1_000,
@@ -152,9 +152,9 @@
         }
     }
 
-    private void write(StateFile.Kept kept) {
+    private void write(RegistryStateFile.Kept kept) {
         try {
-            StateFile.write(settings.stateFile(), kept);
+            RegistryStateFile.write(settings.stateFile(), kept);
         } catch (IOException e) {
             transport.log("registry: its state cannot be kept: " + e);
         }
--- a/src/main/java/gatefront/registry/StateFile.java
+++ b/src/main/java/gatefront/registry/RegistryStateFile.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
 import gatefront.config.Config;
-import gatefront.registry.follower.Entry;
+import gatefront.registry.follower.KeyEntry;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -27,7 +27,7 @@
  * what follows, then JSON. It is written beside its place, forced to disk and moved there: a crash leaves the old one
  * or the new one, and what is neither is told by its checksum and not used.
  */
-final class StateFile {
+final class RegistryStateFile {
     private static final String MAGIC = "gatefront-registry-1";
     private static final long BYTES_MOST = 64 << 20;
 
@@ -39,9 +39,9 @@
      * @param savedAt milliseconds since 1970
      * @param entries the keys
      */
-    record Kept(long history, long revision, long savedAt, List<Entry> entries) {}
+    record Kept(long history, long revision, long savedAt, List<KeyEntry> entries) {}
 
-    private StateFile() {}
+    private RegistryStateFile() {}
 
     static void write(Path to, Kept kept) throws IOException {
         byte[] body = body(kept.entries());
@@ -92,7 +92,7 @@
             }
             for (JsonNode each : Config.json(new ByteArrayInputStream(body))) {
                 kept.entries()
-                        .add(new Entry(
+                        .add(new KeyEntry(
                                 each.path("k").asText(),
                                 each.path("v").asText(),
                                 each.path("c").asLong(),
@@ -104,11 +104,11 @@
         }
     }
 
-    private static byte[] body(Collection<Entry> entries) throws IOException {
+    private static byte[] body(Collection<KeyEntry> entries) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = new JsonFactory().createGenerator(bytes)) {
             out.writeStartArray();
-            for (Entry each : entries) {
+            for (KeyEntry each : entries) {
                 out.writeStartObject();
                 out.writeStringField("k", each.key());
                 out.writeStringField("v", each.value());
--- a/src/main/java/gatefront/registry/NodoValues.java
+++ b/src/main/java/gatefront/registry/RegistryView.java
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import gatefront.config.Config;
-import gatefront.config.EndpointForm;
+import gatefront.config.EndpointJson;
 import gatefront.membership.Endpoint;
-import gatefront.membership.Policy;
-import gatefront.registry.follower.Change;
+import gatefront.membership.ServerOverride;
+import gatefront.registry.follower.KeyChange;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -22,7 +22,7 @@
  * many calls may be in progress. A value that cannot be read leaves the last good one. State: one value a key, dropped
  * with the key.
  */
-final class NodoValues {
+final class RegistryView {
     private static final String NODOS = "nodos/";
     private static final String OF_NODOS = "policies/nodos/";
     private static final String OF_ZONES = "policies/salas/";
@@ -37,7 +37,7 @@
     private final String prefix;
     private final Consumer<String> log;
     private final Map<String, Endpoint> nodos = new LinkedHashMap<>();
-    private final Map<String, Policy> policies = new HashMap<>();
+    private final Map<String, ServerOverride> policies = new HashMap<>();
     private final Map<String, Integer> limits = new HashMap<>();
 
     /**
@@ -49,25 +49,25 @@
      */
     record News(List<Endpoint> servers, boolean policies, boolean limits) {}
 
-    NodoValues(Config config, String prefix, Consumer<String> log) {
+    RegistryView(Config config, String prefix, Consumer<String> log) {
         this.config = config;
         this.prefix = prefix;
         this.log = log;
     }
 
     /** Takes in changes of keys. */
-    News changed(List<Change> changes) {
+    News changed(List<KeyChange> changes) {
         Map<String, Endpoint> servers = new LinkedHashMap<>();
         boolean ofPolicies = false;
         boolean ofLimits = false;
-        for (Change each : changes) {
+        for (KeyChange each : changes) {
             String key = each.key().substring(prefix.length());
             try {
                 if (key.startsWith(NODOS)) {
                     Endpoint before = nodos.get(key);
                     Endpoint now = each.value() == null
                             ? null
-                            : EndpointForm.decode(json(each.value()), key.substring(NODOS.length()), config);
+                            : EndpointJson.decode(json(each.value()), key.substring(NODOS.length()), config);
                     if (now != null) {
                         nodos.put(key, now);
                         servers.put(key, now);
@@ -75,7 +75,7 @@
                         servers.put(key, before.gone());
                     }
                 } else if (key.startsWith(OF_NODOS) || key.startsWith(OF_ZONES)) {
-                    Policy now = each.value() == null ? null : policy(json(each.value()));
+                    ServerOverride now = each.value() == null ? null : policy(json(each.value()));
                     ofPolicies |= !Objects.equals(now, now == null ? policies.remove(key) : policies.put(key, now));
                 } else if (key.startsWith(OF_CLASSES)) {
                     Integer now = each.value() == null ? null : limit(json(each.value()));
@@ -102,7 +102,7 @@
         return root;
     }
 
-    private static Policy policy(JsonNode root) {
+    private static ServerOverride policy(JsonNode root) {
         JsonNode drain = root.path("drain");
         JsonNode factor = root.path("weight_factor");
         if (!drain.isMissingNode() && !drain.isBoolean()) {
@@ -113,7 +113,7 @@
             throw new IllegalArgumentException("weight_factor is to be above 0 and at most " + FACTOR_MOST + ", not "
                     + factor + "; what is to get nothing is drained");
         }
-        return new Policy(drain.asBoolean(false), factor.asDouble(1));
+        return new ServerOverride(drain.asBoolean(false), factor.asDouble(1));
     }
 
     private static int limit(JsonNode root) {
@@ -131,8 +131,8 @@
     }
 
     /** The policies of one server each, by its name. */
-    Map<String, Policy> ofServers() {
-        Map<String, Policy> of = new HashMap<>();
+    Map<String, ServerOverride> ofServers() {
+        Map<String, ServerOverride> of = new HashMap<>();
         policies.forEach((key, policy) -> {
             if (key.startsWith(OF_NODOS)) {
                 of.put(key.substring(OF_NODOS.length()), policy);
@@ -142,8 +142,8 @@
     }
 
     /** The policies of a zone each, by its number; of a zone that there is not, it says nothing. */
-    Map<Integer, Policy> ofZones() {
-        Map<Integer, Policy> of = new HashMap<>();
+    Map<Integer, ServerOverride> ofZones() {
+        Map<Integer, ServerOverride> of = new HashMap<>();
         policies.forEach((key, policy) -> {
             int zone = key.startsWith(OF_ZONES) ? config.zones().indexOf(key.substring(OF_ZONES.length())) : -1;
             if (zone >= 0) {
--- a/src/main/java/gatefront/registry/follower/Follower.java
+++ b/src/main/java/gatefront/registry/follower/Follower.java
@@ -26,8 +26,8 @@
  * <li>One call is out at the most, and events of any other are passed over.
  * </ul>
  *
- * <p>State: the keys, at most {@link Bounds#keys}, each removed by its deletion or by a full read without it; the
- * changes of one message in fragments, at most twice as many, dropped with their call.
+ * <p>State: the keys, at most {@link FollowerLimits#keys}, each removed by its deletion or by a full read without it;
+ * the changes of one message in fragments, at most twice as many, dropped with their call.
  */
 public final class Follower {
     /** Where it stands. */
@@ -81,7 +81,7 @@
          * @param full whether by a full read; the changes are then those that it shows
          * @param changes in the order of their revisions; what a full read lacks has that read's revision
          */
-        void changed(boolean full, List<Change> changes);
+        void changed(boolean full, List<KeyChange> changes);
 
         /** The state has become stale, or is no longer. */
         void stale(boolean now);
@@ -90,12 +90,12 @@
         void log(String line);
     }
 
-    private final Bounds bounds;
+    private final FollowerLimits bounds;
     private final Actions actions;
     /** A moment of chance from 0 up to its argument. */
     private final LongUnaryOperator jitter;
 
-    private final TreeMap<String, Entry> entries = new TreeMap<>();
+    private final TreeMap<String, KeyEntry> entries = new TreeMap<>();
     private State state = State.LISTING;
     /** Of which registry the revisions are; 0 while none is known. */
     private long history;
@@ -118,7 +118,7 @@
     private long rereadAt = Long.MAX_VALUE;
     private boolean stale;
     private long backoff;
-    private final List<Change> fragments = new ArrayList<>();
+    private final List<KeyChange> fragments = new ArrayList<>();
     private boolean closed;
     /** The earliest timer asked for; one that comes before it is an older one. */
     private long timerAt = Long.MAX_VALUE;
@@ -130,7 +130,7 @@
      * @param seed for its jitter; agents must not share it
      * @param actions what it wants done
      */
-    public Follower(Bounds bounds, long seed, Actions actions) {
+    public Follower(FollowerLimits bounds, long seed, Actions actions) {
         this(bounds, most(new SplittableRandom(seed)), actions);
     }
 
@@ -139,7 +139,7 @@
     }
 
     /** With another jitter. */
-    Follower(Bounds bounds, LongUnaryOperator jitter, Actions actions) {
+    Follower(FollowerLimits bounds, LongUnaryOperator jitter, Actions actions) {
         this.bounds = bounds;
         this.actions = actions;
         this.jitter = jitter;
@@ -155,7 +155,7 @@
      * @param atRevision up to which all was known
      * @param kept the keys then
      */
-    public void restore(long ofHistory, long atRevision, List<Entry> kept) {
+    public void restore(long ofHistory, long atRevision, List<KeyEntry> kept) {
         history = ofHistory;
         revision = atRevision;
         state = State.RESUMING;
@@ -188,7 +188,7 @@
      * @param ofHistory whose revisions these are, never 0; a registry that has no name for it gives 1
      * @param quorum whether a quorum answers for it
      */
-    public void listed(long now, long ofCall, long ofHistory, long atRevision, boolean quorum, List<Entry> all) {
+    public void listed(long now, long ofCall, long ofHistory, long atRevision, boolean quorum, List<KeyEntry> all) {
         if (!mine(ofCall)) {
             return;
         }
@@ -202,7 +202,7 @@
             doubt(now, ofHistory, atRevision);
             return;
         }
-        List<Change> changes = difference(all, atRevision);
+        List<KeyChange> changes = difference(all, atRevision);
         if (back) {
             actions.log("the registry has another history: " + named(ofHistory, atRevision) + " after "
                     + named(history, revision) + "; its full read is taken");
@@ -227,16 +227,16 @@
     }
 
     /** What tells the state known from a full read, in the order of revisions. */
-    private List<Change> difference(List<Entry> all, long atRevision) {
-        Map<String, Entry> lacking = new TreeMap<>(entries);
-        List<Change> changes = new ArrayList<>();
-        for (Entry each : all) {
+    private List<KeyChange> difference(List<KeyEntry> all, long atRevision) {
+        Map<String, KeyEntry> lacking = new TreeMap<>(entries);
+        List<KeyChange> changes = new ArrayList<>();
+        for (KeyEntry each : all) {
             if (!each.equals(lacking.remove(each.key()))) {
-                changes.add(Change.put(each));
+                changes.add(KeyChange.put(each));
             }
         }
-        lacking.keySet().forEach(key -> changes.add(Change.deleted(key, atRevision)));
-        changes.sort(Comparator.comparingLong(Change::modified).thenComparing(Change::key));
+        lacking.keySet().forEach(key -> changes.add(KeyChange.deleted(key, atRevision)));
+        changes.sort(Comparator.comparingLong(KeyChange::modified).thenComparing(KeyChange::key));
         return changes;
     }
 
@@ -262,7 +262,7 @@
      *
      * @param more whether the rest of the last revision is still to come
      */
-    public void changes(long now, long ofCall, List<Change> some, boolean more) {
+    public void changes(long now, long ofCall, List<KeyChange> some, boolean more) {
         if (!mine(ofCall)) {
             return;
         }
@@ -275,9 +275,9 @@
         if (more) {
             return;
         }
-        List<Change> changes = new ArrayList<>(fragments.size());
+        List<KeyChange> changes = new ArrayList<>(fragments.size());
         long last = revision;
-        for (Change each : fragments) {
+        for (KeyChange each : fragments) {
             if (each.modified() > revision) { // else it has been applied: a watch may begin too early, or tell twice
                 if (each.modified() < last) {
                     actions.log("revision " + each.modified() + " came after " + last + "; everything is read anew");
@@ -291,7 +291,7 @@
         fragments.clear();
         long added = changes.stream()
                 .filter(each -> each.value() != null && !entries.containsKey(each.key()))
-                .map(Change::key)
+                .map(KeyChange::key)
                 .distinct()
                 .count();
         if (entries.size() + added > bounds.keys()) {
@@ -307,11 +307,11 @@
     }
 
     /** Takes in a change; whether it is one: a key that is not there cannot go. */
-    private boolean apply(Change change) {
+    private boolean apply(KeyChange change) {
         if (change.value() == null) {
             return entries.remove(change.key()) != null;
         }
-        entries.put(change.key(), new Entry(change.key(), change.value(), change.created(), change.modified()));
+        entries.put(change.key(), new KeyEntry(change.key(), change.value(), change.created(), change.modified()));
         return true;
     }
 
@@ -384,7 +384,7 @@
     // ---- What it knows ----
 
     /** The keys with their values, as of the revision. */
-    public Map<String, Entry> entries() {
+    public Map<String, KeyEntry> entries() {
         return Collections.unmodifiableMap(entries);
     }
 
@@ -450,7 +450,7 @@
     /** Full jitter: doubled steps alone would keep those that began together in step for ever. */
     private void backOff(long now, boolean overloaded) {
         long wait = jitter.applyAsLong(backoff);
-        backoff = Math.min(2 * backoff, bounds.backoffMost() * (overloaded ? Bounds.OVERLOADED : 1));
+        backoff = Math.min(2 * backoff, bounds.backoffMost() * (overloaded ? FollowerLimits.OVERLOADED : 1));
         after(now, wait);
     }
 
--- a/src/main/java/gatefront/registry/follower/Bounds.java
+++ b/src/main/java/gatefront/registry/follower/FollowerLimits.java
@@ -13,7 +13,7 @@
  * @param reread after how long at the most everything is read anew, to find what no revision shows; 0 for never
  * @param keys how many keys there may be
  */
-public record Bounds(
+public record FollowerLimits(
         long backoffLeast, long backoffMost, long pause, long ask, long silence, long stale, long reread, int keys) {
     /** How much longer the waits may be for a registry that has too much to do. */
     public static final int OVERLOADED = 4;
--- a/src/main/java/gatefront/registry/follower/Change.java
+++ b/src/main/java/gatefront/registry/follower/KeyChange.java
@@ -8,14 +8,14 @@
  * @param created the revision at which it came; 0 if it has been deleted
  * @param modified the revision of the change
  */
-public record Change(String key, String value, long created, long modified) {
+public record KeyChange(String key, String value, long created, long modified) {
     /** A key that is there. */
-    public static Change put(Entry entry) {
-        return new Change(entry.key(), entry.value(), entry.created(), entry.modified());
+    public static KeyChange put(KeyEntry entry) {
+        return new KeyChange(entry.key(), entry.value(), entry.created(), entry.modified());
     }
 
     /** A key that is gone. */
-    public static Change deleted(String key, long modified) {
-        return new Change(key, null, 0, modified);
+    public static KeyChange deleted(String key, long modified) {
+        return new KeyChange(key, null, 0, modified);
     }
 }
--- a/src/main/java/gatefront/registry/follower/Entry.java
+++ b/src/main/java/gatefront/registry/follower/KeyEntry.java
@@ -8,4 +8,4 @@
  * @param created the revision at which it came, anew after a deletion
  * @param modified the revision of this value
  */
-public record Entry(String key, String value, long created, long modified) {}
+public record KeyEntry(String key, String value, long created, long modified) {}
--- a/src/main/java/gatefront/rehearsal/AgentStand.java
+++ b/src/main/java/gatefront/rehearsal/AgentStandIn.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import gatefront.agent.Extensions;
-import gatefront.budget.Budget;
+import gatefront.budget.ResourceBudget;
 import gatefront.policy.Balancer.Semantics;
 import gatefront.rehearsal.net.Machine;
 import gatefront.rehearsal.plan.Plan;
@@ -15,16 +15,16 @@
 import java.util.Map;
 
 /** One agent and its machine: how it is configured, started and ended. */
-abstract class AgentStand {
+abstract class AgentStandIn {
     static final int PORT = 3000;
     static final int THRIFT_PORT = 3001;
 
-    final Day day;
+    final RunContext day;
     final int number;
     private long killedAt = -1;
     private int processes;
 
-    AgentStand(Day day, int number) {
+    AgentStandIn(RunContext day, int number) {
         this.day = day;
         this.number = number;
     }
@@ -60,7 +60,7 @@
         for (int i = 0; i < day.plan.classes().size(); i++) {
             methods.put(day.plan.classes().get(i).name(), new ThriftSettings.Method(i, true));
         }
-        return new ThriftSettings(thriftAddress(), null, NodoStand.THRIFT_PORT, day.form.framed(), true, methods);
+        return new ThriftSettings(thriftAddress(), null, NodoStandIn.THRIFT_PORT, day.form.framed(), true, methods);
     }
 
     String name() {
@@ -93,7 +93,7 @@
     abstract void end();
 
     /** What it holds, or null where that cannot be seen. */
-    Budget budget() {
+    ResourceBudget budget() {
         return null;
     }
 
--- a/src/main/java/gatefront/rehearsal/CallerStand.java
+++ b/src/main/java/gatefront/rehearsal/ClientStandIn.java
@@ -6,13 +6,13 @@
 import gatefront.rehearsal.plan.Fault;
 import gatefront.rehearsal.plan.Plan;
 import gatefront.rehearsal.world.Demand;
-import gatefront.rehearsal.world.Draw;
-import gatefront.rehearsal.world.Patience;
-import gatefront.thrift.codec.Header;
-import gatefront.thrift.codec.Limits;
-import gatefront.thrift.codec.Message;
+import gatefront.rehearsal.world.RandomStream;
+import gatefront.rehearsal.world.RetryBehavior;
 import gatefront.thrift.codec.MessageDecoder;
 import gatefront.thrift.codec.MessageEncoder;
+import gatefront.thrift.codec.MessageHeader;
+import gatefront.thrift.codec.MessageLimits;
+import gatefront.thrift.codec.ThriftMessage;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -43,7 +43,7 @@
  * The callers beside one agent: a try at a time for each that wants something, on connections of which each
  * carries one request; they keep connections and open more when all are busy.
  */
-final class CallerStand {
+final class ClientStandIn {
     private static final int ANSWER_MOST = 1 << 20;
     private static final String BODY = "{\"importe\":123.45}";
     /** An answer given in time may be on its way for so long, in microseconds. */
@@ -51,11 +51,11 @@
     /** The part of an agent's descriptors that its callers hold at the most. */
     private static final int SOCKETS_PART = 3;
 
-    private final Day day;
+    private final RunContext day;
     private final int agent;
     private final Machine machine;
     private final Bootstrap bootstrap;
-    private final Patience patience;
+    private final RetryBehavior patience;
     /** Connections in no use, the latest used last; each removes itself when it closes. */
     private final Deque<Line> idle = new ArrayDeque<>();
 
@@ -64,7 +64,7 @@
     /** The part of the aim that a caller in a hurry waits for one try. */
     private static final double HURRIED = 0.25;
 
-    private final Draw hurry;
+    private final RandomStream hurry;
 
     /** What one caller wants, over all its tries. */
     private final class Wish {
@@ -110,12 +110,12 @@
         }
     }
 
-    CallerStand(Day day, int agent, Machine machine, InetSocketAddress to) {
+    ClientStandIn(RunContext day, int agent, Machine machine, InetSocketAddress to) {
         this.day = day;
         this.agent = agent;
         this.machine = machine;
         Plan.Callers callers = day.plan.callers();
-        this.patience = new Patience(
+        this.patience = new RetryBehavior(
                 callers.retries(), 1000 * callers.backoffMs(), callers.honour(), day.draw("callers " + agent));
         this.hurry = day.draw("hurry " + agent);
         this.bootstrap = new Bootstrap()
@@ -136,7 +136,7 @@
     /** Whether the caller is one of those that a fault makes hurry. */
     private boolean hurried(Demand.Want want) {
         boolean hurried = false;
-        for (Cast.Trouble each : day.cast.troubles()) {
+        for (ResolvedPlan.Trouble each : day.cast.troubles()) {
             long since = want.at() - day.record.opensAt() - each.at();
             if (each.fault().kind() == Fault.Kind.HURRY && since >= 0 && since < each.lasts()) {
                 hurried |= hurry.unit() < each.size();
@@ -162,7 +162,7 @@
 
     private void place(Try made) {
         if (day.now() >= made.deadline) { // sent again after a close that crossed it, and nobody waits any more
-            end(made, Patience.Fate.TIMED_OUT, 0);
+            end(made, RetryBehavior.Fate.TIMED_OUT, 0);
             return;
         }
         Line line = idle.pollLast();
@@ -171,7 +171,7 @@
             return;
         }
         if (lines >= day.plan.agents().sockets() / SOCKETS_PART) {
-            end(made, Patience.Fate.UNREACHED, 0);
+            end(made, RetryBehavior.Fate.UNREACHED, 0);
             return;
         }
         lines++;
@@ -196,9 +196,9 @@
             } else if (done.isSuccess()) {
                 // Guards against blaming an agent that gets a request when nobody waits for its answer any more.
                 fresh.channel.close();
-                end(made, Patience.Fate.TIMED_OUT, 0);
+                end(made, RetryBehavior.Fate.TIMED_OUT, 0);
             } else {
-                end(made, Patience.Fate.UNREACHED, 0);
+                end(made, RetryBehavior.Fate.UNREACHED, 0);
             }
         });
     }
@@ -227,11 +227,11 @@
                 made.line.current = null;
                 made.line.channel.close();
             }
-            end(made, Patience.Fate.TIMED_OUT, 0);
+            end(made, RetryBehavior.Fate.TIMED_OUT, 0);
         }
     }
 
-    private void end(Try made, Patience.Fate fate, long retryAfter) {
+    private void end(Try made, RetryBehavior.Fate fate, long retryAfter) {
         if (made.over) {
             return;
         }
@@ -242,14 +242,14 @@
         // Its attempts may still run, and must be known by what they take.
         day.at(now + 60_000_000, () -> day.wants.remove(made.id));
         Plan.Kind kind = wish.kind;
-        Patience.Repeat repeat = kind.semantics() == Semantics.SAFE
-                ? Patience.Repeat.SAFE
+        RetryBehavior.Repeat repeat = kind.semantics() == Semantics.SAFE
+                ? RetryBehavior.Repeat.SAFE
                 : kind.semantics() == Semantics.KEYED && kind.scope() == Scope.ALL
-                        ? Patience.Repeat.KEYED_EVERYWHERE
-                        : Patience.Repeat.CAREFUL;
+                        ? RetryBehavior.Repeat.KEYED_EVERYWHERE
+                        : RetryBehavior.Repeat.CAREFUL;
         long windowEnd = wish.firstSentAt < 0 ? wish.giveUp : wish.firstSentAt + (long) (1000 * kind.windowMs() / 2);
         long again = patience.again(now, wish.tries, fate, repeat, windowEnd, wish.giveUp, retryAfter);
-        if (again == Patience.NEVER) {
+        if (again == RetryBehavior.NEVER) {
             day.record.settled(wish.want, now, fate);
         } else {
             machine.transport().loop().schedule(() -> attempt(wish), again - now, TimeUnit.MICROSECONDS);
@@ -305,10 +305,10 @@
             if (status == 200) {
                 day.ways.served(at, agent);
             }
-            Patience.Fate fate = status == 200
-                    ? Patience.Fate.SERVED
-                    : status == 429 || status == 503 ? Patience.Fate.REFUSED : Patience.Fate.FAILED;
-            if (fate == Patience.Fate.REFUSED) {
+            RetryBehavior.Fate fate = status == 200
+                    ? RetryBehavior.Fate.SERVED
+                    : status == 429 || status == 503 ? RetryBehavior.Fate.REFUSED : RetryBehavior.Fate.FAILED;
+            if (fate == RetryBehavior.Fate.REFUSED) {
                 day.record.crowd.refused(day.idlePart());
             }
             end(made, fate, Math.min(retryAfterMicros, (long)
@@ -323,7 +323,7 @@
             if (made == null || made.over) {
                 return;
             }
-            AgentStand stand = day.agents.get(agent);
+            AgentStandIn stand = day.agents.get(agent);
             boolean alive = stand.tookSince(made.at) && day.ways.owes(agent, made.at, day.now());
             if (made.taken && !alive) {
                 day.checker.released(day.now(), made.id, "its agent was killed");
@@ -334,7 +334,7 @@
                 made.taken = false;
                 place(made);
             } else {
-                end(made, Patience.Fate.UNREACHED, 0);
+                end(made, RetryBehavior.Fate.UNREACHED, 0);
             }
         }
 
@@ -411,13 +411,13 @@
 
         @Override
         ChannelHandler[] codec() {
-            return new ChannelHandler[] {new MessageDecoder(Limits.USUAL)};
+            return new ChannelHandler[] {new MessageDecoder(MessageLimits.USUAL)};
         }
 
         @Override
         Object request(Try made) {
             Wish wish = made.wish;
-            byte[] arguments = Speech.call(
+            byte[] arguments = ThriftPayloads.call(
                     day.form.encoding(),
                     made.id,
                     millisLeft(made),
@@ -427,21 +427,21 @@
                     wish.kind.semantics() == Semantics.KEYED ? wish.key : null,
                     BODY);
             ByteBuf out = Unpooled.buffer(arguments.length + 64);
-            Header header = new Header(wish.kind.name(), Header.Type.CALL, ++seqid);
-            MessageEncoder.write(new Message(day.form.encoding(), header, arguments), day.form.framed(), out);
+            MessageHeader header = new MessageHeader(wish.kind.name(), MessageHeader.Type.CALL, ++seqid);
+            MessageEncoder.write(new ThriftMessage(day.form.encoding(), header, arguments), day.form.framed(), out);
             return out;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, Object read) {
             if (current() == null
-                    || !(read instanceof Message reply)
+                    || !(read instanceof ThriftMessage reply)
                     || reply.header().seqid() != seqid) {
                 ctx.close();
                 return;
             }
-            Speech.Heard heard = Speech.heard(reply);
-            boolean served = reply.header().type() == Header.Type.REPLY && heard.success() != null;
+            ThriftPayloads.Heard heard = ThriftPayloads.heard(reply);
+            boolean served = reply.header().type() == MessageHeader.Type.REPLY && heard.success() != null;
             answered(served ? 200 : heard.refused() ? 503 : 502, heard.success(), true, heard.retryAfterMicros());
         }
     }
--- a/src/main/java/gatefront/rehearsal/Demo.java
+++ b/src/main/java/gatefront/rehearsal/Demo.java
@@ -20,7 +20,7 @@
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Path folder;
-    private final Day day;
+    private final RunContext day;
 
     /**
      * Starts and returns when the agent is ready.
@@ -33,15 +33,15 @@
     public Demo(Plan plan, List<String> command, Consumer<String> log) throws IOException {
         folder = Files.createTempDirectory("gatefront-demo");
         EventLoop loop = group.next();
-        Addresses addresses = Addresses.ofProcess();
+        LoopbackAddresses addresses = LoopbackAddresses.ofProcess();
         try {
             day = loop.submit(() -> {
-                        Day made = new Day(
+                        RunContext made = new RunContext(
                                 plan,
                                 1,
                                 0,
                                 addresses,
-                                (name, address, zone, memory, lines) -> new SocketMachine(name, address, loop),
+                                (name, address, zone, memory, lines) -> new LoopbackMachine(name, address, loop),
                                 it -> i -> new ProcessAgent(
                                         it, i, addresses.of(8, i), command, folder, Runnable::run, log));
                         made.takeStrangers();
--- a/src/main/java/gatefront/rehearsal/Timetable.java
+++ b/src/main/java/gatefront/rehearsal/FaultScheduler.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /** Carries out what goes wrong on a day. */
-final class Timetable {
+final class FaultScheduler {
     private static final long SECOND = 1_000_000;
     /** SIGKILL comes so long after SIGTERM: the longest deadline at the most, and then some. */
     private static final long KILL_AFTER = 700_000;
@@ -20,21 +20,21 @@
             Fault.Kind.LEAVE,
             Fault.Kind.AGENT_RESTART);
 
-    private final Day day;
+    private final RunContext day;
     private final long opensAt;
 
-    private Timetable(Day day, long opensAt) {
+    private FaultScheduler(RunContext day, long opensAt) {
         this.day = day;
         this.opensAt = opensAt;
     }
 
     /** Has all troubles of a day come about; its times count from {@code opensAt}. */
-    static void schedule(Day day, long opensAt) {
-        Timetable table = new Timetable(day, opensAt);
+    static void schedule(RunContext day, long opensAt) {
+        FaultScheduler table = new FaultScheduler(day, opensAt);
         day.cast.troubles().forEach(table::schedule);
     }
 
-    private void schedule(Cast.Trouble trouble) {
+    private void schedule(ResolvedPlan.Trouble trouble) {
         Fault.Kind kind = trouble.fault().kind();
         day.record.band(kind.word(), trouble.at(), MOMENTS.contains(kind) ? trouble.at() + SECOND : trouble.until());
         switch (kind.whom()) {
@@ -48,7 +48,7 @@
             }
             case AGENTS -> {
                 for (int i = 0; i < trouble.targets().length; i++) {
-                    AgentStand agent = day.agents.get(trouble.targets()[i]);
+                    AgentStandIn agent = day.agents.get(trouble.targets()[i]);
                     long apart = kind == Fault.Kind.AGENT_RESTART ? i * trouble.lasts() : trouble.later(i);
                     day.at(opensAt + trouble.at() + apart, () -> agent(trouble, agent));
                 }
@@ -73,7 +73,7 @@
         }
     }
 
-    private void begin(Cast.Trouble trouble, NodoStand nodo) {
+    private void begin(ResolvedPlan.Trouble trouble, NodoStandIn nodo) {
         switch (trouble.fault().kind()) {
             case DIE -> {
                 if (nodo.up()) {
@@ -99,7 +99,7 @@
                     nodo.kill();
                     day.padron.learnsStatus(nodo, Padron.Status.GONE);
                     nodo.machine().boot();
-                    NodoStand fresh = day.addNodo(nodo.spec(), nodo.machine());
+                    NodoStandIn fresh = day.addNodo(nodo.spec(), nodo.machine());
                     nodo.leaves();
                     // Guards against an address in use: a socket is free only after its loop has looked once more.
                     day.at(day.now() + REPLACED_AFTER, () -> {
@@ -113,32 +113,32 @@
     }
 
     /** A release as careful staff do it: the new one is there before the old one is told to drain. */
-    private void succeed(Cast.Trouble trouble, NodoStand nodo) {
+    private void succeed(ResolvedPlan.Trouble trouble, NodoStandIn nodo) {
         if (!nodo.up()) {
             return;
         }
-        NodoStand fresh = day.addNodo(nodo.spec());
+        NodoStandIn fresh = day.addNodo(nodo.spec());
         fresh.start(true);
         day.padron.learnsStart(fresh);
         day.at(day.now() + trouble.lasts() / 3, () -> drain(nodo, true));
     }
 
     /** Told to take nothing new, or taken back. */
-    private void drain(NodoStand nodo, boolean on) {
+    private void drain(NodoStandIn nodo, boolean on) {
         if (nodo.up()) {
             nodo.leaving(on);
             day.padron.learnsStatus(nodo, on ? Padron.Status.TERMINATING : Padron.Status.READY);
         }
     }
 
-    private void take(Cast.Trouble trouble, NodoStand nodo, boolean on) {
+    private void take(ResolvedPlan.Trouble trouble, NodoStandIn nodo, boolean on) {
         if (day.now() < opensAt + trouble.until()) {
             nodo.taken(on ? trouble.size() : 0);
             day.at(day.now() + trouble.every(), () -> take(trouble, nodo, !on));
         }
     }
 
-    private void end(Cast.Trouble trouble, NodoStand nodo) {
+    private void end(ResolvedPlan.Trouble trouble, NodoStandIn nodo) {
         switch (trouble.fault().kind()) {
             case DIE -> back(nodo);
             case VANISH -> {
@@ -163,7 +163,7 @@
     }
 
     /** A process that has died starts again, cold. */
-    private void back(NodoStand nodo) {
+    private void back(NodoStandIn nodo) {
         if (!nodo.up() && !nodo.hasLeft()) {
             nodo.machine().boot();
             nodo.start(true);
@@ -171,7 +171,7 @@
         }
     }
 
-    private void agent(Cast.Trouble trouble, AgentStand agent) {
+    private void agent(ResolvedPlan.Trouble trouble, AgentStandIn agent) {
         switch (trouble.fault().kind()) {
             case AGENT_KILL -> {
                 agent.kill();
@@ -187,7 +187,7 @@
         }
     }
 
-    private void restart(AgentStand agent) {
+    private void restart(AgentStandIn agent) {
         if (!agent.machine().running()) {
             return; // it has been killed
         }
--- a/src/main/java/gatefront/rehearsal/Crowd.java
+++ b/src/main/java/gatefront/rehearsal/FleetLoad.java
@@ -14,7 +14,7 @@
  * What all agents together do to the nodos, which no agent sees: who meets whom for the first time, how many come to
  * one nodo at once, what is refused while others stand idle, and what cold nodos get against what they bear.
  */
-final class Crowd {
+final class FleetLoad {
     /** Those who open a connection to one nodo within this time come at once, in microseconds. */
     private static final long AT_ONCE = 500_000;
     /** A refusal is made beside room when this part of what all ready nodos can do stands idle. */
@@ -41,7 +41,7 @@
     private int besideRoom;
     private double idle;
 
-    Crowd(int agents) {
+    FleetLoad(int agents) {
         this.agents = agents;
     }
 
@@ -103,20 +103,20 @@
     void json(ObjectNode into) {
         into.put("first_meetings", met.size())
                 .put("connections", connections)
-                .put("connections_used_again", Report.round(usedAgainPart()))
+                .put("connections_used_again", JsonReport.round(usedAgainPart()))
                 .put("agents_at_one_nodo_at_once", mostAtOnce)
                 .put("refusals", refusals)
-                .put("refusals_beside_room", Report.round(besideRoomPart()))
-                .put("idle_at_refusals", Report.round(idle / Math.max(1, refusals)))
+                .put("refusals_beside_room", JsonReport.round(besideRoomPart()))
+                .put("idle_at_refusals", JsonReport.round(idle / Math.max(1, refusals)))
                 .put("cold_nodos", cold.size())
-                .put("cold_sent_of_borne", Report.round(coldPart()));
+                .put("cold_sent_of_borne", JsonReport.round(coldPart()));
         double[] parts = cold.values().stream()
                 .mapToDouble(each -> each.sent / each.bears)
                 .sorted()
                 .toArray();
         ArrayNode quartiles = into.putArray("cold_sent_of_borne_quartiles");
         for (int i = 0; i <= 4 && parts.length > 0; i++) {
-            quartiles.add(Report.round(parts[i * (parts.length - 1) / 4]));
+            quartiles.add(JsonReport.round(parts[i * (parts.length - 1) / 4]));
         }
     }
 }
--- a/src/main/java/gatefront/rehearsal/Page.java
+++ b/src/main/java/gatefront/rehearsal/HtmlReport.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 
 /** The report as one self-contained page: plots in SVG, no scripts, nothing loaded from elsewhere. */
-final class Page {
+final class HtmlReport {
     private static final int WIDTH = 980;
     private static final int LEFT = 64;
     private static final int PLOT = WIDTH - LEFT - 16;
@@ -17,19 +17,19 @@
     private static final String[] TOLD = {"Ready", "Terminating", "Gone"};
     private static final String[] TOLD_COLOURS = {"#2e933c", "#e0a000", "#c01010"};
 
-    private final Outcome outcome;
-    private final Record record;
+    private final RehearsalResult outcome;
+    private final RunRecorder record;
     private final Plan plan;
     private final StringBuilder out = new StringBuilder(1 << 16);
 
-    private Page(Outcome outcome) {
+    private HtmlReport(RehearsalResult outcome) {
         this.outcome = outcome;
         this.record = outcome.record();
         this.plan = outcome.plan();
     }
 
-    static String of(Outcome outcome) {
-        Page page = new Page(outcome);
+    static String of(RehearsalResult outcome) {
+        HtmlReport page = new HtmlReport(outcome);
         page.head();
         page.worth();
         page.classes();
@@ -113,7 +113,7 @@
     /** Each trouble as a band behind the plot and its name in a row of its own above. */
     private void bands(int bottom) {
         int row = 0;
-        for (Record.Band each : record.bands) {
+        for (RunRecorder.Band each : record.bands) {
             double from = x(each.from());
             double wide = Math.max(2, x(each.until()) - from);
             int y = 12 + 13 * row++;
@@ -272,7 +272,7 @@
                         x(s), 6 + high * i, x(s + 1) - x(s) + 0.2, high - 1, fill);
             }
         }
-        for (Record.Told each : record.told) {
+        for (RunRecorder.Told each : record.told) {
             int status = List.of(TOLD).indexOf(each.status());
             if (each.nodo() < shown && status >= 0) {
                 add(
@@ -316,7 +316,7 @@
             }
             out.append("</table>");
         }
-        for (Record.Note each : record.notes) {
+        for (RunRecorder.Note each : record.notes) {
             add("<p>%.2f s: %s</p>", each.at(), text(each.text()));
         }
     }
--- a/src/main/java/gatefront/rehearsal/Report.java
+++ b/src/main/java/gatefront/rehearsal/JsonReport.java
@@ -16,21 +16,21 @@
 import java.util.Locale;
 
 /** The report of a rehearsal as JSON. The same plan and seed give the same bytes, in any JVM. */
-public final class Report {
+public final class JsonReport {
     /** Grows when a field changes its meaning or goes. */
     static final int VERSION = 1;
 
-    private Report() {}
+    private JsonReport() {}
 
     /** Writes {@code report.json} and {@code report.html} into a folder, which is made if need be. */
-    public static void write(Outcome outcome, Path folder) throws IOException {
+    public static void write(RehearsalResult outcome, Path folder) throws IOException {
         Files.createDirectories(folder);
         Files.write(folder.resolve("report.json"), bytes(outcome));
-        Files.writeString(folder.resolve("report.html"), Page.of(outcome));
+        Files.writeString(folder.resolve("report.html"), HtmlReport.of(outcome));
     }
 
     /** The JSON's bytes. */
-    public static byte[] bytes(Outcome outcome) throws IOException {
+    public static byte[] bytes(RehearsalResult outcome) throws IOException {
         DefaultPrettyPrinter printer = new DefaultPrettyPrinter();
         printer.indentObjectsWith(new DefaultIndenter(" ", "\n"));
         return (new ObjectMapper().writer(printer).writeValueAsString(json(outcome)) + "\n")
@@ -38,9 +38,9 @@
     }
 
     /** The report as a tree; its fields are in a fixed order. */
-    public static ObjectNode json(Outcome outcome) {
+    public static ObjectNode json(RehearsalResult outcome) {
         Plan plan = outcome.plan();
-        Record record = outcome.record();
+        RunRecorder record = outcome.record();
         ObjectNode root = JsonNodeFactory.instance.objectNode();
         root.put("version", VERSION)
                 .put("plan", plan.name())
@@ -68,7 +68,7 @@
         ObjectNode requests = root.putObject("requests");
         for (int i = 0; i < plan.classes().size(); i++) {
             ObjectNode counts = requests.putObject(plan.classes().get(i).name());
-            for (Record.Fate fate : Record.Fate.values()) {
+            for (RunRecorder.Fate fate : RunRecorder.Fate.values()) {
                 counts.put(word(fate), record.counts[i][fate.ordinal()]);
             }
         }
@@ -87,7 +87,7 @@
         record.crowd.json(root.putObject("crowd"));
         rules(root.putObject("rules"), outcome);
         ArrayNode troubles = root.putArray("troubles");
-        for (Cast.Trouble each : outcome.cast().troubles()) {
+        for (ResolvedPlan.Trouble each : outcome.cast().troubles()) {
             ObjectNode trouble = troubles.addObject()
                     .put("kind", each.fault().kind().word())
                     .put("at", round(each.at() / 1e6))
@@ -110,7 +110,7 @@
         return root;
     }
 
-    private static void rules(ObjectNode rules, Outcome outcome) {
+    private static void rules(ObjectNode rules, RehearsalResult outcome) {
         rules.put("kept", outcome.broken() == 0).put("broken", outcome.broken());
         ArrayNode breaches = rules.putArray("breaches");
         for (RuleChecker.Breach each : outcome.breaches()) {
@@ -124,12 +124,12 @@
         }
     }
 
-    private static void seconds(ObjectNode root, Record record) {
+    private static void seconds(ObjectNode root, RunRecorder record) {
         ArrayNode seconds = root.putArray("by_second");
         for (int s = 0; s < record.seconds; s++) {
             ObjectNode second = seconds.addObject().put("second", s);
             double[] fates = record.ofSecond(s);
-            for (Record.Fate fate : Record.Fate.values()) {
+            for (RunRecorder.Fate fate : RunRecorder.Fate.values()) {
                 second.put(word(fate), round(fates[fate.ordinal()]));
             }
             second.put("tries", record.tries[s])
@@ -150,7 +150,7 @@
         }
     }
 
-    private static void nodos(ObjectNode root, Record record) {
+    private static void nodos(ObjectNode root, RunRecorder record) {
         ObjectNode served = root.putObject("served");
         for (int i = 0; i < record.served.size(); i++) {
             ArrayNode nodo = served.putArray(record.nodoNames.get(i));
@@ -165,7 +165,7 @@
                 .put("status", each.status()));
     }
 
-    static String word(Record.Fate fate) {
+    static String word(RunRecorder.Fate fate) {
         return fate.name().toLowerCase(Locale.ROOT);
     }
 
--- a/src/main/java/gatefront/rehearsal/Addresses.java
+++ b/src/main/java/gatefront/rehearsal/LoopbackAddresses.java
@@ -4,23 +4,24 @@
 import java.net.UnknownHostException;
 
 /** The machines' addresses, all of them loopback ones: 127.(BASE + GROUP).x.y. */
-final class Addresses {
+final class LoopbackAddresses {
     private static final int GROUPS = 16;
 
     private final int base;
 
-    private Addresses(int base) {
+    private LoopbackAddresses(int base) {
         this.base = base;
     }
 
     /** Those of a network of one's own. */
-    static Addresses virtual() {
-        return new Addresses(0);
+    static LoopbackAddresses virtual() {
+        return new LoopbackAddresses(0);
     }
 
     /** Those of this process: two that rehearse on one machine should not meet. */
-    static Addresses ofProcess() {
-        return new Addresses(GROUPS * (1 + (int) (ProcessHandle.current().pid() % 14)));
+    static LoopbackAddresses ofProcess() {
+        return new LoopbackAddresses(
+                GROUPS * (1 + (int) (ProcessHandle.current().pid() % 14)));
     }
 
     InetAddress of(int group, int number) {
--- a/src/main/java/gatefront/rehearsal/SocketMachine.java
+++ b/src/main/java/gatefront/rehearsal/LoopbackMachine.java
@@ -20,7 +20,7 @@
  * vanished reads nothing; its kernel is that of all, so connections to it still come up, and what it had written
  * still leaves. That is as near as loopback comes without privileges.
  */
-final class SocketMachine implements Machine, Transport {
+final class LoopbackMachine implements Machine, Transport {
     /** After this all that had been held back has been read. */
     private static final long CATCHING_UP_NANOS = 500_000_000;
 
@@ -35,7 +35,7 @@
     private long vanishedAt;
     private long appearedAt;
 
-    SocketMachine(String name, InetAddress address, EventLoop loop) {
+    LoopbackMachine(String name, InetAddress address, EventLoop loop) {
         this.name = name;
         this.address = address;
         this.loop = loop;
--- a/src/main/java/gatefront/rehearsal/Doors.java
+++ b/src/main/java/gatefront/rehearsal/ManagementClient.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 
 /** Staff at an agent's door: one call a connection, which blocks; not to be used on a loop. */
-final class Doors {
+final class ManagementClient {
     private static final int PATIENCE_MS = 2_000;
     private static final int ANSWER_MOST = 1 << 16;
 
-    private Doors() {}
+    private ManagementClient() {}
 
     /** What a door has answered: its status, and the text. */
     record Answer(int status, String text) {}
--- a/src/main/java/gatefront/rehearsal/NodoStand.java
+++ b/src/main/java/gatefront/rehearsal/NodoStandIn.java
@@ -5,14 +5,14 @@
 import gatefront.rehearsal.net.Machine;
 import gatefront.rehearsal.plan.Plan;
 import gatefront.rehearsal.world.Demand;
-import gatefront.rehearsal.world.Draw;
+import gatefront.rehearsal.world.IdempotencyWindow;
 import gatefront.rehearsal.world.NodoModel;
-import gatefront.rehearsal.world.Repeats;
-import gatefront.thrift.codec.Header;
-import gatefront.thrift.codec.Limits;
-import gatefront.thrift.codec.Message;
+import gatefront.rehearsal.world.RandomStream;
 import gatefront.thrift.codec.MessageDecoder;
 import gatefront.thrift.codec.MessageEncoder;
+import gatefront.thrift.codec.MessageHeader;
+import gatefront.thrift.codec.MessageLimits;
+import gatefront.thrift.codec.ThriftMessage;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -43,7 +43,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A nodo de cuentas over HTTP/1.1 or Thrift: the model decides how requests fare, this carries it out. */
-final class NodoStand {
+final class NodoStandIn {
     static final int PORT = 3000;
     static final int THRIFT_PORT = 3001;
     /** The work of finding that a repeat has been done already. */
@@ -51,11 +51,11 @@
 
     private static final int PADDING = 300;
 
-    private final Day day;
+    private final RunContext day;
     private final int number;
-    private final Cast.Nodo spec;
+    private final ResolvedPlan.Nodo spec;
     private final Machine machine;
-    private final Draw draw;
+    private final RandomStream draw;
     /** In work or waiting: entered on arrival, removed when the model ends them or the process does. */
     private final Map<Long, Job> jobs = new LinkedHashMap<>();
 
@@ -85,10 +85,10 @@
     private static final class Job {
         final String id;
         final int attempt;
-        final Repeats.Entry entry;
+        final IdempotencyWindow.Entry entry;
         Serving from;
 
-        Job(String id, int attempt, Repeats.Entry entry, Serving from) {
+        Job(String id, int attempt, IdempotencyWindow.Entry entry, Serving from) {
             this.id = id;
             this.attempt = attempt;
             this.entry = entry;
@@ -96,7 +96,7 @@
         }
     }
 
-    NodoStand(Day day, int number, Cast.Nodo spec, Machine machine) {
+    NodoStandIn(RunContext day, int number, ResolvedPlan.Nodo spec, Machine machine) {
         this.day = day;
         this.number = number;
         this.spec = spec;
@@ -112,7 +112,7 @@
         return "nodo-" + (number + 1);
     }
 
-    Cast.Nodo spec() {
+    ResolvedPlan.Nodo spec() {
         return spec;
     }
 
@@ -145,7 +145,7 @@
     }
 
     /** Tells what it was sent while cold. */
-    void cold(Crowd crowd) {
+    void cold(FleetLoad crowd) {
         if (model != null) {
             crowd.cold(number, model.coldSent(), model.coldBorne());
         }
@@ -188,7 +188,7 @@
                                 if (day.form == null) {
                                     ch.pipeline().addLast(new HttpServerCodec(), new HttpServing());
                                 } else {
-                                    ch.pipeline().addLast(new MessageDecoder(Limits.USUAL), new ThriftServing());
+                                    ch.pipeline().addLast(new MessageDecoder(MessageLimits.USUAL), new ThriftServing());
                                 }
                             }
                         })
@@ -449,7 +449,7 @@
                 over(Ending.TURNED_AWAY);
                 return;
             }
-            Repeats.Entry entry = type.semantics() == Semantics.KEYED
+            IdempotencyWindow.Entry entry = type.semantics() == Semantics.KEYED
                     ? day.repeats(want.kind(), spec).arrive(day.now(), key)
                     : null;
             double work = entry != null && entry.happened() ? REPEAT_WORK : want.work();
@@ -588,49 +588,49 @@
 
     /** One over Thrift; nothing of a call is known before it is whole. */
     private final class ThriftServing extends Serving {
-        private Message call;
+        private ThriftMessage call;
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, Object read) {
-            if (!(read instanceof Message message) || process != model) {
+            if (!(read instanceof ThriftMessage message) || process != model) {
                 context.close();
                 return;
             }
             call = message;
             inUse();
-            if (message.header().name().equals(Speech.HEALTH)) {
+            if (message.header().name().equals(ThriftPayloads.HEALTH)) {
                 probed();
-                answer(Speech.health(message.encoding(), report()));
+                answer(ThriftPayloads.health(message.encoding(), report()));
                 return;
             }
-            Speech.Said said = Speech.said(message);
+            ThriftPayloads.Said said = ThriftPayloads.said(message);
             begun(said.requestId());
             whole(message.header().name(), said.key());
         }
 
         @Override
         void serve(String body) {
-            answer(Speech.success(call.encoding(), body, report()));
+            answer(ThriftPayloads.success(call.encoding(), body, report()));
         }
 
         @Override
         void fail() {
-            answer(Speech.failed(call.encoding(), report()));
+            answer(ThriftPayloads.failed(call.encoding(), report()));
         }
 
         @Override
         void turnAway() {
-            answer(Speech.refused(call.encoding(), report()));
+            answer(ThriftPayloads.refused(call.encoding(), report()));
         }
 
         @Override
         void reject() {
-            answer(Speech.failed(call.encoding(), report()));
+            answer(ThriftPayloads.failed(call.encoding(), report()));
         }
 
         @Override
         void breaks(String body, boolean half) {
-            ByteBuf whole = bytes(Speech.success(call.encoding(), body, report()));
+            ByteBuf whole = bytes(ThriftPayloads.success(call.encoding(), body, report()));
             if (half) {
                 ctx.writeAndFlush(whole.readSlice(whole.readableBytes() / 2));
             }
@@ -639,11 +639,11 @@
         private ByteBuf bytes(byte[] result) {
             ByteBuf out = Unpooled.buffer(result.length + PADDING);
             MessageEncoder.write(
-                    new Message(
+                    new ThriftMessage(
                             call.encoding(),
-                            new Header(
+                            new MessageHeader(
                                     call.header().name(),
-                                    Header.Type.REPLY,
+                                    MessageHeader.Type.REPLY,
                                     call.header().seqid()),
                             result),
                     day.form.framed(),
--- a/src/main/java/gatefront/rehearsal/PadronStand.java
+++ b/src/main/java/gatefront/rehearsal/PadronStandIn.java
@@ -6,14 +6,14 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import gatefront.config.Config;
 import gatefront.registry.RegistrySettings;
-import gatefront.registry.follower.Bounds;
+import gatefront.registry.follower.FollowerLimits;
 import gatefront.rehearsal.net.Machine;
-import gatefront.rehearsal.registry.ConsulStand;
-import gatefront.rehearsal.registry.EtcdStand;
-import gatefront.rehearsal.registry.RegistryStand;
-import gatefront.rehearsal.world.Draw;
-import gatefront.rehearsal.world.KeyValues;
+import gatefront.rehearsal.registry.ConsulStandIn;
+import gatefront.rehearsal.registry.EtcdStandIn;
+import gatefront.rehearsal.registry.RegistryStandIn;
+import gatefront.rehearsal.world.KeyValueStore;
 import gatefront.rehearsal.world.Padron;
+import gatefront.rehearsal.world.RandomStream;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -47,7 +47,7 @@
  * The padrón over the platform's protocol: the whole list, and watches that wait for news. Each agent has an address
  * of its own to ask at, which tells who asks.
  */
-final class PadronStand {
+final class PadronStandIn {
     private static final int FIRST_PORT = 8500;
     /** More than the longest way between an agent and its padrón, much less than a drain may take. */
     private static final long HEARD_AFTER = 50_000;
@@ -60,9 +60,9 @@
     /** The old address closes what is open after this. */
     private static final long MOVE_MICROS = 1_500_000;
 
-    private final Day day;
+    private final RunContext day;
     private final List<Machine> machines = new ArrayList<>();
-    private final Draw draw;
+    private final RandomStream draw;
     private final Padron padron = new Padron();
     /** Connections, each removed when it closes. */
     private final Set<Asking> open = new LinkedHashSet<>();
@@ -73,9 +73,9 @@
 
     private final List<Channel> listening = new ArrayList<>();
     /** Where a registry stands for the padrón: the members that each agent has of its own, and what they all hold. */
-    private final List<List<RegistryStand>> registries = new ArrayList<>();
+    private final List<List<RegistryStandIn>> registries = new ArrayList<>();
 
-    private final KeyValues keys = new KeyValues(1);
+    private final KeyValueStore keys = new KeyValueStore(1);
     private final RegistrySettings.Kind kind;
     /** Members are down, so that nothing can be told; and how often that was so. */
     private boolean down;
@@ -92,7 +92,7 @@
 
     private long roomAt;
 
-    PadronStand(Day day) {
+    PadronStandIn(RunContext day) {
         this.day = day;
         this.draw = day.draw("padron");
         this.kind = switch (day.plan.padron().source()) {
@@ -140,13 +140,13 @@
         }
     }
 
-    private List<RegistryStand> members(int agent) {
+    private List<RegistryStandIn> members(int agent) {
         Machine machine = machines.get(agent);
-        List<RegistryStand> members = new ArrayList<>();
+        List<RegistryStandIn> members = new ArrayList<>();
         for (int i = 0; i < MEMBERS; i++) {
-            RegistryStand member = kind == RegistrySettings.Kind.ETCD
-                    ? new EtcdStand(machine.transport(), () -> keys)
-                    : new ConsulStand(machine.transport(), () -> keys);
+            RegistryStandIn member = kind == RegistrySettings.Kind.ETCD
+                    ? new EtcdStandIn(machine.transport(), () -> keys)
+                    : new ConsulStandIn(machine.transport(), () -> keys);
             member.telling((whole, values, open) -> {
                 List<Padron.Entry> entries = new ArrayList<>();
                 values.forEach((key, value) -> entries.add(entry(key, value)));
@@ -172,7 +172,7 @@
                 kind,
                 members,
                 PREFIX,
-                new Bounds(
+                new FollowerLimits(
                         50_000,
                         1_000_000,
                         etcd ? 0 : 60_000,
@@ -196,7 +196,7 @@
             int mine = downs;
             long upTo = keys.revision();
             long since = day.now();
-            for (AgentStand each : day.agents) {
+            for (AgentStandIn each : day.agents) {
                 int process = each.processes();
                 day.at(day.now() + TOLD_WITHIN, () -> {
                     if (downs == mine
@@ -218,7 +218,7 @@
 
     private long toldUpTo(int agent) {
         return registries.get(agent).stream()
-                .mapToLong(RegistryStand::toldUpTo)
+                .mapToLong(RegistryStandIn::toldUpTo)
                 .max()
                 .orElse(0);
     }
@@ -236,7 +236,7 @@
 
     private void news() {
         List.copyOf(open).forEach(Asking::news);
-        registries.forEach(each -> each.forEach(RegistryStand::news));
+        registries.forEach(each -> each.forEach(RegistryStandIn::news));
     }
 
     private void put(Padron.Entry entry) {
@@ -290,7 +290,7 @@
     }
 
     /** Lists a nodo at once, as it does before the day begins. */
-    void list(NodoStand nodo, long sinceMillis) {
+    void list(NodoStandIn nodo, long sinceMillis) {
         put(new Padron.Entry(
                 nodo.name(),
                 nodo.address(),
@@ -310,7 +310,7 @@
         });
     }
 
-    void learnsStatus(NodoStand nodo, Padron.Status status) {
+    void learnsStatus(NodoStandIn nodo, Padron.Status status) {
         learns(() -> {
             padron.put(nodo.name(), status);
             if (status == Padron.Status.GONE) {
@@ -324,7 +324,7 @@
         });
     }
 
-    void learnsStart(NodoStand nodo) {
+    void learnsStart(NodoStandIn nodo) {
         long since = day.wallMillis();
         learns(() -> list(nodo, since));
     }
--- a/src/main/java/gatefront/rehearsal/FolderAgent.java
+++ b/src/main/java/gatefront/rehearsal/PersistentAgent.java
@@ -15,7 +15,7 @@
 import java.util.stream.Collectors;
 
 /** An agent whose folder outlives its process, with a door for staff, reached over relays. */
-final class FolderAgent extends ProcessAgent {
+final class PersistentAgent extends ProcessAgent {
     private static final int DOOR_PORT = 3002;
 
     private final Path folder;
@@ -35,8 +35,8 @@
      * @param without guards that are switched off
      * @param begun is told of each process, on no loop
      */
-    FolderAgent(
-            Day day,
+    PersistentAgent(
+            RunContext day,
             int number,
             InetAddress address,
             List<String> command,
--- a/src/main/java/gatefront/rehearsal/Shrink.java
+++ b/src/main/java/gatefront/rehearsal/PlanShrinker.java
@@ -5,7 +5,7 @@
 import gatefront.rehearsal.check.RuleChecker.Rule;
 import gatefront.rehearsal.plan.Fault;
 import gatefront.rehearsal.plan.Plan;
-import gatefront.toml.Range;
+import gatefront.toml.NumberRange;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -18,7 +18,7 @@
  * draw other figures without its neighbours), then taken out one by one, their targets too, then the day is
  * shortened and callers are taken away, as long as one of the same rules still breaks.
  */
-public final class Shrink {
+public final class PlanShrinker {
     private static final double RATE_LEAST = 1;
 
     private final long seed;
@@ -26,7 +26,7 @@
     private final Set<Rule> rules;
     private final Consumer<String> listener;
 
-    private Shrink(long seed, Function<Engine, Balancer> module, Set<Rule> rules, Consumer<String> listener) {
+    private PlanShrinker(long seed, Function<Engine, Balancer> module, Set<Rule> rules, Consumer<String> listener) {
         this.seed = seed;
         this.module = module;
         this.rules = rules;
@@ -47,12 +47,12 @@
 
     static Plan shrink(Plan plan, long seed, Function<Engine, Balancer> module, Consumer<String> listener) {
         Plan fixed = plan.with(frozen(plan, seed));
-        Outcome whole = new Rehearsal(fixed, seed, module).play();
+        RehearsalResult whole = new Rehearsal(fixed, seed, module).play();
         if (whole.broken() == 0) {
             return null;
         }
         Set<Rule> rules = whole.breaches().stream().map(each -> each.rule()).collect(Collectors.toSet());
-        Shrink shrink = new Shrink(seed, module, rules, listener);
+        PlanShrinker shrink = new PlanShrinker(seed, module, rules, listener);
         listener.accept(
                 "breaks " + rules.size() + " rule(s) with " + fixed.faults().size() + " faults");
         double end = (whole.breaches().get(0).at() - Rehearsal.OPENS_AT) / 1e6 + 1;
@@ -65,7 +65,7 @@
     /** The faults as the seed draws them. */
     static List<Fault> frozen(Plan plan, long seed) {
         List<Fault> frozen = new ArrayList<>();
-        for (Cast.Trouble each : Cast.of(plan, seed).troubles()) {
+        for (ResolvedPlan.Trouble each : ResolvedPlan.of(plan, seed).troubles()) {
             String prefix = each.fault().kind().whom() == Fault.Kind.Whom.AGENTS ? "agent-" : "nodo-";
             List<String> names = new ArrayList<>();
             for (int target : each.targets()) {
@@ -83,8 +83,8 @@
         return frozen;
     }
 
-    private static Range fixed(double figure) {
-        return new Range(figure, figure);
+    private static NumberRange fixed(double figure) {
+        return new NumberRange(figure, figure);
     }
 
     private boolean breaks(Plan plan) {
@@ -145,8 +145,8 @@
         Plan smallest = plan;
         for (double part = 0.5; part < 0.95; part += 0.2) {
             while (part * smallest.callers().rate() >= RATE_LEAST) {
-                Plan fewer =
-                        smallest.withRate(Report.round(part * smallest.callers().rate()));
+                Plan fewer = smallest.withRate(
+                        JsonReport.round(part * smallest.callers().rate()));
                 Plan kept = keep(smallest, fewer, "some of the callers");
                 if (kept == smallest) {
                     break;
--- a/src/main/java/gatefront/rehearsal/ProcessAgent.java
+++ b/src/main/java/gatefront/rehearsal/ProcessAgent.java
@@ -25,7 +25,7 @@
  * An agent in a process of its own, as in service, on loopback sockets. Processes are started and signalled on other
  * threads than the loop: a start takes milliseconds, and with twenty of them the loop would be late for all others.
  */
-class ProcessAgent extends AgentStand {
+class ProcessAgent extends AgentStandIn {
     private static final int HEALTH_MS = 500;
 
     private final InetAddress address;
@@ -44,7 +44,7 @@
      * @param starter starts processes and sends signals
      */
     ProcessAgent(
-            Day day,
+            RunContext day,
             int number,
             InetAddress address,
             List<String> command,
@@ -204,7 +204,7 @@
         InetSocketAddress at = thriftAddress();
         StringBuilder text = new StringBuilder("[thrift]\nlisten = \""
                 + at.getAddress().getHostAddress() + ":"
-                + at.getPort() + "\"\nnodo_port = " + NodoStand.THRIFT_PORT + "\nnodo_framed = " + day.form.framed()
+                + at.getPort() + "\"\nnodo_port = " + NodoStandIn.THRIFT_PORT + "\nnodo_framed = " + day.form.framed()
                 + "\nprobes = \"thrift\"\n");
         day.plan
                 .classes()
--- a/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
+++ b/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
@@ -1,16 +1,16 @@
 package gatefront.rehearsal;
 
-import gatefront.rehearsal.check.HandChecker;
-import gatefront.rehearsal.processes.Chronicle;
-import gatefront.rehearsal.processes.Folders;
-import gatefront.rehearsal.processes.Lateness;
+import gatefront.rehearsal.check.ManualDrainChecker;
+import gatefront.rehearsal.processes.EventHistory;
+import gatefront.rehearsal.processes.FolderFaults;
+import gatefront.rehearsal.processes.LinkConditions;
+import gatefront.rehearsal.processes.LoopLateness;
 import gatefront.rehearsal.processes.ProcessFault;
 import gatefront.rehearsal.processes.ProcessFault.Links;
 import gatefront.rehearsal.processes.ProcessPlan;
-import gatefront.rehearsal.processes.Shape;
-import gatefront.rehearsal.processes.Timeline;
-import gatefront.rehearsal.processes.Warden;
-import gatefront.rehearsal.world.Draw;
+import gatefront.rehearsal.processes.ProcessReaper;
+import gatefront.rehearsal.processes.StartTimeline;
+import gatefront.rehearsal.world.RandomStream;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -66,19 +66,19 @@
         thread.setDaemon(true);
         return thread;
     });
-    private final Lateness lateness = new Lateness();
-    private final HandChecker hand;
+    private final LoopLateness lateness = new LoopLateness();
+    private final ManualDrainChecker hand;
     /** By process id, when it was started: of those whose start is being watched. */
     private final Map<Long, Long> starting = new ConcurrentHashMap<>();
     // Of the day's loop:
     private final List<String> log = new ArrayList<>();
-    private final Timeline timeline = new Timeline();
+    private final StartTimeline timeline = new StartTimeline();
     private int ready;
-    private final List<FolderAgent> agents = new ArrayList<>();
-    private Chronicle chronicle;
-    private RelayWays ways;
-    private Day day;
-    private Warden warden;
+    private final List<PersistentAgent> agents = new ArrayList<>();
+    private EventHistory chronicle;
+    private RelayNetwork ways;
+    private RunContext day;
+    private ProcessReaper warden;
     private Path root;
     private long opensAt;
     private volatile boolean over;
@@ -98,7 +98,7 @@
         this.command = List.copyOf(command);
         this.without = Set.copyOf(without);
         this.history = history;
-        this.hand = new HandChecker((long) (1000 * plan.day().rules().drainMs()) + SLACK);
+        this.hand = new ManualDrainChecker((long) (1000 * plan.day().rules().drainMs()) + SLACK);
     }
 
     /**
@@ -108,12 +108,12 @@
      * @return what came of it
      * @throws IOException if an agent cannot be started or does not get ready
      */
-    public ProcessOutcome play(DoubleConsumer progress) throws IOException {
+    public ProcessRehearsalResult play(DoubleConsumer progress) throws IOException {
         root = Files.createTempDirectory("gatefront-processes");
-        warden = Warden.start();
-        chronicle = new Chronicle(history);
+        warden = ProcessReaper.start();
+        chronicle = new EventHistory(history);
         try {
-            Addresses addresses = Addresses.ofProcess();
+            LoopbackAddresses addresses = LoopbackAddresses.ofProcess();
             relayLoops.forEach(each -> lateness.watch((EventLoop) each));
             lateness.watch(loop);
             day = on(() -> made(addresses));
@@ -129,7 +129,7 @@
                 timeline.opens();
                 Rehearsal.open(day, now);
                 for (int i = 0; i < plan.faults().size(); i++) {
-                    schedule(plan.faults().get(i), new Draw(seed, "process fault " + i), now);
+                    schedule(plan.faults().get(i), new RandomStream(seed, "process fault " + i), now);
                 }
                 return now;
             });
@@ -151,15 +151,15 @@
             await(ENDING_MS, () -> agents.stream()
                     .noneMatch(each -> each.machine().running()));
             return on(() -> {
-                for (AgentStand each : agents) {
+                for (AgentStandIn each : agents) {
                     if (each.machine().running()) {
                         day.checker.left(day.now(), each.name() + " has not ended");
                     }
                 }
                 day.checker.close(day.now());
-                return new ProcessOutcome(
+                return new ProcessRehearsalResult(
                         plan,
-                        new Outcome(plan.day(), seed, day.cast, day.record, day.checker, List.copyOf(log), 0),
+                        new RehearsalResult(plan.day(), seed, day.cast, day.record, day.checker, List.copyOf(log), 0),
                         hand,
                         lateness,
                         timeline);
@@ -172,15 +172,15 @@
         }
     }
 
-    private Day made(Addresses addresses) {
-        Day made = new Day(
+    private RunContext made(LoopbackAddresses addresses) {
+        RunContext made = new RunContext(
                 plan.day(),
                 seed,
                 SLACK,
                 addresses,
-                (name, address, zone, memory, lines) -> new SocketMachine(name, address, loop),
+                (name, address, zone, memory, lines) -> new LoopbackMachine(name, address, loop),
                 of -> i -> {
-                    FolderAgent agent = new FolderAgent(
+                    PersistentAgent agent = new PersistentAgent(
                             of,
                             i,
                             addresses.of(8, i),
@@ -195,7 +195,7 @@
                     agents.add(agent);
                     return agent;
                 });
-        ways = new RelayWays(made, lateness, relayLoops, addresses.of(7, 0), hand, chronicle, timeline);
+        ways = new RelayNetwork(made, lateness, relayLoops, addresses.of(7, 0), hand, chronicle, timeline);
         made.ways = ways;
         made.checker.on(ways);
         return made;
@@ -216,7 +216,7 @@
         relayLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         hands.shutdownNow();
         chronicle.close();
-        Folders.remove(root);
+        FolderFaults.remove(root);
     }
 
     private double second() {
@@ -225,7 +225,7 @@
 
     private void said(int agent, String line) {
         if (line.startsWith("listening on ")) {
-            timeline.reached(agent, Timeline.Mark.LISTENS, day.now());
+            timeline.reached(agent, StartTimeline.Mark.LISTENS, day.now());
         }
         chronicle.event(day.now(), "log", "agent-" + (agent + 1), line);
         if (log.size() < LINES_MOST) {
@@ -258,7 +258,7 @@
     }
 
     private void watch(int agent, Process process, long at) {
-        FolderAgent of = agents.get(agent);
+        PersistentAgent of = agents.get(agent);
         try {
             while (process.isAlive() && !over && !of.ready()) {
                 Thread.sleep(LOOK_MS);
@@ -267,11 +267,13 @@
                 return;
             }
             double took = (System.nanoTime() - at) / MICROS;
-            Doors.Answer stats = Doors.call(of.door(), "GET", "/stats");
-            boolean lost = !Doors.figures(stats.text()).getOrDefault(LOST, "0").equals("0");
+            ManagementClient.Answer stats = ManagementClient.call(of.door(), "GET", "/stats");
+            boolean lost = !ManagementClient.figures(stats.text())
+                    .getOrDefault(LOST, "0")
+                    .equals("0");
             onLoop(() -> {
                 ready++;
-                timeline.reached(agent, Timeline.Mark.READY, day.now());
+                timeline.reached(agent, StartTimeline.Mark.READY, day.now());
                 event(
                         "ready",
                         of.name(),
@@ -295,7 +297,7 @@
             if (System.nanoTime() > end) {
                 throw new IOException("not all agents got ready");
             }
-            for (FolderAgent each : agents) {
+            for (PersistentAgent each : agents) {
                 if (!each.machine().running()) {
                     throw new IOException(each.name() + " did not get ready");
                 }
@@ -306,7 +308,7 @@
 
     // ---- Faults ----
 
-    private void schedule(ProcessFault fault, Draw draw, long from) {
+    private void schedule(ProcessFault fault, RandomStream draw, long from) {
         long at = from + (long) (MICROS * fault.at().draw(draw::between));
         long lasts = (long) (MICROS * fault.lasts().draw(draw::between));
         double spread = MICROS * fault.spread().draw(draw::between);
@@ -315,20 +317,20 @@
         int[] targets = targets(fault, draw);
         day.record.band(fault.kind().word(), at - from, at - from + Math.max(lasts, 1_000_000));
         for (int i = 0; i < targets.length; i++) {
-            FolderAgent agent = agents.get(targets[i]);
-            FolderAgent next = agents.get(targets[(i + 1) % targets.length]);
+            PersistentAgent agent = agents.get(targets[i]);
+            PersistentAgent next = agents.get(targets[(i + 1) % targets.length]);
             long when = at + (long) (targets.length < 2 ? 0 : spread * i / (targets.length - 1));
             if (fault.state() == ProcessFault.State.OLDER) {
                 day.at(
                         from + (long) (MICROS * fault.saved()),
                         () -> hands.execute(
-                                () -> quietly(agent, "copied", () -> Folders.copy(agent.folder(), copy(agent)))));
+                                () -> quietly(agent, "copied", () -> FolderFaults.copy(agent.folder(), copy(agent)))));
             }
             day.at(when, () -> happens(fault, agent, next, lasts, size, number));
         }
     }
 
-    private int[] targets(ProcessFault fault, Draw draw) {
+    private int[] targets(ProcessFault fault, RandomStream draw) {
         if (!fault.names().isEmpty()) {
             return fault.names().stream()
                     .mapToInt(each -> Integer.parseInt(each.substring(6)) - 1)
@@ -347,7 +349,7 @@
     }
 
     private void happens(
-            ProcessFault fault, FolderAgent agent, FolderAgent next, long lasts, double size, long number) {
+            ProcessFault fault, PersistentAgent agent, PersistentAgent next, long lasts, double size, long number) {
         event("fault", agent.name(), fault.kind().word());
         if (fault.kind() == ProcessFault.Kind.KILL || fault.kind() == ProcessFault.Kind.TERM) {
             agent.clockOff(fault.clock());
@@ -358,7 +360,7 @@
                 if (fault.state() == ProcessFault.State.ANOTHERS) {
                     // Both are copied before either changes.
                     hands.execute(() -> quietly(agent, "of another is copied", () -> {
-                        Folders.copy(next.folder(), copy(agent));
+                        FolderFaults.copy(next.folder(), copy(agent));
                         onLoop(() -> kill(agent, lasts, () -> state(fault.state(), agent, number)));
                     }));
                 } else {
@@ -379,24 +381,24 @@
                 });
             }
             case CRASH_LOOP -> crash(agent, lasts, (int) size);
-            case CUT -> shape(fault, agent, lasts, Shape.HELD);
-            case DELAY -> shape(fault, agent, lasts, new Shape(false, (long) (1000 * size), 0));
-            case THROTTLE -> shape(fault, agent, lasts, new Shape(false, 0, (long) (1000 * size)));
+            case CUT -> shape(fault, agent, lasts, LinkConditions.HELD);
+            case DELAY -> shape(fault, agent, lasts, new LinkConditions(false, (long) (1000 * size), 0));
+            case THROTTLE -> shape(fault, agent, lasts, new LinkConditions(false, 0, (long) (1000 * size)));
             case RESET, HALF_OPEN -> ways.breaks(
                     agent.number, fault.links(), fault.kind() == ProcessFault.Kind.HALF_OPEN);
             case OUT, BACK -> fault.nodos().forEach(each -> byHand(agent, each, fault.kind() == ProcessFault.Kind.OUT));
         }
     }
 
-    private void shape(ProcessFault fault, FolderAgent agent, long lasts, Shape shape) {
+    private void shape(ProcessFault fault, PersistentAgent agent, long lasts, LinkConditions shape) {
         ways.shape(agent.number, fault.links(), fault.direction(), shape);
         day.at(day.now() + lasts, () -> {
             event("fault", agent.name(), "healed");
-            ways.shape(agent.number, fault.links(), fault.direction(), Shape.CLEAR);
+            ways.shape(agent.number, fault.links(), fault.direction(), LinkConditions.CLEAR);
         });
     }
 
-    private void kill(FolderAgent agent, long lasts, Runnable whileDead) {
+    private void kill(PersistentAgent agent, long lasts, Runnable whileDead) {
         long startsAt = day.now() + lasts;
         if (!agent.machine().running()) {
             return;
@@ -417,7 +419,7 @@
         hand.ended(day.now(), agent.number);
     }
 
-    private void again(FolderAgent agent, long inMicros) {
+    private void again(PersistentAgent agent, long inMicros) {
         day.at(day.now() + inMicros, () -> {
             if (!agent.machine().running() && !over) {
                 agent.start();
@@ -426,7 +428,7 @@
     }
 
     /** Killed as soon as it is ready, over and over; the last time it is left alone. */
-    private void crash(FolderAgent agent, long pause, int times) {
+    private void crash(PersistentAgent agent, long pause, int times) {
         if (times > 0 && !over) {
             kill(agent, pause, () -> {});
             CompletableFuture.runAsync(
@@ -451,11 +453,11 @@
         void make() throws IOException;
     }
 
-    private Path copy(FolderAgent agent) {
+    private Path copy(PersistentAgent agent) {
         return root.resolve("copy-of-" + agent.name());
     }
 
-    private void quietly(FolderAgent agent, String what, Change change) {
+    private void quietly(PersistentAgent agent, String what, Change change) {
         try {
             change.make();
             onLoop(() -> event("folder", agent.name(), what));
@@ -465,15 +467,15 @@
     }
 
     /** Changes the folder of a process that has ended. */
-    private void state(ProcessFault.State state, FolderAgent agent, long number) {
+    private void state(ProcessFault.State state, PersistentAgent agent, long number) {
         Path folder = agent.folder();
         String what = state.name().toLowerCase(Locale.ROOT).replace('_', '-');
         switch (state) {
             case KEPT -> {}
-            case WIPED -> quietly(agent, what, () -> Folders.remove(folder));
-            case OLDER, ANOTHERS -> quietly(agent, what, () -> Folders.copy(copy(agent), folder));
-            case TORN -> quietly(agent, what, () -> Folders.tear(folder.resolve("kept")));
-            case FLIPPED -> quietly(agent, what, () -> Folders.flip(folder.resolve("kept"), number));
+            case WIPED -> quietly(agent, what, () -> FolderFaults.remove(folder));
+            case OLDER, ANOTHERS -> quietly(agent, what, () -> FolderFaults.copy(copy(agent), folder));
+            case TORN -> quietly(agent, what, () -> FolderFaults.tear(folder.resolve("kept")));
+            case FLIPPED -> quietly(agent, what, () -> FolderFaults.flip(folder.resolve("kept"), number));
             case READ_ONLY -> quietly(
                     agent, what, () -> folder.resolve("kept").toFile().setWritable(false));
         }
@@ -481,12 +483,13 @@
 
     // ---- Staff ----
 
-    private void byHand(FolderAgent agent, String nodo, boolean out) {
+    private void byHand(PersistentAgent agent, String nodo, boolean out) {
         var door = ways.relay(agent.number, Links.DOOR, agent.door()).address();
         int number = Integer.parseInt(nodo.substring("nodo-".length())) - 1;
         int process = agent.processes();
         hands.execute(() -> {
-            Doors.Answer answer = Doors.call(door, "POST", "/backends/" + nodo + (out ? "/maint" : "/ready"));
+            ManagementClient.Answer answer =
+                    ManagementClient.call(door, "POST", "/backends/" + nodo + (out ? "/maint" : "/ready"));
             onLoop(() -> {
                 event(
                         "staff",
--- a/src/main/java/gatefront/rehearsal/ProcessOutcome.java
+++ b/src/main/java/gatefront/rehearsal/ProcessRehearsalResult.java
@@ -1,11 +1,11 @@
 package gatefront.rehearsal;
 
-import gatefront.rehearsal.check.HandChecker;
+import gatefront.rehearsal.check.ManualDrainChecker;
 import gatefront.rehearsal.check.RuleChecker;
 import gatefront.rehearsal.check.ServiceCurve;
-import gatefront.rehearsal.processes.Lateness;
+import gatefront.rehearsal.processes.LoopLateness;
 import gatefront.rehearsal.processes.ProcessPlan;
-import gatefront.rehearsal.processes.Timeline;
+import gatefront.rehearsal.processes.StartTimeline;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -20,8 +20,12 @@
  * @param lateness of the rig
  * @param timeline how starts under way went
  */
-public record ProcessOutcome(
-        ProcessPlan plan, Outcome outcome, HandChecker hand, Lateness lateness, Timeline timeline) {
+public record ProcessRehearsalResult(
+        ProcessPlan plan,
+        RehearsalResult outcome,
+        ManualDrainChecker hand,
+        LoopLateness lateness,
+        StartTimeline timeline) {
     /** The rig is to be late by no more, in microseconds. */
     public static final long LATE_MOST = 20_000;
 
@@ -42,7 +46,7 @@
     }
 
     /** When service was full again, in seconds after the first fault; negative if it never was. */
-    public double fullAfter(ProcessOutcome twin) {
+    public double fullAfter(ProcessRehearsalResult twin) {
         double first = plan.firstFault();
         return first < 0 ? 0 : curve().fullAfter(first, twin.curve());
     }
--- a/src/main/java/gatefront/rehearsal/RealRehearsal.java
+++ b/src/main/java/gatefront/rehearsal/RealRehearsal.java
@@ -1,7 +1,7 @@
 package gatefront.rehearsal;
 
 import gatefront.rehearsal.plan.Plan;
-import gatefront.rehearsal.processes.Lateness;
+import gatefront.rehearsal.processes.LoopLateness;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -48,7 +48,7 @@
         thread.setDaemon(true);
         return thread;
     });
-    private final Lateness lateness = new Lateness();
+    private final LoopLateness lateness = new LoopLateness();
     private final List<String> log = new ArrayList<>();
     private long opensAt;
 
@@ -94,27 +94,27 @@
      * @return what came of it
      * @throws IOException if an agent cannot be started or does not get ready
      */
-    public Outcome play(DoubleConsumer progress) throws IOException {
+    public RehearsalResult play(DoubleConsumer progress) throws IOException {
         Path folder = Files.createTempDirectory("gatefront-rehearsal");
-        List<AgentStand> started = new ArrayList<>();
-        Day[] played = new Day[1];
+        List<AgentStandIn> started = new ArrayList<>();
+        RunContext[] played = new RunContext[1];
         try {
-            Addresses addresses = Addresses.ofProcess();
-            Day day = on(() -> new Day(
+            LoopbackAddresses addresses = LoopbackAddresses.ofProcess();
+            RunContext day = on(() -> new RunContext(
                     plan,
                     seed,
                     SLACK,
                     addresses,
-                    (name, address, zone, memory, lines) -> new SocketMachine(name, address, loop),
+                    (name, address, zone, memory, lines) -> new LoopbackMachine(name, address, loop),
                     made -> i -> {
-                        AgentStand agent = new ProcessAgent(
+                        AgentStandIn agent = new ProcessAgent(
                                 made, i, addresses.of(8, i), agentCommand, folder, starter, line -> log(made, i, line));
                         started.add(agent);
                         return agent;
                     }));
             played[0] = day;
             lateness.watch(loop);
-            Rig rig = new Rig(day, lateness);
+            RealTimeRig rig = new RealTimeRig(day, lateness);
             day.ways = rig;
             day.checker.on(rig);
             on(() -> {
@@ -143,7 +143,7 @@
             await(ENDING_MS, () -> day.agents.stream()
                     .noneMatch(each -> each.machine().running()));
             return on(() -> {
-                for (AgentStand each : day.agents) {
+                for (AgentStandIn each : day.agents) {
                     if (each.machine().running()) {
                         day.checker.left(day.now(), each.name() + " has not ended");
                     }
@@ -155,7 +155,7 @@
                         lateness.worst() / 1e3,
                         lateness.over(LATE_MOST),
                         LATE_MOST / 1000));
-                return new Outcome(plan, seed, day.cast, day.record, day.checker, List.copyOf(log), 0);
+                return new RehearsalResult(plan, seed, day.cast, day.record, day.checker, List.copyOf(log), 0);
             });
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -171,7 +171,7 @@
         }
     }
 
-    private void log(Day day, int agent, String line) {
+    private void log(RunContext day, int agent, String line) {
         if (log.size() < LINES_MOST) {
             log.add(String.format(Locale.ROOT, "%.3f agent-%d %s", (day.now() - opensAt) / 1e6, agent + 1, line));
         }
@@ -192,9 +192,9 @@
         }
     }
 
-    private static void awaitReady(Day day) throws InterruptedException, IOException {
+    private static void awaitReady(RunContext day) throws InterruptedException, IOException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
-        for (AgentStand each : day.agents) {
+        for (AgentStandIn each : day.agents) {
             while (!each.ready()) {
                 if (System.nanoTime() > end || !each.machine().running()) {
                     throw new IOException(each.name() + " did not get ready");
--- a/src/main/java/gatefront/rehearsal/Rig.java
+++ b/src/main/java/gatefront/rehearsal/RealTimeRig.java
@@ -1,14 +1,14 @@
 package gatefront.rehearsal;
 
 import gatefront.rehearsal.check.RuleChecker;
-import gatefront.rehearsal.processes.Lateness;
+import gatefront.rehearsal.processes.LoopLateness;
 
 /** What a rig in real time tells the judge of itself; nothing stands between the processes. */
-class Rig implements Day.Ways, RuleChecker.Rig {
-    final Day day;
-    final Lateness lateness;
+class RealTimeRig implements RunContext.Ways, RuleChecker.Rig {
+    final RunContext day;
+    final LoopLateness lateness;
 
-    Rig(Day day, Lateness lateness) {
+    RealTimeRig(RunContext day, LoopLateness lateness) {
         this.day = day;
         this.lateness = lateness;
     }
--- a/src/main/java/gatefront/rehearsal/Rehearsal.java
+++ b/src/main/java/gatefront/rehearsal/Rehearsal.java
@@ -1,17 +1,17 @@
 package gatefront.rehearsal;
 
-import gatefront.budget.Budget;
-import gatefront.budget.Purpose;
+import gatefront.budget.ResourceBudget;
+import gatefront.budget.ResourcePurpose;
 import gatefront.engine.Engine;
 import gatefront.policy.Balancer;
-import gatefront.rehearsal.net.Host;
-import gatefront.rehearsal.net.Links;
+import gatefront.rehearsal.net.LatencyModel;
 import gatefront.rehearsal.net.Network;
+import gatefront.rehearsal.net.VirtualHost;
 import gatefront.rehearsal.net.VirtualTime;
 import gatefront.rehearsal.plan.Fault;
 import gatefront.rehearsal.plan.Plan;
 import gatefront.rehearsal.world.Demand;
-import gatefront.rehearsal.world.Draw;
+import gatefront.rehearsal.world.RandomStream;
 import gatefront.transport.Transport;
 import java.util.ArrayList;
 import java.util.List;
@@ -38,8 +38,8 @@
     /** On a day of an hour or more nothing that is held may go on rising. */
     private static final double SOAK_SECONDS = 3_600;
     /** Of these nothing is held once nobody asks anything. */
-    private static final List<Purpose> PASSING =
-            List.of(Purpose.REQUESTS, Purpose.CALLS, Purpose.ANSWERS, Purpose.SERVER_ANSWERS);
+    private static final List<ResourcePurpose> PASSING = List.of(
+            ResourcePurpose.REQUESTS, ResourcePurpose.CALLS, ResourcePurpose.ANSWERS, ResourcePurpose.SERVER_ANSWERS);
     /** Timers that an agent with nothing to do may have: its own, and for each nodo listed. */
     private static final int TIMERS_MOST = 16;
 
@@ -85,16 +85,16 @@
      *
      * @return what came of it
      */
-    public Outcome play() {
+    public RehearsalResult play() {
         VirtualTime time = new VirtualTime();
         List<String> log = new ArrayList<>();
-        Cast cast = Cast.of(plan, seed);
+        ResolvedPlan cast = ResolvedPlan.of(plan, seed);
         Network network = new Network(time, EPOCH_MICROS, links(cast));
-        Day day = new Day(
+        RunContext day = new RunContext(
                 plan,
                 seed,
                 SLACK,
-                Addresses.virtual(),
+                LoopbackAddresses.virtual(),
                 (name, address, zone, memory, lines) -> network.host(name, address, zone, memory, lines::line),
                 made -> i -> new VirtualAgent(
                         made,
@@ -110,7 +110,7 @@
         try {
             day.begin();
             run(time, OPENS_AT);
-            for (AgentStand each : day.agents) {
+            for (AgentStandIn each : day.agents) {
                 if (!each.ready()) {
                     day.checker.left(day.now(), each.name() + " was not ready when the callers came");
                 }
@@ -126,10 +126,10 @@
         } catch (VirtualTime.LivelockException e) {
             day.checker.left(day.now(), e.getMessage());
         }
-        return new Outcome(plan, seed, day.cast, day.record, day.checker, log, time.tasks());
+        return new RehearsalResult(plan, seed, day.cast, day.record, day.checker, log, time.tasks());
     }
 
-    private static void log(List<String> log, Day day, int agent, String line) {
+    private static void log(List<String> log, RunContext day, int agent, String line) {
         if (log.size() < LINES_MOST) {
             log.add(String.format(Locale.ROOT, "%.3f agent-%d %s", (day.now() - OPENS_AT) / 1e6, agent + 1, line));
         }
@@ -140,10 +140,10 @@
     }
 
     /** Callers come from now on, troubles as the plan has them, and each second is looked at. */
-    static void open(Day day, long opensAt) {
+    static void open(RunContext day, long opensAt) {
         day.record.opens(opensAt);
         List<Demand.Jump> jumps = new ArrayList<>();
-        for (Cast.Trouble each : day.cast.troubles()) {
+        for (ResolvedPlan.Trouble each : day.cast.troubles()) {
             if (each.fault().kind() == Fault.Kind.JUMP) {
                 jumps.add(new Demand.Jump(each.at(), each.until(), each.size()));
             }
@@ -157,13 +157,13 @@
                 day.plan.callers().hintError(),
                 jumps);
         next(day, demand, opensAt);
-        Timetable.schedule(day, opensAt);
+        FaultScheduler.schedule(day, opensAt);
         for (int s = 0; s < day.record.seconds; s++) {
             day.at(opensAt + s * 1_000_000L + 500_000, () -> day.record.sample(day.now(), day.nodos, day.agents));
         }
     }
 
-    private static void next(Day day, Demand demand, long opensAt) {
+    private static void next(RunContext day, Demand demand, long opensAt) {
         Demand.Want want = demand.next();
         if (want.at() < (long) (1e6 * day.plan.seconds())) {
             Demand.Want placed = new Demand.Want(
@@ -182,8 +182,8 @@
     }
 
     /** Nothing goes on any more: what is held now is held for nobody. */
-    private void end(Day day, VirtualTime time, long at) {
-        for (AgentStand each : day.agents) {
+    private void end(RunContext day, VirtualTime time, long at) {
+        for (AgentStandIn each : day.agents) {
             Engine.Held held = ((VirtualAgent) each).held();
             if (held != null && (held.requests() > 0 || held.attempts() > 0)) {
                 day.checker.left(
@@ -191,10 +191,10 @@
                         each.name() + " still holds " + held.requests() + " requests and " + held.attempts()
                                 + " attempts");
             }
-            Budget budget = each.budget();
+            ResourceBudget budget = each.budget();
             if (budget != null) {
                 budget.drift().forEach(line -> day.checker.left(day.now(), each.name() + ": " + line));
-                for (Purpose purpose : PASSING) {
+                for (ResourcePurpose purpose : PASSING) {
                     if (budget.of(purpose).entries() != 0 || budget.of(purpose).bytes() != 0) {
                         day.checker.left(
                                 day.now(),
@@ -220,14 +220,14 @@
         }
         day.agents.forEach(each -> each.leave(() -> {}));
         run(time, at + ENDING);
-        for (AgentStand each : day.agents) {
+        for (AgentStandIn each : day.agents) {
             if (each.machine().running()) {
                 day.checker.left(
                         day.now(),
-                        each.name() + " has not ended, " + ((Host) each.machine()).openChannels()
+                        each.name() + " has not ended, " + ((VirtualHost) each.machine()).openChannels()
                                 + " connections are open");
             }
-            int timers = ((Host) each.machine()).timersDropped();
+            int timers = ((VirtualHost) each.machine()).timersDropped();
             if (timers > TIMERS_MOST + TIMERS_A_NODO * day.padron.listed().size()) {
                 day.checker.left(day.now(), each.name() + " ended with " + timers + " timers pending");
             }
@@ -235,8 +235,8 @@
         day.checker.close(day.now());
     }
 
-    private Links links(Cast cast) {
-        Draw draw = new Draw(seed, "links");
+    private LatencyModel links(ResolvedPlan cast) {
+        RandomStream draw = new RandomStream(seed, "links");
         Plan.Net net = plan.network();
         double nanosAByte = 8_000 / net.megabits();
         return (from, to, bytes) -> {
@@ -250,7 +250,7 @@
         };
     }
 
-    private static boolean isCaller(Host host) {
+    private static boolean isCaller(VirtualHost host) {
         return host.name().startsWith("caller");
     }
 }
--- a/src/main/java/gatefront/rehearsal/Outcome.java
+++ b/src/main/java/gatefront/rehearsal/RehearsalResult.java
@@ -6,16 +6,23 @@
 import java.util.Locale;
 
 /** What came of a rehearsal. */
-public final class Outcome {
+public final class RehearsalResult {
     private final Plan plan;
     private final long seed;
-    private final Cast cast;
-    private final Record record;
+    private final ResolvedPlan cast;
+    private final RunRecorder record;
     private final RuleChecker checker;
     private final List<String> log;
     private final long tasks;
 
-    Outcome(Plan plan, long seed, Cast cast, Record record, RuleChecker checker, List<String> log, long tasks) {
+    RehearsalResult(
+            Plan plan,
+            long seed,
+            ResolvedPlan cast,
+            RunRecorder record,
+            RuleChecker checker,
+            List<String> log,
+            long tasks) {
         this.plan = plan;
         this.seed = seed;
         this.cast = cast;
@@ -35,11 +42,11 @@
         return seed;
     }
 
-    Cast cast() {
+    ResolvedPlan cast() {
         return cast;
     }
 
-    Record record() {
+    RunRecorder record() {
         return record;
     }
 
--- a/src/main/java/gatefront/rehearsal/RelayWays.java
+++ b/src/main/java/gatefront/rehearsal/RelayNetwork.java
@@ -1,14 +1,14 @@
 package gatefront.rehearsal;
 
-import gatefront.rehearsal.check.HandChecker;
-import gatefront.rehearsal.processes.Chronicle;
-import gatefront.rehearsal.processes.Lateness;
+import gatefront.rehearsal.check.ManualDrainChecker;
+import gatefront.rehearsal.processes.EventHistory;
+import gatefront.rehearsal.processes.LinkConditions;
+import gatefront.rehearsal.processes.LoopLateness;
 import gatefront.rehearsal.processes.ProcessFault.Direction;
 import gatefront.rehearsal.processes.ProcessFault.Links;
 import gatefront.rehearsal.processes.Relay;
 import gatefront.rehearsal.processes.Relay.Way;
-import gatefront.rehearsal.processes.Shape;
-import gatefront.rehearsal.processes.Timeline;
+import gatefront.rehearsal.processes.StartTimeline;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import java.io.IOException;
@@ -24,7 +24,7 @@
  * Every link of every agent goes over a relay of its own. Owned by the day's loop; relays are made as links are first
  * asked for, one for each agent, kind of link and other side, and end with the day.
  */
-final class RelayWays extends Rig {
+final class RelayNetwork extends RealTimeRig {
     /** After this all that had been held back has arrived. */
     private static final long CATCHING_UP = 500_000;
 
@@ -52,24 +52,24 @@
 
     private final EventLoopGroup loops;
     private final InetAddress host;
-    private final HandChecker hand;
-    private final Chronicle chronicle;
-    private final Timeline timeline;
+    private final ManualDrainChecker hand;
+    private final EventHistory chronicle;
+    private final StartTimeline timeline;
     private final Map<Key, Relay> relays = new HashMap<>();
     /** By agent, kind and direction; one that is clear has none. */
-    private final Map<String, Shape> shapes = new HashMap<>();
+    private final Map<String, LinkConditions> shapes = new HashMap<>();
 
     private final Map<Integer, Span> stopped = new HashMap<>();
     private final Map<String, Span> troubled = new HashMap<>();
 
-    RelayWays(
-            Day day,
-            Lateness lateness,
+    RelayNetwork(
+            RunContext day,
+            LoopLateness lateness,
             EventLoopGroup loops,
             InetAddress host,
-            HandChecker hand,
-            Chronicle chronicle,
-            Timeline timeline) {
+            ManualDrainChecker hand,
+            EventHistory chronicle,
+            StartTimeline timeline) {
         super(day, lateness);
         this.loops = loops;
         this.host = host;
@@ -93,7 +93,7 @@
                 EventLoop loop = loops.next();
                 Relay made = new Relay(loop, host, to);
                 for (Way way : Way.values()) {
-                    Shape shape = shapes.get(at(agent, kind, way));
+                    LinkConditions shape = shapes.get(at(agent, kind, way));
                     if (shape != null) {
                         made.shape(way, shape);
                     }
@@ -129,18 +129,18 @@
     }
 
     /** Shapes links of an agent, or heals them. */
-    void shape(int agent, Links links, Direction direction, Shape shape) {
+    void shape(int agent, Links links, Direction direction, LinkConditions shape) {
         for (Links kind : kinds(links)) {
             Span span = troubled.computeIfAbsent(at(agent, kind), key -> new Span());
             for (Way way : ways(kind, direction)) {
-                if (shape == Shape.CLEAR) {
+                if (shape == LinkConditions.CLEAR) {
                     shapes.remove(at(agent, kind, way));
                 } else {
                     shapes.put(at(agent, kind, way), shape);
                 }
                 of(agent, kind).forEach(each -> each.shape(way, shape));
             }
-            if (shape == Shape.CLEAR) {
+            if (shape == LinkConditions.CLEAR) {
                 span.ends(day.now());
             } else {
                 span.begins(day.now());
@@ -205,7 +205,7 @@
 
     @Override
     public void served(long now, int agent) {
-        timeline.reached(agent, Timeline.Mark.SERVES, now);
+        timeline.reached(agent, StartTimeline.Mark.SERVES, now);
     }
 
     @Override
--- a/src/main/java/gatefront/rehearsal/Cast.java
+++ b/src/main/java/gatefront/rehearsal/ResolvedPlan.java
@@ -3,8 +3,8 @@
 import gatefront.rehearsal.plan.Fault;
 import gatefront.rehearsal.plan.Plan;
 import gatefront.rehearsal.world.Demand;
-import gatefront.rehearsal.world.Draw;
 import gatefront.rehearsal.world.NodoModel;
+import gatefront.rehearsal.world.RandomStream;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -24,7 +24,7 @@
  * @param connectionMicros the work of a new connection
  * @param troubles what goes wrong, by time
  */
-record Cast(
+record ResolvedPlan(
         List<Nodo> nodos,
         List<Demand.Kind> kinds,
         int[] agentZones,
@@ -51,8 +51,8 @@
         }
     }
 
-    static Cast of(Plan plan, long seed) {
-        Draw draw = new Draw(seed, "cast");
+    static ResolvedPlan of(Plan plan, long seed) {
+        RandomStream draw = new RandomStream(seed, "cast");
         Plan.Nodos told = plan.nodos();
         List<Demand.Kind> kinds = new ArrayList<>();
         for (Plan.Kind each : plan.classes()) {
@@ -66,8 +66,8 @@
             zones[i] = zone(plan, i);
             shares[i] = 1 / StrictMath.pow(i + 1, plan.agents().skew());
         }
-        List<Nodo> nodos = nodos(plan, new Draw(seed, "nodos"), new Draw(seed, "starts"));
-        return new Cast(
+        List<Nodo> nodos = nodos(plan, new RandomStream(seed, "nodos"), new RandomStream(seed, "starts"));
+        return new ResolvedPlan(
                 nodos,
                 List.copyOf(kinds),
                 zones,
@@ -84,7 +84,7 @@
         return new NodoModel.Warmth(from, (long) (1e6 * seconds));
     }
 
-    private static List<Nodo> nodos(Plan plan, Draw draw, Draw starts) {
+    private static List<Nodo> nodos(Plan plan, RandomStream draw, RandomStream starts) {
         Plan.Nodos told = plan.nodos();
         double[] shares = told.kinds().stream().mapToDouble(Plan.Machine::share).toArray();
         double limitedShare = told.limited().draw(draw::between);
@@ -124,7 +124,7 @@
     }
 
     /** As many of each kind as its share says, in an order of chance: a small fleet must not be all of one. */
-    private static int[] dealt(double[] shares, int count, Draw draw) {
+    private static int[] dealt(double[] shares, int count, RandomStream draw) {
         double all = java.util.Arrays.stream(shares).sum();
         int[] dealt = new int[count];
         double due = 0;
@@ -166,7 +166,7 @@
         List<Trouble> troubles = new ArrayList<>();
         for (int i = 0; i < plan.faults().size(); i++) {
             Fault fault = plan.faults().get(i);
-            Draw draw = new Draw(seed, "fault " + i + " " + fault.kind());
+            RandomStream draw = new RandomStream(seed, "fault " + i + " " + fault.kind());
             int most =
                     switch (fault.kind().whom()) {
                         case NODOS -> plan.nodos().count();
@@ -191,7 +191,7 @@
         return number % plan.zones().size();
     }
 
-    private static int[] targets(Plan plan, Fault fault, int count, Draw draw) {
+    private static int[] targets(Plan plan, Fault fault, int count, RandomStream draw) {
         if (!fault.names().isEmpty()) {
             return fault.names().stream()
                     .mapToInt(name -> Integer.parseInt(name.substring(name.indexOf('-') + 1)) - 1)
--- a/src/main/java/gatefront/rehearsal/Held.java
+++ b/src/main/java/gatefront/rehearsal/ResourceUsage.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gatefront.budget.Account;
-import gatefront.budget.Budget;
-import gatefront.budget.Purpose;
+import gatefront.budget.ResourceAccount;
+import gatefront.budget.ResourceBudget;
+import gatefront.budget.ResourcePurpose;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -14,7 +14,7 @@
  * What the agents held over a day, by purpose: of each stretch of time the most and the least that any agent held. What
  * never goes away shows in the least.
  */
-final class Held {
+final class ResourceUsage {
     /** A long day is kept by the minute, so that the report stays readable. */
     private static final int SECONDS_MOST = 3_600;
 
@@ -32,22 +32,22 @@
     final long[][] least;
     final long[][] bytes;
 
-    Held(int seconds) {
+    ResourceUsage(int seconds) {
         every = seconds > SECONDS_MOST ? MINUTE : 1;
         int stretches = (seconds + every - 1) / every;
-        most = new long[Purpose.values().length][stretches];
-        least = new long[Purpose.values().length][stretches];
-        bytes = new long[Purpose.values().length][stretches];
+        most = new long[ResourcePurpose.values().length][stretches];
+        least = new long[ResourcePurpose.values().length][stretches];
+        bytes = new long[ResourcePurpose.values().length][stretches];
         for (long[] each : least) {
             Arrays.fill(each, Long.MAX_VALUE);
         }
     }
 
     /** Looks at an agent. */
-    void seen(int second, Budget budget) {
+    void seen(int second, ResourceBudget budget) {
         int at = Math.min(most[0].length - 1, second / every);
-        for (Purpose each : Purpose.values()) {
-            Account account = budget.of(each);
+        for (ResourcePurpose each : ResourcePurpose.values()) {
+            ResourceAccount account = budget.of(each);
             int i = each.ordinal();
             most[i][at] = Math.max(most[i][at], account.entries());
             least[i][at] = Math.min(least[i][at], account.entries());
@@ -56,7 +56,7 @@
     }
 
     /** The mean of the least of each stretch in one quarter of the day, the first being 0. */
-    private double floor(Purpose purpose, int quarter) {
+    private double floor(ResourcePurpose purpose, int quarter) {
         long[] all = least[purpose.ordinal()];
         return Arrays.stream(all, all.length * quarter / 4, Math.max(1, all.length * (quarter + 1) / 4))
                 .filter(each -> each < Long.MAX_VALUE)
@@ -67,7 +67,7 @@
     /** A line for each purpose whose floor has risen from the third quarter to the last. */
     List<String> rising() {
         List<String> lines = new ArrayList<>();
-        for (Purpose each : Purpose.values()) {
+        for (ResourcePurpose each : ResourcePurpose.values()) {
             double third = floor(each, 2);
             double last = floor(each, 3);
             if (last > third * (1 + RISE_PART) + RISE_ENTRIES) {
@@ -85,9 +85,10 @@
     /** By purpose: the most and the least of each stretch, and the most bytes. */
     void json(ObjectNode root) {
         root.put("seconds_a_stretch", every);
-        for (Purpose each : Purpose.values()) {
+        for (ResourcePurpose each : ResourcePurpose.values()) {
             ObjectNode one = root.putObject(each.word());
-            one.put("third_quarter", Report.round(floor(each, 2))).put("last_quarter", Report.round(floor(each, 3)));
+            one.put("third_quarter", JsonReport.round(floor(each, 2)))
+                    .put("last_quarter", JsonReport.round(floor(each, 3)));
             add(one.putArray("most"), most[each.ordinal()]);
             add(one.putArray("least"), least[each.ordinal()]);
             add(one.putArray("bytes"), bytes[each.ordinal()]);
--- a/src/main/java/gatefront/rehearsal/Day.java
+++ b/src/main/java/gatefront/rehearsal/RunContext.java
@@ -4,9 +4,9 @@
 import gatefront.rehearsal.net.Machine;
 import gatefront.rehearsal.plan.Plan;
 import gatefront.rehearsal.world.Demand;
-import gatefront.rehearsal.world.Draw;
-import gatefront.rehearsal.world.Repeats;
-import gatefront.thrift.codec.Form;
+import gatefront.rehearsal.world.IdempotencyWindow;
+import gatefront.rehearsal.world.RandomStream;
+import gatefront.thrift.codec.MessageFormat;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import java.net.InetAddress;
@@ -21,7 +21,7 @@
 import java.util.function.IntFunction;
 
 /** One day that is played: what all the stand-ins of it share. */
-final class Day {
+final class RunContext {
     /** Makes the machines of a day, on virtual time or on sockets. */
     interface Machines {
         /** A machine in a zone; the log gets its process's lines. */
@@ -82,38 +82,38 @@
     /** What the rig's own lateness may blur, in microseconds. */
     final long slack;
 
-    final Cast cast;
+    final ResolvedPlan cast;
     /** What Thrift is spoken; null for HTTP. */
-    final Form form;
+    final MessageFormat form;
 
     final RuleChecker checker;
-    final Record record;
+    final RunRecorder record;
     final Machines machines;
-    final Addresses addresses;
+    final LoopbackAddresses addresses;
     private final List<Machine> allMachines = new ArrayList<>();
-    final PadronStand padron;
-    final List<NodoStand> nodos = new ArrayList<>();
-    final List<AgentStand> agents = new ArrayList<>();
-    final List<CallerStand> callers = new ArrayList<>();
+    final PadronStandIn padron;
+    final List<NodoStandIn> nodos = new ArrayList<>();
+    final List<AgentStandIn> agents = new ArrayList<>();
+    final List<ClientStandIn> callers = new ArrayList<>();
     /**
      * What each request on its way takes: entered when it is sent, removed by its caller some time after its
      * last try; no more than the tries of that time.
      */
     final Map<String, Demand.Want> wants = new HashMap<>();
 
-    private final Map<Long, Repeats> repeats = new LinkedHashMap<>();
+    private final Map<Long, IdempotencyWindow> repeats = new LinkedHashMap<>();
     private final Machine world;
     private final long startNanos;
     private boolean strangers;
-    private final IntFunction<AgentStand> agentStands;
+    private final IntFunction<AgentStandIn> agentStands;
 
-    Day(
+    RunContext(
             Plan plan,
             long seed,
             long slack,
-            Addresses addresses,
+            LoopbackAddresses addresses,
             Machines machines,
-            Function<Day, IntFunction<AgentStand>> agents) {
+            Function<RunContext, IntFunction<AgentStandIn>> agents) {
         this.plan = plan;
         this.seed = seed;
         this.slack = slack;
@@ -123,8 +123,8 @@
             return made;
         };
         this.addresses = addresses;
-        this.cast = Cast.of(plan, seed);
-        this.form = Speech.form(plan.network().protocol());
+        this.cast = ResolvedPlan.of(plan, seed);
+        this.form = ThriftPayloads.form(plan.network().protocol());
         this.checker = new RuleChecker(
                 new RuleChecker.Limits(
                         (long) (1000 * plan.rules().slackMs()),
@@ -134,10 +134,10 @@
                         .map(each -> new RuleChecker.Kind(
                                 each.name(), each.semantics(), each.scope(), (long) (1000 * each.windowMs())))
                         .toList());
-        this.record = new Record(plan, cast);
+        this.record = new RunRecorder(plan, cast);
         this.world = this.machines.make("world", addresses.of(0, 0), 0, 1 << 30, line -> {});
         this.startNanos = world.transport().nanos();
-        this.padron = new PadronStand(this);
+        this.padron = new PadronStandIn(this);
         this.agentStands = agents.apply(this);
     }
 
@@ -165,8 +165,8 @@
         return world.transport().loop();
     }
 
-    Draw draw(String concern) {
-        return new Draw(seed, concern);
+    RandomStream draw(String concern) {
+        return new RandomStream(seed, concern);
     }
 
     /** Has something done at a time of the day; now, if that has passed. */
@@ -192,14 +192,14 @@
     void begin() {
         padron.start();
         for (int i = 0; i < cast.nodos().size(); i++) {
-            NodoStand nodo = addNodo(cast.nodos().get(i));
+            NodoStandIn nodo = addNodo(cast.nodos().get(i));
             nodo.start(false);
             padron.list(nodo, 0);
         }
         for (int i = 0; i < plan.agents().count(); i++) {
-            AgentStand agent = agentStands.apply(i);
+            AgentStandIn agent = agentStands.apply(i);
             agents.add(agent);
-            callers.add(new CallerStand(
+            callers.add(new ClientStandIn(
                     this,
                     i,
                     machines.make("caller-" + (i + 1), addresses.of(9, i), cast.agentZones()[i], 1 << 30, line -> {}),
@@ -223,7 +223,7 @@
     }
 
     /** One more, on a machine of its own. */
-    NodoStand addNodo(Cast.Nodo spec) {
+    NodoStandIn addNodo(ResolvedPlan.Nodo spec) {
         int i = nodos.size();
         return addNodo(spec, machines.make("nodo-" + (i + 1), addresses.of(1, i), spec.zone(), 1 << 30, line -> {}));
     }
@@ -232,7 +232,7 @@
     double idlePart() {
         double idle = 0;
         double all = 0;
-        for (NodoStand each : nodos) {
+        for (NodoStandIn each : nodos) {
             if (each.up() && !each.leaving()) {
                 idle += each.capacity()
                         * Math.max(
@@ -244,14 +244,14 @@
         return all == 0 ? 0 : idle / all;
     }
 
-    NodoStand addNodo(Cast.Nodo spec, Machine machine) {
-        NodoStand nodo = new NodoStand(this, nodos.size(), spec, machine);
+    NodoStandIn addNodo(ResolvedPlan.Nodo spec, Machine machine) {
+        NodoStandIn nodo = new NodoStandIn(this, nodos.size(), spec, machine);
         nodos.add(nodo);
         return nodo;
     }
 
     /** What the group of a nodo remembers of one class's keyed requests. */
-    Repeats repeats(int kind, Cast.Nodo nodo) {
+    IdempotencyWindow repeats(int kind, ResolvedPlan.Nodo nodo) {
         Plan.Kind type = plan.classes().get(kind);
         int group =
                 switch (type.scope()) {
@@ -259,6 +259,7 @@
                     case ZONE -> nodo.zone();
                     case CELL -> nodo.cell();
                 };
-        return repeats.computeIfAbsent((long) kind << 32 | group, key -> new Repeats((long) (1000 * type.windowMs())));
+        return repeats.computeIfAbsent(
+                (long) kind << 32 | group, key -> new IdempotencyWindow((long) (1000 * type.windowMs())));
     }
 }
--- a/src/main/java/gatefront/rehearsal/Record.java
+++ b/src/main/java/gatefront/rehearsal/RunRecorder.java
@@ -1,10 +1,10 @@
 package gatefront.rehearsal;
 
-import gatefront.budget.Budget;
+import gatefront.budget.ResourceBudget;
 import gatefront.rehearsal.check.ServiceCurve;
 import gatefront.rehearsal.plan.Plan;
 import gatefront.rehearsal.world.Demand;
-import gatefront.rehearsal.world.Patience;
+import gatefront.rehearsal.world.RetryBehavior;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -13,7 +13,7 @@
  * What came of a day, counted by second of the first try. Worth is that of the class, times the work where the
  * plan has it so; an answer counts in full within the aim, counted from the first try, and not at all later.
  */
-final class Record {
+final class RunRecorder {
     /** What becomes of what somebody wanted. */
     enum Fate {
         IN_TIME,
@@ -66,17 +66,17 @@
 
     final List<Band> bands = new ArrayList<>();
     final List<Note> notes = new ArrayList<>();
-    final Held held;
-    final Crowd crowd;
+    final ResourceUsage held;
+    final FleetLoad crowd;
     final ServiceCurve curve;
-    private final Cast cast;
+    private final ResolvedPlan cast;
     private long opensAt;
     /** Connections that nodos have closed because they were in no use. */
     int closedIdle;
 
     private int open;
 
-    Record(Plan plan, Cast cast) {
+    RunRecorder(Plan plan, ResolvedPlan cast) {
         this.plan = plan;
         this.cast = cast;
         this.seconds = (int) Math.ceil(plan.seconds());
@@ -92,9 +92,9 @@
         this.listTurnedAway = new int[seconds];
         this.fullest = new int[seconds];
         this.coldest = new double[seconds];
-        this.held = new Held(seconds);
+        this.held = new ResourceUsage(seconds);
         this.curve = new ServiceCurve(seconds);
-        this.crowd = new Crowd(plan.agents().count());
+        this.crowd = new FleetLoad(plan.agents().count());
     }
 
     void opens(long at) {
@@ -164,7 +164,7 @@
         return (double) Arrays.stream(bySecond).sum() / Math.max(1, wants);
     }
 
-    void settled(Demand.Want want, long now, Patience.Fate how) {
+    void settled(Demand.Want want, long now, RetryBehavior.Fate how) {
         open--;
         Plan.Kind kind = plan.classes().get(want.kind());
         Fate fate =
@@ -220,15 +220,15 @@
     }
 
     /** Looks at the nodos and the agents, once a second. */
-    void sample(long now, List<NodoStand> nodos, List<AgentStand> agents) {
+    void sample(long now, List<NodoStandIn> nodos, List<AgentStandIn> agents) {
         int at = second(now);
-        for (AgentStand each : agents) {
-            Budget budget = each.budget();
+        for (AgentStandIn each : agents) {
+            ResourceBudget budget = each.budget();
             if (budget != null) {
                 held.seen(at, budget);
             }
         }
-        for (NodoStand each : nodos) {
+        for (NodoStandIn each : nodos) {
             know(each.number());
             each.cold(crowd);
             load.get(each.number())[at] =
--- a/src/main/java/gatefront/rehearsal/Seeds.java
+++ b/src/main/java/gatefront/rehearsal/SeedCampaign.java
@@ -14,7 +14,7 @@
 import java.util.function.DoubleConsumer;
 
 /** Plays one plan with many seeds, on all cores. */
-public final class Seeds {
+public final class SeedCampaign {
     /** What many seeds came to. */
     public record Summary(String plan, int played, int broken, List<Double> services, List<Long> brokenSeeds) {
         /** Some lines for a person. */
@@ -37,7 +37,7 @@
         }
     }
 
-    private Seeds() {}
+    private SeedCampaign() {}
 
     /**
      * Plays.
@@ -49,21 +49,22 @@
      * @param broken is told of each rehearsal that broke a rule, in the order of the seeds
      * @return the summary
      */
-    public static Summary play(Plan plan, long from, long until, DoubleConsumer progress, Consumer<Outcome> broken) {
+    public static Summary play(
+            Plan plan, long from, long until, DoubleConsumer progress, Consumer<RehearsalResult> broken) {
         ExecutorService threads = Executors.newFixedThreadPool(
                 (int) Math.min(until - from + 1, Runtime.getRuntime().availableProcessors()));
         AtomicLong next = new AtomicLong(from);
         try {
             List<Double> services = new ArrayList<>();
             List<Long> seeds = new ArrayList<>();
-            List<Future<Outcome>> ahead = new ArrayList<>();
+            List<Future<RehearsalResult>> ahead = new ArrayList<>();
             int window = 4 * Runtime.getRuntime().availableProcessors();
             for (long seed = from; seed <= until; seed++) {
                 while (ahead.size() < window && next.get() <= until) {
                     long mine = next.getAndIncrement();
                     ahead.add(threads.submit(() -> new Rehearsal(plan, mine).play()));
                 }
-                Outcome outcome = ahead.remove(0).get();
+                RehearsalResult outcome = ahead.remove(0).get();
                 services.add(outcome.service());
                 if (outcome.broken() > 0) {
                     seeds.add(seed);
--- a/src/main/java/gatefront/rehearsal/Speech.java
+++ b/src/main/java/gatefront/rehearsal/ThriftPayloads.java
@@ -1,13 +1,13 @@
 package gatefront.rehearsal;
 
-import gatefront.thrift.codec.Encoding;
-import gatefront.thrift.codec.Form;
-import gatefront.thrift.codec.Message;
+import gatefront.thrift.codec.MessageFormat;
 import gatefront.thrift.codec.StructReader;
 import gatefront.thrift.codec.StructWriter;
+import gatefront.thrift.codec.ThriftEncoding;
+import gatefront.thrift.codec.ThriftMessage;
 
 /** What callers and nodos say over Thrift, as docs/idl/gatefront.thrift has it; written apart from the agent's. */
-final class Speech {
+final class ThriftPayloads {
     static final String HEALTH = "gatefrontHealth";
     private static final int LOAD = 32_000;
 
@@ -17,20 +17,20 @@
     /** What a caller reads of a reply: the body if it was served, else the wait advised; 0 for none. */
     record Heard(String success, boolean refused, long retryAfterMicros) {}
 
-    private Speech() {}
+    private ThriftPayloads() {}
 
     /** The form that a plan's protocol stands for, or null for HTTP. */
-    static Form form(String protocol) {
+    static MessageFormat form(String protocol) {
         return protocol.equals("http")
                 ? null
-                : new Form(
+                : new MessageFormat(
                         protocol.startsWith("framed"),
-                        protocol.endsWith("compact") ? Encoding.COMPACT : Encoding.BINARY);
+                        protocol.endsWith("compact") ? ThriftEncoding.COMPACT : ThriftEncoding.BINARY);
     }
 
     /** The arguments of a call; what is null is left out. */
     static byte[] call(
-            Encoding encoding,
+            ThriftEncoding encoding,
             String requestId,
             long timeoutMs,
             String tenant,
@@ -52,7 +52,7 @@
                 .end();
     }
 
-    static Said said(Message call) {
+    static Said said(ThriftMessage call) {
         String id = "";
         String key = "";
         StructReader arguments = new StructReader(call.encoding(), call.body());
@@ -71,26 +71,26 @@
         return new Said(id, key);
     }
 
-    static byte[] success(Encoding encoding, String body, String load) {
+    static byte[] success(ThriftEncoding encoding, String body, String load) {
         return new StructWriter(encoding).string(0, body).string(LOAD, load).end();
     }
 
-    static byte[] refused(Encoding encoding, String load) {
+    static byte[] refused(ThriftEncoding encoding, String load) {
         return exception(encoding, 100, load);
     }
 
-    static byte[] failed(Encoding encoding, String load) {
+    static byte[] failed(ThriftEncoding encoding, String load) {
         return exception(encoding, 101, load);
     }
 
-    private static byte[] exception(Encoding encoding, int id, String load) {
+    private static byte[] exception(ThriftEncoding encoding, int id, String load) {
         return new StructWriter(encoding)
                 .struct(id, new StructWriter(encoding).string(1, "nodo").end())
                 .string(LOAD, load)
                 .end();
     }
 
-    static byte[] health(Encoding encoding, String load) {
+    static byte[] health(ThriftEncoding encoding, String load) {
         return new StructWriter(encoding)
                 .struct(
                         0,
@@ -98,7 +98,7 @@
                 .end();
     }
 
-    static Heard heard(Message reply) {
+    static Heard heard(ThriftMessage reply) {
         String success = null;
         boolean refused = false;
         long wait = 0;
--- a/src/main/java/gatefront/rehearsal/VirtualAgent.java
+++ b/src/main/java/gatefront/rehearsal/VirtualAgent.java
@@ -1,7 +1,7 @@
 package gatefront.rehearsal;
 
 import gatefront.agent.Agent;
-import gatefront.budget.Budget;
+import gatefront.budget.ResourceBudget;
 import gatefront.config.Config;
 import gatefront.engine.Engine;
 import gatefront.policy.Balancer;
@@ -11,7 +11,7 @@
 import java.util.function.UnaryOperator;
 
 /** The real agent on a machine of the virtual network. */
-final class VirtualAgent extends AgentStand {
+final class VirtualAgent extends AgentStandIn {
     private final Machine machine;
     private final UnaryOperator<Transport> outside;
     private final Function<Engine, Balancer> module;
@@ -19,7 +19,11 @@
     private Runnable ended = () -> {};
 
     VirtualAgent(
-            Day day, int number, Machine machine, UnaryOperator<Transport> outside, Function<Engine, Balancer> module) {
+            RunContext day,
+            int number,
+            Machine machine,
+            UnaryOperator<Transport> outside,
+            Function<Engine, Balancer> module) {
         super(day, number);
         this.machine = machine;
         this.outside = outside;
@@ -81,7 +85,7 @@
     }
 
     @Override
-    Budget budget() {
+    ResourceBudget budget() {
         return agent == null ? null : agent.budget();
     }
 
--- a/src/main/java/gatefront/rehearsal/check/HandChecker.java
+++ b/src/main/java/gatefront/rehearsal/check/ManualDrainChecker.java
@@ -14,7 +14,7 @@
  * the call back; or until it has told them that what it knew of such calls is lost. It asks no agent why. Times in
  * microseconds; an entry for each agent and nodo that was taken out, which goes with the call back.
  */
-public final class HandChecker {
+public final class ManualDrainChecker {
     private static final int KEPT = 100;
     /** Staff are to hear of a loss within so much of the first request that goes wrong by it. */
     static final long TELLS_WITHIN = 2_000_000;
@@ -37,7 +37,7 @@
     private int count;
 
     /** Nothing done yet; attempts may come so long after a yes. */
-    public HandChecker(long grace) {
+    public ManualDrainChecker(long grace) {
         this.grace = grace;
     }
 
--- a/src/main/java/gatefront/rehearsal/net/Links.java
+++ b/src/main/java/gatefront/rehearsal/net/LatencyModel.java
@@ -1,7 +1,7 @@
 package gatefront.rehearsal.net;
 
 /** How long what one host sends to another takes. Pure but for its random source. */
-public interface Links {
+public interface LatencyModel {
     /**
      * The way of one segment.
      *
@@ -10,5 +10,5 @@
      * @param bytes how much
      * @return nanoseconds until it is there
      */
-    long delayNanos(Host from, Host to, int bytes);
+    long delayNanos(VirtualHost from, VirtualHost to, int bytes);
 }
--- a/src/main/java/gatefront/rehearsal/net/MemoryChannel.java
+++ b/src/main/java/gatefront/rehearsal/net/MemoryChannel.java
@@ -42,7 +42,7 @@
         CLOSED
     }
 
-    final Host host;
+    final VirtualHost host;
     private final Options config = new Options(this);
     /** What has come and when it was sent. */
     private record Segment(byte[] bytes, long sentAt) {}
@@ -72,7 +72,7 @@
     /** When the last thing sent arrives. */
     private long lastArrival;
 
-    MemoryChannel(Channel parent, Host host) {
+    MemoryChannel(Channel parent, VirtualHost host) {
         super(parent, host.network.newId());
         this.host = host;
     }
--- a/src/main/java/gatefront/rehearsal/net/MemoryServerChannel.java
+++ b/src/main/java/gatefront/rehearsal/net/MemoryServerChannel.java
@@ -14,7 +14,7 @@
 final class MemoryServerChannel extends AbstractServerChannel {
     private static final int BACKLOG = 1024;
 
-    private final Host host;
+    private final VirtualHost host;
     private final ChannelConfig config = new MemoryChannel.Options(this);
     /** Connections that have come up and are not accepted. */
     private final Deque<MemoryChannel> waiting = new ArrayDeque<>();
@@ -23,7 +23,7 @@
     private boolean open = true;
     private boolean reading;
 
-    MemoryServerChannel(Host host) {
+    MemoryServerChannel(VirtualHost host) {
         this.host = host;
     }
 
--- a/src/main/java/gatefront/rehearsal/net/Network.java
+++ b/src/main/java/gatefront/rehearsal/net/Network.java
@@ -28,12 +28,12 @@
 
     final VirtualTime time;
     final long epochMicros;
-    private final Links links;
-    private final Map<InetAddress, Host> hosts = new LinkedHashMap<>();
+    private final LatencyModel links;
+    private final Map<InetAddress, VirtualHost> hosts = new LinkedHashMap<>();
     private final Deque<Held> held = new ArrayDeque<>();
     private long nextId;
 
-    private record Held(Host from, Host to, Runnable arrival) {}
+    private record Held(VirtualHost from, VirtualHost to, Runnable arrival) {}
 
     /**
      * A network without hosts.
@@ -42,7 +42,7 @@
      * @param epochMicros the time of day at the clock's start
      * @param links how long the ways are
      */
-    public Network(VirtualTime time, long epochMicros, Links links) {
+    public Network(VirtualTime time, long epochMicros, LatencyModel links) {
         this.time = time;
         this.epochMicros = epochMicros;
         this.links = links;
@@ -58,8 +58,8 @@
      * @param log gets the process's log
      * @return the machine
      */
-    public Host host(String name, InetAddress address, int zone, long memory, Consumer<String> log) {
-        Host host = new Host(this, name, address, zone, memory, log);
+    public VirtualHost host(String name, InetAddress address, int zone, long memory, Consumer<String> log) {
+        VirtualHost host = new VirtualHost(this, name, address, zone, memory, log);
         if (hosts.putIfAbsent(address, host) != null) {
             throw new IllegalArgumentException("two hosts at " + address);
         }
@@ -84,13 +84,13 @@
     }
 
     /** Sends along one direction; arrivals keep their order, for {@code notBefore} is the latest so far. */
-    long carry(Host from, Host to, int bytes, long notBefore, Runnable arrival) {
+    long carry(VirtualHost from, VirtualHost to, int bytes, long notBefore, Runnable arrival) {
         long at = Math.max(notBefore, time.nanoTime() + links.delayNanos(from, to, bytes));
         schedule(from, to, at, arrival);
         return at;
     }
 
-    private void schedule(Host from, Host to, long at, Runnable arrival) {
+    private void schedule(VirtualHost from, VirtualHost to, long at, Runnable arrival) {
         Runnable then = () -> {
             if (from.vanished() || to.vanished()) {
                 if (held.size() >= HELD_MOST) {
@@ -108,7 +108,7 @@
         }
     }
 
-    void appeared(Host host) {
+    void appeared(VirtualHost host) {
         List<Held> again = new ArrayList<>(held);
         held.clear();
         for (Held each : again) {
@@ -121,7 +121,7 @@
     }
 
     /** The process has ended: its machine resets what it had open. */
-    void died(Host host) {
+    void died(VirtualHost host) {
         host.listening.clear();
         for (MemoryChannel each : List.copyOf(host.channels)) {
             each.abandon();
@@ -131,7 +131,7 @@
 
     /** A SYN on its way. */
     void dial(MemoryChannel from, InetSocketAddress to) {
-        Host host = hosts.get(to.getAddress());
+        VirtualHost host = hosts.get(to.getAddress());
         if (host == null) {
             return; // no such machine: nobody answers
         }
--- a/src/main/java/gatefront/rehearsal/net/Host.java
+++ b/src/main/java/gatefront/rehearsal/net/VirtualHost.java
@@ -17,7 +17,7 @@
  * A machine with one process on it, and that process's outside. The machine may vanish (nothing comes from it or
  * reaches it) and the process may die (its connections are reset, new ones refused) and start again.
  */
-public final class Host implements Machine, Transport {
+public final class VirtualHost implements Machine, Transport {
     private static final int FIRST_PORT = 30_000;
 
     final Network network;
@@ -34,7 +34,7 @@
     private boolean vanished;
     private int nextPort = FIRST_PORT;
 
-    Host(Network network, String name, InetAddress address, int zone, long memory, Consumer<String> log) {
+    VirtualHost(Network network, String name, InetAddress address, int zone, long memory, Consumer<String> log) {
         this.network = network;
         this.name = name;
         this.address = address;
--- a/src/main/java/gatefront/rehearsal/plan/Fault.java
+++ b/src/main/java/gatefront/rehearsal/plan/Fault.java
@@ -1,6 +1,6 @@
 package gatefront.rehearsal.plan;
 
-import gatefront.toml.Range;
+import gatefront.toml.NumberRange;
 import java.util.List;
 import java.util.Locale;
 
@@ -19,21 +19,34 @@
  */
 public record Fault(
         Kind kind,
-        Range at,
-        Range lasts,
+        NumberRange at,
+        NumberRange lasts,
         double share,
         List<String> names,
-        Range size,
-        Range every,
+        NumberRange size,
+        NumberRange every,
         int zone,
-        Range spread) {
+        NumberRange spread) {
     /** One that meets all salas, and those that it meets at once. */
-    public Fault(Kind kind, Range at, Range lasts, double share, List<String> names, Range size, Range every) {
-        this(kind, at, lasts, share, names, size, every, -1, new Range(0, 0));
+    public Fault(
+            Kind kind,
+            NumberRange at,
+            NumberRange lasts,
+            double share,
+            List<String> names,
+            NumberRange size,
+            NumberRange every) {
+        this(kind, at, lasts, share, names, size, every, -1, new NumberRange(0, 0));
     }
 
     /** The same with these figures, for those of these names, whatever sala they stand in. */
-    public Fault frozen(Range begins, Range takes, List<String> those, Range how, Range often, Range over) {
+    public Fault frozen(
+            NumberRange begins,
+            NumberRange takes,
+            List<String> those,
+            NumberRange how,
+            NumberRange often,
+            NumberRange over) {
         return new Fault(kind, begins, takes, share, those, how, often, -1, over);
     }
 
@@ -41,7 +54,7 @@
     Fault until(double seconds) {
         return new Fault(
                 kind,
-                new Range(at.low(), Math.min(at.high(), seconds)),
+                new NumberRange(at.low(), Math.min(at.high(), seconds)),
                 lasts,
                 share,
                 names,
