--- a/src/main/java/gatefront/rehearsal/plan/Plan.java
+++ b/src/main/java/gatefront/rehearsal/plan/Plan.java
@@ -1,7 +1,7 @@
 package gatefront.rehearsal.plan;
 
 import gatefront.policy.Balancer;
-import gatefront.toml.Range;
+import gatefront.toml.NumberRange;
 import java.util.List;
 
 /**
@@ -36,7 +36,8 @@
         List<Tenant> tenants,
         List<Fault> faults) {
     /** One way in milliseconds, its relative jitter, the speed of each link, and what is spoken on them. */
-    public record Net(double clientMs, double sameMs, Range crossMs, double jitter, double megabits, String protocol) {}
+    public record Net(
+            double clientMs, double sameMs, NumberRange crossMs, double jitter, double megabits, String protocol) {}
 
     /** How many agents there are and what each may hold. */
     public record Agents(int count, int sockets, int memoryMb, double skew) {}
@@ -44,28 +45,35 @@
     /** The nodos. Each draws its own cold start from the ranges; agents are told the worst of both. */
     public record Nodos(
             int count,
-            Range bloque,
-            Range limited,
-            Range limit,
-            Range coldFrom,
-            Range coldSeconds,
-            Range reportMs,
+            NumberRange bloque,
+            NumberRange limited,
+            NumberRange limit,
+            NumberRange coldFrom,
+            NumberRange coldSeconds,
+            NumberRange reportMs,
             double noise,
-            Range probeMs,
-            Range connectionMs,
+            NumberRange probeMs,
+            NumberRange connectionMs,
             int connections,
             double idleSeconds,
             List<Machine> kinds) {}
 
     /** A kind of machine. */
     public record Machine(
-            String name, double share, int cores, Range speed, int slots, int room, double thrash, double thrashAt) {}
+            String name,
+            double share,
+            int cores,
+            NumberRange speed,
+            int slots,
+            int room,
+            double thrash,
+            double thrashAt) {}
 
     /** What the rules say. */
     public record Rules(double slackMs, double drainMs, double fallMultiple, double fallSeconds, int maxAttempts) {}
 
     /** How late the padrón tells, how many calls a second it can take (0 for any number), and what stands for it. */
-    public record Registry(Range noticeSeconds, double callsPerSecond, String source) {}
+    public record Registry(NumberRange noticeSeconds, double callsPerSecond, String source) {}
 
     /** The callers. */
     public record Callers(
@@ -73,7 +81,7 @@
             int retries,
             double backoffMs,
             double honour,
-            Range tryShare,
+            NumberRange tryShare,
             double hintError,
             boolean marksRetry,
             double retryAfterMs) {}
@@ -85,7 +93,7 @@
             Balancer.Scope scope,
             double windowMs,
             double share,
-            Range workMs,
+            NumberRange workMs,
             double variation,
             double aimMs,
             double giveUpMs,
--- a/src/main/java/gatefront/rehearsal/plan/PlanReader.java
+++ b/src/main/java/gatefront/rehearsal/plan/PlanReader.java
@@ -2,10 +2,10 @@
 
 import gatefront.policy.Balancer.Scope;
 import gatefront.policy.Balancer.Semantics;
-import gatefront.toml.Range;
-import gatefront.toml.Table;
+import gatefront.toml.NumberRange;
 import gatefront.toml.TomlException;
 import gatefront.toml.TomlFile;
+import gatefront.toml.TomlTable;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -90,7 +90,7 @@
         return new PlanReader(file).plan(TomlFile.parse(file, text));
     }
 
-    private Plan plan(Table top) throws TomlException {
+    private Plan plan(TomlTable top) throws TomlException {
         String name = top.text("name", null);
         double seconds = top.number("seconds", null, 1, 86_400);
         List<String> zones = top.texts("zones");
@@ -101,20 +101,20 @@
         Plan.Agents agents = agents(top.table("agents"));
         Plan.Nodos nodos = nodos(top.table("nodos"));
         Plan.Rules rules = rules(top.table("rules"));
-        Table list = top.table("padron");
+        TomlTable list = top.table("padron");
         Plan.Registry padron = new Plan.Registry(
-                list.range("notice_s", new Range(0.5, 2), 0, 60),
+                list.range("notice_s", new NumberRange(0.5, 2), 0, 60),
                 list.number("calls_s", 0.0, 0, 1e6),
                 list.word("source", "padron", SOURCES));
         List<Plan.Kind> classes = classes(top);
         Plan.Callers callers = callers(top.table("callers"), classes);
         List<Plan.Tenant> tenants = new ArrayList<>();
-        for (Table each : top.tables("tenants")) {
+        for (TomlTable each : top.tables("tenants")) {
             tenants.add(new Plan.Tenant(each.text("name", null), each.number("share", null, 0, MANY)));
         }
         distinct(top, "tenants", tenants.stream().map(Plan.Tenant::name).toList());
         List<Fault> faults = new ArrayList<>();
-        for (Table each : top.tables("faults")) {
+        for (TomlTable each : top.tables("faults")) {
             Fault fault = fault(each, seconds, agents.count(), nodos.count(), zones);
             if (fault.kind().ofRegistry() && padron.source().equals("padron")) {
                 throw each.bad(
@@ -139,7 +139,7 @@
                 List.copyOf(faults));
     }
 
-    private static void distinct(Table table, String key, List<String> names) throws TomlException {
+    private static void distinct(TomlTable table, String key, List<String> names) throws TomlException {
         Set<String> seen = new HashSet<>();
         for (String each : names) {
             if (!seen.add(each)) {
@@ -151,17 +151,17 @@
         }
     }
 
-    private static Plan.Net network(Table t) throws TomlException {
+    private static Plan.Net network(TomlTable t) throws TomlException {
         return new Plan.Net(
                 t.number("client_ms", 0.3, 0, 1000),
                 t.number("same_ms", 0.3, 0, 1000),
-                t.range("cross_ms", new Range(2, 2), 0, 1000),
+                t.range("cross_ms", new NumberRange(2, 2), 0, 1000),
                 t.number("jitter", 0.2, 0, 1),
                 t.number("megabits", 1000.0, 0.1, 1e6),
                 t.word("protocol", "http", PROTOCOLS));
     }
 
-    private static Plan.Agents agents(Table t) throws TomlException {
+    private static Plan.Agents agents(TomlTable t) throws TomlException {
         return new Plan.Agents(
                 t.whole("count", 5, 1, COUNT_MOST),
                 t.whole("sockets", 384, 64, 1 << 20),
@@ -169,15 +169,15 @@
                 t.number("skew", 0.5, 0, 3));
     }
 
-    private static Plan.Nodos nodos(Table t) throws TomlException {
+    private static Plan.Nodos nodos(TomlTable t) throws TomlException {
         List<Plan.Machine> kinds = new ArrayList<>();
-        for (Table each : t.tables("kinds")) {
+        for (TomlTable each : t.tables("kinds")) {
             int cores = each.whole("cores", 2, 1, 1024);
             kinds.add(new Plan.Machine(
                     each.text("name", null),
                     each.number("share", 1.0, 0, MANY),
                     cores,
-                    each.range("speed", new Range(1, 1), 0.01, 100),
+                    each.range("speed", new NumberRange(1, 1), 0.01, 100),
                     each.whole("slots", 2 * cores, 1, 100_000),
                     each.whole("room", 16 * cores, 0, 1_000_000),
                     each.number("thrash", 0.0, 0, 10),
@@ -186,21 +186,21 @@
         distinct(t, "kinds", kinds.stream().map(Plan.Machine::name).toList());
         return new Plan.Nodos(
                 t.whole("count", 14, 1, COUNT_MOST),
-                t.range("bloque", new Range(6, 10), 1, 10_000),
-                t.range("limited", new Range(0, 0), 0, 1),
-                t.range("limit", new Range(0.6, 0.6), 0.01, 1),
-                t.range("cold_from", new Range(0.13, 0.13), 0.01, 1),
-                t.range("cold_s", new Range(24, 24), 0.1, 3600),
-                t.range("report_ms", new Range(330, 980), 1, 60_000),
+                t.range("bloque", new NumberRange(6, 10), 1, 10_000),
+                t.range("limited", new NumberRange(0, 0), 0, 1),
+                t.range("limit", new NumberRange(0.6, 0.6), 0.01, 1),
+                t.range("cold_from", new NumberRange(0.13, 0.13), 0.01, 1),
+                t.range("cold_s", new NumberRange(24, 24), 0.1, 3600),
+                t.range("report_ms", new NumberRange(330, 980), 1, 60_000),
                 t.number("noise", 0.1, 0, 1),
-                t.range("probe_ms", new Range(0.51, 1), 0, 1000),
-                t.range("connection_ms", new Range(1, 1), 0, 1000),
+                t.range("probe_ms", new NumberRange(0.51, 1), 0, 1000),
+                t.range("connection_ms", new NumberRange(1, 1), 0, 1000),
                 t.whole("connections", 200, 1, 1 << 20),
                 t.number("idle_s", 60.0, 0.1, 3600),
                 kinds);
     }
 
-    private static Plan.Rules rules(Table t) throws TomlException {
+    private static Plan.Rules rules(TomlTable t) throws TomlException {
         return new Plan.Rules(
                 t.number("slack_ms", 20.0, 0, 10_000),
                 t.number("drain_ms", 500.0, 0, 60_000),
@@ -209,21 +209,21 @@
                 t.whole("max_attempts", 6, 1, 60));
     }
 
-    private static Plan.Callers callers(Table t, List<Plan.Kind> classes) throws TomlException {
+    private static Plan.Callers callers(TomlTable t, List<Plan.Kind> classes) throws TomlException {
         return new Plan.Callers(
                 t.number("rate", null, 0.01, 1e6),
                 t.whole("retries", 2, 0, 20),
                 t.number("backoff_ms", 50.0, 1, 60_000),
                 t.number("honour", 0.8, 0, 1),
-                t.range("try_share", new Range(0.5, 0.8), 0.05, 1),
+                t.range("try_share", new NumberRange(0.5, 0.8), 0.05, 1),
                 t.number("hint_error", 0.4, 0, 5),
                 t.flag("marks_retry", true),
                 t.number("retry_after_ms", 1000.0, 0, 60_000));
     }
 
-    private static List<Plan.Kind> classes(Table top) throws TomlException {
+    private static List<Plan.Kind> classes(TomlTable top) throws TomlException {
         List<Plan.Kind> classes = new ArrayList<>();
-        for (Table t : top.tables("classes")) {
+        for (TomlTable t : top.tables("classes")) {
             Semantics semantics = Semantics.valueOf(
                     t.word("repeats", null, List.of("safe", "keyed", "unsafe")).toUpperCase(Locale.ROOT));
             boolean keyed = semantics == Semantics.KEYED;
@@ -256,12 +256,13 @@
     }
 
     /** Reads one fault of the world. */
-    public static Fault fault(Table t, double seconds, int agents, int nodos, List<String> zones) throws TomlException {
+    public static Fault fault(TomlTable t, double seconds, int agents, int nodos, List<String> zones)
+            throws TomlException {
         List<String> words =
                 Arrays.stream(Fault.Kind.values()).map(Fault.Kind::word).toList();
         String word = t.word("kind", null, words);
         Fault.Kind kind = Fault.Kind.values()[words.indexOf(word)];
-        Range at = t.range("at_s", null, 0, seconds);
+        NumberRange at = t.range("at_s", null, 0, seconds);
         List<String> names = t.texts("names");
         if (kind.whom() == Fault.Kind.Whom.NOBODY && (t.has("names") || t.has("share"))) {
             throw t.bad(t.has("names") ? "names" : "share", "means nothing for " + word + ": it meets all");
@@ -273,7 +274,7 @@
                 throw t.bad("names", "\"" + name + "\" is none of " + prefix + "1 to " + prefix + most);
             }
         }
-        Range size = kind.sized() ? t.range("size", null, 0, 1000) : new Range(1, 1);
+        NumberRange size = kind.sized() ? t.range("size", null, 0, 1000) : new NumberRange(1, 1);
         boolean part = kind == Fault.Kind.FAIL
                 || kind == Fault.Kind.TAKEN
                 || kind == Fault.Kind.BREAK_OFF
@@ -301,12 +302,12 @@
         return new Fault(
                 kind,
                 at,
-                t.range("for_s", new Range(10, 10), 0, 86_400),
+                t.range("for_s", new NumberRange(10, 10), 0, 86_400),
                 t.number("share", zone < 0 ? 0.25 : 1, 0, 1),
                 names,
                 size,
-                kind == Fault.Kind.TAKEN ? t.range("every_s", new Range(2, 4), 0.1, 3600) : new Range(1, 1),
+                kind == Fault.Kind.TAKEN ? t.range("every_s", new NumberRange(2, 4), 0.1, 3600) : new NumberRange(1, 1),
                 zone,
-                t.range("spread_s", new Range(0, 0), 0, 3600));
+                t.range("spread_s", new NumberRange(0, 0), 0, 3600));
     }
 }
--- a/src/main/java/gatefront/rehearsal/plan/PlanWriter.java
+++ b/src/main/java/gatefront/rehearsal/plan/PlanWriter.java
@@ -1,7 +1,7 @@
 package gatefront.rehearsal.plan;
 
 import gatefront.policy.Balancer.Semantics;
-import gatefront.toml.Range;
+import gatefront.toml.NumberRange;
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.Collectors;
@@ -141,7 +141,7 @@
     }
 
     private void put(String key, Object value) {
-        String text = value instanceof Range range
+        String text = value instanceof NumberRange range
                 ? range.low() == range.high()
                         ? number(range.low())
                         : "[" + number(range.low()) + ", " + number(range.high()) + "]"
--- a/src/main/java/gatefront/rehearsal/processes/Chronicle.java
+++ b/src/main/java/gatefront/rehearsal/processes/EventHistory.java
@@ -13,14 +13,14 @@
  * The history of a rehearsal: what was asked, done and seen, a line of JSON each, in the order in which the rig learned
  * of it; {@code at} is the second of the day at which it was. Written by one loop.
  */
-public final class Chronicle implements Closeable {
+public final class EventHistory implements Closeable {
     private static final double MICROS = 1e6;
 
     private final JsonGenerator to;
     private long opensAt;
 
     /** Written to a file; nowhere where that is null. */
-    public Chronicle(Path file) throws IOException {
+    public EventHistory(Path file) throws IOException {
         Writer writer = file == null ? Writer.nullWriter() : Files.newBufferedWriter(file);
         to = new JsonFactory().createGenerator(writer);
         to.setRootValueSeparator(new com.fasterxml.jackson.core.io.SerializedString("\n"));
--- a/src/main/java/gatefront/rehearsal/processes/Folders.java
+++ b/src/main/java/gatefront/rehearsal/processes/FolderFaults.java
@@ -12,8 +12,8 @@
 import java.util.stream.Stream;
 
 /** What can become of a folder while nobody is there who would notice. */
-public final class Folders {
-    private Folders() {}
+public final class FolderFaults {
+    private FolderFaults() {}
 
     /** Removes a folder with all that is in it. */
     public static void remove(Path folder) throws IOException {
--- a/src/main/java/gatefront/rehearsal/processes/Shape.java
+++ b/src/main/java/gatefront/rehearsal/processes/LinkConditions.java
@@ -7,9 +7,9 @@
  * @param delayMicros by how much later they arrive
  * @param bytesASecond how many pass in a second; 0 for any number
  */
-public record Shape(boolean held, long delayMicros, long bytesASecond) {
+public record LinkConditions(boolean held, long delayMicros, long bytesASecond) {
     /** As if there were nothing in between. */
-    public static final Shape CLEAR = new Shape(false, 0, 0);
+    public static final LinkConditions CLEAR = new LinkConditions(false, 0, 0);
     /** Nothing passes. */
-    public static final Shape HELD = new Shape(true, 0, 0);
+    public static final LinkConditions HELD = new LinkConditions(true, 0, 0);
 }
--- a/src/main/java/gatefront/rehearsal/processes/Lateness.java
+++ b/src/main/java/gatefront/rehearsal/processes/LoopLateness.java
@@ -11,7 +11,7 @@
  *
  * <p>State: spells of lateness, the oldest dropped beyond {@link #KEPT}; the worst is kept for good.
  */
-public final class Lateness {
+public final class LoopLateness {
     private static final long TICK = 2_000;
     /** Less is what any timer has. */
     private static final long LEAST = 3_000;
--- a/src/main/java/gatefront/rehearsal/processes/ProcessFault.java
+++ b/src/main/java/gatefront/rehearsal/processes/ProcessFault.java
@@ -1,6 +1,6 @@
 package gatefront.rehearsal.processes;
 
-import gatefront.toml.Range;
+import gatefront.toml.NumberRange;
 import java.util.List;
 import java.util.Locale;
 
@@ -24,18 +24,18 @@
  */
 public record ProcessFault(
         Kind kind,
-        Range at,
-        Range lasts,
+        NumberRange at,
+        NumberRange lasts,
         double share,
         List<String> names,
-        Range spread,
+        NumberRange spread,
         State state,
         double clock,
         int disk,
         double saved,
         Links links,
         Direction direction,
-        Range size,
+        NumberRange size,
         List<String> nodos) {
     /** What may happen. */
     public enum Kind {
--- a/src/main/java/gatefront/rehearsal/processes/ProcessPlanReader.java
+++ b/src/main/java/gatefront/rehearsal/processes/ProcessPlanReader.java
@@ -7,10 +7,10 @@
 import gatefront.rehearsal.processes.ProcessFault.Kind;
 import gatefront.rehearsal.processes.ProcessFault.Links;
 import gatefront.rehearsal.processes.ProcessFault.State;
-import gatefront.toml.Range;
-import gatefront.toml.Table;
+import gatefront.toml.NumberRange;
 import gatefront.toml.TomlException;
 import gatefront.toml.TomlFile;
+import gatefront.toml.TomlTable;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -47,7 +47,7 @@
 
     /** Reads a plan's text. */
     public static ProcessPlan parse(String file, String text, Integer asked) throws TomlException {
-        Table top = TomlFile.parse(file, text);
+        TomlTable top = TomlFile.parse(file, text);
         String name = top.text("name", null);
         String base = top.word("day", "processes", List.of("processes"));
         double seconds = top.number("seconds", null, 2, 3_600);
@@ -64,7 +64,7 @@
                 .withSeconds(seconds);
         sized = sized.withRate(sized.callers().rate() * load);
         List<Fault> world = new ArrayList<>();
-        for (Table each : top.tables("world")) {
+        for (TomlTable each : top.tables("world")) {
             Fault fault = PlanReader.fault(
                     each, seconds, sized.agents().count(), sized.nodos().count(), sized.zones());
             if (fault.kind().whom() == Fault.Kind.Whom.AGENTS || fault.kind().ofRegistry()) {
@@ -73,14 +73,14 @@
             world.add(fault);
         }
         List<ProcessFault> faults = new ArrayList<>();
-        for (Table each : top.tables("faults")) {
+        for (TomlTable each : top.tables("faults")) {
             faults.add(fault(each, seconds, sized));
         }
         top.finish();
         return new ProcessPlan(name, sized.with(world), keeps, List.copyOf(faults));
     }
 
-    private static ProcessFault fault(Table t, double seconds, Plan day) throws TomlException {
+    private static ProcessFault fault(TomlTable t, double seconds, Plan day) throws TomlException {
         Kind kind = word(t, "kind", null, Kind.values());
         List<String> names = names(t, "names", "agent-", day.agents().count());
         List<String> nodos = names(t, "nodos", "nodo-", day.nodos().count());
@@ -114,26 +114,26 @@
                             ? "is missing; it is the second of which the older copy is"
                             : "goes with state = \"older\"");
         }
-        Range at = t.range("at_s", null, 0, seconds);
+        NumberRange at = t.range("at_s", null, 0, seconds);
         double saved = t.number("saved_s", 0.0, 0, at.low());
         return new ProcessFault(
                 kind,
                 at,
-                t.range("for_s", new Range(0, 0), 0, seconds),
+                t.range("for_s", new NumberRange(0, 0), 0, seconds),
                 t.number("share", names.isEmpty() ? 1.0 : 0.0, 0, 1),
                 names,
-                t.range("spread_s", new Range(0, 0), 0, 3600),
+                t.range("spread_s", new NumberRange(0, 0), 0, 3600),
                 state,
                 t.number("clock_s", 0.0, -DAYS, DAYS),
                 t.whole("disk_kb", 0, 0, 1 << 20),
                 saved,
                 word(t, "links", Links.ALL, Links.values()),
                 word(t, "direction", Direction.BOTH, Direction.values()),
-                kind.sized() ? t.range("size", null, 0.001, 1e6) : new Range(1, 1),
+                kind.sized() ? t.range("size", null, 0.001, 1e6) : new NumberRange(1, 1),
                 nodos);
     }
 
-    private static List<String> names(Table t, String key, String prefix, int most) throws TomlException {
+    private static List<String> names(TomlTable t, String key, String prefix, int most) throws TomlException {
         List<String> names = t.texts(key);
         for (String name : names) {
             if (!name.matches(prefix + "[1-9][0-9]{0,5}") || Integer.parseInt(name.substring(prefix.length())) > most) {
@@ -143,7 +143,7 @@
         return names;
     }
 
-    private static <E extends Enum<E>> E word(Table t, String key, E otherwise, E[] all) throws TomlException {
+    private static <E extends Enum<E>> E word(TomlTable t, String key, E otherwise, E[] all) throws TomlException {
         List<String> words = Arrays.stream(all)
                 .map(each -> each.name().toLowerCase(Locale.ROOT).replace('_', '-'))
                 .toList();
--- a/src/main/java/gatefront/rehearsal/processes/Warden.java
+++ b/src/main/java/gatefront/rehearsal/processes/ProcessReaper.java
@@ -17,18 +17,18 @@
  * them over its input, which ends with whoever wrote to it. A process is known by its id and the time of its start,
  * since ids are given again.
  */
-public final class Warden implements Closeable {
+public final class ProcessReaper implements Closeable {
     private final Process process;
     private final PrintStream tell;
 
-    private Warden(Process process) {
+    private ProcessReaper(Process process) {
         this.process = process;
         this.tell = new PrintStream(process.getOutputStream(), true, StandardCharsets.US_ASCII);
     }
 
     /** Starts one. */
-    public static Warden start() throws IOException {
-        return new Warden(new ProcessBuilder(
+    public static ProcessReaper start() throws IOException {
+        return new ProcessReaper(new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-XX:+UseSerialGC",
                         "-XX:TieredStopAtLevel=1",
@@ -36,7 +36,7 @@
                         "-Xss256k",
                         "-cp",
                         System.getProperty("java.class.path"),
-                        Warden.class.getName())
+                        ProcessReaper.class.getName())
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start());
--- a/src/main/java/gatefront/rehearsal/processes/Relay.java
+++ b/src/main/java/gatefront/rehearsal/processes/Relay.java
@@ -50,7 +50,7 @@
     private final EventLoop loop;
     private final InetSocketAddress target;
     private final Channel server;
-    private final Shape[] shapes = {Shape.CLEAR, Shape.CLEAR};
+    private final LinkConditions[] shapes = {LinkConditions.CLEAR, LinkConditions.CLEAR};
     /** Connections through it; each removes itself when both of its ends have closed. */
     private final Set<Pair> pairs = new LinkedHashSet<>();
 
@@ -102,13 +102,13 @@
     }
 
     /** Shapes one direction, from now on; from any thread. */
-    public void shape(Way way, Shape shape) {
-        if (shape != Shape.CLEAR) {
+    public void shape(Way way, LinkConditions shape) {
+        if (shape != LinkConditions.CLEAR) {
             clear = false;
         }
         loop.execute(() -> {
             shapes[way.ordinal()] = shape;
-            clear = shapes[0] == Shape.CLEAR && shapes[1] == Shape.CLEAR;
+            clear = shapes[0] == LinkConditions.CLEAR && shapes[1] == LinkConditions.CLEAR;
             List.copyOf(pairs).forEach(Pair::go);
         });
     }
@@ -229,7 +229,7 @@
         /** One of its ends, and what has been read there and not yet been written to the other. */
         private final class End extends ChannelInboundHandlerAdapter {
             private final Way way;
-            private final Conduit conduit = new Conduit();
+            private final TrafficShaper conduit = new TrafficShaper();
             private final Deque<Piece> queue = new ArrayDeque<>();
             private Channel channel;
             private int queued;
--- a/src/main/java/gatefront/rehearsal/processes/Timeline.java
+++ b/src/main/java/gatefront/rehearsal/processes/StartTimeline.java
@@ -10,7 +10,7 @@
  * How starts of agents went, seen from outside: from the start of the process until it listened, said that it was
  * ready, and gave its first answer in service. One loop owns it; an entry for each agent, replaced by its next start.
  */
-public final class Timeline {
+public final class StartTimeline {
     /** What is reached on the way. */
     public enum Mark {
         /** Its line that it listens has come. */
--- a/src/main/java/gatefront/rehearsal/registry/ConsulStand.java
+++ b/src/main/java/gatefront/rehearsal/registry/ConsulStandIn.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gatefront.rehearsal.world.KeyValues;
+import gatefront.rehearsal.world.KeyValueStore;
 import gatefront.transport.Transport;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -28,7 +28,7 @@
 import java.util.function.Supplier;
 
 /** A member of Consul as far as its key-value store is read: recursive reads that may wait behind an index. */
-public final class ConsulStand extends RegistryStand {
+public final class ConsulStandIn extends RegistryStandIn {
     private static final long WAIT_MS = 300_000;
 
     /** Waiting reads, each removed when it is answered or its connection closes. */
@@ -38,7 +38,7 @@
     private long lastContact;
 
     /** One that serves a store, which the supplier may replace. */
-    public ConsulStand(Transport transport, Supplier<KeyValues> store) {
+    public ConsulStandIn(Transport transport, Supplier<KeyValueStore> store) {
         super(transport, store);
     }
 
@@ -128,10 +128,10 @@
             }
             waiting.remove(this);
             call++;
-            List<KeyValues.Kv> all = store().range(prefix, KeyValues.behind(prefix), at);
+            List<KeyValueStore.Kv> all = store().range(prefix, KeyValueStore.behind(prefix), at);
             Map<String, String> values = new LinkedHashMap<>();
             ArrayNode root = JsonNodeFactory.instance.arrayNode();
-            for (KeyValues.Kv each : all) {
+            for (KeyValueStore.Kv each : all) {
                 values.put(each.key(), each.value());
                 if (health) {
                     instance(root.addObject(), each);
@@ -153,7 +153,7 @@
         }
 
         /** An instance, from a key {@code SERVICE/ID} that holds address, zone and the state of its check. */
-        private void instance(ObjectNode root, KeyValues.Kv kv) {
+        private void instance(ObjectNode root, KeyValueStore.Kv kv) {
             String[] held = kv.value().split(" ");
             root.putObject("Node").put("Address", "127.0.0.1");
             ObjectNode service = root.putObject("Service")
--- a/src/main/java/gatefront/rehearsal/registry/EtcdStand.java
+++ b/src/main/java/gatefront/rehearsal/registry/EtcdStandIn.java
@@ -3,7 +3,7 @@
 import com.google.protobuf.CodedInputStream;
 import com.google.protobuf.WireFormat;
 import gatefront.registry.Protobuf;
-import gatefront.rehearsal.world.KeyValues;
+import gatefront.rehearsal.world.KeyValueStore;
 import gatefront.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -32,7 +32,7 @@
  * A member of etcd, version 3, as far as a follower needs one: Range, Watch and Authenticate over gRPC, by the field
  * numbers of its public interface.
  */
-public final class EtcdStand extends RegistryStand {
+public final class EtcdStandIn extends RegistryStandIn {
     private static final int STATUS_OK = 0;
     private static final int STATUS_INVALID = 3;
     private static final int STATUS_EXHAUSTED = 8;
@@ -49,30 +49,30 @@
     private Runnable betweenPages = () -> {};
 
     /** One that serves a store, which the supplier may replace. */
-    public EtcdStand(Transport transport, Supplier<KeyValues> store) {
+    public EtcdStandIn(Transport transport, Supplier<KeyValueStore> store) {
         super(transport, store);
     }
 
     /** How many events a message holds at the most; more come in fragments. */
-    public EtcdStand fragment(int most) {
+    public EtcdStandIn fragment(int most) {
         fragment = most;
         return this;
     }
 
     /** Whether each message of a watch begins with what has been told before. */
-    public EtcdStand repeats(boolean now) {
+    public EtcdStandIn repeats(boolean now) {
         repeats = now;
         return this;
     }
 
     /** Calls need the token that a user gets for this password; see {@link #secret} for the token. */
-    public EtcdStand password(String needed) {
+    public EtcdStandIn password(String needed) {
         password = needed;
         return this;
     }
 
     /** Has something happen before each further page of a read. */
-    public EtcdStand betweenPages(Runnable what) {
+    public EtcdStandIn betweenPages(Runnable what) {
         betweenPages = what;
         return this;
     }
@@ -110,7 +110,7 @@
         });
     }
 
-    private static byte[] keyValue(KeyValues.Kv kv) {
+    private static byte[] keyValue(KeyValueStore.Kv kv) {
         return Protobuf.message(out -> {
             out.writeByteArray(1, kv.key().getBytes(StandardCharsets.UTF_8));
             out.writeInt64(2, kv.created());
@@ -237,11 +237,11 @@
                                 : "etcdserver: mvcc: required revision is a future revision");
                 return;
             }
-            List<KeyValues.Kv> all = store().range(from, to, revision);
+            List<KeyValueStore.Kv> all = store().range(from, to, revision);
             int most = limit == 0 ? all.size() : Math.min(limit, all.size());
             send(Protobuf.message(out -> {
                 out.writeByteArray(1, header(member));
-                for (KeyValues.Kv each : all.subList(0, most)) {
+                for (KeyValueStore.Kv each : all.subList(0, most)) {
                     out.writeByteArray(2, keyValue(each));
                 }
                 out.writeBool(3, all.size() > most);
@@ -284,7 +284,7 @@
             if (isSilent() || !watching.contains(this) || told >= revision()) {
                 return;
             }
-            List<KeyValues.Event> news = store().since(from, to, told);
+            List<KeyValueStore.Event> news = store().since(from, to, told);
             if (news == null) {
                 watching.remove(this);
                 send(watched(0, revision(), out -> {
@@ -294,7 +294,7 @@
                 return;
             }
             long until = revision();
-            List<KeyValues.Event> due =
+            List<KeyValueStore.Event> due =
                     news.stream().filter(each -> each.revision() <= until).toList();
             if (repeats && !due.isEmpty() && store().since(from, to, told - 2) != null) {
                 due = store().since(from, to, told - 2).stream()
@@ -305,13 +305,13 @@
             wrote(ctx.channel(), false, Map.of(), until);
             for (int at = 0; at < due.size(); ) {
                 int end = (int) Math.min(due.size(), (long) at + fragment);
-                List<KeyValues.Event> part = due.subList(at, end);
+                List<KeyValueStore.Event> part = due.subList(at, end);
                 boolean more = end < due.size();
                 send(watched(0, until, out -> {
                     if (more) {
                         out.writeBool(7, true);
                     }
-                    for (KeyValues.Event each : part) {
+                    for (KeyValueStore.Event each : part) {
                         out.writeByteArray(11, event(each));
                     }
                 }));
@@ -331,7 +331,7 @@
             });
         }
 
-        private byte[] event(KeyValues.Event each) {
+        private byte[] event(KeyValueStore.Event each) {
             return Protobuf.message(out -> {
                 if (each.after() == null) {
                     out.writeEnum(1, 1);
@@ -341,7 +341,7 @@
                         keyValue(
                                 each.after() != null
                                         ? each.after()
-                                        : new KeyValues.Kv(each.key(), "", 0, each.revision())));
+                                        : new KeyValueStore.Kv(each.key(), "", 0, each.revision())));
             });
         }
 
--- a/src/main/java/gatefront/rehearsal/registry/RegistryStand.java
+++ b/src/main/java/gatefront/rehearsal/registry/RegistryStandIn.java
@@ -1,6 +1,6 @@
 package gatefront.rehearsal.registry;
 
-import gatefront.rehearsal.world.KeyValues;
+import gatefront.rehearsal.world.KeyValueStore;
 import gatefront.transport.Transport;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -16,7 +16,7 @@
 import java.util.function.Supplier;
 
 /** One member of a stand-in registry: what both kinds can be made to do. */
-public abstract class RegistryStand {
+public abstract class RegistryStandIn {
     /** Hears what is told to whoever asks here. */
     public interface Telling {
         /**
@@ -30,7 +30,7 @@
     }
 
     private final Transport transport;
-    private final Supplier<KeyValues> store;
+    private final Supplier<KeyValueStore> store;
     /** Connections, each removed when it closes. */
     private final Set<Channel> open = new LinkedHashSet<>();
 
@@ -50,7 +50,7 @@
     private int reads;
     private int watches;
 
-    RegistryStand(Transport transport, Supplier<KeyValues> store) {
+    RegistryStandIn(Transport transport, Supplier<KeyValueStore> store) {
         this.transport = transport;
         this.store = store;
     }
@@ -181,7 +181,7 @@
         return transport;
     }
 
-    final KeyValues store() {
+    final KeyValueStore store() {
         return store.get();
     }
 
--- a/src/main/java/gatefront/rehearsal/world/Demand.java
+++ b/src/main/java/gatefront/rehearsal/world/Demand.java
@@ -30,7 +30,7 @@
      */
     public record Want(long number, long at, int kind, int tenant, int agent, double work, long hint) {}
 
-    private final Draw draw;
+    private final RandomStream draw;
     private final List<Kind> kinds;
     private final double[] kindShares;
     private final double[] tenantShares;
@@ -53,7 +53,7 @@
      * @param jumps when the rate is another
      */
     public Demand(
-            Draw draw,
+            RandomStream draw,
             double ratePerSecond,
             List<Kind> kinds,
             double[] tenantShares,
--- a/src/main/java/gatefront/rehearsal/world/Repeats.java
+++ b/src/main/java/gatefront/rehearsal/world/IdempotencyWindow.java
@@ -9,7 +9,7 @@
  * happens once, whichever of them runs first. An entry goes when its window is over, at the next look; there are
  * no more than the requests of one window.
  */
-public final class Repeats {
+public final class IdempotencyWindow {
     /** One key in its window. */
     public static final class Entry {
         private final long until;
@@ -36,7 +36,7 @@
     private final Map<String, Entry> seen = new LinkedHashMap<>();
 
     /** Remembers for so many microseconds. */
-    public Repeats(long window) {
+    public IdempotencyWindow(long window) {
         this.window = window;
     }
 
--- a/src/main/java/gatefront/rehearsal/world/KeyValues.java
+++ b/src/main/java/gatefront/rehearsal/world/KeyValueStore.java
@@ -9,7 +9,7 @@
  * The state of a key-value registry: each transaction makes one revision, and earlier ones can be read and followed
  * until they are compacted. Bounded by its compactions, which are the user's to ask for.
  */
-public final class KeyValues {
+public final class KeyValueStore {
     /** A key as of a revision. */
     public record Kv(String key, String value, long created, long modified) {}
 
@@ -23,11 +23,11 @@
     private long compacted;
 
     /** An empty one, whose revisions are those of a history of this number. */
-    public KeyValues(long history) {
+    public KeyValueStore(long history) {
         this.history = history;
     }
 
-    private KeyValues(KeyValues of) {
+    private KeyValueStore(KeyValueStore of) {
         now.putAll(of.now);
         events.addAll(of.events);
         history = of.history;
@@ -36,8 +36,8 @@
     }
 
     /** As it stands now, to be restored from later. */
-    public KeyValues backup() {
-        return new KeyValues(this);
+    public KeyValueStore backup() {
+        return new KeyValueStore(this);
     }
 
     /** One transaction; a null value deletes. Returns whether it made a revision. */
--- a/src/main/java/gatefront/rehearsal/world/NodoModel.java
+++ b/src/main/java/gatefront/rehearsal/world/NodoModel.java
@@ -64,7 +64,7 @@
     private record Job(long id, double work, double endsAt, long order) {}
 
     private final Machine machine;
-    private final Draw draw;
+    private final RandomStream draw;
     private final PriorityQueue<Job> running =
             new PriorityQueue<>(Comparator.comparingDouble(Job::endsAt).thenComparingLong(Job::order));
     private final Deque<Job> waiting = new ArrayDeque<>();
@@ -95,7 +95,7 @@
      * @param now the time
      * @param cold whether it has to warm up
      */
-    public NodoModel(Machine machine, Draw draw, long now, boolean cold) {
+    public NodoModel(Machine machine, RandomStream draw, long now, boolean cold) {
         this.machine = machine;
         this.draw = draw;
         this.startedAt = now;
--- a/src/main/java/gatefront/rehearsal/world/Draw.java
+++ b/src/main/java/gatefront/rehearsal/world/RandomStream.java
@@ -3,7 +3,7 @@
 import java.util.SplittableRandom;
 
 /** Random numbers of one concern, which follow from the rehearsal's seed and the concern's name alone. */
-public final class Draw {
+public final class RandomStream {
     private final SplittableRandom random;
 
     /**
@@ -12,7 +12,7 @@
      * @param seed the rehearsal's
      * @param concern what it is for
      */
-    public Draw(long seed, String concern) {
+    public RandomStream(long seed, String concern) {
         long mixed = seed * 0x9e3779b97f4a7c15L;
         for (int i = 0; i < concern.length(); i++) {
             mixed = (mixed ^ concern.charAt(i)) * 0xbf58476d1ce4e5b9L;
--- a/src/main/java/gatefront/rehearsal/world/Patience.java
+++ b/src/main/java/gatefront/rehearsal/world/RetryBehavior.java
@@ -5,7 +5,7 @@
  * is asked again after any failure, a keyed one that all nodos know likewise within its window, and any other
  * only after a refusal or when no agent was to be reached.
  */
-public final class Patience {
+public final class RetryBehavior {
     /** How a try ended. */
     public enum Fate {
         /** In time or late. */
@@ -36,7 +36,7 @@
     private final int retries;
     private final double backoffMicros;
     private final double honour;
-    private final Draw draw;
+    private final RandomStream draw;
 
     /**
      * Callers of one day.
@@ -46,7 +46,7 @@
      * @param honour the part that waits as long as a Retry-After says
      * @param draw their random numbers
      */
-    public Patience(int retries, double backoffMicros, double honour, Draw draw) {
+    public RetryBehavior(int retries, double backoffMicros, double honour, RandomStream draw) {
         this.retries = retries;
         this.backoffMicros = backoffMicros;
         this.honour = honour;
--- a/src/main/java/gatefront/status/MemoryWatch.java
+++ b/src/main/java/gatefront/status/MemoryWatch.java
@@ -1,6 +1,6 @@
 package gatefront.status;
 
-import gatefront.budget.Unexplained;
+import gatefront.budget.UnaccountedMemory;
 import gatefront.transport.Transport;
 import java.util.concurrent.TimeUnit;
 
@@ -10,7 +10,7 @@
     private static final long LOOK_SECONDS = 60;
 
     private final Transport transport;
-    private final Unexplained unexplained = new Unexplained(GROWN_MOST);
+    private final UnaccountedMemory unexplained = new UnaccountedMemory(GROWN_MOST);
 
     /** Looks at nothing yet. */
     public MemoryWatch(Transport transport) {
@@ -23,7 +23,7 @@
     }
 
     private void look() {
-        ProcessFigures now = ProcessFigures.now();
+        ProcessMetrics now = ProcessMetrics.now();
         long grown = unexplained.seen(now.resident(), now.heapTaken(), now.buffers());
         if (grown > 0) {
             transport.log("memory: the process has grown by " + (grown >> 20) + " MiB that neither heap nor buffers "
--- a/src/main/java/gatefront/status/CallServer.java
+++ b/src/main/java/gatefront/status/OperatorHttpServer.java
@@ -27,7 +27,7 @@
 import java.util.function.Consumer;
 
 /** HTTP/1.1 for staff: one call a connection, a bound on connections, a time for a call that does not end. */
-public abstract class CallServer {
+public abstract class OperatorHttpServer {
     private static final int BODY_MAX = 1 << 10;
 
     /** An answer: its status, the type of its text, the text. */
@@ -55,7 +55,7 @@
      * @param connectionsMost open at the most; the oldest then ends, for its caller has had the most time
      * @param patienceMs a call not ended by then is cut off
      */
-    protected CallServer(Transport transport, InetSocketAddress listen, int connectionsMost, long patienceMs) {
+    protected OperatorHttpServer(Transport transport, InetSocketAddress listen, int connectionsMost, long patienceMs) {
         this.transport = transport;
         this.listen = listen;
         this.connectionsMost = connectionsMost;
--- a/src/main/java/gatefront/status/ProcessFigures.java
+++ b/src/main/java/gatefront/status/ProcessMetrics.java
@@ -17,16 +17,16 @@
  * @param resident bytes of memory in use; -1 where the system does not tell
  * @param descriptors open ones; -1 where the system does not tell
  */
-public record ProcessFigures(
+public record ProcessMetrics(
         long heapUsed, long heapTaken, long heapMost, long buffers, long resident, long descriptors) {
     private static final Path MEMORY = Path.of("/proc/self/statm");
     private static final Path DESCRIPTORS = Path.of("/proc/self/fd");
     private static final long PAGE = 4_096;
 
     /** As they are now. */
-    public static ProcessFigures now() {
+    public static ProcessMetrics now() {
         Runtime jvm = Runtime.getRuntime();
-        return new ProcessFigures(
+        return new ProcessMetrics(
                 jvm.totalMemory() - jvm.freeMemory(),
                 jvm.totalMemory(),
                 jvm.maxMemory(),
--- a/src/main/java/gatefront/status/StatusFront.java
+++ b/src/main/java/gatefront/status/StatusEndpoint.java
@@ -1,6 +1,6 @@
 package gatefront.status;
 
-import gatefront.budget.Budget;
+import gatefront.budget.ResourceBudget;
 import gatefront.transport.Transport;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpMethod;
@@ -8,14 +8,14 @@
 import java.util.function.Consumer;
 
 /** Answers {@code GET /status} and {@code GET /status.json}, one request a connection. */
-public final class StatusFront extends CallServer {
+public final class StatusEndpoint extends OperatorHttpServer {
     private static final int CONNECTIONS_MOST = 4;
     private static final long PATIENCE_MS = 2_000;
 
-    private final Budget budget;
+    private final ResourceBudget budget;
 
     /** Listens to nobody yet. */
-    public StatusFront(Transport transport, InetSocketAddress listen, Budget budget) {
+    public StatusEndpoint(Transport transport, InetSocketAddress listen, ResourceBudget budget) {
         super(transport, listen, CONNECTIONS_MOST, PATIENCE_MS);
         this.budget = budget;
     }
@@ -31,7 +31,7 @@
             return Reply.plain(404, "there are /status and /status.json\n");
         }
         return json
-                ? new Reply(200, "application/json", StatusPage.json(budget, ProcessFigures.now()) + "\n")
-                : Reply.plain(200, StatusPage.text(budget, ProcessFigures.now()));
+                ? new Reply(200, "application/json", StatusPage.json(budget, ProcessMetrics.now()) + "\n")
+                : Reply.plain(200, StatusPage.text(budget, ProcessMetrics.now()));
     }
 }
--- a/src/main/java/gatefront/status/StatusPage.java
+++ b/src/main/java/gatefront/status/StatusPage.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gatefront.budget.Account;
-import gatefront.budget.Budget;
-import gatefront.budget.Purpose;
+import gatefront.budget.ResourceAccount;
+import gatefront.budget.ResourceBudget;
+import gatefront.budget.ResourcePurpose;
 import java.util.Locale;
 
 /** What is held, by purpose, as text and as JSON. */
@@ -12,7 +12,7 @@
     private StatusPage() {}
 
     /** A line for each purpose: entries and bytes now, the highest, the cap, and how often there was no room. */
-    public static String text(Budget budget, ProcessFigures process) {
+    public static String text(ResourceBudget budget, ProcessMetrics process) {
         StringBuilder out = new StringBuilder(String.format(
                 Locale.ROOT,
                 "%-20s %9s %9s %9s %12s %12s %12s %11s%n",
@@ -24,8 +24,8 @@
                 "highest",
                 "cap",
                 "turned away"));
-        for (Purpose each : Purpose.values()) {
-            Account a = budget.of(each);
+        for (ResourcePurpose each : ResourcePurpose.values()) {
+            ResourceAccount a = budget.of(each);
             out.append(String.format(
                     Locale.ROOT, "%-20s %9d %9d %9s ", each.word(), a.entries(), a.entriesHigh(), cap(a.entriesCap())));
             out.append(String.format(
@@ -61,11 +61,11 @@
     }
 
     /** The same as JSON; a cap that there is not is left out, and so is what is not known. */
-    public static ObjectNode json(Budget budget, ProcessFigures process) {
+    public static ObjectNode json(ResourceBudget budget, ProcessMetrics process) {
         ObjectNode root = JsonNodeFactory.instance.objectNode();
         ObjectNode purposes = root.putObject("purposes");
-        for (Purpose each : Purpose.values()) {
-            Account a = budget.of(each);
+        for (ResourcePurpose each : ResourcePurpose.values()) {
+            ResourceAccount a = budget.of(each);
             ObjectNode one = purposes.putObject(each.word())
                     .put("entries", a.entries())
                     .put("entries_highest", a.entriesHigh())
--- a/src/main/java/gatefront/storage/DamageException.java
+++ b/src/main/java/gatefront/storage/CorruptStoreException.java
@@ -3,14 +3,14 @@
 import java.io.IOException;
 
 /** A file is not what was written: bytes have changed, or are missing, that were certain before. */
-public final class DamageException extends IOException {
+public final class CorruptStoreException extends IOException {
     private static final long serialVersionUID = 1;
 
     private final transient String file;
     private final long at;
 
     /** Damage in a file, seen at a place of it. */
-    DamageException(String file, long at, String what) {
+    CorruptStoreException(String file, long at, String what) {
         super(file + " at " + at + ": " + what);
         this.file = file;
         this.at = at;
--- a/src/main/java/gatefront/storage/FolderDisk.java
+++ b/src/main/java/gatefront/storage/DirectoryDisk.java
@@ -14,13 +14,13 @@
 import java.util.stream.Stream;
 
 /** A folder of the file system. */
-public final class FolderDisk implements Disk {
+public final class DirectoryDisk implements Disk {
     private static final String LOCK = "lock";
 
     private final Path folder;
 
     /** A folder, made if it is not there; the one above it must be. */
-    public FolderDisk(Path folder) throws IOException {
+    public DirectoryDisk(Path folder) throws IOException {
         this.folder = folder;
         if (!Files.isDirectory(folder)) {
             Files.createDirectory(folder);
@@ -29,11 +29,11 @@
     }
 
     /** A folder that must be there, for one who only looks. */
-    public static FolderDisk existing(Path folder) throws IOException {
+    public static DirectoryDisk existing(Path folder) throws IOException {
         if (!Files.isDirectory(folder)) {
             throw new IOException(folder + " is no folder");
         }
-        return new FolderDisk(folder);
+        return new DirectoryDisk(folder);
     }
 
     @Override
--- a/src/main/java/gatefront/storage/Head.java
+++ b/src/main/java/gatefront/storage/FileHeader.java
@@ -14,7 +14,7 @@
  * @param key the number of the key that signed the head; 0 for none
  * @param mac its signature
  */
-record Head(Kind kind, long number, long first, long before, byte[] chain, int key, byte[] mac) {
+record FileHeader(Kind kind, long number, long first, long before, byte[] chain, int key, byte[] mac) {
     /** What a file is. */
     enum Kind {
         SEGMENT("GFLOG"),
@@ -27,16 +27,16 @@
         }
     }
 
-    static final int BYTES = 8 + 3 * Long.BYTES + 2 * Integer.BYTES + 2 * Keys.MAC;
+    static final int BYTES = 8 + 3 * Long.BYTES + 2 * Integer.BYTES + 2 * SigningKeys.MAC;
     /** The format that is written. A reader has a branch for each that was ever written; so far there is this one. */
     static final byte VERSION = 1;
 
     private static final int MAGIC = 7;
-    private static final int MAC_AT = BYTES - Keys.MAC;
-    private static final int CRC_AT = MAC_AT - Keys.MAC - Integer.BYTES;
+    private static final int MAC_AT = BYTES - SigningKeys.MAC;
+    private static final int CRC_AT = MAC_AT - SigningKeys.MAC - Integer.BYTES;
 
     /** The bytes of a new head; the chain goes on to it. */
-    static ByteBuffer write(Kind kind, long number, long first, long before, Chain chain) {
+    static ByteBuffer write(Kind kind, long number, long first, long before, SignatureChain chain) {
         ByteBuffer bytes = ByteBuffer.allocate(BYTES);
         for (int i = 0; i < kind.magic.length(); i++) {
             bytes.put(i, (byte) kind.magic.charAt(i));
@@ -57,36 +57,37 @@
     }
 
     /** Reads a head and follows its chain from what it says; without a chain its signature is not looked at. */
-    static Head read(String file, ByteBuffer bytes, Kind kind, Chain chain) throws DamageException {
+    static FileHeader read(String file, ByteBuffer bytes, Kind kind, SignatureChain chain)
+            throws CorruptStoreException {
         if (bytes.limit() < BYTES) {
-            throw new DamageException(file, bytes.limit(), "ends within its head");
+            throw new CorruptStoreException(file, bytes.limit(), "ends within its head");
         }
         for (int i = 0; i < MAGIC; i++) {
             if (bytes.get(i) != (i < kind.magic.length() ? (byte) kind.magic.charAt(i) : 0)) {
-                throw new DamageException(file, i, "does not begin as such a file does");
+                throw new CorruptStoreException(file, i, "does not begin as such a file does");
             }
         }
         if (bytes.getInt(CRC_AT) != checksum(bytes)) {
-            throw new DamageException(file, 0, "its head has another checksum than its bytes");
+            throw new CorruptStoreException(file, 0, "its head has another checksum than its bytes");
         }
         if (bytes.get(MAGIC) != VERSION) {
-            throw new DamageException(
+            throw new CorruptStoreException(
                     file,
                     MAGIC,
                     "has format " + bytes.get(MAGIC) + ", and formats up to " + VERSION
                             + " are known here; a newer program wrote it");
         }
-        byte[] before = new byte[Keys.MAC];
+        byte[] before = new byte[SigningKeys.MAC];
         bytes.get(CRC_AT + Integer.BYTES, before);
-        byte[] mac = new byte[Keys.MAC];
+        byte[] mac = new byte[SigningKeys.MAC];
         bytes.get(MAC_AT, mac);
-        Head head =
-                new Head(kind, bytes.getLong(8), bytes.getLong(16), bytes.getLong(24), before, bytes.getInt(32), mac);
+        FileHeader head = new FileHeader(
+                kind, bytes.getLong(8), bytes.getLong(16), bytes.getLong(24), before, bytes.getInt(32), mac);
         if (chain != null) {
             chain.begin(before);
             String wrong = chain.read(head.key, mac, signed(bytes), new byte[0]);
             if (wrong != null) {
-                throw new DamageException(file, MAC_AT, "its head " + wrong);
+                throw new CorruptStoreException(file, MAC_AT, "its head " + wrong);
             }
         }
         return head;
--- a/src/main/java/gatefront/storage/Frame.java
+++ b/src/main/java/gatefront/storage/Frame.java
@@ -17,7 +17,7 @@
  * @param length its bytes, with the head
  */
 record Frame(long first, long durable, int key, byte[] mac, List<byte[]> records, int length) {
-    static final int HEAD = 32 + Keys.MAC;
+    static final int HEAD = 32 + SigningKeys.MAC;
     /** Bytes of a frame's body at the most. */
     static final int BODY_MOST = 16 << 20;
 
@@ -29,7 +29,7 @@
     }
 
     /** The bytes of a new frame; the chain goes on to it. */
-    static ByteBuffer write(long file, long first, long durable, List<byte[]> records, Chain chain) {
+    static ByteBuffer write(long file, long first, long durable, List<byte[]> records, SignatureChain chain) {
         int body = records.stream().mapToInt(Frame::room).sum();
         if (body > BODY_MOST) {
             throw new IllegalArgumentException(body + " bytes are too much for a frame");
@@ -45,7 +45,7 @@
         bytes.position(HEAD);
         records.forEach(each -> bytes.putInt(each.length).put(each));
         byte[] mac = chain.sign(key, head(bytes, file), body(bytes, body));
-        bytes.put(HEAD - Keys.MAC, mac);
+        bytes.put(HEAD - SigningKeys.MAC, mac);
         chain.wrote(key, mac);
         bytes.putInt(CRC_AT, checksum(bytes, 0, body, file));
         return bytes.rewind();
@@ -71,26 +71,26 @@
             if (length < 0 || length > rest.remaining()) {
                 return null;
             }
-            records.add(Chain.bytes(rest, length));
+            records.add(SignatureChain.bytes(rest, length));
         }
         if (rest.hasRemaining() || records.size() != count) {
             return null; // a writer of ours never made it, whatever its checksum says
         }
-        byte[] mac = new byte[Keys.MAC];
-        bytes.get(at + HEAD - Keys.MAC, mac);
+        byte[] mac = new byte[SigningKeys.MAC];
+        bytes.get(at + HEAD - SigningKeys.MAC, mac);
         return new Frame(
                 bytes.getLong(at + 8), bytes.getLong(at + 16), bytes.getInt(at + 28), mac, records, HEAD + body);
     }
 
     /** What is wrong with the signature of the frame that begins there, or null; the chain goes on to it. */
-    String check(ByteBuffer bytes, int at, long file, Chain chain) {
+    String check(ByteBuffer bytes, int at, long file, SignatureChain chain) {
         ByteBuffer own = bytes.duplicate().position(at).limit(at + length).slice();
         return chain.read(key, mac, head(own, file), body(own, length - HEAD));
     }
 
     /** What of the head is signed: all but checksum and signature, and the number of the file. */
     private static byte[] head(ByteBuffer frame, long file) {
-        ByteBuffer head = ByteBuffer.allocate(HEAD - Keys.MAC - Integer.BYTES + Long.BYTES);
+        ByteBuffer head = ByteBuffer.allocate(HEAD - SigningKeys.MAC - Integer.BYTES + Long.BYTES);
         head.putInt(frame.getInt(0))
                 .putLong(frame.getLong(8))
                 .putLong(frame.getLong(16))
--- a/src/main/java/gatefront/storage/Replay.java
+++ b/src/main/java/gatefront/storage/RecordConsumer.java
@@ -3,9 +3,9 @@
 import java.io.IOException;
 
 /** Who is told what a store holds, in order: first what the snapshot has, then each record since. */
-public interface Replay {
+public interface RecordConsumer {
     /** One that wants nothing. */
-    Replay NOBODY = new Replay() {
+    RecordConsumer NOBODY = new RecordConsumer() {
         @Override
         public void snapshot(byte[] record) {}
 
--- a/src/main/java/gatefront/storage/Chain.java
+++ b/src/main/java/gatefront/storage/SignatureChain.java
@@ -7,28 +7,28 @@
  * What ties each piece of a store to all before it: the last signature, which the next one is made over. Where nothing
  * has been signed yet it is all zeros, and stays so. Once something was signed, nothing without a signature follows.
  */
-final class Chain {
-    private Keys keys;
-    private byte[] last = new byte[Keys.MAC];
+final class SignatureChain {
+    private SigningKeys keys;
+    private byte[] last = new byte[SigningKeys.MAC];
     private boolean signed;
 
-    Chain(Keys keys) {
+    SignatureChain(SigningKeys keys) {
         this.keys = keys;
     }
 
-    private Chain(Keys keys, Chain from) {
+    private SignatureChain(SigningKeys keys, SignatureChain from) {
         this.keys = keys;
         this.last = from.last;
         this.signed = from.signed;
     }
 
     /** One that goes on from here by itself. */
-    Chain branch() {
-        return new Chain(keys, this);
+    SignatureChain branch() {
+        return new SignatureChain(keys, this);
     }
 
     /** Goes on from where another stands. */
-    void follow(Chain other) {
+    void follow(SignatureChain other) {
         last = other.last;
         signed = other.signed;
     }
@@ -40,7 +40,7 @@
     }
 
     /** Signs with others from now on. */
-    void keys(Keys others) {
+    void keys(SigningKeys others) {
         keys = others;
     }
 
@@ -54,7 +54,7 @@
 
     /** The signature of a piece by a key; all zeros for key 0. */
     byte[] sign(int key, byte[] head, byte[] body) {
-        return key == 0 ? new byte[Keys.MAC] : keys.sign(key, last, head, body);
+        return key == 0 ? new byte[SigningKeys.MAC] : keys.sign(key, last, head, body);
     }
 
     /** A piece has been written, with this signature. */
--- a/src/main/java/gatefront/storage/Keys.java
+++ b/src/main/java/gatefront/storage/SigningKeys.java
@@ -18,9 +18,9 @@
  * The keys by which what is stored is known to be ours. The one with the highest number signs; all others are for
  * reading what was signed before. Immutable: a key file that changes is read again into another.
  */
-public final class Keys {
+public final class SigningKeys {
     /** No keys: nothing is signed, and what is signed cannot be read. */
-    public static final Keys NONE = new Keys(new TreeMap<>());
+    public static final SigningKeys NONE = new SigningKeys(new TreeMap<>());
     /** Bytes of a signature. */
     static final int MAC = 32;
 
@@ -33,7 +33,7 @@
     /** One for each key, made when first used; as many as there are keys. One thread. */
     private final Map<Integer, Mac> macs = new HashMap<>();
 
-    private Keys(TreeMap<Integer, SecretKeySpec> byId) {
+    private SigningKeys(TreeMap<Integer, SecretKeySpec> byId) {
         this.byId = byId;
     }
 
@@ -42,7 +42,7 @@
      *
      * @throws IOException with one line that says what is wrong; never what a key is
      */
-    public static Keys read(Path file) throws IOException {
+    public static SigningKeys read(Path file) throws IOException {
         Set<PosixFilePermission> rights = Files.getPosixFilePermissions(file);
         rights.remove(PosixFilePermission.OWNER_READ);
         rights.remove(PosixFilePermission.OWNER_WRITE);
@@ -56,7 +56,7 @@
         return parse(file.toString(), new String(text, StandardCharsets.US_ASCII));
     }
 
-    static Keys parse(String file, String text) throws IOException {
+    static SigningKeys parse(String file, String text) throws IOException {
         TreeMap<Integer, SecretKeySpec> byId = new TreeMap<>();
         if (!text.endsWith("\n")) {
             throw new IOException(file + ": its last line has no end; it may be half written");
@@ -85,7 +85,7 @@
         if (byId.isEmpty()) {
             throw new IOException(file + " holds no key");
         }
-        return new Keys(byId);
+        return new SigningKeys(byId);
     }
 
     /** The number of the key that signs; 0 if there is none. */
--- a/src/main/java/gatefront/storage/Store.java
+++ b/src/main/java/gatefront/storage/Store.java
@@ -30,13 +30,13 @@
      * @param segmentBytes from which size on another segment is begun
      * @param bytesMost what all files together may take; records beyond are refused
      */
-    public record Options(Keys keys, int segmentBytes, long bytesMost) {
+    public record Options(SigningKeys keys, int segmentBytes, long bytesMost) {
         /** Not signed, segments of 4 MiB, a gigabyte. */
-        public static final Options USUAL = new Options(Keys.NONE, 4 << 20, 1 << 30);
+        public static final Options USUAL = new Options(SigningKeys.NONE, 4 << 20, 1 << 30);
     }
 
     /** Room for heads and marks, without which a full store could neither be closed nor cut down. */
-    private static final int RESERVE = 3 * Head.BYTES + 2 * Frame.HEAD;
+    private static final int RESERVE = 3 * FileHeader.BYTES + 2 * Frame.HEAD;
 
     private final Disk disk;
     private final Options options;
@@ -46,8 +46,8 @@
     /** By number of segment, which record each begins with; the current one too. */
     private final TreeMap<Long, Long> firsts = new TreeMap<>();
 
-    private final Chain chain;
-    private final Chain certain;
+    private final SignatureChain chain;
+    private final SignatureChain certain;
     private Disk.File file;
     private long number;
     private long end;
@@ -59,7 +59,7 @@
     private Snapshot making;
     private IOException failed;
 
-    private Store(Disk disk, Options options, Closeable lock, Scan scan) {
+    private Store(Disk disk, Options options, Closeable lock, StoreReader scan) {
         this.disk = disk;
         this.options = options;
         this.lock = lock;
@@ -79,17 +79,17 @@
     /**
      * Opens a store, or makes one in an empty folder, and tells what it holds.
      *
-     * @throws DamageException if a file is not what was written; nothing has been changed then
+     * @throws CorruptStoreException if a file is not what was written; nothing has been changed then
      * @throws IOException if somebody else has it open, or the disk would not do
      */
-    public static Store open(Disk disk, Options options, Replay replay) throws IOException {
+    public static Store open(Disk disk, Options options, RecordConsumer replay) throws IOException {
         Closeable lock = disk.lock();
         if (lock == null) {
-            throw new InUseException();
+            throw new StoreInUseException();
         }
         Store store = null;
         try {
-            Scan scan = new Scan(disk, options.keys(), replay).run();
+            StoreReader scan = new StoreReader(disk, options.keys(), replay).run();
             store = new Store(disk, options, lock, scan);
             for (String each : scan.leftOver) {
                 disk.delete(each);
@@ -106,8 +106,8 @@
     }
 
     /** What was read beyond what is certain goes into a new segment; one that holds nothing certain is replaced. */
-    private void start(Scan scan) throws IOException {
-        boolean empty = !segments.isEmpty() && durable == Head.BYTES;
+    private void start(StoreReader scan) throws IOException {
+        boolean empty = !segments.isEmpty() && durable == FileHeader.BYTES;
         long last = segments.isEmpty() ? 0 : segments.lastKey();
         List<List<byte[]>> again = scan.unsure.stream()
                 .map(each -> each.frame().records())
@@ -115,7 +115,7 @@
                 .toList();
         if (empty) {
             // The replaced one's own head stands for what the one before it holds.
-            Scan.Segment same = scan.segments.get(scan.segments.size() - 1);
+            StoreReader.Segment same = scan.segments.get(scan.segments.size() - 1);
             chain.begin(same.head().chain());
             certain.follow(chain);
             begin(last, same.head().before(), again);
@@ -126,13 +126,13 @@
 
     /** Makes a segment that begins where what is certain ends, with some frames in it, and goes on there. */
     private void begin(long as, long before, List<List<byte[]>> frames) throws IOException {
-        String name = Scan.segmentName(as);
-        Chain trial = certain.branch();
-        long at = Head.BYTES;
+        String name = StoreReader.segmentName(as);
+        SignatureChain trial = certain.branch();
+        long at = FileHeader.BYTES;
         long comes = durableNext;
-        Disk.File made = disk.create(name + Scan.UNFINISHED);
+        Disk.File made = disk.create(name + StoreReader.UNFINISHED);
         try {
-            made.write(0, Head.write(Head.Kind.SEGMENT, as, durableNext, before, trial));
+            made.write(0, FileHeader.write(FileHeader.Kind.SEGMENT, as, durableNext, before, trial));
             for (List<byte[]> each : frames) {
                 ByteBuffer bytes = Frame.write(as, comes, at, each, trial);
                 int length = bytes.remaining();
@@ -141,7 +141,7 @@
                 comes += each.size();
             }
             made.sync();
-            disk.move(name + Scan.UNFINISHED, name);
+            disk.move(name + StoreReader.UNFINISHED, name);
             disk.syncNames();
         } catch (IOException e) {
             quietly(made);
@@ -190,10 +190,10 @@
      *
      * @param records one or more; a frame's bytes at the most
      * @param force whether they are to be on the disk when this returns
-     * @throws FailedException if none of them is kept; after a fault of the disk, no record since the last force is,
-     *     but one that had reached the disk may come back if the process ends before the store has written again
+     * @throws StoreFailedException if none of them is kept; after a fault of the disk, no record since the last force
+     *     is, but one that had reached the disk may come back if the process ends before the store has written again
      */
-    public void append(List<byte[]> records, boolean force) throws FailedException {
+    public void append(List<byte[]> records, boolean force) throws StoreFailedException {
         int size = Frame.HEAD + records.stream().mapToInt(Frame::room).sum();
         if (records.isEmpty() || size - Frame.HEAD > Frame.BODY_MOST) {
             throw new IllegalArgumentException(
@@ -201,13 +201,13 @@
         }
         recover();
         if (bytes() + size + RESERVE > options.bytesMost()) {
-            throw new FailedException(
-                    FailedException.Why.BOUND,
+            throw new StoreFailedException(
+                    StoreFailedException.Why.BOUND,
                     "the store may take " + options.bytesMost() + " bytes, and has " + bytes(),
                     null);
         }
         try {
-            if (end > Head.BYTES && end + size > options.segmentBytes()) {
+            if (end > FileHeader.BYTES && end + size > options.segmentBytes()) {
                 rotate();
             }
             write(records);
@@ -221,7 +221,7 @@
     }
 
     private void write(List<byte[]> records) throws IOException {
-        Chain trial = chain.branch();
+        SignatureChain trial = chain.branch();
         ByteBuffer bytes = Frame.write(number, next, durable, records, trial);
         int length = bytes.remaining();
         file.write(end, bytes);
@@ -236,7 +236,7 @@
      *
      * @throws IllegalArgumentException if the key that signs now is not among them
      */
-    public void keys(Keys others) {
+    public void keys(SigningKeys others) {
         if (chain.signing() != 0 && !others.has(chain.signing())) {
             throw new IllegalArgumentException("key " + chain.signing() + ", which signed what is there, is missing");
         }
@@ -245,7 +245,7 @@
     }
 
     /** Forces what was added to the disk. */
-    public void force() throws FailedException {
+    public void force() throws StoreFailedException {
         recover();
         try {
             if (durable < end) {
@@ -265,14 +265,15 @@
         begin(number + 1, durable, List.of());
     }
 
-    private FailedException fail(IOException e) {
+    private StoreFailedException fail(IOException e) {
         failed = e;
         next = durableNext;
-        return new FailedException(FailedException.Why.DISK, "the disk would not take it: " + e.getMessage(), e);
+        return new StoreFailedException(
+                StoreFailedException.Why.DISK, "the disk would not take it: " + e.getMessage(), e);
     }
 
     /** After a failure another segment is begun, which says that the old one ends with what was forced. */
-    private void recover() throws FailedException {
+    private void recover() throws StoreFailedException {
         if (failed == null) {
             return;
         }
@@ -290,15 +291,15 @@
      * Begins a snapshot that stands for all records before the next. The owner hands over its state as it is now; the
      * log may grow meanwhile.
      *
-     * @throws FailedException if it could not be begun; the log is as it was
+     * @throws StoreFailedException if it could not be begun; the log is as it was
      */
-    public Snapshot snapshot() throws FailedException {
+    public Snapshot snapshot() throws StoreFailedException {
         if (making != null) {
             throw new IllegalStateException("a snapshot is being made");
         }
         force();
         try {
-            if (end > Head.BYTES) {
+            if (end > FileHeader.BYTES) {
                 rotate(); // the segments before it can go then
             }
         } catch (IOException e) {
@@ -318,7 +319,7 @@
         private static final int BATCH = 1 << 18;
 
         private final long upTo = next;
-        private final Chain own = chain.branch();
+        private final SignatureChain own = chain.branch();
         private final List<byte[]> waiting = new ArrayList<>();
         private Disk.File into;
         private int waits;
@@ -326,18 +327,18 @@
         private long count;
 
         private String name() {
-            return Scan.snapshotName(upTo);
+            return StoreReader.snapshotName(upTo);
         }
 
         private void begin() throws IOException {
-            into = disk.create(name() + Scan.UNFINISHED);
-            ByteBuffer head = Head.write(Head.Kind.SNAPSHOT, upTo, 0, 0, own);
+            into = disk.create(name() + StoreReader.UNFINISHED);
+            ByteBuffer head = FileHeader.write(FileHeader.Kind.SNAPSHOT, upTo, 0, 0, own);
             into.write(0, head);
-            at = Head.BYTES;
+            at = FileHeader.BYTES;
         }
 
         /** Adds a piece of the state. */
-        public void add(byte[] record) throws FailedException {
+        public void add(byte[] record) throws StoreFailedException {
             waiting.add(record);
             waits += Frame.room(record);
             if (waits >= BATCH) {
@@ -345,16 +346,16 @@
             }
         }
 
-        private void flush() throws FailedException {
+        private void flush() throws StoreFailedException {
             if (bytes() + waits + 2 * Frame.HEAD > options.bytesMost()) {
                 abandon();
-                throw new FailedException(
-                        FailedException.Why.BOUND,
+                throw new StoreFailedException(
+                        StoreFailedException.Why.BOUND,
                         "no snapshot was made: the store may take " + options.bytesMost() + " bytes",
                         null);
             }
             try {
-                ByteBuffer bytes = Frame.write(upTo, count, Head.BYTES, waiting, own);
+                ByteBuffer bytes = Frame.write(upTo, count, FileHeader.BYTES, waiting, own);
                 int length = bytes.remaining();
                 into.write(at, bytes);
                 at += length;
@@ -367,7 +368,7 @@
         }
 
         /** All of the state has been added: the snapshot counts from now on, and what it stands for goes. */
-        public void finish() throws FailedException {
+        public void finish() throws StoreFailedException {
             if (!waiting.isEmpty()) {
                 flush();
             }
@@ -375,7 +376,7 @@
             try {
                 into.sync();
                 into.close();
-                disk.move(name() + Scan.UNFINISHED, name());
+                disk.move(name() + StoreReader.UNFINISHED, name());
                 disk.syncNames();
             } catch (IOException e) {
                 throw failed(e);
@@ -391,16 +392,17 @@
         public void abandon() {
             quietly(into);
             try {
-                disk.delete(name() + Scan.UNFINISHED);
+                disk.delete(name() + StoreReader.UNFINISHED);
             } catch (IOException e) {
                 // it stands for nothing, and goes at the next start
             }
             making = null;
         }
 
-        private FailedException failed(IOException e) {
+        private StoreFailedException failed(IOException e) {
             abandon();
-            return new FailedException(FailedException.Why.DISK, "no snapshot was made: " + e.getMessage(), e);
+            return new StoreFailedException(
+                    StoreFailedException.Why.DISK, "no snapshot was made: " + e.getMessage(), e);
         }
 
         private void prune(String old) {
@@ -414,7 +416,7 @@
                     if (following == null || following > upTo) {
                         break;
                     }
-                    disk.delete(Scan.segmentName(segment));
+                    disk.delete(StoreReader.segmentName(segment));
                     each.remove();
                     firsts.remove(segment);
                 }
--- a/src/main/java/gatefront/storage/FailedException.java
+++ b/src/main/java/gatefront/storage/StoreFailedException.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 
 /** Nothing of what was handed over is kept. */
-public final class FailedException extends IOException {
+public final class StoreFailedException extends IOException {
     private static final long serialVersionUID = 1;
 
     /** Why that is so. */
@@ -16,7 +16,7 @@
 
     private final Why why;
 
-    FailedException(Why why, String message, Throwable cause) {
+    StoreFailedException(Why why, String message, Throwable cause) {
         super(message, cause);
         this.why = why;
     }
--- a/src/main/java/gatefront/storage/InUseException.java
+++ b/src/main/java/gatefront/storage/StoreInUseException.java
@@ -3,10 +3,10 @@
 import java.io.IOException;
 
 /** Somebody else has a store open. */
-public final class InUseException extends IOException {
+public final class StoreInUseException extends IOException {
     private static final long serialVersionUID = 1;
 
-    InUseException() {
+    StoreInUseException() {
         super("somebody else has this store open");
     }
 }
--- a/src/main/java/gatefront/storage/Scan.java
+++ b/src/main/java/gatefront/storage/StoreReader.java
@@ -13,11 +13,11 @@
 
 /**
  * Reads what the files of a store hold. What was certain to be on the disk must be there, whole and in order, or a
- * {@link DamageException} names the place. What was not may be there in any part after a crash: reading ends before the
- * first of it that is not whole. A frame says up to where all before it was certain, so a bad place is damage where a
- * later frame, or the next file's head, says that it had been forced to the disk.
+ * {@link CorruptStoreException} names the place. What was not may be there in any part after a crash: reading ends
+ * before the first of it that is not whole. A frame says up to where all before it was certain, so a bad place is
+ * damage where a later frame, or the next file's head, says that it had been forced to the disk.
  */
-final class Scan {
+final class StoreReader {
     static final String SEGMENT = ".log";
     static final String SNAPSHOT = ".snap";
     static final String UNFINISHED = ".new";
@@ -28,14 +28,14 @@
     record Unsure(long at, Frame frame) {}
 
     /** A segment: its file's name, its head and its bytes. */
-    record Segment(String name, Head head, long bytes) {}
+    record Segment(String name, FileHeader head, long bytes) {}
 
     private final Disk disk;
-    private final Replay replay;
+    private final RecordConsumer replay;
     /** The signatures as far as they are known to be certain, and as far as they were read. */
-    private final Chain certain;
+    private final SignatureChain certain;
 
-    private final Chain chain;
+    private final SignatureChain chain;
     /** Files that stand for nothing: unfinished ones, and those that a snapshot has taken the place of. */
     final List<String> leftOver = new ArrayList<>();
     /** Names that no store gives. They are left alone. */
@@ -58,11 +58,11 @@
 
     long durableNext;
 
-    Scan(Disk disk, Keys keys, Replay replay) {
+    StoreReader(Disk disk, SigningKeys keys, RecordConsumer replay) {
         this.disk = disk;
         this.replay = replay;
-        this.chain = new Chain(keys);
-        this.certain = new Chain(keys);
+        this.chain = new SignatureChain(keys);
+        this.certain = new SignatureChain(keys);
     }
 
     static String segmentName(long number) {
@@ -79,11 +79,11 @@
     }
 
     /** The chain at the end of what is certain. */
-    Chain certain() {
+    SignatureChain certain() {
         return certain;
     }
 
-    Scan run() throws IOException {
+    StoreReader run() throws IOException {
         List<Long> numbers = new ArrayList<>();
         List<Long> snapshots = new ArrayList<>();
         for (String name : disk.names().stream().sorted().toList()) {
@@ -101,19 +101,19 @@
         if (!snapshots.isEmpty()) {
             snapshots.stream()
                     .limit(snapshots.size() - 1)
-                    .map(Scan::snapshotName)
+                    .map(StoreReader::snapshotName)
                     .forEach(leftOver::add);
             snapshot(snapshots.get(snapshots.size() - 1));
         }
         heads(numbers);
         next = segments.isEmpty() ? snapshotNext : segments.get(0).head.first();
-        durable = Head.BYTES;
+        durable = FileHeader.BYTES;
         durableNext = next;
         for (int i = 0; i < segments.size(); i++) {
             segment(segments.get(i), i + 1 < segments.size() ? segments.get(i + 1).head : null);
         }
         if (next < snapshotNext) {
-            throw new DamageException(
+            throw new CorruptStoreException(
                     segments.get(segments.size() - 1).name,
                     durable,
                     "the log ends at record " + next + ", and the snapshot holds all before " + snapshotNext);
@@ -125,12 +125,13 @@
         snapshotName = snapshotName(number);
         try (Disk.File file = disk.open(snapshotName)) {
             snapshotBytes = file.size();
-            Head head = Head.read(snapshotName, read(file, 0, Head.BYTES), Head.Kind.SNAPSHOT, chain);
+            FileHeader head =
+                    FileHeader.read(snapshotName, read(file, 0, FileHeader.BYTES), FileHeader.Kind.SNAPSHOT, chain);
             if (head.number() != number) {
-                throw new DamageException(snapshotName, 0, "says that it is " + snapshotName(head.number()));
+                throw new CorruptStoreException(snapshotName, 0, "says that it is " + snapshotName(head.number()));
             }
             snapshotNext = number;
-            long at = Head.BYTES;
+            long at = FileHeader.BYTES;
             long count = 0;
             Frame frame = null;
             while (frame == null || !frame.records().isEmpty()) {
@@ -142,7 +143,7 @@
                         ? "is not whole"
                         : frame.first() != count ? "is not what comes next" : frame.check(bytes, 0, number, chain);
                 if (wrong != null) {
-                    throw new DamageException(snapshotName, at, wrong);
+                    throw new CorruptStoreException(snapshotName, at, wrong);
                 }
                 for (byte[] each : frame.records()) {
                     replay.snapshot(each);
@@ -151,7 +152,7 @@
                 at += frame.length();
             }
             if (at != snapshotBytes) {
-                throw new DamageException(snapshotName, at, "goes on beyond its end");
+                throw new CorruptStoreException(snapshotName, at, "goes on beyond its end");
             }
         }
     }
@@ -163,10 +164,10 @@
             String name = segmentName(number);
             try (Disk.File file = disk.open(name)) {
                 // Signatures follow each other, so they are looked at when all before has been read.
-                ByteBuffer bytes = read(file, 0, Head.BYTES);
-                Head head = Head.read(name, bytes, Head.Kind.SEGMENT, null);
+                ByteBuffer bytes = read(file, 0, FileHeader.BYTES);
+                FileHeader head = FileHeader.read(name, bytes, FileHeader.Kind.SEGMENT, null);
                 if (head.number() != number) {
-                    throw new DamageException(name, 0, "says that it is " + segmentName(head.number()));
+                    throw new CorruptStoreException(name, 0, "says that it is " + segmentName(head.number()));
                 }
                 if (head.first() <= snapshotNext) { // the snapshot holds what is in those before it
                     segments.stream().map(Segment::name).forEach(covered::add);
@@ -178,12 +179,12 @@
         leftOver.addAll(covered);
         if (segments.isEmpty()) {
             if (snapshotName != null) {
-                throw new DamageException(snapshotName, 0, "is there, and the log that follows it is missing");
+                throw new CorruptStoreException(snapshotName, 0, "is there, and the log that follows it is missing");
             }
             return;
         }
         if (segments.get(0).head.first() > snapshotNext) {
-            throw new DamageException(
+            throw new CorruptStoreException(
                     segments.get(0).name,
                     0,
                     "begins with record " + segments.get(0).head.first() + "; those from " + snapshotNext
@@ -192,36 +193,36 @@
         for (int i = 1; i < segments.size(); i++) {
             long expected = segments.get(i - 1).head.number() + 1;
             if (segments.get(i).head.number() != expected) {
-                throw new DamageException(segmentName(expected), 0, "is missing");
+                throw new CorruptStoreException(segmentName(expected), 0, "is missing");
             }
         }
     }
 
-    private void segment(Segment segment, Head following) throws IOException {
+    private void segment(Segment segment, FileHeader following) throws IOException {
         ByteBuffer bytes;
         try (Disk.File file = disk.open(segment.name)) {
             bytes = read(file, 0, (int) Math.min(Integer.MAX_VALUE - HEX, file.size()));
         }
         if (segment != segments.get(0) && !Arrays.equals(chain.last(), segment.head.chain())) {
-            throw new DamageException(segment.name, 0, "does not follow the signatures of the one before it");
+            throw new CorruptStoreException(segment.name, 0, "does not follow the signatures of the one before it");
         }
-        Head.read(segment.name, bytes, Head.Kind.SEGMENT, chain);
+        FileHeader.read(segment.name, bytes, FileHeader.Kind.SEGMENT, chain);
         certain.follow(chain);
         if (segment.head.first() != next) {
-            throw new DamageException(
+            throw new CorruptStoreException(
                     segment.name, 0, "begins with record " + segment.head.first() + ", and " + next + " comes next");
         }
         long number = segment.head.number();
         long end = following == null ? bytes.limit() : following.before();
         unsure.clear();
-        durable = Head.BYTES;
+        durable = FileHeader.BYTES;
         durableNext = next;
-        int at = Head.BYTES;
+        int at = FileHeader.BYTES;
         while (at < end) {
             Frame frame = Frame.read(bytes, at, number);
             if (frame == null || following != null && at + frame.length() > end) {
                 if (following != null || spokenOf(bytes, at, number)) {
-                    throw new DamageException(segment.name, at, "is not what was forced to the disk there");
+                    throw new CorruptStoreException(segment.name, at, "is not what was forced to the disk there");
                 }
                 break;
             }
@@ -231,7 +232,7 @@
                             ? "speaks of what cannot be"
                             : frame.check(bytes, at, number, chain);
             if (wrong != null) {
-                throw new DamageException(segment.name, at, wrong);
+                throw new CorruptStoreException(segment.name, at, wrong);
             }
             settle(frame.durable());
             unsure.add(new Unsure(at, frame));
--- a/src/main/java/gatefront/storage/Verify.java
+++ b/src/main/java/gatefront/storage/StoreVerification.java
@@ -13,18 +13,18 @@
  * @param notes what was found that is no damage: a line each
  * @param damage the first damage, or null
  */
-public record Verify(
-        boolean there, int segments, long records, long snapshot, List<String> notes, DamageException damage) {
+public record StoreVerification(
+        boolean there, int segments, long records, long snapshot, List<String> notes, CorruptStoreException damage) {
     /** Reads all of a store. */
-    public static Verify of(Disk disk, Keys keys, Replay replay) throws IOException {
-        Scan scan = new Scan(disk, keys, replay);
-        DamageException damage = null;
+    public static StoreVerification of(Disk disk, SigningKeys keys, RecordConsumer replay) throws IOException {
+        StoreReader scan = new StoreReader(disk, keys, replay);
+        CorruptStoreException damage = null;
         try {
             scan.run();
-        } catch (DamageException e) {
+        } catch (CorruptStoreException e) {
             damage = e;
         }
-        return new Verify(
+        return new StoreVerification(
                 damage != null || !scan.nothing(),
                 scan.segments.size(),
                 Math.max(0, scan.next - scan.snapshotNext),
--- a/src/main/java/gatefront/thrift/Metadata.java
+++ b/src/main/java/gatefront/thrift/CallMetadata.java
@@ -1,10 +1,10 @@
 package gatefront.thrift;
 
-import gatefront.thrift.codec.Message;
 import gatefront.thrift.codec.StructReader;
+import gatefront.thrift.codec.ThriftMessage;
 
 /** What a caller says of its call beside its arguments. */
-final class Metadata {
+final class CallMetadata {
     String requestId = "";
     long timeoutMs;
     String tenant = "";
@@ -17,18 +17,18 @@
 
     int timeoutBytes;
 
-    private Metadata() {}
+    private CallMetadata() {}
 
     /** Reads it; {@code wrong} is why there is none that can be used, else null. */
-    record Found(Metadata metadata, String wrong) {}
+    record Found(CallMetadata metadata, String wrong) {}
 
     /** Takes it from the first argument of a call. */
-    static Found of(Message call) {
+    static Found of(ThriftMessage call) {
         StructReader arguments = new StructReader(call.encoding(), call.body());
         // Guards against a second copy behind the first, of which the server might believe the other.
-        Metadata found = null;
+        CallMetadata found = null;
         while (arguments.next()) {
-            if (arguments.id() != Conventions.METADATA) {
+            if (arguments.id() != ThriftConventions.METADATA) {
                 continue;
             }
             if (found != null) {
@@ -38,7 +38,7 @@
             if (fields == null) {
                 return new Found(null, "argument 1 is not the metadata struct");
             }
-            found = new Metadata();
+            found = new CallMetadata();
             String wrong = found.read(fields);
             if (wrong != null) {
                 return new Found(null, wrong);
@@ -51,7 +51,7 @@
         long seen = 0;
         while (fields.next()) {
             int id = fields.id();
-            if (id < Conventions.REQUEST_ID || id > Conventions.IDEMPOTENCY_KEY) {
+            if (id < ThriftConventions.REQUEST_ID || id > ThriftConventions.IDEMPOTENCY_KEY) {
                 continue; // of a later version
             }
             if ((seen & 1L << id) != 0) {
@@ -67,19 +67,19 @@
 
     private boolean take(int id, StructReader fields) {
         switch (id) {
-            case Conventions.TIMEOUT_MS -> {
+            case ThriftConventions.TIMEOUT_MS -> {
                 timeoutAt = fields.position();
                 Long value = fields.number();
                 timeoutBytes = fields.position() - timeoutAt;
                 timeoutMs = value == null ? 0 : value;
                 return value != null;
             }
-            case Conventions.WORK_HINT -> {
+            case ThriftConventions.WORK_HINT -> {
                 Long value = fields.number();
                 workHint = value == null ? 0 : value;
                 return value != null;
             }
-            case Conventions.CLIENT_RETRY -> {
+            case ThriftConventions.CLIENT_RETRY -> {
                 Boolean value = fields.bool();
                 clientRetry = Boolean.TRUE.equals(value);
                 return value != null;
@@ -87,9 +87,9 @@
             default -> {
                 String value = fields.string();
                 switch (id) {
-                    case Conventions.REQUEST_ID -> requestId = value;
-                    case Conventions.TENANT -> tenant = value;
-                    case Conventions.AFFINITY_KEY -> affinityKey = value;
+                    case ThriftConventions.REQUEST_ID -> requestId = value;
+                    case ThriftConventions.TENANT -> tenant = value;
+                    case ThriftConventions.AFFINITY_KEY -> affinityKey = value;
                     default -> idempotencyKey = value;
                 }
                 return value != null;
--- a/src/main/java/gatefront/thrift/ThriftCall.java
+++ b/src/main/java/gatefront/thrift/ThriftCall.java
@@ -1,8 +1,8 @@
 package gatefront.thrift;
 
 import gatefront.engine.Payload;
-import gatefront.thrift.codec.Encoding;
-import gatefront.thrift.codec.Message;
+import gatefront.thrift.codec.ThriftEncoding;
+import gatefront.thrift.codec.ThriftMessage;
 
 /**
  * A call on its way to a server.
@@ -11,7 +11,7 @@
  * @param timeoutAt where in its body the caller's time stands; -1 if nowhere
  * @param timeoutBytes how many bytes it takes there
  */
-record ThriftCall(Message message, int timeoutAt, int timeoutBytes) implements Payload {
+record ThriftCall(ThriftMessage message, int timeoutAt, int timeoutBytes) implements Payload {
     @Override
     public long bytes() {
         return message.body().length;
@@ -22,7 +22,7 @@
      * never more than there was, so in the compact protocol its varint fits, with groups of zeros behind.
      */
     byte[] body(long millisLeft) {
-        boolean compact = message.encoding() == Encoding.COMPACT;
+        boolean compact = message.encoding() == ThriftEncoding.COMPACT;
         int bits = compact ? 7 * timeoutBytes - 1 : 8 * timeoutBytes - 1;
         if (timeoutAt < 0 || millisLeft <= 0 || bits < 63 && millisLeft >> bits != 0) {
             return message.body();
--- a/src/main/java/gatefront/thrift/Conventions.java
+++ b/src/main/java/gatefront/thrift/ThriftConventions.java
@@ -1,7 +1,7 @@
 package gatefront.thrift;
 
 /** The numbers of {@code docs/idl/gatefront.thrift}: what both sides of a call agree on beside its method. */
-final class Conventions {
+final class ThriftConventions {
     /** The argument of every method that holds the {@code Metadata}, and the fields of it. */
     static final int METADATA = 1;
 
@@ -38,5 +38,5 @@
     static final int INVALID_PROTOCOL = 9;
     static final int UNSUPPORTED_CLIENT_TYPE = 10;
 
-    private Conventions() {}
+    private ThriftConventions() {}
 }
--- a/src/main/java/gatefront/thrift/ThriftFront.java
+++ b/src/main/java/gatefront/thrift/ThriftFrontend.java
@@ -1,17 +1,17 @@
 package gatefront.thrift;
 
-import gatefront.budget.Budget;
+import gatefront.budget.ResourceBudget;
 import gatefront.config.Config;
-import gatefront.connection.AcceptingFront;
-import gatefront.engine.Call;
+import gatefront.connection.AbstractFrontend;
+import gatefront.engine.ClientRequest;
 import gatefront.engine.Payload;
 import gatefront.policy.Balancer;
-import gatefront.thrift.codec.Header;
-import gatefront.thrift.codec.Limits;
-import gatefront.thrift.codec.MalformedException;
-import gatefront.thrift.codec.Message;
+import gatefront.thrift.codec.MalformedMessageException;
 import gatefront.thrift.codec.MessageDecoder;
 import gatefront.thrift.codec.MessageEncoder;
+import gatefront.thrift.codec.MessageHeader;
+import gatefront.thrift.codec.MessageLimits;
+import gatefront.thrift.codec.ThriftMessage;
 import gatefront.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -30,7 +30,7 @@
  * that have the same seqid as one that waits for its answer are taken after it: a client that numbers nothing tells
  * answers apart by their order. What is no message ends its connection, once what came before it is answered.
  */
-public final class ThriftFront extends AcceptingFront {
+public final class ThriftFrontend extends AbstractFrontend {
     private static final long TIMEOUT_MS_MAX = 3_600_000;
     /** Calls of one connection in work at the most, and read ahead beyond these before it is left alone. */
     private static final int IN_FLIGHT_MOST = 32;
@@ -45,13 +45,13 @@
     private final BooleanSupplier ready;
 
     /** Listens to nobody yet; {@link #listen()} begins. */
-    public ThriftFront(
+    public ThriftFrontend(
             Transport transport,
             Config config,
             ThriftSettings settings,
             int connectionsMost,
             BooleanSupplier ready,
-            Budget budget,
+            ResourceBudget budget,
             Listener listener) {
         super(transport, settings.listen(), connectionsMost, budget);
         this.transport = transport;
@@ -63,18 +63,18 @@
 
     @Override
     protected void init(DuplexChannel channel) {
-        MessageDecoder decoder = new MessageDecoder(Limits.USUAL, settings.form());
+        MessageDecoder decoder = new MessageDecoder(MessageLimits.USUAL, settings.form());
         channel.pipeline().addLast(decoder, new Caller(channel, decoder));
     }
 
     /** One call and the answer it is owed. */
     private final class Exchange implements gatefront.engine.Exchange {
         private final Caller connection;
-        private final Message call;
+        private final ThriftMessage call;
         private final boolean declares;
         private boolean answered;
 
-        private Exchange(Caller connection, Message call, boolean declares) {
+        private Exchange(Caller connection, ThriftMessage call, boolean declares) {
             this.connection = connection;
             this.call = call;
             this.declares = declares;
@@ -82,7 +82,7 @@
 
         @Override
         public void served(Payload payload) {
-            if (call.header().type() == Header.Type.ONEWAY) {
+            if (call.header().type() == MessageHeader.Type.ONEWAY) {
                 answer(null, null);
             } else {
                 pass(payload);
@@ -95,7 +95,7 @@
         }
 
         private void pass(Payload payload) {
-            Message reply = ((ThriftReply) payload).message();
+            ThriftMessage reply = ((ThriftReply) payload).message();
             answer(reply.header().type(), reply.body());
         }
 
@@ -103,13 +103,13 @@
         public void refused(long retryAfterMicros) {
             long millis = Math.max(1, retryAfterMicros / 1000);
             if (declares) {
-                answer(Header.Type.REPLY, Results.refused(call.encoding(), "not started", millis));
+                answer(MessageHeader.Type.REPLY, ErrorResults.refused(call.encoding(), "not started", millis));
             } else {
                 answer(
-                        Header.Type.EXCEPTION,
-                        Results.application(
+                        MessageHeader.Type.EXCEPTION,
+                        ErrorResults.application(
                                 call.encoding(),
-                                Conventions.INTERNAL_ERROR,
+                                ThriftConventions.INTERNAL_ERROR,
                                 "refused, not started; retry_after_ms=" + millis));
             }
         }
@@ -124,20 +124,21 @@
                         case INTERNAL -> "a fault of the agent's own";
                     };
             if (declares) {
-                answer(Header.Type.REPLY, Results.failed(call.encoding(), reason));
+                answer(MessageHeader.Type.REPLY, ErrorResults.failed(call.encoding(), reason));
             } else {
                 answer(
-                        Header.Type.EXCEPTION,
-                        Results.application(call.encoding(), Conventions.INTERNAL_ERROR, "failed: " + reason));
+                        MessageHeader.Type.EXCEPTION,
+                        ErrorResults.application(
+                                call.encoding(), ThriftConventions.INTERNAL_ERROR, "failed: " + reason));
             }
         }
 
         private void wrong(int type, String why) {
-            answer(Header.Type.EXCEPTION, Results.application(call.encoding(), type, why));
+            answer(MessageHeader.Type.EXCEPTION, ErrorResults.application(call.encoding(), type, why));
         }
 
         /** Gives the final answer; a call that wants none gets none, and is over all the same. */
-        private void answer(Header.Type type, byte[] body) {
+        private void answer(MessageHeader.Type type, byte[] body) {
             if (!answered && connection.inFlight.get(call.header().seqid()) == this) {
                 answered = true;
                 connection.answered(call, type, body);
@@ -151,7 +152,7 @@
         /** Owed an answer, by seqid, in the order in which they came. */
         private final Map<Integer, Exchange> inFlight = new LinkedHashMap<>();
 
-        private final Deque<Message> ahead = new ArrayDeque<>();
+        private final Deque<ThriftMessage> ahead = new ArrayDeque<>();
         /** What came was wrong, and more of it may be on the way. */
         private boolean unread;
 
@@ -165,11 +166,11 @@
             if (deaf) {
                 return;
             }
-            if (read instanceof MalformedException) {
+            if (read instanceof MalformedMessageException) {
                 stop();
                 return;
             }
-            Message call = (Message) read;
+            ThriftMessage call = (ThriftMessage) read;
             if (!hold(call.body().length)) {
                 stop(); // without room it cannot even wait for its turn
                 return;
@@ -226,40 +227,41 @@
             }
         }
 
-        private void take(Message message) {
+        private void take(ThriftMessage message) {
             move(State.OWED);
-            Header header = message.header();
+            MessageHeader header = message.header();
             ThriftSettings.Method method = settings.method(header.name());
             Exchange exchange = new Exchange(this, message, method != null && method.declares());
             inFlight.put(header.seqid(), exchange);
             try {
-                if (header.type() != Header.Type.CALL && header.type() != Header.Type.ONEWAY) {
-                    exchange.wrong(Conventions.INVALID_MESSAGE_TYPE, "neither a call nor oneway");
-                } else if (header.name().equals(Conventions.HEALTH)) {
+                if (header.type() != MessageHeader.Type.CALL && header.type() != MessageHeader.Type.ONEWAY) {
+                    exchange.wrong(ThriftConventions.INVALID_MESSAGE_TYPE, "neither a call nor oneway");
+                } else if (header.name().equals(ThriftConventions.HEALTH)) {
                     exchange.answer(
-                            Header.Type.REPLY, Results.health(message.encoding(), ready.getAsBoolean() && !leaving()));
+                            MessageHeader.Type.REPLY,
+                            ErrorResults.health(message.encoding(), ready.getAsBoolean() && !leaving()));
                 } else if (method == null) {
-                    exchange.wrong(Conventions.UNKNOWN_METHOD, "unknown method " + header.name());
+                    exchange.wrong(ThriftConventions.UNKNOWN_METHOD, "unknown method " + header.name());
                 } else {
                     call(message, method, exchange);
                 }
             } catch (RuntimeException e) {
                 // Guards against a fault here that would leave the client without its answer.
                 transport.log("call failed: " + e);
-                exchange.wrong(Conventions.INTERNAL_ERROR, "a fault of the agent's own");
+                exchange.wrong(ThriftConventions.INTERNAL_ERROR, "a fault of the agent's own");
             }
         }
 
-        private void call(Message message, ThriftSettings.Method method, Exchange exchange) {
-            Metadata.Found found = Metadata.of(message);
+        private void call(ThriftMessage message, ThriftSettings.Method method, Exchange exchange) {
+            CallMetadata.Found found = CallMetadata.of(message);
             String wrong = found.wrong() != null ? found.wrong() : check(found.metadata(), method);
             if (wrong != null) {
-                exchange.wrong(Conventions.PROTOCOL_ERROR, wrong);
+                exchange.wrong(ThriftConventions.PROTOCOL_ERROR, wrong);
                 return;
             }
-            Metadata data = found.metadata();
+            CallMetadata data = found.metadata();
             listener.call(
-                    new Call(
+                    new ClientRequest(
                             data.requestId,
                             method.requestClass(),
                             Math.max(0, config.tenants().indexOf(data.tenant)),
@@ -271,11 +273,12 @@
                     exchange);
         }
 
-        private void answered(Message call, Header.Type type, byte[] body) {
+        private void answered(ThriftMessage call, MessageHeader.Type type, byte[] body) {
             inFlight.remove(call.header().seqid());
             release(call.body().length);
-            ChannelFuture written =
-                    call.header().type() == Header.Type.ONEWAY ? null : answer(reply(call, type, body), body.length);
+            ChannelFuture written = call.header().type() == MessageHeader.Type.ONEWAY
+                    ? null
+                    : answer(reply(call, type, body), body.length);
             if (closing() && !deaf) {
                 deaf = true; // Guards against a caller that goes on asking, whose connection would never end.
                 channel.config().setAutoRead(false);
@@ -298,21 +301,23 @@
             }
         }
 
-        private ByteBuf reply(Message call, Header.Type type, byte[] body) {
+        private ByteBuf reply(ThriftMessage call, MessageHeader.Type type, byte[] body) {
             // As servers of several services reply: some generated clients compare the name with the method's alone.
             String name = call.header().name();
-            Header header = new Header(
+            MessageHeader header = new MessageHeader(
                     name.substring(name.indexOf(':') + 1), type, call.header().seqid());
             ByteBuf out = Unpooled.buffer(body.length + REPLY_OVERHEAD);
             MessageEncoder.write(
-                    new Message(call.encoding(), header, body), decoder.form().framed(), out);
+                    new ThriftMessage(call.encoding(), header, body),
+                    decoder.form().framed(),
+                    out);
             return out;
         }
     }
 
     /** Why a call is not taken, or null. The rules are those of requests over HTTP. */
-    private String check(Metadata data, ThriftSettings.Method method) {
-        if (!Call.isId(data.requestId)) {
+    private String check(CallMetadata data, ThriftSettings.Method method) {
+        if (!ClientRequest.isId(data.requestId)) {
             return "requestId is missing or has not the form of an id";
         }
         if (data.timeoutMs < 1 || data.timeoutMs > TIMEOUT_MS_MAX) {
@@ -326,7 +331,9 @@
         }
         // Guards against an effect twice: without its key no server would drop a repeat.
         boolean keyed = config.settings().classes().get(method.requestClass()).semantics() == Balancer.Semantics.KEYED;
-        if (keyed ? data.idempotencyKey == null || !Call.isId(data.idempotencyKey) : data.idempotencyKey != null) {
+        if (keyed
+                ? data.idempotencyKey == null || !ClientRequest.isId(data.idempotencyKey)
+                : data.idempotencyKey != null) {
             return keyed
                     ? "idempotencyKey is missing or has not the form of an id"
                     : "idempotencyKey on a method that is not keyed";
--- a/src/main/java/gatefront/thrift/ThriftReply.java
+++ b/src/main/java/gatefront/thrift/ThriftReply.java
@@ -1,10 +1,10 @@
 package gatefront.thrift;
 
 import gatefront.engine.Payload;
-import gatefront.thrift.codec.Message;
+import gatefront.thrift.codec.ThriftMessage;
 
 /** What a server has said; its seqid is that of its connection. */
-record ThriftReply(Message message) implements Payload {
+record ThriftReply(ThriftMessage message) implements Payload {
     @Override
     public long bytes() {
         return message.body().length;
--- a/src/main/java/gatefront/thrift/ThriftSettings.java
+++ b/src/main/java/gatefront/thrift/ThriftSettings.java
@@ -1,6 +1,6 @@
 package gatefront.thrift;
 
-import gatefront.thrift.codec.Form;
+import gatefront.thrift.codec.MessageFormat;
 import java.net.InetSocketAddress;
 import java.util.Map;
 
@@ -16,7 +16,7 @@
  */
 public record ThriftSettings(
         InetSocketAddress listen,
-        Form form,
+        MessageFormat form,
         int serverPort,
         boolean framedServers,
         boolean probes,
--- a/src/main/java/gatefront/thrift/ThriftUpstream.java
+++ b/src/main/java/gatefront/thrift/ThriftUpstream.java
@@ -1,20 +1,20 @@
 package gatefront.thrift;
 
-import gatefront.budget.Budget;
+import gatefront.budget.ResourceBudget;
 import gatefront.config.Config;
-import gatefront.connection.LoadReport;
+import gatefront.connection.LoadReportParser;
 import gatefront.connection.PooledUpstream;
 import gatefront.engine.Payload;
 import gatefront.membership.Endpoint;
 import gatefront.policy.Balancer.Outcome;
-import gatefront.thrift.codec.Encoding;
-import gatefront.thrift.codec.Header;
-import gatefront.thrift.codec.Limits;
-import gatefront.thrift.codec.Message;
 import gatefront.thrift.codec.MessageDecoder;
 import gatefront.thrift.codec.MessageEncoder;
+import gatefront.thrift.codec.MessageHeader;
+import gatefront.thrift.codec.MessageLimits;
 import gatefront.thrift.codec.StructReader;
 import gatefront.thrift.codec.StructWriter;
+import gatefront.thrift.codec.ThriftEncoding;
+import gatefront.thrift.codec.ThriftMessage;
 import gatefront.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -31,20 +31,20 @@
  */
 public final class ThriftUpstream extends PooledUpstream {
     private final ThriftSettings settings;
-    private final LoadReport load;
+    private final LoadReportParser load;
     private final Payload probe;
 
     /** Holds so many connections at the most. */
     public ThriftUpstream(
-            Transport transport, Config config, ThriftSettings settings, int connectionsMost, Budget budget) {
+            Transport transport, Config config, ThriftSettings settings, int connectionsMost, ResourceBudget budget) {
         super(transport, connectionsMost, config.connectTimeoutMicros(), config.idleCloseMicros(), budget);
         this.settings = settings;
-        this.load = new LoadReport(config.loadFields());
+        this.load = new LoadReportParser(config.loadFields());
         this.probe = new ThriftCall(
-                new Message(
-                        Encoding.BINARY,
-                        new Header(Conventions.HEALTH, Header.Type.CALL, 0),
-                        new StructWriter(Encoding.BINARY).end()),
+                new ThriftMessage(
+                        ThriftEncoding.BINARY,
+                        new MessageHeader(ThriftConventions.HEALTH, MessageHeader.Type.CALL, 0),
+                        new StructWriter(ThriftEncoding.BINARY).end()),
                 -1,
                 0);
     }
@@ -56,7 +56,7 @@
 
     @Override
     protected void init(Connection connection, ChannelPipeline pipeline) {
-        MessageDecoder decoder = new MessageDecoder(Limits.USUAL);
+        MessageDecoder decoder = new MessageDecoder(MessageLimits.USUAL);
         pipeline.addLast(decoder, new Replies(connection, decoder));
     }
 
@@ -68,18 +68,18 @@
     @Override
     protected Object message(Payload payload, int number, long millisLeft) {
         ThriftCall call = (ThriftCall) payload;
-        Header header = new Header(
+        MessageHeader header = new MessageHeader(
                 call.message().header().name(), call.message().header().type(), number);
         byte[] body = call.body(millisLeft);
         ByteBuf out = Unpooled.buffer(body.length + 64);
-        MessageEncoder.write(new Message(call.message().encoding(), header, body), settings.framedServers(), out);
+        MessageEncoder.write(new ThriftMessage(call.message().encoding(), header, body), settings.framedServers(), out);
         return out;
     }
 
     /** A call that gets no reply has been served, as far as anyone will know, when it has left. */
     @Override
     protected void left(Attempt attempt) {
-        if (((ThriftCall) attempt.request()).message().header().type() == Header.Type.ONEWAY) {
+        if (((ThriftCall) attempt.request()).message().header().type() == MessageHeader.Type.ONEWAY) {
             attempt.end(new Result(Outcome.OK, NO_LOAD, attempt.request(), null), true);
         }
     }
@@ -94,7 +94,7 @@
 
         @Override
         protected boolean read(Attempt attempt, Object read) {
-            if (!(read instanceof Message reply) || !answers(reply, attempt)) {
+            if (!(read instanceof ThriftMessage reply) || !answers(reply, attempt)) {
                 return false;
             }
             attempt.end(result(reply, attempt), !decoder.leftover());
@@ -103,15 +103,15 @@
     }
 
     /** Guards against the reply to another call, where a server mixes them up. */
-    private static boolean answers(Message reply, Attempt attempt) {
-        Message call = ((ThriftCall) attempt.request()).message();
-        Header.Type type = reply.header().type();
+    private static boolean answers(ThriftMessage reply, Attempt attempt) {
+        ThriftMessage call = ((ThriftCall) attempt.request()).message();
+        MessageHeader.Type type = reply.header().type();
         String name = reply.header().name();
         boolean named = name.equals(call.header().name())
                 || name.equals(unqualified(call.header().name()));
         return reply.header().seqid() == attempt.number()
                 && reply.encoding().sameBody(call.encoding())
-                && (type == Header.Type.EXCEPTION || type == Header.Type.REPLY && named);
+                && (type == MessageHeader.Type.EXCEPTION || type == MessageHeader.Type.REPLY && named);
     }
 
     /** A server that serves several services replies with the method's name alone. */
@@ -119,8 +119,8 @@
         return name.substring(name.indexOf(':') + 1);
     }
 
-    private Result result(Message reply, Attempt attempt) {
-        if (reply.header().type() == Header.Type.EXCEPTION) {
+    private Result result(ThriftMessage reply, Attempt attempt) {
+        if (reply.header().type() == MessageHeader.Type.EXCEPTION) {
             return exception(reply);
         }
         boolean probing = attempt.request() == probe;
@@ -128,39 +128,39 @@
         String report = null;
         StructReader fields = new StructReader(reply.encoding(), reply.body());
         while (fields.next()) {
-            if (probing && fields.id() == Conventions.SUCCESS && fields.isStruct()) {
+            if (probing && fields.id() == ThriftConventions.SUCCESS && fields.isStruct()) {
                 StructReader health = fields.struct();
                 outcome = Outcome.ERROR;
                 while (health.next()) {
-                    if (health.id() == Conventions.READY && Boolean.TRUE.equals(health.bool())) {
+                    if (health.id() == ThriftConventions.READY && Boolean.TRUE.equals(health.bool())) {
                         outcome = Outcome.OK;
-                    } else if (health.id() == Conventions.HEALTH_LOAD) {
+                    } else if (health.id() == ThriftConventions.HEALTH_LOAD) {
                         report = health.string();
                     }
                 }
-            } else if (fields.id() == Conventions.REFUSED && fields.isStruct()) {
+            } else if (fields.id() == ThriftConventions.REFUSED && fields.isStruct()) {
                 outcome = Outcome.FULL;
-            } else if (fields.id() == Conventions.FAILED && fields.isStruct()) {
+            } else if (fields.id() == ThriftConventions.FAILED && fields.isStruct()) {
                 outcome = Outcome.ERROR;
-            } else if (fields.id() == Conventions.LOAD) {
+            } else if (fields.id() == ThriftConventions.LOAD) {
                 report = fields.string();
             }
         }
         return new Result(outcome, load.read(report), outcome == Outcome.OK ? new ThriftReply(reply) : null, null);
     }
 
-    private static Result exception(Message reply) {
+    private static Result exception(ThriftMessage reply) {
         long type = 0;
         StructReader fields = new StructReader(reply.encoding(), reply.body());
         while (fields.next()) {
-            if (fields.id() == Conventions.APPLICATION_TYPE) {
+            if (fields.id() == ThriftConventions.APPLICATION_TYPE) {
                 Long said = fields.number();
                 type = said == null ? 0 : said;
             }
         }
-        boolean blamesCall = type == Conventions.UNKNOWN_METHOD
-                || type == Conventions.INVALID_MESSAGE_TYPE
-                || type >= Conventions.PROTOCOL_ERROR && type <= Conventions.UNSUPPORTED_CLIENT_TYPE;
+        boolean blamesCall = type == ThriftConventions.UNKNOWN_METHOD
+                || type == ThriftConventions.INVALID_MESSAGE_TYPE
+                || type >= ThriftConventions.PROTOCOL_ERROR && type <= ThriftConventions.UNSUPPORTED_CLIENT_TYPE;
         return new Result(Outcome.ERROR, NO_LOAD, null, blamesCall ? new ThriftReply(reply) : null);
     }
 }
--- a/src/main/java/gatefront/thrift/codec/MessageDecoder.java
+++ b/src/main/java/gatefront/thrift/codec/MessageDecoder.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Reads the messages of one connection: a {@link Message} for each, and one {@link MalformedException} for what is
- * none, after which nothing more is read. The form is told from the first bytes, or given; all messages of a
+ * Reads the messages of one connection: a {@link ThriftMessage} for each, and one {@link MalformedMessageException} for
+ * what is none, after which nothing more is read. The form is told from the first bytes, or given; all messages of a
  * connection have the same.
  *
  * <p>How it is told: a first byte of 0x80 or 0x82 begins an unframed message of the strict binary or the compact
@@ -18,8 +18,8 @@
 public final class MessageDecoder extends ByteToMessageDecoder {
     private static final int LENGTH_BYTES = 4;
 
-    private final Limits limits;
-    private Form form;
+    private final MessageLimits limits;
+    private MessageFormat form;
     private MessageScanner scanner;
     /** Of the frame that is coming in, behind its length; 0 while there is none. */
     private int frame;
@@ -27,18 +27,18 @@
     private boolean deaf;
 
     /** Tells the form by the first bytes. */
-    public MessageDecoder(Limits limits) {
+    public MessageDecoder(MessageLimits limits) {
         this(limits, null);
     }
 
     /** Takes messages of one form only. */
-    public MessageDecoder(Limits limits, Form form) {
+    public MessageDecoder(MessageLimits limits, MessageFormat form) {
         this.limits = limits;
         this.form = form;
     }
 
     /** The form of the messages, or null if nothing has told it yet. */
-    public Form form() {
+    public MessageFormat form() {
         return form;
     }
 
@@ -62,63 +62,63 @@
             if (form == null) {
                 form = detect(in);
             }
-            Message message = form == null ? null : form.framed() ? framed(in) : unframed(in);
+            ThriftMessage message = form == null ? null : form.framed() ? framed(in) : unframed(in);
             if (message != null) {
                 out.add(message);
             }
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             deaf = true;
             in.skipBytes(in.readableBytes());
             out.add(e);
         }
     }
 
-    private Form detect(ByteBuf in) throws MalformedException {
+    private MessageFormat detect(ByteBuf in) throws MalformedMessageException {
         int first = in.getUnsignedByte(in.readerIndex());
-        if (first == Encoding.BINARY_FIRST) {
-            return new Form(false, Encoding.BINARY);
+        if (first == ThriftEncoding.BINARY_FIRST) {
+            return new MessageFormat(false, ThriftEncoding.BINARY);
         }
-        if (first == Encoding.COMPACT_FIRST) {
-            return new Form(false, Encoding.COMPACT);
+        if (first == ThriftEncoding.COMPACT_FIRST) {
+            return new MessageFormat(false, ThriftEncoding.COMPACT);
         }
         if (first > 0x7f) {
-            throw new MalformedException("neither a message nor a frame's length");
+            throw new MalformedMessageException("neither a message nor a frame's length");
         }
         if (in.readableBytes() <= LENGTH_BYTES) {
             return null;
         }
         int length = in.getInt(in.readerIndex());
         int fifth = in.getUnsignedByte(in.readerIndex() + LENGTH_BYTES);
-        if (fifth == Encoding.BINARY_FIRST) {
-            return new Form(true, Encoding.BINARY);
+        if (fifth == ThriftEncoding.BINARY_FIRST) {
+            return new MessageFormat(true, ThriftEncoding.BINARY);
         }
-        if (fifth == Encoding.COMPACT_FIRST) {
-            return new Form(true, Encoding.COMPACT);
+        if (fifth == ThriftEncoding.COMPACT_FIRST) {
+            return new MessageFormat(true, ThriftEncoding.COMPACT);
         }
         if (fifth == 0) {
-            return new Form(true, Encoding.BINARY_OLD);
+            return new MessageFormat(true, ThriftEncoding.BINARY_OLD);
         }
         if (length <= limits.name() && fifth > ' ' && fifth <= '~') {
-            return new Form(false, Encoding.BINARY_OLD);
+            return new MessageFormat(false, ThriftEncoding.BINARY_OLD);
         }
-        throw new MalformedException("no message of any form that is known");
+        throw new MalformedMessageException("no message of any form that is known");
     }
 
-    private Message unframed(ByteBuf in) throws MalformedException {
+    private ThriftMessage unframed(ByteBuf in) throws MalformedMessageException {
         if (scanner == null) {
             scanner = new MessageScanner(form.encoding(), limits, limits.message());
         }
         return scanner.scan(in, in.readerIndex(), in.writerIndex()) ? take(in) : null;
     }
 
-    private Message framed(ByteBuf in) throws MalformedException {
+    private ThriftMessage framed(ByteBuf in) throws MalformedMessageException {
         if (frame == 0) {
             if (in.readableBytes() < LENGTH_BYTES) {
                 return null;
             }
             int length = in.getInt(in.readerIndex());
             if (length <= 0 || length > limits.message()) {
-                throw new MalformedException(
+                throw new MalformedMessageException(
                         "a frame of " + length + " bytes, where 1 to " + limits.message() + " are permitted");
             }
             in.skipBytes(LENGTH_BYTES);
@@ -129,16 +129,17 @@
             return null;
         }
         if (scanner.passed() < frame) {
-            throw new MalformedException("a frame of " + frame + " bytes around a message of " + scanner.passed());
+            throw new MalformedMessageException(
+                    "a frame of " + frame + " bytes around a message of " + scanner.passed());
         }
         frame = 0;
         return take(in);
     }
 
-    private Message take(ByteBuf in) {
+    private ThriftMessage take(ByteBuf in) {
         byte[] body = new byte[scanner.passed() - scanner.bodyAt()];
         in.skipBytes(scanner.bodyAt()).readBytes(body);
-        Message message = new Message(form.encoding(), scanner.header(), body);
+        ThriftMessage message = new ThriftMessage(form.encoding(), scanner.header(), body);
         scanner = null;
         return message;
     }
--- a/src/main/java/gatefront/thrift/codec/MessageEncoder.java
+++ b/src/main/java/gatefront/thrift/codec/MessageEncoder.java
@@ -17,7 +17,7 @@
      * @param framed whether behind its length
      * @param to where
      */
-    public static void write(Message message, boolean framed, ByteBuf to) {
+    public static void write(ThriftMessage message, boolean framed, ByteBuf to) {
         int lengthAt = to.writerIndex();
         if (framed) {
             to.writeInt(0);
@@ -35,7 +35,7 @@
                     .writeByte(type)
                     .writeInt(seqid);
             case COMPACT -> {
-                to.writeByte(Encoding.COMPACT_FIRST).writeByte(type << 5 | COMPACT_VERSION);
+                to.writeByte(ThriftEncoding.COMPACT_FIRST).writeByte(type << 5 | COMPACT_VERSION);
                 varint(seqid & 0xffffffffL, to);
                 varint(name.length, to);
                 to.writeBytes(name);
--- a/src/main/java/gatefront/thrift/codec/Form.java
+++ b/src/main/java/gatefront/thrift/codec/MessageFormat.java
@@ -6,4 +6,4 @@
  * @param framed whether each is behind its length in four bytes (TFramedTransport)
  * @param encoding how its values are written
  */
-public record Form(boolean framed, Encoding encoding) {}
+public record MessageFormat(boolean framed, ThriftEncoding encoding) {}
--- a/src/main/java/gatefront/thrift/codec/Header.java
+++ b/src/main/java/gatefront/thrift/codec/MessageHeader.java
@@ -7,7 +7,7 @@
  * @param type what the message is
  * @param seqid the client's number for the call, which the reply repeats
  */
-public record Header(String name, Type type, int seqid) {
+public record MessageHeader(String name, Type type, int seqid) {
     /** What a message is, in the order of the protocols' numbers, which begin with 1. */
     public enum Type {
         CALL,
@@ -19,9 +19,9 @@
             return ordinal() + 1;
         }
 
-        static Type of(int number) throws MalformedException {
+        static Type of(int number) throws MalformedMessageException {
             if (number < 1 || number > values().length) {
-                throw new MalformedException("message type " + number);
+                throw new MalformedMessageException("message type " + number);
             }
             return values()[number - 1];
         }
--- a/src/main/java/gatefront/thrift/codec/Limits.java
+++ b/src/main/java/gatefront/thrift/codec/MessageLimits.java
@@ -8,7 +8,7 @@
  *     of stack
  * @param name bytes of a method's name at the most
  */
-public record Limits(int message, int depth, int name) {
+public record MessageLimits(int message, int depth, int name) {
     /** As a request over HTTP has them: 64 KiB; the depth is far above what people nest. */
-    public static final Limits USUAL = new Limits(64 << 10, 32, 128);
+    public static final MessageLimits USUAL = new MessageLimits(64 << 10, 32, 128);
 }
--- a/src/main/java/gatefront/thrift/codec/MessageScanner.java
+++ b/src/main/java/gatefront/thrift/codec/MessageScanner.java
@@ -1,6 +1,6 @@
 package gatefront.thrift.codec;
 
-import gatefront.thrift.codec.Header.Type;
+import gatefront.thrift.codec.MessageHeader.Type;
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 
@@ -19,8 +19,8 @@
     private static final int MAP = 102;
     private static final int MORE = -1;
 
-    private final Encoding encoding;
-    private final Limits limits;
+    private final ThriftEncoding encoding;
+    private final MessageLimits limits;
     /** The message has so many bytes at the most. */
     private final int bound;
     /** What is open, the outermost first: what it is, values left, types of the values at odd and even places. */
@@ -41,11 +41,11 @@
     private int next = STOP;
 
     private boolean inContainer;
-    private Header header;
+    private MessageHeader header;
     private int bodyAt;
 
     /** One message in an encoding, of so many bytes at the most. */
-    MessageScanner(Encoding encoding, Limits limits, int bound) {
+    MessageScanner(ThriftEncoding encoding, MessageLimits limits, int bound) {
         this.encoding = encoding;
         this.limits = limits;
         this.bound = bound;
@@ -56,7 +56,7 @@
     }
 
     /** The head, once it has been read, or null. */
-    Header header() {
+    MessageHeader header() {
         return header;
     }
 
@@ -77,9 +77,9 @@
      * @param from index of the message's first byte
      * @param until index behind the last byte that there is
      * @return whether the message is whole
-     * @throws MalformedException if it is none
+     * @throws MalformedMessageException if it is none
      */
-    boolean scan(ByteBuf bytes, int from, int until) throws MalformedException {
+    boolean scan(ByteBuf bytes, int from, int until) throws MalformedMessageException {
         in = bytes;
         start = from;
         available = Math.min(until - from, bound);
@@ -99,7 +99,7 @@
                     return starved();
                 }
             } else if (next != STOP) {
-                if (!(encoding == Encoding.COMPACT ? compactValue(next) : binaryValue(next))) {
+                if (!(encoding == ThriftEncoding.COMPACT ? compactValue(next) : binaryValue(next))) {
                     return starved();
                 }
             } else if (!advance()) {
@@ -110,9 +110,9 @@
     }
 
     /** There are no bytes to go on with; within the bound there will never be, if it has been reached. */
-    private boolean starved() throws MalformedException {
+    private boolean starved() throws MalformedMessageException {
         if (available == bound) {
-            throw new MalformedException("longer than the " + bound + " bytes that it may have");
+            throw new MalformedMessageException("longer than the " + bound + " bytes that it may have");
         }
         return false;
     }
@@ -127,7 +127,7 @@
 
     // ---- The head ----
 
-    private boolean head() throws MalformedException {
+    private boolean head() throws MalformedMessageException {
         return switch (encoding) {
             case BINARY -> strictHead();
             case BINARY_OLD -> oldHead();
@@ -135,25 +135,25 @@
         };
     }
 
-    private boolean strictHead() throws MalformedException {
+    private boolean strictHead() throws MalformedMessageException {
         if (!has(8)) {
             return false;
         }
         int version = in.getInt(start);
         if ((version & 0xffffff00) != 0x80010000) {
-            throw new MalformedException(String.format("version %08x of the binary protocol", version));
+            throw new MalformedMessageException(String.format("version %08x of the binary protocol", version));
         }
         Type type = Type.of(version & 0xff);
         int length = nameLength(in.getInt(start + 4));
         if (!has(12 + length)) {
             return false;
         }
-        header = new Header(name(start + 8, length), type, in.getInt(start + 8 + length));
+        header = new MessageHeader(name(start + 8, length), type, in.getInt(start + 8 + length));
         at = 12 + length;
         return true;
     }
 
-    private boolean oldHead() throws MalformedException {
+    private boolean oldHead() throws MalformedMessageException {
         if (!has(4)) {
             return false;
         }
@@ -161,18 +161,18 @@
         if (!has(9 + length)) {
             return false;
         }
-        header = new Header(
+        header = new MessageHeader(
                 name(start + 4, length), Type.of(in.getByte(start + 4 + length)), in.getInt(start + 5 + length));
         at = 9 + length;
         return true;
     }
 
-    private boolean compactHead() throws MalformedException {
+    private boolean compactHead() throws MalformedMessageException {
         if (!has(2)) {
             return false;
         }
-        if (in.getUnsignedByte(start) != Encoding.COMPACT_FIRST || (in.getByte(start + 1) & 0x1f) != 1) {
-            throw new MalformedException("version of the compact protocol");
+        if (in.getUnsignedByte(start) != ThriftEncoding.COMPACT_FIRST || (in.getByte(start + 1) & 0x1f) != 1) {
+            throw new MalformedMessageException("version of the compact protocol");
         }
         Type type = Type.of(in.getUnsignedByte(start + 1) >> 5);
         int seqidBytes = varintBytes(2, 5);
@@ -185,23 +185,23 @@
         if (!has(before + length)) {
             return false;
         }
-        header = new Header(name(start + before, length), type, (int) varint(2, seqidBytes));
+        header = new MessageHeader(name(start + before, length), type, (int) varint(2, seqidBytes));
         at = before + length;
         return true;
     }
 
-    private int nameLength(int said) throws MalformedException {
+    private int nameLength(int said) throws MalformedMessageException {
         if (said < 0 || said > limits.name()) {
-            throw new MalformedException("a method's name of " + (said & 0xffffffffL) + " bytes");
+            throw new MalformedMessageException("a method's name of " + (said & 0xffffffffL) + " bytes");
         }
         return said;
     }
 
-    private String name(int from, int length) throws MalformedException {
+    private String name(int from, int length) throws MalformedMessageException {
         String name = in.toString(from, length, StandardCharsets.ISO_8859_1);
         for (int i = 0; i < length; i++) {
             if (name.charAt(i) <= ' ' || name.charAt(i) > '~') {
-                throw new MalformedException("a method's name with a character that none has");
+                throw new MalformedMessageException("a method's name with a character that none has");
             }
         }
         return name;
@@ -209,9 +209,9 @@
 
     // ---- The struct ----
 
-    private void open(int what, int values, int oddType, int evenType) throws MalformedException {
+    private void open(int what, int values, int oddType, int evenType) throws MalformedMessageException {
         if (depth == kind.length) {
-            throw new MalformedException("nested more than " + kind.length + " deep");
+            throw new MalformedMessageException("nested more than " + kind.length + " deep");
         }
         kind[depth] = what;
         left[depth] = values;
@@ -221,17 +221,18 @@
     }
 
     /** Goes to the next value of what is open, or closes it. */
-    private boolean advance() throws MalformedException {
+    private boolean advance() throws MalformedMessageException {
         int top = depth - 1;
         if (kind[top] == STRUCT) {
-            return encoding == Encoding.COMPACT ? compactField() : binaryField();
+            return encoding == ThriftEncoding.COMPACT ? compactField() : binaryField();
         }
         if (left[top] == 0) {
             depth--;
         } else {
             next = (left[top] & 1) == 0 ? even[top] : odd[top];
             if (next == STOP) {
-                throw new MalformedException("values of type 0"); // they would take no bytes, and no end of steps
+                throw new MalformedMessageException(
+                        "values of type 0"); // they would take no bytes, and no end of steps
             }
             inContainer = true;
             left[top]--;
@@ -239,18 +240,18 @@
         return true;
     }
 
-    private void pass(long bytes) throws MalformedException {
+    private void pass(long bytes) throws MalformedMessageException {
         if (bytes < 0 || bytes > bound - at) {
-            throw new MalformedException("says " + bytes + " bytes where at most " + (bound - at) + " are left");
+            throw new MalformedMessageException("says " + bytes + " bytes where at most " + (bound - at) + " are left");
         }
         skip = bytes;
         next = STOP;
     }
 
     /** Opens a list or map of so many values, each of a byte at the least. */
-    private void openContainer(int what, long values, int oddType, int evenType) throws MalformedException {
+    private void openContainer(int what, long values, int oddType, int evenType) throws MalformedMessageException {
         if (values < 0 || values > bound - at) {
-            throw new MalformedException(
+            throw new MalformedMessageException(
                     "says " + values + " values where at most " + (bound - at) + " bytes are left");
         }
         next = STOP;
@@ -278,7 +279,7 @@
         return true;
     }
 
-    private boolean binaryValue(int type) throws MalformedException {
+    private boolean binaryValue(int type) throws MalformedMessageException {
         switch (type) {
             case 2, 3 -> pass(1);
             case 6 -> pass(2);
@@ -316,14 +317,14 @@
                 at += 5;
                 openContainer(LIST, size, elements, elements);
             }
-            default -> throw new MalformedException("type " + type + " of the binary protocol");
+            default -> throw new MalformedMessageException("type " + type + " of the binary protocol");
         }
         return true;
     }
 
     // ---- Compact ----
 
-    private boolean compactField() throws MalformedException {
+    private boolean compactField() throws MalformedMessageException {
         if (!has(1)) {
             return false;
         }
@@ -343,7 +344,7 @@
         }
         int type = first & 0xf;
         if (type == STOP) {
-            throw new MalformedException("type 0 of the compact protocol");
+            throw new MalformedMessageException("type 0 of the compact protocol");
         }
         at += bytes;
         next = type;
@@ -351,7 +352,7 @@
         return true;
     }
 
-    private boolean compactValue(int type) throws MalformedException {
+    private boolean compactValue(int type) throws MalformedMessageException {
         switch (type) {
             case 1, 2 -> pass(inContainer ? 1 : 0); // a field's type is its value
             case 3 -> pass(1);
@@ -384,12 +385,12 @@
                 next = STOP;
                 open(STRUCT, 0, 0, 0);
             }
-            default -> throw new MalformedException("type " + type + " of the compact protocol");
+            default -> throw new MalformedMessageException("type " + type + " of the compact protocol");
         }
         return true;
     }
 
-    private boolean compactList() throws MalformedException {
+    private boolean compactList() throws MalformedMessageException {
         if (!has(1)) {
             return false;
         }
@@ -409,7 +410,7 @@
         return true;
     }
 
-    private boolean compactMap() throws MalformedException {
+    private boolean compactMap() throws MalformedMessageException {
         int bytes = varintBytes(at, 5);
         if (bytes == MORE) {
             return false;
@@ -430,7 +431,7 @@
     }
 
     /** How many bytes the varint at an offset has, or MORE if its end is not there yet. */
-    private int varintBytes(int offset, int most) throws MalformedException {
+    private int varintBytes(int offset, int most) throws MalformedMessageException {
         for (int i = 0; i < most; i++) {
             if (offset + i >= available) {
                 return MORE;
@@ -439,7 +440,7 @@
                 return i + 1;
             }
         }
-        throw new MalformedException("a varint without an end");
+        throw new MalformedMessageException("a varint without an end");
     }
 
     /** An unsigned varint of 32 bits, or the low 32 bits of a longer one. */
--- a/src/main/java/gatefront/thrift/codec/StructReader.java
+++ b/src/main/java/gatefront/thrift/codec/StructReader.java
@@ -9,7 +9,7 @@
  * read where they are wanted and passed over where not. What is asked of a field as another type than it has is null.
  */
 public final class StructReader {
-    private final Encoding encoding;
+    private final ThriftEncoding encoding;
     private final ByteBuffer in;
     private int id;
     private int last;
@@ -21,13 +21,13 @@
     private boolean read = true;
 
     /** Stands before the first field. */
-    public StructReader(Encoding encoding, byte[] struct) {
+    public StructReader(ThriftEncoding encoding, byte[] struct) {
         this(encoding, ByteBuffer.wrap(struct));
     }
 
-    private StructReader(Encoding encoding, ByteBuffer in) {
+    private StructReader(ThriftEncoding encoding, ByteBuffer in) {
         this.encoding = encoding;
-        this.in = in.order(encoding == Encoding.COMPACT ? ByteOrder.LITTLE_ENDIAN : ByteOrder.BIG_ENDIAN);
+        this.in = in.order(encoding == ThriftEncoding.COMPACT ? ByteOrder.LITTLE_ENDIAN : ByteOrder.BIG_ENDIAN);
     }
 
     /** Goes to the next field; false if there is none. What the one before holds is passed over, if not read. */
@@ -42,7 +42,7 @@
             read = true;
             return false;
         }
-        if (encoding != Encoding.COMPACT) {
+        if (encoding != ThriftEncoding.COMPACT) {
             type = first;
             id = in.getShort();
             return true;
@@ -75,7 +75,7 @@
             return null;
         }
         read = true;
-        byte[] bytes = new byte[encoding == Encoding.COMPACT ? (int) varint() : in.getInt()];
+        byte[] bytes = new byte[encoding == ThriftEncoding.COMPACT ? (int) varint() : in.getInt()];
         in.get(bytes);
         return new String(bytes, StandardCharsets.UTF_8);
     }
@@ -89,7 +89,7 @@
         if (type == 3) {
             return (long) in.get();
         }
-        if (encoding == Encoding.COMPACT) {
+        if (encoding == ThriftEncoding.COMPACT) {
             return zigzag();
         }
         return type == 6 ? in.getShort() : type == 8 ? in.getInt() : in.getLong();
@@ -101,7 +101,7 @@
             return null;
         }
         read = true;
-        return encoding == Encoding.COMPACT ? set : in.get() != 0;
+        return encoding == ThriftEncoding.COMPACT ? set : in.get() != 0;
     }
 
     /** A field that is a struct, or null; to be read to its end before this goes on. */
@@ -132,18 +132,18 @@
 
     private void skip(int what) {
         switch (what) {
-            case 2 -> pass(encoding == Encoding.COMPACT ? 0 : 1);
+            case 2 -> pass(encoding == ThriftEncoding.COMPACT ? 0 : 1);
             case 3 -> pass(1);
             case 4 -> pass(8);
             case 16 -> pass(16);
             case 6, 8, 10 -> {
-                if (encoding == Encoding.COMPACT) {
+                if (encoding == ThriftEncoding.COMPACT) {
                     zigzag();
                 } else {
                     pass(what == 6 ? 2 : what == 8 ? 4 : 8);
                 }
             }
-            case 11 -> pass(encoding == Encoding.COMPACT ? (int) varint() : in.getInt());
+            case 11 -> pass(encoding == ThriftEncoding.COMPACT ? (int) varint() : in.getInt());
             case 12 -> {
                 StructReader inner = new StructReader(encoding, in);
                 while (inner.next()) {
@@ -167,7 +167,7 @@
     private void skipList() {
         int elements;
         long size;
-        if (encoding == Encoding.COMPACT) {
+        if (encoding == ThriftEncoding.COMPACT) {
             int first = in.get() & 0xff;
             elements = binary(first & 0xf);
             size = first >> 4 == 15 ? varint() : first >> 4;
@@ -184,7 +184,7 @@
         int keys;
         int values;
         long size;
-        if (encoding == Encoding.COMPACT) {
+        if (encoding == ThriftEncoding.COMPACT) {
             size = varint();
             int types = size == 0 ? 0 : in.get() & 0xff;
             keys = binary(types >> 4);
--- a/src/main/java/gatefront/thrift/codec/StructWriter.java
+++ b/src/main/java/gatefront/thrift/codec/StructWriter.java
@@ -7,17 +7,17 @@
 
 /** Writes one struct of a few simple fields, in the order of their ids. */
 public final class StructWriter {
-    private final Encoding encoding;
+    private final ThriftEncoding encoding;
     private final ByteBuf out = Unpooled.buffer(64);
     private int last;
 
     /** Begins a struct. */
-    public StructWriter(Encoding encoding) {
+    public StructWriter(ThriftEncoding encoding) {
         this.encoding = encoding;
     }
 
     private void field(int id, int binaryType, int compactType) {
-        if (encoding != Encoding.COMPACT) {
+        if (encoding != ThriftEncoding.COMPACT) {
             out.writeByte(binaryType).writeShort(id);
         } else if (id > last && id - last <= 15) {
             out.writeByte(id - last << 4 | compactType);
@@ -36,7 +36,7 @@
     public StructWriter string(int id, String value) {
         field(id, 11, 8);
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
-        if (encoding == Encoding.COMPACT) {
+        if (encoding == ThriftEncoding.COMPACT) {
             MessageEncoder.varint(bytes.length, out);
         } else {
             out.writeInt(bytes.length);
@@ -48,7 +48,7 @@
     /** A field of type i32. */
     public StructWriter i32(int id, int value) {
         field(id, 8, 5);
-        if (encoding == Encoding.COMPACT) {
+        if (encoding == ThriftEncoding.COMPACT) {
             MessageEncoder.varint(zigzag(value), out);
         } else {
             out.writeInt(value);
@@ -59,7 +59,7 @@
     /** A field of type i64. */
     public StructWriter i64(int id, long value) {
         field(id, 10, 6);
-        if (encoding == Encoding.COMPACT) {
+        if (encoding == ThriftEncoding.COMPACT) {
             MessageEncoder.varint(zigzag(value), out);
         } else {
             out.writeLong(value);
@@ -70,7 +70,7 @@
     /** A field of type bool. */
     public StructWriter bool(int id, boolean value) {
         field(id, 2, value ? 1 : 2);
-        if (encoding != Encoding.COMPACT) {
+        if (encoding != ThriftEncoding.COMPACT) {
             out.writeByte(value ? 1 : 0);
         }
         return this;
--- a/src/main/java/gatefront/thrift/codec/Encoding.java
+++ b/src/main/java/gatefront/thrift/codec/ThriftEncoding.java
@@ -1,7 +1,7 @@
 package gatefront.thrift.codec;
 
 /** How a message's values are written. */
-public enum Encoding {
+public enum ThriftEncoding {
     /** TBinaryProtocol, its header with a version. */
     BINARY,
     /** TBinaryProtocol as it was before: its header without a version. */
@@ -15,7 +15,7 @@
     static final int COMPACT_FIRST = 0x82;
 
     /** Whether two messages' bodies are read alike; the forms of the binary protocol differ in their headers alone. */
-    public boolean sameBody(Encoding other) {
+    public boolean sameBody(ThriftEncoding other) {
         return (this == COMPACT) == (other == COMPACT);
     }
 }
--- a/src/main/java/gatefront/thrift/codec/Message.java
+++ b/src/main/java/gatefront/thrift/codec/ThriftMessage.java
@@ -8,4 +8,4 @@
  * @param body the struct behind it, byte for byte: the arguments of a call, the result of a reply; well-formed where
  *     it comes from a {@link MessageDecoder}
  */
-public record Message(Encoding encoding, Header header, byte[] body) {}
+public record ThriftMessage(ThriftEncoding encoding, MessageHeader header, byte[] body) {}
--- a/src/main/java/gatefront/toml/KeyLines.java
+++ b/src/main/java/gatefront/toml/KeyLineIndex.java
@@ -11,13 +11,13 @@
  * for the forms that these files use (tables, arrays of tables, a key a line); a key that it does not find has the line
  * of the table around it.
  */
-final class KeyLines {
+final class KeyLineIndex {
     private static final Pattern TABLE = Pattern.compile("\\s*(\\[{1,2})\\s*([^\\]]+?)\\s*\\]{1,2}\\s*(#.*)?");
     private static final Pattern KEY = Pattern.compile("\\s*([A-Za-z0-9_.\"-]+)\\s*=.*");
 
     private final Map<String, Integer> lines = new HashMap<>();
 
-    KeyLines(List<String> text) {
+    KeyLineIndex(List<String> text) {
         Map<String, Integer> counts = new HashMap<>();
         String at = "";
         for (int i = 0; i < text.size(); i++) {
--- a/src/main/java/gatefront/toml/TomlFile.java
+++ b/src/main/java/gatefront/toml/TomlFile.java
@@ -45,9 +45,9 @@
      * @return the table
      * @throws TomlException if it is not TOML
      */
-    public static Table parse(String file, String text) throws TomlException {
+    public static TomlTable parse(String file, String text) throws TomlException {
         try {
-            return new Table(file, new KeyLines(text.lines().toList()), "", new TomlMapper().readTree(text));
+            return new TomlTable(file, new KeyLineIndex(text.lines().toList()), "", new TomlMapper().readTree(text));
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 1 : Math.max(1, e.getLocation().getLineNr());
             throw new TomlException(file + ":" + line + ": is not TOML: "
--- a/src/main/java/gatefront/toml/Table.java
+++ b/src/main/java/gatefront/toml/TomlTable.java
@@ -10,15 +10,15 @@
 import java.util.stream.Collectors;
 
 /** One table of a file, whose keys are taken one by one; what is left over in the end was not meant. */
-public final class Table {
+public final class TomlTable {
     private final String file;
-    private final KeyLines lines;
+    private final KeyLineIndex lines;
     private final String path;
     private final JsonNode node;
     private final Set<String> taken = new LinkedHashSet<>();
-    private final List<Table> inner = new ArrayList<>();
+    private final List<TomlTable> inner = new ArrayList<>();
 
-    Table(String file, KeyLines lines, String path, JsonNode node) {
+    TomlTable(String file, KeyLineIndex lines, String path, JsonNode node) {
         this.file = file;
         this.lines = lines;
         this.path = path;
@@ -56,28 +56,28 @@
     }
 
     /** A table within; one that is missing is taken as empty. */
-    public Table table(String key) throws TomlException {
+    public TomlTable table(String key) throws TomlException {
         JsonNode found = take(key);
         if (!found.isMissingNode() && !found.isObject()) {
             throw bad(key, "is to be a table, as in [" + at(key) + "]");
         }
-        Table table = new Table(file, lines, at(key), found);
+        TomlTable table = new TomlTable(file, lines, at(key), found);
         inner.add(table);
         return table;
     }
 
     /** The tables of an array of tables, perhaps none. */
-    public List<Table> tables(String key) throws TomlException {
+    public List<TomlTable> tables(String key) throws TomlException {
         JsonNode found = take(key);
         if (!found.isMissingNode() && !found.isArray()) {
             throw bad(key, "is to be a list of tables, as in [[" + at(key) + "]]");
         }
-        List<Table> tables = new ArrayList<>();
+        List<TomlTable> tables = new ArrayList<>();
         for (int i = 0; i < found.size(); i++) {
             if (!found.get(i).isObject()) {
                 throw bad(key, "is to be a list of tables, as in [[" + at(key) + "]]");
             }
-            tables.add(new Table(file, lines, at(key) + "." + i, found.get(i)));
+            tables.add(new TomlTable(file, lines, at(key) + "." + i, found.get(i)));
         }
         inner.addAll(tables);
         return tables;
@@ -142,7 +142,7 @@
 
     /** A number within bounds; null for {@code otherwise} if it must be there. */
     public double number(String key, Double otherwise, double least, double most) throws TomlException {
-        Range range = range(key, otherwise == null ? null : new Range(otherwise, otherwise), least, most);
+        NumberRange range = range(key, otherwise == null ? null : new NumberRange(otherwise, otherwise), least, most);
         if (range.low() != range.high()) {
             throw bad(key, "is to be one number, not a range");
         }
@@ -150,7 +150,7 @@
     }
 
     /** A number or a range of two, within bounds; null for {@code otherwise} if it must be there. */
-    public Range range(String key, Range otherwise, double least, double most) throws TomlException {
+    public NumberRange range(String key, NumberRange otherwise, double least, double most) throws TomlException {
         JsonNode found = take(key);
         if (found.isMissingNode()) {
             if (otherwise == null) {
@@ -168,9 +168,9 @@
                     "is to be a number, or a range of two as in [1, 2], not " + found
                             + (found.isTextual() ? "; the unit stands in the key's name" : ""));
         }
-        Range range = pair
-                ? new Range(found.get(0).asDouble(), found.get(1).asDouble())
-                : new Range(found.asDouble(), found.asDouble());
+        NumberRange range = pair
+                ? new NumberRange(found.get(0).asDouble(), found.get(1).asDouble())
+                : new NumberRange(found.asDouble(), found.asDouble());
         if (range.low() > range.high()) {
             throw bad(key, "the range " + found + " runs backwards; the lower figure comes first");
         }
@@ -195,7 +195,7 @@
                 throw bad(name, "is not known here" + meant(name, new TreeSet<>(taken)));
             }
         }
-        for (Table each : inner) {
+        for (TomlTable each : inner) {
             each.finish();
         }
     }
--- a/src/main/java/gatefront/upgrade/Neighbour.java
+++ b/src/main/java/gatefront/upgrade/ProcessHandover.java
@@ -1,6 +1,6 @@
 package gatefront.upgrade;
 
-import gatefront.membership.Bans;
+import gatefront.membership.ServerBans;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
 import java.nio.channels.FileLock;
@@ -26,7 +26,7 @@
  *
  * <p>State: the texts of others' files as last read, each dropped when its file is gone.
  */
-public final class Neighbour {
+public final class ProcessHandover {
     private static final String BANS = "gatefront-bans-";
     private static final String SERVES = "gatefront-serves.lock";
     private static final String COMES = "gatefront-comes.lock";
@@ -51,7 +51,7 @@
      * @param log gets a line for each file that is not believed
      * @throws IOException if the folder cannot be used
      */
-    public Neighbour(Path folder, String name, Consumer<String> log) throws IOException {
+    public ProcessHandover(Path folder, String name, Consumer<String> log) throws IOException {
         this.folder = folder;
         this.own = folder.resolve(BANS + name);
         this.log = log;
@@ -100,8 +100,8 @@
      *
      * @return entries that have changed, to be merged
      */
-    public Map<String, Bans.Entry> look() {
-        Map<String, Bans.Entry> told = new LinkedHashMap<>();
+    public Map<String, ServerBans.Entry> look() {
+        Map<String, ServerBans.Entry> told = new LinkedHashMap<>();
         Set<Path> there = new HashSet<>();
         try {
             if (serving == null) {
@@ -135,7 +135,7 @@
         return !seen.isEmpty();
     }
 
-    private void read(Path file, Map<String, Bans.Entry> into) throws IOException {
+    private void read(Path file, Map<String, ServerBans.Entry> into) throws IOException {
         try {
             if (Files.size(file) > FILE_MAX) {
                 throw new IllegalArgumentException("too long");
@@ -143,7 +143,7 @@
             // Not by its time: two calls may come within one tick of the clock that files are stamped with.
             String text = Files.readString(file);
             if (!text.equals(seen.put(file, text))) {
-                into.putAll(BansText.read(text));
+                into.putAll(BanFileFormat.read(text));
             }
         } catch (IllegalArgumentException | java.nio.charset.CharacterCodingException e) {
             log.accept("upgrade: " + file.getFileName() + " is not believed: " + e.getMessage());
@@ -151,10 +151,10 @@
     }
 
     /** Tells the other process, and the next one, what bans there are. */
-    public void tell(Map<String, Bans.Entry> entries) {
+    public void tell(Map<String, ServerBans.Entry> entries) {
         Path fresh = folder.resolve(own.getFileName() + ".new");
         try {
-            Files.writeString(fresh, BansText.write(entries));
+            Files.writeString(fresh, BanFileFormat.write(entries));
             Files.move(fresh, own, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
             trouble(new IOException("bans cannot be written", e));
--- a/src/test/java/gatefront/agent/Stage.java
+++ b/src/test/java/gatefront/agent/AgentFixture.java
@@ -5,8 +5,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import gatefront.config.Config;
 import gatefront.engine.Engine;
+import gatefront.policy.AdaptiveBalancer;
 import gatefront.policy.Balancer;
-import gatefront.policy.Rules;
 import java.io.Closeable;
 import java.io.IOException;
 import java.lang.reflect.Proxy;
@@ -25,45 +25,45 @@
 import java.util.function.Function;
 
 /** An agent on a loopback port with a scripted discovery and scripted servers. */
-final class Stage implements Closeable {
+final class AgentFixture implements Closeable {
     static final long GENEROUS_MS = 20_000;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     final ObjectNode config;
-    final List<Peer> servers = new ArrayList<>();
+    final List<ScriptedPeer> servers = new ArrayList<>();
     /** Others that close with the stage. */
-    final List<Peer> peers = new ArrayList<>();
+    final List<ScriptedPeer> peers = new ArrayList<>();
     /** What discovery answers to the calls after the first, one each; it waits while there is none. */
-    final BlockingQueue<Peer.Script> news = new LinkedBlockingQueue<>();
+    final BlockingQueue<ScriptedPeer.Script> news = new LinkedBlockingQueue<>();
 
-    final Peer discovery;
+    final ScriptedPeer discovery;
     Agent agent;
     private final List<Socket> clients = new ArrayList<>();
     private int requests;
 
-    Stage() throws IOException {
+    AgentFixture() throws IOException {
         config = (ObjectNode) JSON.readTree(Files.readAllBytes(Path.of("src/test/resources/config.json")));
-        discovery = new Peer((message, socket) -> {
+        discovery = new ScriptedPeer((message, socket) -> {
             if (message.target().contains("since")) {
                 news.take().handle(message, socket);
             } else {
-                Peer.answer(socket, 200, "", config.get("known").toString());
+                ScriptedPeer.answer(socket, 200, "", config.get("known").toString());
             }
         });
         config.put("discovery", discovery.address());
     }
 
     /** Adds a server to the known list, which is also discovery's first answer. */
-    Peer server(Peer.Script script) throws IOException {
-        Peer peer = new Peer(script);
+    ScriptedPeer server(ScriptedPeer.Script script) throws IOException {
+        ScriptedPeer peer = new ScriptedPeer(script);
         servers.add(peer);
         ((ArrayNode) config.get("known").get("endpoints")).add(endpoint(servers.size(), peer.address(), "Ready"));
         return peer;
     }
 
     /** A server that is not listed. */
-    Peer peer(Peer.Script script) throws IOException {
-        Peer peer = new Peer(script);
+    ScriptedPeer peer(ScriptedPeer.Script script) throws IOException {
+        ScriptedPeer peer = new ScriptedPeer(script);
         peers.add(peer);
         return peer;
     }
@@ -81,30 +81,30 @@
     }
 
     /** Discovery's answer with changes. */
-    static Peer.Script delta(int index, ObjectNode... entries) {
+    static ScriptedPeer.Script delta(int index, ObjectNode... entries) {
         ObjectNode list = JSON.createObjectNode().put("index", index).put("snapshot", false);
         list.putArray("endpoints").addAll(List.of(entries));
-        return (message, socket) -> Peer.answer(socket, 200, "", list.toString());
+        return (message, socket) -> ScriptedPeer.answer(socket, 200, "", list.toString());
     }
 
-    Stage settings(String group, Consumer<ObjectNode> change) {
+    AgentFixture settings(String group, Consumer<ObjectNode> change) {
         change.accept((ObjectNode) config.get("settings").get(group));
         return this;
     }
 
-    Stage start() throws IOException {
+    AgentFixture start() throws IOException {
         agent = Agent.start(Config.of(config));
         awaitReady();
         return this;
     }
 
-    Stage start(Extensions extensions) throws IOException {
+    AgentFixture start(Extensions extensions) throws IOException {
         agent = Agent.start(Config.of(config), extensions);
         awaitReady();
         return this;
     }
 
-    Stage start(Function<Engine, Balancer> module) throws IOException {
+    AgentFixture start(Function<Engine, Balancer> module) throws IOException {
         agent = Agent.start(Config.of(config), module);
         awaitReady();
         return this;
@@ -113,7 +113,7 @@
     /** The usual module behind one that is told of each event before it, and may fail. */
     Function<Engine, Balancer> overheard(BiConsumer<String, Object[]> before) {
         return agent -> {
-            Balancer rules = new Rules(Config.of(config).settings(), 1, 0, agent);
+            Balancer rules = new AdaptiveBalancer(Config.of(config).settings(), 1, 0, agent);
             return (Balancer) Proxy.newProxyInstance(
                     Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, details) -> {
                         before.accept(method.getName(), details);
@@ -125,8 +125,8 @@
     private void awaitReady() {
         await(() -> {
             try (Socket socket = dial()) {
-                Peer.write(socket, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
-                return Peer.read(socket.getInputStream()).status() == 200;
+                ScriptedPeer.write(socket, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
+                return ScriptedPeer.read(socket.getInputStream()).status() == 200;
             } catch (IOException e) {
                 return false;
             }
@@ -152,13 +152,13 @@
     }
 
     /** Sends a request on a new connection and returns its answer. */
-    Peer.Message call(String type) throws IOException {
+    ScriptedPeer.Message call(String type) throws IOException {
         return exchange(dial(), request(type, 8000, "body"));
     }
 
-    static Peer.Message exchange(Socket socket, String request) throws IOException {
-        Peer.write(socket, request);
-        return Peer.read(socket.getInputStream());
+    static ScriptedPeer.Message exchange(Socket socket, String request) throws IOException {
+        ScriptedPeer.write(socket, request);
+        return ScriptedPeer.read(socket.getInputStream());
     }
 
     /** How many requests have reached the servers. */
@@ -191,13 +191,13 @@
     public void close() throws IOException {
         hangUp();
         if (agent != null) {
-            Peer.daemon(agent::stop); // it lingers; the next test need not wait for that
+            ScriptedPeer.daemon(agent::stop); // it lingers; the next test need not wait for that
         }
         discovery.close();
-        for (Peer server : servers) {
+        for (ScriptedPeer server : servers) {
             server.close();
         }
-        for (Peer peer : peers) {
+        for (ScriptedPeer peer : peers) {
             peer.close();
         }
     }
--- a/src/test/java/gatefront/agent/AgentTest.java
+++ b/src/test/java/gatefront/agent/AgentTest.java
@@ -35,19 +35,20 @@
 
 /** The agent over loopback sockets, against scripted peers. */
 class AgentTest {
-    private static final Peer.Script SERVES = (message, socket) -> Peer.answer(socket, 200, "", "served");
-    private static final Peer.Script SILENT = (message, socket) -> {};
-    private static final Peer.Script RESETS = (message, socket) -> Peer.reset(socket);
-    private static final Peer.Script CUTS_OFF = (message, socket) -> {
-        Peer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+    private static final ScriptedPeer.Script SERVES =
+            (message, socket) -> ScriptedPeer.answer(socket, 200, "", "served");
+    private static final ScriptedPeer.Script SILENT = (message, socket) -> {};
+    private static final ScriptedPeer.Script RESETS = (message, socket) -> ScriptedPeer.reset(socket);
+    private static final ScriptedPeer.Script CUTS_OFF = (message, socket) -> {
+        ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
         socket.close();
     };
 
-    private Stage stage;
+    private AgentFixture stage;
 
     @BeforeEach
     void set() throws IOException {
-        stage = new Stage();
+        stage = new AgentFixture();
     }
 
     @AfterEach
@@ -56,7 +57,7 @@
     }
 
     /** A server that does the one thing with its first request and serves the others; two of them alike. */
-    private void twoServersThatFirst(Peer.Script script) throws IOException {
+    private void twoServersThatFirst(ScriptedPeer.Script script) throws IOException {
         AtomicBoolean first = new AtomicBoolean(true);
         for (int i = 0; i < 2; i++) {
             stage.server((message, socket) -> (first.getAndSet(false) ? script : SERVES).handle(message, socket));
@@ -69,13 +70,14 @@
     @Test
     void aRequestGoesOnUnchangedAndItsAnswerComesBackUnchanged() throws IOException {
         String body = "b\u0000\u00ff".repeat(20_000);
-        Peer server = stage.server((message, socket) -> Peer.answer(socket, 200, "Content-Type: x/y\r\n", body));
+        ScriptedPeer server =
+                stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "Content-Type: x/y\r\n", body));
         stage.start();
-        Peer.Message answer = Stage.exchange(stage.dial(), stage.request("pay", 5000, body));
+        ScriptedPeer.Message answer = AgentFixture.exchange(stage.dial(), stage.request("pay", 5000, body));
         assertEquals(200, answer.status());
         assertEquals(body, answer.text());
         assertEquals("x/y", answer.header("Content-Type"));
-        Peer.Message sent = server.requests.get(0);
+        ScriptedPeer.Message sent = server.requests.get(0);
         assertEquals("POST /pay?q=1 HTTP/1.1", sent.first());
         assertEquals(body, sent.text());
         assertEquals("id1", sent.header("Request-Id"));
@@ -87,7 +89,7 @@
     @Test
     void splitAndChunkedMessagesAndBodiesOf64KiBPass() throws Exception {
         String chunk = "c".repeat(32 << 10);
-        Peer server = stage.server((message, socket) -> {
+        ScriptedPeer server = stage.server((message, socket) -> {
             for (String part : List.of(
                     "HTTP/1.1 200 O",
                     "K\r\nTransfer-Enco",
@@ -97,7 +99,7 @@
                     chunk,
                     "\r\n0\r\n",
                     "\r\n")) {
-                Peer.write(socket, part);
+                ScriptedPeer.write(socket, part);
                 Thread.sleep(2);
             }
         });
@@ -110,22 +112,23 @@
                 "Transfer-Encoding: chunked\r\n\r\n8000\r\n" + chunk + "\r\n8000\r\n",
                 chunk + "\r\n0",
                 "\r\n\r\n")) {
-            Peer.write(client, part);
+            ScriptedPeer.write(client, part);
             Thread.sleep(2);
         }
-        assertEquals(chunk + chunk, Peer.read(client.getInputStream()).text());
+        assertEquals(chunk + chunk, ScriptedPeer.read(client.getInputStream()).text());
         assertEquals(chunk + chunk, server.requests.get(0).text());
     }
 
     @Test
     void connectionsAreKeptOnBothSides() throws Exception {
-        Peer server = stage.server(SERVES);
+        ScriptedPeer server = stage.server(SERVES);
         stage.start();
         Socket client = stage.dial();
         for (int i = 0; i < 5; i++) {
             assertEquals(
                     200,
-                    Stage.exchange(client, stage.request("lookup", 8000, "")).status());
+                    AgentFixture.exchange(client, stage.request("lookup", 8000, ""))
+                            .status());
             Thread.sleep(100); // a connection rests a moment before it is used again
         }
         assertEquals(5, server.requests.size());
@@ -134,16 +137,16 @@
 
     @Test
     void requestsSentInAdvanceAreAnsweredInTheirOrder() throws IOException {
-        stage.server((message, socket) -> Peer.answer(socket, 200, "", message.header("Request-Id")));
+        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", message.header("Request-Id")));
         stage.start();
         Socket client = stage.dial();
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 12; i++) {
             all.append(stage.request("lookup", 8000, ""));
         }
-        Peer.write(client, all.toString());
+        ScriptedPeer.write(client, all.toString());
         for (int i = 1; i <= 12; i++) {
-            assertEquals("id" + i, Peer.read(client.getInputStream()).text());
+            assertEquals("id" + i, ScriptedPeer.read(client.getInputStream()).text());
         }
     }
 
@@ -161,7 +164,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"lookup", "pay", "order"})
     void whatWasTurnedAwayUnseenIsSentAgain(String type) throws IOException {
-        twoServersThatFirst((message, socket) -> Peer.answer(socket, 503, "Not-Started: 1\r\n", ""));
+        twoServersThatFirst((message, socket) -> ScriptedPeer.answer(socket, 503, "Not-Started: 1\r\n", ""));
         assertEquals(200, stage.call(type).status());
         assertEquals(2, stage.arrived());
     }
@@ -169,7 +172,7 @@
     /** Guards against an effect twice: only Not-Started proves that a 503 has not run. */
     @Test
     void aBare503MayHaveRun() throws IOException {
-        twoServersThatFirst((message, socket) -> Peer.answer(socket, 503, "", ""));
+        twoServersThatFirst((message, socket) -> ScriptedPeer.answer(socket, 503, "", ""));
         assertEquals(502, stage.call("order").status());
         assertEquals(1, stage.arrived());
     }
@@ -194,7 +197,7 @@
     @Test
     void anAnswerCutOffIsNotServed() throws IOException {
         twoServersThatFirst(CUTS_OFF);
-        Peer.Message answer = stage.call("lookup");
+        ScriptedPeer.Message answer = stage.call("lookup");
         assertEquals(200, answer.status());
         assertEquals("served", answer.text());
     }
@@ -203,7 +206,7 @@
     @ValueSource(strings = {"ff\r\nhalf", "4\r\nhalf\r\nno size\r\n"})
     void anAnswerCutOffOrSpoiltInsideItsChunksIsNotServed(String chunks) throws IOException {
         twoServersThatFirst((message, socket) -> {
-            Peer.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks);
+            ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks);
             socket.close();
         });
         assertEquals(502, stage.call("order").status());
@@ -216,9 +219,9 @@
         for (int i = 0; i < 3; i++) {
             stage.server((message, socket) -> {
                 switch (turn.getAndIncrement()) {
-                    case 0 -> Peer.write(socket, "I am not HTTP\r\n\r\n");
-                    case 1 -> Peer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 40000000\r\n\r\nx");
-                    default -> Peer.answer(socket, 200, "", "served");
+                    case 0 -> ScriptedPeer.write(socket, "I am not HTTP\r\n\r\n");
+                    case 1 -> ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 40000000\r\n\r\nx");
+                    default -> ScriptedPeer.answer(socket, 200, "", "served");
                 }
             });
         }
@@ -241,7 +244,7 @@
     @Test
     void aRequestWithNowhereToGoIsRefusedWithAdvice() throws IOException {
         stage.start();
-        Peer.Message answer = stage.call("order");
+        ScriptedPeer.Message answer = stage.call("order");
         assertEquals(503, answer.status());
         assertEquals("1.0", answer.header("Retry-After"));
     }
@@ -249,13 +252,13 @@
     @Test
     void aSilentServerIsGivenUpInTimeAndItsConnectionClosed() throws IOException {
         stage.settings("caps", caps -> caps.put("probes", false));
-        Peer server = stage.server(SILENT);
+        ScriptedPeer server = stage.server(SILENT);
         stage.start();
         assertEquals(
                 502,
-                Stage.exchange(stage.dial(), stage.request("order", 1000, "body"))
+                AgentFixture.exchange(stage.dial(), stage.request("order", 1000, "body"))
                         .status());
-        Stage.await(() -> server.ended.size() == server.sockets.size());
+        AgentFixture.await(() -> server.ended.size() == server.sockets.size());
         assertEquals(1, server.requests.size());
     }
 
@@ -263,7 +266,7 @@
     @Test
     void theAttemptOfAClientThatLeavesIsGivenUp() throws Exception {
         stage.settings("caps", caps -> caps.put("probes", false).put("cancel", false));
-        Peer server = stage.server(SILENT);
+        ScriptedPeer server = stage.server(SILENT);
         CompletableFuture<Object> outcome = new CompletableFuture<>();
         stage.start(stage.overheard((event, details) -> {
             if (event.equals("outcome")) {
@@ -271,21 +274,21 @@
             }
         }));
         Socket client = stage.dial();
-        Peer.write(client, stage.request("lookup", 8000, ""));
-        Stage.await(() -> server.requests.size() == 1);
+        ScriptedPeer.write(client, stage.request("lookup", 8000, ""));
+        AgentFixture.await(() -> server.requests.size() == 1);
         client.close();
         assertEquals(Balancer.Outcome.CANCELLED, outcome.get(20, TimeUnit.SECONDS), "and not its time-out");
-        Stage.await(() -> server.ended.size() == 1);
+        AgentFixture.await(() -> server.ended.size() == 1);
     }
 
     /** Guards against writing to a connection that the server is about to close as idle. */
     @Test
     void connectionsAreClosedBeforeTheServerWouldCloseThem() throws IOException {
         stage.settings("caps", caps -> caps.put("idle-close-us", 400_000).put("probes", false));
-        Peer server = stage.server(SERVES);
+        ScriptedPeer server = stage.server(SERVES);
         stage.start();
         assertEquals(200, stage.call("lookup").status());
-        Stage.await(() -> server.ended.size() == 1);
+        AgentFixture.await(() -> server.ended.size() == 1);
         assertEquals(200, stage.call("lookup").status());
     }
 
@@ -293,14 +296,16 @@
 
     @Test
     void changesAreAppliedAndADrainedServerGetsNothingNew() throws Exception {
-        Peer first = stage.server(SERVES);
-        Peer second = new Peer(SERVES);
+        ScriptedPeer first = stage.server(SERVES);
+        ScriptedPeer second = new ScriptedPeer(SERVES);
         stage.servers.add(second);
         stage.start();
         assertEquals(200, stage.call("lookup").status());
-        stage.news.add(Stage.delta(
-                1, Stage.endpoint(2, second.address(), "Ready"), Stage.endpoint(1, first.address(), "Terminating")));
-        Stage.await(() ->
+        stage.news.add(AgentFixture.delta(
+                1,
+                AgentFixture.endpoint(2, second.address(), "Ready"),
+                AgentFixture.endpoint(1, first.address(), "Terminating")));
+        AgentFixture.await(() ->
                 stage.discovery.requests.stream().anyMatch(each -> each.target().contains("since=1&")));
         int before = first.requests.size();
         for (int i = 0; i < 5; i++) {
@@ -316,30 +321,32 @@
         stage.settings("caps", caps -> caps.put("dial-timeout-us", 6_000_000).put("probes", false));
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             String address = "127.0.0.1:" + full.getLocalPort();
-            ((ObjectNode) stage.config.get("known")).putArray("endpoints").add(Stage.endpoint(1, address, "Ready"));
+            ((ObjectNode) stage.config.get("known"))
+                    .putArray("endpoints")
+                    .add(AgentFixture.endpoint(1, address, "Ready"));
             stage.start();
             List<Socket> filling = new ArrayList<>();
             for (int i = 0; i < 4; i++) { // the kernel holds back further connections until some are accepted
                 Socket socket = new Socket();
                 filling.add(socket);
-                Peer.daemon(() -> socket.connect(full.getLocalSocketAddress()));
+                ScriptedPeer.daemon(() -> socket.connect(full.getLocalSocketAddress()));
             }
             Thread.sleep(200);
             Socket client = stage.dial();
-            Peer.write(client, stage.request("order", 8000, "body"));
+            ScriptedPeer.write(client, stage.request("order", 8000, "body"));
             Thread.sleep(100);
-            stage.news.add(Stage.delta(1, Stage.endpoint(1, address, "Terminating")));
-            Stage.await(() -> stage.discovery.requests.stream()
+            stage.news.add(AgentFixture.delta(1, AgentFixture.endpoint(1, address, "Terminating")));
+            AgentFixture.await(() -> stage.discovery.requests.stream()
                     .anyMatch(each -> each.target().contains("since=1&")));
             AtomicInteger written = new AtomicInteger();
-            Peer.daemon(() -> {
+            ScriptedPeer.daemon(() -> {
                 while (true) {
                     Socket accepted = full.accept();
-                    Peer.daemon(
+                    ScriptedPeer.daemon(
                             () -> written.addAndGet(accepted.getInputStream().readNBytes(1).length));
                 }
             });
-            assertEquals(503, Peer.read(client.getInputStream()).status());
+            assertEquals(503, ScriptedPeer.read(client.getInputStream()).status());
             assertEquals(0, written.get());
             for (Socket socket : filling) {
                 socket.close();
@@ -360,8 +367,8 @@
         stage.server(SERVES);
         stage.start();
         int before = stage.discovery.requests.size();
-        stage.news.add((message, socket) -> Peer.answer(socket, 200, "", body));
-        Stage.await(() -> stage.discovery.requests.stream().skip(before).anyMatch(each -> each.target()
+        stage.news.add((message, socket) -> ScriptedPeer.answer(socket, 200, "", body));
+        AgentFixture.await(() -> stage.discovery.requests.stream().skip(before).anyMatch(each -> each.target()
                 .equals("/v1/servers")));
         assertEquals(200, stage.call("lookup").status());
     }
@@ -369,22 +376,22 @@
     /** The known list is older than the last replacement: what the padrón's own list has no more leaves nothing. */
     @Test
     void whatOnlyTheKnownListHasIsForgottenWithTheFirstWholeList() throws Exception {
-        Peer replaced = stage.server(SERVES);
-        Peer server = new Peer(SERVES);
+        ScriptedPeer replaced = stage.server(SERVES);
+        ScriptedPeer server = new ScriptedPeer(SERVES);
         stage.servers.add(server);
-        Peer padron = stage.peer((message, socket) -> {
+        ScriptedPeer padron = stage.peer((message, socket) -> {
             if (!message.target().contains("since")) {
-                Peer.answer(
+                ScriptedPeer.answer(
                         socket,
                         200,
                         "",
-                        "{\"index\":7,\"snapshot\":true,\"endpoints\":[" + Stage.endpoint(2, server.address(), "Ready")
-                                + "]}");
+                        "{\"index\":7,\"snapshot\":true,\"endpoints\":["
+                                + AgentFixture.endpoint(2, server.address(), "Ready") + "]}");
             }
         });
         stage.config.put("discovery", padron.address());
         stage.start();
-        Stage.await(
+        AgentFixture.await(
                 () -> padron.requests.stream().anyMatch(each -> each.target().contains("since=7&")));
         assertEquals(200, stage.call("order").status());
         assertEquals(List.of(0, 1), List.of(replaced.requests.size(), server.requests.size()));
@@ -393,27 +400,27 @@
 
     @Test
     void afterAFailedOrBrokenCallTheListIsFollowedOn() throws Exception {
-        Peer server = new Peer(SERVES);
+        ScriptedPeer server = new ScriptedPeer(SERVES);
         stage.servers.add(server);
         stage.start();
-        stage.news.add((message, socket) -> Peer.answer(socket, 503, "", ""));
+        stage.news.add((message, socket) -> ScriptedPeer.answer(socket, 503, "", ""));
         stage.news.add(RESETS);
         stage.news.add((message, socket) -> socket.close());
-        stage.news.add((message, socket) ->
-                Peer.answer(socket, 200, "Connection: close\r\n", "{\"index\":3,\"snapshot\":false,\"endpoints\":[]}"));
-        stage.news.add(Stage.delta(4, Stage.endpoint(1, server.address(), "Ready")));
+        stage.news.add((message, socket) -> ScriptedPeer.answer(
+                socket, 200, "Connection: close\r\n", "{\"index\":3,\"snapshot\":false,\"endpoints\":[]}"));
+        stage.news.add(AgentFixture.delta(4, AgentFixture.endpoint(1, server.address(), "Ready")));
         assertEquals(200, stage.call("lookup").status());
     }
 
     @Test
     void whereDiscoveryIsAskedTheModuleSaysWhenAfterAFailure() throws Exception {
         ((ObjectNode) stage.config.get("settings")).put("discovery", "subscribe");
-        Peer server = new Peer(SERVES);
+        ScriptedPeer server = new ScriptedPeer(SERVES);
         stage.servers.add(server);
         stage.start();
-        stage.news.add((message, socket) -> Peer.answer(socket, 503, "", ""));
-        stage.news.add(Stage.delta(4, Stage.endpoint(1, server.address(), "Ready")));
-        Stage.await(() ->
+        stage.news.add((message, socket) -> ScriptedPeer.answer(socket, 503, "", ""));
+        stage.news.add(AgentFixture.delta(4, AgentFixture.endpoint(1, server.address(), "Ready")));
+        AgentFixture.await(() ->
                 stage.discovery.requests.stream().anyMatch(each -> each.target().contains("since=4&")));
         assertEquals(200, stage.call("lookup").status());
     }
@@ -428,11 +435,11 @@
 
     @Test
     void theListGivesTimesAndNamesAsTheModuleNeedsThem() throws Exception {
-        ObjectNode entry = Stage.endpoint(1, "127.0.0.1:9", "Ready");
+        ObjectNode entry = AgentFixture.endpoint(1, "127.0.0.1:9", "Ready");
         ((ObjectNode) stage.config.get("known"))
                 .putArray("endpoints")
                 .add(entry)
-                .add(Stage.endpoint(2, "127.0.0.1:9", "Gone"));
+                .add(AgentFixture.endpoint(2, "127.0.0.1:9", "Gone"));
         entry.put("since_ms", 1_700_000_000_123L);
         List<gatefront.membership.Endpoint> list = gatefront.padron.Discovery.decode(
                         stage.config.get("known"), Config.of(stage.config))
@@ -467,7 +474,7 @@
         CountDownLatch open = new CountDownLatch(1);
         stage.server((message, socket) -> {
             open.await();
-            Peer.answer(socket, 200, "", "served");
+            ScriptedPeer.answer(socket, 200, "", "served");
         });
         stage.start();
         List<CompletableFuture<Integer>> answers = new ArrayList<>();
@@ -476,9 +483,10 @@
             String request = stage.request("order", 8000, "body");
             CompletableFuture<Integer> answer = new CompletableFuture<>();
             answers.add(answer);
-            Peer.daemon(() -> answer.complete(Stage.exchange(client, request).status()));
+            ScriptedPeer.daemon(
+                    () -> answer.complete(AgentFixture.exchange(client, request).status()));
         }
-        Stage.await(() -> stage.arrived() > 0);
+        AgentFixture.await(() -> stage.arrived() > 0);
         open.countDown();
         for (CompletableFuture<Integer> answer : answers) {
             assertTrue(List.of(200, 503).contains(answer.get(20, TimeUnit.SECONDS)));
@@ -498,7 +506,7 @@
         Map<Socket, Long> kept = new LinkedHashMap<>(); // and when each had its answer
         for (int i = 0; i < 11; i++) {
             Socket client = stage.dial();
-            if (Stage.exchange(client, stage.request("lookup", 8000, "")).header("Connection") == null) {
+            if (AgentFixture.exchange(client, stage.request("lookup", 8000, "")).header("Connection") == null) {
                 kept.put(client, System.nanoTime());
             }
         }
@@ -508,13 +516,14 @@
             String request = stage.request("lookup", 8000, "");
             CompletableFuture<Integer> answer = new CompletableFuture<>();
             more.add(answer);
-            Peer.daemon(() -> answer.complete(Stage.exchange(client, request).status()));
+            ScriptedPeer.daemon(
+                    () -> answer.complete(AgentFixture.exchange(client, request).status()));
         }
         int told = 0;
         for (Socket client : kept.keySet()) {
-            Peer.Message answer;
+            ScriptedPeer.Message answer;
             try {
-                answer = Stage.exchange(client, stage.request("lookup", 8000, ""));
+                answer = AgentFixture.exchange(client, stage.request("lookup", 8000, ""));
             } catch (EOFException e) {
                 // While room is scarce what has asked nothing for 2 s may go, and on a slow machine some get there.
                 assertTrue(System.nanoTime() - kept.get(client) > TimeUnit.MILLISECONDS.toNanos(1_500), "unannounced");
@@ -537,25 +546,26 @@
             if (message.target().startsWith("/order")) {
                 go.await();
             }
-            Peer.answer(socket, 200, "", "served");
+            ScriptedPeer.answer(socket, 200, "", "served");
         });
         stage.start();
         Socket held = stage.dial();
         Socket idle = stage.dial();
         assertEquals(
-                200, Stage.exchange(idle, stage.request("lookup", 8000, "")).status());
-        Peer.write(held, stage.request("order", 8000, "body"));
-        Stage.await(() -> stage.arrived() == 2);
-        Thread ending = Peer.daemon(stage.agent::stop);
+                200,
+                AgentFixture.exchange(idle, stage.request("lookup", 8000, "")).status());
+        ScriptedPeer.write(held, stage.request("order", 8000, "body"));
+        AgentFixture.await(() -> stage.arrived() == 2);
+        Thread ending = ScriptedPeer.daemon(stage.agent::stop);
         // It says so, and serves on, on connections old and new, without ending them.
-        Stage.await(() -> health() == 503);
+        AgentFixture.await(() -> health() == 503);
         for (Socket each : List.of(idle, stage.dial())) {
-            Peer.Message answer = Stage.exchange(each, stage.request("lookup", 8000, ""));
+            ScriptedPeer.Message answer = AgentFixture.exchange(each, stage.request("lookup", 8000, ""));
             assertEquals(200, answer.status());
             assertNull(answer.header("Connection"));
         }
-        assertThrows(EOFException.class, () -> Peer.read(idle.getInputStream()));
-        Stage.await(
+        assertThrows(EOFException.class, () -> ScriptedPeer.read(idle.getInputStream()));
+        AgentFixture.await(
                 () -> { // it no longer listens, but still owes an answer
                     try {
                         return !stage.dial().isBound();
@@ -565,23 +575,23 @@
                 });
         assertTrue(ending.isAlive());
         go.countDown();
-        Peer.Message answer = Peer.read(held.getInputStream());
+        ScriptedPeer.Message answer = ScriptedPeer.read(held.getInputStream());
         assertEquals(200, answer.status());
         assertEquals("close", answer.header("Connection"));
-        ending.join(Stage.GENEROUS_MS);
+        ending.join(AgentFixture.GENEROUS_MS);
         assertFalse(ending.isAlive());
     }
 
     @Test
     void anAgentToldToEndThatNobodyUsesEndsBeforeOneInUse() throws Exception {
-        try (Stage used = new Stage()) {
+        try (AgentFixture used = new AgentFixture()) {
             used.start();
             stage.start();
             stage.hangUp();
             used.dial();
-            Thread unusedEnds = Peer.daemon(stage.agent::stop);
-            Thread usedEnds = Peer.daemon(used.agent::stop);
-            unusedEnds.join(Stage.GENEROUS_MS);
+            Thread unusedEnds = ScriptedPeer.daemon(stage.agent::stop);
+            Thread usedEnds = ScriptedPeer.daemon(used.agent::stop);
+            unusedEnds.join(AgentFixture.GENEROUS_MS);
             assertFalse(unusedEnds.isAlive());
             assertTrue(usedEnds.isAlive());
         }
@@ -597,16 +607,16 @@
         stage.start(agent -> (Balancer) Proxy.newProxyInstance(
                 Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, details) -> null));
         Socket client = stage.dial();
-        Peer.write(client, stage.request("order", 2 * Stage.GENEROUS_MS, "body"));
+        ScriptedPeer.write(client, stage.request("order", 2 * AgentFixture.GENEROUS_MS, "body"));
         Thread.sleep(100);
-        Peer.daemon(stage.agent::stop);
-        assertEquals(504, Peer.read(client.getInputStream()).status());
-        assertThrows(EOFException.class, () -> Peer.read(client.getInputStream()));
+        ScriptedPeer.daemon(stage.agent::stop);
+        assertEquals(504, ScriptedPeer.read(client.getInputStream()).status());
+        assertThrows(EOFException.class, () -> ScriptedPeer.read(client.getInputStream()));
     }
 
     private int health() {
         try (Socket socket = stage.dial()) {
-            return Stage.exchange(socket, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
+            return AgentFixture.exchange(socket, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
                     .status();
         } catch (IOException e) {
             return 0;
@@ -616,7 +626,7 @@
     @Test
     void reportsAreReadInTheSettingsOrder() throws Exception {
         stage.server((message, socket) ->
-                Peer.answer(socket, 200, "Server-Load: inflight=7,queue=2,util=0.61\r\n", "served"));
+                ScriptedPeer.answer(socket, 200, "Server-Load: inflight=7,queue=2,util=0.61\r\n", "served"));
         CompletableFuture<double[]> load = new CompletableFuture<>();
         stage.start(stage.overheard((event, details) -> {
             if (event.equals("outcome")) {
@@ -647,36 +657,37 @@
     @Test
     void nothingIsSentByTheListOfBeforeWhileTheFirstOneIsOnItsWay() throws Exception {
         CountDownLatch called = new CountDownLatch(1);
-        Peer gone = stage.server((message, socket) -> Peer.answer(socket, 200, "", "old"));
-        Peer stays = stage.peer((message, socket) -> Peer.answer(socket, 200, "", "new"));
+        ScriptedPeer gone = stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
+        ScriptedPeer stays = stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
         ObjectNode list = stage.config.get("known").deepCopy();
-        ((ArrayNode) list.get("endpoints")).removeAll().add(Stage.endpoint(2, stays.address(), "Ready"));
-        Peer slow = stage.peer((message, socket) -> {
+        ((ArrayNode) list.get("endpoints")).removeAll().add(AgentFixture.endpoint(2, stays.address(), "Ready"));
+        ScriptedPeer slow = stage.peer((message, socket) -> {
             called.await();
-            Peer.answer(socket, 200, "", list.toString());
+            ScriptedPeer.answer(socket, 200, "", list.toString());
         });
         stage.config.put("discovery", slow.address());
         stage.settings("obligations", o -> o.put("stop-sending-within-us", 900_000));
         stage.agent = Agent.start(Config.of(stage.config));
         Socket socket = stage.dial();
-        Peer.write(socket, stage.request("lookup", 8_000, ""));
+        ScriptedPeer.write(socket, stage.request("lookup", 8_000, ""));
         called.countDown();
-        assertEquals("new", new String(Peer.read(socket.getInputStream()).body()));
+        assertEquals(
+                "new", new String(ScriptedPeer.read(socket.getInputStream()).body()));
         assertEquals(0, gone.requests.size());
     }
 
     /** With nobody to tell, the list of before has to do. */
     @Test
     void whereNobodyTellsTheListOfBeforeServesAfterTheGrace() throws Exception {
-        stage.server((message, socket) -> Peer.answer(socket, 200, "", "old"));
-        Peer silent = stage.peer((message, socket) -> new CountDownLatch(1).await());
+        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
+        ScriptedPeer silent = stage.peer((message, socket) -> new CountDownLatch(1).await());
         stage.config.put("discovery", silent.address());
         stage.agent = Agent.start(Config.of(stage.config));
         long at = System.nanoTime();
         Socket socket = stage.dial();
         assertEquals(
                 "old",
-                new String(Stage.exchange(socket, stage.request("lookup", 8_000, ""))
+                new String(AgentFixture.exchange(socket, stage.request("lookup", 8_000, ""))
                         .body()));
         assertTrue(System.nanoTime() - at < 3_000_000_000L);
     }
--- a/src/test/java/gatefront/agent/BadClientsTest.java
+++ b/src/test/java/gatefront/agent/BadClientsTest.java
@@ -20,13 +20,14 @@
 /** What clients may not send: it ends in an error or a close, reaches no server and harms no other client. */
 class BadClientsTest {
     private static final String GET = "GET /lookup HTTP/1.1\r\nHost: a\r\nRequest-Class: lookup\r\n";
-    private static final Peer.Script SERVES = (message, socket) -> Peer.answer(socket, 200, "", "served");
+    private static final ScriptedPeer.Script SERVES =
+            (message, socket) -> ScriptedPeer.answer(socket, 200, "", "served");
 
-    private Stage stage;
+    private AgentFixture stage;
 
     @BeforeEach
     void set() throws IOException {
-        stage = new Stage();
+        stage = new AgentFixture();
     }
 
     @AfterEach
@@ -36,7 +37,7 @@
 
     private void assertTurnedAway(int status, String bytes) throws IOException {
         Socket client = stage.dial();
-        Peer.Message answer = Stage.exchange(client, bytes);
+        ScriptedPeer.Message answer = AgentFixture.exchange(client, bytes);
         assertEquals(status, answer.status());
         assertEquals("close", answer.header("Connection"));
         assertEquals(-1, client.getInputStream().read());
@@ -113,17 +114,17 @@
         assertTurnedAway(
                 413, stage.request("order", 500, "x").replace("Content-Length: 1", "Content-Length: 33554433"));
         Socket client = stage.dial(); // one that goes on sending for ever, in chunks
-        Peer.write(
+        ScriptedPeer.write(
                 client,
                 "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Class: order\r\nRequest-Id: 1\r\n"
                         + "Request-Timeout-Ms: 8000\r\nTransfer-Encoding: chunked\r\n\r\n");
-        Peer.daemon(() -> {
+        ScriptedPeer.daemon(() -> {
             while (true) {
-                Peer.write(client, "8000\r\n" + "y".repeat(0x8000) + "\r\n");
+                ScriptedPeer.write(client, "8000\r\n" + "y".repeat(0x8000) + "\r\n");
             }
         });
-        assertEquals(413, Peer.read(client.getInputStream()).status());
-        Stage.await(() -> {
+        assertEquals(413, ScriptedPeer.read(client.getInputStream()).status());
+        AgentFixture.await(() -> {
             try {
                 client.getOutputStream().write('y');
                 return false;
@@ -139,19 +140,19 @@
         CountDownLatch go = new CountDownLatch(1);
         stage.server((message, socket) -> {
             go.await();
-            Peer.answer(socket, 200, "", "served");
+            ScriptedPeer.answer(socket, 200, "", "served");
         });
         stage.start();
         Socket client = stage.dial();
-        Peer.write(
+        ScriptedPeer.write(
                 client,
                 stage.request("order", 8000, "b")
                         + stage.request("order", 8000, "x").replace("Content-Length: 1", "Content-Length: 60000000"));
-        Stage.await(() -> stage.arrived() == 1);
+        AgentFixture.await(() -> stage.arrived() == 1);
         Thread.sleep(100);
         go.countDown();
-        assertEquals(200, Peer.read(client.getInputStream()).status());
-        assertEquals(413, Peer.read(client.getInputStream()).status());
+        assertEquals(200, ScriptedPeer.read(client.getInputStream()).status());
+        assertEquals(413, ScriptedPeer.read(client.getInputStream()).status());
         assertEquals(-1, client.getInputStream().read());
     }
 
@@ -161,19 +162,20 @@
         CountDownLatch go = new CountDownLatch(1);
         stage.server((message, socket) -> {
             go.await();
-            Peer.answer(socket, 200, "", "served");
+            ScriptedPeer.answer(socket, 200, "", "served");
         });
         stage.start();
         Socket first = stage.dial();
         String request = stage.request("pay", 8000, "body");
-        Peer.write(first, request);
-        Stage.await(() -> stage.arrived() == 1);
-        assertEquals(409, Stage.exchange(stage.dial(), request).status());
+        ScriptedPeer.write(first, request);
+        AgentFixture.await(() -> stage.arrived() == 1);
+        assertEquals(409, AgentFixture.exchange(stage.dial(), request).status());
         go.countDown();
-        assertEquals(200, Peer.read(first.getInputStream()).status());
+        assertEquals(200, ScriptedPeer.read(first.getInputStream()).status());
         assertEquals(1, stage.arrived());
         assertEquals(
-                200, Stage.exchange(first, stage.request("pay", 8000, "body")).status());
+                200,
+                AgentFixture.exchange(first, stage.request("pay", 8000, "body")).status());
     }
 
     /** Guards against descriptors held for those who say nothing, or never come to the end. */
@@ -188,11 +190,11 @@
     void halfARequestIsNotWaitedForForEver(String half) throws IOException {
         stage.start();
         Socket client = stage.dial();
-        Peer.write(client, half);
+        ScriptedPeer.write(client, half);
         if (half.isEmpty()) {
             assertEquals(-1, client.getInputStream().read());
         } else {
-            assertEquals(408, Peer.read(client.getInputStream()).status());
+            assertEquals(408, ScriptedPeer.read(client.getInputStream()).status());
         }
     }
 
@@ -219,11 +221,11 @@
     void theEndDoesNotWaitForSilentOrHalfSentRequests() throws Exception {
         stage.start();
         Socket half = stage.dial();
-        Peer.write(half, "POST /order HTTP/1.1\r\nHost: a\r\n");
+        ScriptedPeer.write(half, "POST /order HTTP/1.1\r\nHost: a\r\n");
         Socket silent = stage.dial();
         Thread.sleep(100);
         CompletableFuture<Void> ended = CompletableFuture.runAsync(stage.agent::stop);
-        ended.get(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS);
+        ended.get(AgentFixture.GENEROUS_MS, TimeUnit.MILLISECONDS);
         assertEquals(-1, silent.getInputStream().read());
         half.getInputStream().readAllBytes(); // an error perhaps, and the end
     }
@@ -236,8 +238,8 @@
         String[] parts = stage.request("order", 8000, "body").split("\r\n\r\n");
         assertEquals(
                 100,
-                Stage.exchange(client, parts[0] + "\r\nExpect: 100-continue\r\n\r\n")
+                AgentFixture.exchange(client, parts[0] + "\r\nExpect: 100-continue\r\n\r\n")
                         .status());
-        assertEquals(200, Stage.exchange(client, parts[1]).status());
+        assertEquals(200, AgentFixture.exchange(client, parts[1]).status());
     }
 }
