--- a/src/test/java/gatefront/agent/BadServersTest.java
+++ b/src/test/java/gatefront/agent/BadServersTest.java
@@ -18,12 +18,12 @@
 
 /** What servers may answer: nothing but the whole answer to a request is served, and what is spoilt has run. */
 class BadServersTest {
-    private Stage stage;
+    private AgentFixture stage;
     private final AtomicInteger turn = new AtomicInteger();
 
     @BeforeEach
     void set() throws IOException {
-        stage = new Stage();
+        stage = new AgentFixture();
         stage.settings("caps", caps -> caps.put("probes", false));
     }
 
@@ -37,9 +37,9 @@
         for (int i = 0; i < 2; i++) {
             stage.server((message, socket) -> {
                 if (turn.getAndIncrement() == 0) {
-                    Peer.write(socket, bytes);
+                    ScriptedPeer.write(socket, bytes);
                 } else {
-                    Peer.answer(socket, 200, "", "served");
+                    ScriptedPeer.answer(socket, 200, "", "served");
                 }
             });
         }
@@ -103,14 +103,16 @@
     void whatComesBehindAnAnswerIsNotTheNextOne() throws Exception {
         stage.server((message, socket) -> {
             String id = message.header("Request-Id");
-            Peer.write(socket, ("HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id).repeat(2));
+            ScriptedPeer.write(
+                    socket, ("HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id).repeat(2));
         });
         stage.start();
         Socket client = stage.dial();
         for (int i = 1; i <= 20; i++) {
             assertEquals(
                     "id" + i,
-                    Stage.exchange(client, stage.request("order", 8000, "b")).text());
+                    AgentFixture.exchange(client, stage.request("order", 8000, "b"))
+                            .text());
         }
     }
 
@@ -137,7 +139,7 @@
                 "queue=1"
             })
     void aReportThatMakesNoSenseIsPassedOverAndItsAnswerServed(String report) throws Exception {
-        stage.server((message, socket) -> Peer.answer(socket, 200, "Server-Load: " + report + "\r\n", "good"));
+        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "Server-Load: " + report + "\r\n", "good"));
         CompletableFuture<double[]> load = new CompletableFuture<>();
         stage.start(stage.overheard((event, details) -> {
             if (event.equals("outcome")) {
@@ -151,21 +153,21 @@
     /** Guards against memory and connections kept for servers that are gone, as new ones come for ever. */
     @Test
     void nothingIsKeptForServersThatAreGone() throws Exception {
-        Peer first = stage.server((message, socket) -> Peer.answer(socket, 200, "", "served"));
+        ScriptedPeer first = stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
         stage.start();
         assertEquals(200, stage.call("order").status());
         for (int i = 2; i <= 40; i++) { // each at the same address, under a new id
-            stage.news.add(Stage.delta(
+            stage.news.add(AgentFixture.delta(
                     i,
-                    Stage.endpoint(i - 1, first.address(), "Gone"),
-                    Stage.endpoint(1000 + i, first.address(), "Gone"),
-                    Stage.endpoint(i, first.address(), "Ready")));
+                    AgentFixture.endpoint(i - 1, first.address(), "Gone"),
+                    AgentFixture.endpoint(1000 + i, first.address(), "Gone"),
+                    AgentFixture.endpoint(i, first.address(), "Ready")));
         }
-        Stage.await(() ->
+        AgentFixture.await(() ->
                 stage.discovery.requests.stream().anyMatch(each -> each.target().contains("since=40&")));
         assertEquals(200, stage.call("order").status());
         assertEquals(1, stage.agent.kept(), "of the last one alone");
-        Stage.await(() -> first.ended.size() >= 1);
+        AgentFixture.await(() -> first.ended.size() >= 1);
     }
 
     /** Guards against connections that break now and then passing for restarts, each of which costs room. */
@@ -174,9 +176,9 @@
         AtomicInteger resets = new AtomicInteger();
         stage.server((message, socket) -> {
             if (resets.getAndDecrement() > 0) {
-                Peer.reset(socket);
+                ScriptedPeer.reset(socket);
             } else {
-                Peer.answer(socket, 200, "", "served");
+                ScriptedPeer.answer(socket, 200, "", "served");
             }
         });
         stage.start();
@@ -197,7 +199,8 @@
             String request = stage.request("order", 8000, "body");
             CompletableFuture<Integer> answer = new CompletableFuture<>();
             answers.add(answer);
-            Peer.daemon(() -> answer.complete(Stage.exchange(client, request).status()));
+            ScriptedPeer.daemon(
+                    () -> answer.complete(AgentFixture.exchange(client, request).status()));
         }
         for (CompletableFuture<Integer> answer : answers) {
             assertEquals(200, answer.get(20, TimeUnit.SECONDS));
--- a/src/test/java/gatefront/agent/ExtensionsTest.java
+++ b/src/test/java/gatefront/agent/ExtensionsTest.java
@@ -9,8 +9,8 @@
 import gatefront.config.Config;
 import gatefront.thrift.ThriftSettings;
 import gatefront.thrift.ThriftSettings.Method;
-import gatefront.thrift.codec.Encoding;
-import gatefront.thrift.codec.Form;
+import gatefront.thrift.codec.MessageFormat;
+import gatefront.thrift.codec.ThriftEncoding;
 import gatefront.toml.TomlException;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
@@ -53,7 +53,7 @@
         assertEquals(new Method(1, true), settings.methods().get("pagar"));
         assertEquals(new Method(0, false), settings.methods().get("Cuentas:saldo"));
         assertEquals(
-                new Form(false, Encoding.COMPACT),
+                new MessageFormat(false, ThriftEncoding.COMPACT),
                 read(GOOD.replace("nodo_port", "framing = \"unframed\"\nprotocol = \"compact\"\nnodo_port"))
                         .form());
         assertNull(read(""), "no Thrift where there is no table");
--- a/src/test/java/gatefront/agent/LargeBodiesTest.java
+++ b/src/test/java/gatefront/agent/LargeBodiesTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.budget.Budget;
-import gatefront.budget.Purpose;
+import gatefront.budget.ResourceBudget;
+import gatefront.budget.ResourcePurpose;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.Socket;
@@ -26,11 +26,11 @@
 @Timeout(60)
 class LargeBodiesTest {
     private static final int MIB = 1 << 20;
-    private Stage stage;
+    private AgentFixture stage;
 
     @BeforeEach
     void set() throws IOException {
-        stage = new Stage();
+        stage = new AgentFixture();
     }
 
     @AfterEach
@@ -52,15 +52,15 @@
     private static void chunked(Socket socket, byte[] bytes, int each) throws IOException {
         for (int at = 0; at < bytes.length; at += each) {
             int size = Math.min(each, bytes.length - at);
-            Peer.write(socket, Integer.toHexString(size) + ";some=\"extension\"\r\n");
+            ScriptedPeer.write(socket, Integer.toHexString(size) + ";some=\"extension\"\r\n");
             socket.getOutputStream().write(bytes, at, size);
-            Peer.write(socket, "\r\n");
+            ScriptedPeer.write(socket, "\r\n");
         }
-        Peer.write(socket, "0\r\nTrailer: value\r\n\r\n");
+        ScriptedPeer.write(socket, "0\r\nTrailer: value\r\n\r\n");
     }
 
     private void idle() {
-        Stage.await(() -> stage.agent.budget().of(Purpose.CALLS).entries() == 0);
+        AgentFixture.await(() -> stage.agent.budget().of(ResourcePurpose.CALLS).entries() == 0);
     }
 
     @Test
@@ -68,22 +68,22 @@
         byte[] body = bytes(5 * MIB + 7);
         stage.server((message, socket) -> {
             if (message.target().startsWith("/lookup")) {
-                Peer.write(
+                ScriptedPeer.write(
                         socket,
                         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
                 write(socket, body);
             } else if (message.target().startsWith("/pay")) {
-                Peer.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 chunked(socket, body, 70_001);
             } else {
-                Peer.write(socket, "HTTP/1.0 200 OK\r\n\r\n");
+                ScriptedPeer.write(socket, "HTTP/1.0 200 OK\r\n\r\n");
                 write(socket, body);
                 socket.close();
             }
         });
         stage.start();
         for (String type : List.of("lookup", "pay", "order", "lookup")) {
-            Peer.Message answer = stage.call(type);
+            ScriptedPeer.Message answer = stage.call(type);
             assertEquals(200, answer.status());
             assertArrayEquals(body, answer.body(), type);
         }
@@ -94,7 +94,7 @@
     @Test
     void anAnswerThatHasBegunPassesAtOnceAndIsNotCutByItsDeadline() throws Exception {
         stage.server((message, socket) -> {
-            Peer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n");
+            ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n");
             for (int i = 0; i < 10; i++) {
                 write(socket, new byte[10_000]);
                 Thread.sleep(150);
@@ -103,7 +103,7 @@
         stage.start();
         Socket socket = stage.dial();
         long begin = System.nanoTime();
-        Peer.write(socket, stage.request("lookup", 600, ""));
+        ScriptedPeer.write(socket, stage.request("lookup", 600, ""));
         InputStream in = socket.getInputStream();
         in.read();
         assertTrue(System.nanoTime() - begin < 500_000_000L, "the first bytes");
@@ -113,7 +113,7 @@
     @Test
     void aServerThatBreaksOffEndsInAnAnswerThatIsVisiblyNotWhole() throws Exception {
         stage.server((message, socket) -> {
-            Peer.write(
+            ScriptedPeer.write(
                     socket,
                     message.target().startsWith("/lookup")
                             ? "HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n"
@@ -133,7 +133,7 @@
         int callers = 20;
         byte[] piece = new byte[64 << 10];
         stage.server((message, socket) -> {
-            Peer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + 32 * MIB + "\r\n\r\n");
+            ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + 32 * MIB + "\r\n\r\n");
             for (int i = 0; i < 512; i++) {
                 socket.getOutputStream().write(piece);
             }
@@ -142,69 +142,73 @@
         List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < callers; i++) {
             Socket each = stage.dial();
-            Peer.write(each, stage.request("lookup", 8000, ""));
+            ScriptedPeer.write(each, stage.request("lookup", 8000, ""));
             sockets.add(each);
         }
         Thread.sleep(1500);
-        Budget budget = stage.agent.budget();
+        ResourceBudget budget = stage.agent.budget();
         assertTrue(
-                budget.of(Purpose.ANSWERS).bytesHigh() < callers * 100 << 10,
-                budget.of(Purpose.ANSWERS).bytesHigh() + " bytes of answers");
-        assertTrue(budget.of(Purpose.ANSWERS).bytesHigh() > 0);
-        Peer.Message one = Peer.read(sockets.get(3).getInputStream());
+                budget.of(ResourcePurpose.ANSWERS).bytesHigh() < callers * 100 << 10,
+                budget.of(ResourcePurpose.ANSWERS).bytesHigh() + " bytes of answers");
+        assertTrue(budget.of(ResourcePurpose.ANSWERS).bytesHigh() > 0);
+        ScriptedPeer.Message one = ScriptedPeer.read(sockets.get(3).getInputStream());
         assertEquals(32 * MIB, one.body().length);
         for (Socket each : sockets) {
             each.close();
         }
-        Stage.await(() -> budget.of(Purpose.ANSWERS).bytes() == 0);
+        AgentFixture.await(() -> budget.of(ResourcePurpose.ANSWERS).bytes() == 0);
         idle();
     }
 
     @Test
     void uploadsOfAnyFormArriveWhole() throws Exception {
         byte[] body = bytes(3 * MIB + 11);
-        stage.server((message, socket) -> Peer.answer(socket, 200, "", "got " + message.body().length));
+        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "got " + message.body().length));
         stage.start();
         Socket socket = stage.dial();
         String head = stage.request("order", 8000, "");
-        Peer.write(socket, head.replace("Content-Length: 0", "Content-Length: " + body.length));
+        ScriptedPeer.write(socket, head.replace("Content-Length: 0", "Content-Length: " + body.length));
         write(socket, body);
-        assertEquals("got " + body.length, Peer.read(socket.getInputStream()).text());
+        assertEquals(
+                "got " + body.length, ScriptedPeer.read(socket.getInputStream()).text());
         head = stage.request("pay", 8000, "");
-        Peer.write(socket, head.replace("Content-Length: 0", "Transfer-Encoding: chunked"));
+        ScriptedPeer.write(socket, head.replace("Content-Length: 0", "Transfer-Encoding: chunked"));
         chunked(socket, body, 9_999);
-        assertEquals("got " + body.length, Peer.read(socket.getInputStream()).text());
+        assertEquals(
+                "got " + body.length, ScriptedPeer.read(socket.getInputStream()).text());
         assertEquals(
                 "got 4",
-                Stage.exchange(socket, stage.request("order", 8000, "body")).text());
-        for (Peer.Message each : stage.servers.get(0).requests) {
+                AgentFixture.exchange(socket, stage.request("order", 8000, "body"))
+                        .text());
+        for (ScriptedPeer.Message each : stage.servers.get(0).requests) {
             if (each.body().length > 4) {
                 assertArrayEquals(body, each.body());
             }
         }
-        Stage.await(() -> stage.agent.budget().of(Purpose.REQUESTS).bytes() == 0);
+        AgentFixture.await(
+                () -> stage.agent.budget().of(ResourcePurpose.REQUESTS).bytes() == 0);
     }
 
     /** It never ran, for its last byte never left: the caller hears that trying again is harmless. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void anUploadWhoseServerDiesInTheMiddleIsRefused(boolean chunked) throws Exception {
-        Peer.Script dead = (message, socket) -> {};
-        Peer server = stage.server(dead);
+        ScriptedPeer.Script dead = (message, socket) -> {};
+        ScriptedPeer server = stage.server(dead);
         stage.start();
         Socket socket = stage.dial();
         String head = stage.request("order", 8000, "");
-        Peer.write(
+        ScriptedPeer.write(
                 socket,
                 head.replace("Content-Length: 0", chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + 4 * MIB)
                         + (chunked ? "400000\r\n" : ""));
         write(socket, new byte[200_000]);
-        Stage.await(() -> !server.sockets.isEmpty());
+        AgentFixture.await(() -> !server.sockets.isEmpty());
         Thread.sleep(200);
         for (Socket each : server.sockets) {
-            Peer.reset(each);
+            ScriptedPeer.reset(each);
         }
-        Peer.Message answer = Peer.read(socket.getInputStream());
+        ScriptedPeer.Message answer = ScriptedPeer.read(socket.getInputStream());
         assertEquals(503, answer.status());
         assertNotNull(answer.header("Retry-After"));
         idle();
@@ -213,17 +217,17 @@
     /** Nobody gets a body that cannot be read to its end, and its caller hears at once. */
     @Test
     void anUploadThatTurnsToNoiseEndsWithAnError() throws Exception {
-        Peer server = stage.server((message, socket) -> Peer.answer(socket, 200, "", "served"));
+        ScriptedPeer server = stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
         stage.start();
         Socket socket = stage.dial();
-        Peer.write(
+        ScriptedPeer.write(
                 socket,
                 stage.request("order", 8000, "").replace("Content-Length: 0", "Transfer-Encoding: chunked")
                         + "30d40\r\n");
         write(socket, new byte[200_000]);
-        Peer.write(socket, "\r\nnoise\r\n");
+        ScriptedPeer.write(socket, "\r\nnoise\r\n");
         long begin = System.nanoTime();
-        assertEquals(400, Peer.read(socket.getInputStream()).status());
+        assertEquals(400, ScriptedPeer.read(socket.getInputStream()).status());
         assertTrue(System.nanoTime() - begin < 1_000_000_000L);
         idle();
         assertEquals(0, server.requests.size());
@@ -233,11 +237,11 @@
     @Test
     void theTimeToldIsThatToTheAnswersHead() throws Exception {
         stage.server((message, socket) -> {
-            Peer.write(socket, "HTTP/1.1 100 Continue\r\n\r\n");
+            ScriptedPeer.write(socket, "HTTP/1.1 100 Continue\r\n\r\n");
             Thread.sleep(message.target().startsWith("/order") ? 400 : 0);
-            Peer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbo");
+            ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbo");
             Thread.sleep(message.target().startsWith("/order") ? 0 : 400);
-            Peer.write(socket, "dy");
+            ScriptedPeer.write(socket, "dy");
         });
         List<Long> spent = new CopyOnWriteArrayList<>();
         stage.start(stage.overheard((event, details) -> {
@@ -247,50 +251,52 @@
         }));
         assertEquals("body", stage.call("order").text());
         assertEquals("body", stage.call("lookup").text());
-        Stage.await(() -> spent.size() == 2);
+        AgentFixture.await(() -> spent.size() == 2);
         assertTrue(spent.get(0) >= 350_000, spent + " us");
         assertTrue(spent.get(1) < 350_000, spent + " us");
     }
 
     @Test
     void whatIsLongerThanAnyBodyIsTurnedAway() throws Exception {
-        stage.server((message, socket) -> Peer.answer(socket, 200, "", ""));
+        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", ""));
         stage.start();
         Socket socket = stage.dial();
-        Peer.write(socket, stage.request("order", 8000, "").replace("Content-Length: 0", "Content-Length: 60000000"));
-        assertEquals(413, Peer.read(socket.getInputStream()).status());
+        ScriptedPeer.write(
+                socket, stage.request("order", 8000, "").replace("Content-Length: 0", "Content-Length: 60000000"));
+        assertEquals(413, ScriptedPeer.read(socket.getInputStream()).status());
         Socket unknown = stage.dial();
-        Peer.write(
+        ScriptedPeer.write(
                 unknown, stage.request("order", 8000, "").replace("Content-Length: 0", "Transfer-Encoding: chunked"));
         byte[] chunk = new byte[MIB];
-        Peer.daemon(() -> {
+        ScriptedPeer.daemon(() -> {
             for (int i = 0; i < 60; i++) {
-                Peer.write(unknown, "100000\r\n");
+                ScriptedPeer.write(unknown, "100000\r\n");
                 write(unknown, chunk);
-                Peer.write(unknown, "\r\n");
+                ScriptedPeer.write(unknown, "\r\n");
             }
         });
-        assertEquals(413, Peer.read(unknown.getInputStream()).status());
+        assertEquals(413, ScriptedPeer.read(unknown.getInputStream()).status());
         idle();
     }
 
     @Test
     void slowHeadsAndSlowBodiesAreServed() throws Exception {
-        stage.server((message, socket) -> Peer.answer(socket, 200, "", message.text()));
+        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", message.text()));
         stage.start();
         Socket socket = stage.dial();
         String request = stage.request("order", 8000, "slow body of a slow caller");
         int end = request.indexOf("\r\n\r\n");
         for (int i = 0; i < 19; i++) {
-            Peer.write(socket, request.substring(i, i + 1));
+            ScriptedPeer.write(socket, request.substring(i, i + 1));
             Thread.sleep(100);
         }
-        Peer.write(socket, request.substring(19, end + 4));
+        ScriptedPeer.write(socket, request.substring(19, end + 4));
         for (int i = end + 4; i < request.length(); i++) {
-            Peer.write(socket, request.substring(i, i + 1));
+            ScriptedPeer.write(socket, request.substring(i, i + 1));
             Thread.sleep(100);
         }
         assertEquals(
-                "slow body of a slow caller", Peer.read(socket.getInputStream()).text());
+                "slow body of a slow caller",
+                ScriptedPeer.read(socket.getInputStream()).text());
     }
 }
--- a/src/test/java/gatefront/agent/LedgerClockTest.java
+++ b/src/test/java/gatefront/agent/LedgerClockTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import gatefront.bookkeeping.Books;
 import gatefront.config.Config;
 import gatefront.ledger.Ledger;
-import gatefront.storage.FolderDisk;
-import gatefront.storage.Keys;
-import gatefront.storage.Verify;
+import gatefront.ledgerstore.LedgerStore;
+import gatefront.storage.DirectoryDisk;
+import gatefront.storage.SigningKeys;
+import gatefront.storage.StoreVerification;
 import gatefront.transport.SocketTransport;
 import gatefront.transport.Transport;
 import java.lang.reflect.Proxy;
@@ -29,9 +29,12 @@
     @TempDir
     private Path folder;
 
-    private Books.Look look() throws Exception {
-        Books.Look[] look = new Books.Look[1];
-        Verify.of(FolderDisk.existing(folder.resolve("books")), Keys.NONE, Books.looking(at -> look[0] = at));
+    private LedgerStore.Look look() throws Exception {
+        LedgerStore.Look[] look = new LedgerStore.Look[1];
+        StoreVerification.of(
+                DirectoryDisk.existing(folder.resolve("books")),
+                SigningKeys.NONE,
+                LedgerStore.looking(at -> look[0] = at));
         return look[0];
     }
 
@@ -47,14 +50,14 @@
                         method.getName().equals("wallMicros") ? wall.get() : method.invoke(sockets, args));
         Config config =
                 Config.of(new ObjectMapper().readTree(Files.readAllBytes(Path.of("src/test/resources/config.json"))));
-        LedgerKeeper keeper = LedgerKeeper.open(
+        UsageRecorder keeper = UsageRecorder.open(
                 transport,
-                new LedgerTable(folder.resolve("books"), "a", null, SECOND, SECOND / 10, 1 << 20),
+                new LedgerSettings(folder.resolve("books"), "a", null, SECOND, SECOND / 10, 1 << 20),
                 () -> config);
         keeper.start();
         Thread.sleep(300);
         wall.addAndGet(1_000L * 365 * 86_400 * SECOND);
-        Stage.await(() -> {
+        AgentFixture.await(() -> {
             try {
                 return look().ledger().size() > 0;
             } catch (Exception e) {
--- a/src/test/java/gatefront/agent/OperationTest.java
+++ b/src/test/java/gatefront/agent/OperatorControlsTest.java
@@ -6,7 +6,7 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import gatefront.config.Config;
-import gatefront.upgrade.Neighbour;
+import gatefront.upgrade.ProcessHandover;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -29,46 +29,46 @@
 
 /** Daily operation over loopback sockets: the door, its figures, servers out by hand, one process after the other. */
 @Timeout(60)
-class OperationTest {
+class OperatorControlsTest {
     @TempDir
     private Path shared;
 
-    private Stage stage;
+    private AgentFixture stage;
     private final List<Agent> agents = new ArrayList<>();
     private final List<Socket> waiting = new ArrayList<>();
 
     @BeforeEach
     void set() throws IOException {
-        stage = new Stage();
+        stage = new AgentFixture();
         stage.config.put("management", "127.0.0.1:0");
     }
 
     @AfterEach
     void strike() throws IOException {
         stage.close();
-        agents.forEach(each -> Peer.daemon(each::stop));
+        agents.forEach(each -> ScriptedPeer.daemon(each::stop));
     }
 
     private void start() throws IOException {
         stage.agent = Agent.start(Config.of(stage.config), shared);
         agents.add(stage.agent);
-        Stage.await(() -> door("GET", "/healthcheck").status() == 200);
+        AgentFixture.await(() -> door("GET", "/healthcheck").status() == 200);
     }
 
-    private Peer.Message door(String method, String path) {
+    private ScriptedPeer.Message door(String method, String path) {
         return door(stage.agent, method, path);
     }
 
-    private static Peer.Message door(Agent agent, String method, String path) {
+    private static ScriptedPeer.Message door(Agent agent, String method, String path) {
         return raw(agent, method + " " + path + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
     }
 
-    private static Peer.Message raw(Agent agent, String text) {
+    private static ScriptedPeer.Message raw(Agent agent, String text) {
         try (Socket socket =
                 new Socket(InetAddress.getLoopbackAddress(), agent.management().getPort())) {
-            socket.setSoTimeout((int) Stage.GENEROUS_MS);
-            Peer.write(socket, text);
-            return Peer.read(socket.getInputStream());
+            socket.setSoTimeout((int) AgentFixture.GENEROUS_MS);
+            ScriptedPeer.write(socket, text);
+            return ScriptedPeer.read(socket.getInputStream());
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -84,8 +84,8 @@
         return figures;
     }
 
-    private static Peer.Script answers(String text) {
-        return (message, socket) -> Peer.answer(socket, 200, "", text);
+    private static ScriptedPeer.Script answers(String text) {
+        return (message, socket) -> ScriptedPeer.answer(socket, 200, "", text);
     }
 
     @Test
@@ -116,15 +116,15 @@
         for (int i = 0; i < 100; i++) {
             Socket each = new Socket(
                     InetAddress.getLoopbackAddress(), stage.agent.management().getPort());
-            Peer.write(each, "GET /st");
+            ScriptedPeer.write(each, "GET /st");
             silent.add(each);
         }
         long begin = System.nanoTime();
         assertEquals(200, door("GET", "/healthcheck").status());
         assertTrue(System.nanoTime() - begin < 1_000_000_000L);
         Socket inTime = silent.get(99);
-        Peer.write(inTime, "ats HTTP/1.1\r\nHost: a\r\n\r\n");
-        assertEquals(200, Peer.read(inTime.getInputStream()).status());
+        ScriptedPeer.write(inTime, "ats HTTP/1.1\r\nHost: a\r\n\r\n");
+        assertEquals(200, ScriptedPeer.read(inTime.getInputStream()).status());
         for (Socket each : silent) {
             each.close();
         }
@@ -135,9 +135,9 @@
         stage.server((message, socket) -> {
             String path = message.target();
             if (path.startsWith("/order")) {
-                Peer.answer(socket, 500, "", "");
+                ScriptedPeer.answer(socket, 500, "", "");
             } else {
-                Peer.answer(socket, 200, "", "a");
+                ScriptedPeer.answer(socket, 200, "", "a");
             }
         });
         start();
@@ -163,22 +163,22 @@
 
     @Test
     void aServerOutByHandGetsNothingUntilItIsPutBack() throws Exception {
-        Peer first = stage.server(answers("a"));
-        Peer second = stage.server(answers("b"));
+        ScriptedPeer first = stage.server(answers("a"));
+        ScriptedPeer second = stage.server(answers("b"));
         start();
         assertEquals(200, door("POST", "/backends/s-1/maint").status());
         assertEquals(200, door("POST", "/backends/s-1/maint").status());
         long before = calls(first);
-        stage.news.add(Stage.delta(1, Stage.endpoint(1, first.address(), "Ready")));
+        stage.news.add(AgentFixture.delta(1, AgentFixture.endpoint(1, first.address(), "Ready")));
         for (int i = 0; i < 10; i++) {
             assertEquals("b", stage.call("lookup").text());
         }
         assertEquals(before, calls(first));
         assertEquals(1, stats().get("pool_ejected"));
         assertEquals(200, door("POST", "/backends/s-1/ready").status());
-        Stage.await(() -> stats().get("pool_ejected") == 0);
+        AgentFixture.await(() -> stats().get("pool_ejected") == 0);
         assertEquals(200, door("POST", "/backends/s-2/maint").status());
-        Stage.await(() -> {
+        AgentFixture.await(() -> {
             try {
                 return "a".equals(stage.call("lookup").text());
             } catch (IOException e) {
@@ -202,17 +202,17 @@
         stage.settings("caps", caps -> caps.put("dial-timeout-us", 5_000_000));
         ServerSocket first = takesNone();
         ((ArrayNode) stage.config.get("known").get("endpoints"))
-                .add(Stage.endpoint(1, "127.0.0.1:" + first.getLocalPort(), "Ready"));
-        Peer second = stage.peer(answers("b"));
+                .add(AgentFixture.endpoint(1, "127.0.0.1:" + first.getLocalPort(), "Ready"));
+        ScriptedPeer second = stage.peer(answers("b"));
         start();
         Socket caller = stage.dial();
         long begin = System.nanoTime();
-        Peer.write(caller, stage.request("order", 8000, "body"));
-        Stage.await(() -> stats().get("active") == 1);
-        stage.news.add(Stage.delta(1, Stage.endpoint(2, second.address(), "Ready")));
-        Stage.await(() -> stats().get("pool_size") == 2);
+        ScriptedPeer.write(caller, stage.request("order", 8000, "body"));
+        AgentFixture.await(() -> stats().get("active") == 1);
+        stage.news.add(AgentFixture.delta(1, AgentFixture.endpoint(2, second.address(), "Ready")));
+        AgentFixture.await(() -> stats().get("pool_size") == 2);
         assertEquals(200, door("POST", "/backends/s-1/maint").status());
-        assertEquals("b", Peer.read(caller.getInputStream()).text());
+        assertEquals("b", ScriptedPeer.read(caller.getInputStream()).text());
         assertTrue(System.nanoTime() - begin < 4_000_000_000L, "it did not wait for its time to connect");
         for (Socket each : waiting) {
             each.close();
@@ -233,20 +233,20 @@
     @Test
     void aRepeatThatFallsDueAfterABanDoesNotGoThere() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Peer.Script fails = (message, socket) -> {
+        ScriptedPeer.Script fails = (message, socket) -> {
             go.await();
-            Peer.answer(socket, 500, "", "");
+            ScriptedPeer.answer(socket, 500, "", "");
         };
         stage.server(fails);
         stage.server(fails);
         start();
         Socket caller = stage.dial();
-        Peer.write(caller, stage.request("lookup", 3000, ""));
-        Stage.await(() -> calls(stage.servers.get(0)) + calls(stage.servers.get(1)) == 1);
+        ScriptedPeer.write(caller, stage.request("lookup", 3000, ""));
+        AgentFixture.await(() -> calls(stage.servers.get(0)) + calls(stage.servers.get(1)) == 1);
         int other = calls(stage.servers.get(0)) == 1 ? 1 : 0;
         assertEquals(200, door("POST", "/backends/s-" + (other + 1) + "/maint").status());
         go.countDown();
-        assertTrue(Peer.read(caller.getInputStream()).status() >= 500);
+        assertTrue(ScriptedPeer.read(caller.getInputStream()).status() >= 500);
         assertEquals(0, calls(stage.servers.get(other)), "the repeat");
     }
 
@@ -265,11 +265,11 @@
         Files.writeString(file, whole.substring(0, whole.length() / 2));
         for (Agent each : agents) {
             each.reload(file, null);
-            Stage.await(() -> door(each, "GET", "/stats").text().contains("config_rejected=1\n"));
-            Stage.await(() -> door(each, "GET", "/stats").text().contains("pool_ejected=1\n"));
+            AgentFixture.await(() -> door(each, "GET", "/stats").text().contains("config_rejected=1\n"));
+            AgentFixture.await(() -> door(each, "GET", "/stats").text().contains("pool_ejected=1\n"));
             assertTrue(door(each, "GET", "/stats").text().contains("config_applied=0\n"));
         }
-        Peer.daemon(old::stop);
+        ScriptedPeer.daemon(old::stop);
         old.awaitEnd();
         for (int i = 0; i < 10; i++) {
             assertEquals("a", stage.call("lookup").text());
@@ -285,7 +285,7 @@
             if (message.target().startsWith("/order")) {
                 go.await();
             }
-            Peer.answer(socket, 200, "", "a");
+            ScriptedPeer.answer(socket, 200, "", "a");
         });
         stage.server(answers("b"));
         int port = freePort();
@@ -307,15 +307,15 @@
         program.environment().put("TMPDIR", shared.toString());
         Process old = program.start();
         try {
-            Stage.await(() -> health(management) == 200);
+            AgentFixture.await(() -> health(management) == 200);
             try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), management)) {
-                Peer.write(caller, "POST /backends/s-2/maint HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
-                assertEquals(200, Peer.read(caller.getInputStream()).status());
+                ScriptedPeer.write(caller, "POST /backends/s-2/maint HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
+                assertEquals(200, ScriptedPeer.read(caller.getInputStream()).status());
             }
             start();
             assertEquals(1, stats().get("pool_ejected"));
             old.destroy();
-            Stage.await(() -> health(management) != 200);
+            AgentFixture.await(() -> health(management) != 200);
             old.destroyForcibly().waitFor();
             for (int i = 0; i < 10; i++) {
                 assertEquals("a", stage.call("lookup").text());
@@ -323,7 +323,7 @@
             // And it is the one to be taken over from now.
             Agent second = stage.agent;
             start();
-            Peer.daemon(second::stop);
+            ScriptedPeer.daemon(second::stop);
             second.awaitEnd();
             assertEquals("a", stage.call("lookup").text());
             assertEquals(1, stats().get("pool_ejected"));
@@ -335,8 +335,8 @@
 
     private static int health(int management) {
         try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), management)) {
-            Peer.write(caller, "GET /healthcheck HTTP/1.1\r\nHost: a\r\n\r\n");
-            return Peer.read(caller.getInputStream()).status();
+            ScriptedPeer.write(caller, "GET /healthcheck HTTP/1.1\r\nHost: a\r\n\r\n");
+            return ScriptedPeer.read(caller.getInputStream()).status();
         } catch (IOException e) {
             return -1;
         }
@@ -347,7 +347,7 @@
     void aNewProcessThatCannotTakeOverEndsAndLeavesTheOldOneAlone() throws Exception {
         stage.server(answers("a"));
         try (ServerSocket held = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Neighbour old = new Neighbour(shared, "old", line -> {});
+            ProcessHandover old = new ProcessHandover(shared, "old", line -> {});
             stage.config.put("listen", "127.0.0.1:" + held.getLocalPort());
             Agent fresh = Agent.start(Config.of(stage.config), shared);
             fresh.awaitEnd();
@@ -367,7 +367,7 @@
         AtomicInteger served = new AtomicInteger();
         for (int i = 0; i < 24; i++) {
             boolean keeps = i % 2 == 0;
-            Peer.daemon(() -> {
+            ScriptedPeer.daemon(() -> {
                 Socket socket = null;
                 for (int n = 0; !over.get(); n++) {
                     if (socket == null || !keeps) {
@@ -375,12 +375,13 @@
                                 InetAddress.getLoopbackAddress(),
                                 stage.agent.address().getPort());
                     }
-                    Peer.write(
+                    ScriptedPeer.write(
                             socket,
                             "GET /lookup HTTP/1.1\r\nHost: a\r\nRequest-Id: f"
                                     + Thread.currentThread().getId() + "x" + n
                                     + "\r\nRequest-Class: lookup\r\nRequest-Timeout-Ms: 3000\r\n\r\n");
-                    String connection = Peer.read(socket.getInputStream()).header("Connection");
+                    String connection =
+                            ScriptedPeer.read(socket.getInputStream()).header("Connection");
                     served.incrementAndGet();
                     if (!keeps || "close".equals(connection)) {
                         socket.close();
@@ -389,7 +390,7 @@
                 }
             });
         }
-        Stage.await(() -> served.get() > 1000);
+        AgentFixture.await(() -> served.get() > 1000);
         long worst = 0;
         for (int i = 0; i < 60; i++) {
             long begin = System.nanoTime();
@@ -401,7 +402,7 @@
         assertTrue(worst < 1_000_000_000L, worst / 1_000_000 + " ms");
     }
 
-    private static long calls(Peer server) {
+    private static long calls(ScriptedPeer server) {
         return server.requests.stream()
                 .filter(each -> each.target().startsWith("/lookup"))
                 .count();
@@ -417,11 +418,11 @@
     @Test
     void aSecondProcessTakesOverWithItsBansAndEveryRequestIsAnswered() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Peer.Script holds = (message, socket) -> {
+        ScriptedPeer.Script holds = (message, socket) -> {
             if (message.target().startsWith("/order")) {
                 go.await();
             }
-            Peer.answer(socket, 200, "", "a");
+            ScriptedPeer.answer(socket, 200, "", "a");
         };
         stage.server(holds);
         stage.server(answers("b"));
@@ -431,29 +432,30 @@
         Agent old = stage.agent;
         assertEquals(200, door("POST", "/backends/s-2/maint").status());
         Socket held = stage.dial();
-        Peer.write(held, stage.request("order", 8000, "body"));
-        Stage.await(() -> stage.servers.stream().anyMatch(each -> each.requests.stream()
+        ScriptedPeer.write(held, stage.request("order", 8000, "body"));
+        AgentFixture.await(() -> stage.servers.stream().anyMatch(each -> each.requests.stream()
                 .anyMatch(m -> m.target().startsWith("/order"))));
         Socket kept = stage.dial();
         assertEquals(
-                "a", Stage.exchange(kept, stage.request("lookup", 8000, "")).text());
+                "a",
+                AgentFixture.exchange(kept, stage.request("lookup", 8000, "")).text());
         start();
         assertEquals(1, stats().get("pool_ejected"), "the ban holds in the new process");
         // A ban at either door binds both.
         door(old, "POST", "/backends/s-3/maint");
-        Stage.await(() -> stats().get("pool_ejected") == 2);
+        AgentFixture.await(() -> stats().get("pool_ejected") == 2);
         door("POST", "/backends/s-3/ready");
-        Stage.await(() -> door(old, "GET", "/stats").text().contains("pool_ejected=1\n"));
-        Peer.daemon(old::stop);
-        Stage.await(() -> door(old, "GET", "/healthcheck").status() == 503);
-        Peer.Message last = Stage.exchange(kept, stage.request("lookup", 8000, ""));
+        AgentFixture.await(() -> door(old, "GET", "/stats").text().contains("pool_ejected=1\n"));
+        ScriptedPeer.daemon(old::stop);
+        AgentFixture.await(() -> door(old, "GET", "/healthcheck").status() == 503);
+        ScriptedPeer.Message last = AgentFixture.exchange(kept, stage.request("lookup", 8000, ""));
         assertEquals("a", last.text());
         assertEquals("close", last.header("Connection"), "a kept connection ends with its next answer");
         for (int i = 0; i < 20; i++) {
             assertEquals("a", stage.call("lookup").text());
         }
         go.countDown();
-        assertEquals("a", Peer.read(held.getInputStream()).text());
+        assertEquals("a", ScriptedPeer.read(held.getInputStream()).text());
         old.awaitEnd();
         assertEquals("a", stage.call("lookup").text());
         assertEquals(1, stats().get("pool_ejected"), "and after the old process has ended");
@@ -465,13 +467,13 @@
         byte[] piece = new byte[30_000];
         stage.server((message, socket) -> {
             if (message.target().startsWith("/order")) {
-                Peer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 1500000\r\n\r\n");
+                ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 1500000\r\n\r\n");
                 for (int i = 0; i < 50; i++) {
                     socket.getOutputStream().write(piece);
                     Thread.sleep(100);
                 }
             } else {
-                Peer.answer(socket, 200, "", "a");
+                ScriptedPeer.answer(socket, 200, "", "a");
             }
         });
         stage.config.put("listen", "127.0.0.1:" + freePort());
@@ -479,19 +481,19 @@
         Agent first = stage.agent;
         assertEquals(200, door("POST", "/backends/s-1/maint").status());
         assertEquals(200, door("POST", "/backends/s-1/ready").status());
-        Stage.await(() -> stats().get("pool_ejected") == 0);
+        AgentFixture.await(() -> stats().get("pool_ejected") == 0);
         Socket slow = stage.dial();
-        Peer.write(slow, stage.request("order", 8000, "body"));
-        Stage.await(() -> stage.arrived() > 0
-                && first.budget().of(gatefront.budget.Purpose.CALLS).entries() > 0);
+        ScriptedPeer.write(slow, stage.request("order", 8000, "body"));
+        AgentFixture.await(() -> stage.arrived() > 0
+                && first.budget().of(gatefront.budget.ResourcePurpose.CALLS).entries() > 0);
         start();
         Agent second = stage.agent;
-        Peer.daemon(first::stop);
+        ScriptedPeer.daemon(first::stop);
         assertEquals("a", stage.call("lookup").text());
         start();
-        Peer.daemon(second::stop);
+        ScriptedPeer.daemon(second::stop);
         assertEquals("a", stage.call("lookup").text());
-        assertEquals(1_500_000, Peer.read(slow.getInputStream()).body().length);
+        assertEquals(1_500_000, ScriptedPeer.read(slow.getInputStream()).body().length);
         long begin = System.nanoTime();
         first.awaitEnd();
         second.awaitEnd();
@@ -518,10 +520,12 @@
         // Nor does it think that somebody takes over: told to end it serves on, as before a restart.
         Socket kept = stage.dial();
         assertEquals(
-                "a", Stage.exchange(kept, stage.request("lookup", 8000, "")).text());
-        Peer.daemon(stage.agent::stop);
-        Stage.await(() -> door("GET", "/healthcheck").status() == 503);
+                "a",
+                AgentFixture.exchange(kept, stage.request("lookup", 8000, "")).text());
+        ScriptedPeer.daemon(stage.agent::stop);
+        AgentFixture.await(() -> door("GET", "/healthcheck").status() == 503);
         assertEquals(
-                null, Stage.exchange(kept, stage.request("lookup", 8000, "")).header("Connection"));
+                null,
+                AgentFixture.exchange(kept, stage.request("lookup", 8000, "")).header("Connection"));
     }
 }
--- a/src/test/java/gatefront/agent/RegistryTableTest.java
+++ b/src/test/java/gatefront/agent/RegistrySettingsReaderTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The table of the registry: what is wrong is one line with file, line, key and what was meant. */
-class RegistryTableTest {
+class RegistrySettingsReaderTest {
     private static final String GOOD =
             """
         [registry]
--- a/src/test/java/gatefront/agent/RegistrySourceTest.java
+++ b/src/test/java/gatefront/agent/RegistrySourceTest.java
@@ -6,10 +6,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import gatefront.config.Config;
 import gatefront.registry.RegistrySettings;
-import gatefront.rehearsal.registry.ConsulStand;
-import gatefront.rehearsal.registry.EtcdStand;
-import gatefront.rehearsal.registry.RegistryStand;
-import gatefront.rehearsal.world.KeyValues;
+import gatefront.rehearsal.registry.ConsulStandIn;
+import gatefront.rehearsal.registry.EtcdStandIn;
+import gatefront.rehearsal.registry.RegistryStandIn;
+import gatefront.rehearsal.world.KeyValueStore;
 import gatefront.toml.TomlException;
 import gatefront.transport.SocketTransport;
 import java.net.InetAddress;
@@ -28,14 +28,14 @@
     @TempDir
     private Path folder;
 
-    private Stage stage;
+    private AgentFixture stage;
     private SocketTransport sockets;
-    private final KeyValues keys = new KeyValues(1);
-    private RegistryStand registry;
+    private final KeyValueStore keys = new KeyValueStore(1);
+    private RegistryStandIn registry;
 
     @BeforeEach
     void set() throws Exception {
-        stage = new Stage();
+        stage = new AgentFixture();
         sockets = new SocketTransport();
     }
 
@@ -47,8 +47,8 @@
 
     private void serve(RegistrySettings.Kind kind) throws Exception {
         registry = kind == RegistrySettings.Kind.ETCD
-                ? new EtcdStand(sockets, () -> keys)
-                : new ConsulStand(sockets, () -> keys);
+                ? new EtcdStandIn(sockets, () -> keys)
+                : new ConsulStandIn(sockets, () -> keys);
         registry.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .sync();
     }
@@ -80,17 +80,17 @@
                 .sync();
     }
 
-    private ObjectNode nodo(int number, Peer peer) {
-        return Stage.endpoint(number, peer.address(), "Ready");
+    private ObjectNode nodo(int number, ScriptedPeer peer) {
+        return AgentFixture.endpoint(number, peer.address(), "Ready");
     }
 
-    private Peer peer() throws Exception {
-        return stage.peer((message, socket) -> Peer.answer(socket, 200, "", "served"));
+    private ScriptedPeer peer() throws Exception {
+        return stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
     }
 
     /** Requests go to one server alone, from soon after on. */
-    private void only(Peer one, Peer other) throws Exception {
-        Stage.await(() -> {
+    private void only(ScriptedPeer one, ScriptedPeer other) throws Exception {
+        AgentFixture.await(() -> {
             try {
                 int before = other.requests.size();
                 int sent = one.requests.size();
@@ -113,14 +113,14 @@
         stage.start(extensions(kind, "padron = \"instead\""));
         assertEquals(200, stage.call("lookup").status());
         put("policies/clases/lookup", stage.config.objectNode().put("v", 1).put("in_progress", 0));
-        Stage.await(() -> status("lookup") == 503);
+        AgentFixture.await(() -> status("lookup") == 503);
         assertEquals(200, status("order"));
         put("policies/clases/lookup", stage.config.objectNode().put("v", 1).put("in_progress", "many"));
         put("policies/clases/order", stage.config.objectNode().put("v", 1).put("in_progress", 0));
-        Stage.await(() -> status("order") == 503); // so what came before it has been looked at
+        AgentFixture.await(() -> status("order") == 503); // so what came before it has been looked at
         assertEquals(503, status("lookup"));
         put("policies/clases/lookup", stage.config.objectNode().put("v", 1).put("in_progress", 1));
-        Stage.await(() -> status("lookup") == 200);
+        AgentFixture.await(() -> status("lookup") == 200);
         for (int i = 0; i < 5; i++) {
             assertEquals(200, status("lookup"), "the one before has ended");
         }
@@ -138,8 +138,8 @@
     @EnumSource(RegistrySettings.Kind.class)
     void whatTheRegistryListsIsUsedAndWhatItDrainsIsNot(RegistrySettings.Kind kind) throws Exception {
         serve(kind);
-        Peer first = peer();
-        Peer second = peer();
+        ScriptedPeer first = peer();
+        ScriptedPeer second = peer();
         put("nodos/s-1", nodo(1, first));
         put("nodos/s-2", nodo(2, second));
         stage.start(extensions(kind, "padron = \"instead\""));
@@ -155,7 +155,7 @@
         // Of a version that is not understood, however well it reads: the last good one stays.
         put("nodos/s-1", nodo(1, first).put("v", 2).put("status", "Terminating"));
         put("policies/clases/order", stage.config.objectNode().put("v", 1).put("in_progress", 0));
-        Stage.await(() -> status("order") == 503); // so what came before it has been looked at
+        AgentFixture.await(() -> status("order") == 503); // so what came before it has been looked at
         assertEquals(200, stage.call("lookup").status());
         assertEquals(0, stage.discovery.requests.size(), "the padrón is not asked");
     }
@@ -163,8 +163,8 @@
     @Test
     void besideThePadronTheWorseOfBothHolds() throws Exception {
         serve(RegistrySettings.Kind.ETCD);
-        Peer first = stage.server((message, socket) -> Peer.answer(socket, 200, "", "served"));
-        Peer second = stage.server((message, socket) -> Peer.answer(socket, 200, "", "served"));
+        ScriptedPeer first = stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
+        ScriptedPeer second = stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
         put("nodos/s-1", nodo(1, first));
         stage.start(extensions(RegistrySettings.Kind.ETCD, ""));
         for (int i = 0; i < 20; i++) {
@@ -178,19 +178,19 @@
     @Test
     void aRegistryThatIsDownAtTheStartLeavesWhatIsOnTheDisk() throws Exception {
         serve(RegistrySettings.Kind.ETCD);
-        Peer first = peer();
+        ScriptedPeer first = peer();
         put("nodos/s-1", nodo(1, first));
         Path state = folder.resolve("state");
         String rest = "padron = \"instead\"\nstate_file = \"" + state + "\"";
         stage.start(extensions(RegistrySettings.Kind.ETCD, rest));
         assertEquals(200, stage.call("lookup").status());
-        Stage.await(() -> Files.exists(state));
+        AgentFixture.await(() -> Files.exists(state));
         stage.agent.stop();
         int port = registry.address().getPort();
         sockets.loop().submit(() -> registry.down(true, null)).sync();
         stage.start(extensions(RegistrySettings.Kind.ETCD, rest));
         assertEquals(200, stage.call("lookup").status());
-        Peer second = peer();
+        ScriptedPeer second = peer();
         put("nodos/s-2", nodo(2, second));
         put("nodos/s-1", null);
         sockets.loop()
--- a/src/test/java/gatefront/agent/ReloadTest.java
+++ b/src/test/java/gatefront/agent/ReloadTest.java
@@ -24,12 +24,12 @@
     @TempDir
     private Path dir;
 
-    private Stage stage;
+    private AgentFixture stage;
     private Path file;
 
     @BeforeEach
     void set() throws IOException {
-        stage = new Stage();
+        stage = new AgentFixture();
         file = dir.resolve("config.json");
     }
 
@@ -45,41 +45,41 @@
     }
 
     /** Another discovery that lists this one server and then has no news; it notes the calls. */
-    private Peer discoveryOf(Peer server) throws IOException {
+    private ScriptedPeer discoveryOf(ScriptedPeer server) throws IOException {
         return stage.peer((message, socket) -> {
             if (!message.target().contains("since")) {
-                Peer.answer(
+                ScriptedPeer.answer(
                         socket,
                         200,
                         "",
-                        "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + Stage.endpoint(9, server.address(), "Ready")
-                                + "]}");
+                        "{\"index\":1,\"snapshot\":true,\"endpoints\":["
+                                + AgentFixture.endpoint(9, server.address(), "Ready") + "]}");
             }
         });
     }
 
-    private static List<String> asked(Peer discovery) {
-        return discovery.requests.stream().map(Peer.Message::target).toList();
+    private static List<String> asked(ScriptedPeer discovery) {
+        return discovery.requests.stream().map(ScriptedPeer.Message::target).toList();
     }
 
     @Test
     void theWholeListIsFetchedAtTheNewAddressAndNoRequestIsDisturbed() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Peer old = stage.server((message, socket) -> {
+        ScriptedPeer old = stage.server((message, socket) -> {
             go.await();
-            Peer.answer(socket, 200, "", "old");
+            ScriptedPeer.answer(socket, 200, "", "old");
         });
-        Peer fresh = stage.peer((message, socket) -> Peer.answer(socket, 200, "", "new"));
-        Peer other = discoveryOf(fresh);
+        ScriptedPeer fresh = stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
+        ScriptedPeer other = discoveryOf(fresh);
         stage.start();
         Socket held = stage.dial();
-        Peer.write(held, stage.request("order", 8000, "body"));
-        Stage.await(() -> old.requests.size() == 1);
+        ScriptedPeer.write(held, stage.request("order", 8000, "body"));
+        AgentFixture.await(() -> old.requests.size() == 1);
         write(other.address());
         for (int i = 0; i < 5; i++) { // several in a row do no more than one
             stage.agent.reload(file, null);
         }
-        Stage.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
+        AgentFixture.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
         assertEquals("/v1/servers", asked(other).get(0));
         assertEquals(
                 1,
@@ -88,30 +88,30 @@
             assertEquals("new", stage.call("order").text(), "the new list is the whole list");
         }
         go.countDown();
-        assertEquals("old", Peer.read(held.getInputStream()).text());
+        assertEquals("old", ScriptedPeer.read(held.getInputStream()).text());
     }
 
     /** Guards against an agent without servers while the new discovery is not up yet. */
     @Test
     void theOldListStaysUntilTheNewOneComes() throws Exception {
-        stage.server((message, socket) -> Peer.answer(socket, 200, "", "old"));
-        Peer fresh = stage.peer((message, socket) -> Peer.answer(socket, 200, "", "new"));
-        Peer up = discoveryOf(fresh);
-        Peer down = stage.peer((message, socket) -> Peer.reset(socket));
+        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
+        ScriptedPeer fresh = stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
+        ScriptedPeer up = discoveryOf(fresh);
+        ScriptedPeer down = stage.peer((message, socket) -> ScriptedPeer.reset(socket));
         stage.start();
         write(down.address());
         stage.agent.reload(file, null);
-        Stage.await(() -> down.requests.size() >= 2);
+        AgentFixture.await(() -> down.requests.size() >= 2);
         assertEquals("old", stage.call("lookup").text());
         write(up.address());
         stage.agent.reload(file, null);
-        Stage.await(() -> asked(up).stream().anyMatch(each -> each.contains("since=1&")));
+        AgentFixture.await(() -> asked(up).stream().anyMatch(each -> each.contains("since=1&")));
         assertEquals("new", stage.call("lookup").text());
     }
 
     @Test
     void anUnusableFileChangesNothing() throws Exception {
-        stage.server((message, socket) -> Peer.answer(socket, 200, "", "old"));
+        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
         stage.start();
         for (String text : List.of("", "{", "{}", "{\"discovery\":\"nowhere\"}")) {
             Files.writeString(file, text);
@@ -119,29 +119,29 @@
         }
         stage.agent.reload(dir.resolve("missing"), null);
         int before = stage.discovery.requests.size();
-        stage.news.add(Stage.delta(1, Stage.endpoint(2, "127.0.0.1:9", "Terminating")));
-        Stage.await(() -> stage.discovery.requests.size() > before);
+        stage.news.add(AgentFixture.delta(1, AgentFixture.endpoint(2, "127.0.0.1:9", "Terminating")));
+        AgentFixture.await(() -> stage.discovery.requests.size() > before);
         assertEquals("old", stage.call("lookup").text());
     }
 
     /** Guards against the signal's usual effect, which is the end of the JVM, also while it ends in order. */
     @Test
     void theProgramLivesThroughSighupsAndEndsOnSigterm() throws Exception {
-        Peer old = stage.server((message, socket) -> Peer.answer(socket, 200, "", "old"));
-        Peer other = discoveryOf(old);
+        ScriptedPeer old = stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
+        ScriptedPeer other = discoveryOf(old);
         write(stage.discovery.address());
         Process process = program("-Xmx48m");
         try {
-            Stage.await(() -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
+            AgentFixture.await(() -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
             write(other.address());
             signal(process, "HUP");
-            Stage.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
+            AgentFixture.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
             assertTrue(process.isAlive());
             signal(process, "TERM");
             for (int i = 0; i < 3; i++) {
                 signal(process, "HUP");
             }
-            assertTrue(process.waitFor(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
+            assertTrue(process.waitFor(AgentFixture.GENEROUS_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, process.exitValue());
         } finally {
             process.destroyForcibly();
@@ -151,13 +151,13 @@
     /** A padrón that says nothing must not keep a process that is asked to end, nor make its end a failure. */
     @Test
     void theProgramEndsInOrderWhileItsFirstListIsAwaited() throws Exception {
-        Peer silent = stage.peer((message, socket) -> {});
+        ScriptedPeer silent = stage.peer((message, socket) -> {});
         write(silent.address());
         Process process = program("-Xmx48m");
         try {
-            Stage.await(() -> !silent.requests.isEmpty());
+            AgentFixture.await(() -> !silent.requests.isEmpty());
             signal(process, "TERM");
-            assertTrue(process.waitFor(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
+            assertTrue(process.waitFor(AgentFixture.GENEROUS_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, process.exitValue());
         } finally {
             process.destroyForcibly();
@@ -167,15 +167,15 @@
     /** Discovery moves before its first answer has come. */
     @Test
     void theProgramTakesItsFirstListFromWhereDiscoveryHasMoved() throws Exception {
-        Peer silent = stage.peer((message, socket) -> {});
-        Peer other = discoveryOf(stage.peer((message, socket) -> Peer.answer(socket, 200, "", "new")));
+        ScriptedPeer silent = stage.peer((message, socket) -> {});
+        ScriptedPeer other = discoveryOf(stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new")));
         write(silent.address());
         Process process = program("-Xmx48m");
         try {
-            Stage.await(() -> !silent.requests.isEmpty());
+            AgentFixture.await(() -> !silent.requests.isEmpty());
             write(other.address());
             signal(process, "HUP");
-            Stage.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
+            AgentFixture.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
             assertTrue(process.isAlive());
         } finally {
             process.destroyForcibly();
@@ -186,23 +186,23 @@
     @Test
     void anAgentToldToEndFollowsDiscoveryWhileItServesOn() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Peer old = stage.server((message, socket) -> {
+        ScriptedPeer old = stage.server((message, socket) -> {
             go.await();
-            Peer.answer(socket, 200, "", "old");
+            ScriptedPeer.answer(socket, 200, "", "old");
         });
-        Peer other = discoveryOf(stage.peer((message, socket) -> Peer.answer(socket, 200, "", "new")));
+        ScriptedPeer other = discoveryOf(stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new")));
         stage.start();
         Socket held = stage.dial();
-        Peer.write(held, stage.request("order", 8000, "body"));
-        Stage.await(() -> old.requests.size() == 1);
-        Thread ending = Peer.daemon(stage.agent::stop);
+        ScriptedPeer.write(held, stage.request("order", 8000, "body"));
+        AgentFixture.await(() -> old.requests.size() == 1);
+        Thread ending = ScriptedPeer.daemon(stage.agent::stop);
         write(other.address());
         stage.agent.reload(file, null);
-        Stage.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
+        AgentFixture.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
         assertEquals("new", stage.call("lookup").text());
         go.countDown();
-        assertEquals("old", Peer.read(held.getInputStream()).text());
-        ending.join(Stage.GENEROUS_MS);
+        assertEquals("old", ScriptedPeer.read(held.getInputStream()).text());
+        ending.join(AgentFixture.GENEROUS_MS);
         assertFalse(ending.isAlive());
     }
 
@@ -212,13 +212,13 @@
      */
     @Test
     void theStartLoadsNothingThatTakesLongToSetUp() throws Exception {
-        stage.server((message, socket) -> Peer.answer(socket, 200, "", ""));
+        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", ""));
         write(stage.discovery.address());
         Process process = program("-Xlog:class+load");
         try {
-            Stage.await(() -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
+            AgentFixture.await(() -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
             signal(process, "TERM");
-            assertTrue(process.waitFor(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
+            assertTrue(process.waitFor(AgentFixture.GENEROUS_MS, TimeUnit.MILLISECONDS));
             String loaded = Files.readString(dir.resolve("log"));
             assertTrue(loaded.contains(" gatefront.padron.Discovery$Answers "));
             assertFalse(loaded.contains(" com.fasterxml.jackson.databind.ObjectMapper "));
@@ -237,9 +237,9 @@
         write(stage.discovery.address());
         Process process = program("-Xmx48m", "--ignore-signal=HUP");
         try {
-            Stage.await(() -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
+            AgentFixture.await(() -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
             signal(process, "TERM");
-            assertTrue(process.waitFor(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
+            assertTrue(process.waitFor(AgentFixture.GENEROUS_MS, TimeUnit.MILLISECONDS));
             assertTrue(Files.readString(dir.resolve("log")).contains("reload: SIGHUP is ignored here"));
         } finally {
             process.destroyForcibly();
--- a/src/test/java/gatefront/agent/Peer.java
+++ b/src/test/java/gatefront/agent/ScriptedPeer.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /** A small peer on a loopback port that does with each message what the test's script says. */
-final class Peer implements Closeable {
+final class ScriptedPeer implements Closeable {
     /** What to do with a message; returning without an answer leaves the peer silent. */
     interface Script {
         void handle(Message message, Socket socket) throws Exception;
@@ -50,7 +50,7 @@
 
     private final Script script;
 
-    Peer(Script script) throws IOException {
+    ScriptedPeer(Script script) throws IOException {
         this.script = script;
         this.listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         daemon(() -> {
--- a/src/test/java/gatefront/agent/SettingsReloadTest.java
+++ b/src/test/java/gatefront/agent/SettingsReloadTest.java
@@ -27,7 +27,7 @@
     @TempDir
     private Path dir;
 
-    private Stage stage;
+    private AgentFixture stage;
     private Path file;
     private final CountDownLatch go = new CountDownLatch(1);
     /** How often the module was told of other settings. */
@@ -35,14 +35,14 @@
 
     @BeforeEach
     void set() throws IOException {
-        stage = new Stage();
+        stage = new AgentFixture();
         stage.config.put("management", "127.0.0.1:0");
         file = dir.resolve("config.json");
         stage.server((message, socket) -> {
             if (message.target().contains("held")) {
                 go.await();
             }
-            Peer.answer(socket, 200, "", "served");
+            ScriptedPeer.answer(socket, 200, "", "served");
         });
         stage.start(stage.overheard((event, details) -> {
             if (event.equals("settings")) {
@@ -65,7 +65,7 @@
         Files.writeString(file, text);
         long before = figure("config_applied") + figure("config_rejected");
         stage.agent.reload(file, null);
-        Stage.await(() -> figure("config_applied") + figure("config_rejected") == before + 1);
+        AgentFixture.await(() -> figure("config_applied") + figure("config_rejected") == before + 1);
     }
 
     private void reload(Consumer<ObjectNode> change) throws IOException {
@@ -77,8 +77,8 @@
     private String stats() {
         try (Socket socket = new Socket(
                 InetAddress.getLoopbackAddress(), stage.agent.management().getPort())) {
-            Peer.write(socket, "GET /stats HTTP/1.1\r\nHost: a\r\n\r\n");
-            return Peer.read(socket.getInputStream()).text();
+            ScriptedPeer.write(socket, "GET /stats HTTP/1.1\r\nHost: a\r\n\r\n");
+            return ScriptedPeer.read(socket.getInputStream()).text();
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -93,7 +93,8 @@
     }
 
     private int status(String type) throws IOException {
-        return Stage.exchange(stage.dial(), stage.request("order", 8000, "body").replace("order", type))
+        return AgentFixture.exchange(
+                        stage.dial(), stage.request("order", 8000, "body").replace("order", type))
                 .status();
     }
 
@@ -126,16 +127,16 @@
     @Test
     void anOpenRequestKeepsItsClassAndOthersHaveTheNewOne() throws Exception {
         Socket held = stage.dial();
-        Peer.write(held, stage.request("order", 8000, "body").replace("?q=1", "?held"));
-        Stage.await(() -> stage.arrived() > 0
+        ScriptedPeer.write(held, stage.request("order", 8000, "body").replace("?q=1", "?held"));
+        AgentFixture.await(() -> stage.arrived() > 0
                 && stage.servers.get(0).requests.stream()
                         .anyMatch(each -> each.target().contains("held")));
         reload(config -> ((ObjectNode) classes(config).get(2)).put("semantics", "safe"));
         assertEquals(400, stage.call("order").status(), "a POST is no form of a safe class");
         String get = stage.request("lookup", 8000, "").replace("lookup", "order");
-        assertEquals(200, Stage.exchange(stage.dial(), get).status());
+        assertEquals(200, AgentFixture.exchange(stage.dial(), get).status());
         go.countDown();
-        assertEquals(200, Peer.read(held.getInputStream()).status());
+        assertEquals(200, ScriptedPeer.read(held.getInputStream()).status());
     }
 
     /** Replaced by a rename at any moment, it is one file or the other; the last signal ends with the last file. */
@@ -155,11 +156,11 @@
             Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
             stage.agent.reload(file, null);
         }
-        Stage.await(() -> figure("config_applied") + figure("config_rejected") == 400);
+        AgentFixture.await(() -> figure("config_applied") + figure("config_rejected") == 400);
         assertEquals(0, figure("config_rejected"));
         assertEquals(400, status("class0"));
         String get = stage.request("lookup", 8000, "").replace("lookup", "class1");
-        assertEquals(200, Stage.exchange(stage.dial(), get).status());
+        assertEquals(200, AgentFixture.exchange(stage.dial(), get).status());
     }
 
     @Test
--- a/src/test/java/gatefront/agent/ThriftStage.java
+++ b/src/test/java/gatefront/agent/ThriftAgentFixture.java
@@ -6,8 +6,8 @@
 import gatefront.config.Config;
 import gatefront.thrift.ThriftSettings;
 import gatefront.thrift.ThriftSettings.Method;
-import gatefront.thrift.codec.Encoding;
-import gatefront.thrift.codec.Form;
+import gatefront.thrift.codec.MessageFormat;
+import gatefront.thrift.codec.ThriftEncoding;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -33,26 +33,26 @@
 import org.apache.thrift.transport.layered.TFramedTransport;
 
 /** An agent between clients and servers of the reference implementation, in one form of Thrift. */
-final class ThriftStage implements Closeable {
+final class ThriftAgentFixture implements Closeable {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    final Form form;
+    final MessageFormat form;
     final ObjectNode config;
     final List<TServer> servers = new ArrayList<>();
     final List<Closeable> sockets = new ArrayList<>();
-    final Peer discovery;
+    final ScriptedPeer discovery;
     /** Where the nodos listen: one port, an address each. */
     private final int port;
 
     private int nodos;
     Agent agent;
 
-    ThriftStage(Form form) throws IOException {
+    ThriftAgentFixture(MessageFormat form) throws IOException {
         this.form = form;
         config = (ObjectNode) JSON.readTree(Files.readAllBytes(Path.of("src/test/resources/config.json")));
-        discovery = new Peer((message, socket) -> {
+        discovery = new ScriptedPeer((message, socket) -> {
             if (!message.target().contains("since")) {
-                Peer.answer(socket, 200, "", config.get("known").toString());
+                ScriptedPeer.answer(socket, 200, "", config.get("known").toString());
             }
         });
         config.put("discovery", discovery.address());
@@ -61,54 +61,55 @@
         }
     }
 
-    static TProtocol protocol(Encoding encoding, TTransport transport) {
-        return encoding == Encoding.COMPACT
+    static TProtocol protocol(ThriftEncoding encoding, TTransport transport) {
+        return encoding == ThriftEncoding.COMPACT
                 ? new TCompactProtocol(transport)
-                : new TBinaryProtocol(transport, encoding == Encoding.BINARY, encoding == Encoding.BINARY);
+                : new TBinaryProtocol(transport, encoding == ThriftEncoding.BINARY, encoding == ThriftEncoding.BINARY);
     }
 
     /** Lists a nodo at an address of its own, and returns that. */
     InetSocketAddress list() {
         String host = "127.0.77." + ++nodos;
-        ((ArrayNode) config.get("known").get("endpoints")).add(Stage.endpoint(nodos, host + ":" + port, "Ready"));
+        ((ArrayNode) config.get("known").get("endpoints"))
+                .add(AgentFixture.endpoint(nodos, host + ":" + port, "Ready"));
         return new InetSocketAddress(host, port);
     }
 
     /** A nodo of the reference implementation. */
-    Cuenta.Processor server(Cuenta.Work work) throws TException {
-        Cuenta.Processor processor = new Cuenta.Processor(work);
+    ThriftTestService.Processor server(ThriftTestService.Work work) throws TException {
+        ThriftTestService.Processor processor = new ThriftTestService.Processor(work);
         TProtocolFactory protocols = transport -> protocol(form.encoding(), transport);
         TServer server = new TThreadPoolServer(new TThreadPoolServer.Args(new TServerSocket(list()))
                 .processor(processor)
                 .protocolFactory(protocols)
                 .transportFactory(form.framed() ? new TFramedTransport.Factory() : new TTransportFactory()));
         servers.add(server);
-        Peer.daemon(server::serve);
+        ScriptedPeer.daemon(server::serve);
         return processor;
     }
 
     /** A nodo of the reference implementation of another kind. */
-    void server(Cuenta.Serve server) throws TException {
+    void server(ThriftTestService.Serve server) throws TException {
         TServer made = server.at(list());
         servers.add(made);
-        Peer.daemon(made::serve);
+        ScriptedPeer.daemon(made::serve);
     }
 
     /** A nodo that does with the first bytes of each connection what a test says. */
-    void raw(Peer.Serving work) throws IOException {
+    void raw(ScriptedPeer.Serving work) throws IOException {
         ServerSocket listener = new ServerSocket();
         listener.bind(list());
         sockets.add(listener);
-        Peer.daemon(() -> {
+        ScriptedPeer.daemon(() -> {
             while (true) {
                 Socket socket = listener.accept();
                 sockets.add(socket);
-                Peer.daemon(() -> work.run(socket));
+                ScriptedPeer.daemon(() -> work.run(socket));
             }
         });
     }
 
-    ThriftStage start() throws IOException {
+    ThriftAgentFixture start() throws IOException {
         Config read = Config.of(config);
         List<String> classes = read.classes();
         Map<String, Method> methods = new java.util.HashMap<>();
@@ -129,21 +130,21 @@
                         null,
                         null,
                         null));
-        Stage.await(() -> agent.isReady());
+        AgentFixture.await(() -> agent.isReady());
         return this;
     }
 
     Socket dial() throws IOException {
         Socket socket = new Socket(
                 InetAddress.getLoopbackAddress(), agent.thriftAddress().getPort());
-        socket.setSoTimeout((int) Stage.GENEROUS_MS);
+        socket.setSoTimeout((int) AgentFixture.GENEROUS_MS);
         sockets.add(socket);
         return socket;
     }
 
-    Cuenta.Client client() throws IOException, TException {
+    ThriftTestService.Client client() throws IOException, TException {
         TTransport transport = new TSocket(dial());
-        return new Cuenta.Client(
+        return new ThriftTestService.Client(
                 protocol(form.encoding(), form.framed() ? new TFramedTransport(transport) : transport));
     }
 
@@ -154,7 +155,7 @@
         }
         servers.forEach(TServer::stop);
         if (agent != null) {
-            Peer.daemon(agent::stop);
+            ScriptedPeer.daemon(agent::stop);
         }
         discovery.close();
     }
--- a/src/test/java/gatefront/agent/ThriftAgentTest.java
+++ b/src/test/java/gatefront/agent/ThriftAgentTest.java
@@ -6,12 +6,12 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.agent.Cuenta.Args;
-import gatefront.agent.Cuenta.Client;
-import gatefront.agent.Cuenta.Processor;
-import gatefront.agent.Cuenta.Result;
-import gatefront.thrift.codec.Encoding;
-import gatefront.thrift.codec.Form;
+import gatefront.agent.ThriftTestService.Args;
+import gatefront.agent.ThriftTestService.Client;
+import gatefront.agent.ThriftTestService.Processor;
+import gatefront.agent.ThriftTestService.Result;
+import gatefront.thrift.codec.MessageFormat;
+import gatefront.thrift.codec.ThriftEncoding;
 import java.net.Socket;
 import java.util.HashMap;
 import java.util.List;
@@ -40,14 +40,14 @@
 class ThriftAgentTest {
     private static final AtomicInteger IDS = new AtomicInteger();
 
-    static Stream<Form> forms() {
+    static Stream<MessageFormat> forms() {
         return Stream.of(
-                new Form(true, Encoding.BINARY),
-                new Form(true, Encoding.COMPACT),
-                new Form(false, Encoding.BINARY),
-                new Form(false, Encoding.COMPACT),
-                new Form(true, Encoding.BINARY_OLD),
-                new Form(false, Encoding.BINARY_OLD));
+                new MessageFormat(true, ThriftEncoding.BINARY),
+                new MessageFormat(true, ThriftEncoding.COMPACT),
+                new MessageFormat(false, ThriftEncoding.BINARY),
+                new MessageFormat(false, ThriftEncoding.COMPACT),
+                new MessageFormat(true, ThriftEncoding.BINARY_OLD),
+                new MessageFormat(false, ThriftEncoding.BINARY_OLD));
     }
 
     private static Args args(String type, long timeoutMs, String text) {
@@ -83,8 +83,8 @@
 
     @ParameterizedTest
     @MethodSource("forms")
-    void callsOfEachClassAreServedWithTheirArgumentsAndWhatIsLeftOfTheirTime(Form form) throws Exception {
-        try (ThriftStage stage = new ThriftStage(form)) {
+    void callsOfEachClassAreServedWithTheirArgumentsAndWhatIsLeftOfTheirTime(MessageFormat form) throws Exception {
+        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
             Map<String, Args> seen = new HashMap<>();
             stage.server((method, args) -> {
                 seen.put(method, args);
@@ -106,10 +106,10 @@
 
     @ParameterizedTest
     @MethodSource("forms")
-    void whatANodoRefusesIsSentToAnotherAndWhatAllRefuseIsRefusedWithAWait(Form form) throws Exception {
-        try (ThriftStage stage = new ThriftStage(form)) {
+    void whatANodoRefusesIsSentToAnotherAndWhatAllRefuseIsRefusedWithAWait(MessageFormat form) throws Exception {
+        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
             AtomicInteger refusals = new AtomicInteger(1);
-            Cuenta.Work work = (method, args) -> refusals.getAndDecrement() > 0 ? refused() : served("done");
+            ThriftTestService.Work work = (method, args) -> refusals.getAndDecrement() > 0 ? refused() : served("done");
             Processor one = stage.server(work);
             Processor other = stage.server(work);
             Client client = stage.start().client();
@@ -124,11 +124,11 @@
 
     @ParameterizedTest
     @MethodSource("forms")
-    void whatMayHaveRunIsSentAgainOnlyAsItsClassPermits(Form form) throws Exception {
+    void whatMayHaveRunIsSentAgainOnlyAsItsClassPermits(MessageFormat form) throws Exception {
         for (String how : List.of("failed", "internal", "cut")) {
-            try (ThriftStage stage = new ThriftStage(form)) {
+            try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
                 AtomicInteger failures = new AtomicInteger();
-                Cuenta.Work work = (method, args) -> {
+                ThriftTestService.Work work = (method, args) -> {
                     if (failures.getAndDecrement() <= 0) {
                         return served("done");
                     }
@@ -162,9 +162,9 @@
 
     @ParameterizedTest
     @MethodSource("forms")
-    void exceptionsThatBlameTheCallGoToTheCallerAndTheCallNowhereElse(Form form) throws Exception {
-        try (ThriftStage stage = new ThriftStage(form)) {
-            Cuenta.Work work = (method, args) -> {
+    void exceptionsThatBlameTheCallGoToTheCallerAndTheCallNowhereElse(MessageFormat form) throws Exception {
+        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
+            ThriftTestService.Work work = (method, args) -> {
                 throw new TApplicationException(Integer.parseInt(args.text), "no");
             };
             Processor one = stage.server(work);
@@ -190,8 +190,8 @@
 
     @ParameterizedTest
     @MethodSource("forms")
-    void aLateReplyIsNotTheNextCallsAnswer(Form form) throws Exception {
-        try (ThriftStage stage = new ThriftStage(form)) {
+    void aLateReplyIsNotTheNextCallsAnswer(MessageFormat form) throws Exception {
+        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
             CountDownLatch late = new CountDownLatch(1);
             stage.server((method, args) -> {
                 if (args.text.equals("late")) {
@@ -214,11 +214,12 @@
         void write(TMessage call, TProtocol out) throws TException;
     }
 
-    private static void liar(ThriftStage stage, Form form, AtomicInteger calls, Answer answer) throws Exception {
+    private static void liar(ThriftAgentFixture stage, MessageFormat form, AtomicInteger calls, Answer answer)
+            throws Exception {
         stage.raw(socket -> {
             TTransport plain = new TSocket(socket);
             TTransport transport = form.framed() ? new TFramedTransport(plain) : plain;
-            TProtocol protocol = ThriftStage.protocol(form.encoding(), transport);
+            TProtocol protocol = ThriftAgentFixture.protocol(form.encoding(), transport);
             while (true) {
                 TMessage call = protocol.readMessageBegin();
                 TProtocolUtil.skip(protocol, TType.STRUCT);
@@ -231,7 +232,7 @@
 
     @ParameterizedTest
     @MethodSource("forms")
-    void repliesToAnotherCallOrOfAnotherKindAreNoAnswers(Form form) throws Exception {
+    void repliesToAnotherCallOrOfAnotherKindAreNoAnswers(MessageFormat form) throws Exception {
         List<Answer> lies = List.of(
                 (call, out) -> reply(out, call.name, TMessageType.REPLY, call.seqid + 1),
                 (call, out) -> reply(out, "another", TMessageType.REPLY, call.seqid),
@@ -239,7 +240,7 @@
                 (call, out) -> reply(out, call.name, (byte) 4, call.seqid),
                 (call, out) -> out.getTransport().write(new byte[] {0x7f, 1, 2, 3, 4, 5, 6, 7, 8, 9}));
         for (Answer lie : lies) {
-            try (ThriftStage stage = new ThriftStage(form)) {
+            try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
                 AtomicInteger calls = new AtomicInteger();
                 liar(stage, form, calls, lie);
                 Result result = stage.start().client().call("order", args("order", 5_000, ""));
@@ -257,8 +258,8 @@
 
     @ParameterizedTest
     @MethodSource("forms")
-    void callsInFlightOnOneConnectionAreAnsweredBySeqidAndOfOneSeqidInOrder(Form form) throws Exception {
-        try (ThriftStage stage = new ThriftStage(form)) {
+    void callsInFlightOnOneConnectionAreAnsweredBySeqidAndOfOneSeqidInOrder(MessageFormat form) throws Exception {
+        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
             CountDownLatch slow = new CountDownLatch(1);
             stage.server((method, args) -> {
                 if (args.text.startsWith("slow")) {
@@ -269,7 +270,7 @@
             stage.start();
             Socket socket = stage.dial();
             TTransport transport = form.framed() ? new TFramedTransport(new TSocket(socket)) : new TSocket(socket);
-            TProtocol protocol = ThriftStage.protocol(form.encoding(), transport);
+            TProtocol protocol = ThriftAgentFixture.protocol(form.encoding(), transport);
             send(protocol, 7, "slow 7");
             send(protocol, 8, "quick 8");
             send(protocol, 7, "second 7");
@@ -297,13 +298,13 @@
 
     @ParameterizedTest
     @MethodSource("forms")
-    void whatIsNoCallEndsTheConnectionAfterTheAnswerBeforeIt(Form form) throws Exception {
-        try (ThriftStage stage = new ThriftStage(form)) {
+    void whatIsNoCallEndsTheConnectionAfterTheAnswerBeforeIt(MessageFormat form) throws Exception {
+        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
             stage.server((method, args) -> served(args.text));
             stage.start();
             Socket socket = stage.dial();
             TTransport transport = form.framed() ? new TFramedTransport(new TSocket(socket)) : new TSocket(socket);
-            TProtocol protocol = ThriftStage.protocol(form.encoding(), transport);
+            TProtocol protocol = ThriftAgentFixture.protocol(form.encoding(), transport);
             send(protocol, 1, "before");
             socket.getOutputStream().write(new byte[] {(byte) 0xff, 1, 2, 3, 4, 5, 6, 7});
             assertEquals("1 before", receive(protocol));
@@ -313,8 +314,8 @@
 
     @ParameterizedTest
     @MethodSource("forms")
-    void callsThatTheAgentCannotTakeAreAnsweredByTheirSeqidAndTheConnectionGoesOn(Form form) throws Exception {
-        try (ThriftStage stage = new ThriftStage(form)) {
+    void callsThatTheAgentCannotTakeAreAnsweredByTheirSeqidAndTheConnectionGoesOn(MessageFormat form) throws Exception {
+        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
             Processor nodo = stage.server((method, args) -> served("done"));
             Client client = stage.start().client();
             assertEquals(
@@ -344,8 +345,8 @@
 
     @ParameterizedTest
     @MethodSource("forms")
-    void aMethodThatDeclaresNoExceptionsGetsThatOfTheProtocol(Form form) throws Exception {
-        try (ThriftStage stage = new ThriftStage(form)) {
+    void aMethodThatDeclaresNoExceptionsGetsThatOfTheProtocol(MessageFormat form) throws Exception {
+        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
             stage.server((method, args) -> refused());
             Client client = stage.start().client();
             TApplicationException said = assertThrows(
@@ -357,12 +358,12 @@
 
     @ParameterizedTest
     @MethodSource("forms")
-    void aOnewayCallIsSentOnceAndTheConnectionGoesOn(Form form) throws Exception {
-        try (ThriftStage stage = new ThriftStage(form)) {
+    void aOnewayCallIsSentOnceAndTheConnectionGoesOn(MessageFormat form) throws Exception {
+        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
             Processor nodo = stage.server((method, args) -> served(args.text));
             Client client = stage.start().client();
             client.oneway("order", args("order", 5_000, "no answer"));
-            Stage.await(() -> nodo.calls.get() == 1);
+            AgentFixture.await(() -> nodo.calls.get() == 1);
             assertEquals("next", client.call("lookup", args("lookup", 5_000, "next")).success);
             assertEquals(2, nodo.calls.get());
         }
@@ -371,13 +372,13 @@
     /** A call whose last byte never comes is not run, and does not hold its connection for ever. */
     @ParameterizedTest
     @MethodSource("forms")
-    void halfACallAndSilenceEndsTheConnection(Form form) throws Exception {
-        try (ThriftStage stage = new ThriftStage(form)) {
+    void halfACallAndSilenceEndsTheConnection(MessageFormat form) throws Exception {
+        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
             Processor nodo = stage.server((method, args) -> served(""));
             stage.start();
             TMemoryBuffer memory = new TMemoryBuffer(256);
             TTransport transport = form.framed() ? new TFramedTransport(memory) : memory;
-            send(ThriftStage.protocol(form.encoding(), transport), 1, "half");
+            send(ThriftAgentFixture.protocol(form.encoding(), transport), 1, "half");
             Socket socket = stage.dial();
             socket.getOutputStream().write(memory.getArray(), 0, memory.length() - 1);
             assertEquals(-1, socket.getInputStream().read());
@@ -388,8 +389,8 @@
     /** An agent that ends answers what it holds, takes nothing more, and is gone, though its caller goes on asking. */
     @ParameterizedTest
     @MethodSource("forms")
-    void anAgentThatEndsAnswersWhatItHoldsAndCloses(Form form) throws Exception {
-        try (ThriftStage stage = new ThriftStage(form)) {
+    void anAgentThatEndsAnswersWhatItHoldsAndCloses(MessageFormat form) throws Exception {
+        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
             CountDownLatch go = new CountDownLatch(1);
             Processor nodo = stage.server((method, args) -> {
                 if (args.text.equals("held")) {
@@ -402,8 +403,8 @@
             held.send("order", args("order", 8_000, "held"));
             Client idle = stage.client();
             assertEquals("idle", idle.call("lookup", args("lookup", 5_000, "idle")).success);
-            Stage.await(() -> nodo.calls.get() == 2);
-            Thread ending = Peer.daemon(stage.agent::stop);
+            AgentFixture.await(() -> nodo.calls.get() == 2);
+            Thread ending = ScriptedPeer.daemon(stage.agent::stop);
             Client asking = stage.client();
             assertEquals(
                     "asked",
@@ -411,8 +412,8 @@
                     "it serves on while it may");
             go.countDown();
             assertEquals("held", held.receive("order").success);
-            Stage.await(() -> ended(idle));
-            ending.join(Stage.GENEROUS_MS);
+            AgentFixture.await(() -> ended(idle));
+            ending.join(AgentFixture.GENEROUS_MS);
             assertTrue(!ending.isAlive(), "it has ended");
         }
     }
@@ -429,8 +430,8 @@
     /** The same request at once over both protocols would be two effects; the second is failed and the first served. */
     @Test
     void theSameRequestOverHttpAndThriftAtOnceIsTakenOnce() throws Exception {
-        Form form = new Form(true, Encoding.BINARY);
-        try (ThriftStage stage = new ThriftStage(form)) {
+        MessageFormat form = new MessageFormat(true, ThriftEncoding.BINARY);
+        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
             CountDownLatch go = new CountDownLatch(1);
             Processor nodo = stage.server((method, args) -> {
                 hold(go);
@@ -440,13 +441,13 @@
             Client client = stage.client();
             Args args = args("pay", 8_000, "");
             client.send("pay", args);
-            Stage.await(() -> nodo.calls.get() == 1);
+            AgentFixture.await(() -> nodo.calls.get() == 1);
             try (Socket http = new Socket("127.0.0.1", stage.agent.address().getPort())) {
-                Peer.write(
+                ScriptedPeer.write(
                         http,
                         "POST /pay HTTP/1.1\r\nHost: a\r\nRequest-Id: " + args.requestId + "\r\nRequest-Class: "
                                 + "pay\r\nRequest-Timeout-Ms: 5000\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n");
-                assertEquals(409, Peer.read(http.getInputStream()).status());
+                assertEquals(409, ScriptedPeer.read(http.getInputStream()).status());
             }
             go.countDown();
             Result result = client.receive("pay");
--- a/src/test/java/gatefront/agent/ThriftPeersTest.java
+++ b/src/test/java/gatefront/agent/ThriftPeersTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.agent.Cuenta.Args;
-import gatefront.agent.Cuenta.Client;
-import gatefront.agent.Cuenta.Result;
-import gatefront.thrift.codec.Encoding;
-import gatefront.thrift.codec.Form;
+import gatefront.agent.ThriftTestService.Args;
+import gatefront.agent.ThriftTestService.Client;
+import gatefront.agent.ThriftTestService.Result;
+import gatefront.thrift.codec.MessageFormat;
+import gatefront.thrift.codec.ThriftEncoding;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -112,14 +112,14 @@
 
     @Test
     void asynchronousClientsAndNonblockingServersAreServed() throws Exception {
-        for (Encoding encoding : List.of(Encoding.BINARY, Encoding.COMPACT)) {
+        for (ThriftEncoding encoding : List.of(ThriftEncoding.BINARY, ThriftEncoding.COMPACT)) {
             TProtocolFactory protocols =
-                    encoding == Encoding.COMPACT ? new TCompactProtocol.Factory() : new TBinaryProtocol.Factory();
-            try (ThriftStage stage = new ThriftStage(new Form(true, encoding))) {
+                    encoding == ThriftEncoding.COMPACT ? new TCompactProtocol.Factory() : new TBinaryProtocol.Factory();
+            try (ThriftAgentFixture stage = new ThriftAgentFixture(new MessageFormat(true, encoding))) {
                 stage.server(address -> new TThreadedSelectorServer(
                         new TThreadedSelectorServer.Args(new TNonblockingServerSocket(address))
                                 .protocolFactory(protocols)
-                                .processor(new Cuenta.Processor((method, args) -> served(args.text)))));
+                                .processor(new ThriftTestService.Processor((method, args) -> served(args.text)))));
                 stage.start();
                 TAsyncClientManager manager = new TAsyncClientManager();
                 List<CompletableFuture<Result>> results = new ArrayList<>();
@@ -138,16 +138,17 @@
 
     @Test
     void multiplexedServicesAreFoundByTheirMethodsAndPassedOnWithTheirNames() throws Exception {
-        for (Encoding encoding : List.of(Encoding.BINARY, Encoding.COMPACT)) {
+        for (ThriftEncoding encoding : List.of(ThriftEncoding.BINARY, ThriftEncoding.COMPACT)) {
             TProtocolFactory protocols =
-                    encoding == Encoding.COMPACT ? new TCompactProtocol.Factory() : new TBinaryProtocol.Factory();
-            try (ThriftStage stage = new ThriftStage(new Form(true, encoding))) {
+                    encoding == ThriftEncoding.COMPACT ? new TCompactProtocol.Factory() : new TBinaryProtocol.Factory();
+            try (ThriftAgentFixture stage = new ThriftAgentFixture(new MessageFormat(true, encoding))) {
                 TMultiplexedProcessor services = new TMultiplexedProcessor();
                 services.registerProcessor(
-                        "Cuentas", new Cuenta.Processor((method, args) -> served("cuentas " + method)));
+                        "Cuentas", new ThriftTestService.Processor((method, args) -> served("cuentas " + method)));
                 services.registerProcessor(
-                        "Avisos", new Cuenta.Processor((method, args) -> served("avisos " + method)));
-                services.registerDefault(new Cuenta.Processor((method, args) -> served("default " + method)));
+                        "Avisos", new ThriftTestService.Processor((method, args) -> served("avisos " + method)));
+                services.registerDefault(
+                        new ThriftTestService.Processor((method, args) -> served("default " + method)));
                 stage.server(address -> new TThreadPoolServer(new TThreadPoolServer.Args(new TServerSocket(address))
                         .processor(services)
                         .protocolFactory(protocols)
--- a/src/test/java/gatefront/agent/Cuenta.java
+++ b/src/test/java/gatefront/agent/ThriftTestService.java
@@ -19,8 +19,8 @@
  * A service as its users have it, over the reference implementation: {@code string METHOD(1: Metadata, 2: string text)
  * throws (100: Refused, 101: Failed)}, in the style of generated code.
  */
-final class Cuenta {
-    private Cuenta() {}
+final class ThriftTestService {
+    private ThriftTestService() {}
 
     /** A struct as generated code has it, in so far as clients and servers use it. */
     abstract static class Struct implements TBase<Struct, TFieldIdEnum> {
--- a/src/test/java/gatefront/agent/LedgerKeeperTest.java
+++ b/src/test/java/gatefront/agent/UsageRecorderTest.java
@@ -4,14 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.bookkeeping.Books;
 import gatefront.config.Config;
-import gatefront.ledger.Amounts;
 import gatefront.ledger.Ledger;
-import gatefront.storage.FolderDisk;
-import gatefront.storage.Keys;
+import gatefront.ledger.UsageAmounts;
+import gatefront.ledgerstore.LedgerStore;
+import gatefront.storage.DirectoryDisk;
+import gatefront.storage.SigningKeys;
 import gatefront.storage.Store;
-import gatefront.storage.Verify;
+import gatefront.storage.StoreVerification;
 import gatefront.toml.TomlException;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -23,16 +23,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What an agent has served stands in its books, on sockets and a real folder. */
-class LedgerKeeperTest {
+class UsageRecorderTest {
     @TempDir
     private Path folder;
 
-    private Stage stage;
+    private AgentFixture stage;
 
     @BeforeEach
     void set() throws IOException {
-        stage = new Stage();
-        stage.server((message, socket) -> Peer.answer(socket, 200, "", "served"));
+        stage = new AgentFixture();
+        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
     }
 
     @AfterEach
@@ -48,16 +48,18 @@
                 Config.of(stage.config));
     }
 
-    private Books.Look look() throws IOException {
-        Books.Look[] look = new Books.Look[1];
-        Verify verify =
-                Verify.of(FolderDisk.existing(folder.resolve("books")), Keys.NONE, Books.looking(at -> look[0] = at));
+    private LedgerStore.Look look() throws IOException {
+        LedgerStore.Look[] look = new LedgerStore.Look[1];
+        StoreVerification verify = StoreVerification.of(
+                DirectoryDisk.existing(folder.resolve("books")),
+                SigningKeys.NONE,
+                LedgerStore.looking(at -> look[0] = at));
         assertEquals(null, verify.damage());
         return look[0];
     }
 
-    private static Amounts all(Ledger ledger, String type) {
-        Amounts sum = Amounts.NONE;
+    private static UsageAmounts all(Ledger ledger, String type) {
+        UsageAmounts sum = UsageAmounts.NONE;
         for (long period : ledger.periods()) {
             for (var each : ledger.totals(period).entrySet()) {
                 sum = each.getKey().type().equals(type) ? sum.plus(each.getValue()) : sum;
@@ -70,7 +72,7 @@
         for (int i = 0; i < n; i++) {
             assertEquals(
                     200,
-                    Stage.exchange(stage.dial(), stage.request(type, 8_000, type.equals("lookup") ? "" : "abcd"))
+                    AgentFixture.exchange(stage.dial(), stage.request(type, 8_000, type.equals("lookup") ? "" : "abcd"))
                             .status());
         }
     }
@@ -79,7 +81,7 @@
     void whatWasServedIsWrittenWhileItRunsAndAtItsEnd() throws Exception {
         stage.start(ledger(""));
         ask(3, "lookup");
-        Stage.await(() -> {
+        AgentFixture.await(() -> {
             try {
                 return look() != null && all(look().ledger(), "lookup").requests() == 3;
             } catch (IOException e) {
@@ -89,7 +91,7 @@
         ask(2, "pay");
         stage.agent.stop();
         Ledger ledger = look().ledger();
-        Amounts pay = all(ledger, "pay");
+        UsageAmounts pay = all(ledger, "pay");
         assertEquals(2, pay.requests(), "also what was served just before the end");
         assertEquals(2 * ("abcd".length() + "served".length()), pay.bytes());
         assertTrue(pay.work() > 0);
@@ -114,13 +116,14 @@
 
     @Test
     void booksThatAnotherProcessHasAreWaitedForAndNothingIsMissing() throws Exception {
-        Books other = Books.open(new FolderDisk(folder.resolve("books")), Store.Options.USUAL, "agente-1");
+        LedgerStore other =
+                LedgerStore.open(new DirectoryDisk(folder.resolve("books")), Store.Options.USUAL, "agente-1");
         stage.start(ledger(""));
         ask(2, "lookup");
         Thread.sleep(400); // several tries to write
         assertEquals(0, look().made());
         other.close();
-        Stage.await(() -> {
+        AgentFixture.await(() -> {
             try {
                 return all(look().ledger(), "lookup").requests() == 2;
             } catch (IOException e) {
@@ -131,7 +134,7 @@
 
     @Test
     void booksThatCannotBeUsedStopTheStartInOneLine() throws Exception {
-        Books.open(new FolderDisk(folder.resolve("books")), Store.Options.USUAL, "agente-2")
+        LedgerStore.open(new DirectoryDisk(folder.resolve("books")), Store.Options.USUAL, "agente-2")
                 .close();
         IOException e = assertThrows(IOException.class, () -> stage.start(ledger("")));
         assertEquals(
--- a/src/test/java/gatefront/budget/BudgetTest.java
+++ b/src/test/java/gatefront/budget/ResourceBudgetTest.java
@@ -11,12 +11,14 @@
 import org.junit.jupiter.api.Test;
 
 /** Accounts, caps, floors. */
-class BudgetTest {
+class ResourceBudgetTest {
     private static final long MINUTE = 60_000_000;
 
     @Test
     void aCapHoldsAndTellsHowOften() {
-        Account account = new Budget(1_000, Map.of(Purpose.CALLS, new Budget.Cap(2, 100))).of(Purpose.CALLS);
+        ResourceAccount account = new ResourceBudget(
+                        1_000, Map.of(ResourcePurpose.CALLS, new ResourceBudget.Cap(2, 100)))
+                .of(ResourcePurpose.CALLS);
         assertTrue(account.take(60));
         assertFalse(account.take(41), "over the bytes");
         assertTrue(account.take(40));
@@ -39,12 +41,12 @@
 
     @Test
     void aCapLoweredBelowWhatIsHeldTakesNothingNewAndLosesNothing() {
-        Budget budget = new Budget(1_000, Map.of());
-        Account account = budget.of(Purpose.CALLS);
+        ResourceBudget budget = new ResourceBudget(1_000, Map.of());
+        ResourceAccount account = budget.of(ResourcePurpose.CALLS);
         for (int i = 0; i < 10; i++) {
             assertTrue(account.take(5));
         }
-        budget.caps(Map.of(Purpose.CALLS, new Budget.Cap(4, -1)));
+        budget.caps(Map.of(ResourcePurpose.CALLS, new ResourceBudget.Cap(4, -1)));
         for (int held = 10; held > 4; held--) {
             assertFalse(account.take(5));
             account.give(5);
@@ -56,25 +58,25 @@
 
     @Test
     void theWholeGoesByAStatedOrder() {
-        Budget budget = new Budget(1_000, Map.of());
-        budget.of(Purpose.REQUESTS).add(1, 699);
-        assertEquals(Budget.Pressure.NONE, budget.pressure());
-        budget.of(Purpose.ANSWERS).add(1, 1);
-        assertEquals(Budget.Pressure.TIGHT, budget.pressure());
-        budget.of(Purpose.SERVER_ANSWERS).add(1, 200);
-        assertEquals(Budget.Pressure.FULL, budget.pressure());
-        budget.of(Purpose.REQUESTS).give(699);
-        assertEquals(Budget.Pressure.NONE, budget.pressure());
+        ResourceBudget budget = new ResourceBudget(1_000, Map.of());
+        budget.of(ResourcePurpose.REQUESTS).add(1, 699);
+        assertEquals(ResourceBudget.Pressure.NONE, budget.pressure());
+        budget.of(ResourcePurpose.ANSWERS).add(1, 1);
+        assertEquals(ResourceBudget.Pressure.TIGHT, budget.pressure());
+        budget.of(ResourcePurpose.SERVER_ANSWERS).add(1, 200);
+        assertEquals(ResourceBudget.Pressure.FULL, budget.pressure());
+        budget.of(ResourcePurpose.REQUESTS).give(699);
+        assertEquals(ResourceBudget.Pressure.NONE, budget.pressure());
     }
 
     @Test
     void anAccountThatDriftsIsNamed() {
-        Budget budget = new Budget(1_000, Map.of());
-        budget.recounted(Purpose.CALLS, () -> new Budget.Count(2, 10));
-        budget.recounted(Purpose.CALLS, () -> new Budget.Count(1, 0));
-        budget.of(Purpose.CALLS).add(3, 10);
+        ResourceBudget budget = new ResourceBudget(1_000, Map.of());
+        budget.recounted(ResourcePurpose.CALLS, () -> new ResourceBudget.Count(2, 10));
+        budget.recounted(ResourcePurpose.CALLS, () -> new ResourceBudget.Count(1, 0));
+        budget.of(ResourcePurpose.CALLS).add(3, 10);
         assertEquals(List.of(), budget.drift());
-        budget.of(Purpose.CALLS).give(0);
+        budget.of(ResourcePurpose.CALLS).give(0);
         assertEquals(List.of("calls has 2 entries of 10 bytes by its account, and 3 of 10 by count"), budget.drift());
     }
 
@@ -83,8 +85,8 @@
     void aLeakOfOneAMinuteIsFoundUnderAShiftingLoad() {
         for (int seed = 0; seed < 50; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Budget budget = new Budget(1_000, Map.of());
-            Account account = budget.of(Purpose.CALLS);
+            ResourceBudget budget = new ResourceBudget(1_000, Map.of());
+            ResourceAccount account = budget.of(ResourcePurpose.CALLS);
             long leaked = 0;
             long saidAfter = -1;
             for (int second = 0; second < 3 * 3_600 && saidAfter < 0; second++) {
@@ -104,7 +106,7 @@
 
     @Test
     void aMorningThatFillsUpIsNoLeak() {
-        Trend trend = new Trend(MINUTE, 15);
+        LeakTrend trend = new LeakTrend(MINUTE, 15);
         List<Long> said = new ArrayList<>();
         for (int minute = 0; minute < 600; minute++) {
             // the load rises for hours, and with it what is held; but its least in a minute is often the same
--- a/src/test/java/gatefront/budget/UnexplainedTest.java
+++ b/src/test/java/gatefront/budget/UnaccountedMemoryTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-class UnexplainedTest {
+class UnaccountedMemoryTest {
     private static final long MIB = 1 << 20;
 
-    private final Unexplained unexplained = new Unexplained(32 * MIB);
+    private final UnaccountedMemory unexplained = new UnaccountedMemory(32 * MIB);
 
     private long seen(long resident, long heap, long buffers) {
         return unexplained.seen(resident * MIB, heap * MIB, buffers * MIB) / MIB;
--- a/src/test/java/gatefront/cli/LedgerCommandTest.java
+++ b/src/test/java/gatefront/cli/LedgerCommandTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.bookkeeping.Books;
-import gatefront.ledger.Amounts;
 import gatefront.ledger.Ledger;
-import gatefront.storage.FolderDisk;
-import gatefront.storage.Replay;
+import gatefront.ledger.UsageAmounts;
+import gatefront.ledgerstore.LedgerStore;
+import gatefront.storage.DirectoryDisk;
+import gatefront.storage.RecordConsumer;
 import gatefront.storage.Store;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -38,7 +38,8 @@
     @Test
     void onlyTheFirstLifeFindsNoBooks() throws IOException {
         for (boolean first : new boolean[] {true, false, false}) {
-            try (Books books = Books.open(new FolderDisk(dir.resolve("a")), Store.Options.USUAL, "agente-1")) {
+            try (LedgerStore books =
+                    LedgerStore.open(new DirectoryDisk(dir.resolve("a")), Store.Options.USUAL, "agente-1")) {
                 assertEquals(first, books.begun());
             }
         }
@@ -46,9 +47,9 @@
 
     private String books(String name, String instance, long requests) throws IOException {
         Path folder = dir.resolve(name);
-        try (Books books = Books.open(new FolderDisk(folder), Store.Options.USUAL, instance)) {
-            books.use(7, Map.of(new Ledger.Cell(7, "mitla", "pago"), new Amounts(requests, 8_000_000, 5, 6)));
-            books.use(7, Map.of(new Ledger.Cell(7, "=1+1", "a,\"b\""), new Amounts(1, 0, 0, 0)));
+        try (LedgerStore books = LedgerStore.open(new DirectoryDisk(folder), Store.Options.USUAL, instance)) {
+            books.use(7, Map.of(new Ledger.Cell(7, "mitla", "pago"), new UsageAmounts(requests, 8_000_000, 5, 6)));
+            books.use(7, Map.of(new Ledger.Cell(7, "=1+1", "a,\"b\""), new UsageAmounts(1, 0, 0, 0)));
             books.close(7);
         }
         return folder.toString();
@@ -112,7 +113,8 @@
         Files.writeString(lost.resolve("0000000000000000.log.new"), "a first start that ended at once");
         assertEquals(Commands.BROKEN, run("ledger", "verify", lost.toString()));
         Path empty = dir.resolve("empty");
-        Store.open(new FolderDisk(empty), Store.Options.USUAL, Replay.NOBODY).close();
+        Store.open(new DirectoryDisk(empty), Store.Options.USUAL, RecordConsumer.NOBODY)
+                .close();
         assertEquals(0, run("ledger", "verify", empty.toString()));
         assertTrue(out.toString().startsWith("whole: 0 entries, 1 segments"), out.toString());
     }
@@ -163,7 +165,7 @@
         assertEquals(
                 2, run("ledger", "correct", folder, "agente-1", "--period", "8", "--requests", "-1", "--why", "x"));
         assertEquals(2, run("ledger", "correct", folder, "agente-1/0/0", "--period", "8", "--why", "of nothing"));
-        try (Books held = Books.open(new FolderDisk(Path.of(folder)), Store.Options.USUAL, "agente-1")) {
+        try (LedgerStore held = LedgerStore.open(new DirectoryDisk(Path.of(folder)), Store.Options.USUAL, "agente-1")) {
             assertNotNull(held);
             assertEquals(
                     1,
--- a/src/test/java/gatefront/cli/RegistryCommandTest.java
+++ b/src/test/java/gatefront/cli/RegistryCommandTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.rehearsal.registry.ConsulStand;
-import gatefront.rehearsal.registry.EtcdStand;
-import gatefront.rehearsal.registry.RegistryStand;
-import gatefront.rehearsal.world.KeyValues;
+import gatefront.rehearsal.registry.ConsulStandIn;
+import gatefront.rehearsal.registry.EtcdStandIn;
+import gatefront.rehearsal.registry.RegistryStandIn;
+import gatefront.rehearsal.world.KeyValueStore;
 import gatefront.transport.SocketTransport;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
@@ -29,12 +29,12 @@
     void whatIsThereIsPrintedWithItsRevision(String kind) throws Exception {
         SocketTransport sockets = new SocketTransport();
         try {
-            KeyValues keys = new KeyValues(1);
+            KeyValueStore keys = new KeyValueStore(1);
             keys.put("oaxaca/nodos/a", "1");
             keys.put("elsewhere", "2");
             keys.put("oaxaca/nodos/b", "3");
-            RegistryStand stand =
-                    kind.equals("etcd") ? new EtcdStand(sockets, () -> keys) : new ConsulStand(sockets, () -> keys);
+            RegistryStandIn stand =
+                    kind.equals("etcd") ? new EtcdStandIn(sockets, () -> keys) : new ConsulStandIn(sockets, () -> keys);
             stand.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                     .sync();
             String url = kind + "://127.0.0.1:" + stand.address().getPort();
--- a/src/test/java/gatefront/connection/UpstreamContract.java
+++ b/src/test/java/gatefront/connection/UpstreamContract.java
@@ -11,9 +11,9 @@
 import gatefront.membership.Endpoint;
 import gatefront.policy.Balancer;
 import gatefront.policy.Balancer.Outcome;
-import gatefront.rehearsal.net.Host;
 import gatefront.rehearsal.net.Network;
-import gatefront.rehearsal.net.Tampered;
+import gatefront.rehearsal.net.TamperingTransport;
+import gatefront.rehearsal.net.VirtualHost;
 import gatefront.rehearsal.net.VirtualTime;
 import gatefront.transport.Transport;
 import io.netty.bootstrap.ServerBootstrap;
@@ -51,8 +51,8 @@
     private final VirtualTime time = new VirtualTime();
     private final Network network = new Network(time, 0, (from, to, bytes) -> MS);
     private final List<Result> results = new ArrayList<>();
-    private Host agent;
-    private Host nodo;
+    private VirtualHost agent;
+    private VirtualHost nodo;
     private PooledUpstream upstream;
     /** What the nodo does with a call that has come whole. */
     private Script script = (ctx, reply) -> send(ctx, reply);
@@ -88,7 +88,7 @@
         use(agent);
     }
 
-    private Host host(String name, int last) throws Exception {
+    private VirtualHost host(String name, int last) throws Exception {
         return network.host(
                 name, InetAddress.getByAddress(new byte[] {127, 0, 0, (byte) last}), 0, 1 << 24, line -> {});
     }
@@ -201,7 +201,7 @@
 
     private void stall() {
         Supplier<ChannelHandler> nothing = ChannelInboundHandlerAdapter::new;
-        use(new Tampered(agent, nothing, Stalling::new));
+        use(new TamperingTransport(agent, nothing, Stalling::new));
     }
 
     @Test
@@ -355,7 +355,7 @@
     @Test
     public void aNodoListedAtAnotherAddressIsReachedThere() throws Exception {
         assertEquals(Outcome.OK, result().outcome());
-        Host before = nodo;
+        VirtualHost before = nodo;
         nodo = host("elsewhere", 3);
         listen();
         list(Balancer.Phase.READY);
--- a/src/test/java/gatefront/drill/DrillTest.java
+++ b/src/test/java/gatefront/drill/DrillTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.drill.Frames.Reply;
+import gatefront.drill.FrameBuilder.Reply;
 import java.io.IOException;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -20,19 +20,20 @@
         return replies.stream().filter(r -> r.code() == code).toList();
     }
 
-    private static String failure(Frames frames) {
+    private static String failure(FrameBuilder frames) {
         return assertThrows(WireException.class, frames::run).getMessage();
     }
 
     @Test
     void anEmptyBatchIsAnsweredEmpty() throws IOException {
         assertEquals(
-                List.of(List.of(), List.of()), new Frames().frame(1).frame(2).run());
+                List.of(List.of(), List.of()),
+                new FrameBuilder().frame(1).frame(2).run());
     }
 
     @Test
     void aRequestIsSentToAListedServerAndItsOutcomeClosesIt() throws IOException {
-        var replies = new Frames()
+        var replies = new FrameBuilder()
                 .spawn(3)
                 .list(0, 0x91f03b7cL)
                 .announce(3, 0, 2)
@@ -54,7 +55,7 @@
 
     @Test
     void aRestartInOneBatchForgetsTheList() throws IOException {
-        var replies = new Frames()
+        var replies = new FrameBuilder()
                 .spawn(3)
                 .list(0, 5)
                 .announce(3, 0, 2)
@@ -68,7 +69,7 @@
 
     @Test
     void aListNumberUsedAgainInOneBatchIsResolvedByOrder() throws IOException {
-        var replies = new Frames()
+        var replies = new FrameBuilder()
                 .spawn(1)
                 .spawn(2)
                 .list(0, 5)
@@ -86,7 +87,7 @@
 
     @Test
     void anExceptionInTheModuleIsToldAsItsDeath() throws IOException {
-        var replies = new Frames()
+        var replies = new FrameBuilder()
                 .spawn(1)
                 .record(20, out -> {
                     out.writeShort(1);
@@ -105,7 +106,7 @@
 
     @Test
     void logLinesCarryTheServersState() throws IOException {
-        var replies = new Frames()
+        var replies = new FrameBuilder()
                 .spawn(1)
                 .list(0, 5)
                 .announce(1, 0, 3)
@@ -120,34 +121,36 @@
 
     @Test
     void aTruncatedLengthIsNamed() {
-        assertEquals("frame 1: input ends inside the length", failure(new Frames().raw(new byte[] {0, 0})));
+        assertEquals("frame 1: input ends inside the length", failure(new FrameBuilder().raw(new byte[] {0, 0})));
     }
 
     @Test
     void aTruncatedFrameIsNamed() {
         assertEquals(
                 "frame 2: input ends inside the frame",
-                failure(new Frames().frame(1).raw(new byte[] {0, 0, 0, 12, 0})));
+                failure(new FrameBuilder().frame(1).raw(new byte[] {0, 0, 0, 12, 0})));
     }
 
     @Test
     void aFrameLengthThatCannotBeIsNamed() {
         assertEquals(
-                "frame 1: length 4294967295 is not possible", failure(new Frames().raw(new byte[] {-1, -1, -1, -1})));
+                "frame 1: length 4294967295 is not possible",
+                failure(new FrameBuilder().raw(new byte[] {-1, -1, -1, -1})));
     }
 
     /** Failed before: two gigabytes were set aside for a frame that said it had them. */
     @Test
     void aFrameLargerThanAnyHostSendsIsNamedAndNotSetAside() {
         assertEquals(
-                "frame 1: length 1879048192 is not possible", failure(new Frames().raw(new byte[] {0x70, 0, 0, 0})));
+                "frame 1: length 1879048192 is not possible",
+                failure(new FrameBuilder().raw(new byte[] {0x70, 0, 0, 0})));
     }
 
     @Test
     void aRecordTooShortForItsFieldsIsNamed() {
         assertEquals(
                 "frame 1 record 2 (code 20): too short for its fields",
-                failure(new Frames()
+                failure(new FrameBuilder()
                         .spawn(1)
                         .record(20, out -> out.writeShort(1))
                         .frame(1)));
@@ -157,7 +160,7 @@
     void aRecordLongerThanItsFieldsIsNamed() {
         assertEquals(
                 "frame 1 record 2 (code 26): 1 bytes too many",
-                failure(new Frames()
+                failure(new FrameBuilder()
                         .spawn(1)
                         .record(26, out -> {
                             out.writeShort(1);
@@ -169,7 +172,7 @@
 
     @Test
     void aRecordOverTheFrameIsNamed() {
-        assertTrue(failure(new Frames().raw(Frames.bytes(out -> {
+        assertTrue(failure(new FrameBuilder().raw(FrameBuilder.bytes(out -> {
                     out.writeInt(17);
                     out.writeInt(1);
                     out.writeLong(0);
@@ -183,19 +186,19 @@
     void unknownCodesInstancesListsAndOutcomesAreNamed() {
         assertEquals(
                 "frame 1 record 2 (code 99): unknown code",
-                failure(new Frames()
+                failure(new FrameBuilder()
                         .spawn(1)
                         .record(99, out -> out.writeShort(1))
                         .frame(1)));
         assertEquals(
                 "frame 1 record 1 (code 20): instance 4 was never started",
-                failure(new Frames().submit(4, 1, 1).frame(1)));
+                failure(new FrameBuilder().submit(4, 1, 1).frame(1)));
         assertEquals(
                 "frame 1 record 2 (code 21): list 2 was never defined",
-                failure(new Frames().spawn(1).announce(1, 2, 3).frame(1)));
+                failure(new FrameBuilder().spawn(1).announce(1, 2, 3).frame(1)));
         assertEquals(
                 "frame 1 record 2 (code 22): unknown outcome 999",
-                failure(new Frames().spawn(1).finished(1, 1, 1, 999, 0).frame(1)));
+                failure(new FrameBuilder().spawn(1).finished(1, 1, 1, 999, 0).frame(1)));
     }
 
     // ---- settings ----
@@ -203,22 +206,22 @@
     @ParameterizedTest
     @ValueSource(strings = {"caps.max-attempts", "classes.0.semantics", "discovery", "granularity-us", "me"})
     void aMissingSettingIsNamed(String key) {
-        String without = Frames.SETTINGS.replaceAll("(?m)^" + key.replace(".", "\\.") + "=.*\n", "");
+        String without = FrameBuilder.SETTINGS.replaceAll("(?m)^" + key.replace(".", "\\.") + "=.*\n", "");
         assertEquals(
                 "settings: " + key + " is missing",
-                failure(new Frames().spawn(1, without).frame(1)));
+                failure(new FrameBuilder().spawn(1, without).frame(1)));
     }
 
     @Test
     void anUnusableSettingIsNamed() {
-        String bad = Frames.SETTINGS.replace("semantics=safe", "semantics=perhaps");
+        String bad = FrameBuilder.SETTINGS.replace("semantics=safe", "semantics=perhaps");
         assertEquals(
                 "settings: classes.0.semantics has an unusable value: perhaps",
-                failure(new Frames().spawn(1, bad).frame(1)));
-        String letters = Frames.SETTINGS.replace("group-size=2", "group-size=two");
+                failure(new FrameBuilder().spawn(1, bad).frame(1)));
+        String letters = FrameBuilder.SETTINGS.replace("group-size=2", "group-size=two");
         assertEquals(
                 "settings: group-size has an unusable value: two",
-                failure(new Frames().spawn(1, letters).frame(1)));
+                failure(new FrameBuilder().spawn(1, letters).frame(1)));
     }
 
     /** Failed before: these were taken, and showed only as a failed decision or a stack trace later. */
@@ -235,18 +238,18 @@
             })
     void aSettingOutOfRangeIsNamed(String pair) {
         String key = pair.substring(0, pair.indexOf('='));
-        String bad = Frames.SETTINGS.replaceAll("(?m)^" + key.replace(".", "\\.") + "=.*\n", pair + "\n");
+        String bad = FrameBuilder.SETTINGS.replaceAll("(?m)^" + key.replace(".", "\\.") + "=.*\n", pair + "\n");
         assertEquals(
                 "settings: " + key + " has an unusable value: " + pair.substring(key.length() + 1),
-                failure(new Frames().spawn(1, bad).frame(1)));
+                failure(new FrameBuilder().spawn(1, bad).frame(1)));
     }
 
     @Test
     void unknownSettingsAreIgnored() throws IOException {
         assertEquals(
                 1,
-                new Frames()
-                        .spawn(1, Frames.SETTINGS + "new.thing=1\n")
+                new FrameBuilder()
+                        .spawn(1, FrameBuilder.SETTINGS + "new.thing=1\n")
                         .frame(1)
                         .run()
                         .size());
@@ -254,7 +257,7 @@
 
     @Test
     void unknownLoadValuesAreIgnored() throws IOException {
-        String loads = Frames.SETTINGS + "load-info.via=answers\nload-info.fields=depth,shoe_size\n";
-        assertEquals(1, new Frames().spawn(1, loads).frame(1).run().size());
+        String loads = FrameBuilder.SETTINGS + "load-info.via=answers\nload-info.fields=depth,shoe_size\n";
+        assertEquals(1, new FrameBuilder().spawn(1, loads).frame(1).run().size());
     }
 }
--- a/src/test/java/gatefront/drill/Frames.java
+++ b/src/test/java/gatefront/drill/FrameBuilder.java
@@ -10,7 +10,7 @@
 import java.util.List;
 
 /** Builds frames for the drill and takes its replies apart. */
-final class Frames {
+final class FrameBuilder {
     static final String SETTINGS =
             """
         caps.cancel=true
@@ -60,7 +60,7 @@
         return bytes.toByteArray();
     }
 
-    Frames record(int code, Fields fields) {
+    FrameBuilder record(int code, Fields fields) {
         byte[] body = bytes(fields);
         records.add(bytes(out -> {
             out.writeByte(code);
@@ -70,7 +70,7 @@
         return this;
     }
 
-    Frames frame(long clock) {
+    FrameBuilder frame(long clock) {
         int length = 12 + records.stream().mapToInt(r -> r.length).sum();
         all.writeBytes(bytes(out -> {
             out.writeInt(length);
@@ -82,16 +82,16 @@
         return this;
     }
 
-    Frames raw(byte[] bytes) {
+    FrameBuilder raw(byte[] bytes) {
         all.writeBytes(bytes);
         return this;
     }
 
-    Frames spawn(int instance) {
+    FrameBuilder spawn(int instance) {
         return spawn(instance, SETTINGS);
     }
 
-    Frames spawn(int instance, String settings) {
+    FrameBuilder spawn(int instance, String settings) {
         return record(24, out -> {
             byte[] text = settings.getBytes(StandardCharsets.UTF_8);
             out.writeShort(instance);
@@ -101,7 +101,7 @@
         });
     }
 
-    Frames list(int number, long... servers) {
+    FrameBuilder list(int number, long... servers) {
         return record(25, out -> {
             out.writeByte(number);
             out.writeInt(servers.length);
@@ -117,7 +117,7 @@
         });
     }
 
-    Frames announce(int instance, int number, int kind) {
+    FrameBuilder announce(int instance, int number, int kind) {
         return record(21, out -> {
             out.writeShort(instance);
             out.writeByte(number);
@@ -126,7 +126,7 @@
         });
     }
 
-    Frames submit(int instance, long id, long deadline) {
+    FrameBuilder submit(int instance, long id, long deadline) {
         return record(20, out -> {
             out.writeShort(instance);
             out.writeLong(id);
@@ -139,7 +139,7 @@
         });
     }
 
-    Frames finished(int instance, long id, long server, int outcome, int loads) {
+    FrameBuilder finished(int instance, long id, long server, int outcome, int loads) {
         return record(22, out -> {
             out.writeShort(instance);
             out.writeLong(id);
--- a/src/test/java/gatefront/http/HttpUpstreamTest.java
+++ b/src/test/java/gatefront/http/HttpUpstreamTest.java
@@ -1,6 +1,6 @@
 package gatefront.http;
 
-import gatefront.budget.Budget;
+import gatefront.budget.ResourceBudget;
 import gatefront.config.Config;
 import gatefront.connection.PooledUpstream;
 import gatefront.connection.UpstreamContract;
@@ -20,7 +20,10 @@
     @Override
     protected PooledUpstream upstream(Transport transport, int port) {
         return new HttpUpstream(
-                transport, Config.read(Path.of("src/test/resources/config.json")), 50, new Budget(1 << 24, Map.of()));
+                transport,
+                Config.read(Path.of("src/test/resources/config.json")),
+                50,
+                new ResourceBudget(1 << 24, Map.of()));
     }
 
     @Override
--- a/src/test/java/gatefront/ledger/LedgerTest.java
+++ b/src/test/java/gatefront/ledger/LedgerTest.java
@@ -19,25 +19,26 @@
         return new EntryId(instance, 1, sequence);
     }
 
-    private static Entry use(String instance, long sequence, long period, String tenant, long requests) {
-        return Entry.use(id(instance, sequence), period, tenant, "consulta", new Amounts(requests, 10, 20, 30));
+    private static LedgerEntry use(String instance, long sequence, long period, String tenant, long requests) {
+        return LedgerEntry.use(
+                id(instance, sequence), period, tenant, "consulta", new UsageAmounts(requests, 10, 20, 30));
     }
 
-    private static Entry correction(String instance, long sequence, long period, EntryId of, long requests) {
-        return new Entry(
+    private static LedgerEntry correction(String instance, long sequence, long period, EntryId of, long requests) {
+        return new LedgerEntry(
                 id(instance, sequence),
-                Entry.Kind.CORRECTION,
+                LedgerEntry.Kind.CORRECTION,
                 period,
                 "",
                 "",
-                new Amounts(requests, 0, 0, 0),
+                new UsageAmounts(requests, 0, 0, 0),
                 of,
                 "counted twice");
     }
 
-    private static Ledger of(List<Entry> entries) throws Ledger.Conflict {
+    private static Ledger of(List<LedgerEntry> entries) throws Ledger.Conflict {
         Ledger ledger = Ledger.EMPTY;
-        for (Entry each : entries) {
+        for (LedgerEntry each : entries) {
             ledger = ledger.with(each);
         }
         return ledger;
@@ -85,18 +86,18 @@
     void anyOrderOfTheSameEntriesMakesTheSameLedger() throws Exception {
         for (int seed = 0; seed < 300; seed++) {
             Random random = new Random(seed);
-            List<Entry> entries = new ArrayList<>();
+            List<LedgerEntry> entries = new ArrayList<>();
             long[] sums = new long[3];
             for (int i = 0; i < 30; i++) {
                 int of = entries.isEmpty() || random.nextInt(3) > 0 ? -1 : random.nextInt(entries.size());
-                Entry made = of < 0
+                LedgerEntry made = of < 0
                         ? use("a", i, random.nextInt(3), "t" + random.nextInt(3), random.nextInt(100))
                         : correction("a", i, random.nextInt(3), entries.get(of).id(), random.nextInt(21) - 10);
                 entries.add(made);
                 sums[(int) made.period()] += made.amounts().requests();
             }
             Ledger one = of(entries);
-            List<Entry> other = new ArrayList<>(entries);
+            List<LedgerEntry> other = new ArrayList<>(entries);
             other.addAll(entries.subList(0, 10));
             Collections.shuffle(other, random);
             Ledger two = of(other);
@@ -105,7 +106,7 @@
                 assertEquals(
                         sums[(int) period],
                         one.totals(period).values().stream()
-                                .mapToLong(Amounts::requests)
+                                .mapToLong(UsageAmounts::requests)
                                 .sum());
             }
             assertEquals(List.of(), two.waiting());
@@ -118,10 +119,10 @@
         Ledger ledger = of(List.of(
                 use("a", 0, 7, "mitla", 5),
                 use("a", 1, 7, "etla", 1),
-                Entry.closed(id("a", 2), 7, 2),
+                LedgerEntry.closed(id("a", 2), 7, 2),
                 use("b", 0, 7, "mitla", 1),
                 use("c", 1, 7, "mitla", 1),
-                Entry.closed(id("c", 2), 7, 2)));
+                LedgerEntry.closed(id("c", 2), 7, 2)));
         assertEquals(
                 Map.of(
                         "a/1",
@@ -133,8 +134,8 @@
                         "d",
                         Ledger.Part.UNKNOWN),
                 ledger.standing(7, List.of("a", "b", "c", "d")));
-        Entry again = Entry.use(new EntryId("b", 2, 0), 7, "mitla", "consulta", Amounts.NONE);
-        Ledger back = ledger.with(again).with(Entry.closed(new EntryId("b", 2, 1), 7, 1));
+        LedgerEntry again = LedgerEntry.use(new EntryId("b", 2, 0), 7, "mitla", "consulta", UsageAmounts.NONE);
+        Ledger back = ledger.with(again).with(LedgerEntry.closed(new EntryId("b", 2, 1), 7, 1));
         assertEquals(Ledger.Part.UNKNOWN, back.standing(7, List.of()).get("b/1"), "its first life never ended");
         assertEquals(Ledger.Part.WHOLE, back.standing(7, List.of()).get("b/2"));
     }
@@ -158,7 +159,7 @@
 
     @Test
     void aClockThatGoesBackReopensNothingAndOneThatJumpsClosesWhatItPasses() {
-        Periods periods = new Periods(100, 10, 0, 1_050);
+        PeriodClock periods = new PeriodClock(100, 10, 0, 1_050);
         assertEquals(10, periods.open());
         assertFalse(periods.at(1_099));
         assertFalse(periods.at(1_105));
@@ -172,7 +173,7 @@
         assertEquals(11, periods.closing());
         assertTrue(periods.at(1_620));
         assertEquals(16, periods.closing(), "all that was passed is closed");
-        Periods after = new Periods(100, 10, 16, 1_300);
+        PeriodClock after = new PeriodClock(100, 10, 16, 1_300);
         assertEquals(16, after.open(), "a restart with the clock set back");
     }
 }
--- a/src/test/java/gatefront/ledger/ReconcileTest.java
+++ b/src/test/java/gatefront/ledger/ReconciliationTest.java
@@ -10,20 +10,20 @@
 import org.junit.jupiter.api.Test;
 
 /** Instances that differ find out where, at a cost that grows with the differences. */
-class ReconcileTest {
+class ReconciliationTest {
     private static final int MANY = 1_000_000;
 
-    private static Entry entry(int i, long requests) {
-        return Entry.use(
+    private static LedgerEntry entry(int i, long requests) {
+        return LedgerEntry.use(
                 new EntryId("agente-" + i % 5, 1, i / 5),
                 7,
                 "municipio-" + i % 8,
                 "consulta-saldo",
-                new Amounts(requests, 2, 3, 4));
+                new UsageAmounts(requests, 2, 3, 4));
     }
 
-    private static List<Entry> entries(int n) {
-        List<Entry> all = new ArrayList<>(n);
+    private static List<LedgerEntry> entries(int n) {
+        List<LedgerEntry> all = new ArrayList<>(n);
         for (int i = 0; i < n; i++) {
             all.add(entry(i, i % 100));
         }
@@ -31,7 +31,7 @@
     }
 
     /** Takes some out, changes some, adds some; returns their ids. */
-    private static TreeSet<EntryId> differ(List<Entry> of, int differences, Random random) {
+    private static TreeSet<EntryId> differ(List<LedgerEntry> of, int differences, Random random) {
         TreeSet<EntryId> ids = new TreeSet<>();
         while (ids.size() < differences) {
             int at = random.nextInt(of.size());
@@ -41,10 +41,10 @@
             }
             switch (ids.size() % 3) {
                 case 0 -> of.remove(at);
-                case 1 -> of.set(at, Entry.use(id, 7, "municipio-9", "consulta-saldo", Amounts.NONE));
+                case 1 -> of.set(at, LedgerEntry.use(id, 7, "municipio-9", "consulta-saldo", UsageAmounts.NONE));
                 default -> {
                     id = new EntryId("agente-9", 1, ids.size());
-                    of.add(Entry.use(id, 7, "mitla", "pago", Amounts.NONE));
+                    of.add(LedgerEntry.use(id, 7, "mitla", "pago", UsageAmounts.NONE));
                 }
             }
             ids.add(id);
@@ -54,20 +54,22 @@
 
     @Test
     void fiveInstancesWithAMillionEntriesFindEachDifferenceAndTellNoMoreThanThatTakes() {
-        List<Entry> all = entries(MANY);
-        Digests own = new Digests(all);
+        List<LedgerEntry> all = entries(MANY);
+        DigestTree own = new DigestTree(all);
         long[] bytes = new long[4];
         int[] differences = {0, 1, 10, 100};
         for (int i = 0; i < differences.length; i++) { // the other four
-            List<Entry> theirs = new ArrayList<>(all);
+            List<LedgerEntry> theirs = new ArrayList<>(all);
             TreeSet<EntryId> ids = differ(theirs, differences[i], new Random(i));
-            Reconcile.Result result = Reconcile.run(own, Reconcile.Other.of(new Digests(theirs)));
+            Reconciliation.Result result = Reconciliation.run(own, Reconciliation.Other.of(new DigestTree(theirs)));
             assertEquals(
                     List.copyOf(ids),
-                    result.differences().stream().map(Reconcile.Difference::id).toList());
+                    result.differences().stream()
+                            .map(Reconciliation.Difference::id)
+                            .toList());
             bytes[i] = result.bytes();
         }
-        assertEquals(Digests.Sum.BYTES, bytes[0]);
+        assertEquals(DigestTree.Sum.BYTES, bytes[0]);
         assertTrue(bytes[1] < 4_000, bytes[1] + " bytes for one");
         assertTrue(bytes[3] < 100 * bytes[1], bytes[3] + " bytes for a hundred, " + bytes[1] + " for one");
         assertTrue(bytes[3] < MANY / 2, bytes[3] + " bytes, of a million entries");
@@ -77,14 +79,17 @@
     void smallAndEmptyOnesDifferAsAPlainComparisonSays() {
         for (int seed = 0; seed < 400; seed++) {
             Random random = new Random(seed);
-            List<Entry> one = entries(random.nextInt(60));
-            List<Entry> two = new ArrayList<>(one);
+            List<LedgerEntry> one = entries(random.nextInt(60));
+            List<LedgerEntry> two = new ArrayList<>(one);
             TreeSet<EntryId> ids = differ(two, Math.min(one.size() / 3, random.nextInt(12)), random);
-            Reconcile.Result result = Reconcile.run(new Digests(one), Reconcile.Other.of(new Digests(two)));
+            Reconciliation.Result result =
+                    Reconciliation.run(new DigestTree(one), Reconciliation.Other.of(new DigestTree(two)));
             assertEquals(
                     List.copyOf(ids),
-                    result.differences().stream().map(Reconcile.Difference::id).toList());
-            for (Reconcile.Difference each : result.differences()) {
+                    result.differences().stream()
+                            .map(Reconciliation.Difference::id)
+                            .toList());
+            for (Reconciliation.Difference each : result.differences()) {
                 assertEquals(
                         one.stream()
                                 .filter(its -> its.id().equals(each.id()))
@@ -101,7 +106,7 @@
         }
         assertEquals(
                 List.of(),
-                Reconcile.run(new Digests(List.of()), Reconcile.Other.of(new Digests(List.of())))
+                Reconciliation.run(new DigestTree(List.of()), Reconciliation.Other.of(new DigestTree(List.of())))
                         .differences());
     }
 
@@ -109,27 +114,27 @@
     @Test
     void whoLiesMakesNoEndlessWork() {
         Random random = new Random(1);
-        Reconcile.Other liar = new Reconcile.Other() {
+        Reconciliation.Other liar = new Reconciliation.Other() {
             @Override
-            public List<Digests.Sum> children(Digests.Range range) {
-                List<Digests.Sum> sums = new ArrayList<>();
-                for (int i = 0; i < Digests.BRANCHES; i++) {
-                    sums.add(new Digests.Sum(i == 3 ? 1_000_000 : 0, i == 3 ? random.nextLong() : 0, 0));
+            public List<DigestTree.Sum> children(DigestTree.Range range) {
+                List<DigestTree.Sum> sums = new ArrayList<>();
+                for (int i = 0; i < DigestTree.BRANCHES; i++) {
+                    sums.add(new DigestTree.Sum(i == 3 ? 1_000_000 : 0, i == 3 ? random.nextLong() : 0, 0));
                 }
                 return sums;
             }
 
             @Override
-            public List<Entry> entries(Digests.Range range) {
+            public List<LedgerEntry> entries(DigestTree.Range range) {
                 return List.of();
             }
 
             @Override
-            public Digests.Sum all() {
-                return new Digests.Sum(5, 5, 5);
+            public DigestTree.Sum all() {
+                return new DigestTree.Sum(5, 5, 5);
             }
         };
-        Reconcile.Result result = Reconcile.run(new Digests(List.of()), liar);
+        Reconciliation.Result result = Reconciliation.run(new DigestTree(List.of()), liar);
         assertEquals(List.of(), result.differences());
         assertTrue(result.steps() < 50, result.steps() + " questions");
     }
--- a/src/test/java/gatefront/bookkeeping/Receiver.java
+++ b/src/test/java/gatefront/ledgerstore/ExportReceiver.java
@@ -1,7 +1,7 @@
-package gatefront.bookkeeping;
+package gatefront.ledgerstore;
 
-import gatefront.ledger.Entry;
-import gatefront.ledger.Export;
+import gatefront.ledger.ExportSchedule;
+import gatefront.ledger.LedgerEntry;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -11,9 +11,9 @@
  * their numbers, takes each number once, and answers how many it has. What it may do besides: lose a request or an
  * answer, answer twice or with an old answer, refuse, and go back to an older copy of itself.
  */
-final class Receiver {
+final class ExportReceiver {
     private final Random random;
-    private final List<Entry> has = new ArrayList<>();
+    private final List<LedgerEntry> has = new ArrayList<>();
     private long last;
     /** How many it will never forget: those of its last copy. */
     private int copied;
@@ -21,12 +21,12 @@
     int forgot;
     int refused;
 
-    Receiver(long seed) {
+    ExportReceiver(long seed) {
         random = new Random(seed);
     }
 
     /** What it has. */
-    List<Entry> has() {
+    List<LedgerEntry> has() {
         return has;
     }
 
@@ -36,7 +36,7 @@
     }
 
     /** It takes a batch; returns what answer comes, or none. */
-    Long take(Export.Batch batch, List<Entry> entries, boolean faults) {
+    Long take(ExportSchedule.Batch batch, List<LedgerEntry> entries, boolean faults) {
         int fault = faults ? random.nextInt(12) : 99;
         if (fault == 0) {
             return null; // the request is lost
--- a/src/test/java/gatefront/bookkeeping/BooksTest.java
+++ b/src/test/java/gatefront/ledgerstore/LedgerStoreTest.java
@@ -1,18 +1,18 @@
-package gatefront.bookkeeping;
+package gatefront.ledgerstore;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.ledger.Amounts;
-import gatefront.ledger.Entry;
 import gatefront.ledger.EntryId;
-import gatefront.ledger.Export;
+import gatefront.ledger.ExportSchedule;
 import gatefront.ledger.Ledger;
+import gatefront.ledger.LedgerEntry;
+import gatefront.ledger.UsageAmounts;
 import gatefront.storage.CrashingDisk;
-import gatefront.storage.Keys;
+import gatefront.storage.SigningKeys;
 import gatefront.storage.Store;
-import gatefront.storage.Verify;
+import gatefront.storage.StoreVerification;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -24,19 +24,19 @@
 import org.junit.jupiter.api.Test;
 
 /** An instance's books through crashes, and what comes to the receiver. */
-class BooksTest {
-    private static final Export.Settings EXPORT = new Export.Settings(5, 1_000, 100, 2_000, 500);
+class LedgerStoreTest {
+    private static final ExportSchedule.Settings EXPORT = new ExportSchedule.Settings(5, 1_000, 100, 2_000, 500);
     private static final int KILLS = 10_000;
 
-    private static Map<Ledger.Cell, Amounts> cell(long period, String tenant, long requests) {
-        return Map.of(new Ledger.Cell(period, tenant, "consulta"), new Amounts(requests, 1, 2, 3));
+    private static Map<Ledger.Cell, UsageAmounts> cell(long period, String tenant, long requests) {
+        return Map.of(new Ledger.Cell(period, tenant, "consulta"), new UsageAmounts(requests, 1, 2, 3));
     }
 
     /** What should come to the receiver in the end: all that was told to be kept, and what came through a crash. */
     private static final class World {
         final Random random;
         final CrashingDisk disk;
-        final Receiver receiver;
+        final ExportReceiver receiver;
         final Set<EntryId> kept = new HashSet<>();
         long now;
         int kills;
@@ -44,7 +44,7 @@
         World(long seed) {
             random = new Random(seed);
             disk = new CrashingDisk(seed);
-            receiver = new Receiver(seed);
+            receiver = new ExportReceiver(seed);
         }
 
         /** A life of the instance and its exporter, until the power goes at some step of the disk. */
@@ -52,9 +52,9 @@
             if (faults) {
                 disk.powerLostAfter(random.nextInt(60));
             }
-            Books books = Books.open(disk, Store.Options.USUAL, "agente-1");
+            LedgerStore books = LedgerStore.open(disk, Store.Options.USUAL, "agente-1");
             kept.forEach(id -> assertTrue(books.ledger().get(id) != null, "lost: " + id));
-            Export export = new Export(EXPORT, books.taken(), random.nextLong());
+            ExportSchedule export = new ExportSchedule(EXPORT, books.taken(), random.nextLong());
             Long answer = null;
             long answerAt = 0;
             for (int i = 0; i < (faults ? 200 : 20_000); i++) {
@@ -66,7 +66,7 @@
                 if (faults && random.nextInt(60) == 0) {
                     books.compactNow();
                 }
-                Export.Batch batch = export.due(now, books.made());
+                ExportSchedule.Batch batch = export.due(now, books.made());
                 if (batch != null) {
                     answer = receiver.take(batch, books.own(batch.from(), batch.count()), faults);
                     answerAt = now + 20L * random.nextInt(faults ? 60 : 5); // at times too late
@@ -102,12 +102,12 @@
             }
             world.live(false); // a day on which nothing goes wrong
             Ledger[] ledger = {Ledger.EMPTY};
-            Books.Look[] look = new Books.Look[1];
-            Verify.of(world.disk, Keys.NONE, Books.looking(at -> look[0] = at));
-            List<Entry> own = new ArrayList<>();
+            LedgerStore.Look[] look = new LedgerStore.Look[1];
+            StoreVerification.of(world.disk, SigningKeys.NONE, LedgerStore.looking(at -> look[0] = at));
+            List<LedgerEntry> own = new ArrayList<>();
             look[0].ledger().entries().forEach(own::add);
             Set<EntryId> ids = new HashSet<>();
-            for (Entry each : world.receiver.has()) {
+            for (LedgerEntry each : world.receiver.has()) {
                 assertTrue(ids.add(each.id()), "twice: " + each.id());
                 try {
                     ledger[0] = ledger[0].with(each);
@@ -127,15 +127,15 @@
     @Test
     void booksAreOfOneInstanceAndEachOpeningIsAnotherEpoch() throws IOException {
         CrashingDisk disk = new CrashingDisk(1);
-        Books first = Books.open(disk, Store.Options.USUAL, "a");
+        LedgerStore first = LedgerStore.open(disk, Store.Options.USUAL, "a");
         first.use(1, cell(1, "mitla", 5));
-        assertThrows(IOException.class, () -> Books.open(disk, Store.Options.USUAL, "a"), "started twice");
+        assertThrows(IOException.class, () -> LedgerStore.open(disk, Store.Options.USUAL, "a"), "started twice");
         first.close();
         assertEquals(
                 "these are the books of a, not of b",
-                assertThrows(IOException.class, () -> Books.open(disk, Store.Options.USUAL, "b"))
+                assertThrows(IOException.class, () -> LedgerStore.open(disk, Store.Options.USUAL, "b"))
                         .getMessage());
-        Books second = Books.open(disk, Store.Options.USUAL, "a");
+        LedgerStore second = LedgerStore.open(disk, Store.Options.USUAL, "a");
         second.use(1, cell(1, "mitla", 2));
         second.close(1);
         assertEquals(new EntryId("a", 1, 0), second.own(1, 1).get(0).id());
@@ -148,28 +148,29 @@
 
     @Test
     void anEntryThatWasExportedIsCorrectedByAnother() throws IOException {
-        Books books = Books.open(new CrashingDisk(1), Store.Options.USUAL, "a");
+        LedgerStore books = LedgerStore.open(new CrashingDisk(1), Store.Options.USUAL, "a");
         books.use(1, cell(1, "mitla", 5));
         EntryId wrong = books.own(0, 1).get(0).id();
-        Entry correction = books.correct(wrong, 2, new Amounts(-5, 0, 0, 0), "a test terminal");
-        books.correct(correction.id(), 2, new Amounts(1, 0, 0, 0), "one was real");
+        LedgerEntry correction = books.correct(wrong, 2, new UsageAmounts(-5, 0, 0, 0), "a test terminal");
+        books.correct(correction.id(), 2, new UsageAmounts(1, 0, 0, 0), "one was real");
         assertEquals(5, books.ledger().total(1, "mitla").requests());
         assertEquals(-4, books.ledger().total(2, "mitla").requests());
-        assertThrows(IOException.class, () -> books.correct(new EntryId("x", 0, 0), 2, Amounts.NONE, "why"));
-        assertThrows(IOException.class, () -> books.correct(wrong, 2, Amounts.NONE, " "));
+        assertThrows(IOException.class, () -> books.correct(new EntryId("x", 0, 0), 2, UsageAmounts.NONE, "why"));
+        assertThrows(IOException.class, () -> books.correct(wrong, 2, UsageAmounts.NONE, " "));
         assertThrows(IOException.class, () -> books.takeIn(List.of(correction)));
         books.close();
     }
 
     @Test
     void whatAnotherInstanceToldIsTakenInOnceAndNotExported() throws IOException {
-        Books books = Books.open(new CrashingDisk(1), Store.Options.USUAL, "a");
-        Entry other = Entry.use(new EntryId("b", 0, 0), 1, "mitla", "consulta", new Amounts(3, 0, 0, 0));
+        LedgerStore books = LedgerStore.open(new CrashingDisk(1), Store.Options.USUAL, "a");
+        LedgerEntry other =
+                LedgerEntry.use(new EntryId("b", 0, 0), 1, "mitla", "consulta", new UsageAmounts(3, 0, 0, 0));
         books.takeIn(List.of(other, other));
         books.takeIn(List.of(other));
         assertEquals(3, books.ledger().total(1, "mitla").requests());
         assertEquals(0, books.made());
-        Entry lie = Entry.use(other.id(), 1, "mitla", "consulta", Amounts.NONE);
+        LedgerEntry lie = LedgerEntry.use(other.id(), 1, "mitla", "consulta", UsageAmounts.NONE);
         assertThrows(IOException.class, () -> books.takeIn(List.of(lie)));
         books.close();
     }
@@ -178,16 +179,16 @@
     @Test
     void messagesFromAnywhereAreReadOrRefused() {
         Random random = new Random(1);
-        Entry entry = new Entry(
+        LedgerEntry entry = new LedgerEntry(
                 new EntryId("agente-1", 3, 9),
-                Entry.Kind.CORRECTION,
+                LedgerEntry.Kind.CORRECTION,
                 7,
                 "mitla",
                 "pago",
-                new Amounts(-1, 2, -3, 4),
+                new UsageAmounts(-1, 2, -3, 4),
                 new EntryId("b", 0, 1),
                 "wrong");
-        byte[] whole = EntryCodec.write(entry);
+        byte[] whole = LedgerEntryCodec.write(entry);
         int read = 0;
         for (int i = 0; i < 100_000; i++) {
             byte[] bytes =
@@ -196,7 +197,7 @@
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
             }
             try {
-                EntryCodec.read(bytes, 0);
+                LedgerEntryCodec.read(bytes, 0);
                 read++;
             } catch (IOException e) {
                 assertTrue(e.getMessage() != null);
--- a/src/test/java/gatefront/membership/MembershipTest.java
+++ b/src/test/java/gatefront/membership/MembershipTest.java
@@ -116,9 +116,10 @@
     @Test
     void policiesLieOverWhateverSource() {
         told(PADRON, ListKind.FULL, ready("a"), ready("b"));
-        assertEquals("a DRAINING 1.0", text(membership.policies(Map.of("a", new Policy(true, 0.5)), Map.of())));
+        assertEquals("a DRAINING 1.0", text(membership.policies(Map.of("a", new ServerOverride(true, 0.5)), Map.of())));
         assertEquals(
-                "a READY 1.0, b READY 1.0", text(membership.policies(Map.of(), Map.of(0, new Policy(false, 0.5)))));
+                "a READY 1.0, b READY 1.0",
+                text(membership.policies(Map.of(), Map.of(0, new ServerOverride(false, 0.5)))));
         assertEquals("c READY 1.0", told(OTHER, ListKind.FULL, ready("c")));
         assertEquals("a READY 2.0, b READY 2.0, c READY 2.0", text(membership.policies(Map.of(), Map.of())));
     }
@@ -137,7 +138,7 @@
                 }
                 ListKind kind = random.nextBoolean() ? ListKind.DELTA : ListKind.FULL;
                 List<Endpoint> changed = random.nextInt(6) == 0
-                        ? mixed.policies(Map.of("n1", new Policy(random.nextBoolean(), 0.5)), Map.of())
+                        ? mixed.policies(Map.of("n1", new ServerOverride(random.nextBoolean(), 0.5)), Map.of())
                         : mixed.told(random.nextInt(2), kind, some);
                 for (Endpoint each : changed) {
                     if (each.server().phase() == Phase.GONE) {
--- a/src/test/java/gatefront/membership/BansTest.java
+++ b/src/test/java/gatefront/membership/ServerBansTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /** Servers out by hand, against a plain model where orders are random. */
-class BansTest {
-    private final Bans bans = new Bans();
+class ServerBansTest {
+    private final ServerBans bans = new ServerBans();
 
     private static Endpoint endpoint(String name, Phase phase, long startedAt) {
         return new Endpoint(
@@ -30,17 +30,17 @@
 
     @Test
     void outHoldsWhateverTheListSaysUntilTheOneCallBack() {
-        assertEquals(Bans.Answer.UNKNOWN, bans.call("a", true, 5));
+        assertEquals(ServerBans.Answer.UNKNOWN, bans.call("a", true, 5));
         bans.told(ListKind.FULL, List.of(endpoint("a", Phase.READY, 0), endpoint("b", Phase.READY, 0)));
-        assertEquals(Bans.Answer.YES, bans.call("a", true, 5));
-        assertEquals(Bans.Answer.YES, bans.call("a", true, 6));
+        assertEquals(ServerBans.Answer.YES, bans.call("a", true, 5));
+        assertEquals(ServerBans.Answer.YES, bans.call("a", true, 6));
         assertEquals(Phase.DRAINING, phase(bans.line("a")));
         assertEquals(1, bans.out());
         assertEquals(Phase.GONE, phase(bans.told(ListKind.DELTA, List.of(endpoint("a", Phase.GONE, 0)))));
         assertEquals(0, bans.out(), "a server that is not listed is not in the pool");
         assertEquals(Phase.DRAINING, phase(bans.told(ListKind.DELTA, List.of(endpoint("a", Phase.READY, 9)))));
         assertEquals(Phase.DRAINING, phase(bans.told(ListKind.FULL, List.of(endpoint("a", Phase.READY, 9)))));
-        assertEquals(Bans.Answer.YES, bans.call("a", false, 7));
+        assertEquals(ServerBans.Answer.YES, bans.call("a", false, 7));
         assertEquals(Phase.READY, phase(bans.line("a")));
     }
 
@@ -69,12 +69,12 @@
         bans.told(ListKind.FULL, List.of(endpoint("a", Phase.READY, 0)));
         bans.call("a", true, 5);
         bans.told(ListKind.FULL, List.of());
-        assertEquals(Bans.Answer.YES, bans.call("a", false, 6));
+        assertEquals(ServerBans.Answer.YES, bans.call("a", false, 6));
         assertEquals(List.of(), bans.line("a"));
-        bans.call("b", true, 7 + Bans.KEPT);
+        bans.call("b", true, 7 + ServerBans.KEPT);
         assertEquals(1, bans.entries().size(), "nothing was taken in, so nothing is dropped");
         bans.told(ListKind.FULL, List.of(endpoint("b", Phase.READY, 0)));
-        bans.call("b", true, 7 + Bans.KEPT);
+        bans.call("b", true, 7 + ServerBans.KEPT);
         assertEquals(Set.of("b"), bans.entries().keySet(), "what was put back and left is forgotten");
     }
 
@@ -83,7 +83,7 @@
     void twoProcessesEndAtTheLastCallOfEach() {
         for (int seed = 0; seed < 300; seed++) {
             Random random = new Random(seed);
-            Bans[] both = {new Bans(), new Bans()};
+            ServerBans[] both = {new ServerBans(), new ServerBans()};
             Map<String, Boolean> model = new HashMap<>();
             Map<String, Phase> list = new HashMap<>();
             long now = 0;
@@ -96,14 +96,14 @@
                         boolean out = random.nextBoolean();
                         // Operators know what they did last: a call comes after both have heard of those before.
                         exchange(both);
-                        if (both[which].call(name, out, now) == Bans.Answer.YES) {
+                        if (both[which].call(name, out, now) == ServerBans.Answer.YES) {
                             model.put(name, out);
                         }
                     }
                     case 1 -> {
                         boolean gone = random.nextInt(3) == 0;
                         list.put(name, gone ? Phase.GONE : Phase.READY);
-                        for (Bans each : both) {
+                        for (ServerBans each : both) {
                             each.told(ListKind.DELTA, List.of(endpoint(name, list.get(name), 0)));
                         }
                     }
@@ -118,7 +118,7 @@
                     out.add(name);
                 }
             });
-            for (Bans each : both) {
+            for (ServerBans each : both) {
                 Set<String> drained = new HashSet<>();
                 list.keySet().forEach(name -> each.line(name).stream()
                         .filter(line -> line.server().phase() == Phase.DRAINING)
@@ -130,7 +130,7 @@
         }
     }
 
-    private static void exchange(Bans[] both) {
+    private static void exchange(ServerBans[] both) {
         both[0].merge(both[1].entries());
         both[1].merge(both[0].entries());
     }
--- a/src/test/java/gatefront/padron/DiscoveryTest.java
+++ b/src/test/java/gatefront/padron/DiscoveryTest.java
@@ -8,8 +8,8 @@
 import gatefront.config.Config;
 import gatefront.membership.Endpoint;
 import gatefront.policy.Balancer.ListKind;
-import gatefront.rehearsal.net.Host;
 import gatefront.rehearsal.net.Network;
+import gatefront.rehearsal.net.VirtualHost;
 import gatefront.rehearsal.net.VirtualTime;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -40,7 +40,7 @@
 
     private final VirtualTime time = new VirtualTime();
     private final Network network = new Network(time, 0, (from, to, bytes) -> 10 * MS);
-    private Host padron;
+    private VirtualHost padron;
     /** What it does with the next calls, one each; silent when there is none. */
     private final Deque<Script> scripts = new ArrayDeque<>();
     /** What it was asked, and when, in milliseconds. */
@@ -61,7 +61,7 @@
         listen();
     }
 
-    private Host host(String name, int last) throws Exception {
+    private VirtualHost host(String name, int last) throws Exception {
         return network.host(
                 name, InetAddress.getByAddress(new byte[] {127, 0, 0, (byte) last}), 0, 1 << 24, line -> {});
     }
@@ -97,7 +97,7 @@
     }
 
     private Discovery follow(String name, int last, String seed) throws Exception {
-        Host agent = host(name, last);
+        VirtualHost agent = host(name, last);
         ObjectNode root =
                 (ObjectNode) new ObjectMapper().readTree(Files.readAllBytes(Path.of("src/test/resources/config.json")));
         root.put("discovery", "127.0.0.2:" + PORT).put("seed", seed);
--- a/src/test/java/gatefront/keeping/KeeperTest.java
+++ b/src/test/java/gatefront/persistence/RecoveryStoreTest.java
@@ -1,11 +1,11 @@
-package gatefront.keeping;
+package gatefront.persistence;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.membership.Bans;
+import gatefront.membership.ServerBans;
 import gatefront.recovery.Recovery.Store;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -19,18 +19,18 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What an instance finds again in its folder, and what it is told where it does not. */
-class KeeperTest {
+class RecoveryStoreTest {
     @TempDir
     private Path dir;
 
     private final BlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
     private long clock = 5_000_000;
 
-    private Keeper.Opened open(String instance) {
-        return Keeper.open(dir.resolve("kept"), instance, loop::add, () -> clock);
+    private RecoveryStore.Opened open(String instance) {
+        return RecoveryStore.open(dir.resolve("kept"), instance, loop::add, () -> clock);
     }
 
-    private void kept(Keeper keeper, String name, Bans.Entry entry) throws Exception {
+    private void kept(RecoveryStore keeper, String name, ServerBans.Entry entry) throws Exception {
         CompletableFuture<IOException> told = new CompletableFuture<>();
         keeper.ban(name, entry, told::complete);
         while (!told.isDone()) {
@@ -39,7 +39,7 @@
         assertNull(told.join());
     }
 
-    private static void end(Keeper keeper) throws Exception {
+    private static void end(RecoveryStore keeper) throws Exception {
         CompletableFuture<Void> ended = new CompletableFuture<>();
         keeper.close(() -> ended.complete(null));
         ended.get(10, TimeUnit.SECONDS);
@@ -47,22 +47,22 @@
 
     @Test
     void whatWasKeptIsThereAgainInItsNextLife() throws Exception {
-        Keeper.Opened first = open("a");
+        RecoveryStore.Opened first = open("a");
         assertEquals(Store.MISSING, first.state());
-        kept(first.keeper(), "nodo-1", new Bans.Entry(true, 7));
-        kept(first.keeper(), "nodo-2", new Bans.Entry(true, 8));
-        kept(first.keeper(), "nodo-2", new Bans.Entry(false, 9));
-        kept(first.keeper(), "nodo-3", new Bans.Entry(true, 9));
+        kept(first.keeper(), "nodo-1", new ServerBans.Entry(true, 7));
+        kept(first.keeper(), "nodo-2", new ServerBans.Entry(true, 8));
+        kept(first.keeper(), "nodo-2", new ServerBans.Entry(false, 9));
+        kept(first.keeper(), "nodo-3", new ServerBans.Entry(true, 9));
         kept(first.keeper(), "nodo-3", null);
         first.keeper().list(42, new byte[] {1, 2, 3});
         clock = 6_000_000;
         first.keeper().mark();
         end(first.keeper());
-        Keeper.Opened second = open("a");
+        RecoveryStore.Opened second = open("a");
         assertEquals(Store.WHOLE, second.state());
         assertEquals("life 2", second.why());
         assertEquals(
-                Map.of("nodo-1", new Bans.Entry(true, 7), "nodo-2", new Bans.Entry(false, 9)),
+                Map.of("nodo-1", new ServerBans.Entry(true, 7), "nodo-2", new ServerBans.Entry(false, 9)),
                 second.kept().bans());
         assertEquals(6_000_000, second.kept().upTo());
         assertEquals(42, second.kept().listAt());
@@ -72,18 +72,18 @@
 
     @Test
     void aLongLogBecomesASnapshotAndNothingIsLost() throws Exception {
-        Keeper keeper = open("a").keeper();
-        kept(keeper, "nodo-1", new Bans.Entry(true, 7));
+        RecoveryStore keeper = open("a").keeper();
+        kept(keeper, "nodo-1", new ServerBans.Entry(true, 7));
         for (int i = 0; i < 5_200; i++) {
-            kept(keeper, "nodo-2", new Bans.Entry(i % 2 == 0, i));
+            kept(keeper, "nodo-2", new ServerBans.Entry(i % 2 == 0, i));
         }
         end(keeper);
         try (var files = Files.list(dir.resolve("kept"))) {
             assertTrue(files.anyMatch(each -> each.toString().endsWith(".snap")));
         }
-        Keeper.Opened again = open("a");
+        RecoveryStore.Opened again = open("a");
         assertEquals(
-                Map.of("nodo-1", new Bans.Entry(true, 7), "nodo-2", new Bans.Entry(false, 5_199)),
+                Map.of("nodo-1", new ServerBans.Entry(true, 7), "nodo-2", new ServerBans.Entry(false, 5_199)),
                 again.kept().bans());
         assertEquals(2, again.kept().life() + 1);
         end(again.keeper());
@@ -91,25 +91,27 @@
 
     @Test
     void anothersStoreIsSetAsideAndNotWritten() throws Exception {
-        Keeper other = open("b").keeper();
-        kept(other, "nodo-1", new Bans.Entry(true, 7));
+        RecoveryStore other = open("b").keeper();
+        kept(other, "nodo-1", new ServerBans.Entry(true, 7));
         end(other);
-        Keeper.Opened opened = open("a");
+        RecoveryStore.Opened opened = open("a");
         assertEquals(Store.ANOTHERS, opened.state());
         assertEquals("b", opened.kept().instance(), "for the claim to be dropped, and said");
-        kept(opened.keeper(), "nodo-9", new Bans.Entry(true, 1));
+        kept(opened.keeper(), "nodo-9", new ServerBans.Entry(true, 1));
         end(opened.keeper());
-        assertEquals(Map.of("nodo-9", new Bans.Entry(true, 1)), open("a").kept().bans());
+        assertEquals(
+                Map.of("nodo-9", new ServerBans.Entry(true, 1)),
+                open("a").kept().bans());
         assertTrue(Files.isDirectory(dir.resolve("kept.aside-1")));
     }
 
     @Test
     void aDamagedStoreIsSetAsideAndWhatCouldBeReadIsTold() throws Exception {
-        for (int round = 1; round <= Keeper.ASIDE_MOST + 2; round++) {
-            Keeper keeper = open("a").keeper();
-            kept(keeper, "nodo-1", new Bans.Entry(true, 7));
-            kept(keeper, "nodo-2", new Bans.Entry(true, 8));
-            kept(keeper, "nodo-3", new Bans.Entry(true, 9));
+        for (int round = 1; round <= RecoveryStore.ASIDE_MOST + 2; round++) {
+            RecoveryStore keeper = open("a").keeper();
+            kept(keeper, "nodo-1", new ServerBans.Entry(true, 7));
+            kept(keeper, "nodo-2", new ServerBans.Entry(true, 8));
+            kept(keeper, "nodo-3", new ServerBans.Entry(true, 9));
             end(keeper);
             Path newest;
             try (var files = Files.list(dir.resolve("kept"))) {
@@ -120,24 +122,24 @@
             byte[] bytes = Files.readAllBytes(newest);
             bytes[bytes.length / 2] ^= 4;
             Files.write(newest, bytes);
-            Keeper.Opened opened = open("a");
+            RecoveryStore.Opened opened = open("a");
             assertEquals(Store.DAMAGED, opened.state(), "round " + round);
             assertEquals("a", opened.kept().instance());
             assertTrue(opened.why().contains(".log at "), opened.why());
             end(opened.keeper());
         }
         try (var files = Files.list(dir)) {
-            assertEquals(1 + Keeper.ASIDE_MOST, files.count());
+            assertEquals(1 + RecoveryStore.ASIDE_MOST, files.count());
         }
     }
 
     @Test
     void aFolderThatCannotBeUsedIsSaidAndNothingIsToldToBeKept() throws Exception {
         Files.writeString(dir.resolve("kept"), "a file");
-        Keeper.Opened opened = open("a");
+        RecoveryStore.Opened opened = open("a");
         assertEquals(Store.UNUSABLE, opened.state());
         CompletableFuture<IOException> told = new CompletableFuture<>();
-        opened.keeper().ban("nodo-1", new Bans.Entry(true, 1), told::complete);
+        opened.keeper().ban("nodo-1", new ServerBans.Entry(true, 1), told::complete);
         loop.poll(10, TimeUnit.SECONDS).run();
         assertTrue(told.join() != null);
         end(opened.keeper());
@@ -145,12 +147,12 @@
 
     @Test
     void theProcessBeforeHasTheStoreUntilItEnds() throws Exception {
-        Keeper before = open("a").keeper();
-        kept(before, "nodo-1", new Bans.Entry(true, 7));
-        Keeper.Opened second = open("a");
+        RecoveryStore before = open("a").keeper();
+        kept(before, "nodo-1", new ServerBans.Entry(true, 7));
+        RecoveryStore.Opened second = open("a");
         assertEquals(Store.IN_USE, second.state());
         end(before);
-        kept(second.keeper(), "nodo-2", new Bans.Entry(true, 8));
+        kept(second.keeper(), "nodo-2", new ServerBans.Entry(true, 8));
         end(second.keeper());
         assertEquals(2, open("a").kept().bans().size(), "what the one before kept is still there");
     }
--- a/src/test/java/gatefront/policy/RulesTest.java
+++ b/src/test/java/gatefront/policy/AdaptiveBalancerTest.java
@@ -16,18 +16,19 @@
 import org.junit.jupiter.api.Test;
 
 /** The four rules, with their awkward cases. */
-class RulesTest {
-    private static final long SECOND = Hand.SECOND;
+class AdaptiveBalancerTest {
+    private static final long SECOND = BalancerHarness.SECOND;
 
-    private static Hand two(Semantics semantics, Scope scope) {
-        return new Hand(Hand.settings(semantics, scope)).full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 1));
+    private static BalancerHarness two(Semantics semantics, Scope scope) {
+        return new BalancerHarness(BalancerHarness.settings(semantics, scope))
+                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0), BalancerHarness.server(3, 1));
     }
 
     // ---- one final answer, in time ----
 
     @Test
     void anAttemptThatNeverEndsStillGetsOneFinalAnswerBeforeTheDeadline() {
-        Hand hand = two(Semantics.SAFE, Scope.ALL);
+        BalancerHarness hand = two(Semantics.SAFE, Scope.ALL);
         long id = hand.request();
         hand.pass(2 * SECOND);
         assertEquals(1, hand.of("refuse", id).size() + hand.of("fail", id).size());
@@ -38,7 +39,7 @@
 
     @Test
     void theDeadlineIsTheRequestsOwn() {
-        Hand hand = two(Semantics.UNSAFE, Scope.ALL);
+        BalancerHarness hand = two(Semantics.UNSAFE, Scope.ALL);
         hand.balancer.request(hand.now, new Balancer.Request(99, 0, 0, 0, 0, hand.now + 200_000, false, false));
         hand.pass(215_000);
         assertEquals(1, hand.of("fail", 99).size());
@@ -46,7 +47,7 @@
 
     @Test
     void withoutAnyServerARequestIsRefusedInTime() {
-        Hand hand = new Hand(Hand.settings(Semantics.UNSAFE, Scope.ALL)).full();
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.settings(Semantics.UNSAFE, Scope.ALL)).full();
         long id = hand.request();
         hand.pass(SECOND + 10_000);
         assertEquals(1, hand.of("refuse", id).size());
@@ -55,7 +56,7 @@
 
     @Test
     void outcomesTimersAndDeparturesOfClosedRequestsArePassedOver() {
-        Hand hand = two(Semantics.SAFE, Scope.ALL);
+        BalancerHarness hand = two(Semantics.SAFE, Scope.ALL);
         long id = hand.request();
         hand.end(id, 0, Outcome.OK, 1000);
         int before = hand.acts.size();
@@ -67,7 +68,7 @@
 
     @Test
     void nothingIsSentForARequestWhoseClientLeft() {
-        Hand hand = two(Semantics.SAFE, Scope.ALL);
+        BalancerHarness hand = two(Semantics.SAFE, Scope.ALL);
         long id = hand.request();
         hand.balancer.clientLeft(hand.now, id);
         hand.end(id, 0, Outcome.CONNECT_FAILED, 1000);
@@ -79,8 +80,9 @@
     @Test
     void aStartedStreamHasNoDeadline() {
         var streamed = new Balancer.RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, true);
-        Hand hand = new Hand(Hand.settings(List.of(streamed), new Permits(3, false, true, true, false, 0), 1, 1))
-                .full(Hand.server(1, 0));
+        BalancerHarness hand = new BalancerHarness(
+                        BalancerHarness.settings(List.of(streamed), new Permits(3, false, true, true, false, 0), 1, 1))
+                .full(BalancerHarness.server(1, 0));
         long id = hand.request();
         hand.balancer.streamStarted(hand.now, id, 0, 1, 100);
         hand.pass(10 * SECOND);
@@ -95,7 +97,7 @@
             if (outcome == Outcome.OK || outcome == Outcome.NEVER_SENT) {
                 continue;
             }
-            Hand hand = two(Semantics.UNSAFE, Scope.ALL);
+            BalancerHarness hand = two(Semantics.UNSAFE, Scope.ALL);
             long id = hand.request();
             hand.end(id, 0, outcome, 1000);
             boolean proven = outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED;
@@ -113,8 +115,12 @@
     @Test
     void keyedByZoneGoesAgainOnlyInsideTheZone() {
         for (long seed = 0; seed < 20; seed++) {
-            Hand hand = new Hand(Hand.settings(Semantics.KEYED, Scope.ZONE), seed)
-                    .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 1), Hand.server(4, 1));
+            BalancerHarness hand = new BalancerHarness(BalancerHarness.settings(Semantics.KEYED, Scope.ZONE), seed)
+                    .full(
+                            BalancerHarness.server(1, 0),
+                            BalancerHarness.server(2, 0),
+                            BalancerHarness.server(3, 1),
+                            BalancerHarness.server(4, 1));
             long id = hand.request();
             hand.end(id, 0, Outcome.RESET, 1000);
             hand.pass(10_000);
@@ -130,7 +136,7 @@
 
     @Test
     void keyedByCellStaysInTheCellEvenWhenTheZoneHasMore() {
-        Hand hand = new Hand(Hand.settings(Semantics.KEYED, Scope.CELL))
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.settings(Semantics.KEYED, Scope.CELL))
                 .full(
                         new Balancer.Server(1, 0, 10, 0, Phase.READY, 1, 0),
                         new Balancer.Server(2, 0, 11, 0, Phase.READY, 1, 0));
@@ -145,8 +151,9 @@
     void keyedIsNotSentAfterTheWindow() {
         var late =
                 new Balancer.RequestClass(3 * SECOND, 0, 4 * SECOND, Semantics.KEYED, Scope.ALL, SECOND, 1, 0, false);
-        Hand hand = new Hand(Hand.settings(List.of(late), new Permits(4, false, true, true, false, 0), 1, 1))
-                .full(Hand.server(1, 0), Hand.server(2, 0));
+        BalancerHarness hand = new BalancerHarness(
+                        BalancerHarness.settings(List.of(late), new Permits(4, false, true, true, false, 0), 1, 1))
+                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
         long id = hand.request();
         hand.pass(900_000);
         hand.end(id, 0, Outcome.RESET, 900_000);
@@ -157,7 +164,7 @@
 
     @Test
     void neverTwoAttemptsOutWhereTheHostForbidsIt() {
-        Hand hand = two(Semantics.SAFE, Scope.ALL);
+        BalancerHarness hand = two(Semantics.SAFE, Scope.ALL);
         long id = hand.request();
         hand.pass(900_000);
         assertEquals(1, hand.sends(id).size());
@@ -165,12 +172,16 @@
 
     @Test
     void theAttemptsCapHolds() {
-        Hand hand = new Hand(Hand.settings(
-                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.settings(
+                        List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
                         new Permits(2, false, true, true, false, 0),
                         1,
                         1))
-                .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 0));
+                .full(
+                        BalancerHarness.server(1, 0),
+                        BalancerHarness.server(2, 0),
+                        BalancerHarness.server(3, 0),
+                        BalancerHarness.server(4, 0));
         long id = hand.request();
         hand.end(id, 0, Outcome.CONNECT_FAILED, 1000);
         hand.end(id, 1, Outcome.CONNECT_FAILED, 1000);
@@ -184,8 +195,8 @@
     @Test
     void nothingGoesToADrainingOrGoneServerNotEvenWhenItIsTheOnlyOne() {
         for (Phase phase : List.of(Phase.DRAINING, Phase.GONE)) {
-            Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
-            hand.list(ListKind.DELTA, Hand.server(1, 0, phase, 0));
+            BalancerHarness hand = new BalancerHarness(BalancerHarness.safe()).full(BalancerHarness.server(1, 0));
+            hand.list(ListKind.DELTA, BalancerHarness.server(1, 0, phase, 0));
             long id = hand.request();
             hand.pass(2 * SECOND);
             assertTrue(hand.sends(id).isEmpty());
@@ -194,22 +205,22 @@
 
     @Test
     void aServerMissingFromAFullListIsGoneAndOneReadyAgainIsUsed() {
-        Hand hand = two(Semantics.SAFE, Scope.ALL);
-        hand.full(Hand.server(2, 0));
+        BalancerHarness hand = two(Semantics.SAFE, Scope.ALL);
+        hand.full(BalancerHarness.server(2, 0));
         for (int i = 0; i < 6; i++) {
             long id = hand.request();
             assertEquals(2, hand.target(id));
             hand.end(id, 0, Outcome.OK, 1000);
         }
-        hand.full(Hand.server(2, 0, Phase.DRAINING, 0), Hand.server(1, 0));
+        hand.full(BalancerHarness.server(2, 0, Phase.DRAINING, 0), BalancerHarness.server(1, 0));
         assertEquals(1, hand.target(hand.request()));
-        hand.list(ListKind.DELTA, Hand.server(2, 0), Hand.server(1, 0, Phase.GONE, 0));
+        hand.list(ListKind.DELTA, BalancerHarness.server(2, 0), BalancerHarness.server(1, 0, Phase.GONE, 0));
         assertEquals(2, hand.target(hand.request()));
     }
 
     // ---- cold servers ----
 
-    private static int sentTo(Hand hand, long server, long id0) {
+    private static int sentTo(BalancerHarness hand, long server, long id0) {
         return (int) hand.all("send").stream()
                 .filter(a -> a.server() == server && a.id() >= id0)
                 .count();
@@ -217,11 +228,12 @@
 
     @Test
     void aColdServerGetsItsSurePartOfAWarmServersRateAndNoBurst() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe())
+                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
         for (int i = 0; i < 200; i++) {
             hand.serve(25_000);
         }
-        hand.list(ListKind.DELTA, Hand.server(3, 0, Phase.READY, hand.now));
+        hand.list(ListKind.DELTA, BalancerHarness.server(3, 0, Phase.READY, hand.now));
         long from = hand.request();
         hand.end(from, 0, Outcome.OK, 1000);
         for (int i = 0; i < 40; i++) {
@@ -235,11 +247,12 @@
 
     @Test
     void aColdServerIsNotFloodedWhenItIsAloneButIsNotStarvedEither() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe())
+                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
         for (int i = 0; i < 200; i++) {
             hand.serve(25_000);
         }
-        hand.full(Hand.server(3, 0, Phase.READY, hand.now));
+        hand.full(BalancerHarness.server(3, 0, Phase.READY, hand.now));
         for (int i = 0; i < 100; i++) {
             hand.request();
             hand.pass(10_000);
@@ -250,7 +263,7 @@
 
     @Test
     void aServerThatAnswersAgainAfterABreakIsTreatedAsColdWhateverTheListSays() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe()).full(BalancerHarness.server(1, 0));
         hand.serve(25_000);
         long one = hand.request();
         long other = hand.request();
@@ -264,7 +277,7 @@
     /** Connections that break now and then are no restart. Failed before: each made its server cold for 5 s. */
     @Test
     void aServerThatAnswersAtOnceAfterABreakIsNotCold() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe()).full(BalancerHarness.server(1, 0));
         for (int i = 0; i < 10; i++) {
             hand.serve(20_000);
         }
@@ -288,17 +301,17 @@
         for (int agents : new int[] {40, 400}) {
             Server[] list = new Server[20];
             for (int i = 0; i < list.length; i++) {
-                list[i] = Hand.server(i + 1, 0);
+                list[i] = BalancerHarness.server(i + 1, 0);
             }
             int cold = 0;
             int all = 0;
             // All agents together send some 350 requests a second, 17 to a server; each draws from its own few servers.
             for (int seed = 0; seed < agents; seed++) {
-                Hand hand = new Hand(
-                                Hand.as(
+                BalancerHarness hand = new BalancerHarness(
+                                BalancerHarness.as(
                                         seed,
-                                        Hand.settings(
-                                                List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                                        BalancerHarness.settings(
+                                                List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
                                                 new Permits(4, false, true, false, false, 0),
                                                 1,
                                                 agents)),
@@ -307,9 +320,9 @@
                 SplittableRandom random = new SplittableRandom(seed);
                 long from = 0;
                 long began = hand.now;
-                while (hand.now < began + 14 * Hand.SECOND) {
-                    if (from == 0 && hand.now >= began + 12 * Hand.SECOND) {
-                        hand.list(ListKind.DELTA, Hand.server(1, 0, Phase.READY, hand.now));
+                while (hand.now < began + 14 * BalancerHarness.SECOND) {
+                    if (from == 0 && hand.now >= began + 12 * BalancerHarness.SECOND) {
+                        hand.list(ListKind.DELTA, BalancerHarness.server(1, 0, Phase.READY, hand.now));
                         from = hand.serve(20_000);
                         continue;
                     }
@@ -332,14 +345,21 @@
 
     @Test
     void entriesForUnknownOrAlreadyGoneServersAndRepeatsChangeNothing() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
-        hand.list(ListKind.DELTA, Hand.server(9, 0, Phase.GONE, 0));
-        hand.list(ListKind.DELTA, Hand.server(9, 0, Phase.GONE, 0), Hand.server(1, 0), Hand.server(1, 0));
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe()).full(BalancerHarness.server(1, 0));
+        hand.list(ListKind.DELTA, BalancerHarness.server(9, 0, Phase.GONE, 0));
+        hand.list(
+                ListKind.DELTA,
+                BalancerHarness.server(9, 0, Phase.GONE, 0),
+                BalancerHarness.server(1, 0),
+                BalancerHarness.server(1, 0));
         hand.balancer.probed(hand.now, 77, Outcome.OK, 1000, new double[0]);
         for (int i = 0; i < 20; i++) {
             assertEquals(1, hand.target(hand.serve(20_000)));
         }
-        hand.list(ListKind.DELTA, Hand.server(8, 0, Phase.DRAINING, 0), Hand.server(1, 0, Phase.DRAINING, 0));
+        hand.list(
+                ListKind.DELTA,
+                BalancerHarness.server(8, 0, Phase.DRAINING, 0),
+                BalancerHarness.server(1, 0, Phase.DRAINING, 0));
         assertEquals(-1, hand.target(hand.request()));
     }
 }
--- a/src/test/java/gatefront/policy/Hand.java
+++ b/src/test/java/gatefront/policy/BalancerHarness.java
@@ -19,7 +19,7 @@
 import java.util.List;
 
 /** Drives one balancer by hand: a hand-turned clock, recorded actions, due timers. */
-class Hand implements Balancer.Actions {
+class BalancerHarness implements Balancer.Actions {
     static final long SECOND = 1_000_000;
     static final long TICK = 5_000;
 
@@ -38,12 +38,12 @@
 
     private long nextId = 1;
 
-    Hand(Settings settings) {
+    BalancerHarness(Settings settings) {
         this(settings, 7);
     }
 
-    Hand(Settings settings, long seed) {
-        balancer = new Rules(settings, seed, now, this);
+    BalancerHarness(Settings settings, long seed) {
+        balancer = new AdaptiveBalancer(settings, seed, now, this);
     }
 
     // ---- settings ----
@@ -146,12 +146,12 @@
 
     // ---- events ----
 
-    Hand list(ListKind kind, Server... servers) {
+    BalancerHarness list(ListKind kind, Server... servers) {
         balancer.servers(now, kind, Arrays.asList(servers));
         return this;
     }
 
-    Hand full(Server... servers) {
+    BalancerHarness full(Server... servers) {
         return list(ListKind.FULL, servers);
     }
 
--- a/src/test/java/gatefront/policy/CheckedBalancerTest.java
+++ b/src/test/java/gatefront/policy/CheckedBalancerTest.java
@@ -15,15 +15,15 @@
 /** Wrong use: an exception from the checked balancer; from the module alone the disregard that README states. */
 class CheckedBalancerTest {
     private static final double[] NO_LOAD = new double[0];
-    private final Hand hand = new Hand(Hand.safe());
-    private final Balancer checked = new CheckedBalancer(Hand.safe(), 1, hand.now, hand);
+    private final BalancerHarness hand = new BalancerHarness(BalancerHarness.safe());
+    private final Balancer checked = new CheckedBalancer(BalancerHarness.safe(), 1, hand.now, hand);
 
     private Request request(long id, int requestClass) {
-        return new Request(id, requestClass, 0, 0, 0, hand.now + Hand.SECOND, false, false);
+        return new Request(id, requestClass, 0, 0, 0, hand.now + BalancerHarness.SECOND, false, false);
     }
 
     private void listTwo(Balancer balancer) {
-        balancer.servers(hand.now, ListKind.FULL, List.of(Hand.server(1, 0), Hand.server(2, 0)));
+        balancer.servers(hand.now, ListKind.FULL, List.of(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0)));
     }
 
     private static String message(Class<? extends Exception> type, org.junit.jupiter.api.function.Executable wrong) {
@@ -44,7 +44,8 @@
     void nullsAreNamed() {
         assertEquals("settings", message(NullPointerException.class, () -> new CheckedBalancer(null, 1, 0, hand)));
         assertEquals(
-                "actions", message(NullPointerException.class, () -> new CheckedBalancer(Hand.safe(), 1, 0, null)));
+                "actions",
+                message(NullPointerException.class, () -> new CheckedBalancer(BalancerHarness.safe(), 1, 0, null)));
         assertEquals("request", message(NullPointerException.class, () -> checked.request(hand.now, null)));
         assertEquals(
                 "entries", message(NullPointerException.class, () -> checked.servers(hand.now, ListKind.FULL, null)));
@@ -101,13 +102,13 @@
     @Test
     void anActionThatCallsBackIsNamed() {
         Balancer[] self = new Balancer[1];
-        Hand rash = new Hand(Hand.safe()) {
+        BalancerHarness rash = new BalancerHarness(BalancerHarness.safe()) {
             @Override
             public void send(long request, long server, long timeout) {
                 self[0].timer(now, 1);
             }
         };
-        self[0] = new CheckedBalancer(Hand.safe(), 1, rash.now, rash);
+        self[0] = new CheckedBalancer(BalancerHarness.safe(), 1, rash.now, rash);
         listTwo(self[0]);
         assertEquals(
                 "an action has called back into the balancer",
@@ -120,7 +121,7 @@
         long id = hand.request();
         long server = hand.target(id);
         hand.end(id, 0, Outcome.OK, 100);
-        List<Hand.Act> before = List.copyOf(hand.acts);
+        List<BalancerHarness.Act> before = List.copyOf(hand.acts);
         hand.balancer.outcome(hand.now, id, 0, server, Outcome.TIMEOUT, 100, false, NO_LOAD);
         hand.balancer.outcome(hand.now, 777, 0, server, Outcome.OK, 100, true, NO_LOAD);
         hand.balancer.clientLeft(hand.now, 777);
@@ -135,11 +136,11 @@
     void theModuleAloneBearsAClockThatStepsBack() {
         listTwo(hand.balancer);
         hand.serve(1000);
-        hand.now -= 30 * Hand.SECOND;
+        hand.now -= 30 * BalancerHarness.SECOND;
         for (int i = 0; i < 20; i++) {
             hand.serve(1000);
         }
-        hand.pass(60 * Hand.SECOND);
+        hand.pass(60 * BalancerHarness.SECOND);
         hand.serve(1000);
         assertEquals(22, hand.all("send").size());
         assertTrue(Arrays.asList("refuse", "fail").stream()
--- a/src/test/java/gatefront/policy/ClassFailureTest.java
+++ b/src/test/java/gatefront/policy/ClassFailureTest.java
@@ -21,14 +21,15 @@
     private static final long USUAL = 20_000;
     private static final long GIVEN_UP = 900_000;
 
-    private static Hand two() {
-        var safe = Hand.type(Semantics.SAFE, Scope.ALL);
-        return new Hand(Hand.settings(List.of(safe, safe), new Permits(4, false, true, false, false, 0), 1, 1))
-                .full(Hand.server(1, 0), Hand.server(2, 0));
+    private static BalancerHarness two() {
+        var safe = BalancerHarness.type(Semantics.SAFE, Scope.ALL);
+        return new BalancerHarness(BalancerHarness.settings(
+                        List.of(safe, safe), new Permits(4, false, true, false, false, 0), 1, 1))
+                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
     }
 
     /** A request of this class each 20 ms and server; those for server 1 end as given, and all others are answered. */
-    private static int[] play(Hand hand, int rounds, int requestClass, Outcome atOne, long spent) {
+    private static int[] play(BalancerHarness hand, int rounds, int requestClass, Outcome atOne, long spent) {
         int[] sent = new int[3];
         for (int i = 0; i < rounds; i++) {
             long id = hand.request(requestClass, 0);
@@ -45,8 +46,8 @@
     }
 
     /** Both classes served everywhere. */
-    private static Hand served() {
-        Hand hand = two();
+    private static BalancerHarness served() {
+        BalancerHarness hand = two();
         for (int i = 0; i < 20; i++) {
             play(hand, 1, BROKEN, Outcome.OK, USUAL);
             play(hand, 1, SOUND, Outcome.OK, USUAL);
@@ -55,8 +56,8 @@
     }
 
     /** Then one class broken at server 1, until it is removed for it. */
-    private static Hand broken() {
-        Hand hand = served();
+    private static BalancerHarness broken() {
+        BalancerHarness hand = served();
         for (int i = 0; i < 60; i++) {
             play(hand, 1, BROKEN, Outcome.ERROR, 1_000);
             play(hand, 1, SOUND, Outcome.OK, USUAL);
@@ -67,7 +68,7 @@
     /** Failed before: five errors of one class removed the server for every class. */
     @Test
     void errorsOfOneClassTakeTheServerFromThatClassOnly() {
-        Hand hand = served();
+        BalancerHarness hand = served();
         int broken = 0;
         int sound = 0;
         for (int i = 0; i < 150; i++) {
@@ -83,7 +84,7 @@
     /** Failed before: the time-outs of one class took the server from all of them. */
     @Test
     void aClassThatIsNeverAnsweredLeavesTheServerToTheOthers() {
-        Hand hand = served();
+        BalancerHarness hand = served();
         for (int i = 0; i < 12; i++) {
             play(hand, 1, BROKEN, Outcome.TIMEOUT, GIVEN_UP);
             play(hand, 2, SOUND, Outcome.OK, USUAL);
@@ -100,10 +101,10 @@
 
     @Test
     void aClassIsTriedAgainAfterItsReactivation() {
-        Hand hand = broken();
+        BalancerHarness hand = broken();
         assertTrue(hand.logged("server 1 class 0 passive Unhealthy"), String.join("\n", hand.lines));
         assertEquals(0, play(hand, 20, BROKEN, Outcome.OK, USUAL)[1], "removed");
-        hand.pass(5 * Hand.SECOND);
+        hand.pass(5 * BalancerHarness.SECOND);
         assertTrue(play(hand, 20, BROKEN, Outcome.OK, USUAL)[1] > 0, "mended and not used");
         assertTrue(hand.logged("server 1 class 0 passive Unknown: reactivated"));
     }
@@ -111,7 +112,7 @@
     /** The other side of it: a server that fails all classes is removed as a whole, after one failure more for each. */
     @Test
     void aServerThatFailsEveryClassIsRemovedAsAWhole() {
-        Hand hand = served();
+        BalancerHarness hand = served();
         int sent = 0;
         for (int i = 0; i < 150; i++) {
             sent += play(hand, 1, i % 2, Outcome.ERROR, 1_000)[1];
@@ -122,19 +123,21 @@
 
     @Test
     void aProcessThatStartsAnewStartsWithEveryClass() {
-        Hand hand = broken();
-        hand.full(Hand.server(1, 0, Balancer.Phase.READY, hand.now - 30 * Hand.SECOND), Hand.server(2, 0));
+        BalancerHarness hand = broken();
+        hand.full(
+                BalancerHarness.server(1, 0, Balancer.Phase.READY, hand.now - 30 * BalancerHarness.SECOND),
+                BalancerHarness.server(2, 0));
         assertTrue(play(hand, 20, BROKEN, Outcome.OK, USUAL)[1] > 0, "still removed after its restart");
     }
 
     /** Failed before: the repeat was held until its time was up, for the server tried first was available. */
     @Test
     void aRepeatDoesNotWaitForARemovedServerWhenAllOthersAreTried() {
-        Hand hand = served();
+        BalancerHarness hand = served();
         for (int i = 0; i < 60; i++) {
             play(hand, 1, BROKEN, Outcome.ERROR, 1_000);
         }
-        hand.pass(Hand.SECOND);
+        hand.pass(BalancerHarness.SECOND);
         long id = hand.request(BROKEN, 0);
         assertEquals(2, hand.target(id));
         hand.end(id, 0, Outcome.ERROR, 1_000);
@@ -145,7 +148,7 @@
     /** Before the window is sure of it: what fails at once would draw the most, being the least busy. */
     @Test
     void aClassThatFailsAtOnceRestsThereBeforeItIsRemoved() {
-        Hand hand = served();
+        BalancerHarness hand = served();
         int sent = 0;
         for (int i = 0; i < 400 && sent < 4; i++) {
             sent += play(hand, 1, BROKEN, Outcome.ERROR, 1_000)[1];
@@ -159,10 +162,10 @@
     /** Rule: a keyed repeat stays in its group; servers outside are no reason to wait for one inside. */
     @Test
     void aKeyedRepeatGoesToTheRemovedServerOfItsGroupAtOnce() {
-        Hand hand = new Hand(Hand.settings(Semantics.KEYED, Scope.CELL))
-                .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 1));
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.settings(Semantics.KEYED, Scope.CELL))
+                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0), BalancerHarness.server(3, 1));
         for (int i = 0; i < 2; i++) {
-            hand.balancer.probed(hand.now, 2, Outcome.TIMEOUT, Hand.SECOND, new double[0]);
+            hand.balancer.probed(hand.now, 2, Outcome.TIMEOUT, BalancerHarness.SECOND, new double[0]);
         }
         long id = hand.request();
         assertEquals(1, hand.target(id));
