--- a/src/test/java/gatefront/policy/ColdFleetTest.java
+++ b/src/test/java/gatefront/policy/ColdFleetTest.java
@@ -21,10 +21,10 @@
     /** Requests a second that come to each agent: a server's part of all is 14 a second. */
     private static final int DEMAND = 30;
 
-    private static Hand hand(long seed, int zones) {
-        return new Hand(
-                Hand.settings(
-                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+    private static BalancerHarness hand(long seed, int zones) {
+        return new BalancerHarness(
+                BalancerHarness.settings(
+                        List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
                         new Permits(4, false, true, false, false, 0),
                         zones,
                         AGENTS),
@@ -34,21 +34,21 @@
     private static Server[] servers(int from, int count, int zone, long startedAt) {
         Server[] list = new Server[count];
         for (int i = 0; i < count; i++) {
-            list[i] = Hand.server(from + i, zone, Phase.READY, startedAt);
+            list[i] = BalancerHarness.server(from + i, zone, Phase.READY, startedAt);
         }
         return list;
     }
 
     /** Lets requests come evenly for so many seconds, each attempt answered after that time. */
-    private static void live(Hand hand, double seconds, long answer) {
+    private static void live(BalancerHarness hand, double seconds, long answer) {
         live(hand, seconds, answer, DEMAND);
     }
 
-    private static void live(Hand hand, double seconds, long answer, int demand) {
+    private static void live(BalancerHarness hand, double seconds, long answer, int demand) {
         hand.live(seconds, Outcome.OK, answer, demand, 0);
     }
 
-    private static long sentFrom(Hand hand, long id) {
+    private static long sentFrom(BalancerHarness hand, long id) {
         return hand.all("send").stream().filter(act -> act.server() >= id).count();
     }
 
@@ -58,7 +58,7 @@
      */
     @Test
     void anAgentThatStartsWithItsColdZoneUsesIt() {
-        Hand hand = hand(7, 1).full(servers(1, SERVERS, 0, Hand.SECOND * 98));
+        BalancerHarness hand = hand(7, 1).full(servers(1, SERVERS, 0, BalancerHarness.SECOND * 98));
         live(hand, 4, 50_000);
         long sent = sentFrom(hand, 1);
         assertTrue(sent > 4 * DEMAND * 0.6, "sent " + sent);
@@ -67,7 +67,7 @@
     /** Failed before: an agent that had not met a zone while it was warm sent it next to nothing when it was back. */
     @Test
     void aZoneThatIsBackColdIsUsedByThoseWhoNeverMetIt() {
-        Hand hand = hand(7, 2).full(servers(1, 2, 0, 0));
+        BalancerHarness hand = hand(7, 2).full(servers(1, 2, 0, 0));
         live(hand, 5, 400_000); // far more than two can do
         Server[] both = new Server[SERVERS + 2];
         System.arraycopy(servers(1, 2, 0, 0), 0, both, 0, 2);
@@ -95,7 +95,7 @@
         long[] sent = new long[SERVERS + 1];
         for (int agent = 0; agent < AGENTS; agent++) {
             int demand = agent == 0 ? first : others;
-            Hand hand = hand(agent, 1).full(servers(1, SERVERS, 0, 0));
+            BalancerHarness hand = hand(agent, 1).full(servers(1, SERVERS, 0, 0));
             live(hand, 5, 50_000, demand);
             hand.full(servers(1, SERVERS, 0, hand.now));
             int before = hand.all("send").size();
@@ -113,11 +113,11 @@
         int demand = 10;
         long[] sent = new long[221];
         for (int agent = 0; agent < 100; agent++) {
-            Hand hand = new Hand(
-                            Hand.as(
+            BalancerHarness hand = new BalancerHarness(
+                            BalancerHarness.as(
                                     agent,
-                                    Hand.settings(
-                                            List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                                    BalancerHarness.settings(
+                                            List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
                                             new Permits(4, false, true, false, false, 0),
                                             1,
                                             100)),
@@ -142,27 +142,30 @@
      */
     @Test
     void whatColdServersAreFoundToBeDecidesWhetherTheyAreInTime() {
-        Hand quick = hand(7, 1).full(servers(1, SERVERS, 0, 0));
+        BalancerHarness quick = hand(7, 1).full(servers(1, SERVERS, 0, 0));
         live(quick, 5, 300_000); // a fifth of the capacity makes 1.5 s of it, and 1 s is wanted
         quick.full(servers(101, SERVERS, 0, quick.now));
         live(quick, 3, 400_000);
         assertTrue(sentFrom(quick, 101) > 3 * DEMAND / 2, "quick " + sentFrom(quick, 101));
-        Hand slow = hand(7, 1).full(servers(1, SERVERS, 0, 0));
+        BalancerHarness slow = hand(7, 1).full(servers(1, SERVERS, 0, 0));
         live(slow, 5, 300_000);
         slow.full(servers(101, SERVERS, 0, slow.now));
         live(slow, 3, 1_400_000);
         assertTrue(2 * sentFrom(slow, 101) < sentFrom(quick, 101), "slow " + sentFrom(slow, 101));
     }
 
-    private static Hand reporting(int agents) {
-        var s = Hand.settings(
-                List.of(Hand.type(Semantics.SAFE, Scope.ALL)), new Permits(4, false, true, false, false, 0), 1, agents);
-        return new Hand(Hand.with(s, s.prices(), s.obligations(), Balancer.LoadField.QUEUED), 7);
+    private static BalancerHarness reporting(int agents) {
+        var s = BalancerHarness.settings(
+                List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
+                new Permits(4, false, true, false, false, 0),
+                1,
+                agents);
+        return new BalancerHarness(BalancerHarness.with(s, s.prices(), s.obligations(), Balancer.LoadField.QUEUED), 7);
     }
 
     /** The same requests to cold servers, whose answers report so many waiting. */
     private static int sentWhile(double queued) {
-        Hand hand = reporting(AGENTS);
+        BalancerHarness hand = reporting(AGENTS);
         hand.report = new double[] {queued};
         live(hand, 5, 50_000);
         hand.full(servers(1, SERVERS, 0, hand.now));
@@ -189,7 +192,7 @@
     void aServerThatReportsRequestsWaitingGetsFewerAtOnce() {
         int[] most = new int[2];
         for (int busy = 0; busy < 2; busy++) {
-            Hand hand = reporting(2).full(Hand.server(1, 0), Hand.server(2, 0));
+            BalancerHarness hand = reporting(2).full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
             hand.report = new double[] {busy == 0 ? 0 : 2};
             live(hand, 5, 100_000);
             for (int i = 0; i < 20; i++) {
@@ -204,15 +207,24 @@
     /** However well it keeps up, its room ends: a report is late, and the agents have it alike. */
     @Test
     void theRoomOfAColdServerThatKeepsUpIsBounded() {
-        var s = Hand.settings(
-                List.of(Hand.type(Semantics.SAFE, Scope.ALL)), new Permits(4, false, true, false, false, 0), 1, 1);
+        var s = BalancerHarness.settings(
+                List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
+                new Permits(4, false, true, false, false, 0),
+                1,
+                1);
         double surely = 0.02;
-        Hand hand = new Hand(
-                Hand.with(
+        BalancerHarness hand = new BalancerHarness(
+                BalancerHarness.with(
                         s,
                         s.prices(),
                         new Balancer.Obligations(
-                                20_000, 500_000, surely, 10_000 * Hand.SECOND, 3, Hand.SECOND, 10 * Hand.SECOND),
+                                20_000,
+                                500_000,
+                                surely,
+                                10_000 * BalancerHarness.SECOND,
+                                3,
+                                BalancerHarness.SECOND,
+                                10 * BalancerHarness.SECOND),
                         Balancer.LoadField.QUEUED),
                 7);
         hand.report = new double[] {0};
@@ -233,7 +245,7 @@
     void repeatsOfClientsMakeNoRoom() {
         int[] sent = new int[2];
         for (int repeats = 0; repeats < 2; repeats++) {
-            Hand hand = hand(7, 1).full(servers(1, SERVERS, 0, 0));
+            BalancerHarness hand = hand(7, 1).full(servers(1, SERVERS, 0, 0));
             live(hand, 5, 50_000);
             hand.full(servers(1, SERVERS, 0, hand.now));
             int before = hand.all("send").size();
@@ -245,9 +257,11 @@
 
     /** Attempts at cold servers that end by time after so long, then whether one that needs long is sent there. */
     private static boolean sentAfterTimeOutsOf(long... spent) {
-        var types = List.of(Hand.type(Semantics.SAFE, Scope.ALL), Hand.type(Semantics.SAFE, Scope.ALL));
-        Hand hand = new Hand(Hand.settings(types, new Permits(1, false, true, false, false, 0), 1, 1), 7)
-                .full(Hand.server(1, 0));
+        var types = List.of(
+                BalancerHarness.type(Semantics.SAFE, Scope.ALL), BalancerHarness.type(Semantics.SAFE, Scope.ALL));
+        BalancerHarness hand = new BalancerHarness(
+                        BalancerHarness.settings(types, new Permits(1, false, true, false, false, 0), 1, 1), 7)
+                .full(BalancerHarness.server(1, 0));
         for (int i = 0; i < 40; i++) {
             for (int type = 0; type < 2; type++) {
                 long id = hand.request(type, 0);
@@ -256,7 +270,7 @@
             }
         }
         hand.full(servers(101, 300, 0, hand.now));
-        hand.pass(spent.length == 0 ? Hand.SECOND / 2 : 0);
+        hand.pass(spent.length == 0 ? BalancerHarness.SECOND / 2 : 0);
         for (long each : spent) {
             int ended = 0;
             for (int i = 0; i < 2_000; i++) { // few are sent once time-outs have used up the credit
@@ -265,11 +279,11 @@
                     hand.end(id, 0, Outcome.TIMEOUT, each);
                     ended++;
                 }
-                hand.pass(Hand.TICK);
+                hand.pass(BalancerHarness.TICK);
             }
             assertTrue(ended > 20, "time-outs " + ended);
         }
-        hand.pass(Hand.SECOND); // what rests for its time-outs has rested, and there is room again
+        hand.pass(BalancerHarness.SECOND); // what rests for its time-outs has rested, and there is room again
         return hand.target(hand.request(1, 0)) > 100;
     }
 
@@ -289,7 +303,7 @@
     void reportsOfProbesCountAsThoseOfAnswers() {
         int[] sent = new int[2];
         for (int queued = 0; queued < 2; queued++) {
-            Hand hand = reporting(AGENTS);
+            BalancerHarness hand = reporting(AGENTS);
             live(hand, 5, 50_000);
             hand.full(servers(1, SERVERS, 0, hand.now));
             for (int i = 0; i < 8; i++) {
@@ -307,7 +321,7 @@
     /** Its listed weight is its part: where weights differ, so does what is sent to it while cold. */
     @Test
     void aColdServerOfTwiceTheWeightGetsTwiceAsMuch() {
-        Hand hand = hand(7, 1);
+        BalancerHarness hand = hand(7, 1);
         Server[] list = new Server[SERVERS];
         for (int i = 0; i < SERVERS; i++) {
             list[i] = new Server(i + 1, 0, 0, 0, Phase.READY, i < SERVERS / 2 ? 1 : 4, hand.now);
@@ -323,8 +337,8 @@
     @Test
     void weightsThatMakeNoSenseStarveNobody() {
         for (double weight : new double[] {0, -1, Double.NaN, Double.POSITIVE_INFINITY}) {
-            Hand hand = hand(7, 1);
-            hand.list(ListKind.FULL, new Server(1, 0, 0, 0, Phase.READY, weight, Hand.SECOND * 99));
+            BalancerHarness hand = hand(7, 1);
+            hand.list(ListKind.FULL, new Server(1, 0, 0, 0, Phase.READY, weight, BalancerHarness.SECOND * 99));
             live(hand, 2, 50_000);
             assertTrue(sentFrom(hand, 1) > 2, "weight " + weight);
         }
--- a/src/test/java/gatefront/policy/MechanismTest.java
+++ b/src/test/java/gatefront/policy/MechanismTest.java
@@ -25,14 +25,19 @@
 
 /** The mechanism: probes, window, reactivation, pick, spill, fallback; and its departures. */
 class MechanismTest {
-    private static final long SECOND = Hand.SECOND;
+    private static final long SECOND = BalancerHarness.SECOND;
     private static final double[] NO_LOAD = new double[0];
 
-    private static Hand four() {
-        return new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 1));
+    private static BalancerHarness four() {
+        return new BalancerHarness(BalancerHarness.safe())
+                .full(
+                        BalancerHarness.server(1, 0),
+                        BalancerHarness.server(2, 0),
+                        BalancerHarness.server(3, 0),
+                        BalancerHarness.server(4, 1));
     }
 
-    private static void failProbes(Hand hand, long server, int times) {
+    private static void failProbes(BalancerHarness hand, long server, int times) {
         for (int i = 0; i < times; i++) {
             hand.balancer.probed(hand.now, server, Outcome.TIMEOUT, SECOND, NO_LOAD);
         }
@@ -41,25 +46,32 @@
     @Test
     void everyServerOfTheOwnZoneIsProbedOnTheIntervalAndNotInStep() {
         // A single agent, so that the whole interval is its own.
-        Hand hand = new Hand(Hand.settings(
-                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.settings(
+                        List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
                         new Permits(4, false, true, true, false, 0),
                         2,
                         1))
-                .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 0), Hand.server(5, 1));
+                .full(
+                        BalancerHarness.server(1, 0),
+                        BalancerHarness.server(2, 0),
+                        BalancerHarness.server(3, 0),
+                        BalancerHarness.server(4, 0),
+                        BalancerHarness.server(5, 1));
         for (int i = 0; i < 1000; i++) {
-            hand.pass(Hand.TICK);
-            for (Hand.Act probe : List.copyOf(hand.all("probe"))) {
+            hand.pass(BalancerHarness.TICK);
+            for (BalancerHarness.Act probe : List.copyOf(hand.all("probe"))) {
                 if (probe.value() == hand.now) {
                     hand.balancer.probed(hand.now, probe.server(), Outcome.OK, 1000, NO_LOAD);
                 }
             }
         }
-        List<Hand.Act> probes = hand.all("probe");
-        assertEquals(4, probes.stream().map(Hand.Act::server).distinct().count());
+        List<BalancerHarness.Act> probes = hand.all("probe");
+        assertEquals(
+                4, probes.stream().map(BalancerHarness.Act::server).distinct().count());
         assertTrue(probes.size() >= 16 && probes.size() <= 24, "probes in 5 s: " + probes.size());
         assertEquals(
-                probes.size(), probes.stream().map(Hand.Act::value).distinct().count());
+                probes.size(),
+                probes.stream().map(BalancerHarness.Act::value).distinct().count());
     }
 
     /** Failed before: every agent probed every server once a second, however many agents there were. */
@@ -68,18 +80,22 @@
         for (int agents : new int[] {5, 50, 500}) {
             int probes = 0;
             for (int seed = 0; seed < agents; seed++) {
-                Hand hand = new Hand(
-                                Hand.settings(
-                                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                BalancerHarness hand = new BalancerHarness(
+                                BalancerHarness.settings(
+                                        List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
                                         new Permits(4, false, true, true, false, 0),
                                         1,
                                         agents),
                                 seed)
-                        .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 0));
+                        .full(
+                                BalancerHarness.server(1, 0),
+                                BalancerHarness.server(2, 0),
+                                BalancerHarness.server(3, 0),
+                                BalancerHarness.server(4, 0));
                 for (int i = 0; i < 1000; i++) {
                     int before = hand.all("probe").size();
-                    hand.pass(2 * Hand.TICK);
-                    for (Hand.Act probe :
+                    hand.pass(2 * BalancerHarness.TICK);
+                    for (BalancerHarness.Act probe :
                             hand.all("probe").subList(before, hand.all("probe").size())) {
                         hand.balancer.probed(hand.now, probe.server(), Outcome.OK, 1000, NO_LOAD);
                     }
@@ -96,14 +112,17 @@
     void probesAreTheRarerTheMoreTheyCost() {
         int[] probes = new int[2];
         for (int dear = 0; dear < 2; dear++) {
-            var s = Hand.settings(
-                    List.of(Hand.type(Semantics.SAFE, Scope.ALL)), new Permits(4, false, true, true, false, 0), 1, 1);
-            Hand hand = new Hand(Hand.with(
+            var s = BalancerHarness.settings(
+                    List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
+                    new Permits(4, false, true, true, false, 0),
+                    1,
+                    1);
+            BalancerHarness hand = new BalancerHarness(BalancerHarness.with(
                             s, new Balancer.Prices(0.2, dear == 0 ? 0.01 : 0.12, 0.05, 0.05, 0.01), s.obligations()))
-                    .full(Hand.server(1, 0), Hand.server(2, 0));
+                    .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
             for (int i = 0; i < 6000; i++) {
                 int before = hand.all("probe").size();
-                hand.pass(Hand.TICK);
+                hand.pass(BalancerHarness.TICK);
                 hand.all("probe").stream()
                         .skip(before)
                         .toList()
@@ -117,19 +136,19 @@
 
     @Test
     void noProbesWhereTheHostPermitsNone() {
-        Hand hand = new Hand(Hand.settings(
-                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.settings(
+                        List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
                         new Permits(3, false, true, false, false, 0),
                         1,
                         1))
-                .full(Hand.server(1, 0));
+                .full(BalancerHarness.server(1, 0));
         hand.pass(5 * SECOND);
         assertTrue(hand.all("probe").isEmpty());
     }
 
     @Test
     void failedProbesInARowMakeUnhealthyAndOneSuccessHealthy() {
-        Hand hand = four();
+        BalancerHarness hand = four();
         failProbes(hand, 1, 1);
         assertFalse(hand.logged("active Unhealthy"));
         hand.balancer.probed(hand.now, 1, Outcome.OK, 1000, NO_LOAD);
@@ -146,7 +165,7 @@
 
     @Test
     void aLateProbeOfAServerThatAnswersRealRequestsDoesNotCount() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe()).full(BalancerHarness.server(1, 0));
         for (int i = 0; i < 4; i++) {
             hand.serve(10_000);
             failProbes(hand, 1, 1);
@@ -155,7 +174,7 @@
     }
 
     /** Serves requests; those that go to server 1 end with the given outcome, the first so many. */
-    private static void failOnServerOne(Hand hand, int failures, Outcome outcome) {
+    private static void failOnServerOne(BalancerHarness hand, int failures, Outcome outcome) {
         int failed = 0;
         for (int i = 0; i < 400 && failed < failures; i++) {
             long id = hand.request();
@@ -172,7 +191,7 @@
 
     @Test
     void failuresOverTheLimitMakeThePassiveStateUnhealthyUntilReactivation() {
-        Hand hand = four();
+        BalancerHarness hand = four();
         failOnServerOne(hand, 4, Outcome.TIMEOUT);
         assertFalse(hand.logged("passive Unhealthy"), "below the minimum count");
         failOnServerOne(hand, 1, Outcome.TIMEOUT);
@@ -193,7 +212,7 @@
 
     @Test
     void aShareBelowTheLimitDoesNotCount() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe()).full(BalancerHarness.server(1, 0));
         for (int i = 0; i < 40; i++) {
             long id = hand.request();
             hand.end(id, 0, i % 4 == 3 ? Outcome.TIMEOUT : Outcome.OK, 10_000);
@@ -204,7 +223,7 @@
 
     @Test
     void whatFailsEverywhereAlikeRemovesNobody() {
-        Hand hand = four();
+        BalancerHarness hand = four();
         for (int i = 0; i < 100; i++) {
             long id = hand.request();
             if (hand.target(id) > 0) {
@@ -220,14 +239,15 @@
 
     @Test
     void ofTwoTheOneWithFewerInFlightIsTaken() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe())
+                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
         long first = hand.target(hand.request());
         assertNotEquals(first, hand.target(hand.request()));
     }
 
     @Test
     void theOwnZoneIsTakenWhileItHasRoomAndOthersOnceTheWaitIsWorthTheCrossing() {
-        Hand hand = four();
+        BalancerHarness hand = four();
         List<Long> ids = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             ids.add(hand.request());
@@ -240,7 +260,7 @@
 
     @Test
     void otherZonesAreTakenAtOnceWhenNoneIsAvailableHere() {
-        Hand hand = four();
+        BalancerHarness hand = four();
         for (long server = 1; server <= 3; server++) {
             failProbes(hand, server, 2);
         }
@@ -249,7 +269,7 @@
 
     @Test
     void allAreEligibleWhenNoneIsAvailableAnywhere() {
-        Hand hand = four();
+        BalancerHarness hand = four();
         for (long server = 1; server <= 4; server++) {
             failProbes(hand, server, 2);
         }
@@ -258,7 +278,8 @@
 
     @Test
     void aServerThatFailsAtOnceRestsAndDoesNotDrawEverything() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe())
+                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
         for (int i = 0; i < 20; i++) {
             hand.serve(50_000);
         }
@@ -277,13 +298,13 @@
 
     @Test
     void aServerThatTimesOutAndAnswersNothingElseRestsButOneHeavyRequestAmongOthersDoesNotMatter() {
-        Hand silent = new Hand(Hand.safe()).full(Hand.server(1, 0));
+        BalancerHarness silent = new BalancerHarness(BalancerHarness.safe()).full(BalancerHarness.server(1, 0));
         long lost = silent.request();
         silent.pass(SECOND / 2);
         silent.end(lost, 0, Outcome.TIMEOUT, SECOND / 2);
         assertEquals(0, silent.sends(silent.request()).size());
 
-        Hand busy = new Hand(Hand.safe()).full(Hand.server(1, 0));
+        BalancerHarness busy = new BalancerHarness(BalancerHarness.safe()).full(BalancerHarness.server(1, 0));
         long heavy = busy.request();
         busy.pass(SECOND / 4);
         busy.serve(SECOND / 8);
@@ -296,8 +317,9 @@
     void theMoreValuableOfTwoHeldClassesGoesFirst() {
         var cheap = new Balancer.RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, false);
         var dear = new Balancer.RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 8, 0, false);
-        Hand hand = new Hand(Hand.settings(List.of(cheap, dear), new Permits(3, false, true, true, false, 0), 1, 2))
-                .full(Hand.server(1, 0));
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.settings(
+                        List.of(cheap, dear), new Permits(3, false, true, true, false, 0), 1, 2))
+                .full(BalancerHarness.server(1, 0));
         List<Long> first = new ArrayList<>();
         while (first.isEmpty() || hand.target(first.get(first.size() - 1)) == 1) {
             first.add(hand.request(0, 0));
@@ -313,7 +335,7 @@
 
     @Test
     void aMarkedRepeatWhoseTimeIsAlreadySpentIsRefusedAtOnceAndNotWorkedFor() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe()).full(BalancerHarness.server(1, 0));
         for (int i = 0; i < 60; i++) {
             hand.serve(300_000);
         }
@@ -328,7 +350,7 @@
 
     @Test
     void ofTheHeldTheNewestThatMayCrossDoesAndNotTheOneWithLeastTimeLeft() {
-        Hand hand = four();
+        BalancerHarness hand = four();
         List<Long> old = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             old.add(hand.request());
@@ -350,11 +372,12 @@
 
     @Test
     void aColdServerGetsNothingThatItCannotBeExpectedToAnswerInTime() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe())
+                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
         for (int i = 0; i < 40; i++) {
             hand.serve(400_000);
         }
-        hand.list(Balancer.ListKind.FULL, Hand.server(3, 0, Balancer.Phase.READY, hand.now));
+        hand.list(Balancer.ListKind.FULL, BalancerHarness.server(3, 0, Balancer.Phase.READY, hand.now));
         long early = hand.request(); // a fifth of its capacity: two seconds for a request wanted within one
         assertEquals(-1, hand.target(early));
         hand.pass(15 * SECOND);
@@ -363,7 +386,7 @@
 
     @Test
     void aSuspectedRestartIsDroppedUnlessTheListConfirmsIt() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe()).full(BalancerHarness.server(1, 0));
         for (int i = 0; i < 20; i++) {
             hand.serve(50_000);
         }
@@ -380,12 +403,12 @@
 
     @Test
     void aLimitBelowOnePausesTheServerAndAFewFastAnswersEndThat() {
-        Hand hand = new Hand(Hand.settings(
-                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.settings(
+                        List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
                         new Permits(3, false, true, true, false, 0),
                         1,
                         13))
-                .full(Hand.server(1, 0));
+                .full(BalancerHarness.server(1, 0));
         for (int i = 0; i < 10; i++) {
             hand.serve(900_000); // slow
             hand.pass(2 * SECOND);
@@ -402,8 +425,8 @@
     }
 
     /** First tries bring 3 of the 4 s for all tries; returns a hand with one busy server and requests held. */
-    private static Hand afterManyFirstTries(boolean busy) {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    private static BalancerHarness afterManyFirstTries(boolean busy) {
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe()).full(BalancerHarness.server(1, 0));
         for (int i = 0; i < 60; i++) {
             hand.serve(100_000);
         }
@@ -413,7 +436,7 @@
         return hand;
     }
 
-    private static Hand.Act bring(Hand hand, long left) {
+    private static BalancerHarness.Act bring(BalancerHarness hand, long left) {
         int before = hand.acts.size();
         hand.balancer.request(hand.now, new Balancer.Request(777, 0, 0, 0, 0, hand.now + left, false, false));
         return hand.acts.subList(before, hand.acts.size()).stream()
@@ -432,7 +455,7 @@
 
     @Test
     void firstTriesAreNotTakenForRepeatsWhenEarlyRepeatsBringMore() {
-        Hand hand = afterManyFirstTries(false);
+        BalancerHarness hand = afterManyFirstTries(false);
         for (int i = 0; i < 3; i++) {
             hand.balancer.request(
                     hand.now, new Balancer.Request(900 + i, 0, 0, 0, 0, hand.now + 3 * SECOND + 900_000, false, false));
@@ -445,11 +468,11 @@
     }
 
     /** One agent and sixty servers: what limits by server leave open is left to the credit. */
-    private static Hand sixty() {
+    private static BalancerHarness sixty() {
         Server[] servers = new Server[60];
-        Arrays.setAll(servers, i -> Hand.server(i + 1, 0));
-        return new Hand(Hand.settings(
-                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+        Arrays.setAll(servers, i -> BalancerHarness.server(i + 1, 0));
+        return new BalancerHarness(BalancerHarness.settings(
+                        List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
                         new Permits(1, false, true, false, false, 0),
                         1,
                         1))
@@ -459,7 +482,7 @@
     /** Failed before: work that runs out of time at full servers was sent on and on, 26 a second of 50. */
     @Test
     void attemptsThatRunOutOfTimeAreFewUntilAnswersPayForMore() {
-        Hand hand = sixty();
+        BalancerHarness hand = sixty();
         assertTrue(hand.live(4, Outcome.OK, 40_000, 50, 0) > 195, "while servers answer all is sent");
         hand.live(8, Outcome.TIMEOUT, 900_000, 50, 0);
         int sent = hand.live(2, Outcome.TIMEOUT, 900_000, 50, 0);
@@ -471,7 +494,7 @@
     /** Failed before: answers that pass slowly kept what they had been paid with, and in the end nothing was sent. */
     @Test
     void answersThatAreStillPassedOnHoldNoCredit() {
-        Hand hand = bounded(sixty());
+        BalancerHarness hand = bounded(sixty());
         for (int i = 0; i < 60; i++) {
             long id = hand.request();
             hand.pass(20_000);
@@ -481,7 +504,7 @@
     }
 
     /** One finds no room: from now on what is sent has to be paid for. */
-    private static Hand bounded(Hand hand) {
+    private static BalancerHarness bounded(BalancerHarness hand) {
         long lost = hand.request();
         hand.pass(900_000);
         hand.end(lost, 0, Outcome.TIMEOUT, 900_000);
@@ -489,7 +512,7 @@
     }
 
     /** How many of a hundred that come at once are sent. */
-    private static int sentAtOnce(Hand hand) {
+    private static int sentAtOnce(BalancerHarness hand) {
         int before = hand.all("send").size();
         for (int i = 0; i < 100; i++) {
             hand.request();
@@ -502,7 +525,7 @@
         assertEquals(100, sentAtOnce(sixty()), "nothing has found no room yet");
         int few = sentAtOnce(bounded(sixty()));
         assertTrue(few >= 10 && few < 30, "after one that found no room " + few);
-        Hand served = bounded(sixty());
+        BalancerHarness served = bounded(sixty());
         served.live(60, Outcome.OK, 10_000, 20, 0);
         int more = sentAtOnce(served);
         assertTrue(more >= 20 && more < 50, "a minute's answers are not all saved up, " + more);
@@ -510,15 +533,15 @@
 
     @Test
     void anAnswerPassedOnIsPaidForOnceAndNotAgainAtItsEnd() {
-        Hand hand = bounded(sixty());
+        BalancerHarness hand = bounded(sixty());
         sentAtOnce(hand); // the credit is used up
         int before = hand.all("send").size();
-        List<Hand.Act> out = hand.all("send").subList(1, before);
-        for (Hand.Act each : out) {
+        List<BalancerHarness.Act> out = hand.all("send").subList(1, before);
+        for (BalancerHarness.Act each : out) {
             hand.balancer.streamStarted(hand.now, each.id(), 0, each.server(), 20_000);
         }
         int begun = hand.all("send").size() - before;
-        for (Hand.Act each : out) {
+        for (BalancerHarness.Act each : out) {
             hand.end(each.id(), 0, Outcome.OK, 20_000);
         }
         int ended = hand.all("send").size() - before - begun;
@@ -533,7 +556,7 @@
             value = Outcome.class,
             names = {"ERROR", "RESET", "CONNECT_FAILED", "NEVER_SENT"})
     void whatEndsForAnotherReasonGivesItsCreditBack(Outcome outcome) {
-        Hand hand = bounded(sixty());
+        BalancerHarness hand = bounded(sixty());
         for (int i = 0; i < 40; i++) {
             long id = hand.request();
             hand.pass(10_000);
@@ -544,7 +567,7 @@
 
     @Test
     void timeOutsOfCallersInAHurryCostNoCredit() {
-        Hand hand = sixty();
+        BalancerHarness hand = sixty();
         hand.live(10, Outcome.OK, 100_000, 20, 0);
         for (int i = 0; i < 100; i++) {
             long id = 1_000 + i;
@@ -558,7 +581,7 @@
     /** Where clients mark repeats and give no hints, one that brings little time is still a first try. */
     @Test
     void onceRepeatsAreMarkedLittleTimeIsNoTimeSpent() {
-        Hand hand = afterManyFirstTries(false);
+        BalancerHarness hand = afterManyFirstTries(false);
         hand.serve(100_000);
         hand.repeat();
         hand.end(hand.all("send").get(hand.all("send").size() - 1).id(), 0, Outcome.OK, 1_000);
@@ -573,7 +596,7 @@
     /** The first of all its tries counts, not the last one before it. */
     @Test
     void theThirdTryIsReckonedFromTheFirst() {
-        Hand hand = afterManyFirstTries(false);
+        BalancerHarness hand = afterManyFirstTries(false);
         for (int i = 0; i < 2; i++) {
             hand.balancer.request(
                     hand.now, new Balancer.Request(901 + i, 0, 0, 0, 5_000, hand.now + 3 * SECOND, i > 0, false));
@@ -587,7 +610,7 @@
 
     @Test
     void whatIsKeptOfRequestsNotServedIsBounded() {
-        Hand hand = afterManyFirstTries(false);
+        BalancerHarness hand = afterManyFirstTries(false);
         for (int i = 0; i < 1_100; i++) {
             hurried(hand, 2_000 + i, 5_000 + i, false);
             hand.balancer.clientLeft(hand.now, 2_000 + i);
@@ -604,28 +627,28 @@
     }
 
     private static Server drains(long id) {
-        return Hand.server(id, 0, Balancer.Phase.DRAINING, 0);
+        return BalancerHarness.server(id, 0, Balancer.Phase.DRAINING, 0);
     }
 
     @Test
     void whenHalfTheSubsetDrainsRepeatsThatWaitGoToTheOthersAndEachEndsOnce() {
-        Hand hand = new Hand(Hand.settings(
-                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.settings(
+                        List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
                         new Permits(6, false, true, false, false, 0),
                         1,
                         1))
                 .full(
-                        Hand.server(1, 0),
-                        Hand.server(2, 0),
-                        Hand.server(3, 0),
-                        Hand.server(4, 0),
-                        Hand.server(5, 0),
-                        Hand.server(6, 0));
+                        BalancerHarness.server(1, 0),
+                        BalancerHarness.server(2, 0),
+                        BalancerHarness.server(3, 0),
+                        BalancerHarness.server(4, 0),
+                        BalancerHarness.server(5, 0),
+                        BalancerHarness.server(6, 0));
         for (int i = 0; i < 100; i++) {
             hand.request(); // more than all have room for
         }
-        List<Hand.Act> first = List.copyOf(hand.all("send"));
-        List<Hand.Act> failed = first.subList(0, 8);
+        List<BalancerHarness.Act> first = List.copyOf(hand.all("send"));
+        List<BalancerHarness.Act> failed = first.subList(0, 8);
         failed.forEach(each -> hand.end(each.id(), 0, Outcome.ERROR, 1_000));
         assertTrue(failed.stream().anyMatch(each -> hand.sends(each.id()).size() == 1), "repeats wait");
         int before = hand.all("send").size();
@@ -633,12 +656,13 @@
         hand.pass(100_000);
         first.subList(8, first.size()).forEach(each -> hand.end(each.id(), 0, Outcome.OK, 100_000));
         hand.pass(2 * SECOND);
-        List<Hand.Act> after = hand.all("send").subList(before, hand.all("send").size());
+        List<BalancerHarness.Act> after =
+                hand.all("send").subList(before, hand.all("send").size());
         assertTrue(after.stream().allMatch(each -> each.server() > 3), "nothing new to those that drain");
         assertTrue(
                 after.stream().anyMatch(each -> failed.stream().anyMatch(one -> one.id() == each.id())),
                 "repeats go on");
-        for (Hand.Act each : failed) {
+        for (BalancerHarness.Act each : failed) {
             assertEquals(
                     1,
                     hand.of("refuse", each.id()).size()
@@ -650,27 +674,27 @@
     /** The clock moves on by the processor time used, and may jump: nothing is sent past its end then. */
     @Test
     void whenTheClockJumpsOverTheEndOfTheNewestHeldItIsAnsweredAndNotSent() {
-        Hand hand = afterManyFirstTries(true);
-        Hand.Act out = hand.all("send").get(hand.all("send").size() - 1);
+        BalancerHarness hand = afterManyFirstTries(true);
+        BalancerHarness.Act out = hand.all("send").get(hand.all("send").size() - 1);
         hand.balancer.request(hand.now, new Balancer.Request(901, 0, 0, 0, 5_000, hand.now + 150_000, false, false));
         assertTrue(hand.sends(901).isEmpty() && hand.of("refuse", 901).isEmpty(), "held");
         hand.now += 200_000; // no timer has come yet
         int sent = hand.all("send").size();
         hand.end(out.id(), 0, Outcome.OK, 100_000); // there is room for one, and the newest is looked at first
         assertTrue(hand.sends(901).isEmpty());
-        hand.pass(Hand.TICK);
+        hand.pass(BalancerHarness.TICK);
         assertEquals(1, hand.of("refuse", 901).size(), "at once");
         hand.pass(50_000);
         assertTrue(hand.all("send").size() > sent, "there was room, and another one goes");
     }
 
     /** One of a caller that waits a quarter of the usual answer's time; returns what was done with it at once. */
-    private static String hurried(Hand hand, long id, long cost, boolean repeated) {
+    private static String hurried(BalancerHarness hand, long id, long cost, boolean repeated) {
         int before = hand.acts.size();
         hand.balancer.request(hand.now, new Balancer.Request(id, 0, 0, 0, cost, hand.now + 50_000, repeated, false));
         return hand.acts.subList(before, hand.acts.size()).stream()
                 .filter(a -> a.id() == id && !a.what().equals("timer"))
-                .map(Hand.Act::what)
+                .map(BalancerHarness.Act::what)
                 .findFirst()
                 .orElse("held");
     }
@@ -678,7 +702,7 @@
     /** Failed before: the little time that its repeat brings was taken for time spent, and refused at once. */
     @Test
     void theRepeatOfACallerThatGivesUpEarlyIsServedWhereThereIsRoom() {
-        Hand hand = afterManyFirstTries(false);
+        BalancerHarness hand = afterManyFirstTries(false);
         assertEquals("send", hurried(hand, 901, 5_000, false));
         hand.pass(49_000);
         hand.end(901, 0, Outcome.TIMEOUT, 49_000);
@@ -689,7 +713,7 @@
     /** Failed before: what a repeat has behind it was reckoned from others of its class, here nothing. */
     @Test
     void aRepeatKnownByItsHintIsRefusedAtOnceOnceItsFirstTryIsPastTheAim() {
-        Hand hand = afterManyFirstTries(false);
+        BalancerHarness hand = afterManyFirstTries(false);
         hurried(hand, 901, 5_000, false);
         hand.balancer.clientLeft(hand.now, 901);
         hand.end(901, 0, Outcome.CANCELLED, 0);
@@ -704,7 +728,7 @@
     /** Failed before: work for those who will hardly wait took the room of those who would. */
     @Test
     void whileRequestsWithTimeEnoughAreTurnedAwayCallersInAHurryAre() {
-        Hand hand = afterManyFirstTries(true);
+        BalancerHarness hand = afterManyFirstTries(true);
         hand.repeat(); // clients here mark their repeats
         hand.pass(SECOND + 10_000); // those held are turned away
         assertEquals("refuse", hurried(hand, 901, 5_000, false));
@@ -717,18 +741,22 @@
 
     @Test
     void keysStayWithTheirTwoServersAtEveryAgent() {
-        var settings = Hand.settings(
-                List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+        var settings = BalancerHarness.settings(
+                List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
                 new Permits(3, false, true, true, false, 0),
                 1,
                 2,
                 false,
                 true,
                 List.of());
-        Hand one = new Hand(settings, 1);
-        Hand other = new Hand(settings, 2);
-        for (Hand hand : List.of(one, other)) {
-            hand.full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 0));
+        BalancerHarness one = new BalancerHarness(settings, 1);
+        BalancerHarness other = new BalancerHarness(settings, 2);
+        for (BalancerHarness hand : List.of(one, other)) {
+            hand.full(
+                    BalancerHarness.server(1, 0),
+                    BalancerHarness.server(2, 0),
+                    BalancerHarness.server(3, 0),
+                    BalancerHarness.server(4, 0));
         }
         for (long key = 1; key < 30; key++) {
             long a = one.request(0, key);
@@ -740,8 +768,8 @@
     }
 
     private static Balancer.Settings keyed(int zones) {
-        return Hand.settings(
-                List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+        return BalancerHarness.settings(
+                List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
                 new Permits(3, false, true, true, false, 0),
                 zones,
                 2,
@@ -752,8 +780,12 @@
 
     @Test
     void aMuchAskedKeySpreadsBeforeItsServersAreFull() {
-        Hand hand = new Hand(keyed(1), 1);
-        hand.full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 0));
+        BalancerHarness hand = new BalancerHarness(keyed(1), 1);
+        hand.full(
+                BalancerHarness.server(1, 0),
+                BalancerHarness.server(2, 0),
+                BalancerHarness.server(3, 0),
+                BalancerHarness.server(4, 0));
         Map<Long, Integer> sent = new HashMap<>();
         for (int i = 0; i < 12; i++) {
             sent.merge(hand.target(hand.request(0, 42)), 1, Integer::sum);
@@ -764,8 +796,8 @@
 
     @Test
     void ofAKeysTwoServersTheLessBusyIsTakenAndTheFirstWhenEven() {
-        Hand hand = new Hand(keyed(1), 1);
-        hand.full(Hand.server(1, 0), Hand.server(2, 0));
+        BalancerHarness hand = new BalancerHarness(keyed(1), 1);
+        hand.full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
         List<Long> sent = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             sent.add(hand.target(hand.request(0, 42)));
@@ -776,8 +808,8 @@
 
     @Test
     void whenRequestsMustWaitOutThePriceTheSameKeysCrossAtOnce() {
-        Hand hand = new Hand(keyed(2), 1);
-        hand.full(Hand.server(1, 0), Hand.server(2, 1));
+        BalancerHarness hand = new BalancerHarness(keyed(2), 1);
+        hand.full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 1));
         Set<Long> early = crossers(hand);
         assertEquals(Set.of(), early);
         for (int round = 0; round < 20; round++) {
@@ -792,7 +824,7 @@
                 sent.forEach(r -> hand.end(r, 0, Outcome.OK, SECOND / 4));
                 out.removeAll(sent);
                 out.removeIf(r -> !hand.of("refuse", r).isEmpty());
-                hand.pass(Hand.TICK);
+                hand.pass(BalancerHarness.TICK);
             }
             hand.pass(2 * SECOND);
         }
@@ -802,7 +834,7 @@
     }
 
     /** Which of a hundred keys, asked for one at a time, are sent to zone 1 at once. */
-    private static Set<Long> crossers(Hand hand) {
+    private static Set<Long> crossers(BalancerHarness hand) {
         Set<Long> crossed = new TreeSet<>();
         for (long key = 1; key <= 100; key++) {
             long id = hand.request(0, key);
@@ -816,8 +848,8 @@
 
     @Test
     void discoveryThatMustBeAskedIsAskedAgainAfterAFailureWithBackOff() {
-        Hand hand = new Hand(Hand.settings(
-                List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.settings(
+                List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
                 new Permits(3, false, true, true, false, 0),
                 1,
                 2,
@@ -829,37 +861,40 @@
             hand.list(Balancer.ListKind.FAILED);
             hand.pass(9 * SECOND);
         }
-        List<Hand.Act> asked = hand.all("watch");
+        List<BalancerHarness.Act> asked = hand.all("watch");
         assertEquals(4, asked.size());
     }
 
-    private static Hand oneOfMany(int agents, int servers) {
+    private static BalancerHarness oneOfMany(int agents, int servers) {
         Server[] list = new Server[servers];
         for (int i = 0; i < servers; i++) {
-            list[i] = Hand.server(i + 1, 0);
+            list[i] = BalancerHarness.server(i + 1, 0);
         }
-        return new Hand(Hand.settings(
-                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+        return new BalancerHarness(BalancerHarness.settings(
+                        List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
                         new Permits(4, false, true, false, false, 0),
                         1,
                         agents))
                 .full(list);
     }
 
-    private static long used(Hand hand) {
-        return hand.all("send").stream().map(Hand.Act::server).distinct().count();
+    private static long used(BalancerHarness hand) {
+        return hand.all("send").stream()
+                .map(BalancerHarness.Act::server)
+                .distinct()
+                .count();
     }
 
     /** Failed before: a light agent among hundreds opened a connection to every server there was. */
     @Test
     void aLightAgentAmongManyKeepsToAFewServersAndAHeavyOneUsesMore() {
-        Hand light = oneOfMany(400, 40);
+        BalancerHarness light = oneOfMany(400, 40);
         for (int i = 0; i < 60; i++) {
             light.serve(50_000);
             light.pass(SECOND);
         }
         assertTrue(used(light) >= 2 && used(light) <= 4, "used " + used(light));
-        Hand heavy = oneOfMany(400, 40);
+        BalancerHarness heavy = oneOfMany(400, 40);
         for (int i = 0; i < 400; i++) {
             List<Long> ids = new ArrayList<>();
             for (int k = 0; k < 8; k++) {
@@ -873,7 +908,7 @@
             }
         }
         assertTrue(used(heavy) >= 12, "used " + used(heavy));
-        Hand few = oneOfMany(4, 40);
+        BalancerHarness few = oneOfMany(4, 40);
         for (int i = 0; i < 400; i++) {
             few.serve(50_000);
         }
@@ -883,7 +918,7 @@
     /** Failed before (in a first draft): counted by what is out, the subset grew in a jam, and the jam with it. */
     @Test
     void aJamDoesNotWidenTheSubset() {
-        Hand hand = oneOfMany(400, 40);
+        BalancerHarness hand = oneOfMany(400, 40);
         for (int i = 0; i < 20; i++) {
             hand.serve(50_000);
             hand.pass(SECOND / 2);
@@ -900,12 +935,14 @@
 
     @Test
     void aSubsetGivesWayWhenItsMembersFail() {
-        Hand hand = oneOfMany(400, 40);
+        BalancerHarness hand = oneOfMany(400, 40);
         for (int i = 0; i < 20; i++) {
             hand.serve(50_000);
         }
-        List<Long> first =
-                hand.all("send").stream().map(Hand.Act::server).distinct().toList();
+        List<Long> first = hand.all("send").stream()
+                .map(BalancerHarness.Act::server)
+                .distinct()
+                .toList();
         for (long server : first) {
             hand.balancer.probed(hand.now, server, Outcome.CONNECT_FAILED, SECOND, NO_LOAD);
             hand.pass(SECOND);
@@ -920,34 +957,38 @@
     void theNextOnesAreProbedWhereASubsetIsWhollyBad() {
         Server[] list = new Server[40];
         for (int i = 0; i < list.length; i++) {
-            list[i] = Hand.server(i + 1, 0);
+            list[i] = BalancerHarness.server(i + 1, 0);
         }
-        Hand hand = new Hand(Hand.settings(
-                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.settings(
+                        List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
                         new Permits(4, false, true, true, false, 0),
                         1,
                         400))
                 .full(list);
         for (int i = 0; i < 200_000 && hand.all("probe").size() < 30; i++) {
             int before = hand.all("probe").size();
-            hand.pass(20 * Hand.TICK);
+            hand.pass(20 * BalancerHarness.TICK);
             hand.all("probe").stream()
                     .skip(before)
                     .toList()
                     .forEach(probe ->
                             hand.balancer.probed(hand.now, probe.server(), Outcome.CONNECT_FAILED, SECOND, NO_LOAD));
         }
-        long probed =
-                hand.all("probe").stream().map(Hand.Act::server).distinct().count();
+        long probed = hand.all("probe").stream()
+                .map(BalancerHarness.Act::server)
+                .distinct()
+                .count();
         assertTrue(probed > 3, "probed " + probed);
     }
 
     /** A full table of connections refuses while the server serves those it has: no restart, and a rest for all. */
     @Test
     void aRefusedConnectionRestsTheServerForEveryClassAndIsNoRestart() {
-        var types = List.of(Hand.type(Semantics.SAFE, Scope.ALL), Hand.type(Semantics.SAFE, Scope.ALL));
-        Hand hand = new Hand(Hand.settings(types, new Permits(4, false, true, false, false, 0), 1, 2))
-                .full(Hand.server(1, 0));
+        var types = List.of(
+                BalancerHarness.type(Semantics.SAFE, Scope.ALL), BalancerHarness.type(Semantics.SAFE, Scope.ALL));
+        BalancerHarness hand = new BalancerHarness(
+                        BalancerHarness.settings(types, new Permits(4, false, true, false, false, 0), 1, 2))
+                .full(BalancerHarness.server(1, 0));
         for (int i = 0; i < 20; i++) {
             hand.serve(100_000);
         }
@@ -964,18 +1005,18 @@
     /** Failed before (in a first draft): one that came back was taken for idle while requests were out there. */
     @Test
     void aServerThatComesBackWhileRequestsAreOutThereIsKnown() {
-        Hand hand = new Hand(Hand.settings(
-                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.settings(
+                        List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
                         new Permits(4, false, true, false, false, 0),
                         1,
                         2))
-                .full(Hand.server(1, 0));
+                .full(BalancerHarness.server(1, 0));
         for (int i = 0; i < 3; i++) {
             hand.request();
         }
         assertEquals(3, hand.all("send").size());
-        hand.full(Hand.server(2, 0));
-        hand.full(Hand.server(1, 0), Hand.server(2, 0));
+        hand.full(BalancerHarness.server(2, 0));
+        hand.full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
         for (int i = 0; i < 3; i++) {
             assertEquals(2, hand.target(hand.request()), "the less busy");
         }
@@ -983,12 +1024,12 @@
 
     @Test
     void ofTwoWithAsManyInFlightTheOneWithShorterAnswersIsTakenMoreOften() {
-        Hand hand = new Hand(Hand.settings(
-                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.settings(
+                        List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
                         new Permits(4, false, true, false, false, 0),
                         1,
                         4))
-                .full(Hand.server(1, 0), Hand.server(2, 0));
+                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
         int toFast = 0;
         for (int i = 0; i < 100; i++) {
             long id = hand.request();
@@ -1003,12 +1044,12 @@
     /** Failed before: each of hundreds of agents sent one request to every server of its subset at once. */
     @Test
     void manyAgentsStartWithFewRequestsOutInAll() {
-        Hand hand = oneOfMany(400, 40);
+        BalancerHarness hand = oneOfMany(400, 40);
         for (int i = 0; i < 10; i++) {
             hand.request();
         }
         assertEquals(1, hand.all("send").size());
-        Hand few = oneOfMany(2, 3);
+        BalancerHarness few = oneOfMany(2, 3);
         for (int i = 0; i < 10; i++) {
             few.request();
         }
@@ -1020,7 +1061,7 @@
     void anAnswerPastTheAimPausesAServerForALightAgentForLonger() {
         long[] sentAgainAfter = new long[2];
         for (int late = 0; late < 2; late++) {
-            Hand hand = oneOfMany(100, 1);
+            BalancerHarness hand = oneOfMany(100, 1);
             for (int i = 0; i < 5; i++) {
                 hand.serve(50_000);
                 hand.pass(SECOND);
--- a/src/test/java/gatefront/policy/OnCallTest.java
+++ b/src/test/java/gatefront/policy/OnCallTest.java
@@ -17,11 +17,12 @@
 
 /** The on-call page shows the lines that the module really prints, all of them and no others. */
 class OnCallTest {
-    private static final long SECOND = Hand.SECOND;
+    private static final long SECOND = BalancerHarness.SECOND;
 
     /** Every change of state there is, brought about once. */
     private static Set<String> printed() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe())
+                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
         for (int i = 0; i < 2; i++) {
             hand.balancer.probed(hand.now, 1, Outcome.TIMEOUT, SECOND, new double[0]);
         }
@@ -39,10 +40,10 @@
             }
             hand.pass(SECOND / 4);
         }
-        hand.list(ListKind.DELTA, Hand.server(2, 0, Phase.DRAINING, 0));
-        hand.list(ListKind.DELTA, Hand.server(2, 0, Phase.READY, 0));
-        hand.list(ListKind.DELTA, Hand.server(2, 0, Phase.GONE, 0));
-        hand.list(ListKind.DELTA, Hand.server(3, 0, Phase.READY, hand.now));
+        hand.list(ListKind.DELTA, BalancerHarness.server(2, 0, Phase.DRAINING, 0));
+        hand.list(ListKind.DELTA, BalancerHarness.server(2, 0, Phase.READY, 0));
+        hand.list(ListKind.DELTA, BalancerHarness.server(2, 0, Phase.GONE, 0));
+        hand.list(ListKind.DELTA, BalancerHarness.server(3, 0, Phase.READY, hand.now));
         Set<String> lines = new TreeSet<>();
         for (String line : hand.lines) {
             assertTrue(line.matches("server \\d+ .*"), line);
--- a/src/test/java/gatefront/policy/QuantileTest.java
+++ b/src/test/java/gatefront/policy/QuantileEstimatorTest.java
@@ -7,10 +7,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class QuantileTest {
+class QuantileEstimatorTest {
     @Test
     void aFirstValueFarBelowTheOthersLeavesNoTraceInTheLowest() {
-        Quantile quantile = new Quantile(0.8);
+        QuantileEstimator quantile = new QuantileEstimator(0.8);
         quantile.add(0.01);
         for (int i = 0; i < 200; i++) {
             quantile.add(10);
@@ -21,7 +21,7 @@
     @Test
     void theQuantileOfEvenValuesIsFoundAndFollowed() {
         SplittableRandom random = new SplittableRandom(5);
-        Quantile quantile = new Quantile(0.8);
+        QuantileEstimator quantile = new QuantileEstimator(0.8);
         for (int i = 0; i < 3000; i++) {
             quantile.add(random.nextDouble());
         }
@@ -35,7 +35,7 @@
 
     @Test
     void nothingIsKnownOfAFewValues() {
-        Quantile quantile = new Quantile(0.8);
+        QuantileEstimator quantile = new QuantileEstimator(0.8);
         for (int i = 0; i < 49; i++) {
             quantile.add(1);
         }
--- a/src/test/java/gatefront/policy/RandomRunTest.java
+++ b/src/test/java/gatefront/policy/RandomRunTest.java
@@ -26,7 +26,7 @@
  * repeats and drains, and for determinism. Outcomes are drawn by lot: there is no model of a server here.
  */
 class RandomRunTest {
-    private static final long SECOND = Hand.SECOND;
+    private static final long SECOND = BalancerHarness.SECOND;
 
     /** What the checker knows of a request. */
     private static final class Known {
@@ -50,14 +50,14 @@
 
     private final Map<Long, Known> requests = new HashMap<>();
     private final Map<Long, Server> listed = new HashMap<>();
-    private Hand hand;
+    private BalancerHarness hand;
     private Permits permits;
     private int seen;
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void theRulesHoldAndTheSameEventsGiveTheSameActions(long seed) {
-        List<Hand.Act> first = play(seed);
+        List<BalancerHarness.Act> first = play(seed);
         long sent = first.stream().filter(a -> a.what().equals("send")).count();
         assertTrue(sent > 100, "too little was sent: " + sent);
         requests.clear();
@@ -66,7 +66,7 @@
         assertEquals(first, play(seed));
     }
 
-    private List<Hand.Act> play(long seed) {
+    private List<BalancerHarness.Act> play(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<RequestClass> classes = new ArrayList<>();
         for (Semantics semantics : Semantics.values()) {
@@ -91,8 +91,8 @@
                 random.nextBoolean(),
                 random.nextBoolean() ? SECOND : 0);
         int zones = 1 + random.nextInt(5);
-        hand = new Hand(
-                Hand.settings(
+        hand = new BalancerHarness(
+                BalancerHarness.settings(
                         classes,
                         permits,
                         zones,
@@ -104,11 +104,11 @@
         for (int step = 0; step < 4000; step++) {
             step(random, classes, zones);
             check();
-            hand.pass(Hand.TICK);
+            hand.pass(BalancerHarness.TICK);
             check();
         }
         for (long end = hand.now + 7 * SECOND; hand.now < end; ) {
-            hand.pass(Hand.TICK);
+            hand.pass(BalancerHarness.TICK);
             check();
         }
         for (Map.Entry<Long, Known> e : requests.entrySet()) {
@@ -193,7 +193,7 @@
     /** Looks at the actions not seen yet. */
     private void check() {
         for (; seen < hand.acts.size(); seen++) {
-            Hand.Act act = hand.acts.get(seen);
+            BalancerHarness.Act act = hand.acts.get(seen);
             Known known = requests.get(act.id());
             switch (act.what()) {
                 case "send" -> checkSend(act, known);
@@ -216,7 +216,7 @@
         }
     }
 
-    private void checkSend(Hand.Act act, Known known) {
+    private void checkSend(BalancerHarness.Act act, Known known) {
         assertEquals(0, known.answers, "nothing is sent after the answer");
         assertFalse(known.left || known.outcomes.contains(Outcome.OK), "nothing is sent after the end");
         assertEquals(Phase.READY, listed.get(act.server()).phase());
--- a/src/test/java/gatefront/policy/SettingsChangeTest.java
+++ b/src/test/java/gatefront/policy/SettingsChangeTest.java
@@ -17,14 +17,16 @@
     private static Settings settings(int attempts, Semantics... classes) {
         List<Balancer.RequestClass> types = new ArrayList<>();
         for (Semantics each : classes) {
-            types.add(Hand.type(each, Scope.ALL));
+            types.add(BalancerHarness.type(each, Scope.ALL));
         }
-        return Hand.settings(types, new Permits(attempts, false, true, true, false, Hand.SECOND), 2, 2);
+        return BalancerHarness.settings(
+                types, new Permits(attempts, false, true, true, false, BalancerHarness.SECOND), 2, 2);
     }
 
     /** One request comes before a change and one after it, both fail: how many attempts each has had then. */
     private static List<Integer> attempts(Settings before, Settings after) {
-        Hand hand = new Hand(before).full(Hand.server(1, 0), Hand.server(2, 0));
+        BalancerHarness hand =
+                new BalancerHarness(before).full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
         long first = hand.request();
         hand.balancer.settings(hand.now, after);
         long second = hand.request();
@@ -53,7 +55,8 @@
 
     @Test
     void aNewClassIsServedByServersKnownBefore() {
-        Hand hand = new Hand(settings(4, Semantics.SAFE)).full(Hand.server(1, 0), Hand.server(2, 0));
+        BalancerHarness hand = new BalancerHarness(settings(4, Semantics.SAFE))
+                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
         hand.balancer.settings(hand.now, settings(4, Semantics.SAFE, Semantics.UNSAFE));
         long id = hand.request(1, 0);
         hand.end(id, 0, Outcome.OK, 10_000);
@@ -62,8 +65,9 @@
 
     @Test
     void aBanOnTheLastServerOfAZoneSendsWhatComesToTheOthersAtOnce() {
-        Hand hand = new Hand(settings(4, Semantics.UNSAFE)).full(Hand.server(1, 0), Hand.server(2, 1));
-        hand.list(Balancer.ListKind.DELTA, Hand.server(1, 0, Balancer.Phase.DRAINING, 0));
+        BalancerHarness hand = new BalancerHarness(settings(4, Semantics.UNSAFE))
+                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 1));
+        hand.list(Balancer.ListKind.DELTA, BalancerHarness.server(1, 0, Balancer.Phase.DRAINING, 0));
         for (int i = 0; i < 3; i++) {
             assertEquals(2, hand.target(hand.request()));
         }
@@ -72,28 +76,30 @@
     /** Where every listed server drains, or is out by hand, waiting brings nothing; where none is listed yet it may. */
     @Test
     void whileEveryServerDrainsWhatComesIsRefusedAtOnce() {
-        Hand hand = new Hand(settings(4, Semantics.UNSAFE));
+        BalancerHarness hand = new BalancerHarness(settings(4, Semantics.UNSAFE));
         long first = hand.request();
         assertEquals(
                 0,
                 hand.acts.stream().filter(each -> each.what().equals("refuse")).count());
-        hand.full(Hand.server(1, 0), Hand.server(2, 1));
+        hand.full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 1));
         assertEquals(1, hand.sends(first).size(), "what came before the list has waited for it");
-        hand.full(Hand.server(1, 0, Balancer.Phase.DRAINING, 0), Hand.server(2, 1, Balancer.Phase.DRAINING, 0));
+        hand.full(
+                BalancerHarness.server(1, 0, Balancer.Phase.DRAINING, 0),
+                BalancerHarness.server(2, 1, Balancer.Phase.DRAINING, 0));
         long id = hand.request();
         assertEquals(
                 1,
                 hand.acts.stream()
                         .filter(each -> each.what().equals("refuse") && each.id() == id)
                         .count());
-        hand.full(Hand.server(1, 0), Hand.server(2, 1));
+        hand.full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 1));
         assertEquals(1, hand.sends(hand.request()).size());
     }
 
     @Test
     void theCheckedModuleHoldsItsHostToTheNumbersOfClasses() {
         Balancer checked = new CheckedBalancer(
-                settings(4, Semantics.SAFE, Semantics.SAFE), 1, 0, new Hand(settings(4, Semantics.SAFE)));
+                settings(4, Semantics.SAFE, Semantics.SAFE), 1, 0, new BalancerHarness(settings(4, Semantics.SAFE)));
         assertThrows(IllegalArgumentException.class, () -> checked.settings(1, settings(4, Semantics.SAFE)));
         checked.settings(1, settings(4, Semantics.SAFE, Semantics.KEYED, Semantics.SAFE));
         checked.request(1, new Balancer.Request(1, 2, 0, 0, 0, 1_000_000, false, false));
--- a/src/test/java/gatefront/policy/SettingsTest.java
+++ b/src/test/java/gatefront/policy/SettingsTest.java
@@ -19,7 +19,7 @@
 
 /** Settings at the ends of their ranges: sane behaviour and kept rules. */
 class SettingsTest {
-    private static final long SECOND = Hand.SECOND;
+    private static final long SECOND = BalancerHarness.SECOND;
     private static final Permits ALL = new Permits(4, false, true, true, false, SECOND);
 
     private static Settings with(Settings s, Prices prices, List<Tenant> tenants) {
@@ -43,23 +43,23 @@
                 s.loadFields());
     }
 
-    private static Hand hand(RequestClass type, Permits permits, int zones) {
-        return new Hand(Hand.settings(List.of(type), permits, zones, 2));
+    private static BalancerHarness hand(RequestClass type, Permits permits, int zones) {
+        return new BalancerHarness(BalancerHarness.settings(List.of(type), permits, zones, 2));
     }
 
     @Test
     void anEmptyListForAWhileHoldsRequestsAndServesThemOnceServersCome() {
-        Hand hand = new Hand(Hand.safe()).full();
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe()).full();
         long id = hand.request();
         hand.pass(SECOND / 10);
         assertEquals(0, hand.sends(id).size());
-        hand.full(Hand.server(1, 0));
+        hand.full(BalancerHarness.server(1, 0));
         assertEquals(1, hand.sends(id).size());
     }
 
     @Test
     void withoutAnyServerEachRequestIsRefusedOnceAndInTime() {
-        Hand hand = new Hand(Hand.safe()).full();
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe()).full();
         long id = hand.request();
         hand.pass(2 * SECOND);
         assertEquals(1, hand.of("refuse", id).size());
@@ -68,7 +68,7 @@
 
     @Test
     void aSingleServerIsUsedThoughItsProbesFail() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe()).full(BalancerHarness.server(1, 0));
         for (int i = 0; i < 3; i++) {
             hand.balancer.probed(hand.now, 1, Outcome.CONNECT_FAILED, 1000, new double[0]);
         }
@@ -78,8 +78,8 @@
 
     @Test
     void zeroPricesCrossZonesAsSoonAsTheOwnOneIsFull() {
-        Hand hand = new Hand(with(Hand.safe(), new Prices(0, 0, 0, 0, 0), List.of()))
-                .full(Hand.server(1, 0), Hand.server(2, 1));
+        BalancerHarness hand = new BalancerHarness(with(BalancerHarness.safe(), new Prices(0, 0, 0, 0, 0), List.of()))
+                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 1));
         List<Long> targets = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             targets.add(hand.target(hand.request()));
@@ -90,8 +90,8 @@
 
     @Test
     void aPriceOverOneNeverCrossesWhileTheOwnZoneIsAvailable() {
-        Hand hand = new Hand(with(Hand.safe(), new Prices(3, 0, 0, 0, 0), List.of()))
-                .full(Hand.server(1, 0), Hand.server(2, 1));
+        BalancerHarness hand = new BalancerHarness(with(BalancerHarness.safe(), new Prices(3, 0, 0, 0, 0), List.of()))
+                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 1));
         for (int i = 0; i < 20; i++) {
             hand.request();
         }
@@ -101,10 +101,10 @@
 
     @Test
     void withFiveZonesTheOwnOneIsTakenFirstAndAnyOtherWhenItIsGone() {
-        Hand hand = hand(Hand.type(Semantics.SAFE, Scope.ALL), ALL, 5);
+        BalancerHarness hand = hand(BalancerHarness.type(Semantics.SAFE, Scope.ALL), ALL, 5);
         List<Server> servers = new ArrayList<>();
         for (int zone = 0; zone < 5; zone++) {
-            servers.add(Hand.server(10 + zone, zone));
+            servers.add(BalancerHarness.server(10 + zone, zone));
         }
         hand.full(servers.toArray(Server[]::new));
         assertEquals(10, hand.target(hand.request()));
@@ -114,8 +114,9 @@
 
     @Test
     void withoutCancelARequestOutOfTimeIsAnsweredOnceAndItsAttemptLeftAlone() {
-        Hand hand = hand(Hand.type(Semantics.SAFE, Scope.ALL), new Permits(1, false, false, false, false, 0), 1);
-        hand.full(Hand.server(1, 0));
+        BalancerHarness hand =
+                hand(BalancerHarness.type(Semantics.SAFE, Scope.ALL), new Permits(1, false, false, false, false, 0), 1);
+        hand.full(BalancerHarness.server(1, 0));
         long id = hand.request();
         hand.pass(5 * SECOND);
         assertEquals(1, hand.of("refuse", id).size() + hand.of("fail", id).size());
@@ -127,8 +128,9 @@
 
     @Test
     void oneAttemptPermittedIsOneAttemptMade() {
-        Hand hand = hand(Hand.type(Semantics.SAFE, Scope.ALL), new Permits(1, false, true, true, false, 0), 1);
-        hand.full(Hand.server(1, 0), Hand.server(2, 0));
+        BalancerHarness hand =
+                hand(BalancerHarness.type(Semantics.SAFE, Scope.ALL), new Permits(1, false, true, true, false, 0), 1);
+        hand.full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
         long id = hand.request();
         hand.end(id, 0, Outcome.CONNECT_FAILED, 1000);
         assertEquals(1, hand.sends(id).size());
@@ -138,8 +140,8 @@
     @Test
     void aStreamedAnswerThatHasBegunIsLeftToEndAndIsNotAnsweredAgain() {
         RequestClass streamed = new RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, true);
-        Hand hand = hand(streamed, ALL, 1);
-        hand.full(Hand.server(1, 0), Hand.server(2, 0));
+        BalancerHarness hand = hand(streamed, ALL, 1);
+        hand.full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
         long id = hand.request();
         assertEquals(0, hand.sends(id).get(0).value(), "no time-out");
         hand.balancer.streamStarted(hand.now, id, 0, hand.target(id), 1000);
@@ -156,8 +158,8 @@
     @Test
     void aStreamThatNeverBeginsIsEndedInTime() {
         RequestClass streamed = new RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, true);
-        Hand hand = hand(streamed, ALL, 1);
-        hand.full(Hand.server(1, 0));
+        BalancerHarness hand = hand(streamed, ALL, 1);
+        hand.full(BalancerHarness.server(1, 0));
         long id = hand.request();
         hand.pass(4 * SECOND);
         assertEquals(1, hand.of("refuse", id).size() + hand.of("fail", id).size());
@@ -166,7 +168,7 @@
 
     @Test
     void aRequestKeyedByCellThatMayHaveRunStaysInItsCell() {
-        Hand hand = hand(Hand.type(Semantics.KEYED, Scope.CELL), ALL, 1);
+        BalancerHarness hand = hand(BalancerHarness.type(Semantics.KEYED, Scope.CELL), ALL, 1);
         hand.full(
                 new Server(1, 0, 5, 0, Balancer.Phase.READY, 1, 0),
                 new Server(2, 0, 6, 0, Balancer.Phase.READY, 1, 0),
@@ -175,10 +177,10 @@
         for (int i = 0; i < 12; i++) {
             long id = hand.request(0, 9);
             long first = hand.target(id);
-            hand.pass(Hand.TICK);
-            hand.end(id, 0, Outcome.RESET, Hand.TICK);
+            hand.pass(BalancerHarness.TICK);
+            hand.end(id, 0, Outcome.RESET, BalancerHarness.TICK);
             hand.pass(SECOND);
-            for (Hand.Act send : hand.sends(id)) {
+            for (BalancerHarness.Act send : hand.sends(id)) {
                 assertEquals(first == 1, send.server() == 1);
             }
             if (hand.sends(id).size() > 1) {
@@ -197,7 +199,9 @@
             tenants.add(new Tenant(1, 0.02));
         }
         for (List<Tenant> some : List.of(tenants, List.<Tenant>of())) {
-            Hand hand = new Hand(with(Hand.safe(), Hand.safe().prices(), some)).full(Hand.server(1, 0));
+            BalancerHarness hand = new BalancerHarness(
+                            with(BalancerHarness.safe(), BalancerHarness.safe().prices(), some))
+                    .full(BalancerHarness.server(1, 0));
             hand.balancer.request(
                     hand.now, new Request(900, 0, Math.max(0, some.size() - 1), 0, 0, hand.now + SECOND, false, false));
             assertEquals(1, hand.sends(900).size());
--- a/src/test/java/gatefront/recovery/RecoveryTest.java
+++ b/src/test/java/gatefront/recovery/RecoveryTest.java
@@ -15,30 +15,38 @@
 class RecoveryTest {
     private static final long SECOND = 1_000_000;
     private static final long NOW = 1_000_000 * SECOND;
-    private static final Beliefs.Bounds BOUNDS = new Beliefs.Bounds(30 * SECOND, 600 * SECOND, 5 * SECOND);
+    private static final StateValidator.Bounds BOUNDS =
+            new StateValidator.Bounds(30 * SECOND, 600 * SECOND, 5 * SECOND);
 
-    private static Verdict judged(Piece piece, Source source, String instance, long age, boolean damaged) {
-        return Beliefs.judge(new Claim(piece, source, instance, NOW - age * SECOND, damaged), "a", NOW, BOUNDS)
+    private static TrustLevel judged(StateKind piece, StateSource source, String instance, long age, boolean damaged) {
+        return StateValidator.judge(
+                        new RestoredState(piece, source, instance, NOW - age * SECOND, damaged), "a", NOW, BOUNDS)
                 .verdict();
     }
 
     @Test
     void callsByHandNeverLapseAndAListIsOnlyAGuess() {
-        assertEquals(Verdict.BELIEVED, judged(Piece.BANS, Source.STORE, "a", 29, false));
-        assertEquals(Verdict.DOUBTED, judged(Piece.BANS, Source.STORE, "a", 31, false), "put back, or long dead");
-        assertEquals(Verdict.DOUBTED, judged(Piece.BANS, Source.STORE, "a", 1_000_000, false), "at any age");
-        assertEquals(Verdict.BELIEVED, judged(Piece.BANS, Source.STORE, "a", -4, false));
-        assertEquals(Verdict.DOUBTED, judged(Piece.BANS, Source.STORE, "a", -86_400, false), "from the future");
-        assertEquals(Verdict.DOUBTED, judged(Piece.BANS, Source.STORE, "a", 1, true), "damaged");
-        assertEquals(Verdict.DROPPED, judged(Piece.BANS, Source.STORE, "b", 1, false), "another's");
-        assertEquals(Verdict.DROPPED, judged(Piece.BANS, Source.STORE, "b", 1, true), "another's and damaged");
-        assertEquals(Verdict.BELIEVED, judged(Piece.BANS, Source.NEIGHBOUR, null, 1_000, false));
-        assertEquals(Verdict.DOUBTED, judged(Piece.LIST, Source.STORE, "a", 599, false));
-        assertEquals(Verdict.DROPPED, judged(Piece.LIST, Source.STORE, "a", 601, false));
-        assertEquals(Verdict.DROPPED, judged(Piece.LIST, Source.STORE, "a", -6, false));
-        assertEquals(Verdict.DROPPED, judged(Piece.LIST, Source.STORE, "b", 1, false));
-        assertEquals(Verdict.DROPPED, judged(Piece.LIST, Source.STORE, "a", 1, true));
-        assertEquals(Verdict.DOUBTED, judged(Piece.LIST, Source.CONFIGURATION, null, 0, false));
+        assertEquals(TrustLevel.BELIEVED, judged(StateKind.BANS, StateSource.STORE, "a", 29, false));
+        assertEquals(
+                TrustLevel.DOUBTED,
+                judged(StateKind.BANS, StateSource.STORE, "a", 31, false),
+                "put back, or long dead");
+        assertEquals(
+                TrustLevel.DOUBTED, judged(StateKind.BANS, StateSource.STORE, "a", 1_000_000, false), "at any age");
+        assertEquals(TrustLevel.BELIEVED, judged(StateKind.BANS, StateSource.STORE, "a", -4, false));
+        assertEquals(
+                TrustLevel.DOUBTED, judged(StateKind.BANS, StateSource.STORE, "a", -86_400, false), "from the future");
+        assertEquals(TrustLevel.DOUBTED, judged(StateKind.BANS, StateSource.STORE, "a", 1, true), "damaged");
+        assertEquals(TrustLevel.DROPPED, judged(StateKind.BANS, StateSource.STORE, "b", 1, false), "another's");
+        assertEquals(
+                TrustLevel.DROPPED, judged(StateKind.BANS, StateSource.STORE, "b", 1, true), "another's and damaged");
+        assertEquals(TrustLevel.BELIEVED, judged(StateKind.BANS, StateSource.NEIGHBOUR, null, 1_000, false));
+        assertEquals(TrustLevel.DOUBTED, judged(StateKind.LIST, StateSource.STORE, "a", 599, false));
+        assertEquals(TrustLevel.DROPPED, judged(StateKind.LIST, StateSource.STORE, "a", 601, false));
+        assertEquals(TrustLevel.DROPPED, judged(StateKind.LIST, StateSource.STORE, "a", -6, false));
+        assertEquals(TrustLevel.DROPPED, judged(StateKind.LIST, StateSource.STORE, "b", 1, false));
+        assertEquals(TrustLevel.DROPPED, judged(StateKind.LIST, StateSource.STORE, "a", 1, true));
+        assertEquals(TrustLevel.DOUBTED, judged(StateKind.LIST, StateSource.CONFIGURATION, null, 0, false));
     }
 
     @Test
@@ -47,7 +55,7 @@
         recovery.store(Store.MISSING, "there is no folder", NOW);
         assertTrue(recovery.lost());
         assertTrue(recovery.lines().get(0).contains("no store: a first start, or it is lost"));
-        recovery.claim(new Claim(Piece.LIST, Source.CONFIGURATION, null, -1, false), NOW);
+        recovery.claim(new RestoredState(StateKind.LIST, StateSource.CONFIGURATION, null, -1, false), NOW);
         assertEquals(Stage.KEPT, recovery.stage());
         recovery.listed(NOW + 1);
         assertEquals(Stage.LISTED, recovery.stage());
@@ -62,7 +70,7 @@
     void aWholeStoreAndAListMakeItWhole() {
         Recovery recovery = new Recovery("a", BOUNDS, NOW);
         recovery.store(Store.WHOLE, "life 2", NOW);
-        recovery.claim(new Claim(Piece.BANS, Source.STORE, "a", NOW - SECOND, false), NOW);
+        recovery.claim(new RestoredState(StateKind.BANS, StateSource.STORE, "a", NOW - SECOND, false), NOW);
         recovery.serves(NOW);
         assertEquals(Stage.KEPT, recovery.stage(), "nobody has confirmed what was kept");
         recovery.listed(NOW + 1);
@@ -91,18 +99,18 @@
                         lost |= state != Store.WHOLE && state != Store.IN_USE;
                     }
                     case 1 -> {
-                        Claim claim = new Claim(
-                                Piece.values()[random.nextInt(2)],
-                                Source.values()[random.nextInt(3)],
+                        RestoredState claim = new RestoredState(
+                                StateKind.values()[random.nextInt(2)],
+                                StateSource.values()[random.nextInt(3)],
                                 List.of("a", "b").get(random.nextInt(2)),
                                 now + random.nextLong(-2_000 * SECOND, 100 * SECOND),
                                 random.nextInt(5) == 0);
-                        Verdict verdict = recovery.claim(claim, now).verdict();
-                        lost |= claim.piece() == Piece.BANS && verdict != Verdict.BELIEVED;
-                        assertTrue(claim.instance().equals("a") || verdict == Verdict.DROPPED);
+                        TrustLevel verdict = recovery.claim(claim, now).verdict();
+                        lost |= claim.piece() == StateKind.BANS && verdict != TrustLevel.BELIEVED;
+                        assertTrue(claim.instance().equals("a") || verdict == TrustLevel.DROPPED);
                         assertTrue(claim.upTo() <= now + BOUNDS.ahead()
-                                || verdict != Verdict.BELIEVED
-                                || claim.source() == Source.NEIGHBOUR);
+                                || verdict != TrustLevel.BELIEVED
+                                || claim.source() == StateSource.NEIGHBOUR);
                     }
                     case 2 -> {
                         recovery.listed(now);
@@ -132,7 +140,7 @@
 
     @Test
     void aStandstillIsDoubtedUntilItHasHeardOrWaitedLongEnough() {
-        Waking waking = new Waking(400, 300);
+        StallDetector waking = new StallDetector(400, 300);
         assertFalse(waking.seen(0));
         assertFalse(waking.seen(400));
         assertTrue(waking.seen(801));
@@ -151,7 +159,7 @@
     void wakingIsThePlainRule() {
         for (int seed = 0; seed < 10_000; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Waking waking = new Waking(400, 300);
+            StallDetector waking = new StallDetector(400, 300);
             long now = 0;
             long woke = -1;
             waking.seen(0);
--- a/src/test/java/gatefront/registry/ConsulCallsTest.java
+++ b/src/test/java/gatefront/registry/ConsulConnectorTest.java
@@ -3,15 +3,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.rehearsal.net.Host;
-import gatefront.rehearsal.registry.ConsulStand;
-import gatefront.rehearsal.registry.RegistryStand;
+import gatefront.rehearsal.net.VirtualHost;
+import gatefront.rehearsal.registry.ConsulStandIn;
+import gatefront.rehearsal.registry.RegistryStandIn;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The contract for Consul, and what only Consul has. */
-class ConsulCallsTest extends RegistryContract {
+class ConsulConnectorTest extends RegistryContract {
     private String token;
     private String service;
 
@@ -21,8 +21,8 @@
     }
 
     @Override
-    RegistryStand member(Host host) {
-        return new ConsulStand(host, () -> store);
+    RegistryStandIn member(VirtualHost host) {
+        return new ConsulStandIn(host, () -> store);
     }
 
     @Override
@@ -49,7 +49,7 @@
         follow();
         same();
         members.forEach(each -> each.secret("another"));
-        members.forEach(RegistryStand::cut);
+        members.forEach(RegistryStandIn::cut);
         put("nodos/a", "2");
         run(3 * SECOND);
         assertEquals("1", known("nodos/a"));
@@ -84,18 +84,18 @@
     void aMemberThatHasLostItsLeaderIsNotBelieved() throws Exception {
         put("nodos/a", "1");
         follow();
-        for (RegistryStand each : members) {
-            ((ConsulStand) each).cutOff(false, 0);
+        for (RegistryStandIn each : members) {
+            ((ConsulStandIn) each).cutOff(false, 0);
         }
         put("nodos/a", "2");
         run(3 * SECOND);
         assertEquals("1", known("nodos/a"));
-        for (RegistryStand each : members) {
-            ((ConsulStand) each).cutOff(true, 16_000); // longer than a state may be unconfirmed
+        for (RegistryStandIn each : members) {
+            ((ConsulStandIn) each).cutOff(true, 16_000); // longer than a state may be unconfirmed
         }
         run(3 * SECOND);
         assertEquals("1", known("nodos/a"));
-        ((ConsulStand) members.get(1)).cutOff(true, 20);
+        ((ConsulStandIn) members.get(1)).cutOff(true, 20);
         run(5 * SECOND);
         same();
         assertTrue(lines.stream().anyMatch(each -> each.contains("it knows no leader")), lines.toString());
@@ -129,9 +129,9 @@
     void quietAgentsAskSeldom() throws Exception {
         put("nodos/a", "1");
         follow();
-        int before = members.stream().mapToInt(RegistryStand::calls).sum();
+        int before = members.stream().mapToInt(RegistryStandIn::calls).sum();
         run(60 * SECOND);
-        int calls = members.stream().mapToInt(RegistryStand::calls).sum() - before;
+        int calls = members.stream().mapToInt(RegistryStandIn::calls).sum() - before;
         assertTrue(calls >= 15 && calls <= 21, "calls in 60 s, each waits 3 s: " + calls);
     }
 }
--- a/src/test/java/gatefront/registry/EtcdCallsTest.java
+++ b/src/test/java/gatefront/registry/EtcdConnectorTest.java
@@ -3,15 +3,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.rehearsal.net.Host;
-import gatefront.rehearsal.registry.EtcdStand;
-import gatefront.rehearsal.registry.RegistryStand;
+import gatefront.rehearsal.net.VirtualHost;
+import gatefront.rehearsal.registry.EtcdStandIn;
+import gatefront.rehearsal.registry.RegistryStandIn;
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
 /** The contract for etcd, and what only etcd has. */
-class EtcdCallsTest extends RegistryContract {
+class EtcdConnectorTest extends RegistryContract {
     private String password;
 
     @Override
@@ -20,8 +20,8 @@
     }
 
     @Override
-    RegistryStand member(Host host) {
-        return new EtcdStand(host, () -> store);
+    RegistryStandIn member(VirtualHost host) {
+        return new EtcdStandIn(host, () -> store);
     }
 
     @Override
@@ -43,13 +43,13 @@
     /** From now on members want this password, and give a token for it. */
     private void letIn(String wanted) {
         members.forEach(each -> {
-            ((EtcdStand) each).password(wanted);
+            ((EtcdStandIn) each).password(wanted);
             each.secret("token-1");
         });
     }
 
-    private EtcdStand etcd(int i) {
-        return (EtcdStand) members.get(i);
+    private EtcdStandIn etcd(int i) {
+        return (EtcdStandIn) members.get(i);
     }
 
     private void keys(int n, String value) {
@@ -65,7 +65,7 @@
     void aReadInPagesIsOfOneRevisionThoughKeysChangeMeanwhile() throws Exception {
         keys(3_500, "before");
         int[] times = new int[1];
-        members.forEach(each -> ((EtcdStand) each).betweenPages(() -> {
+        members.forEach(each -> ((EtcdStandIn) each).betweenPages(() -> {
             times[0]++;
             store.put(PREFIX + "nodos/" + (3_000 + times[0]), "meanwhile");
         }));
@@ -80,7 +80,7 @@
     void aReadWhoseRevisionIsCompactedBeginsAgain() throws Exception {
         keys(2_500, "before");
         int[] times = new int[1];
-        members.forEach(each -> ((EtcdStand) each).betweenPages(() -> {
+        members.forEach(each -> ((EtcdStandIn) each).betweenPages(() -> {
             if (++times[0] < 3) {
                 store.put(PREFIX + "nodos/1", "meanwhile " + times[0]);
                 store.compact(store.revision());
@@ -93,7 +93,7 @@
 
     @Test
     void changesInFragmentsAndToldTwiceAreAppliedOnce() throws Exception {
-        members.forEach(each -> ((EtcdStand) each).fragment(3).repeats(true));
+        members.forEach(each -> ((EtcdStandIn) each).fragment(3).repeats(true));
         follow();
         for (int i = 0; i < 10; i++) {
             keys(10, "round " + i);
@@ -113,7 +113,7 @@
         follow();
         same();
         members.forEach(each -> each.secret("token-2"));
-        members.forEach(RegistryStand::cut);
+        members.forEach(RegistryStandIn::cut);
         run(100 * MS); // else the old watch would still tell it
         put("nodos/a", "2");
         run(3 * SECOND);
@@ -143,6 +143,6 @@
         run(60 * SECOND);
         assertEquals(store.revision(), client.follower().revision());
         assertTrue(client.follower().age(time.nanoTime() / 1000) < 3_000_000);
-        assertEquals(1, members.stream().mapToInt(RegistryStand::watches).sum(), "one watch for all of it: " + lines);
+        assertEquals(1, members.stream().mapToInt(RegistryStandIn::watches).sum(), "one watch for all of it: " + lines);
     }
 }
--- a/src/test/java/gatefront/registry/GrpcPeerTest.java
+++ b/src/test/java/gatefront/registry/GrpcPeerTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.registry.follower.Bounds;
-import gatefront.registry.follower.Change;
+import gatefront.registry.follower.FollowerLimits;
+import gatefront.registry.follower.KeyChange;
 import gatefront.transport.SocketTransport;
 import io.grpc.MethodDescriptor;
 import io.grpc.Server;
@@ -135,17 +135,17 @@
                 .build()
                 .start();
         SocketTransport sockets = new SocketTransport();
-        BlockingQueue<Change> told = new LinkedBlockingQueue<>();
+        BlockingQueue<KeyChange> told = new LinkedBlockingQueue<>();
         RegistrySettings settings = RegistrySettings.of(
                 RegistrySettings.Kind.ETCD,
                 List.of(new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getPort())),
                 "oaxaca/",
-                new Bounds(50_000, 1_000_000, 0, 60_000_000, 120_000_000, 300_000_000, 0, 1_000));
+                new FollowerLimits(50_000, 1_000_000, 0, 60_000_000, 120_000_000, 300_000_000, 0, 1_000));
         RegistryClient client = new RegistryClient(sockets, settings, 1, (full, changes, all) -> told.addAll(changes));
         try {
             sockets.loop().execute(client::start);
             for (int i = 0; i < 10; i++) {
-                assertEquals(new Change("oaxaca/nodos/" + i, large, 4, 4), told.poll(GENEROUS_S, TimeUnit.SECONDS));
+                assertEquals(new KeyChange("oaxaca/nodos/" + i, large, 4, 4), told.poll(GENEROUS_S, TimeUnit.SECONDS));
             }
             StreamObserver<byte[]> first = begun.poll(GENEROUS_S, TimeUnit.SECONDS);
             send(
@@ -160,8 +160,8 @@
                             event.writeByteArray(2, kv("oaxaca/nodos/1", "", 6));
                         }));
                     }));
-            assertEquals(new Change("oaxaca/nodos/0", "new", 6, 6), told.poll(GENEROUS_S, TimeUnit.SECONDS));
-            assertEquals(Change.deleted("oaxaca/nodos/1", 6), told.poll(GENEROUS_S, TimeUnit.SECONDS));
+            assertEquals(new KeyChange("oaxaca/nodos/0", "new", 6, 6), told.poll(GENEROUS_S, TimeUnit.SECONDS));
+            assertEquals(KeyChange.deleted("oaxaca/nodos/1", 6), told.poll(GENEROUS_S, TimeUnit.SECONDS));
             // The stream ends with a status: the next watch begins behind what was told.
             first.onError(
                     io.grpc.Status.UNAVAILABLE.withDescription("leader changed").asRuntimeException());
@@ -175,7 +175,7 @@
                                 11,
                                 Protobuf.message(event -> event.writeByteArray(2, kv("oaxaca/nodos/1", "back", 7))));
                     }));
-            assertEquals(new Change("oaxaca/nodos/1", "back", 7, 7), told.poll(GENEROUS_S, TimeUnit.SECONDS));
+            assertEquals(new KeyChange("oaxaca/nodos/1", "back", 7, 7), told.poll(GENEROUS_S, TimeUnit.SECONDS));
             byte[] resumed = EtcdMessages.watch(EtcdMessages.bytes("oaxaca/"), EtcdMessages.behind("oaxaca/"), 7);
             assertTrue(asked.stream().anyMatch(each -> Arrays.equals(resumed, each)), "resumed from revision 7");
         } finally {
--- a/src/test/java/gatefront/registry/RegistryContract.java
+++ b/src/test/java/gatefront/registry/RegistryContract.java
@@ -4,15 +4,15 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.registry.follower.Bounds;
-import gatefront.registry.follower.Change;
-import gatefront.registry.follower.Entry;
 import gatefront.registry.follower.Follower;
-import gatefront.rehearsal.net.Host;
+import gatefront.registry.follower.FollowerLimits;
+import gatefront.registry.follower.KeyChange;
+import gatefront.registry.follower.KeyEntry;
 import gatefront.rehearsal.net.Network;
+import gatefront.rehearsal.net.VirtualHost;
 import gatefront.rehearsal.net.VirtualTime;
-import gatefront.rehearsal.registry.RegistryStand;
-import gatefront.rehearsal.world.KeyValues;
+import gatefront.rehearsal.registry.RegistryStandIn;
+import gatefront.rehearsal.world.KeyValueStore;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -36,7 +36,7 @@
     static final long MS = 1_000_000;
     static final long SECOND = 1_000 * MS;
     static final String PREFIX = "oaxaca/";
-    private static final String END = KeyValues.behind(PREFIX);
+    private static final String END = KeyValueStore.behind(PREFIX);
     private static final int MEMBERS = 3;
     private static final int PORT = 2379;
     /** Told so long after the connection can be had again: the longest wait, a dial and two round trips. */
@@ -44,22 +44,22 @@
 
     final VirtualTime time = new VirtualTime();
     final Network network = new Network(time, 0, (from, to, bytes) -> 5 * MS);
-    KeyValues store = new KeyValues(7);
-    final List<RegistryStand> members = new ArrayList<>();
-    private final List<Host> hosts = new ArrayList<>();
+    KeyValueStore store = new KeyValueStore(7);
+    final List<RegistryStandIn> members = new ArrayList<>();
+    private final List<VirtualHost> hosts = new ArrayList<>();
     final List<String> lines = new ArrayList<>();
-    final List<Change> told = new ArrayList<>();
+    final List<KeyChange> told = new ArrayList<>();
     private final List<Boolean> stale = new ArrayList<>();
     private int fulls;
     RegistryClient client;
 
     abstract RegistrySettings.Kind kind();
 
-    abstract RegistryStand member(Host host);
+    abstract RegistryStandIn member(VirtualHost host);
 
-    Bounds bounds() {
+    FollowerLimits bounds() {
         boolean etcd = kind() == RegistrySettings.Kind.ETCD;
-        return new Bounds(
+        return new FollowerLimits(
                 50_000, 1_000_000, etcd ? 0 : 60_000, etcd ? 2_000_000 : 0, 6_000_000, 15_000_000, 600_000_000, 20_000);
     }
 
@@ -71,7 +71,7 @@
         return hosts.stream().limit(MEMBERS).map(each -> each.at(PORT)).toList();
     }
 
-    final Host host(String name, int net, int last) throws Exception {
+    final VirtualHost host(String name, int net, int last) throws Exception {
         return network.host(
                 name, InetAddress.getByAddress(new byte[] {127, 0, (byte) net, (byte) last}), 0, 1 << 26, lines::add);
     }
@@ -91,14 +91,14 @@
     }
 
     final RegistryClient follow(int agent, RegistryClient.Listener listener) throws Exception {
-        Host host = host("agent-" + agent, 8 + agent / 200, 1 + agent % 200);
+        VirtualHost host = host("agent-" + agent, 8 + agent / 200, 1 + agent % 200);
         return new RegistryClient(host, settings(), 1_000 + agent, listener);
     }
 
     final void follow() throws Exception {
         client = follow(0, new RegistryClient.Listener() {
             @Override
-            public void changed(boolean full, List<Change> changes, Map<String, Entry> all) {
+            public void changed(boolean full, List<KeyChange> changes, Map<String, KeyEntry> all) {
                 fulls += full ? 1 : 0;
                 told.addAll(changes);
             }
@@ -123,11 +123,11 @@
     }
 
     final void news() {
-        members.forEach(RegistryStand::news);
+        members.forEach(RegistryStandIn::news);
     }
 
     final String known(String key) {
-        Entry entry = client.follower().entries().get(PREFIX + key);
+        KeyEntry entry = client.follower().entries().get(PREFIX + key);
         return entry == null ? null : entry.value();
     }
 
@@ -135,7 +135,7 @@
     final void same() {
         assertEquals(
                 store.range(PREFIX, END, store.revision()).stream()
-                        .map(each -> new Entry(each.key(), each.value(), each.created(), each.modified()))
+                        .map(each -> new KeyEntry(each.key(), each.value(), each.created(), each.modified()))
                         .toList(),
                 List.copyOf(client.follower().entries().values()));
     }
@@ -143,7 +143,7 @@
     /** Of one key, each value was told once, in the order of their revisions. */
     final void once() {
         Map<String, Long> newest = new HashMap<>();
-        for (Change each : told) {
+        for (KeyChange each : told) {
             Long before = newest.put(each.key(), each.modified());
             assertTrue(before == null || before < each.modified(), each + " was told after revision " + before);
         }
@@ -240,7 +240,7 @@
         put("nodos/a", "2");
         run(300 * MS);
         members.forEach(each -> each.lag(1));
-        members.forEach(RegistryStand::cut);
+        members.forEach(RegistryStandIn::cut);
         run(10 * SECOND);
         assertEquals("2", known("nodos/a"), "it never goes back");
         put("nodos/a", "3");
@@ -253,13 +253,13 @@
     @Test
     void aBackupThatIsRestoredIsReadWhole() throws Exception {
         put("nodos/a", "1");
-        KeyValues backup = store.backup();
+        KeyValueStore backup = store.backup();
         follow();
         put("nodos/a", "2");
         put("nodos/b", "3");
         run(300 * MS);
         store = backup.backup();
-        members.forEach(RegistryStand::cut);
+        members.forEach(RegistryStandIn::cut);
         run(10 * SECOND);
         same();
         assertEquals("1", known("nodos/a"));
@@ -275,7 +275,7 @@
         int connected =
                 (int) members.stream().filter(each -> each.connections() > 0).count();
         assertEquals(1, connected);
-        RegistryStand mute = members.stream()
+        RegistryStandIn mute = members.stream()
                 .filter(each -> each.connections() > 0)
                 .findFirst()
                 .orElseThrow();
@@ -321,7 +321,7 @@
         run(3 * SECOND);
         same();
         once();
-        members.forEach(RegistryStand::cut);
+        members.forEach(RegistryStandIn::cut);
         store.compact(store.revision());
         run(3 * SECOND);
         same();
@@ -423,7 +423,7 @@
     }
 
     private int calls() {
-        return members.stream().mapToInt(RegistryStand::calls).sum();
+        return members.stream().mapToInt(RegistryStandIn::calls).sum();
     }
 
     /** All agents lose the registry together, and it comes back. */
@@ -505,7 +505,7 @@
         follow();
         client.close();
         run(SECOND);
-        assertEquals(0, members.stream().mapToInt(RegistryStand::connections).sum());
+        assertEquals(0, members.stream().mapToInt(RegistryStandIn::connections).sum());
         put("nodos/a", "2");
         run(20 * SECOND);
         assertEquals("1", known("nodos/a"));
--- a/src/test/java/gatefront/registry/RegistryLoopbackTest.java
+++ b/src/test/java/gatefront/registry/RegistryLoopbackTest.java
@@ -3,13 +3,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.registry.follower.Bounds;
-import gatefront.registry.follower.Change;
-import gatefront.registry.follower.Entry;
-import gatefront.rehearsal.registry.ConsulStand;
-import gatefront.rehearsal.registry.EtcdStand;
-import gatefront.rehearsal.registry.RegistryStand;
-import gatefront.rehearsal.world.KeyValues;
+import gatefront.registry.follower.FollowerLimits;
+import gatefront.registry.follower.KeyChange;
+import gatefront.registry.follower.KeyEntry;
+import gatefront.rehearsal.registry.ConsulStandIn;
+import gatefront.rehearsal.registry.EtcdStandIn;
+import gatefront.rehearsal.registry.RegistryStandIn;
+import gatefront.rehearsal.world.KeyValueStore;
 import gatefront.transport.SocketTransport;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -31,27 +31,28 @@
     @EnumSource(RegistrySettings.Kind.class)
     void noChangeIsMissedOrToldTwice(RegistrySettings.Kind kind) throws Exception {
         SocketTransport sockets = new SocketTransport(); // stands and client share one loop, and real sockets
-        KeyValues store = new KeyValues(3);
-        List<RegistryStand> members = new ArrayList<>();
+        KeyValueStore store = new KeyValueStore(3);
+        List<RegistryStandIn> members = new ArrayList<>();
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            RegistryStand member = kind == RegistrySettings.Kind.ETCD
-                    ? new EtcdStand(sockets, () -> store)
-                    : new ConsulStand(sockets, () -> store);
+            RegistryStandIn member = kind == RegistrySettings.Kind.ETCD
+                    ? new EtcdStandIn(sockets, () -> store)
+                    : new ConsulStandIn(sockets, () -> store);
             member.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                     .sync();
             members.add(member);
             addresses.add(member.address());
         }
         boolean etcd = kind == RegistrySettings.Kind.ETCD;
-        List<Change> told = new ArrayList<>();
+        List<KeyChange> told = new ArrayList<>();
         RegistryClient client = new RegistryClient(
                 sockets,
                 RegistrySettings.of(
                         kind,
                         addresses,
                         "a/",
-                        new Bounds(5_000, 50_000, etcd ? 0 : 2_000, etcd ? 100_000 : 0, 500_000, 2_000_000, 0, 1_000)),
+                        new FollowerLimits(
+                                5_000, 50_000, etcd ? 0 : 2_000, etcd ? 100_000 : 0, 500_000, 2_000_000, 0, 1_000)),
                 1,
                 (full, changes, all) -> told.addAll(changes));
         try {
@@ -82,14 +83,14 @@
                                                 20,
                                                 TimeUnit.MILLISECONDS);
                             }
-                            members.forEach(RegistryStand::news);
+                            members.forEach(RegistryStandIn::news);
                         })
                         .sync();
                 Thread.sleep(random.nextInt(8));
             }
             long end = System.nanoTime() + GENEROUS_NANOS;
-            List<Entry> there = store.range("a/", KeyValues.behind("a/"), store.revision()).stream()
-                    .map(each -> new Entry(each.key(), each.value(), each.created(), each.modified()))
+            List<KeyEntry> there = store.range("a/", KeyValueStore.behind("a/"), store.revision()).stream()
+                    .map(each -> new KeyEntry(each.key(), each.value(), each.created(), each.modified()))
                     .toList();
             while (!sockets.loop()
                     .submit(() -> List.copyOf(client.follower().entries().values()))
@@ -99,7 +100,7 @@
                 Thread.sleep(5);
             }
             Map<String, Long> newest = new HashMap<>();
-            for (Change each : sockets.loop().submit(() -> List.copyOf(told)).get()) {
+            for (KeyChange each : sockets.loop().submit(() -> List.copyOf(told)).get()) {
                 Long before = newest.put(each.key(), each.modified());
                 assertTrue(before == null || before < each.modified(), each + " after " + before);
             }
--- a/src/test/java/gatefront/registry/StateFileTest.java
+++ b/src/test/java/gatefront/registry/RegistryStateFileTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.registry.follower.Entry;
+import gatefront.registry.follower.KeyEntry;
 import java.io.IOException;
 import java.io.RandomAccessFile;
 import java.nio.file.Files;
@@ -15,12 +15,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The state on disk: whole, or not used. */
-class StateFileTest {
-    private static final StateFile.Kept KEPT = new StateFile.Kept(
+class RegistryStateFileTest {
+    private static final RegistryStateFile.Kept KEPT = new RegistryStateFile.Kept(
             7,
             42,
             1_796_112_000_000L,
-            List.of(new Entry("oaxaca/nodos/a", "{\"zone\":\"año\"}\n", 3, 40), new Entry("oaxaca/nodos/b", "", 5, 5)));
+            List.of(
+                    new KeyEntry("oaxaca/nodos/a", "{\"zone\":\"año\"}\n", 3, 40),
+                    new KeyEntry("oaxaca/nodos/b", "", 5, 5)));
 
     @TempDir
     private Path folder;
@@ -28,11 +30,11 @@
     @Test
     void whatIsWrittenIsRead() throws IOException {
         Path file = folder.resolve("state");
-        assertNull(StateFile.read(file), "none is no fault");
-        StateFile.write(file, KEPT);
-        assertEquals(KEPT, StateFile.read(file));
-        StateFile.write(file, new StateFile.Kept(7, 43, 0, List.of()));
-        assertEquals(43, StateFile.read(file).revision());
+        assertNull(RegistryStateFile.read(file), "none is no fault");
+        RegistryStateFile.write(file, KEPT);
+        assertEquals(KEPT, RegistryStateFile.read(file));
+        RegistryStateFile.write(file, new RegistryStateFile.Kept(7, 43, 0, List.of()));
+        assertEquals(43, RegistryStateFile.read(file).revision());
         try (var files = Files.list(folder)) {
             assertEquals(1, files.count(), "nothing is left beside it");
         }
@@ -42,17 +44,17 @@
     @Test
     void whatIsNotWholeIsNotUsed() throws IOException {
         Path file = folder.resolve("state");
-        StateFile.write(file, KEPT);
+        RegistryStateFile.write(file, KEPT);
         byte[] good = Files.readAllBytes(file);
         for (int i = 0; i < good.length; i++) {
             byte[] bad = good.clone();
             bad[i] ^= 1;
             Files.write(file, bad);
-            IOException why = assertThrows(IOException.class, () -> StateFile.read(file), "byte " + i);
+            IOException why = assertThrows(IOException.class, () -> RegistryStateFile.read(file), "byte " + i);
             assertTrue(
                     why.getMessage().lines().count() == 1 && why.getMessage().contains("not used"), why.getMessage());
             Files.write(file, java.util.Arrays.copyOf(good, i));
-            assertThrows(IOException.class, () -> StateFile.read(file), "length " + i);
+            assertThrows(IOException.class, () -> RegistryStateFile.read(file), "length " + i);
         }
     }
 
@@ -63,7 +65,7 @@
         try (RandomAccessFile sparse = new RandomAccessFile(file.toFile(), "rw")) {
             sparse.setLength((64L << 20) + 1);
         }
-        IOException why = assertThrows(IOException.class, () -> StateFile.read(file));
+        IOException why = assertThrows(IOException.class, () -> RegistryStateFile.read(file));
         assertTrue(why.getMessage().contains("larger than such a file may be"), why.getMessage());
     }
 
@@ -71,10 +73,10 @@
     @Test
     void aHalfWrittenOneBesideItDoesNoHarm() throws IOException {
         Path file = folder.resolve("state");
-        StateFile.write(file, KEPT);
+        RegistryStateFile.write(file, KEPT);
         Files.writeString(folder.resolve("state.new"), "gatefront-registry-1 7 43");
-        assertEquals(KEPT, StateFile.read(file));
-        StateFile.write(file, KEPT);
-        assertEquals(KEPT, StateFile.read(file));
+        assertEquals(KEPT, RegistryStateFile.read(file));
+        RegistryStateFile.write(file, KEPT);
+        assertEquals(KEPT, RegistryStateFile.read(file));
     }
 }
--- a/src/test/java/gatefront/registry/NodoValuesTest.java
+++ b/src/test/java/gatefront/registry/RegistryViewTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gatefront.config.Config;
-import gatefront.membership.Policy;
+import gatefront.membership.ServerOverride;
 import gatefront.policy.Balancer.Phase;
-import gatefront.registry.follower.Change;
+import gatefront.registry.follower.KeyChange;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -17,19 +17,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What a value says, and what is done with one that cannot be meant. */
-class NodoValuesTest {
+class RegistryViewTest {
     private static final String NODO = "{'v':%d,'address':'127.0.0.1:3000','zone':'a','type':'small','group':0,"
             + "'status':'%s','weight':1.0,'since_ms':0,'colour':'unknown here'}";
 
     private final List<String> lines = new ArrayList<>();
-    private final NodoValues values =
-            new NodoValues(Config.read(Path.of("src/test/resources/config.json")), "p/", lines::add);
+    private final RegistryView values =
+            new RegistryView(Config.read(Path.of("src/test/resources/config.json")), "p/", lines::add);
     private long revision;
 
-    private NodoValues.News put(String key, String value) {
+    private RegistryView.News put(String key, String value) {
         revision++;
         return values.changed(
-                List.of(new Change("p/" + key, value == null ? null : value.replace('\'', '"'), 1, revision)));
+                List.of(new KeyChange("p/" + key, value == null ? null : value.replace('\'', '"'), 1, revision)));
     }
 
     private Phase phase() {
@@ -68,7 +68,7 @@
     void aPolicyThatCannotBeMeantLeavesTheLastGoodOne(String value) {
         assertTrue(put("policies/nodos/s-1", "{'weight_factor':0.5}").policies());
         assertFalse(put("policies/nodos/s-1", value).policies());
-        assertEquals(Map.of("s-1", new Policy(false, 0.5)), values.ofServers());
+        assertEquals(Map.of("s-1", new ServerOverride(false, 0.5)), values.ofServers());
         assertEquals(1, lines.size(), lines.toString());
         assertTrue(put("policies/nodos/s-1", null).policies());
         assertEquals(Map.of(), values.ofServers());
@@ -101,6 +101,6 @@
         assertEquals(Map.of(), values.ofZones());
         assertEquals(Map.of(), values.ofClasses());
         put("policies/salas/b", "{'drain':true}");
-        assertEquals(Map.of(1, new Policy(true, 1)), values.ofZones());
+        assertEquals(Map.of(1, new ServerOverride(true, 1)), values.ofZones());
     }
 }
--- a/src/test/java/gatefront/registry/ResyncFigures.java
+++ b/src/test/java/gatefront/registry/ResyncFigures.java
@@ -1,10 +1,10 @@
 package gatefront.registry;
 
-import gatefront.registry.follower.Bounds;
-import gatefront.rehearsal.registry.ConsulStand;
-import gatefront.rehearsal.registry.EtcdStand;
-import gatefront.rehearsal.registry.RegistryStand;
-import gatefront.rehearsal.world.KeyValues;
+import gatefront.registry.follower.FollowerLimits;
+import gatefront.rehearsal.registry.ConsulStandIn;
+import gatefront.rehearsal.registry.EtcdStandIn;
+import gatefront.rehearsal.registry.RegistryStandIn;
+import gatefront.rehearsal.world.KeyValueStore;
 import gatefront.transport.SocketTransport;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -25,7 +25,7 @@
     void timeToResync(RegistrySettings.Kind kind) throws Exception {
         SocketTransport there = new SocketTransport();
         SocketTransport here = new SocketTransport();
-        KeyValues store = new KeyValues(1);
+        KeyValueStore store = new KeyValueStore(1);
         TreeMap<String, String> all = new TreeMap<>();
         for (int i = 0; i < KEYS; i++) {
             all.put(
@@ -35,7 +35,7 @@
         }
         store.commit(all);
         boolean etcd = kind == RegistrySettings.Kind.ETCD;
-        RegistryStand member = etcd ? new EtcdStand(there, () -> store) : new ConsulStand(there, () -> store);
+        RegistryStandIn member = etcd ? new EtcdStandIn(there, () -> store) : new ConsulStandIn(there, () -> store);
         member.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .sync();
         RegistryClient client = new RegistryClient(
@@ -44,7 +44,7 @@
                         kind,
                         List.of(member.address()),
                         "oaxaca/",
-                        new Bounds(
+                        new FollowerLimits(
                                 50_000,
                                 1_000_000,
                                 etcd ? 0 : 60_000,
--- a/src/test/java/gatefront/registry/follower/FollowerModelTest.java
+++ b/src/test/java/gatefront/registry/follower/FollowerModelTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.rehearsal.world.KeyValues;
+import gatefront.rehearsal.world.KeyValueStore;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
@@ -21,10 +21,10 @@
 class FollowerModelTest {
     private static final int HISTORIES = 10_000;
     private static final String PREFIX = "a/";
-    private static final String END = KeyValues.behind(PREFIX);
+    private static final String END = KeyValueStore.behind(PREFIX);
     private static final long MS = 1_000;
-    private static final Bounds BOUNDS =
-            new Bounds(50 * MS, 1_000 * MS, 0, 2_000 * MS, 6_000 * MS, 15_000 * MS, 60_000 * MS, 1_000);
+    private static final FollowerLimits BOUNDS =
+            new FollowerLimits(50 * MS, 1_000 * MS, 0, 2_000 * MS, 6_000 * MS, 15_000 * MS, 60_000 * MS, 1_000);
 
     /** What was met over all histories: a fault that never happens proves nothing. */
     private final Map<String, Integer> met = new TreeMap<>();
@@ -70,10 +70,10 @@
         private final PriorityQueue<Event> events =
                 new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
         private final Follower follower;
-        private KeyValues store = new KeyValues(1);
-        private KeyValues twin = new KeyValues(1);
-        private KeyValues backup = store.backup();
-        private KeyValues twinBackup = twin.backup();
+        private KeyValueStore store = new KeyValueStore(1);
+        private KeyValueStore twin = new KeyValueStore(1);
+        private KeyValueStore backup = store.backup();
+        private KeyValueStore twinBackup = twin.backup();
         private final Map<String, String> applied = new TreeMap<>();
         private long now;
         private long order;
@@ -95,7 +95,7 @@
             this.met = met;
             this.pause = pause;
             this.follower = new Follower(
-                    new Bounds(
+                    new FollowerLimits(
                             BOUNDS.backoffLeast(),
                             BOUNDS.backoffMost(),
                             pause,
@@ -196,7 +196,7 @@
             boolean named = random.nextBoolean();
             count(named ? "restored" : "restored under the same name");
             store = backup.backup();
-            KeyValues before = twinBackup.backup();
+            KeyValueStore before = twinBackup.backup();
             if (named) {
                 store.rename(++histories);
                 before.rename(histories);
@@ -211,16 +211,16 @@
             at(lastArrival, what);
         }
 
-        private static Change change(KeyValues.Event event) {
+        private static KeyChange change(KeyValueStore.Event event) {
             return event.after() == null
-                    ? Change.deleted(event.key(), event.revision())
-                    : new Change(
+                    ? KeyChange.deleted(event.key(), event.revision())
+                    : new KeyChange(
                             event.key(), event.after().value(), event.after().created(), event.revision());
         }
 
-        private List<Entry> entries(List<KeyValues.Kv> all) {
+        private List<KeyEntry> entries(List<KeyValueStore.Kv> all) {
             return all.stream()
-                    .map(each -> new Entry(each.key(), each.value(), each.created(), each.modified()))
+                    .map(each -> new KeyEntry(each.key(), each.value(), each.created(), each.modified()))
                     .toList();
         }
 
@@ -241,8 +241,8 @@
         }
 
         private void read(long call, long revision, boolean sure) {
-            List<Entry> all = entries(store.range(PREFIX, END, revision));
-            KeyValues of = twin;
+            List<KeyEntry> all = entries(store.range(PREFIX, END, revision));
+            KeyValueStore of = twin;
             long history = store.history();
             arrive(() -> {
                 follower.listed(now, call, history, revision, sure, all);
@@ -301,7 +301,7 @@
                 }
                 return;
             }
-            List<KeyValues.Event> news = store.since(PREFIX, END, told);
+            List<KeyValueStore.Event> news = store.since(PREFIX, END, told);
             if (news == null) {
                 count("compacted");
                 long oldest = store.oldest();
@@ -310,7 +310,7 @@
                 return;
             }
             long until = calm ? store.revision() : store.revision() - lag;
-            List<KeyValues.Event> due =
+            List<KeyValueStore.Event> due =
                     news.stream().filter(each -> each.revision() <= until).toList();
             if (due.isEmpty()) {
                 return;
@@ -322,7 +322,7 @@
                         .toList();
             }
             told = due.get(due.size() - 1).revision();
-            List<Change> all = due.stream().map(World::change).toList();
+            List<KeyChange> all = due.stream().map(World::change).toList();
             int cut = random.nextInt(all.size() + 1);
             if (cut > 0 && cut < all.size()) {
                 count("fragments");
@@ -355,9 +355,9 @@
         }
 
         @Override
-        public void changed(boolean full, List<Change> changes) {
+        public void changed(boolean full, List<KeyChange> changes) {
             count(full ? "full with changes" : "changes");
-            for (Change each : changes) {
+            for (KeyChange each : changes) {
                 if (each.value() == null) {
                     assertNotNull(applied.remove(each.key()), "deleted twice: " + each);
                 } else {
--- a/src/test/java/gatefront/registry/follower/FollowerTest.java
+++ b/src/test/java/gatefront/registry/follower/FollowerTest.java
@@ -9,11 +9,12 @@
 
 /** Orders of events that a well-behaved registry does not have, one by one. */
 class FollowerTest {
-    private static final Bounds BOUNDS = new Bounds(50_000, 1_000_000, 0, 2_000_000, 8_000_000, 30_000_000, 0, 100);
+    private static final FollowerLimits BOUNDS =
+            new FollowerLimits(50_000, 1_000_000, 0, 2_000_000, 8_000_000, 30_000_000, 0, 100);
 
     private final List<String> did = new ArrayList<>();
-    private final List<Change> told = new ArrayList<>();
-    private final Follower follower = new Follower(BOUNDS, most -> most, new NoActions() {
+    private final List<KeyChange> told = new ArrayList<>();
+    private final Follower follower = new Follower(BOUNDS, most -> most, new IgnoringActions() {
         @Override
         public void list(long of, boolean quorum) {
             call = of;
@@ -32,7 +33,7 @@
         }
 
         @Override
-        public void changed(boolean full, List<Change> changes) {
+        public void changed(boolean full, List<KeyChange> changes) {
             told.addAll(changes);
         }
 
@@ -45,8 +46,8 @@
     private long now;
     private long timerAt;
 
-    private static Change put(String key, long revision) {
-        return new Change(key, "v" + revision, revision, revision);
+    private static KeyChange put(String key, long revision) {
+        return new KeyChange(key, "v" + revision, revision, revision);
     }
 
     private void wake() {
@@ -104,7 +105,7 @@
         assertEquals(List.of(), told);
         wake();
         assertEquals(List.of("list"), did);
-        follower.listed(now, call, 1, 8, true, List.of(new Entry("a", "v8", 8, 8), new Entry("b", "v7", 7, 7)));
+        follower.listed(now, call, 1, 8, true, List.of(new KeyEntry("a", "v8", 8, 8), new KeyEntry("b", "v7", 7, 7)));
         assertEquals(List.of(put("b", 7), put("a", 8)), told, "in the order of their revisions");
     }
 
--- a/src/test/java/gatefront/registry/follower/NoActions.java
+++ b/src/test/java/gatefront/registry/follower/IgnoringActions.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** Does nothing of what a follower asks for; tests override what they look at. */
-class NoActions implements Follower.Actions {
+class IgnoringActions implements Follower.Actions {
     @Override
     public void list(long call, boolean quorum) {}
 
@@ -20,7 +20,7 @@
     public void timer(long delay) {}
 
     @Override
-    public void changed(boolean full, List<Change> changes) {}
+    public void changed(boolean full, List<KeyChange> changes) {}
 
     @Override
     public void stale(boolean now) {}
--- a/src/test/java/gatefront/registry/follower/RegistryFigures.java
+++ b/src/test/java/gatefront/registry/follower/RegistryFigures.java
@@ -9,9 +9,10 @@
 /** Figures for the design note; by hand: {@code mvn test -Dtest=RegistryFigures}. */
 class RegistryFigures {
     private static final int KEYS = 10_000;
-    private static final Bounds BOUNDS = new Bounds(50_000, 1_000_000, 0, 2_000_000, 8_000_000, 30_000_000, 0, 20_000);
+    private static final FollowerLimits BOUNDS =
+            new FollowerLimits(50_000, 1_000_000, 0, 2_000_000, 8_000_000, 30_000_000, 0, 20_000);
 
-    private static final class Quiet extends NoActions {
+    private static final class Quiet extends IgnoringActions {
         private long call;
         private int calls;
         private long timerAt = -1;
@@ -35,10 +36,10 @@
         }
     }
 
-    private static List<Entry> entries() {
-        List<Entry> all = new ArrayList<>();
+    private static List<KeyEntry> entries() {
+        List<KeyEntry> all = new ArrayList<>();
         for (int i = 0; i < KEYS; i++) {
-            all.add(new Entry(
+            all.add(new KeyEntry(
                     "oaxaca/nodos/nodo-" + i,
                     "{\"address\":\"10.1.0." + i % 250 + ":3000\",\"zone\":\"a\","
                             + "\"type\":\"m2\",\"group\":3,\"status\":\"Ready\",\"weight\":1.0,\"since_ms\":0}",
@@ -69,7 +70,10 @@
             long from = follower.revision();
             for (int i = 1; i <= n; i++) {
                 follower.changes(
-                        0, quiet.call, List.of(new Change("oaxaca/nodos/nodo-" + i % KEYS, "x", 1, from + i)), false);
+                        0,
+                        quiet.call,
+                        List.of(new KeyChange("oaxaca/nodos/nodo-" + i % KEYS, "x", 1, from + i)),
+                        false);
             }
             System.out.printf("changes a second, one a message: %.0f%n", n / ((System.nanoTime() - began) / 1e9));
             began = System.nanoTime();
--- a/src/test/java/gatefront/rehearsal/FaultsTest.java
+++ b/src/test/java/gatefront/rehearsal/FaultsTest.java
@@ -9,7 +9,7 @@
 import gatefront.rehearsal.plan.Plan;
 import gatefront.rehearsal.plan.PlanReader;
 import gatefront.rehearsal.plan.PlanWriter;
-import gatefront.toml.Range;
+import gatefront.toml.NumberRange;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -22,26 +22,26 @@
 class FaultsTest {
     private static final int SECONDS = 20;
 
-    private static Range at(double figure) {
-        return new Range(figure, figure);
+    private static NumberRange at(double figure) {
+        return new NumberRange(figure, figure);
     }
 
     private static Fault fault(Kind kind, double at, double lasts, double size, String... names) {
         return new Fault(kind, at(at), at(lasts), 0, List.of(names), at(size), at(1));
     }
 
-    private static Outcome play(Fault... faults) throws Exception {
+    private static RehearsalResult play(Fault... faults) throws Exception {
         Plan plan = PlanReader.builtIn("calm").withSeconds(SECONDS).with(List.of(faults));
-        Outcome outcome = new Rehearsal(plan, 2).play();
+        RehearsalResult outcome = new Rehearsal(plan, 2).play();
         assertEquals(List.of(), outcome.breaches());
         return outcome;
     }
 
-    private static void says(Outcome outcome, double from, double until, String line) {
+    private static void says(RehearsalResult outcome, double from, double until, String line) {
         assertTrue(said(outcome, from, until, line), line + " is not among " + outcome.log());
     }
 
-    private static boolean said(Outcome outcome, double from, double until, String line) {
+    private static boolean said(RehearsalResult outcome, double from, double until, String line) {
         return outcome.log().stream()
                 .anyMatch(each -> each.contains(line)
                         && Double.parseDouble(each.split(" ")[0]) >= from
@@ -49,7 +49,7 @@
     }
 
     /** What a nodo held a core on average in some seconds. */
-    private static double held(Outcome outcome, int nodo, int from, int until) {
+    private static double held(RehearsalResult outcome, int nodo, int from, int until) {
         double sum = 0;
         for (int s = from; s < until; s++) {
             sum += outcome.record().load.get(nodo - 1)[s];
@@ -59,28 +59,28 @@
 
     @Test
     void dyingNodosLeaveTheListAndComeBackCold() throws Exception {
-        Outcome outcome = play(fault(Kind.DIE, 5, 5, 1, "nodo-1", "nodo-2", "nodo-3"));
+        RehearsalResult outcome = play(fault(Kind.DIE, 5, 5, 1, "nodo-1", "nodo-2", "nodo-3"));
         assertEquals(-1, held(outcome, 1, 6, 9));
         says(outcome, 5, 9, "nodo-1 gone from the list");
         says(outcome, 10, 13, "nodo-2 cold: listed as just started");
     }
 
-    private static int served(Outcome outcome, int nodo, int from, int until) {
+    private static int served(RehearsalResult outcome, int nodo, int from, int until) {
         return java.util.Arrays.stream(outcome.record().served.get(nodo - 1), from, until)
                 .sum();
     }
 
     @Test
     void slowNodosAndThoseThatLoseProcessorServeLess() throws Exception {
-        Outcome slow = play(fault(Kind.SLOW, 5, 10, 4, "nodo-1"));
+        RehearsalResult slow = play(fault(Kind.SLOW, 5, 10, 4, "nodo-1"));
         assertTrue(served(slow, 1, 7, 12) < 0.6 * served(slow, 1, 0, 5), "slow");
-        Outcome taken = play(fault(Kind.TAKEN, 5, 10, 0.8, "nodo-1"));
+        RehearsalResult taken = play(fault(Kind.TAKEN, 5, 10, 0.8, "nodo-1"));
         assertTrue(served(taken, 1, 5, 15) < 1.6 * served(taken, 1, 0, 5), "taken");
     }
 
     @Test
     void failingNodosAndThoseThatBreakOffAreRemovedForAWhile() throws Exception {
-        Outcome fail = play(fault(Kind.FAIL, 5, 10, 0.9, "nodo-1"));
+        RehearsalResult fail = play(fault(Kind.FAIL, 5, 10, 0.9, "nodo-1"));
         says(fail, 5, 15, "nodo-1 passive Unhealthy");
         assertFalse(said(fail, 0, 5, "nodo-1 passive Unhealthy"));
         says(play(fault(Kind.BREAK_OFF, 5, 10, 0.9, "nodo-1")), 5, 15, "nodo-1 passive Unhealthy");
@@ -88,7 +88,7 @@
 
     @Test
     void drainsAreHeardOfAndTakenBack() throws Exception {
-        Outcome outcome = play(fault(Kind.DRAIN, 5, 5, 1, "nodo-4"));
+        RehearsalResult outcome = play(fault(Kind.DRAIN, 5, 5, 1, "nodo-4"));
         says(outcome, 5, 8, "nodo-4 draining: nothing new is sent");
         says(outcome, 10, 13, "nodo-4 ready");
         assertEquals(0, held(outcome, 4, 9, 10), "and nothing new went there");
@@ -96,7 +96,7 @@
 
     @Test
     void aNodoThatLeavesIsToldToDrainAndThenGone() throws Exception {
-        Outcome outcome = play(fault(Kind.LEAVE, 5, 4, 1, "nodo-4"));
+        RehearsalResult outcome = play(fault(Kind.LEAVE, 5, 4, 1, "nodo-4"));
         says(outcome, 5, 8, "nodo-4 draining: nothing new is sent");
         says(outcome, 9, 12, "nodo-4 gone from the list");
         assertEquals(-1, held(outcome, 4, 15, 18));
@@ -104,21 +104,21 @@
 
     @Test
     void aMachineThatVanishesFailsItsProbes() throws Exception {
-        Outcome outcome = play(fault(Kind.VANISH, 5, 8, 1, "nodo-4"));
+        RehearsalResult outcome = play(fault(Kind.VANISH, 5, 8, 1, "nodo-4"));
         says(outcome, 5, 13, "nodo-4 active Unhealthy: 2 probes failed");
         says(outcome, 13, 16, "nodo-4 cold: listed as just started");
     }
 
     @Test
     void aMachineThatIsCutOffFailsItsProbesAndAnswersAgain() throws Exception {
-        Outcome outcome = play(fault(Kind.CUT_OFF, 5, 6, 1, "nodo-4"));
+        RehearsalResult outcome = play(fault(Kind.CUT_OFF, 5, 6, 1, "nodo-4"));
         says(outcome, 5, 11, "nodo-4 active Unhealthy: 2 probes failed");
         says(outcome, 11, 15, "nodo-4 active Healthy: probe answered");
     }
 
     @Test
     void aReplacementIsAnotherNodoAtTheSameAddress() throws Exception {
-        Outcome outcome = play(fault(Kind.REPLACE, 5, 1, 1, "nodo-4"));
+        RehearsalResult outcome = play(fault(Kind.REPLACE, 5, 1, 1, "nodo-4"));
         says(outcome, 5, 9, "nodo-4 gone from the list");
         says(outcome, 5, 9, "nodo-15 cold: listed as just started");
         assertEquals(-1, held(outcome, 4, 10, 15));
@@ -128,7 +128,7 @@
     /** Those of one sala, and one after the other. */
     @Test
     void aSalaIsReplacedOneNodoAfterTheOther() throws Exception {
-        Outcome outcome = play(new Fault(Kind.REPLACE, at(4), at(1), 1, List.of(), at(1), at(1), 1, at(8)));
+        RehearsalResult outcome = play(new Fault(Kind.REPLACE, at(4), at(1), 1, List.of(), at(1), at(1), 1, at(8)));
         int sala = 7; // of 14 nodos in two salas: those with even numbers
         for (int nodo = 1; nodo <= 2 * sala; nodo++) {
             assertEquals(nodo % 2 == 0, held(outcome, nodo, 14, 18) < 0, "nodo-" + nodo);
@@ -139,7 +139,7 @@
     }
 
     /** How many nodos beyond the first ones have run by this second. */
-    private static long starts(Outcome outcome, int second) {
+    private static long starts(RehearsalResult outcome, int second) {
         return java.util.stream.IntStream.range(14, outcome.record().load.size())
                 .filter(i -> outcome.record().load.get(i)[second] >= 0)
                 .count();
@@ -147,7 +147,7 @@
 
     @Test
     void aJumpBringsMoreTries() throws Exception {
-        Outcome outcome = play(fault(Kind.JUMP, 5, 5, 2));
+        RehearsalResult outcome = play(fault(Kind.JUMP, 5, 5, 2));
         int before = 0;
         int during = 0;
         for (int s = 0; s < 5; s++) {
@@ -159,7 +159,7 @@
 
     @Test
     void aSilentPadronIsAskedAgainAndItsNewsComeLater() throws Exception {
-        Outcome outcome = play(fault(Kind.PADRON_SILENT, 3, 10, 1), fault(Kind.LEAVE, 5, 2, 1, "nodo-4"));
+        RehearsalResult outcome = play(fault(Kind.PADRON_SILENT, 3, 10, 1), fault(Kind.LEAVE, 5, 2, 1, "nodo-4"));
         says(outcome, 5, 13, "discovery: no answer");
         assertFalse(said(outcome, 5, 13, "nodo-4 draining"));
         says(outcome, 13, 16, "nodo-4 gone from the list");
@@ -167,17 +167,17 @@
 
     @Test
     void killedAndRestartedAgentsListenAgain() throws Exception {
-        Outcome killed = play(fault(Kind.AGENT_KILL, 5, 3, 1, "agent-1", "agent-2"));
+        RehearsalResult killed = play(fault(Kind.AGENT_KILL, 5, 3, 1, "agent-1", "agent-2"));
         says(killed, 7.9, 8.2, "agent-1 listening on");
-        assertTrue(killed.record().counts[0][Record.Fate.UNANSWERED.ordinal()] > 0, "nobody answered meanwhile");
-        Outcome restarted = play(fault(Kind.AGENT_RESTART, 5, 3, 1, "agent-1", "agent-2"));
+        assertTrue(killed.record().counts[0][RunRecorder.Fate.UNANSWERED.ordinal()] > 0, "nobody answered meanwhile");
+        RehearsalResult restarted = play(fault(Kind.AGENT_RESTART, 5, 3, 1, "agent-1", "agent-2"));
         says(restarted, 5.5, 9, "agent-1 listening on");
         says(restarted, 8.5, 12, "agent-2 listening on");
     }
 
     @Test
     void aReloadMovesEveryAgentToThePadronsNewAddress() throws Exception {
-        Outcome outcome = play(
+        RehearsalResult outcome = play(
                 fault(Kind.AGENT_RELOAD, 5, 1, 1, "agent-1", "agent-2", "agent-3", "agent-4", "agent-5"),
                 fault(Kind.LEAVE, 10, 3, 1, "nodo-4"));
         for (int i = 1; i <= 5; i++) {
@@ -188,7 +188,7 @@
     /** The hard case: what is in flight when a quarter dies is tried again, and the quarter comes back cold. */
     @Test
     void overlappingFaultsInTheMiddleOfRetriesKeepTheRules() throws Exception {
-        Outcome outcome = play(
+        RehearsalResult outcome = play(
                 fault(Kind.FAIL, 4, 10, 0.5, "nodo-5", "nodo-6", "nodo-7"),
                 fault(Kind.DIE, 6, 4, 1, "nodo-1", "nodo-2", "nodo-3"),
                 fault(Kind.JUMP, 5, 6, 1.8),
@@ -214,7 +214,7 @@
     void idleConnectionsThatNodosCloseCostNothing() throws Exception {
         String text = PlanWriter.text(PlanReader.builtIn("calm").withSeconds(SECONDS))
                 .replaceAll("idle_s = .*", "idle_s = 0.2");
-        Outcome outcome = new Rehearsal(PlanReader.parse("idle", text), 2).play();
+        RehearsalResult outcome = new Rehearsal(PlanReader.parse("idle", text), 2).play();
         assertEquals(List.of(), outcome.breaches());
         assertTrue(outcome.record().closedIdle > 50, outcome.record().closedIdle + " closed");
         assertTrue(outcome.service() > 0.95, outcome.line());
@@ -246,7 +246,7 @@
         Plan plan = PlanReader.builtIn("calm").withSeconds(SECONDS).with(waves);
         int keyed = plan.classes().stream().map(Plan.Kind::name).toList().indexOf("pago-recibo");
         long window = (long) (1000 * plan.classes().get(keyed).windowMs());
-        Outcome outcome = new Rehearsal(plan, 2, agent -> new FaultyAgentTest.Faulty(agent) {
+        RehearsalResult outcome = new Rehearsal(plan, 2, agent -> new FaultyAgentTest.Faulty(agent) {
                     private final Map<Long, Integer> zones = new HashMap<>();
                     private final Map<Long, Long> lost = new HashMap<>();
                     private final Map<Long, Integer> lostIn = new HashMap<>();
--- a/src/test/java/gatefront/rehearsal/FaultyAgentTest.java
+++ b/src/test/java/gatefront/rehearsal/FaultyAgentTest.java
@@ -13,7 +13,7 @@
 import gatefront.rehearsal.plan.Plan;
 import gatefront.rehearsal.plan.PlanReader;
 import gatefront.rehearsal.plan.PlanWriter;
-import gatefront.toml.Range;
+import gatefront.toml.NumberRange;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
@@ -87,8 +87,8 @@
         }
     }
 
-    private static gatefront.rehearsal.Outcome play(String plan, double seconds, Function<Engine, Balancer> module)
-            throws Exception {
+    private static gatefront.rehearsal.RehearsalResult play(
+            String plan, double seconds, Function<Engine, Balancer> module) throws Exception {
         return new Rehearsal(PlanReader.builtIn(plan).withSeconds(seconds), 1, module).play();
     }
 
@@ -102,11 +102,11 @@
                         new Fault(Fault.Kind.PADRON_SILENT, at(4), at(1), 0, List.of(), at(1), at(1))));
     }
 
-    private static Range at(double figure) {
-        return new Range(figure, figure);
+    private static NumberRange at(double figure) {
+        return new NumberRange(figure, figure);
     }
 
-    private static gatefront.rehearsal.Outcome play(Plan plan, Function<Engine, Balancer> module) {
+    private static gatefront.rehearsal.RehearsalResult play(Plan plan, Function<Engine, Balancer> module) {
         return new Rehearsal(plan, 1, module).play();
     }
 
@@ -133,7 +133,7 @@
         };
     }
 
-    private static Breach first(gatefront.rehearsal.Outcome outcome, Rule rule) {
+    private static Breach first(gatefront.rehearsal.RehearsalResult outcome, Rule rule) {
         return outcome.breaches().stream()
                 .filter(each -> each.rule() == rule)
                 .findFirst()
@@ -338,8 +338,8 @@
     @Test
     void aPlanIsCutDownToWhatBreaksTheRule() throws Exception {
         List<String> steps = new ArrayList<>();
-        assertNull(Shrink.shrink(failing(), 1, steps::add), "nothing breaks, nothing to cut down");
-        Plan small = Shrink.shrink(failing(), 1, FaultyAgentTest::refuses, steps::add);
+        assertNull(PlanShrinker.shrink(failing(), 1, steps::add), "nothing breaks, nothing to cut down");
+        Plan small = PlanShrinker.shrink(failing(), 1, FaultyAgentTest::refuses, steps::add);
         assertEquals(
                 List.of(Fault.Kind.FAIL),
                 small.faults().stream().map(Fault::kind).toList(),
--- a/src/test/java/gatefront/rehearsal/FaultyFrontTest.java
+++ b/src/test/java/gatefront/rehearsal/FaultyFrontendTest.java
@@ -4,7 +4,7 @@
 
 import gatefront.rehearsal.check.RuleChecker.Breach;
 import gatefront.rehearsal.check.RuleChecker.Rule;
-import gatefront.rehearsal.net.Tampered;
+import gatefront.rehearsal.net.TamperingTransport;
 import gatefront.rehearsal.plan.PlanReader;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -22,14 +22,14 @@
 import org.junit.jupiter.api.Test;
 
 /** The kit can fail: agents whose sockets do wrong are caught, each by the rule that is broken. */
-class FaultyFrontTest {
+class FaultyFrontendTest {
     private static final int PADRON_PORTS = 8500;
 
     private static ChannelHandler nothing() {
         return new ChannelInboundHandlerAdapter();
     }
 
-    private static Breach first(Outcome outcome, Rule rule, String what) {
+    private static Breach first(RehearsalResult outcome, Rule rule, String what) {
         return outcome.breaches().stream()
                 .filter(each -> each.rule() == rule && each.what().contains(what))
                 .findFirst()
@@ -37,10 +37,10 @@
                         "not caught: " + outcome.breaches().stream().limit(3).toList()));
     }
 
-    private static Outcome play(double seconds, Supplier<ChannelHandler> accepted, Supplier<ChannelHandler> dialled)
-            throws Exception {
+    private static RehearsalResult play(
+            double seconds, Supplier<ChannelHandler> accepted, Supplier<ChannelHandler> dialled) throws Exception {
         return new Rehearsal(PlanReader.builtIn("calm").withSeconds(seconds), 1)
-                .outside(right -> new Tampered(right, accepted, dialled))
+                .outside(right -> new TamperingTransport(right, accepted, dialled))
                 .play();
     }
 
@@ -72,7 +72,7 @@
     @Test
     void anAnswerThatNeverLeavesIsCaught() throws Exception {
         int[] count = {0};
-        Outcome outcome = play(
+        RehearsalResult outcome = play(
                 6,
                 () -> new Answers(count) {
                     @Override
@@ -80,7 +80,7 @@
                         return null;
                     }
                 },
-                FaultyFrontTest::nothing);
+                FaultyFrontendTest::nothing);
         Breach breach = first(outcome, Rule.ONE_ANSWER, "no final answer in its time");
         assertTrue(breach.history().stream().anyMatch(line -> line.contains("effect at")), breach.toString());
     }
@@ -88,7 +88,7 @@
     @Test
     void anAnswerThatIsChangedOnItsWayIsCaught() throws Exception {
         int[] count = {0};
-        Outcome outcome = play(
+        RehearsalResult outcome = play(
                 6,
                 () -> new Answers(count) {
                     @Override
@@ -99,14 +99,14 @@
                         return Unpooled.wrappedBuffer(bytes);
                     }
                 },
-                FaultyFrontTest::nothing);
+                FaultyFrontendTest::nothing);
         first(outcome, Rule.ONE_ANSWER, "served with what no nodo made");
     }
 
     @Test
     void anAnswerCutOffWithItsConnectionIsCaught() throws Exception {
         int[] count = {0};
-        Outcome outcome = play(
+        RehearsalResult outcome = play(
                 6,
                 () -> new Answers(count) {
                     private boolean cut;
@@ -127,14 +127,14 @@
                         }
                     }
                 },
-                FaultyFrontTest::nothing);
+                FaultyFrontendTest::nothing);
         first(outcome, Rule.ONE_ANSWER, "lost");
     }
 
     /** News of the padrón lies unread for two seconds: the agent was told, and goes on sending. */
     @Test
     void newsThatAreReadTooLateBreakTheRuleOnDrains() throws Exception {
-        Outcome outcome = play(25, FaultyFrontTest::nothing, () -> new ChannelInboundHandlerAdapter() {
+        RehearsalResult outcome = play(25, FaultyFrontendTest::nothing, () -> new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
                 if (((InetSocketAddress) ctx.channel().remoteAddress()).getPort() >= PADRON_PORTS) {
--- a/src/test/java/gatefront/rehearsal/CrowdTest.java
+++ b/src/test/java/gatefront/rehearsal/FleetLoadTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /** What the fleet does to the nodos, reckoned by hand. */
-class CrowdTest {
-    private final Crowd crowd = new Crowd(3);
+class FleetLoadTest {
+    private final FleetLoad crowd = new FleetLoad(3);
 
     private ObjectNode json() {
         ObjectNode into = JsonNodeFactory.instance.objectNode();
--- a/src/test/java/gatefront/rehearsal/FleetRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/FleetRehearsalTest.java
@@ -9,13 +9,13 @@
 
 /** 14 agents and 60 nodos: the three troubles of a large fleet, each with bounds that the code before them broke. */
 class FleetRehearsalTest {
-    private static Outcome play(String plan, double seconds) throws Exception {
-        Outcome outcome = new Rehearsal(PlanReader.builtIn(plan).withSeconds(seconds), 3).play();
+    private static RehearsalResult play(String plan, double seconds) throws Exception {
+        RehearsalResult outcome = new Rehearsal(PlanReader.builtIn(plan).withSeconds(seconds), 3).play();
         assertEquals(0, outcome.broken(), () -> outcome.breaches().toString());
         return outcome;
     }
 
-    private static int served(Outcome outcome, int firstNodo, int step, int from, int until) {
+    private static int served(RehearsalResult outcome, int firstNodo, int step, int from, int until) {
         int sum = 0;
         for (int i = firstNodo; i < outcome.record().served.size(); i += step) {
             sum += Arrays.stream(outcome.record().served.get(i), from, until).sum();
@@ -25,14 +25,14 @@
 
     @Test
     void aSalaThatComesBackColdIsUsedFromItsFirstSeconds() throws Exception {
-        Outcome outcome = play("fleet-zone", 22);
+        RehearsalResult outcome = play("fleet-zone", 22);
         int back = served(outcome, 1, 2, 14, 20); // the nodos with even numbers stand in sala-norte
         assertTrue(back > 350, "served there " + back + "; 94 before");
     }
 
     @Test
     void newNodosAreUsedFromTheirFirstSeconds() throws Exception {
-        Outcome outcome = play("fleet-join", 22);
+        RehearsalResult outcome = play("fleet-join", 22);
         int fresh = served(outcome, 60, 1, 8, 18);
         assertTrue(fresh > 1_150, "served there " + fresh + "; 884 before");
     }
@@ -44,7 +44,7 @@
      */
     @Test
     void aHundredAgentsTogetherUseNewNodosAndRefuseLittleBesideRoom() throws Exception {
-        Crowd crowd = play("mass-join", 18).record().crowd;
+        FleetLoad crowd = play("mass-join", 18).record().crowd;
         assertTrue(crowd.coldPart() > 0.6, "cold nodos were sent " + crowd.coldPart() + " of what they could do");
         assertTrue(crowd.besideRoomPart() < 0.7, "refused beside room: " + crowd.besideRoomPart());
         // 3,257 with twice as many nodos to draw from: each agent then knew a nodo half as well.
@@ -53,7 +53,7 @@
 
     @Test
     void agentsKilledTogetherAreBackThoughThePadronIsOverbooked() throws Exception {
-        Outcome outcome = play("fleet-herd", 20);
+        RehearsalResult outcome = play("fleet-herd", 20);
         int turnedAway = Arrays.stream(outcome.record().listTurnedAway).sum();
         int calls = Arrays.stream(outcome.record().listCalls).sum();
         assertTrue(turnedAway > 0, "the padrón is overbooked");
--- a/src/test/java/gatefront/rehearsal/ProcessRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/ProcessRehearsalTest.java
@@ -27,7 +27,7 @@
     @TempDir
     private Path dir;
 
-    private ProcessOutcome play(String plan, double seconds, String... without) throws Exception {
+    private ProcessRehearsalResult play(String plan, double seconds, String... without) throws Exception {
         String text = ProcessPlanReader.builtInText(plan).replaceFirst("seconds = \\d+", "seconds = " + seconds);
         return new ProcessRehearsal(
                         ProcessPlanReader.parse(plan, text, AGENTS),
@@ -38,7 +38,7 @@
                 .play(done -> {});
     }
 
-    private static long broken(ProcessOutcome outcome, Rule rule) {
+    private static long broken(ProcessRehearsalResult outcome, Rule rule) {
         return outcome.outcome().breaches().stream()
                 .filter(each -> each.rule() == rule)
                 .count();
@@ -46,7 +46,7 @@
 
     @Test
     void callsByHandHoldOverDeathsAndALostStoreIsTold() throws Exception {
-        ProcessOutcome outcome = play("state-lost", 15);
+        ProcessRehearsalResult outcome = play("state-lost", 15);
         assertEquals(List.of(), outcome.hand().breaches());
         assertTrue(outcome.hand().held() >= 2 * AGENTS, "every agent said yes to both calls");
         assertEquals(
@@ -66,7 +66,7 @@
 
     @Test
     void aProcessThatStoodStillSendsNothingToWhatDrainedMeanwhile() throws Exception {
-        ProcessOutcome outcome = play("stopped-and-woken", 14);
+        ProcessRehearsalResult outcome = play("stopped-and-woken", 14);
         assertEquals(0, broken(outcome, Rule.DRAINS_KEPT), outcome.breaches().toString());
         assertTrue(Files.readString(dir.resolve("history.jsonl")).contains("it stood still for"));
     }
--- a/src/test/java/gatefront/rehearsal/RealRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/RealRehearsalTest.java
@@ -8,7 +8,7 @@
 import gatefront.rehearsal.plan.Fault;
 import gatefront.rehearsal.plan.Plan;
 import gatefront.rehearsal.plan.PlanReader;
-import gatefront.toml.Range;
+import gatefront.toml.NumberRange;
 import java.io.IOException;
 import java.net.HttpURLConnection;
 import java.net.URI;
@@ -26,8 +26,8 @@
         return PlanReader.parse("small", text).with(List.of(faults));
     }
 
-    private static Range at(double figure) {
-        return new Range(figure, figure);
+    private static NumberRange at(double figure) {
+        return new NumberRange(figure, figure);
     }
 
     private static Fault fault(Fault.Kind kind, double at, double lasts, String name) {
@@ -36,7 +36,7 @@
 
     @Test
     void agentsInProcessesServeThroughADeathARestartAndAReload() throws Exception {
-        Outcome outcome = new RealRehearsal(
+        RehearsalResult outcome = new RealRehearsal(
                         small(
                                 fault(Fault.Kind.DIE, 1, 2, "nodo-1"),
                                 fault(Fault.Kind.AGENT_RELOAD, 1.5, 0, "agent-1"),
--- a/src/test/java/gatefront/rehearsal/RegistryRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/RegistryRehearsalTest.java
@@ -19,7 +19,7 @@
     void drainsAreToldInTimeAndKept(String source) throws Exception {
         Plan plan = PlanReader.builtIn("registry").withSource(source).withSeconds(45);
         for (int seed = 5; seed < 9; seed++) { // with 5 the changes since are compacted while the registry is down
-            Outcome outcome = new Rehearsal(plan, seed).play();
+            RehearsalResult outcome = new Rehearsal(plan, seed).play();
             assertEquals(0, outcome.broken(), outcome.line() + " " + outcome.breaches());
             assertTrue(outcome.service() > 0.4, outcome.line());
         }
@@ -28,7 +28,7 @@
     /** Here a silent connection is given up 2 ms before the registry writes to it, and the registry goes down then. */
     @Test
     void whatIsWrittenToAConnectionThatHasBeenGivenUpIsNotHeldAgainstTheAgent() throws Exception {
-        Outcome outcome = new Rehearsal(PlanReader.builtIn("registry"), 439).play();
+        RehearsalResult outcome = new Rehearsal(PlanReader.builtIn("registry"), 439).play();
         assertEquals(0, outcome.broken(), outcome.line() + " " + outcome.breaches());
     }
 
@@ -36,7 +36,7 @@
     void theSameSeedGivesTheSameReport() throws Exception {
         Plan plan = PlanReader.builtIn("registry").withSeconds(15);
         assertEquals(
-                new String(Report.bytes(new Rehearsal(plan, 3).play())),
-                new String(Report.bytes(new Rehearsal(plan, 3).play())));
+                new String(JsonReport.bytes(new Rehearsal(plan, 3).play())),
+                new String(JsonReport.bytes(new Rehearsal(plan, 3).play())));
     }
 }
--- a/src/test/java/gatefront/rehearsal/RehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/RehearsalTest.java
@@ -26,9 +26,9 @@
 
     @Test
     void theSamePlanAndSeedGiveTheSameBytesAndAnotherSeedOthers() throws Exception {
-        byte[] first = Report.bytes(new Rehearsal(rough(20), 7).play());
-        assertArrayEquals(first, Report.bytes(new Rehearsal(rough(20), 7).play()));
-        assertFalse(Arrays.equals(first, Report.bytes(new Rehearsal(rough(20), 8).play())));
+        byte[] first = JsonReport.bytes(new Rehearsal(rough(20), 7).play());
+        assertArrayEquals(first, JsonReport.bytes(new Rehearsal(rough(20), 7).play()));
+        assertFalse(Arrays.equals(first, JsonReport.bytes(new Rehearsal(rough(20), 8).play())));
     }
 
     /** Guards against identity hash codes, salted orders, heap sizes and core counts that find their way in. */
@@ -78,7 +78,7 @@
 
     @Test
     void aCalmDayIsServedWholeAndKeepsTheRules() throws Exception {
-        Outcome outcome = new Rehearsal(PlanReader.builtIn("calm").withSeconds(30), 3).play();
+        RehearsalResult outcome = new Rehearsal(PlanReader.builtIn("calm").withSeconds(30), 3).play();
         assertEquals(List.of(), outcome.breaches());
         assertTrue(outcome.service() > 0.97, outcome.line());
     }
@@ -86,17 +86,17 @@
     /** Guards against a rig in which nothing can go wrong: the rush must cost something, and not everything. */
     @Test
     void theRushCostsServiceAndKeepsTheRules() throws Exception {
-        Outcome outcome = new Rehearsal(PlanReader.builtIn("cashier-rush"), 1).play();
+        RehearsalResult outcome = new Rehearsal(PlanReader.builtIn("cashier-rush"), 1).play();
         assertEquals(List.of(), outcome.breaches());
         assertTrue(outcome.service() > 0.7 && outcome.service() < 0.99, outcome.line());
     }
 
     @Test
     void seedsAreSummedUpInTheirOrder() throws Exception {
-        Seeds.Summary summary = Seeds.play(rough(12), 1, 6, done -> {}, broken -> {});
+        SeedCampaign.Summary summary = SeedCampaign.play(rough(12), 1, 6, done -> {}, broken -> {});
         assertEquals(6, summary.played());
         assertEquals(0, summary.broken(), summary.text());
-        Outcome third = new Rehearsal(rough(12), 3).play();
+        RehearsalResult third = new Rehearsal(rough(12), 3).play();
         assertTrue(summary.services().contains(third.service()), "threads beside it change nothing");
     }
 }
--- a/src/test/java/gatefront/rehearsal/ThriftRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/ThriftRehearsalTest.java
@@ -18,8 +18,8 @@
     @ValueSource(strings = {"framed-binary", "framed-compact", "unframed-binary", "unframed-compact"})
     void theRushOverThriftIsServedAsOverHttp(String protocol) throws Exception {
         Plan plan = PlanReader.builtIn("cashier-rush").withSeconds(30);
-        Outcome http = new Rehearsal(plan, 1).play();
-        Outcome thrift = new Rehearsal(plan.withProtocol(protocol), 1).play();
+        RehearsalResult http = new Rehearsal(plan, 1).play();
+        RehearsalResult thrift = new Rehearsal(plan.withProtocol(protocol), 1).play();
         assertTrue(thrift.breaches().isEmpty(), () -> thrift.breaches().get(0).toString());
         assertEquals(http.service(), thrift.service(), 0.04, thrift.line());
     }
@@ -28,12 +28,13 @@
     void roughDaysOverThriftKeepTheRulesAndRepeatExactly() throws Exception {
         Plan plan = PlanReader.builtIn("rough").withProtocol("framed-compact");
         for (int seed = 1; seed <= 6; seed++) {
-            Outcome outcome = new Rehearsal(plan, seed).play();
+            RehearsalResult outcome = new Rehearsal(plan, seed).play();
             assertTrue(
                     outcome.breaches().isEmpty(),
                     () -> outcome.breaches().get(0).toString());
         }
-        assertArrayEquals(Report.bytes(new Rehearsal(plan, 3).play()), Report.bytes(new Rehearsal(plan, 3).play()));
+        assertArrayEquals(
+                JsonReport.bytes(new Rehearsal(plan, 3).play()), JsonReport.bytes(new Rehearsal(plan, 3).play()));
         Plan again = PlanReader.parse("again", PlanWriter.text(plan));
         assertEquals("framed-compact", again.network().protocol());
     }
--- a/src/test/java/gatefront/rehearsal/net/NetworkTest.java
+++ b/src/test/java/gatefront/rehearsal/net/NetworkTest.java
@@ -35,8 +35,8 @@
 
     private final VirtualTime time = new VirtualTime();
     private final Network network = new Network(time, 0, (from, to, bytes) -> MS + bytes);
-    private Host here;
-    private Host there;
+    private VirtualHost here;
+    private VirtualHost there;
     private final List<String> heard = new ArrayList<>();
     private Channel accepted;
 
@@ -46,7 +46,7 @@
         there = host("there", 2);
     }
 
-    private Host host(String name, int last) throws Exception {
+    private VirtualHost host(String name, int last) throws Exception {
         return network.host(
                 name, InetAddress.getByAddress(new byte[] {127, 0, 0, (byte) last}), 0, 1 << 20, line -> {});
     }
@@ -332,7 +332,7 @@
     void tasksThatMakeTasksForNowAreFound() {
         assertTimeoutPreemptively(Duration.ofSeconds(60), () -> {
             VirtualTime own = new VirtualTime(); // loops belong to the thread that made their clock
-            Host host = new Network(own, 0, (from, to, bytes) -> MS)
+            VirtualHost host = new Network(own, 0, (from, to, bytes) -> MS)
                     .host("here", InetAddress.getLoopbackAddress(), 0, 1 << 20, line -> {});
             own.run(10 * MS);
             Runnable[] again = new Runnable[1];
--- a/src/test/java/gatefront/rehearsal/net/Tampered.java
+++ b/src/test/java/gatefront/rehearsal/net/TamperingTransport.java
@@ -11,7 +11,7 @@
 import java.util.function.Supplier;
 
 /** Puts a handler next to the wire of each connection of one side. */
-public record Tampered(Transport right, Supplier<ChannelHandler> accepted, Supplier<ChannelHandler> dialled)
+public record TamperingTransport(Transport right, Supplier<ChannelHandler> accepted, Supplier<ChannelHandler> dialled)
         implements Transport {
     @Override
     public EventLoop loop() {
--- a/src/test/java/gatefront/rehearsal/processes/ProcessPartsTest.java
+++ b/src/test/java/gatefront/rehearsal/processes/ProcessPartsTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.rehearsal.check.HandChecker;
+import gatefront.rehearsal.check.ManualDrainChecker;
 import gatefront.rehearsal.check.ServiceCurve;
 import gatefront.toml.TomlException;
 import java.io.IOException;
@@ -25,7 +25,7 @@
     void theWardenEndsWhatIsLeftWhenItsMasterIsGone() throws Exception {
         Process left = new ProcessBuilder("sleep", "600").start();
         Process over = new ProcessBuilder("sleep", "600").start();
-        try (Warden warden = Warden.start()) {
+        try (ProcessReaper warden = ProcessReaper.start()) {
             warden.charge(left.pid());
             warden.charge(over.pid());
             warden.discharge(over.pid());
@@ -39,26 +39,26 @@
     void foldersAreCopiedTornFlippedAndRemoved() throws IOException {
         Path from = Files.createDirectories(dir.resolve("a/inner"));
         Path file = Files.write(from.resolve("f"), new byte[100]);
-        Folders.copy(dir.resolve("a"), dir.resolve("b"));
-        Folders.flip(dir.resolve("a"), 1234);
+        FolderFaults.copy(dir.resolve("a"), dir.resolve("b"));
+        FolderFaults.flip(dir.resolve("a"), 1234);
         byte[] flipped = Files.readAllBytes(file);
         assertEquals(
                 1,
                 java.util.stream.IntStream.range(0, 100)
                         .filter(i -> flipped[i] != 0)
                         .count());
-        Folders.tear(dir.resolve("a"));
+        FolderFaults.tear(dir.resolve("a"));
         assertEquals(75, Files.size(file));
         assertArrayEquals(new byte[100], Files.readAllBytes(dir.resolve("b/inner/f")));
         from.toFile().setWritable(false);
-        Folders.remove(dir.resolve("a"));
+        FolderFaults.remove(dir.resolve("a"));
         assertTrue(!Files.exists(dir.resolve("a")));
-        assertNull(Folders.newest(Files.createDirectory(dir.resolve("c"))));
+        assertNull(FolderFaults.newest(Files.createDirectory(dir.resolve("c"))));
     }
 
     @Test
     void aCallByHandHoldsOverProcessesUntilTheCallBackOrATellingLoss() {
-        HandChecker hand = new HandChecker(500_000);
+        ManualDrainChecker hand = new ManualDrainChecker(500_000);
         hand.yes(0, 1, 7, true, true);
         hand.begun(400_000, 1, 7);
         hand.close(9_000_000);
@@ -114,7 +114,7 @@
 
     @Test
     void latenessIsWhatLiesBetween() {
-        Lateness late = new Lateness();
+        LoopLateness late = new LoopLateness();
         late.seen(1_000, 1_500);
         assertEquals(0, late.worst(), "what any timer has");
         late.seen(10_000, 50_000);
--- a/src/test/java/gatefront/rehearsal/processes/RelayTest.java
+++ b/src/test/java/gatefront/rehearsal/processes/RelayTest.java
@@ -48,7 +48,7 @@
     }
 
     /** Shapes it, and waits until the loop has heard: what is read in the same turn would come before. */
-    private void shape(Way way, Shape shape) throws InterruptedException {
+    private void shape(Way way, LinkConditions shape) throws InterruptedException {
         relay.shape(way, shape);
         group.next().submit(() -> {}).sync();
     }
@@ -104,7 +104,7 @@
 
     @Test
     void aCutHoldsOneDirectionAndHealingBringsIt() throws Exception {
-        shape(Way.FORTH, Shape.HELD);
+        shape(Way.FORTH, LinkConditions.HELD);
         near.getOutputStream().write(bytes(5));
         far.setSoTimeout(200);
         assertThrows(SocketTimeoutException.class, () -> far.getInputStream().read());
@@ -112,18 +112,18 @@
         assertArrayEquals(bytes(4), near.getInputStream().readNBytes(4), "the other direction goes on");
         assertTrue(!relay.clear());
         far.setSoTimeout(5_000);
-        shape(Way.FORTH, Shape.CLEAR);
+        shape(Way.FORTH, LinkConditions.CLEAR);
         assertArrayEquals(bytes(5), far.getInputStream().readNBytes(5));
     }
 
     @Test
     void aConnectionToACutLinkStaysSilentUntilItIsHealed() throws Exception {
-        shape(Way.BACK, Shape.HELD);
+        shape(Way.BACK, LinkConditions.HELD);
         try (Socket other = dial()) {
             other.getOutputStream().write(bytes(3));
             server.setSoTimeout(200);
             assertThrows(SocketTimeoutException.class, () -> server.accept());
-            shape(Way.BACK, Shape.CLEAR);
+            shape(Way.BACK, LinkConditions.CLEAR);
             server.setSoTimeout(5_000);
             try (Socket reached = server.accept()) {
                 assertArrayEquals(bytes(3), reached.getInputStream().readNBytes(3));
@@ -133,12 +133,12 @@
 
     @Test
     void delayAndThrottleTakeAtLeastTheirTime() throws Exception {
-        shape(Way.FORTH, new Shape(false, 150_000, 0));
+        shape(Way.FORTH, new LinkConditions(false, 150_000, 0));
         long at = System.nanoTime();
         near.getOutputStream().write(bytes(5));
         assertArrayEquals(bytes(5), far.getInputStream().readNBytes(5));
         assertTrue(System.nanoTime() - at >= 140_000_000);
-        shape(Way.FORTH, new Shape(false, 0, 100_000));
+        shape(Way.FORTH, new LinkConditions(false, 0, 100_000));
         at = System.nanoTime();
         near.getOutputStream().write(bytes(30_000));
         assertArrayEquals(bytes(30_000), far.getInputStream().readNBytes(30_000));
@@ -165,11 +165,11 @@
     void aConduitKeepsOrderAndRate() {
         Random random = new Random(7);
         for (int run = 0; run < 1_000; run++) {
-            Conduit conduit = new Conduit();
+            TrafficShaper conduit = new TrafficShaper();
             long now = 0;
             long last = 0;
             long bytes = 0;
-            Shape shape = new Shape(false, random.nextInt(1_000), 1 + random.nextInt(100_000));
+            LinkConditions shape = new LinkConditions(false, random.nextInt(1_000), 1 + random.nextInt(100_000));
             for (int i = 0; i < 50; i++) {
                 now += random.nextInt(2_000);
                 int size = random.nextInt(1_000);
@@ -179,7 +179,10 @@
                 assertTrue(due >= 1e6 * bytes / shape.bytesASecond() - 1, "never faster than the link");
                 last = due;
             }
-            assertEquals(Math.max(last, now), conduit.due(now, 0, Shape.CLEAR), "what comes later does not overtake");
+            assertEquals(
+                    Math.max(last, now),
+                    conduit.due(now, 0, LinkConditions.CLEAR),
+                    "what comes later does not overtake");
         }
     }
 }
--- a/src/test/java/gatefront/rehearsal/world/WorldTest.java
+++ b/src/test/java/gatefront/rehearsal/world/WorldTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.rehearsal.world.Patience.Fate;
-import gatefront.rehearsal.world.Patience.Repeat;
+import gatefront.rehearsal.world.RetryBehavior.Fate;
+import gatefront.rehearsal.world.RetryBehavior.Repeat;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -17,7 +17,7 @@
     private static final NodoModel.Warmth COLD = new NodoModel.Warmth(0.1, 10_000_000);
     private static final NodoModel.Machine TWO_CORES =
             new NodoModel.Machine(2, 1, 3, 2, 0.5, 1, COLD, COLD, 3, 1_000_000);
-    private final Draw draw = new Draw(1, "test");
+    private final RandomStream draw = new RandomStream(1, "test");
 
     private NodoModel warm() {
         return new NodoModel(new NodoModel.Machine(2, 1, 3, 2, 0, 1, COLD, COLD, 3, 1_000_000), draw, 0, false);
@@ -129,9 +129,9 @@
 
     @Test
     void aRepeatWithinTheWindowHasNoEffectAndLaterOneDoes() {
-        Repeats repeats = new Repeats(4_000_000);
-        Repeats.Entry first = repeats.arrive(0, "k");
-        Repeats.Entry second = repeats.arrive(3_900_000, "k");
+        IdempotencyWindow repeats = new IdempotencyWindow(4_000_000);
+        IdempotencyWindow.Entry first = repeats.arrive(0, "k");
+        IdempotencyWindow.Entry second = repeats.arrive(3_900_000, "k");
         assertTrue(second.first(), "the first that runs, though it came second");
         assertFalse(first.first());
         assertTrue(repeats.arrive(4_000_000, "k").first(), "the window is over: it happens again");
@@ -141,16 +141,19 @@
 
     @Test
     void callersAskAgainOnlyWhereThatIsHarmless() {
-        Patience patience = new Patience(2, 50_000, 1, draw);
-        assertEquals(Patience.NEVER, patience.again(0, 1, Fate.SERVED, Repeat.SAFE, 0, 9_000_000, 0));
-        assertNotEquals(Patience.NEVER, patience.again(0, 1, Fate.FAILED, Repeat.SAFE, 0, 9_000_000, 0));
-        assertEquals(Patience.NEVER, patience.again(0, 1, Fate.FAILED, Repeat.CAREFUL, 0, 9_000_000, 0));
-        assertNotEquals(Patience.NEVER, patience.again(0, 1, Fate.REFUSED, Repeat.CAREFUL, 0, 9_000_000, 0));
-        assertEquals(Patience.NEVER, patience.again(5, 1, Fate.TIMED_OUT, Repeat.KEYED_EVERYWHERE, 5, 9_000_000, 0));
-        assertNotEquals(Patience.NEVER, patience.again(4, 1, Fate.TIMED_OUT, Repeat.KEYED_EVERYWHERE, 5, 9_000_000, 0));
-        assertEquals(Patience.NEVER, patience.again(0, 3, Fate.REFUSED, Repeat.SAFE, 0, 9_000_000, 0), "two at most");
+        RetryBehavior patience = new RetryBehavior(2, 50_000, 1, draw);
+        assertEquals(RetryBehavior.NEVER, patience.again(0, 1, Fate.SERVED, Repeat.SAFE, 0, 9_000_000, 0));
+        assertNotEquals(RetryBehavior.NEVER, patience.again(0, 1, Fate.FAILED, Repeat.SAFE, 0, 9_000_000, 0));
+        assertEquals(RetryBehavior.NEVER, patience.again(0, 1, Fate.FAILED, Repeat.CAREFUL, 0, 9_000_000, 0));
+        assertNotEquals(RetryBehavior.NEVER, patience.again(0, 1, Fate.REFUSED, Repeat.CAREFUL, 0, 9_000_000, 0));
+        assertEquals(
+                RetryBehavior.NEVER, patience.again(5, 1, Fate.TIMED_OUT, Repeat.KEYED_EVERYWHERE, 5, 9_000_000, 0));
+        assertNotEquals(
+                RetryBehavior.NEVER, patience.again(4, 1, Fate.TIMED_OUT, Repeat.KEYED_EVERYWHERE, 5, 9_000_000, 0));
+        assertEquals(
+                RetryBehavior.NEVER, patience.again(0, 3, Fate.REFUSED, Repeat.SAFE, 0, 9_000_000, 0), "two at most");
         assertTrue(patience.again(0, 1, Fate.REFUSED, Repeat.SAFE, 0, 9_000_000, 700_000) >= 700_000);
-        assertEquals(Patience.NEVER, patience.again(0, 1, Fate.REFUSED, Repeat.SAFE, 0, 600_000, 700_000));
+        assertEquals(RetryBehavior.NEVER, patience.again(0, 1, Fate.REFUSED, Repeat.SAFE, 0, 600_000, 700_000));
     }
 
     @Test
@@ -182,7 +185,7 @@
         int b = 0;
         double work = 0;
         Demand demand = new Demand(
-                new Draw(5, "d"),
+                new RandomStream(5, "d"),
                 200,
                 kinds,
                 new double[] {1, 1},
@@ -190,7 +193,7 @@
                 0.4,
                 List.of(new Demand.Jump(10_000_000, 20_000_000, 2)));
         Demand same = new Demand(
-                new Draw(5, "d"),
+                new RandomStream(5, "d"),
                 200,
                 kinds,
                 new double[] {1, 1},
--- a/src/test/java/gatefront/storage/StoreCrashTest.java
+++ b/src/test/java/gatefront/storage/StoreCrashTest.java
@@ -17,11 +17,11 @@
  * once and whole after every start, and nothing is there that was not handed over.
  */
 class StoreCrashTest {
-    private static final Keys KEYS = keys();
+    private static final SigningKeys KEYS = keys();
     private static final int HISTORIES = 1_000;
 
     /** What a store holds, by number: the snapshot's records are told with theirs. */
-    private static final class Held implements Replay {
+    private static final class Held implements RecordConsumer {
         final TreeMap<Long, String> all = new TreeMap<>();
 
         @Override
@@ -46,9 +46,9 @@
         int made;
     }
 
-    private static Keys keys() {
+    private static SigningKeys keys() {
         try {
-            return Keys.parse("keys", "1 " + "0a".repeat(32) + "\n");
+            return SigningKeys.parse("keys", "1 " + "0a".repeat(32) + "\n");
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -63,7 +63,7 @@
     }
 
     private static Store.Options options(long seed) {
-        return new Store.Options(seed % 3 == 0 ? KEYS : Keys.NONE, 500, 1 << 20);
+        return new Store.Options(seed % 3 == 0 ? KEYS : SigningKeys.NONE, 500, 1 << 20);
     }
 
     /** Opens what is there, holds it against the model, and does some more; ends by its own choice or by a fault. */
@@ -85,8 +85,8 @@
                 } else {
                     snapshot(store, model);
                 }
-            } catch (FailedException e) {
-                assertEquals(FailedException.Why.DISK, e.why());
+            } catch (StoreFailedException e) {
+                assertEquals(StoreFailedException.Why.DISK, e.why());
                 disk.full = false;
                 if (e.getCause() instanceof MemoryDisk.PowerException) {
                     throw e;
@@ -105,7 +105,7 @@
         }
     }
 
-    private static void append(Store store, Model model, Random random) throws FailedException {
+    private static void append(Store store, Model model, Random random) throws StoreFailedException {
         List<byte[]> group = new ArrayList<>();
         boolean force = random.nextInt(3) > 0;
         TreeMap<Long, String> mine = new TreeMap<>();
@@ -125,7 +125,7 @@
         }
     }
 
-    private static void snapshot(Store store, Model model) throws FailedException {
+    private static void snapshot(Store store, Model model) throws StoreFailedException {
         Store.Snapshot snapshot = store.snapshot();
         model.kept.putAll(model.unsure);
         model.unsure.clear();
@@ -157,9 +157,9 @@
                 live(disk, model, seed, round);
             } catch (MemoryDisk.PowerException e) {
                 // goes on below
-            } catch (FailedException e) {
+            } catch (StoreFailedException e) {
                 assertTrue(e.getCause() instanceof MemoryDisk.PowerException || fault != Fault.POWER, e.toString());
-            } catch (DamageException e) {
+            } catch (CorruptStoreException e) {
                 throw e;
             } catch (IOException e) {
                 assertTrue(fault != Fault.POWER && fault != Fault.NONE, e.toString());
@@ -169,7 +169,7 @@
         Held held = new Held();
         Store.open(disk, options(seed), held).close();
         check(model, held);
-        Verify verify = Verify.of(disk, options(seed).keys(), Replay.NOBODY);
+        StoreVerification verify = StoreVerification.of(disk, options(seed).keys(), RecordConsumer.NOBODY);
         assertEquals(null, verify.damage());
         assertEquals(
                 held.all.size(),
--- a/src/test/java/gatefront/storage/StoreTest.java
+++ b/src/test/java/gatefront/storage/StoreTest.java
@@ -32,7 +32,7 @@
 
     private final MemoryDisk disk = new MemoryDisk(1);
     private final List<String> held = new ArrayList<>();
-    private final Replay replay = new Replay() {
+    private final RecordConsumer replay = new RecordConsumer() {
         @Override
         public void snapshot(byte[] record) {
             held.add("s" + text(record));
@@ -57,12 +57,12 @@
     }
 
     private static Store.Options options(String keys, int segment, long most) throws IOException {
-        return new Store.Options(keys == null ? Keys.NONE : Keys.parse("keys", keys), segment, most);
+        return new Store.Options(keys == null ? SigningKeys.NONE : SigningKeys.parse("keys", keys), segment, most);
     }
 
     /** Several segments, a snapshot in the middle, closed in order. */
     private void fill(String keys) throws IOException {
-        Store store = Store.open(disk, options(keys, 300, 1 << 20), Replay.NOBODY);
+        Store store = Store.open(disk, options(keys, 300, 1 << 20), RecordConsumer.NOBODY);
         store.append(group("a", "b"), true);
         store.append(group("c".repeat(120)), false);
         Store.Snapshot snapshot = store.snapshot();
@@ -79,7 +79,7 @@
         fill(null);
         Store.open(disk, options(null, 300, 1 << 20), replay).close();
         assertEquals(List.of("sabc", "3d", "4" + "e".repeat(100), "5" + "f".repeat(100)), held);
-        assertFalse(disk.names().contains(Scan.segmentName(1)), "what it stands for is gone");
+        assertFalse(disk.names().contains(StoreReader.segmentName(1)), "what it stands for is gone");
     }
 
     @Test
@@ -90,16 +90,17 @@
                 for (int at = 0; at < disk.size(name); at++) {
                     int bit = at % 8;
                     disk.flip(name, at, bit);
-                    Verify verify = Verify.of(disk, options(keys, 1, 1).keys(), Replay.NOBODY);
+                    StoreVerification verify =
+                            StoreVerification.of(disk, options(keys, 1, 1).keys(), RecordConsumer.NOBODY);
                     assertFalse(verify.clean(), name + " at " + at);
                     assertTrue(
-                            verify.damage() == null || verify.damage().file().equals(name) || at < Head.BYTES,
+                            verify.damage() == null || verify.damage().file().equals(name) || at < FileHeader.BYTES,
                             () -> name + ": " + verify.damage());
                     disk.flip(name, at, bit);
                 }
             }
-            assertTrue(
-                    Verify.of(disk, options(keys, 1, 1).keys(), Replay.NOBODY).clean());
+            assertTrue(StoreVerification.of(disk, options(keys, 1, 1).keys(), RecordConsumer.NOBODY)
+                    .clean());
             for (String name : disk.names()) {
                 disk.delete(name);
             }
@@ -109,17 +110,18 @@
     @Test
     void aStoreWithDamageIsNotOpenedAndNotChanged() throws IOException {
         fill(null);
-        String last = Scan.segmentName(disk.names().stream()
+        String last = StoreReader.segmentName(disk.names().stream()
                 .filter(each -> each.endsWith(".log"))
                 .mapToLong(each -> Long.parseLong(each.substring(0, 16), 16))
                 .max()
                 .orElseThrow());
-        disk.flip(last, Head.BYTES + 70, 1);
+        disk.flip(last, FileHeader.BYTES + 70, 1);
         int before = disk.steps;
-        DamageException e = assertThrows(DamageException.class, () -> Store.open(disk, Store.Options.USUAL, replay));
+        CorruptStoreException e =
+                assertThrows(CorruptStoreException.class, () -> Store.open(disk, Store.Options.USUAL, replay));
         assertEquals(last + " at 104: is not what was forced to the disk there", e.getMessage());
         assertEquals(before, disk.steps);
-        disk.flip(last, Head.BYTES + 70, 1);
+        disk.flip(last, FileHeader.BYTES + 70, 1);
         Store.open(disk, Store.Options.USUAL, replay).close(); // and the lock was given back
     }
 
@@ -134,7 +136,7 @@
         for (int i = 0; i < logs.size(); i++) {
             Disk.File file = disk.open(logs.get(i));
             disk.delete(logs.get(i));
-            Verify verify = Verify.of(disk, Keys.NONE, Replay.NOBODY);
+            StoreVerification verify = StoreVerification.of(disk, SigningKeys.NONE, RecordConsumer.NOBODY);
             // Of a log whose end is gone nothing on the disk can tell; a signature by count would need another place.
             assertEquals(i < logs.size() - 1, verify.damage() != null, logs.get(i) + ": " + verify);
             if (i > 0 && i < logs.size() - 1) {
@@ -145,19 +147,20 @@
             file.read(0, bytes);
             again.write(0, bytes.flip());
         }
-        assertTrue(Verify.of(disk, Keys.NONE, Replay.NOBODY).clean());
+        assertTrue(StoreVerification.of(disk, SigningKeys.NONE, RecordConsumer.NOBODY)
+                .clean());
     }
 
     @Test
     void aNewerFormatIsRefusedAndNotTakenForDamageOfTheBytes() throws IOException {
         Store.open(disk, Store.Options.USUAL, replay).close();
         String name = disk.names().get(0);
-        ByteBuffer head = ByteBuffer.allocate(Head.BYTES);
+        ByteBuffer head = ByteBuffer.allocate(FileHeader.BYTES);
         disk.open(name).read(0, head);
         head.put(7, (byte) 2);
         CRC32C sum = new CRC32C();
         sum.update(head.duplicate().position(0).limit(36));
-        sum.update(head.duplicate().position(40).limit(Head.BYTES));
+        sum.update(head.duplicate().position(40).limit(FileHeader.BYTES));
         disk.create(name).write(0, head.putInt(36, (int) sum.getValue()).rewind());
         IOException e = assertThrows(IOException.class, () -> Store.open(disk, Store.Options.USUAL, replay));
         assertTrue(e.getMessage().contains("a newer program wrote it"), e.getMessage());
@@ -170,10 +173,11 @@
         assertEquals("somebody else has this store open", e.getMessage());
         one.close();
         Store.open(disk, Store.Options.USUAL, replay).close();
-        FolderDisk real = new FolderDisk(folder.resolve("s"));
+        DirectoryDisk real = new DirectoryDisk(folder.resolve("s"));
         Store held = Store.open(real, Store.Options.USUAL, replay);
         assertThrows(
-                IOException.class, () -> Store.open(new FolderDisk(folder.resolve("s")), Store.Options.USUAL, replay));
+                IOException.class,
+                () -> Store.open(new DirectoryDisk(folder.resolve("s")), Store.Options.USUAL, replay));
         held.close();
     }
 
@@ -193,19 +197,19 @@
             try {
                 store.append(group("x".repeat(100)), true);
                 n++;
-            } catch (FailedException e) {
-                assertEquals(FailedException.Why.BOUND, e.why());
+            } catch (StoreFailedException e) {
+                assertEquals(StoreFailedException.Why.BOUND, e.why());
                 break;
             }
         }
         assertTrue(n > 15 && n < 25, n + " records");
         assertTrue(store.bytes() <= 4_000);
         Store.Snapshot tooLarge = store.snapshot();
-        FailedException bound = assertThrows(FailedException.class, () -> {
+        StoreFailedException bound = assertThrows(StoreFailedException.class, () -> {
             tooLarge.add(new byte[3_000]);
             tooLarge.finish();
         });
-        assertEquals(FailedException.Why.BOUND, bound.why());
+        assertEquals(StoreFailedException.Why.BOUND, bound.why());
         Store.Snapshot snapshot = store.snapshot();
         snapshot.add("sum".getBytes(StandardCharsets.US_ASCII));
         snapshot.finish();
@@ -221,7 +225,7 @@
         store.append(group("before"), true);
         disk.full = true;
         for (int i = 0; i < 3; i++) {
-            assertThrows(FailedException.class, () -> store.append(group("lost"), true));
+            assertThrows(StoreFailedException.class, () -> store.append(group("lost"), true));
             assertTrue(store.failed());
             assertEquals(1, store.next());
         }
@@ -236,10 +240,11 @@
     @Test
     void whatAnotherKeySignedOrNoneIsNotRead() throws IOException {
         fill(FIRST);
-        assertNotNull(Verify.of(disk, Keys.NONE, replay).damage());
-        assertNotNull(Verify.of(disk, Keys.parse("k", "1 " + "0c".repeat(32) + "\n"), replay)
+        assertNotNull(StoreVerification.of(disk, SigningKeys.NONE, replay).damage());
+        assertNotNull(StoreVerification.of(disk, SigningKeys.parse("k", "1 " + "0c".repeat(32) + "\n"), replay)
                 .damage());
-        assertNull(Verify.of(disk, Keys.parse("k", BOTH), replay).damage());
+        assertNull(
+                StoreVerification.of(disk, SigningKeys.parse("k", BOTH), replay).damage());
     }
 
     /** Somebody without the key adds a segment that is right in all else. */
@@ -248,18 +253,20 @@
         Store store = Store.open(disk, options(FIRST, 1_000, 1 << 20), replay);
         store.append(group("a"), true);
         store.close();
-        Scan scan = new Scan(disk, Keys.parse("keys", FIRST), replay).run();
-        Chain forged = new Chain(Keys.NONE);
+        StoreReader scan = new StoreReader(disk, SigningKeys.parse("keys", FIRST), replay).run();
+        SignatureChain forged = new SignatureChain(SigningKeys.NONE);
         forged.begin(scan.certain().last());
-        disk.create(Scan.segmentName(2))
-                .write(0, Head.write(Head.Kind.SEGMENT, 2, scan.durableNext, scan.durable, forged));
+        disk.create(StoreReader.segmentName(2))
+                .write(0, FileHeader.write(FileHeader.Kind.SEGMENT, 2, scan.durableNext, scan.durable, forged));
         IOException e = assertThrows(IOException.class, () -> Store.open(disk, options(FIRST, 1_000, 1 << 20), replay));
-        assertEquals(Scan.segmentName(2) + " at 72: its head is not signed, and what is before it is", e.getMessage());
+        assertEquals(
+                StoreReader.segmentName(2) + " at 72: its head is not signed, and what is before it is",
+                e.getMessage());
     }
 
     @Test
     void aFrameOfAnotherFileIsNone() {
-        ByteBuffer bytes = Frame.write(1, 5, Head.BYTES, group("a"), new Chain(Keys.NONE));
+        ByteBuffer bytes = Frame.write(1, 5, FileHeader.BYTES, group("a"), new SignatureChain(SigningKeys.NONE));
         assertNotNull(Frame.read(bytes, 0, 1));
         assertNull(Frame.read(bytes, 0, 2), "a disk may show an old file's blocks in a new one");
     }
@@ -268,16 +275,18 @@
     void keysChangeWithoutAGapAndTheOldOneIsNeededUntilASnapshot() throws IOException {
         Store store = Store.open(disk, options(FIRST, 1_000, 1 << 20), replay);
         store.append(group("old"), true);
-        assertThrows(IllegalArgumentException.class, () -> store.keys(Keys.parse("k", "2 " + "0b".repeat(32) + "\n")));
-        store.keys(Keys.parse("k", BOTH));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> store.keys(SigningKeys.parse("k", "2 " + "0b".repeat(32) + "\n")));
+        store.keys(SigningKeys.parse("k", BOTH));
         store.append(group("new"), true);
-        Keys onlyNew = Keys.parse("k", "2 " + "0b".repeat(32) + "\n");
-        assertNotNull(Verify.of(disk, onlyNew, Replay.NOBODY).damage());
+        SigningKeys onlyNew = SigningKeys.parse("k", "2 " + "0b".repeat(32) + "\n");
+        assertNotNull(StoreVerification.of(disk, onlyNew, RecordConsumer.NOBODY).damage());
         Store.Snapshot snapshot = store.snapshot();
         snapshot.add(new byte[] {1});
         snapshot.finish();
         store.close();
-        assertNull(Verify.of(disk, onlyNew, Replay.NOBODY).damage());
+        assertNull(StoreVerification.of(disk, onlyNew, RecordConsumer.NOBODY).damage());
     }
 
     @Test
@@ -292,15 +301,15 @@
                 "# nothing\n",
                 "1\n",
                 "1 " + "0a".repeat(300) + "\n")) {
-            IOException e = assertThrows(IOException.class, () -> Keys.parse("file", wrong), wrong);
+            IOException e = assertThrows(IOException.class, () -> SigningKeys.parse("file", wrong), wrong);
             assertFalse(e.getMessage().contains("0a") || e.getMessage().contains("\n"), e.getMessage());
         }
         Path file = folder.resolve("keys");
         Files.writeString(file, FIRST);
         Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-r-----"));
-        assertThrows(IOException.class, () -> Keys.read(file));
+        assertThrows(IOException.class, () -> SigningKeys.read(file));
         Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-------"));
-        assertEquals(1, Keys.read(file).signing());
+        assertEquals(1, SigningKeys.read(file).signing());
     }
 
     @Test
@@ -335,7 +344,7 @@
 
     @Test
     void aThreadWritesForThoseWhoMayNotWaitAndAFullQueueTurnsAway() throws Exception {
-        Store store = Store.open(new FolderDisk(folder.resolve("g")), Store.Options.USUAL, replay);
+        Store store = Store.open(new DirectoryDisk(folder.resolve("g")), Store.Options.USUAL, replay);
         GroupCommit commit = new GroupCommit(
                 store, new GroupCommit.Settings(GroupCommit.Policy.GROUP, 500, 64, 16), System::nanoTime, "writer");
         CountDownLatch held = new CountDownLatch(1);
@@ -373,7 +382,7 @@
         assertEquals(16, kept.get());
         assertEquals(List.of(0L, 1L, 2L, 3L), numbers.subList(0, 4));
         assertFalse(commit.offer(new byte[1], null), "it has ended");
-        Store.open(new FolderDisk(folder.resolve("g")), Store.Options.USUAL, replay)
+        Store.open(new DirectoryDisk(folder.resolve("g")), Store.Options.USUAL, replay)
                 .close();
         assertEquals(16, this.held.size());
         assertEquals("15r15", this.held.get(15));
--- a/src/test/java/gatefront/thrift/MetadataTest.java
+++ b/src/test/java/gatefront/thrift/CallMetadataTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.thrift.codec.Encoding;
-import gatefront.thrift.codec.Header;
-import gatefront.thrift.codec.Message;
+import gatefront.thrift.codec.MessageHeader;
 import gatefront.thrift.codec.StructWriter;
+import gatefront.thrift.codec.ThriftEncoding;
+import gatefront.thrift.codec.ThriftMessage;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
@@ -15,12 +15,13 @@
  * What a caller says of its call: read where it is right, one reason where it is not, and the time put in its
  * place.
  */
-class MetadataTest {
-    private static Metadata.Found of(Encoding encoding, byte[] arguments) {
-        return Metadata.of(new Message(encoding, new Header("m", Header.Type.CALL, 1), arguments));
+class CallMetadataTest {
+    private static CallMetadata.Found of(ThriftEncoding encoding, byte[] arguments) {
+        return CallMetadata.of(
+                new ThriftMessage(encoding, new MessageHeader("m", MessageHeader.Type.CALL, 1), arguments));
     }
 
-    private static StructWriter usual(Encoding encoding, long timeoutMs) {
+    private static StructWriter usual(ThriftEncoding encoding, long timeoutMs) {
         return new StructWriter(encoding)
                 .string(1, "r-1")
                 .i64(2, timeoutMs)
@@ -33,12 +34,12 @@
 
     @Test
     void allFieldsAreReadAndThoseOfLaterVersionsPassedOver() {
-        for (Encoding encoding : Encoding.values()) {
+        for (ThriftEncoding encoding : ThriftEncoding.values()) {
             byte[] metadata = usual(encoding, 250)
                     .string(60, "later")
                     .struct(61, new StructWriter(encoding).end())
                     .end();
-            Metadata data = of(
+            CallMetadata data = of(
                             encoding,
                             new StructWriter(encoding)
                                     .struct(1, metadata)
@@ -58,7 +59,7 @@
     /** Guards against a second copy that the server believes, and the agent does not. */
     @Test
     void whatComesTwiceOrAsAnotherTypeOrNotAtAllHasAReason() {
-        for (Encoding encoding : Encoding.values()) {
+        for (ThriftEncoding encoding : ThriftEncoding.values()) {
             byte[] metadata = usual(encoding, 250).end();
             assertEquals(
                     "argument 1 comes twice",
@@ -122,20 +123,21 @@
     /** Guards against a time that does not fit, which would be read as another. */
     @Test
     void aTimeThatDoesNotFitIsNotWritten() {
-        byte[] arguments = new StructWriter(Encoding.COMPACT)
-                .struct(1, usual(Encoding.COMPACT, 63).end())
+        byte[] arguments = new StructWriter(ThriftEncoding.COMPACT)
+                .struct(1, usual(ThriftEncoding.COMPACT, 63).end())
                 .end();
-        Message call = new Message(Encoding.COMPACT, new Header("m", Header.Type.CALL, 1), arguments);
-        Metadata data = Metadata.of(call).metadata();
+        ThriftMessage call = new ThriftMessage(
+                ThriftEncoding.COMPACT, new MessageHeader("m", MessageHeader.Type.CALL, 1), arguments);
+        CallMetadata data = CallMetadata.of(call).metadata();
         assertEquals(1, data.timeoutBytes);
         assertEquals(
                 63,
-                of(Encoding.COMPACT, new ThriftCall(call, data.timeoutAt, 1).body(64))
+                of(ThriftEncoding.COMPACT, new ThriftCall(call, data.timeoutAt, 1).body(64))
                         .metadata()
                         .timeoutMs);
         assertEquals(
                 62,
-                of(Encoding.COMPACT, new ThriftCall(call, data.timeoutAt, 1).body(62))
+                of(ThriftEncoding.COMPACT, new ThriftCall(call, data.timeoutAt, 1).body(62))
                         .metadata()
                         .timeoutMs);
     }
@@ -145,17 +147,18 @@
     void theTimeLeftIsWrittenInItsPlaceAndAtItsLength() {
         Random random = new Random(3);
         for (int i = 0; i < 20_000; i++) {
-            Encoding encoding = Encoding.values()[i % 3];
+            ThriftEncoding encoding = ThriftEncoding.values()[i % 3];
             long timeout = 1 + random.nextInt(1 << 1 + random.nextInt(21));
             long left = 1 + (long) (random.nextDouble() * timeout);
             byte[] arguments = new StructWriter(encoding)
                     .struct(1, usual(encoding, timeout).end())
                     .i32(2, 5)
                     .end();
-            Message call = new Message(encoding, new Header("m", Header.Type.CALL, 1), arguments);
-            Metadata before = Metadata.of(call).metadata();
+            ThriftMessage call =
+                    new ThriftMessage(encoding, new MessageHeader("m", MessageHeader.Type.CALL, 1), arguments);
+            CallMetadata before = CallMetadata.of(call).metadata();
             byte[] sent = new ThriftCall(call, before.timeoutAt, before.timeoutBytes).body(left);
-            Metadata after = of(encoding, sent).metadata();
+            CallMetadata after = of(encoding, sent).metadata();
             assertEquals(left, after.timeoutMs, encoding + " " + timeout);
             assertEquals(arguments.length, sent.length);
             for (int at = 0; at < sent.length; at++) {
@@ -165,9 +168,9 @@
             assertEquals("k-1", after.idempotencyKey);
         }
         assertNull(of(
-                        Encoding.COMPACT,
-                        new StructWriter(Encoding.COMPACT)
-                                .struct(1, usual(Encoding.COMPACT, 9).end())
+                        ThriftEncoding.COMPACT,
+                        new StructWriter(ThriftEncoding.COMPACT)
+                                .struct(1, usual(ThriftEncoding.COMPACT, 9).end())
                                 .end())
                 .wrong());
     }
--- a/src/test/java/gatefront/thrift/ThriftUpstreamTest.java
+++ b/src/test/java/gatefront/thrift/ThriftUpstreamTest.java
@@ -1,18 +1,18 @@
 package gatefront.thrift;
 
-import gatefront.budget.Budget;
+import gatefront.budget.ResourceBudget;
 import gatefront.config.Config;
 import gatefront.connection.PooledUpstream;
 import gatefront.connection.UpstreamContract;
 import gatefront.engine.Payload;
-import gatefront.thrift.codec.Encoding;
-import gatefront.thrift.codec.Form;
-import gatefront.thrift.codec.Header;
-import gatefront.thrift.codec.Limits;
-import gatefront.thrift.codec.Message;
 import gatefront.thrift.codec.MessageDecoder;
 import gatefront.thrift.codec.MessageEncoder;
+import gatefront.thrift.codec.MessageFormat;
+import gatefront.thrift.codec.MessageHeader;
+import gatefront.thrift.codec.MessageLimits;
 import gatefront.thrift.codec.StructWriter;
+import gatefront.thrift.codec.ThriftEncoding;
+import gatefront.thrift.codec.ThriftMessage;
 import gatefront.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -25,10 +25,10 @@
 /** The contract over Thrift, in each form. */
 class ThriftUpstreamTest {
     private abstract static class InForm extends UpstreamContract {
-        private final Form form;
+        private final MessageFormat form;
 
-        InForm(boolean framed, Encoding encoding) {
-            form = new Form(framed, encoding);
+        InForm(boolean framed, ThriftEncoding encoding) {
+            form = new MessageFormat(framed, encoding);
         }
 
         @Override
@@ -38,7 +38,7 @@
                     Config.read(Path.of("src/test/resources/config.json")),
                     new ThriftSettings(null, null, port, form.framed(), true, Map.of()),
                     50,
-                    new Budget(1 << 24, Map.of()));
+                    new ResourceBudget(1 << 24, Map.of()));
         }
 
         @Override
@@ -46,27 +46,30 @@
             byte[] arguments =
                     new StructWriter(form.encoding()).string(2, "cuerpo").end();
             return new ThriftCall(
-                    new Message(form.encoding(), new Header("order", Header.Type.CALL, 5), arguments), -1, 0);
+                    new ThriftMessage(
+                            form.encoding(), new MessageHeader("order", MessageHeader.Type.CALL, 5), arguments),
+                    -1,
+                    0);
         }
 
         @Override
         protected void decode(ChannelPipeline pipeline) {
-            pipeline.addLast(new MessageDecoder(Limits.USUAL));
+            pipeline.addLast(new MessageDecoder(MessageLimits.USUAL));
         }
 
         @Override
         protected byte[] reply(Object read) {
-            Message call = (Message) read;
-            byte[] result = call.header().name().equals(Conventions.HEALTH)
-                    ? Results.health(call.encoding(), true)
+            ThriftMessage call = (ThriftMessage) read;
+            byte[] result = call.header().name().equals(ThriftConventions.HEALTH)
+                    ? ErrorResults.health(call.encoding(), true)
                     : new StructWriter(call.encoding()).string(0, "hecho").end();
             ByteBuf out = Unpooled.buffer();
             MessageEncoder.write(
-                    new Message(
+                    new ThriftMessage(
                             call.encoding(),
-                            new Header(
+                            new MessageHeader(
                                     call.header().name(),
-                                    Header.Type.REPLY,
+                                    MessageHeader.Type.REPLY,
                                     call.header().seqid()),
                             result),
                     form.framed(),
@@ -78,28 +81,28 @@
     @Nested
     class FramedBinary extends InForm {
         FramedBinary() {
-            super(true, Encoding.BINARY);
+            super(true, ThriftEncoding.BINARY);
         }
     }
 
     @Nested
     class FramedCompact extends InForm {
         FramedCompact() {
-            super(true, Encoding.COMPACT);
+            super(true, ThriftEncoding.COMPACT);
         }
     }
 
     @Nested
     class UnframedBinary extends InForm {
         UnframedBinary() {
-            super(false, Encoding.BINARY);
+            super(false, ThriftEncoding.BINARY);
         }
     }
 
     @Nested
     class UnframedCompact extends InForm {
         UnframedCompact() {
-            super(false, Encoding.COMPACT);
+            super(false, ThriftEncoding.COMPACT);
         }
     }
 }
