--- a/src/test/java/gatefront/thrift/codec/MessageDecoderTest.java
+++ b/src/test/java/gatefront/thrift/codec/MessageDecoderTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.thrift.codec.Header.Type;
+import gatefront.thrift.codec.MessageHeader.Type;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -25,12 +25,12 @@
 
 /** The decoder against messages that the reference implementation writes and reads, and against bytes that lie. */
 class MessageDecoderTest {
-    private static final Form FRAMED = new Form(true, Encoding.BINARY);
-    private static final Form COMPACT = new Form(false, Encoding.COMPACT);
+    private static final MessageFormat FRAMED = new MessageFormat(true, ThriftEncoding.BINARY);
+    private static final MessageFormat COMPACT = new MessageFormat(false, ThriftEncoding.COMPACT);
 
     /** What comes of bytes that arrive in pieces that end before these places. */
     private static List<Object> decode(byte[] bytes, int... cuts) {
-        EmbeddedChannel channel = new EmbeddedChannel(new MessageDecoder(Limits.USUAL));
+        EmbeddedChannel channel = new EmbeddedChannel(new MessageDecoder(MessageLimits.USUAL));
         int from = 0;
         for (int cut : cuts) {
             channel.writeInbound(Unpooled.copiedBuffer(bytes, from, cut - from));
@@ -48,7 +48,7 @@
     private static String why(byte[] bytes) {
         List<Object> out = decode(bytes);
         assertEquals(1, out.size(), out.toString());
-        return ((MalformedException) out.get(0)).getMessage();
+        return ((MalformedMessageException) out.get(0)).getMessage();
     }
 
     private static byte[] glued(byte[]... parts) {
@@ -65,8 +65,8 @@
         return bytes;
     }
 
-    private static byte[] call(Form form) throws Exception {
-        return Samples.message(form, "pagar", 1, 7, to -> {
+    private static byte[] call(MessageFormat form) throws Exception {
+        return MessageSamples.message(form, "pagar", 1, 7, to -> {
             to.writeFieldBegin(new TField("texto", TType.STRING, (short) 2));
             to.writeString("hola");
             to.writeFieldEnd();
@@ -79,11 +79,11 @@
 
     @Test
     void everyFormIsToldByItsFirstBytesAndReadWithItsHeader() throws Exception {
-        for (Form form : Samples.FORMS) {
-            EmbeddedChannel channel = new EmbeddedChannel(new MessageDecoder(Limits.USUAL));
+        for (MessageFormat form : MessageSamples.FORMS) {
+            EmbeddedChannel channel = new EmbeddedChannel(new MessageDecoder(MessageLimits.USUAL));
             channel.writeInbound(Unpooled.copiedBuffer(call(form)));
-            Message message = channel.readInbound();
-            assertEquals(new Header("pagar", Type.CALL, 7), message.header(), form.toString());
+            ThriftMessage message = channel.readInbound();
+            assertEquals(new MessageHeader("pagar", Type.CALL, 7), message.header(), form.toString());
             assertEquals(form, channel.pipeline().get(MessageDecoder.class).form());
             assertFalse(channel.pipeline().get(MessageDecoder.class).leftover());
         }
@@ -94,9 +94,9 @@
     void messagesOfTheReferenceAreFoundWholeHoweverTheyAreCut() throws Exception {
         Random random = new Random(5);
         for (int i = 0; i < 3000; i++) {
-            Form form = Samples.FORMS[i % Samples.FORMS.length];
-            byte[] first = Samples.random(form, random);
-            byte[] second = Samples.random(form, random);
+            MessageFormat form = MessageSamples.FORMS[i % MessageSamples.FORMS.length];
+            byte[] first = MessageSamples.random(form, random);
+            byte[] second = MessageSamples.random(form, random);
             byte[] both = glued(first, second);
             List<Object> whole = decode(both);
             assertEquals(2, whole.size(), form + " " + whole);
@@ -104,7 +104,7 @@
                     random.ints(random.nextInt(6), 0, both.length + 1).sorted().toArray();
             same(whole, decode(both, cuts));
             same(whole.subList(0, 1), decode(first));
-            Message message = (Message) whole.get(0);
+            ThriftMessage message = (ThriftMessage) whole.get(0);
             assertTrue(first.length >= message.body().length);
             assertArrayEquals(
                     Arrays.copyOfRange(first, first.length - message.body().length, first.length), message.body());
@@ -119,12 +119,12 @@
     private static void same(List<Object> some, List<Object> others) {
         assertEquals(some.size(), others.size());
         for (int i = 0; i < some.size(); i++) {
-            if (some.get(i) instanceof MalformedException malformed) {
-                assertEquals(malformed.getMessage(), ((MalformedException) others.get(i)).getMessage());
+            if (some.get(i) instanceof MalformedMessageException malformed) {
+                assertEquals(malformed.getMessage(), ((MalformedMessageException) others.get(i)).getMessage());
                 continue;
             }
-            Message one = (Message) some.get(i);
-            Message other = (Message) others.get(i);
+            ThriftMessage one = (ThriftMessage) some.get(i);
+            ThriftMessage other = (ThriftMessage) others.get(i);
             assertEquals(one.header(), other.header());
             assertArrayEquals(one.body(), other.body());
         }
@@ -132,7 +132,7 @@
 
     @Test
     void aMessageThatComesByteByByteIsReadOnce() throws Exception {
-        byte[] bytes = Samples.message(FRAMED, "m", 1, 1, to -> {
+        byte[] bytes = MessageSamples.message(FRAMED, "m", 1, 1, to -> {
             to.writeFieldBegin(new TField("f", TType.STRING, (short) 1));
             to.writeString("x".repeat(30_000));
             to.writeFieldEnd();
@@ -144,7 +144,7 @@
 
     @Test
     void whatOurWriterWritesTheReferenceReads() throws Exception {
-        for (Encoding encoding : Encoding.values()) {
+        for (ThriftEncoding encoding : ThriftEncoding.values()) {
             byte[] inner = new StructWriter(encoding)
                     .string(1, "r-1")
                     .i64(40, -5)
@@ -154,8 +154,10 @@
             byte[] body =
                     new StructWriter(encoding).struct(1, inner).i32(2, -77).end();
             ByteBuf out = Unpooled.buffer();
-            MessageEncoder.write(new Message(encoding, new Header("saldo", Type.CALL, -3), body), false, out);
-            TProtocol in = Samples.protocol(encoding, new TMemoryInputTransport(out.array(), 0, out.readableBytes()));
+            MessageEncoder.write(
+                    new ThriftMessage(encoding, new MessageHeader("saldo", Type.CALL, -3), body), false, out);
+            TProtocol in =
+                    MessageSamples.protocol(encoding, new TMemoryInputTransport(out.array(), 0, out.readableBytes()));
             TMessage head = in.readMessageBegin();
             assertEquals("saldo", head.name);
             assertEquals(-3, head.seqid);
@@ -182,11 +184,11 @@
     void ourReaderFindsFieldsBehindAnythingThatTheReferenceWrites() throws Exception {
         Random random = new Random(11);
         for (int i = 0; i < 3000; i++) {
-            Form form = Samples.FORMS[i % Samples.FORMS.length];
-            Message message =
-                    (Message) decode(Samples.withoutUuids(form, random)).get(0);
+            MessageFormat form = MessageSamples.FORMS[i % MessageSamples.FORMS.length];
+            ThriftMessage message = (ThriftMessage)
+                    decode(MessageSamples.withoutUuids(form, random)).get(0);
             StructReader reader = new StructReader(message.encoding(), message.body());
-            TProtocol in = Samples.protocol(
+            TProtocol in = MessageSamples.protocol(
                     form.encoding(), new TMemoryInputTransport(message.body(), 0, message.body().length));
             in.readStructBegin();
             while (reader.next()) {
@@ -217,14 +219,16 @@
         assertTrue(why(glued(bytes(0, 0, 0, 0), bytes(0x80, 1, 0, 1))).contains("a frame of 0 bytes"));
         assertTrue(why(bytes(0xff, 0xff, 0xff, 0xff, 0x80)).contains("neither"));
         assertTrue(why(bytes(0x7f, 0xff, 0xff, 0xff, 0x80, 1)).contains("a frame of 2147483647 bytes"));
-        EmbeddedChannel fixed = new EmbeddedChannel(new MessageDecoder(Limits.USUAL, FRAMED));
+        EmbeddedChannel fixed = new EmbeddedChannel(new MessageDecoder(MessageLimits.USUAL, FRAMED));
         fixed.writeInbound(Unpooled.copiedBuffer(bytes(0x80, 0, 0, 0, 0x80)));
-        assertTrue(((MalformedException) fixed.readInbound()).getMessage().contains("a frame of -2147483648 bytes"));
+        assertTrue(((MalformedMessageException) fixed.readInbound())
+                .getMessage()
+                .contains("a frame of -2147483648 bytes"));
     }
 
     @Test
     void framesThatDisagreeWithTheStructInsideAreRefused() throws Exception {
-        byte[] message = call(new Form(false, Encoding.BINARY));
+        byte[] message = call(new MessageFormat(false, ThriftEncoding.BINARY));
         assertTrue(why(frame(glued(message, bytes(1)))).contains("around a message of"));
         assertTrue(why(frame(Arrays.copyOf(message, message.length - 1))).contains("longer than"));
         assertTrue(why(frame(glued(message, message))).contains("around a message of"), "two calls in one frame");
@@ -284,7 +288,7 @@
 
     @Test
     void aMessageOverTheLimitIsRefusedBeforeItIsKept() throws Exception {
-        byte[] large = Samples.message(COMPACT, "m", 1, 1, to -> {
+        byte[] large = MessageSamples.message(COMPACT, "m", 1, 1, to -> {
             for (int i = 1; i < 5; i++) {
                 to.writeFieldBegin(new TField("f", TType.STRING, (short) i));
                 to.writeString("x".repeat(20_000));
@@ -298,7 +302,7 @@
     void afterAMessageOfAnotherFormNothingMoreIsRead() throws Exception {
         List<Object> out = decode(glued(call(FRAMED), call(COMPACT), call(FRAMED)));
         assertEquals(2, out.size());
-        assertTrue(out.get(1) instanceof MalformedException);
+        assertTrue(out.get(1) instanceof MalformedMessageException);
     }
 
     /**
@@ -311,7 +315,7 @@
         int passed = 0;
         List<byte[]> seeds = new ArrayList<>();
         for (int i = 0; i < 600; i++) {
-            seeds.add(Samples.random(Samples.FORMS[i % Samples.FORMS.length], random));
+            seeds.add(MessageSamples.random(MessageSamples.FORMS[i % MessageSamples.FORMS.length], random));
         }
         for (int i = 0; i < 200_000; i++) {
             byte[] bytes = seeds.get(random.nextInt(seeds.size())).clone();
@@ -331,7 +335,7 @@
             int cut = random.nextInt(bytes.length + 1);
             same(whole, decode(bytes, cut));
             for (Object each : whole) {
-                if (each instanceof Message message) {
+                if (each instanceof ThriftMessage message) {
                     passed++;
                     StructReader reader = new StructReader(message.encoding(), message.body());
                     while (reader.next()) {
--- a/src/test/java/gatefront/thrift/codec/Samples.java
+++ b/src/test/java/gatefront/thrift/codec/MessageSamples.java
@@ -18,14 +18,14 @@
 import org.apache.thrift.transport.layered.TFramedTransport;
 
 /** Messages as the reference implementation writes them. */
-final class Samples {
-    static final Form[] FORMS = {
-        new Form(true, Encoding.BINARY),
-        new Form(true, Encoding.COMPACT),
-        new Form(false, Encoding.BINARY),
-        new Form(false, Encoding.COMPACT),
-        new Form(true, Encoding.BINARY_OLD),
-        new Form(false, Encoding.BINARY_OLD)
+final class MessageSamples {
+    static final MessageFormat[] FORMS = {
+        new MessageFormat(true, ThriftEncoding.BINARY),
+        new MessageFormat(true, ThriftEncoding.COMPACT),
+        new MessageFormat(false, ThriftEncoding.BINARY),
+        new MessageFormat(false, ThriftEncoding.COMPACT),
+        new MessageFormat(true, ThriftEncoding.BINARY_OLD),
+        new MessageFormat(false, ThriftEncoding.BINARY_OLD)
     };
     private static final byte[] TYPES = {
         TType.BOOL,
@@ -51,10 +51,10 @@
         void write(TProtocol to) throws TException;
     }
 
-    private Samples() {}
+    private MessageSamples() {}
 
     /** The reference's protocol on a transport. */
-    static TProtocol protocol(Encoding encoding, TTransport transport) {
+    static TProtocol protocol(ThriftEncoding encoding, TTransport transport) {
         return switch (encoding) {
             case BINARY -> new TBinaryProtocol(transport, true, true);
             case BINARY_OLD -> new TBinaryProtocol(transport, false, false);
@@ -63,7 +63,7 @@
     }
 
     /** A message as the reference writes it. */
-    static byte[] message(Form form, String name, int type, int seqid, Body body) throws TException {
+    static byte[] message(MessageFormat form, String name, int type, int seqid, Body body) throws TException {
         TMemoryBuffer memory = new TMemoryBuffer(512);
         TTransport transport = form.framed() ? new TFramedTransport(memory) : memory;
         TProtocol to = protocol(form.encoding(), transport);
@@ -78,16 +78,16 @@
     }
 
     /** A message with any fields of any types. */
-    static byte[] random(Form form, Random random) throws TException {
+    static byte[] random(MessageFormat form, Random random) throws TException {
         return random(form, random, TYPES.length);
     }
 
     /** The same with types alone that the reference can pass over. */
-    static byte[] withoutUuids(Form form, Random random) throws TException {
+    static byte[] withoutUuids(MessageFormat form, Random random) throws TException {
         return random(form, random, WITHOUT_UUID);
     }
 
-    private static byte[] random(Form form, Random random, int types) throws TException {
+    private static byte[] random(MessageFormat form, Random random, int types) throws TException {
         return message(
                 form,
                 "metodo" + random.nextInt(100),
--- a/src/test/java/gatefront/upgrade/NeighbourTest.java
+++ b/src/test/java/gatefront/upgrade/ProcessHandoverTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.membership.Bans;
+import gatefront.membership.ServerBans;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -17,25 +17,25 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Two processes of one agent in a folder, by files that may be torn, old or of others. */
-class NeighbourTest {
-    private static final Map<String, Bans.Entry> SOME =
-            Map.of("s 1", new Bans.Entry(true, 7), "s-2", new Bans.Entry(false, 9));
+class ProcessHandoverTest {
+    private static final Map<String, ServerBans.Entry> SOME =
+            Map.of("s 1", new ServerBans.Entry(true, 7), "s-2", new ServerBans.Entry(false, 9));
 
     @TempDir
     private Path folder;
 
     private final List<String> log = new ArrayList<>();
 
-    private Neighbour enter(String name) throws IOException {
-        return new Neighbour(folder, name, log::add);
+    private ProcessHandover enter(String name) throws IOException {
+        return new ProcessHandover(folder, name, log::add);
     }
 
     @Test
     void theSecondFollowsUntilTheFirstHasEndedAndTheFirstKnowsOfIt() throws IOException {
-        Neighbour first = enter("1");
+        ProcessHandover first = enter("1");
         assertFalse(first.follows());
         assertFalse(first.followed());
-        Neighbour second = enter("2");
+        ProcessHandover second = enter("2");
         assertTrue(second.follows());
         assertTrue(first.followed());
         first.tell(SOME);
@@ -47,7 +47,7 @@
         assertFalse(second.followed());
         second.tell(SOME);
         second.tidy();
-        Neighbour third = enter("3");
+        ProcessHandover third = enter("3");
         assertTrue(second.followed());
         assertEquals(SOME, third.look());
         second.close();
@@ -57,11 +57,11 @@
     /** Guards against what is written within the same tick of the clock that files are stamped with. */
     @Test
     void whatChangesWithoutANewTimeIsReadToo() throws IOException {
-        Neighbour first = enter("1");
-        Neighbour second = enter("2");
+        ProcessHandover first = enter("1");
+        ProcessHandover second = enter("2");
         FileTime then = FileTime.fromMillis(1_000_000);
         for (boolean out : List.of(true, false, true)) {
-            Map<String, Bans.Entry> entries = Map.of("s", new Bans.Entry(out, out ? 5 : 55));
+            Map<String, ServerBans.Entry> entries = Map.of("s", new ServerBans.Entry(out, out ? 5 : 55));
             first.tell(entries);
             Files.setLastModifiedTime(folder.resolve("gatefront-bans-1"), then);
             assertEquals(entries, second.look());
@@ -72,7 +72,7 @@
 
     @Test
     void oneThatFailsBeforeItServesIsForgotten() throws IOException {
-        Neighbour first = enter("1");
+        ProcessHandover first = enter("1");
         enter("2").close();
         assertFalse(first.followed());
         first.close();
@@ -80,13 +80,13 @@
 
     @Test
     void whatIsTornOldOrForeignIsToldAndNotBelieved() throws IOException {
-        String whole = BansText.write(SOME);
-        assertEquals(SOME, BansText.read(whole));
+        String whole = BanFileFormat.write(SOME);
+        assertEquals(SOME, BanFileFormat.read(whole));
         for (int cut = 0; cut < whole.length(); cut++) {
             String part = whole.substring(0, cut);
-            assertThrows(IllegalArgumentException.class, () -> BansText.read(part), part);
+            assertThrows(IllegalArgumentException.class, () -> BanFileFormat.read(part), part);
         }
-        Neighbour first = enter("1");
+        ProcessHandover first = enter("1");
         int lines = 0;
         for (String text : List.of("", "lemonspan-bans 2\n", whole.replace("out", "in"), whole.substring(1), "\0")) {
             Files.writeString(folder.resolve("gatefront-bans-x" + lines++), text);
