--- a/src/main/java/gatefront/agent/Agent.java
+++ b/src/main/java/gatefront/agent/Agent.java
@@ -182,7 +182,7 @@
                         transport,
                         config,
                         extensions.registry(),
-                        budget.of(ResourcePurpose.REGISTRY),
+                        budget.account(ResourcePurpose.REGISTRY),
                         engine,
                         this::servers,
                         () -> listed = true);
@@ -237,7 +237,7 @@
         if (extensions.memory() != null) {
             caps.putAll(extensions.memory().caps());
         }
-        budget.caps(caps);
+        budget.setCaps(caps);
     }
 
     /** What it holds, by purpose; to be asked on its loop. */
@@ -368,7 +368,10 @@
 
     private void begin() {
         loop.scheduleWithFixedDelay(
-                () -> budget.rising(engine.now()).forEach(this::say), TREND_SECONDS, TREND_SECONDS, TimeUnit.SECONDS);
+                () -> budget.leakWarnings(engine.now()).forEach(this::say),
+                TREND_SECONDS,
+                TREND_SECONDS,
+                TimeUnit.SECONDS);
         if (serves) {
             sayWhere();
         }
@@ -384,7 +387,7 @@
         // Guards against sending to what the list before had and this one has not: a new process is told from its first
         // moment, and the list it starts with may be old. Harm: with nobody to tell, calls wait for so long.
         long grace = Math.min(FIRST_LIST_MS, config.settings().obligations().drainGrace() / 1_000);
-        engine.wakes(StallDetector.starting(transport.nanos() / 1_000, grace * 1_000), grace, () -> {});
+        engine.wakes(StallDetector.forStartup(transport.nanos() / 1_000, grace * 1_000), grace, () -> {});
         Discovery.Listing known;
         try {
             known = Discovery.decode(recovering == null ? config.known() : recovering.known(config.known()), config);
@@ -445,7 +448,7 @@
                     Locale.ROOT,
                     "recovery: it stood still for %.1f s; nothing is sent on before the list "
                             + "has been heard, for %d ms at the most",
-                    waking.gap() / 1e6,
+                    waking.lastGapMicros() / 1e6,
                     HEAR_MICROS / 1000));
             if (asksPadron()) {
                 discovery.fetch();
--- a/src/main/java/gatefront/agent/MembershipSources.java
+++ b/src/main/java/gatefront/agent/MembershipSources.java
@@ -53,7 +53,7 @@
 
             @Override
             public void policies(Map<String, ServerOverride> servers, Map<Integer, ServerOverride> zones) {
-                changed(membership.policies(servers, zones));
+                changed(membership.setOverrides(servers, zones));
             }
 
             @Override
@@ -98,11 +98,11 @@
     }
 
     private void told(int source, ListKind kind, List<Endpoint> endpoints) {
-        List<Endpoint> changed = membership.told(source, kind, endpoints);
+        List<Endpoint> changed = membership.update(source, kind, endpoints);
         if (kind == ListKind.DELTA) {
             changed(changed);
         } else {
-            servers.accept(kind, membership.all());
+            servers.accept(kind, membership.endpoints());
         }
         if (kind != ListKind.CACHED) {
             listed.run();
--- a/src/main/java/gatefront/agent/MemorySettings.java
+++ b/src/main/java/gatefront/agent/MemorySettings.java
@@ -35,7 +35,7 @@
         }
         Map<ResourcePurpose, ResourceBudget.Cap> caps = new EnumMap<>(ResourcePurpose.class);
         List<String> words = Arrays.stream(ResourcePurpose.values())
-                .map(ResourcePurpose::word)
+                .map(ResourcePurpose::label)
                 .toList();
         for (TomlTable each : table.tables("caps")) {
             ResourcePurpose purpose = ResourcePurpose.values()[words.indexOf(each.word("purpose", null, words))];
@@ -44,17 +44,17 @@
             if (purpose == ResourcePurpose.REGISTRY) {
                 throw each.bad("purpose", "registry has its cap in keys of [registry]");
             }
-            if (entries >= 0 && !purpose.byEntries()) {
-                throw each.bad("entries", "means nothing for " + purpose.word() + ", which is held to kib");
+            if (entries >= 0 && !purpose.limitsEntries()) {
+                throw each.bad("entries", "means nothing for " + purpose.label() + ", which is held to kib");
             }
-            if (kib >= 0 && !purpose.byBytes()) {
-                throw each.bad("kib", "means nothing for " + purpose.word() + ", which is held to entries");
+            if (kib >= 0 && !purpose.limitsBytes()) {
+                throw each.bad("kib", "means nothing for " + purpose.label() + ", which is held to entries");
             }
             if (entries < 0 && kib < 0) {
                 throw each.bad("entries", "is missing; a cap is of entries, of kib, or of both");
             }
             if (caps.put(purpose, new ResourceBudget.Cap(entries, kib < 0 ? -1 : (long) (1024 * kib))) != null) {
-                throw each.bad("purpose", "\"" + purpose.word() + "\" is there twice");
+                throw each.bad("purpose", "\"" + purpose.label() + "\" is there twice");
             }
         }
         return new MemorySettings(status, caps);
--- a/src/main/java/gatefront/agent/OperatorControls.java
+++ b/src/main/java/gatefront/agent/OperatorControls.java
@@ -65,7 +65,7 @@
         this.host = host;
         this.engine = engine;
         this.neighbour = neighbour;
-        this.follows = neighbour != null && neighbour.follows();
+        this.follows = neighbour != null && neighbour.isSuccessor();
         this.door = new ManagementEndpoint(transport, listen, this);
     }
 
@@ -84,7 +84,7 @@
 
     /** Whether another process is there to take over from this one. */
     boolean followed() {
-        return neighbour != null && neighbour.followed();
+        return neighbour != null && neighbour.hasSuccessor();
     }
 
     /**
@@ -96,12 +96,12 @@
         recovering = before;
         if (before != null) {
             bans.merge(before.bans());
-            bans.changed();
+            bans.takeChanged();
             if (neighbour != null && !before.guards(RecoverySettings.Guard.KEPT_BANS)) {
-                neighbour.look();
+                neighbour.poll();
             }
             if (neighbour != null && !bans.entries().isEmpty()) {
-                neighbour.tell(bans.entries());
+                neighbour.publishBans(bans.entries());
             }
         }
         if (neighbour != null) {
@@ -122,7 +122,7 @@
 
     /** The list with what is out by hand. */
     List<Endpoint> told(ListKind kind, List<Endpoint> endpoints) {
-        return bans.told(kind, endpoints);
+        return bans.update(kind, endpoints);
     }
 
     /** A file of settings was taken, or turned down. */
@@ -132,19 +132,19 @@
     }
 
     private void look() {
-        List<Endpoint> lines = bans.merge(neighbour.look());
-        boolean news = bans.changed();
+        List<Endpoint> lines = bans.merge(neighbour.poll());
+        boolean news = bans.takeChanged();
         if (news) {
-            neighbour.tell(bans.entries());
+            neighbour.publishBans(bans.entries());
             keep(bans.entries(), kept -> {});
         }
         if (!lines.isEmpty()) {
             engine.servers(ListKind.DELTA, lines);
         }
-        if (!neighbour.follows() && neighbour.others() && !neighbour.followed()) {
-            neighbour.tidy();
+        if (!neighbour.isSuccessor() && neighbour.hasOtherFiles() && !neighbour.hasSuccessor()) {
+            neighbour.deleteOtherFiles();
         }
-        if (follows && !neighbour.follows()) {
+        if (follows && !neighbour.isSuccessor()) {
             follows = false;
             host.alone();
         }
@@ -156,7 +156,7 @@
     }
 
     @Override
-    public void hand(String backend, boolean out, BiConsumer<ServerBans.Answer, Boolean> then) {
+    public void setDrained(String backend, boolean out, BiConsumer<ServerBans.Outcome, Boolean> then) {
         if (neighbour != null) {
             look(); // a call at the other door may have come just before
         }
@@ -164,18 +164,18 @@
         if (earlier != null) {
             earlier.cancel(false);
         }
-        if (!out && bans.isOut(backend)) {
+        if (!out && bans.isDrained(backend)) {
             // Guards against a request that is there before the operator has the yes: what is held goes out at once.
             Map<String, ServerBans.Entry> soon = new HashMap<>(bans.entries());
             soon.put(
                     backend,
                     new ServerBans.Entry(
                             false,
-                            Math.max(transport.wallMicros(), soon.get(backend).at() + 1)));
+                            Math.max(transport.wallMicros(), soon.get(backend).changedAtMicros() + 1)));
             keep(soon, kept -> {
-                then.accept(ServerBans.Answer.YES, kept);
+                then.accept(ServerBans.Outcome.APPLIED, kept);
                 // A call that came meanwhile has the last word.
-                if (bans.isOut(backend) && !returning.containsKey(backend)) {
+                if (bans.isDrained(backend) && !returning.containsKey(backend)) {
                     returning.put(
                             backend,
                             transport
@@ -192,7 +192,7 @@
             });
             return;
         }
-        ServerBans.Answer answer = apply(backend, out);
+        ServerBans.Outcome answer = apply(backend, out);
         keep(bans.entries(), kept -> then.accept(answer, kept));
     }
 
@@ -205,14 +205,14 @@
         }
     }
 
-    private ServerBans.Answer apply(String backend, boolean out) {
-        ServerBans.Answer answer = bans.call(backend, out, transport.wallMicros());
-        if (bans.changed()) {
+    private ServerBans.Outcome apply(String backend, boolean out) {
+        ServerBans.Outcome answer = bans.setDrained(backend, out, transport.wallMicros());
+        if (bans.takeChanged()) {
             transport.log("server " + backend + (out ? " taken out by hand" : " put back by hand"));
             if (neighbour != null) {
-                neighbour.tell(bans.entries());
+                neighbour.publishBans(bans.entries());
             }
-            List<Endpoint> line = bans.line(backend);
+            List<Endpoint> line = bans.effectiveEndpoint(backend);
             if (!line.isEmpty()) {
                 engine.servers(ListKind.DELTA, line);
             }
@@ -221,7 +221,7 @@
     }
 
     @Override
-    public Map<String, String> words() {
+    public Map<String, String> textFigures() {
         return recovering == null ? Map.of() : recovering.words();
     }
 
@@ -238,7 +238,7 @@
         figures.put("tries", tally.tries());
         figures.put("active", tally.active());
         figures.put("pool_size", (long) engine.listed());
-        figures.put("pool_ejected", (long) bans.out() + engine.avoided());
+        figures.put("pool_ejected", (long) bans.drainedCount() + engine.avoided());
         figures.put("config_applied", applied);
         figures.put("config_rejected", rejected);
         return figures;
--- a/src/main/java/gatefront/agent/StateRecovery.java
+++ b/src/main/java/gatefront/agent/StateRecovery.java
@@ -56,17 +56,17 @@
         this.recovery = new Recovery(table.instance(), table.bounds(), transport.wallMicros());
         RecoveryStore.Opened opened =
                 RecoveryStore.open(table.folder(), table.instance(), transport.loop(), transport::wallMicros);
-        keeper = opened.keeper();
-        kept = opened.kept();
-        recovery.store(opened.state(), opened.why(), transport.wallMicros());
+        keeper = opened.store();
+        kept = opened.restored();
+        recovery.storeOpened(opened.status(), opened.detail(), transport.wallMicros());
         if (kept.instance() != null) {
-            bans = recovery.claim(
+            bans = recovery.validate(
                     new RestoredState(
                             StateKind.BANS,
                             StateSource.STORE,
                             kept.instance(),
-                            kept.upTo(),
-                            opened.state() == Recovery.Store.DAMAGED),
+                            kept.writtenUntilMicros(),
+                            opened.status() == Recovery.StoreStatus.DAMAGED),
                     transport.wallMicros());
         }
         say();
@@ -85,13 +85,14 @@
     void start() {
         transport
                 .loop()
-                .scheduleWithFixedDelay(keeper::mark, table.markMicros(), table.markMicros(), TimeUnit.MICROSECONDS);
+                .scheduleWithFixedDelay(
+                        keeper::saveAliveMark, table.markMicros(), table.markMicros(), TimeUnit.MICROSECONDS);
         transport.loop().scheduleWithFixedDelay(this::keepList, LIST_MS, LIST_MS, TimeUnit.MILLISECONDS);
     }
 
     /** What staff did by hand before, as far as it may be believed; what is doubted stays out. */
     Map<String, ServerBans.Entry> bans() {
-        if (bans == null || bans.verdict() == TrustLevel.DROPPED || !guards(RecoverySettings.Guard.KEPT_BANS)) {
+        if (bans == null || bans.trust() == TrustLevel.DISCARDED || !guards(RecoverySettings.Guard.KEPT_BANS)) {
             return Map.of();
         }
         handedOver.putAll(kept.bans());
@@ -102,19 +103,22 @@
     JsonNode known(JsonNode configured) {
         long now = transport.wallMicros();
         JsonNode own = null;
-        if (kept.list() != null) {
+        if (kept.serverList() != null) {
             boolean read = true;
             try {
-                own = Config.json(new ByteArrayInputStream(kept.list()));
+                own = Config.json(new ByteArrayInputStream(kept.serverList()));
             } catch (IOException e) {
                 read = false;
             }
-            ValidationResult finding = recovery.claim(
-                    new RestoredState(StateKind.LIST, StateSource.STORE, kept.instance(), kept.listAt(), !read), now);
-            own = finding.verdict() == TrustLevel.DROPPED ? null : own;
+            ValidationResult finding = recovery.validate(
+                    new RestoredState(
+                            StateKind.SERVER_LIST, StateSource.STORE, kept.instance(), kept.serverListMicros(), !read),
+                    now);
+            own = finding.trust() == TrustLevel.DISCARDED ? null : own;
         }
         if (own == null && configured.path("endpoints").size() > 0) {
-            recovery.claim(new RestoredState(StateKind.LIST, StateSource.CONFIGURATION, null, -1, false), now);
+            recovery.validate(
+                    new RestoredState(StateKind.SERVER_LIST, StateSource.CONFIGURATION, null, -1, false), now);
         }
         say();
         return own == null ? configured : own;
@@ -127,7 +131,7 @@
         }
         if (kind == ListKind.FULL) {
             listed.clear();
-            recovery.listed(transport.wallMicros());
+            recovery.serverListReceived(transport.wallMicros());
             say();
         }
         for (Endpoint each : endpoints) {
@@ -145,7 +149,7 @@
             listChanged = false;
             ArrayNode endpoints = JsonNodeFactory.instance.arrayNode();
             listed.values().forEach(each -> endpoints.add(EndpointJson.encode(each, config)));
-            keeper.list(
+            keeper.saveServerList(
                     transport.wallMicros(),
                     JsonNodeFactory.instance
                             .objectNode()
@@ -164,7 +168,7 @@
 
     /** The agent takes callers. */
     void serves() {
-        recovery.serves(transport.wallMicros());
+        recovery.servingStarted(transport.wallMicros());
         say();
     }
 
@@ -188,12 +192,12 @@
                 .toList()
                 .forEach(each -> {
                     handedOver.remove(each);
-                    keeper.ban(each, null, fault -> {});
+                    keeper.saveBan(each, null, fault -> {});
                 });
         entries.forEach((name, entry) -> {
             if (!entry.equals(handedOver.put(name, entry))) {
                 out[0]++;
-                keeper.ban(name, entry, told);
+                keeper.saveBan(name, entry, told);
             }
         });
         told.accept(null);
@@ -209,18 +213,19 @@
     /** What staff see of it. */
     Map<String, String> words() {
         Map<String, String> words = new LinkedHashMap<>();
-        boolean lost = recovery.lost() && guards(RecoverySettings.Guard.NAMED_LOSS);
-        words.put("recovery", lost || !recovery.lost() ? recovery.stage().words() : Recovery.Stage.WHOLE.words());
+        boolean lost = recovery.stateLost() && guards(RecoverySettings.Guard.NAMED_LOSS);
+        words.put(
+                "recovery", lost || !recovery.stateLost() ? recovery.stage().label() : Recovery.Stage.COMPLETE.label());
         words.put("recovery_lost", lost ? "1" : "0");
-        words.put("recovery_for_ms", String.valueOf((transport.wallMicros() - recovery.since()) / 1000));
-        words.put("recovery_reason", lost || !recovery.lost() ? recovery.reason() : "");
+        words.put("recovery_for_ms", String.valueOf((transport.wallMicros() - recovery.stageSinceMicros()) / 1000));
+        words.put("recovery_reason", lost || !recovery.stateLost() ? recovery.reason() : "");
         words.put("recovery_kept", writesFail ? "0" : "1");
         return words;
     }
 
     private void say() {
-        List<String> lines = recovery.lines();
-        if (guards(RecoverySettings.Guard.NAMED_LOSS) || !recovery.lost()) {
+        List<String> lines = recovery.takeLogLines();
+        if (guards(RecoverySettings.Guard.NAMED_LOSS) || !recovery.stateLost()) {
             lines.forEach(transport::log);
         }
     }
--- a/src/main/java/gatefront/budget/LeakTrend.java
+++ b/src/main/java/gatefront/budget/LeakTrend.java
@@ -5,13 +5,13 @@
  * comes and goes has a floor that comes and goes too; a leak's only rises.
  */
 public final class LeakTrend {
-    private final long window;
-    private final int windows;
-    private long windowEnds;
-    private long least = Long.MAX_VALUE;
-    private long floor = -1;
-    private long began;
-    private int rising;
+    private final long windowMicros;
+    private final int windowsBeforeReport;
+    private long windowEndMicros;
+    private long windowMinimum = Long.MAX_VALUE;
+    private long previousMinimum = -1;
+    private long minimumBeforeRise;
+    private int risingWindows;
 
     /**
      * Nothing seen yet.
@@ -20,8 +20,8 @@
      * @param windows after how many in a row, each with a higher floor than the one before, it says so
      */
     public LeakTrend(long window, int windows) {
-        this.window = window;
-        this.windows = windows;
+        this.windowMicros = window;
+        this.windowsBeforeReport = windows;
     }
 
     /**
@@ -30,26 +30,26 @@
      * @return by how much the floor has risen, when that is to be said: at the given number of windows in a row, and
      *     each time as many again; else 0
      */
-    public long seen(long now, long held) {
-        if (windowEnds == 0) {
-            windowEnds = now + window;
+    public long observe(long now, long held) {
+        if (windowEndMicros == 0) {
+            windowEndMicros = now + windowMicros;
         }
         long risen = 0;
-        if (now >= windowEnds) {
-            if (floor >= 0 && least > floor) {
-                rising++;
-                if (rising % windows == 0) {
-                    risen = least - began;
+        if (now >= windowEndMicros) {
+            if (previousMinimum >= 0 && windowMinimum > previousMinimum) {
+                risingWindows++;
+                if (risingWindows % windowsBeforeReport == 0) {
+                    risen = windowMinimum - minimumBeforeRise;
                 }
             } else {
-                rising = 0;
-                began = least;
+                risingWindows = 0;
+                minimumBeforeRise = windowMinimum;
             }
-            floor = least;
-            least = Long.MAX_VALUE;
-            windowEnds = now + window;
+            previousMinimum = windowMinimum;
+            windowMinimum = Long.MAX_VALUE;
+            windowEndMicros = now + windowMicros;
         }
-        least = Math.min(least, held);
+        windowMinimum = Math.min(windowMinimum, held);
         return risen;
     }
 }
--- a/src/main/java/gatefront/budget/ResourceAccount.java
+++ b/src/main/java/gatefront/budget/ResourceAccount.java
@@ -10,9 +10,9 @@
     private long bytesCap;
     private long entries;
     private long bytes;
-    private long entriesHigh;
-    private long bytesHigh;
-    private long turnedAway;
+    private long peakEntries;
+    private long peakBytes;
+    private long rejections;
 
     ResourceAccount(ResourcePurpose purpose, long entriesCap, long bytesCap) {
         this.purpose = purpose;
@@ -21,9 +21,9 @@
     }
 
     /** Takes an entry of so many bytes; false, and nothing taken, if that is over a cap. */
-    public boolean take(long size) {
+    public boolean tryAcquire(long size) {
         if (entries >= entriesCap || bytes + size > bytesCap) {
-            turnedAway++;
+            rejections++;
             return false;
         }
         add(1, size);
@@ -31,9 +31,9 @@
     }
 
     /** Takes more bytes for an entry that is there; false, and nothing taken, if that is over the cap. */
-    public boolean grow(long size) {
+    public boolean tryGrow(long size) {
         if (bytes + size > bytesCap) {
-            turnedAway++;
+            rejections++;
             return false;
         }
         add(0, size);
@@ -44,8 +44,8 @@
     public void add(long more, long size) {
         entries += more;
         bytes += size;
-        entriesHigh = Math.max(entriesHigh, entries);
-        bytesHigh = Math.max(bytesHigh, bytes);
+        peakEntries = Math.max(peakEntries, entries);
+        peakBytes = Math.max(peakBytes, bytes);
     }
 
     /** So much is held now, where the owner counts it anew each time. */
@@ -54,7 +54,7 @@
     }
 
     /** Gives back an entry with what it had taken. */
-    public void give(long size) {
+    public void release(long size) {
         entries--;
         bytes -= size;
     }
@@ -65,11 +65,11 @@
     }
 
     /** Whether as much as may be is held: a cap may have been lowered below it. */
-    public boolean full() {
+    public boolean isFull() {
         return entries >= entriesCap || bytes >= bytesCap;
     }
 
-    void cap(long mostEntries, long mostBytes) {
+    void setCaps(long mostEntries, long mostBytes) {
         entriesCap = mostEntries;
         bytesCap = mostBytes;
     }
@@ -90,13 +90,13 @@
     }
 
     /** Held at the most so far. */
-    public long entriesHigh() {
-        return entriesHigh;
+    public long peakEntries() {
+        return peakEntries;
     }
 
     /** Held at the most so far, in bytes. */
-    public long bytesHigh() {
-        return bytesHigh;
+    public long peakBytes() {
+        return peakBytes;
     }
 
     /** Its cap. */
@@ -110,7 +110,7 @@
     }
 
     /** How often there was no room. */
-    public long turnedAway() {
-        return turnedAway;
+    public long rejections() {
+        return rejections;
     }
 }
--- a/src/main/java/gatefront/budget/ResourceBudget.java
+++ b/src/main/java/gatefront/budget/ResourceBudget.java
@@ -7,19 +7,20 @@
 import java.util.function.Supplier;
 
 /**
- * All that an agent holds, by purpose, against what it may hold together. Over the whole it goes by a stated order:
- * from {@link #TIGHT} of the total on, connections that nobody needs end sooner; from {@link #FULL} on new calls are
- * refused; what has been taken is finished in any case.
+ * Accounts for everything an agent holds, by purpose, and compares the sum with the total it may hold. When the sum
+ * approaches the total, the agent reacts in two steps: from {@link #TIGHT_FRACTION} of the total, idle connections are
+ * closed earlier; from {@link #FULL_FRACTION}, new requests are refused. Requests that were accepted are always
+ * completed.
  */
 public final class ResourceBudget {
     /** The part of the total from which on idle connections end sooner. */
-    public static final double TIGHT = 0.7;
+    public static final double TIGHT_FRACTION = 0.7;
     /** The part of the total from which on new calls are refused. */
-    public static final double FULL = 0.9;
+    public static final double FULL_FRACTION = 0.9;
     /** A leak of one entry a minute is said after so many minutes. */
-    private static final int RISING = 15;
+    private static final int RISING_WINDOWS = 15;
 
-    private static final long MINUTE = 60_000_000;
+    private static final long WINDOW_MICROS = 60_000_000;
 
     /** How much of the total is held. */
     public enum Pressure {
@@ -39,9 +40,9 @@
     /** One for each owner; fronts and upstreams of several protocols share an account. */
     private final Map<ResourcePurpose, List<Supplier<Count>>> recounts = new EnumMap<>(ResourcePurpose.class);
     /** The same without a map's iterator: they are summed for each call. */
-    private final ResourceAccount[] all = new ResourceAccount[ResourcePurpose.values().length];
+    private final ResourceAccount[] accountsByOrdinal = new ResourceAccount[ResourcePurpose.values().length];
 
-    private final long total;
+    private final long totalBytes;
 
     /** The caps of one purpose; a negative figure is none. */
     public record Cap(long entries, long bytes) {}
@@ -53,7 +54,7 @@
      * @param caps by purpose; those not named have none of their own
      */
     public ResourceBudget(long total, Map<ResourcePurpose, Cap> caps) {
-        this.total = total;
+        this.totalBytes = total;
         for (ResourcePurpose each : ResourcePurpose.values()) {
             Cap cap = caps.getOrDefault(each, new Cap(-1, -1));
             accounts.put(
@@ -62,44 +63,46 @@
                             each,
                             cap.entries < 0 ? Long.MAX_VALUE : cap.entries,
                             cap.bytes < 0 ? Long.MAX_VALUE : cap.bytes));
-            all[each.ordinal()] = accounts.get(each);
-            trends.put(each, new LeakTrend(MINUTE, RISING));
+            accountsByOrdinal[each.ordinal()] = accounts.get(each);
+            trends.put(each, new LeakTrend(WINDOW_MICROS, RISING_WINDOWS));
         }
     }
 
     /** The account of a purpose; its owner keeps it. */
-    public ResourceAccount of(ResourcePurpose purpose) {
-        return all[purpose.ordinal()];
+    public ResourceAccount account(ResourcePurpose purpose) {
+        return accountsByOrdinal[purpose.ordinal()];
     }
 
     /** Other caps from now on. What is held above them stays, and goes as it would have. */
-    public void caps(Map<ResourcePurpose, Cap> caps) {
+    public void setCaps(Map<ResourcePurpose, Cap> caps) {
         caps.forEach((purpose, cap) -> accounts.get(purpose)
-                .cap(cap.entries < 0 ? Long.MAX_VALUE : cap.entries, cap.bytes < 0 ? Long.MAX_VALUE : cap.bytes));
+                .setCaps(cap.entries < 0 ? Long.MAX_VALUE : cap.entries, cap.bytes < 0 ? Long.MAX_VALUE : cap.bytes));
     }
 
     /** Bytes held for all purposes. */
     public long bytes() {
         long sum = 0;
-        for (ResourceAccount each : all) {
+        for (ResourceAccount each : accountsByOrdinal) {
             sum += each.bytes();
         }
         return sum;
     }
 
     /** Bytes that may be held for all of them. */
-    public long total() {
-        return total;
+    public long totalBytes() {
+        return totalBytes;
     }
 
     /** How much of the total is held. */
     public Pressure pressure() {
         long held = bytes();
-        return held >= FULL * total ? Pressure.FULL : held >= TIGHT * total ? Pressure.TIGHT : Pressure.NONE;
+        return held >= FULL_FRACTION * totalBytes
+                ? Pressure.FULL
+                : held >= TIGHT_FRACTION * totalBytes ? Pressure.TIGHT : Pressure.NONE;
     }
 
     /** Has an owner count what it holds, for {@link #drift}. */
-    public void recounted(ResourcePurpose purpose, Supplier<Count> by) {
+    public void addRecount(ResourcePurpose purpose, Supplier<Count> by) {
         recounts.computeIfAbsent(purpose, each -> new ArrayList<>()).add(by);
     }
 
@@ -116,7 +119,7 @@
                 bytes += count.bytes;
             }
             if (entries != account.entries() || bytes != account.bytes()) {
-                lines.add(purpose.word() + " has " + account.entries() + " entries of " + account.bytes()
+                lines.add(purpose.label() + " has " + account.entries() + " entries of " + account.bytes()
                         + " bytes by its account, and " + entries + " of " + bytes + " by count");
             }
         });
@@ -124,12 +127,12 @@
     }
 
     /** Looks at the floors; a line for each purpose that has only risen for a quarter of an hour. */
-    public List<String> rising(long now) {
+    public List<String> leakWarnings(long now) {
         List<String> lines = new ArrayList<>();
         accounts.forEach((purpose, account) -> {
-            long risen = trends.get(purpose).seen(now, account.entries());
+            long risen = trends.get(purpose).observe(now, account.entries());
             if (risen > 0) {
-                lines.add("held for " + purpose.word() + ": the least of each minute has risen for " + RISING
+                lines.add("held for " + purpose.label() + ": the least of each minute has risen for " + RISING_WINDOWS
                         + " minutes, by " + risen + " to " + account.entries() + " entries; it may be a leak");
             }
         });
--- a/src/main/java/gatefront/budget/ResourcePurpose.java
+++ b/src/main/java/gatefront/budget/ResourcePurpose.java
@@ -22,17 +22,17 @@
     REGISTRY;
 
     /** Whether it is held to a number of entries, besides to bytes or without them. */
-    public boolean byEntries() {
+    public boolean limitsEntries() {
         return this != REQUESTS && this != SERVER_ANSWERS && this != REGISTRY;
     }
 
     /** Whether it is held to a number of bytes. */
-    public boolean byBytes() {
+    public boolean limitsBytes() {
         return this == REQUESTS || this == SERVER_ANSWERS || this == ANSWERS;
     }
 
     /** As it stands in files and on pages. */
-    public String word() {
+    public String label() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 }
--- a/src/main/java/gatefront/budget/UnaccountedMemory.java
+++ b/src/main/java/gatefront/budget/UnaccountedMemory.java
@@ -7,14 +7,14 @@
  * <p>State: two figures.
  */
 public final class UnaccountedMemory {
-    private final long limit;
-    private long base = -1;
-    private long sayAt;
+    private final long thresholdBytes;
+    private long baselineBytes = -1;
+    private long nextReportBytes;
 
     /** Growth over so many bytes is said. */
     public UnaccountedMemory(long limit) {
-        this.limit = limit;
-        this.sayAt = limit;
+        this.thresholdBytes = limit;
+        this.nextReportBytes = limit;
     }
 
     /**
@@ -25,19 +25,19 @@
      * @param buffers bytes of buffers outside it
      * @return by how many bytes the rest has grown, if staff are to hear it now; else 0
      */
-    public long seen(long resident, long heap, long buffers) {
+    public long observe(long resident, long heap, long buffers) {
         if (resident < 0) {
             return 0;
         }
         long rest = resident - heap - buffers;
-        if (base < 0) {
-            base = Math.max(0, rest);
+        if (baselineBytes < 0) {
+            baselineBytes = Math.max(0, rest);
         }
-        long grown = rest - base;
-        if (grown < sayAt) {
+        long grown = rest - baselineBytes;
+        if (grown < nextReportBytes) {
             return 0;
         }
-        sayAt = 2 * grown;
+        nextReportBytes = 2 * grown;
         return grown;
     }
 }
--- a/src/main/java/gatefront/cli/RecoveryCommand.java
+++ b/src/main/java/gatefront/cli/RecoveryCommand.java
@@ -60,29 +60,29 @@
         @Override
         public Integer call() throws IOException {
             PrintWriter out = spec.commandLine().getOut();
-            RecoveryStore.Look look = RecoveryStore.look(folder);
-            StoredState kept = look.kept();
+            RecoveryStore.Inspection look = RecoveryStore.inspect(folder);
+            StoredState kept = look.contents();
             if (json) {
                 var root = com.fasterxml.jackson.databind.node.JsonNodeFactory.instance
                         .objectNode()
                         .put("instance", kept.instance())
-                        .put("life", kept.life())
-                        .put("up_to_us", kept.upTo())
-                        .put("list_at_us", kept.listAt())
+                        .put("life", kept.startNumber())
+                        .put("up_to_us", kept.writtenUntilMicros())
+                        .put("list_at_us", kept.serverListMicros())
                         .put("damage", look.damage());
                 var bans = root.putObject("by_hand");
                 new TreeMap<>(kept.bans())
                         .forEach((name, entry) ->
-                                bans.putObject(name).put("out", entry.out()).put("at_us", entry.at()));
+                                bans.putObject(name).put("out", entry.drained()).put("at_us", entry.changedAtMicros()));
                 out.println(root);
             } else if (kept.instance() == null && look.damage() == null) {
                 out.println("MISSING " + folder + ": no store is here; it was never begun, or it is lost");
             } else {
-                out.println("instance " + kept.instance() + ", life " + kept.life() + ", written up to "
-                        + time(kept.upTo()) + ", list of " + time(kept.listAt()));
+                out.println("instance " + kept.instance() + ", life " + kept.startNumber() + ", written up to "
+                        + time(kept.writtenUntilMicros()) + ", list of " + time(kept.serverListMicros()));
                 for (Map.Entry<String, ServerBans.Entry> each : new TreeMap<>(kept.bans()).entrySet()) {
-                    out.println("  " + each.getKey() + (each.getValue().out() ? " out" : " back") + " since "
-                            + time(each.getValue().at()));
+                    out.println("  " + each.getKey() + (each.getValue().drained() ? " out" : " back") + " since "
+                            + time(each.getValue().changedAtMicros()));
                 }
                 if (look.damage() != null) {
                     out.println("DAMAGED " + look.damage() + "; what is above could be read");
@@ -119,10 +119,10 @@
             RecoveryStore.Opened opened = RecoveryStore.open(
                     folder, instance, Runnable::run, () -> TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis()));
             CountDownLatch ended = new CountDownLatch(1);
-            opened.keeper().close(ended::countDown);
+            opened.store().close(ended::countDown);
             ended.await();
-            if (opened.state() != Recovery.Store.MISSING) {
-                throw new IOException(opened.why());
+            if (opened.status() != Recovery.StoreStatus.MISSING) {
+                throw new IOException(opened.detail());
             }
             spec.commandLine().getOut().println("begun " + folder + " for " + instance);
             return 0;
--- a/src/main/java/gatefront/connection/AbstractFrontend.java
+++ b/src/main/java/gatefront/connection/AbstractFrontend.java
@@ -95,11 +95,11 @@
     protected AbstractFrontend(
             Transport transport, InetSocketAddress listen, int connectionsMost, ResourceBudget budget) {
         this.budget = budget;
-        this.callers = budget.of(ResourcePurpose.CALLER_CONNECTIONS);
-        this.requests = budget.of(ResourcePurpose.REQUESTS);
-        this.answers = budget.of(ResourcePurpose.ANSWERS);
-        budget.recounted(ResourcePurpose.CALLER_CONNECTIONS, () -> new ResourceBudget.Count(connections.size(), 0));
-        budget.recounted(
+        this.callers = budget.account(ResourcePurpose.CALLER_CONNECTIONS);
+        this.requests = budget.account(ResourcePurpose.REQUESTS);
+        this.answers = budget.account(ResourcePurpose.ANSWERS);
+        budget.addRecount(ResourcePurpose.CALLER_CONNECTIONS, () -> new ResourceBudget.Count(connections.size(), 0));
+        budget.addRecount(
                 ResourcePurpose.REQUESTS,
                 () -> new ResourceBudget.Count(
                         0, connections.stream().mapToLong(each -> each.held).sum()));
@@ -198,18 +198,18 @@
                                 - at.get(State.ENDING).size()
                                 - at.get(State.FINISHING).size()
                         >= connectionsMost
-                || callers.full()) {
+                || callers.isFull()) {
             Connection first = older(State.SILENT, now - SILENT_LEAST_NANOS);
             first = first == null ? older(State.KEPT, now - KEPT_LEAST_NANOS) : first;
             if (first == null) {
                 break;
             }
             first.close();
-            if (callers.full()) {
+            if (callers.isFull()) {
                 break; // it goes when what it was sent is written, and the next look finds out
             }
         }
-        server.config().setAutoRead(connections.size() < connectionsMost && !callers.full());
+        server.config().setAutoRead(connections.size() < connectionsMost && !callers.isFull());
     }
 
     /** The first of them if it has been there since then. */
@@ -290,7 +290,7 @@
         /** Counts bytes of requests that are held; false, and not counted, if there is no room. */
         protected final boolean hold(int bytes) {
             // Guards against running out of memory.
-            if (!requests.grow(bytes)) {
+            if (!requests.tryGrow(bytes)) {
                 return false;
             }
             held += bytes;
@@ -306,7 +306,7 @@
         /** Writes an answer, which counts as held until it has left for the caller. */
         protected final ChannelFuture answer(Object message, int bytes) {
             answers.add(1, bytes);
-            return channel.writeAndFlush(message).addListener(done -> answers.give(bytes));
+            return channel.writeAndFlush(message).addListener(done -> answers.release(bytes));
         }
 
         @Override
@@ -320,7 +320,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(this);
-            callers.give(0);
+            callers.release(0);
             move(null);
             deaf = true;
             ended();
--- a/src/main/java/gatefront/connection/PooledUpstream.java
+++ b/src/main/java/gatefront/connection/PooledUpstream.java
@@ -105,8 +105,8 @@
             long connectTimeoutMicros,
             long idleCloseMicros,
             ResourceBudget budget) {
-        this.held = budget.of(ResourcePurpose.SERVER_CONNECTIONS);
-        this.answers = budget.of(ResourcePurpose.SERVER_ANSWERS);
+        this.held = budget.account(ResourcePurpose.SERVER_CONNECTIONS);
+        this.answers = budget.account(ResourcePurpose.SERVER_ANSWERS);
         this.transport = transport;
         this.loop = transport.loop();
         this.connectionsMost = connectionsMost;
@@ -215,7 +215,7 @@
 
     /** Makes room under the limit on sockets by closing the connection that has been idle for longest. */
     private boolean roomForOne() {
-        if (connections < connectionsMost && !held.full()) {
+        if (connections < connectionsMost && !held.isFull()) {
             return true;
         }
         Connection oldest = null;
@@ -229,7 +229,7 @@
             return false;
         }
         oldest.channel.close();
-        return connections < connectionsMost && !held.full();
+        return connections < connectionsMost && !held.isFull();
     }
 
     /** Takes the most recently used connection that has rested and was silent meanwhile, or none. */
@@ -331,7 +331,7 @@
             dialled = connecting.channel();
             dialled.closeFuture().addListener(closed -> {
                 connections--;
-                held.give(0);
+                held.release(0);
             });
             connecting.addListener(done -> {
                 pool.connecting.remove(this);
@@ -544,7 +544,7 @@
 
         /** Counts bytes of an answer that is not yet whole; false, and not counted, if there is no room. */
         protected final boolean hold(int bytes) {
-            if (!answers.grow(bytes)) {
+            if (!answers.tryGrow(bytes)) {
                 return false;
             }
             part += bytes;
--- a/src/main/java/gatefront/engine/Engine.java
+++ b/src/main/java/gatefront/engine/Engine.java
@@ -128,10 +128,10 @@
             ResourceBudget budget,
             Function<Engine, Balancer> module) {
         this.budget = budget;
-        this.calls = budget.of(ResourcePurpose.CALLS);
-        this.listed = budget.of(ResourcePurpose.SERVERS);
-        budget.recounted(ResourcePurpose.CALLS, () -> new ResourceBudget.Count(open.size(), 0));
-        budget.recounted(ResourcePurpose.SERVERS, () -> new ResourceBudget.Count(names.size(), 0));
+        this.calls = budget.account(ResourcePurpose.CALLS);
+        this.listed = budget.account(ResourcePurpose.SERVERS);
+        budget.addRecount(ResourcePurpose.CALLS, () -> new ResourceBudget.Count(open.size(), 0));
+        budget.addRecount(ResourcePurpose.SERVERS, () -> new ResourceBudget.Count(names.size(), 0));
         this.transport = transport;
         this.settings = settings;
         this.limits = new ClassLimits(settings.classes().size());
@@ -158,7 +158,7 @@
     public void settings(Balancer.Settings changed) {
         int classes = Math.max(tally.classes(), changed.classes().size());
         tally.grow(classes);
-        limits.grow(classes);
+        limits.resize(classes);
         event(() -> balancer.settings(now(), changed));
     }
 
@@ -198,7 +198,7 @@
 
     /** How many calls of a class may be in progress, by its index; classes without an entry have no limit. */
     public void limits(Map<Integer, Integer> most) {
-        limits.set(most);
+        limits.setLimits(most);
     }
 
     /** Answers all that is still held, as out of time. */
@@ -237,7 +237,7 @@
     /** A whole list has come: what was held back is decided now. */
     public void heard() {
         if (waking != null) {
-            waking.heard();
+            waking.serverListReceived();
             release();
         }
     }
@@ -251,15 +251,15 @@
             return false;
         }
         long now = transport.nanos() / 1000;
-        if (waking.seen(now)) {
+        if (waking.recordEvent(now)) {
             whenWoken.run();
             lookAgain();
         }
-        return waking.doubts(now);
+        return waking.awaitingServerList(now);
     }
 
     private void release() {
-        if (waking != null && !waking.goesOn()) {
+        if (waking != null && !waking.detectsStalls()) {
             waking = null;
         }
         if (!held.isEmpty()) {
@@ -331,7 +331,7 @@
                 .forEach(each -> gone.add(each.id()));
         gone.forEach(id -> {
             if (names.remove(id) != null) {
-                listed.give(0);
+                listed.release(0);
             }
         });
     }
@@ -380,14 +380,14 @@
         }
         // Guards against falling over with all that is held: what is new is turned away, and told when to come back.
         if (budget.pressure() == ResourceBudget.Pressure.FULL
-                || budget.of(ResourcePurpose.ANSWERS).full()
+                || budget.account(ResourcePurpose.ANSWERS).isFull()
                 || !room(call.requestClass())
-                || !calls.take(0)) {
+                || !calls.tryAcquire(0)) {
             exchange.refused(RETRY_AFTER_MICROS);
             tally.refused(call.requestClass());
             return;
         }
-        limits.begun(call.requestClass());
+        limits.requestStarted(call.requestClass());
         tally.begun();
         long id = nextId++;
         Pending pending = new Pending(id, call, exchange, upstream);
@@ -413,8 +413,8 @@
 
     /** Whether a class's limit lets one more in; where it does not, staff hear of it now and then. */
     private boolean room(int of) {
-        boolean room = limits.room(of);
-        long refused = room ? 0 : limits.met(now(), of);
+        boolean room = limits.hasCapacity(of);
+        long refused = room ? 0 : limits.takeRefusalsToReport(now(), of);
         if (refused > 0) {
             say("limits: class " + of + " is at its limit, " + limits.inProgress(of) + " in progress; refused "
                     + refused + " of it since last said");
@@ -492,8 +492,8 @@
     private void forget(Pending pending) {
         if (pending.answered && pending.out == 0) {
             if (open.remove(pending.id) != null) {
-                calls.give(0);
-                limits.ended(pending.call.requestClass());
+                calls.release(0);
+                limits.requestEnded(pending.call.requestClass());
             }
             byName.remove(pending.call.id(), pending);
         }
--- a/src/main/java/gatefront/limits/ClassLimits.java
+++ b/src/main/java/gatefront/limits/ClassLimits.java
@@ -10,58 +10,58 @@
  * <p>State: two figures a class, as many as the settings have classes.
  */
 public final class ClassLimits {
-    private static final long SAY_EVERY = 60_000_000;
+    private static final long REPORT_INTERVAL_MICROS = 60_000_000;
 
     private int[] inProgress;
-    private int[] most;
+    private int[] maxInProgress;
     /** Turned away since the limit was last said to be met, and when that was; said once a minute at the most. */
-    private long[] refused;
+    private long[] unreportedRefusals;
 
-    private long[] saidAt;
+    private long[] reportedAtMicros;
 
     /** Without limits, for so many classes. */
     public ClassLimits(int classes) {
         inProgress = new int[classes];
-        most = new int[classes];
-        refused = new long[classes];
-        saidAt = new long[classes];
-        Arrays.fill(most, Integer.MAX_VALUE);
-        Arrays.fill(saidAt, Long.MIN_VALUE / 2);
+        maxInProgress = new int[classes];
+        unreportedRefusals = new long[classes];
+        reportedAtMicros = new long[classes];
+        Arrays.fill(maxInProgress, Integer.MAX_VALUE);
+        Arrays.fill(reportedAtMicros, Long.MIN_VALUE / 2);
     }
 
     /** There are so many classes now; new ones have no limit. */
-    public void grow(int classes) {
-        int known = most.length;
+    public void resize(int classes) {
+        int known = maxInProgress.length;
         inProgress = Arrays.copyOf(inProgress, classes);
-        most = Arrays.copyOf(most, classes);
-        refused = Arrays.copyOf(refused, classes);
-        saidAt = Arrays.copyOf(saidAt, classes);
-        Arrays.fill(most, known, classes, Integer.MAX_VALUE);
-        Arrays.fill(saidAt, known, classes, Long.MIN_VALUE / 2);
+        maxInProgress = Arrays.copyOf(maxInProgress, classes);
+        unreportedRefusals = Arrays.copyOf(unreportedRefusals, classes);
+        reportedAtMicros = Arrays.copyOf(reportedAtMicros, classes);
+        Arrays.fill(maxInProgress, known, classes, Integer.MAX_VALUE);
+        Arrays.fill(reportedAtMicros, known, classes, Long.MIN_VALUE / 2);
     }
 
     /** All limits that there are now, by the class's index; the others have none. */
-    public void set(Map<Integer, Integer> limits) {
-        Arrays.fill(most, Integer.MAX_VALUE);
-        limits.forEach((of, limit) -> most[of] = limit);
+    public void setLimits(Map<Integer, Integer> limits) {
+        Arrays.fill(maxInProgress, Integer.MAX_VALUE);
+        limits.forEach((of, limit) -> maxInProgress[of] = limit);
     }
 
     /** Whether there is room for one more call of a class; if not, one is turned away. */
-    public boolean room(int of) {
-        if (inProgress[of] >= most[of]) {
-            refused[of]++;
+    public boolean hasCapacity(int of) {
+        if (inProgress[of] >= maxInProgress[of]) {
+            unreportedRefusals[of]++;
             return false;
         }
         return true;
     }
 
-    /** A call has been taken; it is in progress until {@link #ended}. */
-    public void begun(int of) {
+    /** A call has been taken; it is in progress until {@link #requestEnded}. */
+    public void requestStarted(int of) {
         inProgress[of]++;
     }
 
     /** A call that was taken has ended. */
-    public void ended(int of) {
+    public void requestEnded(int of) {
         inProgress[of]--;
     }
 
@@ -71,13 +71,13 @@
     }
 
     /** How many of a class were turned away, if staff are to hear it now; else 0. The clock is any, in microseconds. */
-    public long met(long now, int of) {
-        if (refused[of] == 0 || now - saidAt[of] < SAY_EVERY) {
+    public long takeRefusalsToReport(long now, int of) {
+        if (unreportedRefusals[of] == 0 || now - reportedAtMicros[of] < REPORT_INTERVAL_MICROS) {
             return 0;
         }
-        long turnedAway = refused[of];
-        refused[of] = 0;
-        saidAt[of] = now;
+        long turnedAway = unreportedRefusals[of];
+        unreportedRefusals[of] = 0;
+        reportedAtMicros[of] = now;
         return turnedAway;
     }
 }
--- a/src/main/java/gatefront/management/ManagementEndpoint.java
+++ b/src/main/java/gatefront/management/ManagementEndpoint.java
@@ -17,8 +17,8 @@
  * {@code POST /backends/ID/ready}. A call that is not one of these changes nothing.
  */
 public final class ManagementEndpoint extends OperatorHttpServer {
-    private static final int CONNECTIONS_MOST = 24;
-    private static final long PATIENCE_MS = 5_000;
+    private static final int MAX_CONNECTIONS = 24;
+    private static final long REQUEST_TIMEOUT_MS = 5_000;
     private static final String BACKENDS = "/backends/";
 
     /** What the calls are about. */
@@ -30,7 +30,7 @@
         Map<String, Long> figures();
 
         /** More lines of the figures, in words. */
-        default Map<String, String> words() {
+        default Map<String, String> textFigures() {
             return Map.of();
         }
 
@@ -39,14 +39,14 @@
          *
          * @param then hears what came of it, and whether a restart of the agent would still know it, once that is sure
          */
-        void hand(String backend, boolean out, BiConsumer<ServerBans.Answer, Boolean> then);
+        void setDrained(String backend, boolean out, BiConsumer<ServerBans.Outcome, Boolean> then);
     }
 
     private final Agent agent;
 
     /** Listens to nobody yet. */
     public ManagementEndpoint(Transport transport, InetSocketAddress listen, Agent agent) {
-        super(transport, listen, CONNECTIONS_MOST, PATIENCE_MS);
+        super(transport, listen, MAX_CONNECTIONS, REQUEST_TIMEOUT_MS);
         this.agent = agent;
     }
 
@@ -56,7 +56,7 @@
         int end = uri.indexOf('?');
         String path = end < 0 ? uri : uri.substring(0, end);
         if (path.equals("/healthcheck") || path.equals("/stats")) {
-            answer.accept(look(request, path));
+            answer.accept(answerRead(request, path));
             return;
         }
         int verb = path.lastIndexOf('/');
@@ -81,24 +81,24 @@
             answer.accept(Reply.plain(400, "an id that cannot be read\n"));
             return;
         }
-        agent.hand(
+        agent.setDrained(
                 backend,
                 out,
                 (came, kept) -> answer.accept(
                         switch (came) {
-                            case YES -> Reply.plain(
+                            case APPLIED -> Reply.plain(
                                     200, (out ? "out" : "back") + (kept ? "\n" : ", and not kept over a restart\n"));
-                            case UNKNOWN -> Reply.plain(404, "nobody has this id\n");
-                            case FULL -> Reply.plain(503, "too many are out by hand\n");
+                            case UNKNOWN_SERVER -> Reply.plain(404, "nobody has this id\n");
+                            case TOO_MANY -> Reply.plain(503, "too many are out by hand\n");
                         }));
     }
 
-    private Reply look(FullHttpRequest request, String path) {
+    private Reply answerRead(FullHttpRequest request, String path) {
         if (!request.method().equals(HttpMethod.GET)) {
             return Reply.plain(405, "GET only\n");
         }
         if (path.equals("/stats")) {
-            return Reply.plain(200, text(agent.figures()) + text(agent.words()));
+            return Reply.plain(200, text(agent.figures()) + text(agent.textFigures()));
         }
         return agent.ready() ? Reply.plain(200, "ready\n") : Reply.plain(503, "not ready\n");
     }
--- a/src/main/java/gatefront/membership/Endpoint.java
+++ b/src/main/java/gatefront/membership/Endpoint.java
@@ -13,7 +13,7 @@
  */
 public record Endpoint(Server server, String name, InetSocketAddress address) {
     /** The same server, which has left. */
-    public Endpoint gone() {
+    public Endpoint asGone() {
         return with(Phase.GONE, server.weight(), server.startedAt());
     }
 
--- a/src/main/java/gatefront/membership/Membership.java
+++ b/src/main/java/gatefront/membership/Membership.java
@@ -19,28 +19,28 @@
  * <p>State: a server for each name that a source lists, dropped when none does; the policies last told.
  */
 public final class Membership {
-    private final List<String> sources;
+    private final List<String> sourceNames;
     private final Consumer<String> log;
-    private final Map<String, Told> servers = new LinkedHashMap<>();
-    private Map<String, ServerOverride> ofServers = Map.of();
-    private Map<Integer, ServerOverride> ofZones = Map.of();
+    private final Map<String, SourceViews> servers = new LinkedHashMap<>();
+    private Map<String, ServerOverride> serverOverrides = Map.of();
+    private Map<Integer, ServerOverride> zoneOverrides = Map.of();
 
     /** What is said of one server. */
-    private static final class Told {
-        final Endpoint[] by;
+    private static final class SourceViews {
+        final Endpoint[] bySource;
         /** Which sources have listed it and do so no longer; and the latest start that was known then. */
         final boolean[] withdrawn;
 
-        long since;
-        boolean differs;
+        long latestKnownStart;
+        boolean addressConflict;
 
-        Told(int sources) {
-            by = new Endpoint[sources];
+        SourceViews(int sources) {
+            bySource = new Endpoint[sources];
             withdrawn = new boolean[sources];
         }
 
-        boolean listed() {
-            for (Endpoint each : by) {
+        boolean isListed() {
+            for (Endpoint each : bySource) {
                 if (each != null) {
                     return true;
                 }
@@ -56,7 +56,7 @@
      * @param log gets a line for each server about whose address sources begin to differ
      */
     public Membership(List<String> sources, Consumer<String> log) {
-        this.sources = List.copyOf(sources);
+        this.sourceNames = List.copyOf(sources);
         this.log = log;
     }
 
@@ -68,11 +68,11 @@
      * @param endpoints what it lists; those that are gone are withdrawn
      * @return what has changed by it in the one list; servers that have left it are gone there
      */
-    public List<Endpoint> told(int source, ListKind kind, List<Endpoint> endpoints) {
+    public List<Endpoint> update(int source, ListKind kind, List<Endpoint> endpoints) {
         Set<String> touched = new LinkedHashSet<>();
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
             servers.forEach((name, told) -> {
-                if (told.by[source] != null) {
+                if (told.bySource[source] != null) {
                     touched.add(name);
                 }
             });
@@ -82,27 +82,27 @@
         touched.forEach(name -> before.put(name, merged(servers.get(name))));
         touched.forEach(name -> withdraw(source, servers.get(name)));
         for (Endpoint each : endpoints) {
-            Told told = servers.computeIfAbsent(each.name(), name -> new Told(sources.size()));
+            SourceViews told = servers.computeIfAbsent(each.name(), name -> new SourceViews(sourceNames.size()));
             if (touched.add(each.name())) {
                 before.put(each.name(), merged(told));
             }
             if (each.server().phase() == Phase.GONE) {
                 withdraw(source, told);
             } else {
-                list(source, told, each);
+                record(source, told, each);
             }
         }
         List<Endpoint> changed = new ArrayList<>();
         for (String name : touched) {
-            Told told = servers.get(name);
+            SourceViews told = servers.get(name);
             Endpoint now = merged(told);
             Endpoint was = before.get(name);
             if (now != null && !now.equals(was)) {
                 changed.add(now);
             } else if (now == null && was != null) {
-                changed.add(was.gone());
+                changed.add(was.asGone());
             }
-            if (!told.listed()) {
+            if (!told.isListed()) {
                 servers.remove(name);
             }
         }
@@ -116,19 +116,19 @@
      * @param zones all that there are for a zone, by its number
      * @return what has changed by it in the one list
      */
-    public List<Endpoint> policies(Map<String, ServerOverride> servers, Map<Integer, ServerOverride> zones) {
-        List<Endpoint> before = all();
-        ofServers = Map.copyOf(servers);
-        ofZones = Map.copyOf(zones);
-        List<Endpoint> changed = new ArrayList<>(all()); // a policy makes none come or go
+    public List<Endpoint> setOverrides(Map<String, ServerOverride> servers, Map<Integer, ServerOverride> zones) {
+        List<Endpoint> before = endpoints();
+        serverOverrides = Map.copyOf(servers);
+        zoneOverrides = Map.copyOf(zones);
+        List<Endpoint> changed = new ArrayList<>(endpoints()); // a policy makes none come or go
         changed.removeAll(Set.copyOf(before));
         return changed;
     }
 
     /** The one list, without what is gone. */
-    public List<Endpoint> all() {
+    public List<Endpoint> endpoints() {
         List<Endpoint> all = new ArrayList<>();
-        for (Told each : servers.values()) {
+        for (SourceViews each : servers.values()) {
             Endpoint merged = merged(each);
             if (merged != null) {
                 all.add(merged);
@@ -137,37 +137,37 @@
         return all;
     }
 
-    private void withdraw(int source, Told told) {
-        if (told.by[source] != null) {
-            for (Endpoint each : told.by) {
-                told.since = each == null
-                        ? told.since
-                        : Math.max(told.since, each.server().startedAt());
+    private void withdraw(int source, SourceViews told) {
+        if (told.bySource[source] != null) {
+            for (Endpoint each : told.bySource) {
+                told.latestKnownStart = each == null
+                        ? told.latestKnownStart
+                        : Math.max(told.latestKnownStart, each.server().startedAt());
             }
-            told.by[source] = null;
+            told.bySource[source] = null;
             told.withdrawn[source] = true;
         }
     }
 
-    private void list(int source, Told told, Endpoint endpoint) {
-        told.by[source] = endpoint;
+    private void record(int source, SourceViews told, Endpoint endpoint) {
+        told.bySource[source] = endpoint;
         told.withdrawn[source] = false;
-        if (endpoint.server().startedAt() > told.since) {
+        if (endpoint.server().startedAt() > told.latestKnownStart) {
             for (int i = 0; i < told.withdrawn.length; i++) {
                 told.withdrawn[i] = false; // it has started anew since, which the one that withdrew it may not know yet
             }
         }
-        Endpoint first = first(told);
+        Endpoint first = firstListed(told);
         boolean differs = !first.address().equals(endpoint.address());
-        if (differs && !told.differs) {
-            log.accept("membership: " + sources.get(source) + " has " + endpoint.name() + " at " + endpoint.address()
-                    + ", which is at " + first.address() + " by an earlier source; that is used");
+        if (differs && !told.addressConflict) {
+            log.accept("membership: " + sourceNames.get(source) + " has " + endpoint.name() + " at "
+                    + endpoint.address() + ", which is at " + first.address() + " by an earlier source; that is used");
         }
-        told.differs = differs;
+        told.addressConflict = differs;
     }
 
-    private static Endpoint first(Told told) {
-        for (Endpoint each : told.by) {
+    private static Endpoint firstListed(SourceViews told) {
+        for (Endpoint each : told.bySource) {
             if (each != null) {
                 return each;
             }
@@ -176,8 +176,8 @@
     }
 
     /** What all say together; null if it is not listed, or gone by one of them. */
-    private Endpoint merged(Told told) {
-        Endpoint first = first(told);
+    private Endpoint merged(SourceViews told) {
+        Endpoint first = firstListed(told);
         if (first == null) {
             return null;
         }
@@ -188,16 +188,16 @@
         }
         Phase phase = first.server().phase();
         long since = first.server().startedAt();
-        for (Endpoint each : told.by) {
+        for (Endpoint each : told.bySource) {
             if (each != null) {
                 phase = each.server().phase() == Phase.DRAINING ? Phase.DRAINING : phase;
                 since = Math.max(since, each.server().startedAt());
             }
         }
-        ServerOverride policy = ofServers
+        ServerOverride policy = serverOverrides
                 .getOrDefault(first.name(), ServerOverride.NONE)
-                .and(ofZones.getOrDefault(first.server().zone(), ServerOverride.NONE));
+                .combine(zoneOverrides.getOrDefault(first.server().zone(), ServerOverride.NONE));
         return first.with(
-                policy.drain() ? Phase.DRAINING : phase, first.server().weight() * policy.factor(), since);
+                policy.drain() ? Phase.DRAINING : phase, first.server().weight() * policy.weightFactor(), since);
     }
 }
--- a/src/main/java/gatefront/membership/ServerBans.java
+++ b/src/main/java/gatefront/membership/ServerBans.java
@@ -10,34 +10,38 @@
 import java.util.Set;
 
 /**
- * Servers that operators have taken out by hand, laid over the list whatever it says. Out is a drain; put back is a
- * start at that time. The later entry for a server wins, so entries of several processes merge in any order.
+ * Manual drains: servers that operators have taken out of service, applied on top of the server list whatever the list
+ * says. A drained server is listed as {@link Phase#DRAINING}. A server that is put back counts as started at that time.
+ * For each server the entry with the later time wins, so entries of several processes can be merged in any order.
  *
- * <p>State: the list as last told, bounded as that is; an entry for each server taken out or put back. One put back
- * goes when the list has dropped the server and {@link #KEPT} has passed; one out stays until the call back, and no
- * more than {@link #MOST} are taken.
+ * <p>State: the most recent server list, and one entry for each server that was drained or put back. The entry of a
+ * server that was put back is removed once the server is no longer listed and
+ * {@link #READMITTED_RETENTION_MICROS} has passed; the entry of a drained server stays until the server is put back.
+ * At most {@link #MAX_ENTRIES} entries are held.
  */
 public final class ServerBans {
     /** Entries at the most; calls beyond are answered with a no. */
-    public static final int MOST = 10_000;
+    public static final int MAX_ENTRIES = 10_000;
     /** A server put back that is listed no more is remembered for this long, for the other process to hear of it. */
-    static final long KEPT = 60_000_000;
+    static final long READMITTED_RETENTION_MICROS = 60_000_000;
 
     /** Whether a server is out, and since when that holds, in microseconds of the time of day. */
-    public record Entry(boolean out, long at) {
-        boolean later(Entry other) {
-            return other == null || at > other.at || at == other.at && out && !other.out;
+    public record Entry(boolean drained, long changedAtMicros) {
+        boolean supersedes(Entry other) {
+            return other == null
+                    || changedAtMicros > other.changedAtMicros
+                    || changedAtMicros == other.changedAtMicros && drained && !other.drained;
         }
     }
 
     /** What a call has come to. */
-    public enum Answer {
+    public enum Outcome {
         /** Done, or so already. */
-        YES,
+        APPLIED,
         /** Nobody has this id. */
-        UNKNOWN,
+        UNKNOWN_SERVER,
         /** Too many. */
-        FULL
+        TOO_MANY
     }
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
@@ -45,7 +49,7 @@
     private boolean changed;
 
     /** The list has changed; what of it goes on to the engine. */
-    public List<Endpoint> told(ListKind kind, List<Endpoint> endpoints) {
+    public List<Endpoint> update(ListKind kind, List<Endpoint> endpoints) {
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
             listed.clear();
         }
@@ -56,48 +60,48 @@
             } else {
                 listed.put(each.name(), each);
             }
-            laid.add(laid(each));
+            laid.add(applyBan(each));
         }
         return laid;
     }
 
     /** An operator's call. */
-    public Answer call(String name, boolean out, long now) {
+    public Outcome setDrained(String name, boolean out, long now) {
         Entry before = entries.get(name);
         if (before == null && !listed.containsKey(name)) {
-            return Answer.UNKNOWN;
+            return Outcome.UNKNOWN_SERVER;
         }
-        if ((before != null && before.out) == out) {
-            return Answer.YES; // two calls out need one call back
+        if ((before != null && before.drained) == out) {
+            return Outcome.APPLIED; // two calls out need one call back
         }
-        forget(now);
-        if (before == null && entries.size() >= MOST) {
-            return Answer.FULL;
+        evictExpired(now);
+        if (before == null && entries.size() >= MAX_ENTRIES) {
+            return Outcome.TOO_MANY;
         }
-        entries.put(name, new Entry(out, before == null ? now : Math.max(now, before.at + 1)));
+        entries.put(name, new Entry(out, before == null ? now : Math.max(now, before.changedAtMicros + 1)));
         changed = true;
-        return Answer.YES;
+        return Outcome.APPLIED;
     }
 
     /** What another process has; the lines of the list that are to be told anew. */
     public List<Endpoint> merge(Map<String, Entry> others) {
         Set<String> touched = new HashSet<>();
         others.forEach((name, entry) -> {
-            if (entry.later(entries.get(name)) && (entries.containsKey(name) || entries.size() < MOST)) {
+            if (entry.supersedes(entries.get(name)) && (entries.containsKey(name) || entries.size() < MAX_ENTRIES)) {
                 entries.put(name, entry);
                 touched.add(name);
             }
         });
         changed |= !touched.isEmpty();
         List<Endpoint> laid = new ArrayList<>();
-        touched.forEach(name -> laid.addAll(line(name)));
+        touched.forEach(name -> laid.addAll(effectiveEndpoint(name)));
         return laid;
     }
 
     /** The line of one server as it is to be told now; none if it is not listed. */
-    public List<Endpoint> line(String name) {
+    public List<Endpoint> effectiveEndpoint(String name) {
         Endpoint endpoint = listed.get(name);
-        return endpoint == null ? List.of() : List.of(laid(endpoint));
+        return endpoint == null ? List.of() : List.of(applyBan(endpoint));
     }
 
     /** All entries, as other processes are to know them. */
@@ -106,39 +110,40 @@
     }
 
     /** Whether entries have changed since this was last asked. */
-    public boolean changed() {
+    public boolean takeChanged() {
         boolean was = changed;
         changed = false;
         return was;
     }
 
     /** Whether a server is out, listed or not. */
-    public boolean isOut(String name) {
+    public boolean isDrained(String name) {
         Entry entry = entries.get(name);
-        return entry != null && entry.out;
+        return entry != null && entry.drained;
     }
 
     /** How many listed servers are out. */
-    public int out() {
+    public int drainedCount() {
         int out = 0;
         for (Map.Entry<String, Entry> each : entries.entrySet()) {
-            out += each.getValue().out && listed.containsKey(each.getKey()) ? 1 : 0;
+            out += each.getValue().drained && listed.containsKey(each.getKey()) ? 1 : 0;
         }
         return out;
     }
 
-    private void forget(long now) {
+    private void evictExpired(long now) {
         entries.entrySet()
-                .removeIf(each ->
-                        !each.getValue().out && !listed.containsKey(each.getKey()) && now - each.getValue().at > KEPT);
+                .removeIf(each -> !each.getValue().drained
+                        && !listed.containsKey(each.getKey())
+                        && now - each.getValue().changedAtMicros > READMITTED_RETENTION_MICROS);
     }
 
-    private Endpoint laid(Endpoint endpoint) {
+    private Endpoint applyBan(Endpoint endpoint) {
         Entry entry = entries.get(endpoint.name());
         if (entry == null || endpoint.server().phase() == Phase.GONE) {
             return endpoint;
         }
-        return entry.out
+        return entry.drained
                 ? endpoint.with(
                         Phase.DRAINING,
                         endpoint.server().weight(),
@@ -147,6 +152,6 @@
                 : endpoint.with(
                         endpoint.server().phase(),
                         endpoint.server().weight(),
-                        Math.max(endpoint.server().startedAt(), entry.at));
+                        Math.max(endpoint.server().startedAt(), entry.changedAtMicros));
     }
 }
--- a/src/main/java/gatefront/persistence/RecoveryRecordCodec.java
+++ b/src/main/java/gatefront/persistence/RecoveryRecordCodec.java
@@ -15,30 +15,30 @@
  * fields. Unknown fields are skipped; an unknown kind is a newer program's, and nothing of the store is believed then.
  */
 final class RecoveryRecordCodec implements RecordConsumer {
-    private static final byte LIFE = 'L';
-    private static final byte MARK = 'M';
-    private static final byte BAN = 'B';
-    private static final byte FORGOTTEN = 'F';
-    private static final byte LIST = 'S';
-    private static final int NAME = 1;
-    private static final int AT = 2;
-    private static final int NUMBER = 3;
-    private static final int OUT = 4;
-    private static final int BYTES = 5;
-    private static final int FIELDS = 6;
+    private static final byte KIND_START = 'L';
+    private static final byte KIND_ALIVE_MARK = 'M';
+    private static final byte KIND_BAN = 'B';
+    private static final byte KIND_BAN_REMOVAL = 'F';
+    private static final byte KIND_SERVER_LIST = 'S';
+    private static final int FIELD_NAME = 1;
+    private static final int FIELD_TIME = 2;
+    private static final int FIELD_START_NUMBER = 3;
+    private static final int FIELD_DRAINED = 4;
+    private static final int FIELD_BYTES = 5;
+    private static final int FIELD_NUMBER_END = 6;
 
     private final Map<String, ServerBans.Entry> bans = new LinkedHashMap<>();
     private String instance;
-    private long life;
-    private long upTo = -1;
-    private long listAt = -1;
-    private byte[] list;
+    private long startNumber;
+    private long writtenUntilMicros = -1;
+    private long serverListMicros = -1;
+    private byte[] serverList;
 
-    private interface Fields {
+    private interface FieldWriter {
         void write(CodedOutputStream out) throws IOException;
     }
 
-    private static byte[] message(byte kind, Fields fields) {
+    private static byte[] encode(byte kind, FieldWriter fields) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(32);
         bytes.write(kind);
         CodedOutputStream out = CodedOutputStream.newInstance(bytes);
@@ -52,68 +52,68 @@
     }
 
     /** An instance has started, for the n-th time. */
-    static byte[] life(String instance, long life, long at) {
-        return message(LIFE, out -> {
-            out.writeString(NAME, instance);
-            out.writeSInt64(AT, at);
-            out.writeUInt64(NUMBER, life);
+    static byte[] start(String instance, long life, long at) {
+        return encode(KIND_START, out -> {
+            out.writeString(FIELD_NAME, instance);
+            out.writeSInt64(FIELD_TIME, at);
+            out.writeUInt64(FIELD_START_NUMBER, life);
         });
     }
 
     /** It is still there. */
-    static byte[] mark(long at) {
-        return message(MARK, out -> out.writeSInt64(AT, at));
+    static byte[] aliveMark(long at) {
+        return encode(KIND_ALIVE_MARK, out -> out.writeSInt64(FIELD_TIME, at));
     }
 
     /** Staff have taken a server out, or put it back. */
     static byte[] ban(String name, ServerBans.Entry entry) {
-        return message(BAN, out -> {
-            out.writeString(NAME, name);
-            out.writeSInt64(AT, entry.at());
-            out.writeBool(OUT, entry.out());
+        return encode(KIND_BAN, out -> {
+            out.writeString(FIELD_NAME, name);
+            out.writeSInt64(FIELD_TIME, entry.changedAtMicros());
+            out.writeBool(FIELD_DRAINED, entry.drained());
         });
     }
 
     /** Nothing is known of a server any more. */
-    static byte[] forgotten(String name) {
-        return message(FORGOTTEN, out -> out.writeString(NAME, name));
+    static byte[] banRemoval(String name) {
+        return encode(KIND_BAN_REMOVAL, out -> out.writeString(FIELD_NAME, name));
     }
 
     /** Whether a record says only that there is nothing any more. */
-    static boolean ends(byte[] record) {
-        return record[0] == FORGOTTEN;
+    static boolean isRemoval(byte[] record) {
+        return record[0] == KIND_BAN_REMOVAL;
     }
 
     /** The whole list. */
-    static byte[] list(long at, byte[] list) {
-        return message(LIST, out -> {
-            out.writeSInt64(AT, at);
-            out.writeByteArray(BYTES, list);
+    static byte[] serverList(long at, byte[] list) {
+        return encode(KIND_SERVER_LIST, out -> {
+            out.writeSInt64(FIELD_TIME, at);
+            out.writeByteArray(FIELD_BYTES, list);
         });
     }
 
     @Override
     public void snapshot(byte[] record) throws IOException {
-        take(record);
+        apply(record);
     }
 
     @Override
     public void record(long number, byte[] record) throws IOException {
-        take(record);
+        apply(record);
     }
 
-    private void take(byte[] record) throws IOException {
+    private void apply(byte[] record) throws IOException {
         String name = "";
         byte[] bytes = null;
-        long[] numbers = new long[FIELDS];
+        long[] numbers = new long[FIELD_NUMBER_END];
         CodedInputStream in =
                 CodedInputStream.newInstance(record, Math.min(1, record.length), Math.max(0, record.length - 1));
         for (int tag; (tag = in.readTag()) != 0; ) {
             switch (WireFormat.getTagFieldNumber(tag)) {
-                case NAME -> name = in.readStringRequireUtf8();
-                case AT -> numbers[AT] = in.readSInt64();
-                case NUMBER, OUT -> numbers[WireFormat.getTagFieldNumber(tag)] = in.readUInt64();
-                case BYTES -> bytes = in.readByteArray();
+                case FIELD_NAME -> name = in.readStringRequireUtf8();
+                case FIELD_TIME -> numbers[FIELD_TIME] = in.readSInt64();
+                case FIELD_START_NUMBER, FIELD_DRAINED -> numbers[WireFormat.getTagFieldNumber(tag)] = in.readUInt64();
+                case FIELD_BYTES -> bytes = in.readByteArray();
                 default -> {
                     if (!in.skipField(tag)) {
                         throw new IOException("a record ends in the middle of a group");
@@ -122,30 +122,31 @@
             }
         }
         switch (record.length == 0 ? 0 : record[0]) {
-            case LIFE -> {
+            case KIND_START -> {
                 instance = name;
-                life = numbers[NUMBER];
-                upTo = numbers[AT];
+                startNumber = numbers[FIELD_START_NUMBER];
+                writtenUntilMicros = numbers[FIELD_TIME];
             }
-            case MARK -> upTo = numbers[AT];
-            case BAN -> {
-                if (name.isEmpty() || bans.size() >= ServerBans.MOST && !bans.containsKey(name)) {
+            case KIND_ALIVE_MARK -> writtenUntilMicros = numbers[FIELD_TIME];
+            case KIND_BAN -> {
+                if (name.isEmpty() || bans.size() >= ServerBans.MAX_ENTRIES && !bans.containsKey(name)) {
                     throw new IOException("a call by hand without a name, or one too many");
                 }
-                bans.put(name, new ServerBans.Entry(numbers[OUT] != 0, numbers[AT]));
-                upTo = Math.max(upTo, numbers[AT]);
+                bans.put(name, new ServerBans.Entry(numbers[FIELD_DRAINED] != 0, numbers[FIELD_TIME]));
+                writtenUntilMicros = Math.max(writtenUntilMicros, numbers[FIELD_TIME]);
             }
-            case FORGOTTEN -> bans.remove(name);
-            case LIST -> {
-                listAt = numbers[AT];
-                list = bytes;
+            case KIND_BAN_REMOVAL -> bans.remove(name);
+            case KIND_SERVER_LIST -> {
+                serverListMicros = numbers[FIELD_TIME];
+                serverList = bytes;
             }
             default -> throw new IOException("a record is of no kind that is known here; a newer program wrote it");
         }
     }
 
     /** What has been read so far. */
-    StoredState kept() {
-        return new StoredState(instance, life, upTo, Map.copyOf(bans), listAt, list);
+    StoredState contents() {
+        return new StoredState(
+                instance, startNumber, writtenUntilMicros, Map.copyOf(bans), serverListMicros, serverList);
     }
 }
--- a/src/main/java/gatefront/persistence/RecoveryStore.java
+++ b/src/main/java/gatefront/persistence/RecoveryStore.java
@@ -25,29 +25,33 @@
 import java.util.function.LongSupplier;
 
 /**
- * Keeps what an instance is to know again. The owner's loop hands records over; a thread of the keeper's own writes all
- * that have come together as one frame, forces it, and tells the loop. One hand-over is out at a time.
+ * Persists the state that an instance restores at its next start. The agent's event loop enqueues records; a writer
+ * thread owned by this store appends all records that have accumulated as one frame, syncs it to disk, and reports the
+ * result back on the event loop. At most one write is in progress at a time.
  *
- * <p>A store that cannot be believed is set aside, for staff, beside its folder ({@link #ASIDE_MOST} of them are kept),
- * and a new one is begun. State: what waits, by what it is about, so that it is bounded by {@link ServerBans#MOST}, a
- * list and a mark; on the thread, the same as last written, for snapshots.
+ * <p>A store that cannot be used (damaged, or of another instance) is moved to a sibling folder for operators to
+ * examine, and a new store is created. Up to {@link #MAX_SET_ASIDE} such folders are kept.
+ *
+ * <p>State: on the event loop, one pending record for each key (a server's name, the server list, the alive mark),
+ * which bounds it by {@link ServerBans#MAX_ENTRIES} plus two; on the writer thread, the last written record of each
+ * key, for snapshots.
  */
 public final class RecoveryStore {
     /** Stores set aside at the most; a further one takes the place of the last. */
-    static final int ASIDE_MOST = 3;
+    static final int MAX_SET_ASIDE = 3;
     /** Records in the log from which a snapshot takes their place. */
-    private static final int LOG_MOST = 5_000;
+    private static final int COMPACT_AFTER_RECORDS = 5_000;
 
     private static final Store.Options OPTIONS = new Store.Options(SigningKeys.NONE, 1 << 20, 64 << 20);
 
     /** What opening a store has come to. */
-    public record Opened(RecoveryStore keeper, StoredState kept, Recovery.Store state, String why) {}
+    public record Opened(RecoveryStore store, StoredState restored, Recovery.StoreStatus status, String detail) {}
 
     /** What a store holds, and the first damage in it or null. */
-    public record Look(StoredState kept, String damage) {}
+    public record Inspection(StoredState contents, String damage) {}
 
     /** What waits to be written about one thing, and who is told. */
-    private record Waiting(byte[] record, List<Consumer<IOException>> told) {}
+    private record PendingWrite(byte[] record, List<Consumer<IOException>> callbacks) {}
 
     private final Path folder;
     private final String instance;
@@ -61,14 +65,14 @@
         return thread;
     });
     // Of the loop:
-    private Map<String, Waiting> waiting = new LinkedHashMap<>();
-    private boolean out;
-    private boolean ended;
+    private Map<String, PendingWrite> pendingWrites = new LinkedHashMap<>();
+    private boolean writeInProgress;
+    private boolean closed;
     // Of the writer:
     private Store store;
-    private long logged;
-    private long life;
-    private final Map<String, byte[]> state = new LinkedHashMap<>();
+    private long recordsInLog;
+    private long startNumber;
+    private final Map<String, byte[]> lastWritten = new LinkedHashMap<>();
 
     private RecoveryStore(Path folder, String instance, Executor loop, LongSupplier clock) {
         this.folder = folder;
@@ -89,52 +93,59 @@
         try {
             boolean there = Files.isDirectory(folder);
             keeper.store = Store.open(new DirectoryDisk(folder), OPTIONS, read);
-            StoredState kept = read.kept();
+            StoredState kept = read.contents();
             if (kept.instance() != null && !kept.instance().equals(instance)) {
                 keeper.store.close();
-                String aside = keeper.anew();
+                String aside = keeper.setAsideAndRecreate();
                 return new Opened(
                         keeper,
                         kept,
-                        Recovery.Store.ANOTHERS,
+                        Recovery.StoreStatus.FOREIGN,
                         "that of " + kept.instance() + "; it was set aside as " + aside);
             }
-            keeper.begin(kept);
+            keeper.recordStart(kept);
             return kept.instance() == null
                     ? new Opened(
                             keeper,
-                            StoredState.NOTHING,
-                            Recovery.Store.MISSING,
+                            StoredState.EMPTY,
+                            Recovery.StoreStatus.MISSING,
                             there ? "the folder is empty" : "there is no folder")
-                    : new Opened(keeper, kept, Recovery.Store.WHOLE, "life " + (kept.life() + 1));
+                    : new Opened(keeper, kept, Recovery.StoreStatus.INTACT, "life " + (kept.startNumber() + 1));
         } catch (StoreInUseException e) {
-            return new Opened(keeper, StoredState.NOTHING, Recovery.Store.IN_USE, "");
+            return new Opened(keeper, StoredState.EMPTY, Recovery.StoreStatus.IN_USE, "");
         } catch (CorruptStoreException e) {
             try {
-                String aside = keeper.anew();
+                String aside = keeper.setAsideAndRecreate();
                 return new Opened(
-                        keeper, read.kept(), Recovery.Store.DAMAGED, e.getMessage() + "; it was set aside as " + aside);
+                        keeper,
+                        read.contents(),
+                        Recovery.StoreStatus.DAMAGED,
+                        e.getMessage() + "; it was set aside as " + aside);
             } catch (IOException again) {
                 return new Opened(
-                        keeper, read.kept(), Recovery.Store.UNUSABLE, e.getMessage() + "; and " + again.getMessage());
+                        keeper,
+                        read.contents(),
+                        Recovery.StoreStatus.UNUSABLE,
+                        e.getMessage() + "; and " + again.getMessage());
             }
         } catch (IOException e) {
-            return new Opened(keeper, StoredState.NOTHING, Recovery.Store.UNUSABLE, String.valueOf(e.getMessage()));
+            return new Opened(keeper, StoredState.EMPTY, Recovery.StoreStatus.UNUSABLE, String.valueOf(e.getMessage()));
         }
     }
 
     /** Looks at a store, which may be in use, and changes nothing. */
-    public static Look look(Path folder) throws IOException {
+    public static Inspection inspect(Path folder) throws IOException {
         RecoveryRecordCodec read = new RecoveryRecordCodec();
         StoreVerification verify = StoreVerification.of(DirectoryDisk.existing(folder), OPTIONS.keys(), read);
-        return new Look(
-                read.kept(), verify.damage() == null ? null : verify.damage().getMessage());
+        return new Inspection(
+                read.contents(),
+                verify.damage() == null ? null : verify.damage().getMessage());
     }
 
     /** Sets what is there aside and begins anew. */
-    private String anew() throws IOException {
+    private String setAsideAndRecreate() throws IOException {
         Path aside = null;
-        for (int i = 1; i <= ASIDE_MOST && (aside == null || Files.exists(aside)); i++) {
+        for (int i = 1; i <= MAX_SET_ASIDE && (aside == null || Files.exists(aside)); i++) {
             aside = folder.resolveSibling(folder.getFileName() + ".aside-" + i);
         }
         if (Files.exists(aside)) {
@@ -147,91 +158,91 @@
         }
         Files.move(folder, aside);
         store = Store.open(new DirectoryDisk(folder), OPTIONS, new RecoveryRecordCodec());
-        begin(StoredState.NOTHING);
+        recordStart(StoredState.EMPTY);
         return aside.toString();
     }
 
-    private void begin(StoredState kept) throws StoreFailedException {
-        life = kept.life() + 1;
-        kept.bans().forEach((name, entry) -> state.put("ban " + name, RecoveryRecordCodec.ban(name, entry)));
-        if (kept.list() != null) {
-            state.put("list", RecoveryRecordCodec.list(kept.listAt(), kept.list()));
+    private void recordStart(StoredState kept) throws StoreFailedException {
+        startNumber = kept.startNumber() + 1;
+        kept.bans().forEach((name, entry) -> lastWritten.put("ban " + name, RecoveryRecordCodec.ban(name, entry)));
+        if (kept.serverList() != null) {
+            lastWritten.put("list", RecoveryRecordCodec.serverList(kept.serverListMicros(), kept.serverList()));
         }
-        byte[] record = RecoveryRecordCodec.life(instance, life, clock.getAsLong());
-        state.put("life", record);
+        byte[] record = RecoveryRecordCodec.start(instance, startNumber, clock.getAsLong());
+        lastWritten.put("life", record);
         store.append(List.of(record), true);
     }
 
     /** A call by hand has changed something; told once it is on the disk, or cannot be. */
-    public void ban(String name, ServerBans.Entry entry, Consumer<IOException> told) {
-        add(
+    public void saveBan(String name, ServerBans.Entry entry, Consumer<IOException> told) {
+        enqueue(
                 "ban " + name,
-                entry == null ? RecoveryRecordCodec.forgotten(name) : RecoveryRecordCodec.ban(name, entry),
+                entry == null ? RecoveryRecordCodec.banRemoval(name) : RecoveryRecordCodec.ban(name, entry),
                 told);
     }
 
     /** The whole list as it is now. */
-    public void list(long at, byte[] list) {
-        add("list", RecoveryRecordCodec.list(at, list), null);
+    public void saveServerList(long at, byte[] list) {
+        enqueue("list", RecoveryRecordCodec.serverList(at, list), null);
     }
 
     /** This instance is there. */
-    public void mark() {
-        add("mark", RecoveryRecordCodec.mark(clock.getAsLong()), null);
+    public void saveAliveMark() {
+        enqueue("mark", RecoveryRecordCodec.aliveMark(clock.getAsLong()), null);
     }
 
-    private void add(String about, byte[] record, Consumer<IOException> told) {
+    private void enqueue(String about, byte[] record, Consumer<IOException> told) {
         List<Consumer<IOException>> all = new ArrayList<>();
-        Waiting before = waiting.remove(about);
+        PendingWrite before = pendingWrites.remove(about);
         if (before != null) {
-            all.addAll(before.told);
+            all.addAll(before.callbacks);
         }
         if (told != null) {
             all.add(told);
         }
-        waiting.put(about, new Waiting(record, all));
-        handOver();
+        pendingWrites.put(about, new PendingWrite(record, all));
+        startWrite();
     }
 
-    private void handOver() {
-        if (out || ended || waiting.isEmpty()) {
+    private void startWrite() {
+        if (writeInProgress || closed || pendingWrites.isEmpty()) {
             return;
         }
-        Map<String, Waiting> handed = waiting;
-        waiting = new LinkedHashMap<>();
-        out = true;
+        Map<String, PendingWrite> handed = pendingWrites;
+        pendingWrites = new LinkedHashMap<>();
+        writeInProgress = true;
         writer.execute(() -> {
             IOException fault = write(handed);
             try {
                 loop.execute(() -> {
-                    out = false;
-                    handed.values().forEach(each -> each.told.forEach(told -> told.accept(fault)));
-                    handOver();
+                    writeInProgress = false;
+                    handed.values().forEach(each -> each.callbacks.forEach(told -> told.accept(fault)));
+                    startWrite();
                 });
             } catch (RejectedExecutionException e) {
-                out = false; // the agent has ended; nobody waits any more
+                writeInProgress = false; // the agent has ended; nobody waits any more
             }
         });
     }
 
     /** On the writer. */
-    private IOException write(Map<String, Waiting> handed) {
+    private IOException write(Map<String, PendingWrite> handed) {
         try {
             if (store == null) {
                 RecoveryRecordCodec read = new RecoveryRecordCodec();
                 store = Store.open(new DirectoryDisk(folder), OPTIONS, read); // the process before has ended, perhaps
-                begin(read.kept());
+                recordStart(read.contents());
             }
-            store.append(handed.values().stream().map(Waiting::record).toList(), true);
+            store.append(handed.values().stream().map(PendingWrite::record).toList(), true);
             handed.forEach((about, each) -> {
-                if (RecoveryRecordCodec.ends(each.record)) {
-                    state.remove(about);
+                if (RecoveryRecordCodec.isRemoval(each.record)) {
+                    lastWritten.remove(about);
                 } else {
-                    state.put(about, each.record);
+                    lastWritten.put(about, each.record);
                 }
             });
-            logged += handed.size();
-            if (logged >= LOG_MOST) {
+            recordsInLog += handed.size();
+            if (recordsInLog >= COMPACT_AFTER_RECORDS) {
                 compact();
             }
             return null;
@@ -244,18 +255,18 @@
 
     private void compact() throws StoreFailedException {
         Store.Snapshot snapshot = store.snapshot();
-        for (byte[] each : state.values()) {
+        for (byte[] each : lastWritten.values()) {
             snapshot.add(each);
         }
         snapshot.finish();
-        logged = 0;
+        recordsInLog = 0;
     }
 
     /** Writes what waits, and ends; {@code then} runs on the writer. */
     public void close(Runnable then) {
-        mark();
-        ended = true;
-        Map<String, Waiting> last = waiting;
+        saveAliveMark();
+        closed = true;
+        Map<String, PendingWrite> last = pendingWrites;
         writer.execute(() -> {
             if (!last.isEmpty() && store != null) {
                 write(last);
--- a/src/main/java/gatefront/persistence/StoredState.java
+++ b/src/main/java/gatefront/persistence/StoredState.java
@@ -4,17 +4,23 @@
 import java.util.Map;
 
 /**
- * What was read from a store.
+ * The contents read from a store.
  *
- * @param instance who wrote it; null where nobody did
- * @param life which start of that instance wrote last
- * @param upTo microseconds of the time of day up to which its writer was certainly there; negative if nobody was
- * @param bans what staff took out or put back
- * @param listAt of which time the list is
- * @param list the last whole list in the platform's form; null if none was kept
+ * @param instance the name of the instance that wrote the store; null if the store is empty
+ * @param startNumber the number of the last start of that instance, counted from 1; 0 if the store is empty
+ * @param writtenUntilMicros the latest time at which the instance is known to have been writing, in microseconds of the
+ *     time of day; negative if unknown
+ * @param bans the manual drains, by the server's name
+ * @param serverListMicros when the server list was stored, in microseconds of the time of day
+ * @param serverList the last full server list, as JSON in the form of the discovery service; null if none was stored
  */
 public record StoredState(
-        String instance, long life, long upTo, Map<String, ServerBans.Entry> bans, long listAt, byte[] list) {
-    /** Nothing. */
-    public static final StoredState NOTHING = new StoredState(null, 0, -1, Map.of(), -1, null);
+        String instance,
+        long startNumber,
+        long writtenUntilMicros,
+        Map<String, ServerBans.Entry> bans,
+        long serverListMicros,
+        byte[] serverList) {
+    /** The contents of an empty store. */
+    public static final StoredState EMPTY = new StoredState(null, 0, -1, Map.of(), -1, null);
 }
--- a/src/main/java/gatefront/recovery/Recovery.java
+++ b/src/main/java/gatefront/recovery/Recovery.java
@@ -15,36 +15,36 @@
         /** Nothing has been looked at. */
         STARTING("starting"),
         /** It serves, if it does, on what was kept or written in its file; nobody has confirmed that. */
-        KEPT("on what was kept"),
+        RESTORED("on what was kept"),
         /** A whole list has come. */
-        LISTED("listed"),
+        LIST_RECEIVED("listed"),
         /** It serves, and nothing that it ought to know is missing. */
-        WHOLE("whole"),
+        COMPLETE("whole"),
         /** It serves, and something that it ought to know is lost: staff have to tell it again. */
-        LACKING("lacking");
+        INCOMPLETE("lacking");
 
-        private final String words;
+        private final String label;
 
         Stage(String words) {
-            this.words = words;
+            this.label = words;
         }
 
         /** As staff read it. */
-        public String words() {
-            return words;
+        public String label() {
+            return label;
         }
     }
 
     /** What a store was found to be. */
-    public enum Store {
+    public enum StoreStatus {
         /** It is there and whole. */
-        WHOLE,
+        INTACT,
         /** None is there: a first start, or it is lost. */
         MISSING,
         /** A file of it is not what was written. */
         DAMAGED,
         /** It is that of another instance. */
-        ANOTHERS,
+        FOREIGN,
         /** Another process of this instance has it. */
         IN_USE,
         /** Nothing can be read or written there. */
@@ -53,87 +53,87 @@
 
     private final String instance;
     private final StateValidator.Bounds bounds;
-    private final List<String> lines = new ArrayList<>();
-    private final List<ValidationResult> findings = new ArrayList<>();
+    private final List<String> logLines = new ArrayList<>();
+    private final List<ValidationResult> results = new ArrayList<>();
     private Stage stage = Stage.STARTING;
     private String reason = "it has begun";
-    private long since;
-    private boolean listed;
-    private boolean serves;
-    private String lost;
+    private long stageSinceMicros;
+    private boolean serverListReceived;
+    private boolean serving;
+    private String lossReason;
 
     /** Begins at a time. */
     public Recovery(String instance, StateValidator.Bounds bounds, long now) {
         this.instance = instance;
         this.bounds = bounds;
-        this.since = now;
+        this.stageSinceMicros = now;
     }
 
     /** The store has been opened, or could not be; {@code why} is for staff. */
-    public void store(Store state, String why, long now) {
+    public void storeOpened(StoreStatus state, String why, long now) {
         switch (state) {
-            case WHOLE -> say("the store is whole, " + why);
-            case IN_USE -> say("another process of this instance has the store; what it tells is taken from it");
+            case INTACT -> log("the store is whole, " + why);
+            case IN_USE -> log("another process of this instance has the store; what it tells is taken from it");
             default -> {
-                lost = switch (state) {
+                lossReason = switch (state) {
                             case MISSING -> "no store: a first start, or it is lost";
                             case DAMAGED -> "the store is damaged";
-                            case ANOTHERS -> "the store is another's";
+                            case FOREIGN -> "the store is another's";
                             default -> "the store cannot be used, and nothing is kept";
                         }
                         + (why.isEmpty() ? "" : "; " + why);
-                say(lost);
+                log(lossReason);
             }
         }
-        step(now);
+        updateStage(now);
     }
 
     /** Something is there to be believed or not. */
-    public ValidationResult claim(RestoredState claim, long now) {
-        ValidationResult finding = StateValidator.judge(claim, instance, now, bounds);
-        findings.add(finding);
-        say(finding.line());
-        if (claim.piece() == StateKind.BANS && finding.verdict() != TrustLevel.BELIEVED && lost == null) {
-            lost = finding.line();
+    public ValidationResult validate(RestoredState claim, long now) {
+        ValidationResult finding = StateValidator.validate(claim, instance, now, bounds);
+        results.add(finding);
+        log(finding.logLine());
+        if (claim.kind() == StateKind.BANS && finding.trust() != TrustLevel.TRUSTED && lossReason == null) {
+            lossReason = finding.logLine();
         }
-        step(now);
+        updateStage(now);
         return finding;
     }
 
     /** A whole list has come from those who know. */
-    public void listed(long now) {
-        if (!listed) {
-            listed = true;
-            step(now);
+    public void serverListReceived(long now) {
+        if (!serverListReceived) {
+            serverListReceived = true;
+            updateStage(now);
         }
     }
 
     /** It takes callers. */
-    public void serves(long now) {
-        serves = true;
-        step(now);
+    public void servingStarted(long now) {
+        serving = true;
+        updateStage(now);
     }
 
-    private void step(long now) {
-        Stage next = !listed
-                ? findings.isEmpty() ? Stage.STARTING : Stage.KEPT
-                : !serves ? Stage.LISTED : lost == null ? Stage.WHOLE : Stage.LACKING;
+    private void updateStage(long now) {
+        Stage next = !serverListReceived
+                ? results.isEmpty() ? Stage.STARTING : Stage.RESTORED
+                : !serving ? Stage.LIST_RECEIVED : lossReason == null ? Stage.COMPLETE : Stage.INCOMPLETE;
         if (next != stage) {
             stage = next;
-            since = now;
+            stageSinceMicros = now;
             reason = switch (stage) {
                 case STARTING -> "it has begun";
-                case KEPT -> "no whole list has come";
-                case LISTED -> "it does not serve yet";
-                case WHOLE -> "a whole list has come, and all that was kept is known";
-                case LACKING -> lost;
+                case RESTORED -> "no whole list has come";
+                case LIST_RECEIVED -> "it does not serve yet";
+                case COMPLETE -> "a whole list has come, and all that was kept is known";
+                case INCOMPLETE -> lossReason;
             };
-            say(stage.words() + ": " + reason);
+            log(stage.label() + ": " + reason);
         }
     }
 
-    private void say(String line) {
-        lines.add("recovery: " + line);
+    private void log(String line) {
+        logLines.add("recovery: " + line);
     }
 
     /** How far it is. */
@@ -147,24 +147,24 @@
     }
 
     /** Since when it is there. */
-    public long since() {
-        return since;
+    public long stageSinceMicros() {
+        return stageSinceMicros;
     }
 
     /** Whether something of what staff told this instance may not be known any more. */
-    public boolean lost() {
-        return lost != null;
+    public boolean stateLost() {
+        return lossReason != null;
     }
 
     /** What was found, in the order of the claims. */
-    public List<ValidationResult> findings() {
-        return List.copyOf(findings);
+    public List<ValidationResult> results() {
+        return List.copyOf(results);
     }
 
     /** Lines for the log since this was last asked. */
-    public List<String> lines() {
-        List<String> taken = List.copyOf(lines);
-        lines.clear();
+    public List<String> takeLogLines() {
+        List<String> taken = List.copyOf(logLines);
+        logLines.clear();
         return taken;
     }
 }
--- a/src/main/java/gatefront/recovery/StallDetector.java
+++ b/src/main/java/gatefront/recovery/StallDetector.java
@@ -9,12 +9,12 @@
  * looks as fresh as it did before. Times are microseconds of a clock that goes on while the process stands still.
  */
 public final class StallDetector {
-    private final long gapMost;
-    private final long patience;
-    private long last = Long.MIN_VALUE;
-    private long wokeAt;
-    private boolean doubting;
-    private long gap;
+    private final long maxGapMicros;
+    private final long maxWaitMicros;
+    private long lastEventMicros = Long.MIN_VALUE;
+    private long resumedAtMicros;
+    private boolean awaitingServerList;
+    private long lastGapMicros;
 
     /**
      * One that has just been awake.
@@ -23,50 +23,50 @@
      * @param patience so long it waits to hear, then it goes on with what it has
      */
     public StallDetector(long gapMost, long patience) {
-        this.gapMost = gapMost;
-        this.patience = patience;
+        this.maxGapMicros = gapMost;
+        this.maxWaitMicros = patience;
     }
 
     /** One that has just started and was told nothing yet; it notices no standstill. */
-    public static StallDetector starting(long now, long patience) {
+    public static StallDetector forStartup(long now, long patience) {
         StallDetector waking = new StallDetector(Long.MAX_VALUE, patience);
-        waking.wokeAt = now;
-        waking.doubting = true;
+        waking.resumedAtMicros = now;
+        waking.awaitingServerList = true;
         return waking;
     }
 
     /** Something happens; returns whether the process has just woken. */
-    public boolean seen(long now) {
-        boolean woke = last != Long.MIN_VALUE && now - last > gapMost;
+    public boolean recordEvent(long now) {
+        boolean woke = lastEventMicros != Long.MIN_VALUE && now - lastEventMicros > maxGapMicros;
         if (woke) {
-            gap = now - last;
-            wokeAt = now;
-            doubting = true;
+            lastGapMicros = now - lastEventMicros;
+            resumedAtMicros = now;
+            awaitingServerList = true;
         }
-        last = Math.max(last, now);
+        lastEventMicros = Math.max(lastEventMicros, now);
         return woke;
     }
 
     /** Whether it would notice a standstill: one that only starts has done its work once it has heard. */
-    public boolean goesOn() {
-        return gapMost < Long.MAX_VALUE;
+    public boolean detectsStalls() {
+        return maxGapMicros < Long.MAX_VALUE;
     }
 
     /** Those who know have told all that there is. */
-    public void heard() {
-        doubting = false;
+    public void serverListReceived() {
+        awaitingServerList = false;
     }
 
     /** Whether what it knows is to be doubted now. */
-    public boolean doubts(long now) {
-        if (doubting && now - wokeAt >= patience) {
-            doubting = false; // nobody tells: to serve nobody for as long would be worse
+    public boolean awaitingServerList(long now) {
+        if (awaitingServerList && now - resumedAtMicros >= maxWaitMicros) {
+            awaitingServerList = false; // nobody tells: to serve nobody for as long would be worse
         }
-        return doubting;
+        return awaitingServerList;
     }
 
     /** How long it last stood still. */
-    public long gap() {
-        return gap;
+    public long lastGapMicros() {
+        return lastGapMicros;
     }
 }
--- a/src/main/java/gatefront/recovery/StateKind.java
+++ b/src/main/java/gatefront/recovery/StateKind.java
@@ -5,16 +5,16 @@
     /** Servers that staff have taken out or put back by hand. */
     BANS("calls by hand"),
     /** The list of servers. */
-    LIST("the list");
+    SERVER_LIST("the list");
 
-    private final String words;
+    private final String label;
 
     StateKind(String words) {
-        this.words = words;
+        this.label = words;
     }
 
     /** As a line of the log has it. */
-    public String words() {
-        return words;
+    public String label() {
+        return label;
     }
 }
--- a/src/main/java/gatefront/recovery/StateSource.java
+++ b/src/main/java/gatefront/recovery/StateSource.java
@@ -7,16 +7,16 @@
     /** What this instance kept itself. */
     STORE("the store"),
     /** Another process of this instance, during an upgrade or before a restart. */
-    NEIGHBOUR("the process before");
+    PREVIOUS_PROCESS("the process before");
 
-    private final String words;
+    private final String label;
 
     StateSource(String words) {
-        this.words = words;
+        this.label = words;
     }
 
     /** As a line of the log has it. */
-    public String words() {
-        return words;
+    public String label() {
+        return label;
     }
 }
--- a/src/main/java/gatefront/recovery/StateValidator.java
+++ b/src/main/java/gatefront/recovery/StateValidator.java
@@ -15,70 +15,71 @@
     /**
      * The figures, in microseconds.
      *
-     * @param doubtAfter calls by hand that end so long before the start may not be all
-     * @param listMost a list that is older serves nobody
-     * @param ahead a time of day may be so much later than now: clocks of one machine that were set
+     * @param unconfirmedAfterMicros calls by hand that end so long before the start may not be all
+     * @param maxListAgeMicros a list that is older serves nobody
+     * @param maxClockLeadMicros a time of day may be so much later than now: clocks of one machine that were set
      */
-    public record Bounds(long doubtAfter, long listMost, long ahead) {}
+    public record Bounds(long unconfirmedAfterMicros, long maxListAgeMicros, long maxClockLeadMicros) {}
 
     private StateValidator() {}
 
     /** Judges a claim. */
-    public static ValidationResult judge(RestoredState claim, String instance, long now, Bounds bounds) {
+    public static ValidationResult validate(RestoredState claim, String instance, long now, Bounds bounds) {
         if (claim.instance() != null && !claim.instance().equals(instance)) {
-            return new ValidationResult(claim, TrustLevel.DROPPED, "it is that of " + claim.instance());
+            return new ValidationResult(claim, TrustLevel.DISCARDED, "it is that of " + claim.instance());
         }
         if (claim.damaged()) {
-            return claim.piece() == StateKind.BANS
-                    ? new ValidationResult(claim, TrustLevel.DOUBTED, "it is damaged; what could be read stays out")
-                    : new ValidationResult(claim, TrustLevel.DROPPED, "it is damaged");
+            return claim.kind() == StateKind.BANS
+                    ? new ValidationResult(claim, TrustLevel.UNCONFIRMED, "it is damaged; what could be read stays out")
+                    : new ValidationResult(claim, TrustLevel.DISCARDED, "it is damaged");
         }
-        return claim.piece() == StateKind.BANS ? bans(claim, now, bounds) : list(claim, now, bounds);
+        return claim.kind() == StateKind.BANS ? bans(claim, now, bounds) : list(claim, now, bounds);
     }
 
     private static ValidationResult bans(RestoredState claim, long now, Bounds bounds) {
-        if (claim.source() == StateSource.NEIGHBOUR) {
-            return new ValidationResult(claim, TrustLevel.BELIEVED, "it says so itself");
+        if (claim.source() == StateSource.PREVIOUS_PROCESS) {
+            return new ValidationResult(claim, TrustLevel.TRUSTED, "it says so itself");
         }
-        if (claim.upTo() > now + bounds.ahead) {
+        if (claim.writtenUntilMicros() > now + bounds.maxClockLeadMicros) {
             return new ValidationResult(
                     claim,
-                    TrustLevel.DOUBTED,
-                    seconds(claim.upTo() - now) + " ahead of this clock; what is " + "out stays out");
+                    TrustLevel.UNCONFIRMED,
+                    seconds(claim.writtenUntilMicros() - now) + " ahead of this clock; what is " + "out stays out");
         }
-        if (claim.upTo() < now - bounds.doubtAfter) {
+        if (claim.writtenUntilMicros() < now - bounds.unconfirmedAfterMicros) {
             return new ValidationResult(
                     claim,
-                    TrustLevel.DOUBTED,
-                    "it ends " + seconds(now - claim.upTo()) + " before this start: "
+                    TrustLevel.UNCONFIRMED,
+                    "it ends " + seconds(now - claim.writtenUntilMicros()) + " before this start: "
                             + "either nobody was there, or it was put back; what is out stays out, "
                             + "calls since are not known");
         }
         return new ValidationResult(
                 claim,
-                TrustLevel.BELIEVED,
-                "it ends " + seconds(Math.max(0, now - claim.upTo())) + " before this start");
+                TrustLevel.TRUSTED,
+                "it ends " + seconds(Math.max(0, now - claim.writtenUntilMicros())) + " before this start");
     }
 
     private static ValidationResult list(RestoredState claim, long now, Bounds bounds) {
         if (claim.source() == StateSource.CONFIGURATION) {
             return new ValidationResult(
-                    claim, TrustLevel.DOUBTED, "it has no date; it serves until the first whole list");
+                    claim, TrustLevel.UNCONFIRMED, "it has no date; it serves until the first whole list");
         }
-        if (claim.upTo() > now + bounds.ahead) {
+        if (claim.writtenUntilMicros() > now + bounds.maxClockLeadMicros) {
             return new ValidationResult(
-                    claim, TrustLevel.DROPPED, seconds(claim.upTo() - now) + " ahead of this clock");
+                    claim, TrustLevel.DISCARDED, seconds(claim.writtenUntilMicros() - now) + " ahead of this clock");
         }
-        if (claim.upTo() < now - bounds.listMost) {
+        if (claim.writtenUntilMicros() < now - bounds.maxListAgeMicros) {
             return new ValidationResult(
                     claim,
-                    TrustLevel.DROPPED,
-                    seconds(now - claim.upTo()) + " old, over the " + seconds(bounds.listMost) + " that may be");
+                    TrustLevel.DISCARDED,
+                    seconds(now - claim.writtenUntilMicros()) + " old, over the " + seconds(bounds.maxListAgeMicros)
+                            + " that may be");
         }
         return new ValidationResult(
                 claim,
-                TrustLevel.DOUBTED,
-                seconds(Math.max(0, now - claim.upTo())) + " old; it serves until the first whole list");
+                TrustLevel.UNCONFIRMED,
+                seconds(Math.max(0, now - claim.writtenUntilMicros())) + " old; it serves until the first whole list");
     }
 
     private static String seconds(long micros) {
--- a/src/main/java/gatefront/recovery/TrustLevel.java
+++ b/src/main/java/gatefront/recovery/TrustLevel.java
@@ -3,9 +3,9 @@
 /** What becomes of a claim. */
 public enum TrustLevel {
     /** It holds. */
-    BELIEVED,
+    TRUSTED,
     /** It holds to the safe side alone: what it takes out stays out, what it lets in proves nothing. */
-    DOUBTED,
+    UNCONFIRMED,
     /** As if it had never been. */
-    DROPPED
+    DISCARDED
 }
--- a/src/main/java/gatefront/recovery/ValidationResult.java
+++ b/src/main/java/gatefront/recovery/ValidationResult.java
@@ -3,18 +3,18 @@
 /**
  * A verdict on a claim.
  *
- * @param claim the claim
- * @param verdict what becomes of it
- * @param why in words for staff
+ * @param state the claim
+ * @param trust what becomes of it
+ * @param reason in words for staff
  */
-public record ValidationResult(RestoredState claim, TrustLevel verdict, String why) {
+public record ValidationResult(RestoredState state, TrustLevel trust, String reason) {
     /** As a line of the log. */
-    public String line() {
-        return claim.piece().words() + " from " + claim.source().words() + ": "
-                + switch (verdict) {
-                    case BELIEVED -> "believed";
-                    case DOUBTED -> "doubted";
-                    case DROPPED -> "dropped";
-                } + ", " + why;
+    public String logLine() {
+        return state.kind().label() + " from " + state.source().label() + ": "
+                + switch (trust) {
+                    case TRUSTED -> "believed";
+                    case UNCONFIRMED -> "doubted";
+                    case DISCARDED -> "dropped";
+                } + ", " + reason;
     }
 }
--- a/src/main/java/gatefront/registry/RegistryView.java
+++ b/src/main/java/gatefront/registry/RegistryView.java
@@ -72,7 +72,7 @@
                         nodos.put(key, now);
                         servers.put(key, now);
                     } else if (nodos.remove(key) != null) {
-                        servers.put(key, before.gone());
+                        servers.put(key, before.asGone());
                     }
                 } else if (key.startsWith(OF_NODOS) || key.startsWith(OF_ZONES)) {
                     ServerOverride now = each.value() == null ? null : policy(json(each.value()));
--- a/src/main/java/gatefront/rehearsal/Rehearsal.java
+++ b/src/main/java/gatefront/rehearsal/Rehearsal.java
@@ -195,13 +195,14 @@
             if (budget != null) {
                 budget.drift().forEach(line -> day.checker.left(day.now(), each.name() + ": " + line));
                 for (ResourcePurpose purpose : PASSING) {
-                    if (budget.of(purpose).entries() != 0 || budget.of(purpose).bytes() != 0) {
+                    if (budget.account(purpose).entries() != 0
+                            || budget.account(purpose).bytes() != 0) {
                         day.checker.left(
                                 day.now(),
                                 each.name() + " still accounts for "
-                                        + budget.of(purpose).entries() + " entries of "
-                                        + budget.of(purpose).bytes() + " bytes of "
-                                        + purpose.word());
+                                        + budget.account(purpose).entries() + " entries of "
+                                        + budget.account(purpose).bytes() + " bytes of "
+                                        + purpose.label());
                     }
                 }
             }
--- a/src/main/java/gatefront/rehearsal/ResourceUsage.java
+++ b/src/main/java/gatefront/rehearsal/ResourceUsage.java
@@ -47,7 +47,7 @@
     void seen(int second, ResourceBudget budget) {
         int at = Math.min(most[0].length - 1, second / every);
         for (ResourcePurpose each : ResourcePurpose.values()) {
-            ResourceAccount account = budget.of(each);
+            ResourceAccount account = budget.account(each);
             int i = each.ordinal();
             most[i][at] = Math.max(most[i][at], account.entries());
             least[i][at] = Math.min(least[i][at], account.entries());
@@ -74,7 +74,7 @@
                 lines.add(String.format(
                         Locale.ROOT,
                         "what is held for %s rose from %.1f entries in the third quarter " + "to %.1f in the last",
-                        each.word(),
+                        each.label(),
                         third,
                         last));
             }
@@ -86,7 +86,7 @@
     void json(ObjectNode root) {
         root.put("seconds_a_stretch", every);
         for (ResourcePurpose each : ResourcePurpose.values()) {
-            ObjectNode one = root.putObject(each.word());
+            ObjectNode one = root.putObject(each.label());
             one.put("third_quarter", JsonReport.round(floor(each, 2)))
                     .put("last_quarter", JsonReport.round(floor(each, 3)));
             add(one.putArray("most"), most[each.ordinal()]);
--- a/src/main/java/gatefront/status/MemoryWatch.java
+++ b/src/main/java/gatefront/status/MemoryWatch.java
@@ -24,7 +24,7 @@
 
     private void look() {
         ProcessMetrics now = ProcessMetrics.now();
-        long grown = unexplained.seen(now.resident(), now.heapTaken(), now.buffers());
+        long grown = unexplained.observe(now.resident(), now.heapTaken(), now.buffers());
         if (grown > 0) {
             transport.log("memory: the process has grown by " + (grown >> 20) + " MiB that neither heap nor buffers "
                     + "account for; it has " + (now.resident() >> 20) + " MiB in all");
--- a/src/main/java/gatefront/status/StatusPage.java
+++ b/src/main/java/gatefront/status/StatusPage.java
@@ -25,17 +25,22 @@
                 "cap",
                 "turned away"));
         for (ResourcePurpose each : ResourcePurpose.values()) {
-            ResourceAccount a = budget.of(each);
+            ResourceAccount a = budget.account(each);
             out.append(String.format(
-                    Locale.ROOT, "%-20s %9d %9d %9s ", each.word(), a.entries(), a.entriesHigh(), cap(a.entriesCap())));
+                    Locale.ROOT,
+                    "%-20s %9d %9d %9s ",
+                    each.label(),
+                    a.entries(),
+                    a.peakEntries(),
+                    cap(a.entriesCap())));
             out.append(String.format(
-                    Locale.ROOT, "%12d %12d %12s %11d%n", a.bytes(), a.bytesHigh(), cap(a.bytesCap()), a.turnedAway()));
+                    Locale.ROOT, "%12d %12d %12s %11d%n", a.bytes(), a.peakBytes(), cap(a.bytesCap()), a.rejections()));
         }
         return out.append(String.format(
                         Locale.ROOT,
                         "all purposes         %d of %d bytes, pressure %s%n",
                         budget.bytes(),
-                        budget.total(),
+                        budget.totalBytes(),
                         budget.pressure().name().toLowerCase(Locale.ROOT)))
                 .append(String.format(
                         Locale.ROOT,
@@ -65,13 +70,13 @@
         ObjectNode root = JsonNodeFactory.instance.objectNode();
         ObjectNode purposes = root.putObject("purposes");
         for (ResourcePurpose each : ResourcePurpose.values()) {
-            ResourceAccount a = budget.of(each);
-            ObjectNode one = purposes.putObject(each.word())
+            ResourceAccount a = budget.account(each);
+            ObjectNode one = purposes.putObject(each.label())
                     .put("entries", a.entries())
-                    .put("entries_highest", a.entriesHigh())
+                    .put("entries_highest", a.peakEntries())
                     .put("bytes", a.bytes())
-                    .put("bytes_highest", a.bytesHigh())
-                    .put("turned_away", a.turnedAway());
+                    .put("bytes_highest", a.peakBytes())
+                    .put("turned_away", a.rejections());
             if (a.entriesCap() != Long.MAX_VALUE) {
                 one.put("entries_cap", a.entriesCap());
             }
@@ -80,7 +85,7 @@
             }
         }
         root.put("bytes", budget.bytes())
-                .put("bytes_total", budget.total())
+                .put("bytes_total", budget.totalBytes())
                 .put("pressure", budget.pressure().name().toLowerCase(Locale.ROOT));
         root.put("heap_used", process.heapUsed())
                 .put("heap_most", process.heapMost())
--- a/src/main/java/gatefront/upgrade/ProcessHandover.java
+++ b/src/main/java/gatefront/upgrade/ProcessHandover.java
@@ -27,21 +27,21 @@
  * <p>State: the texts of others' files as last read, each dropped when its file is gone.
  */
 public final class ProcessHandover {
-    private static final String BANS = "gatefront-bans-";
-    private static final String SERVES = "gatefront-serves.lock";
-    private static final String COMES = "gatefront-comes.lock";
+    private static final String BAN_FILE_PREFIX = "gatefront-bans-";
+    private static final String SERVING_LOCK_FILE = "gatefront-serves.lock";
+    private static final String SUCCESSOR_LOCK_FILE = "gatefront-comes.lock";
     /** A longer file is none of ours. */
-    private static final long FILE_MAX = 4 << 20;
+    private static final long MAX_FILE_BYTES = 4 << 20;
 
     private final Path folder;
-    private final Path own;
+    private final Path ownFile;
     private final Consumer<String> log;
-    private final FileChannel serves;
-    private final FileChannel comes;
-    private FileLock serving;
-    private FileLock coming;
-    private String said = "";
-    private final Map<Path, String> seen = new HashMap<>();
+    private final FileChannel servingChannel;
+    private final FileChannel successorChannel;
+    private FileLock servingLock;
+    private FileLock successorLock;
+    private String lastError = "";
+    private final Map<Path, String> lastRead = new HashMap<>();
 
     /**
      * Takes its place in the folder.
@@ -53,19 +53,19 @@
      */
     public ProcessHandover(Path folder, String name, Consumer<String> log) throws IOException {
         this.folder = folder;
-        this.own = folder.resolve(BANS + name);
+        this.ownFile = folder.resolve(BAN_FILE_PREFIX + name);
         this.log = log;
-        this.serves = open(SERVES);
-        this.comes = open(COMES);
-        this.serving = lock(serves);
-        this.coming = serving == null ? lock(comes) : null;
+        this.servingChannel = open(SERVING_LOCK_FILE);
+        this.successorChannel = open(SUCCESSOR_LOCK_FILE);
+        this.servingLock = tryLock(servingChannel);
+        this.successorLock = servingLock == null ? tryLock(successorChannel) : null;
     }
 
     private FileChannel open(String name) throws IOException {
         return FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     }
 
-    private static FileLock lock(FileChannel file) throws IOException {
+    private static FileLock tryLock(FileChannel file) throws IOException {
         try {
             return file.tryLock();
         } catch (OverlappingFileLockException e) {
@@ -74,23 +74,23 @@
     }
 
     /** Whether another process serves, and this one is to take over from it. */
-    public boolean follows() {
-        return serving == null;
+    public boolean isSuccessor() {
+        return servingLock == null;
     }
 
     /** Whether another process is there to take over from this one. */
-    public boolean followed() {
-        if (serving == null) {
+    public boolean hasSuccessor() {
+        if (servingLock == null) {
             return false;
         }
         try {
-            FileLock free = lock(comes);
+            FileLock free = tryLock(successorChannel);
             if (free != null) {
                 free.release();
             }
             return free == null;
         } catch (IOException e) {
-            trouble(e);
+            logOnce(e);
             return false;
         }
     }
@@ -100,49 +100,49 @@
      *
      * @return entries that have changed, to be merged
      */
-    public Map<String, ServerBans.Entry> look() {
+    public Map<String, ServerBans.Entry> poll() {
         Map<String, ServerBans.Entry> told = new LinkedHashMap<>();
         Set<Path> there = new HashSet<>();
         try {
-            if (serving == null) {
+            if (servingLock == null) {
                 // The other one tries this lock for a moment, to find out whether somebody has it.
-                coming = coming == null ? lock(comes) : coming;
-                serving = lock(serves);
-                if (serving != null && coming != null) {
-                    coming.release();
-                    coming = null;
+                successorLock = successorLock == null ? tryLock(successorChannel) : successorLock;
+                servingLock = tryLock(servingChannel);
+                if (servingLock != null && successorLock != null) {
+                    successorLock.release();
+                    successorLock = null;
                 }
             }
-            try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, BANS + "*")) {
+            try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, BAN_FILE_PREFIX + "*")) {
                 for (Path each : files) {
-                    if (!each.equals(own) && !each.toString().endsWith(".new")) {
+                    if (!each.equals(ownFile) && !each.toString().endsWith(".new")) {
                         there.add(each);
                         read(each, told);
                     }
                 }
             }
         } catch (NoSuchFileException e) {
-            there.addAll(seen.keySet()); // one that goes just now; the next look has the rest
+            there.addAll(lastRead.keySet()); // one that goes just now; the next look has the rest
         } catch (IOException | DirectoryIteratorException e) {
-            trouble(new IOException(e));
+            logOnce(new IOException(e));
         }
-        seen.keySet().retainAll(there);
+        lastRead.keySet().retainAll(there);
         return told;
     }
 
     /** Whether files of other processes were there at the last look. */
-    public boolean others() {
-        return !seen.isEmpty();
+    public boolean hasOtherFiles() {
+        return !lastRead.isEmpty();
     }
 
     private void read(Path file, Map<String, ServerBans.Entry> into) throws IOException {
         try {
-            if (Files.size(file) > FILE_MAX) {
+            if (Files.size(file) > MAX_FILE_BYTES) {
                 throw new IllegalArgumentException("too long");
             }
             // Not by its time: two calls may come within one tick of the clock that files are stamped with.
             String text = Files.readString(file);
-            if (!text.equals(seen.put(file, text))) {
+            if (!text.equals(lastRead.put(file, text))) {
                 into.putAll(BanFileFormat.read(text));
             }
         } catch (IllegalArgumentException | java.nio.charset.CharacterCodingException e) {
@@ -151,43 +151,43 @@
     }
 
     /** Tells the other process, and the next one, what bans there are. */
-    public void tell(Map<String, ServerBans.Entry> entries) {
-        Path fresh = folder.resolve(own.getFileName() + ".new");
+    public void publishBans(Map<String, ServerBans.Entry> entries) {
+        Path fresh = folder.resolve(ownFile.getFileName() + ".new");
         try {
             Files.writeString(fresh, BanFileFormat.write(entries));
-            Files.move(fresh, own, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(fresh, ownFile, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            trouble(new IOException("bans cannot be written", e));
+            logOnce(new IOException("bans cannot be written", e));
         }
     }
 
     /** Once alone: files of processes that have ended have been merged and told anew, and go. */
-    public void tidy() {
-        for (Path each : seen.keySet()) {
+    public void deleteOtherFiles() {
+        for (Path each : lastRead.keySet()) {
             try {
                 Files.deleteIfExists(each);
             } catch (IOException e) {
-                trouble(e);
+                logOnce(e);
             }
         }
-        seen.clear();
+        lastRead.clear();
     }
 
     /** This process is about to end: its place is free, and what it has told stays. */
     public void close() {
         try {
-            serves.close();
-            comes.close();
+            servingChannel.close();
+            successorChannel.close();
         } catch (IOException e) {
-            trouble(e);
+            logOnce(e);
         }
     }
 
     /** Says it once: what is wrong with a folder is wrong at each look. */
-    private void trouble(IOException e) {
+    private void logOnce(IOException e) {
         String line = "upgrade: " + e;
-        if (!line.equals(said)) {
-            said = line;
+        if (!line.equals(lastError)) {
+            lastError = line;
             log.accept(line);
         }
     }
--- a/src/test/java/gatefront/agent/LargeBodiesTest.java
+++ b/src/test/java/gatefront/agent/LargeBodiesTest.java
@@ -60,7 +60,8 @@
     }
 
     private void idle() {
-        AgentFixture.await(() -> stage.agent.budget().of(ResourcePurpose.CALLS).entries() == 0);
+        AgentFixture.await(
+                () -> stage.agent.budget().account(ResourcePurpose.CALLS).entries() == 0);
     }
 
     @Test
@@ -148,15 +149,15 @@
         Thread.sleep(1500);
         ResourceBudget budget = stage.agent.budget();
         assertTrue(
-                budget.of(ResourcePurpose.ANSWERS).bytesHigh() < callers * 100 << 10,
-                budget.of(ResourcePurpose.ANSWERS).bytesHigh() + " bytes of answers");
-        assertTrue(budget.of(ResourcePurpose.ANSWERS).bytesHigh() > 0);
+                budget.account(ResourcePurpose.ANSWERS).peakBytes() < callers * 100 << 10,
+                budget.account(ResourcePurpose.ANSWERS).peakBytes() + " bytes of answers");
+        assertTrue(budget.account(ResourcePurpose.ANSWERS).peakBytes() > 0);
         ScriptedPeer.Message one = ScriptedPeer.read(sockets.get(3).getInputStream());
         assertEquals(32 * MIB, one.body().length);
         for (Socket each : sockets) {
             each.close();
         }
-        AgentFixture.await(() -> budget.of(ResourcePurpose.ANSWERS).bytes() == 0);
+        AgentFixture.await(() -> budget.account(ResourcePurpose.ANSWERS).bytes() == 0);
         idle();
     }
 
@@ -186,7 +187,7 @@
             }
         }
         AgentFixture.await(
-                () -> stage.agent.budget().of(ResourcePurpose.REQUESTS).bytes() == 0);
+                () -> stage.agent.budget().account(ResourcePurpose.REQUESTS).bytes() == 0);
     }
 
     /** It never ran, for its last byte never left: the caller hears that trying again is harmless. */
--- a/src/test/java/gatefront/agent/MemoryTest.java
+++ b/src/test/java/gatefront/agent/MemoryTest.java
@@ -50,11 +50,11 @@
     }
 
     private static String cap(ResourcePurpose purpose, String figures) {
-        return "[[memory.caps]]\npurpose = \"" + purpose.word() + "\"\n" + figures + "\n";
+        return "[[memory.caps]]\npurpose = \"" + purpose.label() + "\"\n" + figures + "\n";
     }
 
     private JsonNode held(ResourcePurpose purpose) {
-        return page().get("purposes").get(purpose.word());
+        return page().get("purposes").get(purpose.label());
     }
 
     private JsonNode page() {
@@ -225,16 +225,16 @@
         start("");
         ResourceBudget budget = stage.agent.budget();
         assertEquals(null, stage.call("lookup").header("Connection"));
-        budget.of(ResourcePurpose.SERVERS).add(0, (long) (0.45 * budget.total()));
-        budget.of(ResourcePurpose.CALLS).add(0, (long) (0.3 * budget.total()));
+        budget.account(ResourcePurpose.SERVERS).add(0, (long) (0.45 * budget.totalBytes()));
+        budget.account(ResourcePurpose.CALLS).add(0, (long) (0.3 * budget.totalBytes()));
         ScriptedPeer.Message tight = stage.call("lookup");
         assertEquals(200, tight.status());
         assertEquals("close", tight.header("Connection"));
-        budget.of(ResourcePurpose.CALLS).add(0, (long) (0.2 * budget.total()));
+        budget.account(ResourcePurpose.CALLS).add(0, (long) (0.2 * budget.totalBytes()));
         ScriptedPeer.Message refused = stage.call("lookup");
         assertEquals(503, refused.status());
         assertNotNull(refused.header("Retry-After"));
-        budget.of(ResourcePurpose.SERVERS).add(0, -(long) (0.45 * budget.total()));
+        budget.account(ResourcePurpose.SERVERS).add(0, -(long) (0.45 * budget.totalBytes()));
         ScriptedPeer.Message again = stage.call("lookup");
         assertEquals(200, again.status());
         assertEquals(null, again.header("Connection"));
@@ -280,7 +280,7 @@
             ScriptedPeer.write(socket, "GET /status HTTP/1.1\r\nHost: a\r\n\r\n");
             String text = ScriptedPeer.read(socket.getInputStream()).text();
             for (ResourcePurpose each : ResourcePurpose.values()) {
-                assertTrue(text.contains(each.word()), text);
+                assertTrue(text.contains(each.label()), text);
             }
         }
         try (Socket socket = new Socket(
--- a/src/test/java/gatefront/agent/OperatorControlsTest.java
+++ b/src/test/java/gatefront/agent/OperatorControlsTest.java
@@ -353,7 +353,7 @@
             fresh.awaitEnd();
             assertTrue(fresh.failed());
             fresh.stop(); // as the program's end does
-            assertFalse(old.followed());
+            assertFalse(old.hasSuccessor());
             old.close();
         }
     }
@@ -485,7 +485,10 @@
         Socket slow = stage.dial();
         ScriptedPeer.write(slow, stage.request("order", 8000, "body"));
         AgentFixture.await(() -> stage.arrived() > 0
-                && first.budget().of(gatefront.budget.ResourcePurpose.CALLS).entries() > 0);
+                && first.budget()
+                                .account(gatefront.budget.ResourcePurpose.CALLS)
+                                .entries()
+                        > 0);
         start();
         Agent second = stage.agent;
         ScriptedPeer.daemon(first::stop);
--- a/src/test/java/gatefront/budget/ResourceBudgetTest.java
+++ b/src/test/java/gatefront/budget/ResourceBudgetTest.java
@@ -18,65 +18,65 @@
     void aCapHoldsAndTellsHowOften() {
         ResourceAccount account = new ResourceBudget(
                         1_000, Map.of(ResourcePurpose.CALLS, new ResourceBudget.Cap(2, 100)))
-                .of(ResourcePurpose.CALLS);
-        assertTrue(account.take(60));
-        assertFalse(account.take(41), "over the bytes");
-        assertTrue(account.take(40));
-        account.give(40);
-        assertTrue(account.take(1));
-        assertFalse(account.take(0), "over the entries");
-        assertTrue(account.full());
-        assertFalse(account.grow(40));
-        account.give(60);
-        account.give(1);
+                .account(ResourcePurpose.CALLS);
+        assertTrue(account.tryAcquire(60));
+        assertFalse(account.tryAcquire(41), "over the bytes");
+        assertTrue(account.tryAcquire(40));
+        account.release(40);
+        assertTrue(account.tryAcquire(1));
+        assertFalse(account.tryAcquire(0), "over the entries");
+        assertTrue(account.isFull());
+        assertFalse(account.tryGrow(40));
+        account.release(60);
+        account.release(1);
         assertEquals(
                 List.of(0L, 0L, 2L, 100L, 3L),
                 List.of(
                         account.entries(),
                         account.bytes(),
-                        account.entriesHigh(),
-                        account.bytesHigh(),
-                        account.turnedAway()));
+                        account.peakEntries(),
+                        account.peakBytes(),
+                        account.rejections()));
     }
 
     @Test
     void aCapLoweredBelowWhatIsHeldTakesNothingNewAndLosesNothing() {
         ResourceBudget budget = new ResourceBudget(1_000, Map.of());
-        ResourceAccount account = budget.of(ResourcePurpose.CALLS);
+        ResourceAccount account = budget.account(ResourcePurpose.CALLS);
         for (int i = 0; i < 10; i++) {
-            assertTrue(account.take(5));
+            assertTrue(account.tryAcquire(5));
         }
-        budget.caps(Map.of(ResourcePurpose.CALLS, new ResourceBudget.Cap(4, -1)));
+        budget.setCaps(Map.of(ResourcePurpose.CALLS, new ResourceBudget.Cap(4, -1)));
         for (int held = 10; held > 4; held--) {
-            assertFalse(account.take(5));
-            account.give(5);
+            assertFalse(account.tryAcquire(5));
+            account.release(5);
         }
-        assertFalse(account.take(5));
-        account.give(5);
-        assertTrue(account.take(5));
+        assertFalse(account.tryAcquire(5));
+        account.release(5);
+        assertTrue(account.tryAcquire(5));
     }
 
     @Test
     void theWholeGoesByAStatedOrder() {
         ResourceBudget budget = new ResourceBudget(1_000, Map.of());
-        budget.of(ResourcePurpose.REQUESTS).add(1, 699);
+        budget.account(ResourcePurpose.REQUESTS).add(1, 699);
         assertEquals(ResourceBudget.Pressure.NONE, budget.pressure());
-        budget.of(ResourcePurpose.ANSWERS).add(1, 1);
+        budget.account(ResourcePurpose.ANSWERS).add(1, 1);
         assertEquals(ResourceBudget.Pressure.TIGHT, budget.pressure());
-        budget.of(ResourcePurpose.SERVER_ANSWERS).add(1, 200);
+        budget.account(ResourcePurpose.SERVER_ANSWERS).add(1, 200);
         assertEquals(ResourceBudget.Pressure.FULL, budget.pressure());
-        budget.of(ResourcePurpose.REQUESTS).give(699);
+        budget.account(ResourcePurpose.REQUESTS).release(699);
         assertEquals(ResourceBudget.Pressure.NONE, budget.pressure());
     }
 
     @Test
     void anAccountThatDriftsIsNamed() {
         ResourceBudget budget = new ResourceBudget(1_000, Map.of());
-        budget.recounted(ResourcePurpose.CALLS, () -> new ResourceBudget.Count(2, 10));
-        budget.recounted(ResourcePurpose.CALLS, () -> new ResourceBudget.Count(1, 0));
-        budget.of(ResourcePurpose.CALLS).add(3, 10);
+        budget.addRecount(ResourcePurpose.CALLS, () -> new ResourceBudget.Count(2, 10));
+        budget.addRecount(ResourcePurpose.CALLS, () -> new ResourceBudget.Count(1, 0));
+        budget.account(ResourcePurpose.CALLS).add(3, 10);
         assertEquals(List.of(), budget.drift());
-        budget.of(ResourcePurpose.CALLS).give(0);
+        budget.account(ResourcePurpose.CALLS).release(0);
         assertEquals(List.of("calls has 2 entries of 10 bytes by its account, and 3 of 10 by count"), budget.drift());
     }
 
@@ -86,14 +86,14 @@
         for (int seed = 0; seed < 50; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             ResourceBudget budget = new ResourceBudget(1_000, Map.of());
-            ResourceAccount account = budget.of(ResourcePurpose.CALLS);
+            ResourceAccount account = budget.account(ResourcePurpose.CALLS);
             long leaked = 0;
             long saidAfter = -1;
             for (int second = 0; second < 3 * 3_600 && saidAfter < 0; second++) {
                 leaked = Math.max(0, second - 3_600) / 60;
                 long load = random.nextInt(4) == 0 ? 0 : random.nextInt(50);
                 account.set(leaked + load, 0);
-                List<String> lines = budget.rising(second * 1_000_000L);
+                List<String> lines = budget.leakWarnings(second * 1_000_000L);
                 if (!lines.isEmpty()) {
                     assertTrue(second > 3_600, "said before there was a leak, seed " + seed);
                     assertTrue(lines.get(0).startsWith("held for calls: the least of each minute has risen"));
@@ -111,7 +111,7 @@
         for (int minute = 0; minute < 600; minute++) {
             // the load rises for hours, and with it what is held; but its least in a minute is often the same
             long held = minute / 30;
-            long risen = trend.seen(minute * MINUTE, held);
+            long risen = trend.observe(minute * MINUTE, held);
             if (risen > 0) {
                 said.add(risen);
             }
--- a/src/test/java/gatefront/budget/UnaccountedMemoryTest.java
+++ b/src/test/java/gatefront/budget/UnaccountedMemoryTest.java
@@ -10,7 +10,7 @@
     private final UnaccountedMemory unexplained = new UnaccountedMemory(32 * MIB);
 
     private long seen(long resident, long heap, long buffers) {
-        return unexplained.seen(resident * MIB, heap * MIB, buffers * MIB) / MIB;
+        return unexplained.observe(resident * MIB, heap * MIB, buffers * MIB) / MIB;
     }
 
     @Test
@@ -31,7 +31,7 @@
 
     @Test
     void whereTheSystemDoesNotTellNothingIsSaid() {
-        assertEquals(0, unexplained.seen(-1, MIB, MIB));
+        assertEquals(0, unexplained.observe(-1, MIB, MIB));
         assertEquals(0, seen(200, 32, 8), "the base is the first figure that there is");
     }
 }
--- a/src/test/java/gatefront/limits/ClassLimitsTest.java
+++ b/src/test/java/gatefront/limits/ClassLimitsTest.java
@@ -15,8 +15,8 @@
     private int taken(int tries) {
         int taken = 0;
         for (int i = 0; i < tries; i++) {
-            if (limits.room(0)) {
-                limits.begun(0);
+            if (limits.hasCapacity(0)) {
+                limits.requestStarted(0);
                 taken++;
             }
         }
@@ -30,38 +30,38 @@
 
     @Test
     void asManyAsTheLimitAreInProgressAndOneMoreForEachThatEnds() {
-        limits.set(Map.of(0, 3));
+        limits.setLimits(Map.of(0, 3));
         assertEquals(3, taken(10));
-        assertTrue(limits.room(1), "another class has none");
-        limits.ended(0);
+        assertTrue(limits.hasCapacity(1), "another class has none");
+        limits.requestEnded(0);
         assertEquals(1, taken(10));
     }
 
     @Test
     void aLimitBelowWhatIsInProgressLetsThemEndFirst() {
         taken(5);
-        limits.set(Map.of(0, 2));
+        limits.setLimits(Map.of(0, 2));
         for (int left = 5; left > 2; left--) {
-            assertFalse(limits.room(0));
-            limits.ended(0);
+            assertFalse(limits.hasCapacity(0));
+            limits.requestEnded(0);
         }
-        assertFalse(limits.room(0));
-        limits.ended(0);
-        assertTrue(limits.room(0));
-        limits.set(Map.of());
+        assertFalse(limits.hasCapacity(0));
+        limits.requestEnded(0);
+        assertTrue(limits.hasCapacity(0));
+        limits.setLimits(Map.of());
         assertEquals(50, taken(50));
     }
 
     @Test
     void itIsSaidOnceAMinuteWithAllThatWereTurnedAway() {
-        limits.set(Map.of(0, 0));
-        assertEquals(0, limits.met(0, 0), "nothing was turned away");
+        limits.setLimits(Map.of(0, 0));
+        assertEquals(0, limits.takeRefusalsToReport(0, 0), "nothing was turned away");
         taken(1);
-        assertEquals(1, limits.met(0, 0));
+        assertEquals(1, limits.takeRefusalsToReport(0, 0));
         taken(7);
-        assertEquals(0, limits.met(MINUTE - 1, 0));
-        assertEquals(7, limits.met(MINUTE, 0));
+        assertEquals(0, limits.takeRefusalsToReport(MINUTE - 1, 0));
+        assertEquals(7, limits.takeRefusalsToReport(MINUTE, 0));
         taken(1);
-        assertEquals(0, limits.met(MINUTE + 1, 0));
+        assertEquals(0, limits.takeRefusalsToReport(MINUTE + 1, 0));
     }
 }
--- a/src/test/java/gatefront/membership/MembershipTest.java
+++ b/src/test/java/gatefront/membership/MembershipTest.java
@@ -43,14 +43,14 @@
     }
 
     private String told(int source, ListKind kind, Endpoint... endpoints) {
-        return text(membership.told(source, kind, List.of(endpoints)));
+        return text(membership.update(source, kind, List.of(endpoints)));
     }
 
     @Test
     void whatEitherListsIsThere() {
         assertEquals("a READY 2.0", told(PADRON, ListKind.FULL, ready("a")));
         assertEquals("b READY 2.0", told(OTHER, ListKind.FULL, ready("a"), ready("b")));
-        assertEquals("a READY 2.0, b READY 2.0", text(membership.all()));
+        assertEquals("a READY 2.0, b READY 2.0", text(membership.endpoints()));
     }
 
     @Test
@@ -95,7 +95,7 @@
     void aSourceThatNeverListedItHasNoSay() {
         told(PADRON, ListKind.FULL, ready("a"));
         assertEquals("", told(OTHER, ListKind.FULL));
-        assertEquals("a READY 2.0", text(membership.all()));
+        assertEquals("a READY 2.0", text(membership.endpoints()));
     }
 
     @Test
@@ -116,12 +116,13 @@
     @Test
     void policiesLieOverWhateverSource() {
         told(PADRON, ListKind.FULL, ready("a"), ready("b"));
-        assertEquals("a DRAINING 1.0", text(membership.policies(Map.of("a", new ServerOverride(true, 0.5)), Map.of())));
+        assertEquals(
+                "a DRAINING 1.0", text(membership.setOverrides(Map.of("a", new ServerOverride(true, 0.5)), Map.of())));
         assertEquals(
                 "a READY 1.0, b READY 1.0",
-                text(membership.policies(Map.of(), Map.of(0, new ServerOverride(false, 0.5)))));
+                text(membership.setOverrides(Map.of(), Map.of(0, new ServerOverride(false, 0.5)))));
         assertEquals("c READY 1.0", told(OTHER, ListKind.FULL, ready("c")));
-        assertEquals("a READY 2.0, b READY 2.0, c READY 2.0", text(membership.policies(Map.of(), Map.of())));
+        assertEquals("a READY 2.0, b READY 2.0, c READY 2.0", text(membership.setOverrides(Map.of(), Map.of())));
     }
 
     /** Whatever two sources say in whatever order: the changes told add up to the list, and nothing is kept in vain. */
@@ -138,8 +139,8 @@
                 }
                 ListKind kind = random.nextBoolean() ? ListKind.DELTA : ListKind.FULL;
                 List<Endpoint> changed = random.nextInt(6) == 0
-                        ? mixed.policies(Map.of("n1", new ServerOverride(random.nextBoolean(), 0.5)), Map.of())
-                        : mixed.told(random.nextInt(2), kind, some);
+                        ? mixed.setOverrides(Map.of("n1", new ServerOverride(random.nextBoolean(), 0.5)), Map.of())
+                        : mixed.update(random.nextInt(2), kind, some);
                 for (Endpoint each : changed) {
                     if (each.server().phase() == Phase.GONE) {
                         assertTrue(known.remove(each.name()) != null, "gone twice");
@@ -147,11 +148,13 @@
                         assertTrue(!each.equals(known.put(each.name(), each)), "no change");
                     }
                 }
-                assertEquals(Map.copyOf(known), mixed.all().stream().collect(Collectors.toMap(Endpoint::name, e -> e)));
+                assertEquals(
+                        Map.copyOf(known),
+                        mixed.endpoints().stream().collect(Collectors.toMap(Endpoint::name, e -> e)));
             }
-            mixed.told(PADRON, ListKind.FULL, List.of());
-            mixed.told(OTHER, ListKind.FULL, List.of());
-            assertEquals(List.of(), mixed.all());
+            mixed.update(PADRON, ListKind.FULL, List.of());
+            mixed.update(OTHER, ListKind.FULL, List.of());
+            assertEquals(List.of(), mixed.endpoints());
         }
     }
 }
--- a/src/test/java/gatefront/membership/ServerBansTest.java
+++ b/src/test/java/gatefront/membership/ServerBansTest.java
@@ -30,35 +30,35 @@
 
     @Test
     void outHoldsWhateverTheListSaysUntilTheOneCallBack() {
-        assertEquals(ServerBans.Answer.UNKNOWN, bans.call("a", true, 5));
-        bans.told(ListKind.FULL, List.of(endpoint("a", Phase.READY, 0), endpoint("b", Phase.READY, 0)));
-        assertEquals(ServerBans.Answer.YES, bans.call("a", true, 5));
-        assertEquals(ServerBans.Answer.YES, bans.call("a", true, 6));
-        assertEquals(Phase.DRAINING, phase(bans.line("a")));
-        assertEquals(1, bans.out());
-        assertEquals(Phase.GONE, phase(bans.told(ListKind.DELTA, List.of(endpoint("a", Phase.GONE, 0)))));
-        assertEquals(0, bans.out(), "a server that is not listed is not in the pool");
-        assertEquals(Phase.DRAINING, phase(bans.told(ListKind.DELTA, List.of(endpoint("a", Phase.READY, 9)))));
-        assertEquals(Phase.DRAINING, phase(bans.told(ListKind.FULL, List.of(endpoint("a", Phase.READY, 9)))));
-        assertEquals(ServerBans.Answer.YES, bans.call("a", false, 7));
-        assertEquals(Phase.READY, phase(bans.line("a")));
+        assertEquals(ServerBans.Outcome.UNKNOWN_SERVER, bans.setDrained("a", true, 5));
+        bans.update(ListKind.FULL, List.of(endpoint("a", Phase.READY, 0), endpoint("b", Phase.READY, 0)));
+        assertEquals(ServerBans.Outcome.APPLIED, bans.setDrained("a", true, 5));
+        assertEquals(ServerBans.Outcome.APPLIED, bans.setDrained("a", true, 6));
+        assertEquals(Phase.DRAINING, phase(bans.effectiveEndpoint("a")));
+        assertEquals(1, bans.drainedCount());
+        assertEquals(Phase.GONE, phase(bans.update(ListKind.DELTA, List.of(endpoint("a", Phase.GONE, 0)))));
+        assertEquals(0, bans.drainedCount(), "a server that is not listed is not in the pool");
+        assertEquals(Phase.DRAINING, phase(bans.update(ListKind.DELTA, List.of(endpoint("a", Phase.READY, 9)))));
+        assertEquals(Phase.DRAINING, phase(bans.update(ListKind.FULL, List.of(endpoint("a", Phase.READY, 9)))));
+        assertEquals(ServerBans.Outcome.APPLIED, bans.setDrained("a", false, 7));
+        assertEquals(Phase.READY, phase(bans.effectiveEndpoint("a")));
     }
 
     @Test
     void putBackCountsAsStartedThenAlsoInLaterLists() {
-        bans.told(ListKind.FULL, List.of(endpoint("a", Phase.READY, 3)));
-        bans.call("a", true, 5);
-        bans.call("a", false, 8);
-        assertEquals(8, bans.line("a").get(0).server().startedAt());
+        bans.update(ListKind.FULL, List.of(endpoint("a", Phase.READY, 3)));
+        bans.setDrained("a", true, 5);
+        bans.setDrained("a", false, 8);
+        assertEquals(8, bans.effectiveEndpoint("a").get(0).server().startedAt());
         assertEquals(
                 8,
-                bans.told(ListKind.DELTA, List.of(endpoint("a", Phase.READY, 3)))
+                bans.update(ListKind.DELTA, List.of(endpoint("a", Phase.READY, 3)))
                         .get(0)
                         .server()
                         .startedAt());
         assertEquals(
                 9,
-                bans.told(ListKind.DELTA, List.of(endpoint("a", Phase.READY, 9)))
+                bans.update(ListKind.DELTA, List.of(endpoint("a", Phase.READY, 9)))
                         .get(0)
                         .server()
                         .startedAt());
@@ -66,15 +66,15 @@
 
     @Test
     void aBanOnAServerThatHasLeftStaysAndCanBeLifted() {
-        bans.told(ListKind.FULL, List.of(endpoint("a", Phase.READY, 0)));
-        bans.call("a", true, 5);
-        bans.told(ListKind.FULL, List.of());
-        assertEquals(ServerBans.Answer.YES, bans.call("a", false, 6));
-        assertEquals(List.of(), bans.line("a"));
-        bans.call("b", true, 7 + ServerBans.KEPT);
+        bans.update(ListKind.FULL, List.of(endpoint("a", Phase.READY, 0)));
+        bans.setDrained("a", true, 5);
+        bans.update(ListKind.FULL, List.of());
+        assertEquals(ServerBans.Outcome.APPLIED, bans.setDrained("a", false, 6));
+        assertEquals(List.of(), bans.effectiveEndpoint("a"));
+        bans.setDrained("b", true, 7 + ServerBans.READMITTED_RETENTION_MICROS);
         assertEquals(1, bans.entries().size(), "nothing was taken in, so nothing is dropped");
-        bans.told(ListKind.FULL, List.of(endpoint("b", Phase.READY, 0)));
-        bans.call("b", true, 7 + ServerBans.KEPT);
+        bans.update(ListKind.FULL, List.of(endpoint("b", Phase.READY, 0)));
+        bans.setDrained("b", true, 7 + ServerBans.READMITTED_RETENTION_MICROS);
         assertEquals(Set.of("b"), bans.entries().keySet(), "what was put back and left is forgotten");
     }
 
@@ -96,7 +96,7 @@
                         boolean out = random.nextBoolean();
                         // Operators know what they did last: a call comes after both have heard of those before.
                         exchange(both);
-                        if (both[which].call(name, out, now) == ServerBans.Answer.YES) {
+                        if (both[which].setDrained(name, out, now) == ServerBans.Outcome.APPLIED) {
                             model.put(name, out);
                         }
                     }
@@ -104,7 +104,7 @@
                         boolean gone = random.nextInt(3) == 0;
                         list.put(name, gone ? Phase.GONE : Phase.READY);
                         for (ServerBans each : both) {
-                            each.told(ListKind.DELTA, List.of(endpoint(name, list.get(name), 0)));
+                            each.update(ListKind.DELTA, List.of(endpoint(name, list.get(name), 0)));
                         }
                     }
                     case 2 -> both[which].merge(both[1 - which].entries());
@@ -120,11 +120,11 @@
             });
             for (ServerBans each : both) {
                 Set<String> drained = new HashSet<>();
-                list.keySet().forEach(name -> each.line(name).stream()
+                list.keySet().forEach(name -> each.effectiveEndpoint(name).stream()
                         .filter(line -> line.server().phase() == Phase.DRAINING)
                         .forEach(line -> drained.add(name)));
                 assertEquals(out, drained, "seed " + seed);
-                assertEquals(out.size(), each.out());
+                assertEquals(out.size(), each.drainedCount());
             }
             assertTrue(both[0].entries().equals(both[1].entries()), "seed " + seed);
         }
--- a/src/test/java/gatefront/persistence/RecoveryStoreTest.java
+++ b/src/test/java/gatefront/persistence/RecoveryStoreTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gatefront.membership.ServerBans;
-import gatefront.recovery.Recovery.Store;
+import gatefront.recovery.Recovery.StoreStatus;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -32,7 +32,7 @@
 
     private void kept(RecoveryStore keeper, String name, ServerBans.Entry entry) throws Exception {
         CompletableFuture<IOException> told = new CompletableFuture<>();
-        keeper.ban(name, entry, told::complete);
+        keeper.saveBan(name, entry, told::complete);
         while (!told.isDone()) {
             loop.poll(10, TimeUnit.SECONDS).run();
         }
@@ -48,31 +48,31 @@
     @Test
     void whatWasKeptIsThereAgainInItsNextLife() throws Exception {
         RecoveryStore.Opened first = open("a");
-        assertEquals(Store.MISSING, first.state());
-        kept(first.keeper(), "nodo-1", new ServerBans.Entry(true, 7));
-        kept(first.keeper(), "nodo-2", new ServerBans.Entry(true, 8));
-        kept(first.keeper(), "nodo-2", new ServerBans.Entry(false, 9));
-        kept(first.keeper(), "nodo-3", new ServerBans.Entry(true, 9));
-        kept(first.keeper(), "nodo-3", null);
-        first.keeper().list(42, new byte[] {1, 2, 3});
+        assertEquals(StoreStatus.MISSING, first.status());
+        kept(first.store(), "nodo-1", new ServerBans.Entry(true, 7));
+        kept(first.store(), "nodo-2", new ServerBans.Entry(true, 8));
+        kept(first.store(), "nodo-2", new ServerBans.Entry(false, 9));
+        kept(first.store(), "nodo-3", new ServerBans.Entry(true, 9));
+        kept(first.store(), "nodo-3", null);
+        first.store().saveServerList(42, new byte[] {1, 2, 3});
         clock = 6_000_000;
-        first.keeper().mark();
-        end(first.keeper());
+        first.store().saveAliveMark();
+        end(first.store());
         RecoveryStore.Opened second = open("a");
-        assertEquals(Store.WHOLE, second.state());
-        assertEquals("life 2", second.why());
+        assertEquals(StoreStatus.INTACT, second.status());
+        assertEquals("life 2", second.detail());
         assertEquals(
                 Map.of("nodo-1", new ServerBans.Entry(true, 7), "nodo-2", new ServerBans.Entry(false, 9)),
-                second.kept().bans());
-        assertEquals(6_000_000, second.kept().upTo());
-        assertEquals(42, second.kept().listAt());
-        assertArrayEquals(new byte[] {1, 2, 3}, second.kept().list());
-        end(second.keeper());
+                second.restored().bans());
+        assertEquals(6_000_000, second.restored().writtenUntilMicros());
+        assertEquals(42, second.restored().serverListMicros());
+        assertArrayEquals(new byte[] {1, 2, 3}, second.restored().serverList());
+        end(second.store());
     }
 
     @Test
     void aLongLogBecomesASnapshotAndNothingIsLost() throws Exception {
-        RecoveryStore keeper = open("a").keeper();
+        RecoveryStore keeper = open("a").store();
         kept(keeper, "nodo-1", new ServerBans.Entry(true, 7));
         for (int i = 0; i < 5_200; i++) {
             kept(keeper, "nodo-2", new ServerBans.Entry(i % 2 == 0, i));
@@ -84,31 +84,31 @@
         RecoveryStore.Opened again = open("a");
         assertEquals(
                 Map.of("nodo-1", new ServerBans.Entry(true, 7), "nodo-2", new ServerBans.Entry(false, 5_199)),
-                again.kept().bans());
-        assertEquals(2, again.kept().life() + 1);
-        end(again.keeper());
+                again.restored().bans());
+        assertEquals(2, again.restored().startNumber() + 1);
+        end(again.store());
     }
 
     @Test
     void anothersStoreIsSetAsideAndNotWritten() throws Exception {
-        RecoveryStore other = open("b").keeper();
+        RecoveryStore other = open("b").store();
         kept(other, "nodo-1", new ServerBans.Entry(true, 7));
         end(other);
         RecoveryStore.Opened opened = open("a");
-        assertEquals(Store.ANOTHERS, opened.state());
-        assertEquals("b", opened.kept().instance(), "for the claim to be dropped, and said");
-        kept(opened.keeper(), "nodo-9", new ServerBans.Entry(true, 1));
-        end(opened.keeper());
+        assertEquals(StoreStatus.FOREIGN, opened.status());
+        assertEquals("b", opened.restored().instance(), "for the claim to be dropped, and said");
+        kept(opened.store(), "nodo-9", new ServerBans.Entry(true, 1));
+        end(opened.store());
         assertEquals(
                 Map.of("nodo-9", new ServerBans.Entry(true, 1)),
-                open("a").kept().bans());
+                open("a").restored().bans());
         assertTrue(Files.isDirectory(dir.resolve("kept.aside-1")));
     }
 
     @Test
     void aDamagedStoreIsSetAsideAndWhatCouldBeReadIsTold() throws Exception {
-        for (int round = 1; round <= RecoveryStore.ASIDE_MOST + 2; round++) {
-            RecoveryStore keeper = open("a").keeper();
+        for (int round = 1; round <= RecoveryStore.MAX_SET_ASIDE + 2; round++) {
+            RecoveryStore keeper = open("a").store();
             kept(keeper, "nodo-1", new ServerBans.Entry(true, 7));
             kept(keeper, "nodo-2", new ServerBans.Entry(true, 8));
             kept(keeper, "nodo-3", new ServerBans.Entry(true, 9));
@@ -123,13 +123,13 @@
             bytes[bytes.length / 2] ^= 4;
             Files.write(newest, bytes);
             RecoveryStore.Opened opened = open("a");
-            assertEquals(Store.DAMAGED, opened.state(), "round " + round);
-            assertEquals("a", opened.kept().instance());
-            assertTrue(opened.why().contains(".log at "), opened.why());
-            end(opened.keeper());
+            assertEquals(StoreStatus.DAMAGED, opened.status(), "round " + round);
+            assertEquals("a", opened.restored().instance());
+            assertTrue(opened.detail().contains(".log at "), opened.detail());
+            end(opened.store());
         }
         try (var files = Files.list(dir)) {
-            assertEquals(1 + RecoveryStore.ASIDE_MOST, files.count());
+            assertEquals(1 + RecoveryStore.MAX_SET_ASIDE, files.count());
         }
     }
 
@@ -137,23 +137,23 @@
     void aFolderThatCannotBeUsedIsSaidAndNothingIsToldToBeKept() throws Exception {
         Files.writeString(dir.resolve("kept"), "a file");
         RecoveryStore.Opened opened = open("a");
-        assertEquals(Store.UNUSABLE, opened.state());
+        assertEquals(StoreStatus.UNUSABLE, opened.status());
         CompletableFuture<IOException> told = new CompletableFuture<>();
-        opened.keeper().ban("nodo-1", new ServerBans.Entry(true, 1), told::complete);
+        opened.store().saveBan("nodo-1", new ServerBans.Entry(true, 1), told::complete);
         loop.poll(10, TimeUnit.SECONDS).run();
         assertTrue(told.join() != null);
-        end(opened.keeper());
+        end(opened.store());
     }
 
     @Test
     void theProcessBeforeHasTheStoreUntilItEnds() throws Exception {
-        RecoveryStore before = open("a").keeper();
+        RecoveryStore before = open("a").store();
         kept(before, "nodo-1", new ServerBans.Entry(true, 7));
         RecoveryStore.Opened second = open("a");
-        assertEquals(Store.IN_USE, second.state());
+        assertEquals(StoreStatus.IN_USE, second.status());
         end(before);
-        kept(second.keeper(), "nodo-2", new ServerBans.Entry(true, 8));
-        end(second.keeper());
-        assertEquals(2, open("a").kept().bans().size(), "what the one before kept is still there");
+        kept(second.store(), "nodo-2", new ServerBans.Entry(true, 8));
+        end(second.store());
+        assertEquals(2, open("a").restored().bans().size(), "what the one before kept is still there");
     }
 }
--- a/src/test/java/gatefront/recovery/RecoveryTest.java
+++ b/src/test/java/gatefront/recovery/RecoveryTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gatefront.recovery.Recovery.Stage;
-import gatefront.recovery.Recovery.Store;
+import gatefront.recovery.Recovery.StoreStatus;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -19,63 +19,65 @@
             new StateValidator.Bounds(30 * SECOND, 600 * SECOND, 5 * SECOND);
 
     private static TrustLevel judged(StateKind piece, StateSource source, String instance, long age, boolean damaged) {
-        return StateValidator.judge(
+        return StateValidator.validate(
                         new RestoredState(piece, source, instance, NOW - age * SECOND, damaged), "a", NOW, BOUNDS)
-                .verdict();
+                .trust();
     }
 
     @Test
     void callsByHandNeverLapseAndAListIsOnlyAGuess() {
-        assertEquals(TrustLevel.BELIEVED, judged(StateKind.BANS, StateSource.STORE, "a", 29, false));
+        assertEquals(TrustLevel.TRUSTED, judged(StateKind.BANS, StateSource.STORE, "a", 29, false));
         assertEquals(
-                TrustLevel.DOUBTED,
+                TrustLevel.UNCONFIRMED,
                 judged(StateKind.BANS, StateSource.STORE, "a", 31, false),
                 "put back, or long dead");
         assertEquals(
-                TrustLevel.DOUBTED, judged(StateKind.BANS, StateSource.STORE, "a", 1_000_000, false), "at any age");
-        assertEquals(TrustLevel.BELIEVED, judged(StateKind.BANS, StateSource.STORE, "a", -4, false));
+                TrustLevel.UNCONFIRMED, judged(StateKind.BANS, StateSource.STORE, "a", 1_000_000, false), "at any age");
+        assertEquals(TrustLevel.TRUSTED, judged(StateKind.BANS, StateSource.STORE, "a", -4, false));
         assertEquals(
-                TrustLevel.DOUBTED, judged(StateKind.BANS, StateSource.STORE, "a", -86_400, false), "from the future");
-        assertEquals(TrustLevel.DOUBTED, judged(StateKind.BANS, StateSource.STORE, "a", 1, true), "damaged");
-        assertEquals(TrustLevel.DROPPED, judged(StateKind.BANS, StateSource.STORE, "b", 1, false), "another's");
+                TrustLevel.UNCONFIRMED,
+                judged(StateKind.BANS, StateSource.STORE, "a", -86_400, false),
+                "from the future");
+        assertEquals(TrustLevel.UNCONFIRMED, judged(StateKind.BANS, StateSource.STORE, "a", 1, true), "damaged");
+        assertEquals(TrustLevel.DISCARDED, judged(StateKind.BANS, StateSource.STORE, "b", 1, false), "another's");
         assertEquals(
-                TrustLevel.DROPPED, judged(StateKind.BANS, StateSource.STORE, "b", 1, true), "another's and damaged");
-        assertEquals(TrustLevel.BELIEVED, judged(StateKind.BANS, StateSource.NEIGHBOUR, null, 1_000, false));
-        assertEquals(TrustLevel.DOUBTED, judged(StateKind.LIST, StateSource.STORE, "a", 599, false));
-        assertEquals(TrustLevel.DROPPED, judged(StateKind.LIST, StateSource.STORE, "a", 601, false));
-        assertEquals(TrustLevel.DROPPED, judged(StateKind.LIST, StateSource.STORE, "a", -6, false));
-        assertEquals(TrustLevel.DROPPED, judged(StateKind.LIST, StateSource.STORE, "b", 1, false));
-        assertEquals(TrustLevel.DROPPED, judged(StateKind.LIST, StateSource.STORE, "a", 1, true));
-        assertEquals(TrustLevel.DOUBTED, judged(StateKind.LIST, StateSource.CONFIGURATION, null, 0, false));
+                TrustLevel.DISCARDED, judged(StateKind.BANS, StateSource.STORE, "b", 1, true), "another's and damaged");
+        assertEquals(TrustLevel.TRUSTED, judged(StateKind.BANS, StateSource.PREVIOUS_PROCESS, null, 1_000, false));
+        assertEquals(TrustLevel.UNCONFIRMED, judged(StateKind.SERVER_LIST, StateSource.STORE, "a", 599, false));
+        assertEquals(TrustLevel.DISCARDED, judged(StateKind.SERVER_LIST, StateSource.STORE, "a", 601, false));
+        assertEquals(TrustLevel.DISCARDED, judged(StateKind.SERVER_LIST, StateSource.STORE, "a", -6, false));
+        assertEquals(TrustLevel.DISCARDED, judged(StateKind.SERVER_LIST, StateSource.STORE, "b", 1, false));
+        assertEquals(TrustLevel.DISCARDED, judged(StateKind.SERVER_LIST, StateSource.STORE, "a", 1, true));
+        assertEquals(TrustLevel.UNCONFIRMED, judged(StateKind.SERVER_LIST, StateSource.CONFIGURATION, null, 0, false));
     }
 
     @Test
     void aLostStoreIsSaidAndIsNeverMadeGoodByWhatComesLater() {
         Recovery recovery = new Recovery("a", BOUNDS, NOW);
-        recovery.store(Store.MISSING, "there is no folder", NOW);
-        assertTrue(recovery.lost());
-        assertTrue(recovery.lines().get(0).contains("no store: a first start, or it is lost"));
-        recovery.claim(new RestoredState(StateKind.LIST, StateSource.CONFIGURATION, null, -1, false), NOW);
-        assertEquals(Stage.KEPT, recovery.stage());
-        recovery.listed(NOW + 1);
-        assertEquals(Stage.LISTED, recovery.stage());
-        recovery.serves(NOW + 2);
-        recovery.serves(NOW + 3);
-        assertEquals(Stage.LACKING, recovery.stage());
-        assertEquals(NOW + 2, recovery.since());
+        recovery.storeOpened(StoreStatus.MISSING, "there is no folder", NOW);
+        assertTrue(recovery.stateLost());
+        assertTrue(recovery.takeLogLines().get(0).contains("no store: a first start, or it is lost"));
+        recovery.validate(new RestoredState(StateKind.SERVER_LIST, StateSource.CONFIGURATION, null, -1, false), NOW);
+        assertEquals(Stage.RESTORED, recovery.stage());
+        recovery.serverListReceived(NOW + 1);
+        assertEquals(Stage.LIST_RECEIVED, recovery.stage());
+        recovery.servingStarted(NOW + 2);
+        recovery.servingStarted(NOW + 3);
+        assertEquals(Stage.INCOMPLETE, recovery.stage());
+        assertEquals(NOW + 2, recovery.stageSinceMicros());
         assertTrue(recovery.reason().startsWith("no store"), recovery.reason());
     }
 
     @Test
     void aWholeStoreAndAListMakeItWhole() {
         Recovery recovery = new Recovery("a", BOUNDS, NOW);
-        recovery.store(Store.WHOLE, "life 2", NOW);
-        recovery.claim(new RestoredState(StateKind.BANS, StateSource.STORE, "a", NOW - SECOND, false), NOW);
-        recovery.serves(NOW);
-        assertEquals(Stage.KEPT, recovery.stage(), "nobody has confirmed what was kept");
-        recovery.listed(NOW + 1);
-        assertEquals(Stage.WHOLE, recovery.stage());
-        assertFalse(recovery.lost());
+        recovery.storeOpened(StoreStatus.INTACT, "life 2", NOW);
+        recovery.validate(new RestoredState(StateKind.BANS, StateSource.STORE, "a", NOW - SECOND, false), NOW);
+        recovery.servingStarted(NOW);
+        assertEquals(Stage.RESTORED, recovery.stage(), "nobody has confirmed what was kept");
+        recovery.serverListReceived(NOW + 1);
+        assertEquals(Stage.COMPLETE, recovery.stage());
+        assertFalse(recovery.stateLost());
     }
 
     /** 10,000 histories: whatever comes in whatever order, what was lost stays said and no stage is gone back. */
@@ -94,9 +96,9 @@
                 now += random.nextLong(-3 * SECOND, 10 * SECOND); // the time of day may go back
                 switch (random.nextInt(4)) {
                     case 0 -> {
-                        Store state = Store.values()[random.nextInt(Store.values().length)];
-                        recovery.store(state, "x", now);
-                        lost |= state != Store.WHOLE && state != Store.IN_USE;
+                        StoreStatus state = StoreStatus.values()[random.nextInt(StoreStatus.values().length)];
+                        recovery.storeOpened(state, "x", now);
+                        lost |= state != StoreStatus.INTACT && state != StoreStatus.IN_USE;
                     }
                     case 1 -> {
                         RestoredState claim = new RestoredState(
@@ -105,26 +107,26 @@
                                 List.of("a", "b").get(random.nextInt(2)),
                                 now + random.nextLong(-2_000 * SECOND, 100 * SECOND),
                                 random.nextInt(5) == 0);
-                        TrustLevel verdict = recovery.claim(claim, now).verdict();
-                        lost |= claim.piece() == StateKind.BANS && verdict != TrustLevel.BELIEVED;
-                        assertTrue(claim.instance().equals("a") || verdict == TrustLevel.DROPPED);
-                        assertTrue(claim.upTo() <= now + BOUNDS.ahead()
-                                || verdict != TrustLevel.BELIEVED
-                                || claim.source() == StateSource.NEIGHBOUR);
+                        TrustLevel verdict = recovery.validate(claim, now).trust();
+                        lost |= claim.kind() == StateKind.BANS && verdict != TrustLevel.TRUSTED;
+                        assertTrue(claim.instance().equals("a") || verdict == TrustLevel.DISCARDED);
+                        assertTrue(claim.writtenUntilMicros() <= now + BOUNDS.maxClockLeadMicros()
+                                || verdict != TrustLevel.TRUSTED
+                                || claim.source() == StateSource.PREVIOUS_PROCESS);
                     }
                     case 2 -> {
-                        recovery.listed(now);
+                        recovery.serverListReceived(now);
                         listed = true;
                     }
                     default -> {
-                        recovery.serves(now);
+                        recovery.servingStarted(now);
                         serves = true;
                     }
                 }
-                lines.addAll(recovery.lines());
-                assertEquals(lost, recovery.lost(), "seed " + seed);
-                assertEquals(listed && serves && !lost, recovery.stage() == Stage.WHOLE, "seed " + seed);
-                int stage = Math.min(recovery.stage().ordinal(), Stage.WHOLE.ordinal());
+                lines.addAll(recovery.takeLogLines());
+                assertEquals(lost, recovery.stateLost(), "seed " + seed);
+                assertEquals(listed && serves && !lost, recovery.stage() == Stage.COMPLETE, "seed " + seed);
+                int stage = Math.min(recovery.stage().ordinal(), Stage.COMPLETE.ordinal());
                 assertTrue(stage >= before, "seed " + seed);
                 before = stage;
             }
@@ -141,17 +143,17 @@
     @Test
     void aStandstillIsDoubtedUntilItHasHeardOrWaitedLongEnough() {
         StallDetector waking = new StallDetector(400, 300);
-        assertFalse(waking.seen(0));
-        assertFalse(waking.seen(400));
-        assertTrue(waking.seen(801));
-        assertTrue(waking.doubts(802));
-        assertFalse(waking.seen(900));
-        assertTrue(waking.doubts(1_100));
-        assertFalse(waking.doubts(1_101), "nobody told");
-        assertTrue(waking.seen(2_000));
-        waking.heard();
-        assertFalse(waking.doubts(2_001));
-        assertEquals(1_100, waking.gap());
+        assertFalse(waking.recordEvent(0));
+        assertFalse(waking.recordEvent(400));
+        assertTrue(waking.recordEvent(801));
+        assertTrue(waking.awaitingServerList(802));
+        assertFalse(waking.recordEvent(900));
+        assertTrue(waking.awaitingServerList(1_100));
+        assertFalse(waking.awaitingServerList(1_101), "nobody told");
+        assertTrue(waking.recordEvent(2_000));
+        waking.serverListReceived();
+        assertFalse(waking.awaitingServerList(2_001));
+        assertEquals(1_100, waking.lastGapMicros());
     }
 
     /** 10,000 histories against the plain rule: the last gap too long is young, and nobody has told since. */
@@ -162,17 +164,17 @@
             StallDetector waking = new StallDetector(400, 300);
             long now = 0;
             long woke = -1;
-            waking.seen(0);
+            waking.recordEvent(0);
             for (int step = 0; step < 30; step++) {
                 long gap = random.nextInt(4) == 0 ? random.nextLong(2_000) : random.nextLong(100);
                 now += gap;
                 woke = gap > 400 ? now : woke;
-                assertEquals(gap > 400, waking.seen(now));
+                assertEquals(gap > 400, waking.recordEvent(now));
                 if (random.nextInt(6) == 0) {
-                    waking.heard();
+                    waking.serverListReceived();
                     woke = -1;
                 }
-                assertEquals(woke >= 0 && now - woke < 300, waking.doubts(now), "seed " + seed);
+                assertEquals(woke >= 0 && now - woke < 300, waking.awaitingServerList(now), "seed " + seed);
             }
         }
     }
--- a/src/test/java/gatefront/upgrade/ProcessHandoverTest.java
+++ b/src/test/java/gatefront/upgrade/ProcessHandoverTest.java
@@ -33,23 +33,23 @@
     @Test
     void theSecondFollowsUntilTheFirstHasEndedAndTheFirstKnowsOfIt() throws IOException {
         ProcessHandover first = enter("1");
-        assertFalse(first.follows());
-        assertFalse(first.followed());
+        assertFalse(first.isSuccessor());
+        assertFalse(first.hasSuccessor());
         ProcessHandover second = enter("2");
-        assertTrue(second.follows());
-        assertTrue(first.followed());
-        first.tell(SOME);
-        assertEquals(SOME, second.look());
-        assertEquals(Map.of(), second.look(), "what has not changed is not read again");
+        assertTrue(second.isSuccessor());
+        assertTrue(first.hasSuccessor());
+        first.publishBans(SOME);
+        assertEquals(SOME, second.poll());
+        assertEquals(Map.of(), second.poll(), "what has not changed is not read again");
         first.close();
-        second.look();
-        assertFalse(second.follows());
-        assertFalse(second.followed());
-        second.tell(SOME);
-        second.tidy();
+        second.poll();
+        assertFalse(second.isSuccessor());
+        assertFalse(second.hasSuccessor());
+        second.publishBans(SOME);
+        second.deleteOtherFiles();
         ProcessHandover third = enter("3");
-        assertTrue(second.followed());
-        assertEquals(SOME, third.look());
+        assertTrue(second.hasSuccessor());
+        assertEquals(SOME, third.poll());
         second.close();
         third.close();
     }
@@ -62,9 +62,9 @@
         FileTime then = FileTime.fromMillis(1_000_000);
         for (boolean out : List.of(true, false, true)) {
             Map<String, ServerBans.Entry> entries = Map.of("s", new ServerBans.Entry(out, out ? 5 : 55));
-            first.tell(entries);
+            first.publishBans(entries);
             Files.setLastModifiedTime(folder.resolve("gatefront-bans-1"), then);
-            assertEquals(entries, second.look());
+            assertEquals(entries, second.poll());
         }
         first.close();
         second.close();
@@ -74,7 +74,7 @@
     void oneThatFailsBeforeItServesIsForgotten() throws IOException {
         ProcessHandover first = enter("1");
         enter("2").close();
-        assertFalse(first.followed());
+        assertFalse(first.hasSuccessor());
         first.close();
     }
 
@@ -90,7 +90,7 @@
         int lines = 0;
         for (String text : List.of("", "lemonspan-bans 2\n", whole.replace("out", "in"), whole.substring(1), "\0")) {
             Files.writeString(folder.resolve("gatefront-bans-x" + lines++), text);
-            assertEquals(Map.of(), first.look());
+            assertEquals(Map.of(), first.poll());
             assertEquals(lines, log.size());
         }
         first.close();
