--- a/src/main/java/gatefront/budget/LeakTrend.java
+++ b/src/main/java/gatefront/budget/LeakTrend.java
@@ -1,8 +1,8 @@
 package gatefront.budget;
 
 /**
- * Finds what rises slowly: the least that was held in each window, since that is what never goes away. A load that
- * comes and goes has a floor that comes and goes too; a leak's only rises.
+ * Detects slow growth from the minimum amount held in each window, which is what is never released. Under a varying
+ * load that minimum rises and falls; under a leak it only rises.
  */
 public final class LeakTrend {
     private final long windowMicros;
@@ -14,32 +14,33 @@
     private int risingWindows;
 
     /**
-     * Nothing seen yet.
+     * Creates a trend without observations.
      *
-     * @param window how long a window is, in microseconds
-     * @param windows after how many in a row, each with a higher floor than the one before, it says so
+     * @param windowMicros the length of a window, in microseconds
+     * @param windowsBeforeReport the number of consecutive windows, each with a higher minimum than the one before,
+     *     after which the growth is reported
      */
-    public LeakTrend(long window, int windows) {
-        this.windowMicros = window;
-        this.windowsBeforeReport = windows;
+    public LeakTrend(long windowMicros, int windowsBeforeReport) {
+        this.windowMicros = windowMicros;
+        this.windowsBeforeReport = windowsBeforeReport;
     }
 
     /**
-     * So much is held.
+     * Records the amount held at {@code now}, in microseconds.
      *
-     * @return by how much the floor has risen, when that is to be said: at the given number of windows in a row, and
-     *     each time as many again; else 0
+     * @return by how much the minimum has risen, if that is due to be reported: after the given number of consecutive
+     *     rising windows, and after each further such number; 0 otherwise
      */
     public long observe(long now, long held) {
         if (windowEndMicros == 0) {
             windowEndMicros = now + windowMicros;
         }
-        long risen = 0;
+        long growth = 0;
         if (now >= windowEndMicros) {
             if (previousMinimum >= 0 && windowMinimum > previousMinimum) {
                 risingWindows++;
                 if (risingWindows % windowsBeforeReport == 0) {
-                    risen = windowMinimum - minimumBeforeRise;
+                    growth = windowMinimum - minimumBeforeRise;
                 }
             } else {
                 risingWindows = 0;
@@ -50,6 +51,6 @@
             windowEndMicros = now + windowMicros;
         }
         windowMinimum = Math.min(windowMinimum, held);
-        return risen;
+        return growth;
     }
 }
--- a/src/main/java/gatefront/budget/ResourceAccount.java
+++ b/src/main/java/gatefront/budget/ResourceAccount.java
@@ -1,8 +1,8 @@
 package gatefront.budget;
 
 /**
- * What is held for one purpose, in entries and in bytes. One thread; no allocation. What is taken must be given back by
- * whoever took it, with the same bytes: {@link ResourceBudget#drift} tells where that is not so.
+ * What is held for one purpose, in entries and in bytes. Confined to one thread; does not allocate. Whoever acquires an
+ * entry must release it with the same number of bytes; {@link ResourceBudget#drift} reports where that is violated.
  */
 public final class ResourceAccount {
     private final ResourcePurpose purpose;
@@ -20,7 +20,7 @@
         this.bytesCap = bytesCap;
     }
 
-    /** Takes an entry of so many bytes; false, and nothing taken, if that is over a cap. */
+    /** Acquires an entry of the given number of bytes; returns false, and acquires nothing, if a cap is exceeded. */
     public boolean tryAcquire(long size) {
         if (entries >= entriesCap || bytes + size > bytesCap) {
             rejections++;
@@ -30,7 +30,7 @@
         return true;
     }
 
-    /** Takes more bytes for an entry that is there; false, and nothing taken, if that is over the cap. */
+    /** Acquires more bytes for an existing entry; returns false, and acquires nothing, if the cap is exceeded. */
     public boolean tryGrow(long size) {
         if (bytes + size > bytesCap) {
             rejections++;
@@ -40,76 +40,76 @@
         return true;
     }
 
-    /** Counts what is there whether or not there is room: its owner has other ways to keep to the cap. */
-    public void add(long more, long size) {
-        entries += more;
-        bytes += size;
+    /** Adds entries and bytes without checking the caps, for owners that enforce them in another way. */
+    public void add(long addedEntries, long addedBytes) {
+        entries += addedEntries;
+        bytes += addedBytes;
         peakEntries = Math.max(peakEntries, entries);
         peakBytes = Math.max(peakBytes, bytes);
     }
 
-    /** So much is held now, where the owner counts it anew each time. */
-    public void set(long nowEntries, long nowBytes) {
-        add(nowEntries - entries, nowBytes - bytes);
+    /** Sets the present amounts, for owners that recount each time. */
+    public void set(long currentEntries, long currentBytes) {
+        add(currentEntries - entries, currentBytes - bytes);
     }
 
-    /** Gives back an entry with what it had taken. */
+    /** Releases an entry with all bytes acquired for it. */
     public void release(long size) {
         entries--;
         bytes -= size;
     }
 
-    /** Gives back bytes of an entry that stays. */
+    /** Releases bytes of an entry that remains. */
     public void shrink(long size) {
         bytes -= size;
     }
 
-    /** Whether as much as may be is held: a cap may have been lowered below it. */
+    /** Returns whether a cap is reached or, after it was lowered, exceeded. */
     public boolean isFull() {
         return entries >= entriesCap || bytes >= bytesCap;
     }
 
-    void setCaps(long mostEntries, long mostBytes) {
-        entriesCap = mostEntries;
-        bytesCap = mostBytes;
+    void setCaps(long newEntriesCap, long newBytesCap) {
+        entriesCap = newEntriesCap;
+        bytesCap = newBytesCap;
     }
 
-    /** What it is for. */
+    /** Returns the purpose that this account is for. */
     public ResourcePurpose purpose() {
         return purpose;
     }
 
-    /** Held now. */
+    /** Returns the number of entries held. */
     public long entries() {
         return entries;
     }
 
-    /** Held now, in bytes. */
+    /** Returns the number of bytes held. */
     public long bytes() {
         return bytes;
     }
 
-    /** Held at the most so far. */
+    /** Returns the highest number of entries held so far. */
     public long peakEntries() {
         return peakEntries;
     }
 
-    /** Held at the most so far, in bytes. */
+    /** Returns the highest number of bytes held so far. */
     public long peakBytes() {
         return peakBytes;
     }
 
-    /** Its cap. */
+    /** Returns the maximum number of entries. */
     public long entriesCap() {
         return entriesCap;
     }
 
-    /** Its cap in bytes. */
+    /** Returns the maximum number of bytes. */
     public long bytesCap() {
         return bytesCap;
     }
 
-    /** How often there was no room. */
+    /** Returns how often an acquisition was rejected because a cap was reached. */
     public long rejections() {
         return rejections;
     }
--- a/src/main/java/gatefront/budget/ResourceBudget.java
+++ b/src/main/java/gatefront/budget/ResourceBudget.java
@@ -13,87 +13,88 @@
  * completed.
  */
 public final class ResourceBudget {
-    /** The part of the total from which on idle connections end sooner. */
+    /** The fraction of the total from which idle connections are closed earlier. */
     public static final double TIGHT_FRACTION = 0.7;
-    /** The part of the total from which on new calls are refused. */
+    /** The fraction of the total from which new requests are refused. */
     public static final double FULL_FRACTION = 0.9;
-    /** A leak of one entry a minute is said after so many minutes. */
+    /** The number of consecutive rising windows after which a possible leak is reported. */
     private static final int RISING_WINDOWS = 15;
 
+    /** The length of a window for leak detection, in microseconds. */
     private static final long WINDOW_MICROS = 60_000_000;
 
-    /** How much of the total is held. */
+    /** How close the held bytes are to the total. */
     public enum Pressure {
-        /** There is room. */
+        /** Below {@link #TIGHT_FRACTION}. */
         NONE,
-        /** Idle connections go. */
+        /** Idle connections are closed earlier. */
         TIGHT,
-        /** No new calls. */
+        /** New requests are refused. */
         FULL
     }
 
-    /** What a purpose really holds, counted one by one. */
+    /** What is actually held for a purpose, as counted by its owner. */
     public record Count(long entries, long bytes) {}
 
     private final Map<ResourcePurpose, ResourceAccount> accounts = new EnumMap<>(ResourcePurpose.class);
     private final Map<ResourcePurpose, LeakTrend> trends = new EnumMap<>(ResourcePurpose.class);
-    /** One for each owner; fronts and upstreams of several protocols share an account. */
+    /** One recount for each owner; frontends and upstreams of several protocols share an account. */
     private final Map<ResourcePurpose, List<Supplier<Count>>> recounts = new EnumMap<>(ResourcePurpose.class);
-    /** The same without a map's iterator: they are summed for each call. */
+    /** The accounts as an array: they are summed for each request, which must not allocate an iterator. */
     private final ResourceAccount[] accountsByOrdinal = new ResourceAccount[ResourcePurpose.values().length];
 
     private final long totalBytes;
 
-    /** The caps of one purpose; a negative figure is none. */
+    /** The caps of one purpose; a negative value means no cap. */
     public record Cap(long entries, long bytes) {}
 
     /**
-     * Nothing is held.
+     * Creates a budget of which nothing is held.
      *
-     * @param total bytes that all purposes may hold together
-     * @param caps by purpose; those not named have none of their own
+     * @param totalBytes the maximum number of bytes for all purposes together
+     * @param caps the caps by purpose; purposes that are not named have no cap of their own
      */
-    public ResourceBudget(long total, Map<ResourcePurpose, Cap> caps) {
-        this.totalBytes = total;
-        for (ResourcePurpose each : ResourcePurpose.values()) {
-            Cap cap = caps.getOrDefault(each, new Cap(-1, -1));
+    public ResourceBudget(long totalBytes, Map<ResourcePurpose, Cap> caps) {
+        this.totalBytes = totalBytes;
+        for (ResourcePurpose purpose : ResourcePurpose.values()) {
+            Cap cap = caps.getOrDefault(purpose, new Cap(-1, -1));
             accounts.put(
-                    each,
+                    purpose,
                     new ResourceAccount(
-                            each,
+                            purpose,
                             cap.entries < 0 ? Long.MAX_VALUE : cap.entries,
                             cap.bytes < 0 ? Long.MAX_VALUE : cap.bytes));
-            accountsByOrdinal[each.ordinal()] = accounts.get(each);
-            trends.put(each, new LeakTrend(WINDOW_MICROS, RISING_WINDOWS));
+            accountsByOrdinal[purpose.ordinal()] = accounts.get(purpose);
+            trends.put(purpose, new LeakTrend(WINDOW_MICROS, RISING_WINDOWS));
         }
     }
 
-    /** The account of a purpose; its owner keeps it. */
+    /** Returns the account of a purpose, which its owner updates. */
     public ResourceAccount account(ResourcePurpose purpose) {
         return accountsByOrdinal[purpose.ordinal()];
     }
 
-    /** Other caps from now on. What is held above them stays, and goes as it would have. */
+    /** Changes the given caps. What is held above a new cap is released in the normal course. */
     public void setCaps(Map<ResourcePurpose, Cap> caps) {
         caps.forEach((purpose, cap) -> accounts.get(purpose)
                 .setCaps(cap.entries < 0 ? Long.MAX_VALUE : cap.entries, cap.bytes < 0 ? Long.MAX_VALUE : cap.bytes));
     }
 
-    /** Bytes held for all purposes. */
+    /** Returns the number of bytes held for all purposes. */
     public long bytes() {
         long sum = 0;
-        for (ResourceAccount each : accountsByOrdinal) {
-            sum += each.bytes();
+        for (ResourceAccount account : accountsByOrdinal) {
+            sum += account.bytes();
         }
         return sum;
     }
 
-    /** Bytes that may be held for all of them. */
+    /** Returns the maximum number of bytes for all purposes together. */
     public long totalBytes() {
         return totalBytes;
     }
 
-    /** How much of the total is held. */
+    /** Returns how close the held bytes are to the total. */
     public Pressure pressure() {
         long held = bytes();
         return held >= FULL_FRACTION * totalBytes
@@ -101,20 +102,20 @@
                 : held >= TIGHT_FRACTION * totalBytes ? Pressure.TIGHT : Pressure.NONE;
     }
 
-    /** Has an owner count what it holds, for {@link #drift}. */
-    public void addRecount(ResourcePurpose purpose, Supplier<Count> by) {
-        recounts.computeIfAbsent(purpose, each -> new ArrayList<>()).add(by);
+    /** Registers a function by which an owner counts what it holds, for {@link #drift}. */
+    public void addRecount(ResourcePurpose purpose, Supplier<Count> recount) {
+        recounts.computeIfAbsent(purpose, key -> new ArrayList<>()).add(recount);
     }
 
-    /** Where an account is not what its owner holds: a line each. */
+    /** Returns a line for each account that differs from what its owners hold. */
     public List<String> drift() {
         List<String> lines = new ArrayList<>();
-        recounts.forEach((purpose, by) -> {
+        recounts.forEach((purpose, suppliers) -> {
             ResourceAccount account = accounts.get(purpose);
             long entries = 0;
             long bytes = 0;
-            for (Supplier<Count> each : by) {
-                Count count = each.get();
+            for (Supplier<Count> supplier : suppliers) {
+                Count count = supplier.get();
                 entries += count.entries;
                 bytes += count.bytes;
             }
@@ -126,14 +127,17 @@
         return lines;
     }
 
-    /** Looks at the floors; a line for each purpose that has only risen for a quarter of an hour. */
+    /**
+     * Samples all accounts; returns a line for each purpose whose minimum has risen in {@link #RISING_WINDOWS}
+     * consecutive windows.
+     */
     public List<String> leakWarnings(long now) {
         List<String> lines = new ArrayList<>();
         accounts.forEach((purpose, account) -> {
             long risen = trends.get(purpose).observe(now, account.entries());
             if (risen > 0) {
-                lines.add("held for " + purpose.label() + ": the least of each minute has risen for " + RISING_WINDOWS
-                        + " minutes, by " + risen + " to " + account.entries() + " entries; it may be a leak");
+                lines.add("held for " + purpose.label() + ": the minimum of each minute has risen for " + RISING_WINDOWS
+                        + " minutes, by " + risen + " to " + account.entries() + " entries; possible leak");
             }
         });
         return lines;
--- a/src/main/java/gatefront/budget/ResourcePurpose.java
+++ b/src/main/java/gatefront/budget/ResourcePurpose.java
@@ -2,36 +2,39 @@
 
 import java.util.Locale;
 
-/** What something is held for. Each has one owner, which says what happens when its cap is reached. */
+/** The purposes for which an agent holds resources. Each has one owner, which enforces the cap as stated here. */
 public enum ResourcePurpose {
-    /** Connections of callers. At the cap the longest silent ends, then the longest kept; else none is accepted. */
+    /**
+     * Connections of clients. At the cap, the connection that has been silent longest is closed, otherwise the oldest
+     * kept-alive one; if there is none of either, the new connection is not accepted.
+     */
     CALLER_CONNECTIONS,
-    /** Requests that have come, in part or whole, with their bodies. At the cap: refused, with Retry-After. */
+    /** Requests received in part or in full, with their bodies. At the cap, refused with Retry-After. */
     REQUESTS,
-    /** Calls taken and not done with, and their timers and names. At the cap: refused, with Retry-After. */
+    /** Accepted requests in progress, with their timers and names. At the cap, refused with Retry-After. */
     CALLS,
-    /** Answers that callers have not read yet. At the cap new calls are refused, with Retry-After. */
+    /** Responses that clients have not read yet. At the cap, new requests are refused with Retry-After. */
     ANSWERS,
-    /** Connections to servers. At the cap the longest idle ends; else the attempt is not sent. */
+    /** Connections to servers. At the cap, the one idle longest is closed; if none is idle, the attempt is not sent. */
     SERVER_CONNECTIONS,
-    /** Answers of servers, as far as they have come. At the cap the connection ends, and the attempt with it. */
+    /** Responses of servers as far as received. At the cap, the connection is closed and the attempt fails. */
     SERVER_ANSWERS,
-    /** What is kept for each listed server: pools, names, the module's state. At the cap new ones are not taken. */
+    /** Connection pools, names and policy state of each listed server. At the cap, further servers are not added. */
     SERVERS,
-    /** Keys of a registry. At the cap a state is not taken, and the one before goes stale. */
+    /** Keys of a registry. At the cap, an update is not applied, and the previous state becomes stale. */
     REGISTRY;
 
-    /** Whether it is held to a number of entries, besides to bytes or without them. */
+    /** Returns whether the number of entries can be capped. */
     public boolean limitsEntries() {
         return this != REQUESTS && this != SERVER_ANSWERS && this != REGISTRY;
     }
 
-    /** Whether it is held to a number of bytes. */
+    /** Returns whether the number of bytes can be capped. */
     public boolean limitsBytes() {
         return this == REQUESTS || this == SERVER_ANSWERS || this == ANSWERS;
     }
 
-    /** As it stands in files and on pages. */
+    /** Returns the name used in settings and on status pages. */
     public String label() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/src/main/java/gatefront/budget/UnaccountedMemory.java
+++ b/src/main/java/gatefront/budget/UnaccountedMemory.java
@@ -1,29 +1,29 @@
 package gatefront.budget;
 
 /**
- * Memory of the process that neither the heap nor the buffers account for: code, classes, stacks, and what leaks beside
- * them. What there was at the first look is the base; growth over a limit is said once, and again when it has doubled.
+ * Tracks memory of the process that is neither heap nor buffers: code, classes, stacks, and native leaks. The first
+ * observation is the baseline; growth above a threshold is reported once, and again each time it has doubled.
  *
- * <p>State: two figures.
+ * <p>State: the baseline and the next value to report.
  */
 public final class UnaccountedMemory {
     private final long thresholdBytes;
     private long baselineBytes = -1;
     private long nextReportBytes;
 
-    /** Growth over so many bytes is said. */
-    public UnaccountedMemory(long limit) {
-        this.thresholdBytes = limit;
-        this.nextReportBytes = limit;
+    /** Creates a tracker that reports growth of at least the given number of bytes. */
+    public UnaccountedMemory(long thresholdBytes) {
+        this.thresholdBytes = thresholdBytes;
+        this.nextReportBytes = thresholdBytes;
     }
 
     /**
-     * Looks at the process.
+     * Records the memory of the process.
      *
-     * @param resident bytes of memory in use by the process; below 0 if they cannot be had
-     * @param heap bytes of heap that the process has taken
-     * @param buffers bytes of buffers outside it
-     * @return by how many bytes the rest has grown, if staff are to hear it now; else 0
+     * @param resident the resident memory of the process in bytes; negative if unavailable
+     * @param heap the committed heap in bytes
+     * @param buffers the bytes of buffers outside the heap
+     * @return by how many bytes the remainder has grown, if that is due to be reported to operators; 0 otherwise
      */
     public long observe(long resident, long heap, long buffers) {
         if (resident < 0) {
@@ -33,11 +33,11 @@
         if (baselineBytes < 0) {
             baselineBytes = Math.max(0, rest);
         }
-        long grown = rest - baselineBytes;
-        if (grown < nextReportBytes) {
+        long growth = rest - baselineBytes;
+        if (growth < nextReportBytes) {
             return 0;
         }
-        nextReportBytes = 2 * grown;
-        return grown;
+        nextReportBytes = 2 * growth;
+        return growth;
     }
 }
--- a/src/main/java/gatefront/budget/package-info.java
+++ b/src/main/java/gatefront/budget/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What an agent holds, by purpose: how much, how much at the most, and what has to be turned away. Pure: counters and
- * decisions, no I/O, and the time is told. Each account is moved by one owner, on the agent's loop.
+ * Accounts for what an agent holds, by purpose: the present amount, the peak and the number of rejections. The code is
+ * free of I/O, and times are passed in. Each account is updated by its owner, on the agent's event loop.
  */
 package gatefront.budget;
--- a/src/main/java/gatefront/limits/ClassLimits.java
+++ b/src/main/java/gatefront/limits/ClassLimits.java
@@ -4,22 +4,22 @@
 import java.util.Map;
 
 /**
- * How many calls of a class may be in progress in this agent at once. Without a limit all are taken; a limit below what
- * is in progress ends nothing, and nothing new is taken until enough have ended.
+ * Limits the requests of a class that may be in progress in this agent at once. A class has no limit by default. A
+ * limit below the present number ends no request; new ones are refused until enough have ended.
  *
- * <p>State: two figures a class, as many as the settings have classes.
+ * <p>State: four numbers for each class in the settings.
  */
 public final class ClassLimits {
     private static final long REPORT_INTERVAL_MICROS = 60_000_000;
 
     private int[] inProgress;
     private int[] maxInProgress;
-    /** Turned away since the limit was last said to be met, and when that was; said once a minute at the most. */
+    /** Requests refused since refusals of the class were last reported; reported at most once a minute. */
     private long[] unreportedRefusals;
 
     private long[] reportedAtMicros;
 
-    /** Without limits, for so many classes. */
+    /** Creates limits for the given number of classes; none is limited. */
     public ClassLimits(int classes) {
         inProgress = new int[classes];
         maxInProgress = new int[classes];
@@ -29,7 +29,7 @@
         Arrays.fill(reportedAtMicros, Long.MIN_VALUE / 2);
     }
 
-    /** There are so many classes now; new ones have no limit. */
+    /** Raises the number of classes; the new ones have no limit. */
     public void resize(int classes) {
         int known = maxInProgress.length;
         inProgress = Arrays.copyOf(inProgress, classes);
@@ -40,44 +40,49 @@
         Arrays.fill(reportedAtMicros, known, classes, Long.MIN_VALUE / 2);
     }
 
-    /** All limits that there are now, by the class's index; the others have none. */
+    /** Replaces all limits, by the index of the class; classes that are not named have none. */
     public void setLimits(Map<Integer, Integer> limits) {
         Arrays.fill(maxInProgress, Integer.MAX_VALUE);
-        limits.forEach((of, limit) -> maxInProgress[of] = limit);
+        limits.forEach((requestClass, limit) -> maxInProgress[requestClass] = limit);
     }
 
-    /** Whether there is room for one more call of a class; if not, one is turned away. */
-    public boolean hasCapacity(int of) {
-        if (inProgress[of] >= maxInProgress[of]) {
-            unreportedRefusals[of]++;
+    /** Returns whether one more request of a class may start; if not, counts a refusal. */
+    public boolean hasCapacity(int requestClass) {
+        if (inProgress[requestClass] >= maxInProgress[requestClass]) {
+            unreportedRefusals[requestClass]++;
             return false;
         }
         return true;
     }
 
-    /** A call has been taken; it is in progress until {@link #requestEnded}. */
-    public void requestStarted(int of) {
-        inProgress[of]++;
+    /** Records that a request has been accepted; it is in progress until {@link #requestEnded}. */
+    public void requestStarted(int requestClass) {
+        inProgress[requestClass]++;
     }
 
-    /** A call that was taken has ended. */
-    public void requestEnded(int of) {
-        inProgress[of]--;
+    /** Records that an accepted request has ended. */
+    public void requestEnded(int requestClass) {
+        inProgress[requestClass]--;
     }
 
-    /** Calls of a class in progress. */
-    public int inProgress(int of) {
-        return inProgress[of];
+    /** Returns the number of requests of a class in progress. */
+    public int inProgress(int requestClass) {
+        return inProgress[requestClass];
     }
 
-    /** How many of a class were turned away, if staff are to hear it now; else 0. The clock is any, in microseconds. */
-    public long takeRefusalsToReport(long now, int of) {
-        if (unreportedRefusals[of] == 0 || now - reportedAtMicros[of] < REPORT_INTERVAL_MICROS) {
+    /**
+     * Returns the number of refused requests of a class if it is due to be reported to operators, and resets it; 0
+     * otherwise.
+     *
+     * @param now microseconds of any clock, the same at each call
+     */
+    public long takeRefusalsToReport(long now, int requestClass) {
+        if (unreportedRefusals[requestClass] == 0 || now - reportedAtMicros[requestClass] < REPORT_INTERVAL_MICROS) {
             return 0;
         }
-        long turnedAway = unreportedRefusals[of];
-        unreportedRefusals[of] = 0;
-        reportedAtMicros[of] = now;
-        return turnedAway;
+        long refusals = unreportedRefusals[requestClass];
+        unreportedRefusals[requestClass] = 0;
+        reportedAtMicros[requestClass] = now;
+        return refusals;
     }
 }
--- a/src/main/java/gatefront/management/ManagementEndpoint.java
+++ b/src/main/java/gatefront/management/ManagementEndpoint.java
@@ -13,38 +13,39 @@
 import java.util.function.Consumer;
 
 /**
- * The operators' door: {@code GET /healthcheck}, {@code GET /stats}, {@code POST /backends/ID/maint} and
- * {@code POST /backends/ID/ready}. A call that is not one of these changes nothing.
+ * The management endpoint for operators: {@code GET /healthcheck}, {@code GET /stats}, {@code POST /backends/ID/maint}
+ * and {@code POST /backends/ID/ready}. Any other request is refused and changes nothing.
  */
 public final class ManagementEndpoint extends OperatorHttpServer {
     private static final int MAX_CONNECTIONS = 24;
     private static final long REQUEST_TIMEOUT_MS = 5_000;
     private static final String BACKENDS = "/backends/";
 
-    /** What the calls are about. */
+    /** The agent that the requests act on. */
     public interface Agent {
-        /** Whether this process is ready to serve. */
+        /** Returns whether this process is ready to serve. */
         boolean ready();
 
-        /** The figures, in their order. */
+        /** Returns the numeric statistics, in the order in which they are printed. */
         Map<String, Long> figures();
 
-        /** More lines of the figures, in words. */
+        /** Returns further statistics with text values. */
         default Map<String, String> textFigures() {
             return Map.of();
         }
 
         /**
-         * Takes a backend out, which holds when this returns, or puts it back, which does soon after.
+         * Drains a server manually, which takes effect before this method returns, or puts it back, which takes effect
+         * soon after.
          *
-         * @param then hears what came of it, and whether a restart of the agent would still know it, once that is sure
+         * @param then receives the outcome, and whether it would survive a restart of the agent, once both are known
          */
-        void setDrained(String backend, boolean out, BiConsumer<ServerBans.Outcome, Boolean> then);
+        void setDrained(String server, boolean drained, BiConsumer<ServerBans.Outcome, Boolean> then);
     }
 
     private final Agent agent;
 
-    /** Listens to nobody yet. */
+    /** Creates an endpoint that is not listening yet. */
     public ManagementEndpoint(Transport transport, InetSocketAddress listen, Agent agent) {
         super(transport, listen, MAX_CONNECTIONS, REQUEST_TIMEOUT_MS);
         this.agent = agent;
@@ -53,15 +54,15 @@
     @Override
     protected void call(FullHttpRequest request, Consumer<Reply> answer) {
         String uri = request.uri();
-        int end = uri.indexOf('?');
-        String path = end < 0 ? uri : uri.substring(0, end);
+        int queryStart = uri.indexOf('?');
+        String path = queryStart < 0 ? uri : uri.substring(0, queryStart);
         if (path.equals("/healthcheck") || path.equals("/stats")) {
             answer.accept(answerRead(request, path));
             return;
         }
-        int verb = path.lastIndexOf('/');
-        boolean out = path.endsWith("/maint");
-        if (!path.startsWith(BACKENDS) || verb <= BACKENDS.length() || !out && !path.endsWith("/ready")) {
+        int actionStart = path.lastIndexOf('/');
+        boolean drain = path.endsWith("/maint");
+        if (!path.startsWith(BACKENDS) || actionStart <= BACKENDS.length() || !drain && !path.endsWith("/ready")) {
             answer.accept(
                     Reply.plain(404, "there are /healthcheck, /stats, /backends/ID/maint and /backends/ID/ready\n"));
             return;
@@ -70,24 +71,25 @@
             answer.accept(Reply.plain(405, "POST only\n"));
             return;
         }
-        String backend;
+        String server;
         try {
-            backend =
-                    QueryStringDecoder.decodeComponent(path.substring(BACKENDS.length(), verb), StandardCharsets.UTF_8);
+            server = QueryStringDecoder.decodeComponent(
+                    path.substring(BACKENDS.length(), actionStart), StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
-            backend = "";
+            server = "";
         }
-        if (backend.isEmpty() || backend.chars().anyMatch(c -> c < ' ')) {
+        if (server.isEmpty() || server.chars().anyMatch(c -> c < ' ')) {
             answer.accept(Reply.plain(400, "an id that cannot be read\n"));
             return;
         }
         agent.setDrained(
-                backend,
-                out,
-                (came, kept) -> answer.accept(
-                        switch (came) {
+                server,
+                drain,
+                (outcome, persisted) -> answer.accept(
+                        switch (outcome) {
                             case APPLIED -> Reply.plain(
-                                    200, (out ? "out" : "back") + (kept ? "\n" : ", and not kept over a restart\n"));
+                                    200,
+                                    (drain ? "out" : "back") + (persisted ? "\n" : ", and not kept over a restart\n"));
                             case UNKNOWN_SERVER -> Reply.plain(404, "nobody has this id\n");
                             case TOO_MANY -> Reply.plain(503, "too many are out by hand\n");
                         }));
--- a/src/main/java/gatefront/management/package-info.java
+++ b/src/main/java/gatefront/management/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' door: its calls, and the figures as it tells them. Runs on the agent's loop. */
+/** The management endpoint for operators: its requests and statistics. Runs on the agent's event loop. */
 package gatefront.management;
--- a/src/main/java/gatefront/membership/Endpoint.java
+++ b/src/main/java/gatefront/membership/Endpoint.java
@@ -5,19 +5,19 @@
 import java.net.InetSocketAddress;
 
 /**
- * A server as a source of membership lists it.
+ * A server as a source of the server list reports it.
  *
- * @param server its line for the decision module
- * @param name the same at every agent
- * @param address where this agent reaches it
+ * @param server the server as the decision module sees it
+ * @param name the server's name, which is the same at every agent
+ * @param address the address at which this agent reaches the server
  */
 public record Endpoint(Server server, String name, InetSocketAddress address) {
-    /** The same server, which has left. */
+    /** Returns this server as one that has left the list. */
     public Endpoint asGone() {
         return with(Phase.GONE, server.weight(), server.startedAt());
     }
 
-    /** The same server in another state. */
+    /** Returns this server with another phase, weight and start time. */
     public Endpoint with(Phase phase, double weight, long startedAt) {
         return new Endpoint(
                 new Server(server.id(), server.zone(), server.cell(), server.kind(), phase, weight, startedAt),
--- a/src/main/java/gatefront/membership/Membership.java
+++ b/src/main/java/gatefront/membership/Membership.java
@@ -11,12 +11,13 @@
 import java.util.function.Consumer;
 
 /**
- * Makes one list of what several sources say. Sources are in order: where they differ in an address, a zone or a
- * weight, the first that lists the server is heeded. Where they differ in its state, the worst of them is: a drain told
- * by one holds, and one that no longer lists what it has listed makes it gone, whatever others say. It is back when
- * that source lists it again, or another tells a later start than was known then. Policies lie over all of it.
+ * Merges the server lists of several sources into one. Sources are ordered by precedence: address, zone and weight of a
+ * server are those of the first source that lists it. For the phase, the most restrictive report wins: a server is
+ * draining if any source reports a drain, and gone once a source that listed it no longer does, even if other sources
+ * still list it. It returns when that source lists it again, or when another source reports a later start than any that
+ * was known when it was withdrawn. Overrides are applied to the merged list.
  *
- * <p>State: a server for each name that a source lists, dropped when none does; the policies last told.
+ * <p>State: an entry for each server that at least one source lists, and the most recent overrides.
  */
 public final class Membership {
     private final List<String> sourceNames;
@@ -25,23 +26,26 @@
     private Map<String, ServerOverride> serverOverrides = Map.of();
     private Map<Integer, ServerOverride> zoneOverrides = Map.of();
 
-    /** What is said of one server. */
+    /** What each source reports about one server. */
     private static final class SourceViews {
+        /** The server as each source lists it; null where a source does not. */
         final Endpoint[] bySource;
-        /** Which sources have listed it and do so no longer; and the latest start that was known then. */
+        /** Whether each source listed the server earlier and no longer does. */
         final boolean[] withdrawn;
 
+        /** The latest start that any source had reported when the server was last withdrawn. */
         long latestKnownStart;
+
         boolean addressConflict;
 
-        SourceViews(int sources) {
-            bySource = new Endpoint[sources];
-            withdrawn = new boolean[sources];
+        SourceViews(int sourceCount) {
+            bySource = new Endpoint[sourceCount];
+            withdrawn = new boolean[sourceCount];
         }
 
         boolean isListed() {
-            for (Endpoint each : bySource) {
-                if (each != null) {
+            for (Endpoint endpoint : bySource) {
+                if (endpoint != null) {
                     return true;
                 }
             }
@@ -50,59 +54,59 @@
     }
 
     /**
-     * A list without servers.
+     * Creates an empty list.
      *
-     * @param sources their names, the first the one to heed
-     * @param log gets a line for each server about whose address sources begin to differ
+     * @param sourceNames the names of the sources, in order of precedence
+     * @param log receives a line for each server for which sources begin to report different addresses
      */
-    public Membership(List<String> sources, Consumer<String> log) {
-        this.sourceNames = List.copyOf(sources);
+    public Membership(List<String> sourceNames, Consumer<String> log) {
+        this.sourceNames = List.copyOf(sourceNames);
         this.log = log;
     }
 
     /**
-     * A source has told something.
+     * Applies a report of one source.
      *
-     * @param source its place in the order
-     * @param kind whether it has told all it lists, or changes
-     * @param endpoints what it lists; those that are gone are withdrawn
-     * @return what has changed by it in the one list; servers that have left it are gone there
+     * @param source the index of the source in the order of precedence
+     * @param kind whether the report is the source's whole list or only changes
+     * @param endpoints the servers reported; those in phase {@link Phase#GONE} are withdrawn
+     * @return the resulting changes of the merged list; servers that have left it are in phase {@link Phase#GONE}
      */
     public List<Endpoint> update(int source, ListKind kind, List<Endpoint> endpoints) {
         Set<String> touched = new LinkedHashSet<>();
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
-            servers.forEach((name, told) -> {
-                if (told.bySource[source] != null) {
+            servers.forEach((name, views) -> {
+                if (views.bySource[source] != null) {
                     touched.add(name);
                 }
             });
-            endpoints.forEach(each -> touched.remove(each.name()));
+            endpoints.forEach(endpoint -> touched.remove(endpoint.name()));
         }
         Map<String, Endpoint> before = new LinkedHashMap<>();
         touched.forEach(name -> before.put(name, merged(servers.get(name))));
         touched.forEach(name -> withdraw(source, servers.get(name)));
-        for (Endpoint each : endpoints) {
-            SourceViews told = servers.computeIfAbsent(each.name(), name -> new SourceViews(sourceNames.size()));
-            if (touched.add(each.name())) {
-                before.put(each.name(), merged(told));
+        for (Endpoint endpoint : endpoints) {
+            SourceViews views = servers.computeIfAbsent(endpoint.name(), name -> new SourceViews(sourceNames.size()));
+            if (touched.add(endpoint.name())) {
+                before.put(endpoint.name(), merged(views));
             }
-            if (each.server().phase() == Phase.GONE) {
-                withdraw(source, told);
+            if (endpoint.server().phase() == Phase.GONE) {
+                withdraw(source, views);
             } else {
-                record(source, told, each);
+                list(source, views, endpoint);
             }
         }
         List<Endpoint> changed = new ArrayList<>();
         for (String name : touched) {
-            SourceViews told = servers.get(name);
-            Endpoint now = merged(told);
-            Endpoint was = before.get(name);
-            if (now != null && !now.equals(was)) {
-                changed.add(now);
-            } else if (now == null && was != null) {
-                changed.add(was.asGone());
+            SourceViews views = servers.get(name);
+            Endpoint current = merged(views);
+            Endpoint previous = before.get(name);
+            if (current != null && !current.equals(previous)) {
+                changed.add(current);
+            } else if (current == null && previous != null) {
+                changed.add(previous.asGone());
             }
-            if (!told.isListed()) {
+            if (!views.isListed()) {
                 servers.remove(name);
             }
         }
@@ -110,94 +114,98 @@
     }
 
     /**
-     * Policies have changed.
+     * Replaces all overrides.
      *
-     * @param servers all that there are for one server, by its name
-     * @param zones all that there are for a zone, by its number
-     * @return what has changed by it in the one list
+     * @param servers the overrides of single servers, by name
+     * @param zones the overrides of zones, by number
+     * @return the resulting changes of the merged list
      */
     public List<Endpoint> setOverrides(Map<String, ServerOverride> servers, Map<Integer, ServerOverride> zones) {
         List<Endpoint> before = endpoints();
         serverOverrides = Map.copyOf(servers);
         zoneOverrides = Map.copyOf(zones);
-        List<Endpoint> changed = new ArrayList<>(endpoints()); // a policy makes none come or go
+        List<Endpoint> changed = new ArrayList<>(endpoints()); // an override neither adds nor removes a server
         changed.removeAll(Set.copyOf(before));
         return changed;
     }
 
-    /** The one list, without what is gone. */
+    /** Returns the merged list, without servers that are gone. */
     public List<Endpoint> endpoints() {
-        List<Endpoint> all = new ArrayList<>();
-        for (SourceViews each : servers.values()) {
-            Endpoint merged = merged(each);
+        List<Endpoint> endpoints = new ArrayList<>();
+        for (SourceViews views : servers.values()) {
+            Endpoint merged = merged(views);
             if (merged != null) {
-                all.add(merged);
+                endpoints.add(merged);
             }
         }
-        return all;
+        return endpoints;
     }
 
-    private void withdraw(int source, SourceViews told) {
-        if (told.bySource[source] != null) {
-            for (Endpoint each : told.bySource) {
-                told.latestKnownStart = each == null
-                        ? told.latestKnownStart
-                        : Math.max(told.latestKnownStart, each.server().startedAt());
+    private void withdraw(int source, SourceViews views) {
+        if (views.bySource[source] != null) {
+            for (Endpoint endpoint : views.bySource) {
+                views.latestKnownStart = endpoint == null
+                        ? views.latestKnownStart
+                        : Math.max(views.latestKnownStart, endpoint.server().startedAt());
             }
-            told.bySource[source] = null;
-            told.withdrawn[source] = true;
+            views.bySource[source] = null;
+            views.withdrawn[source] = true;
         }
     }
 
-    private void record(int source, SourceViews told, Endpoint endpoint) {
-        told.bySource[source] = endpoint;
-        told.withdrawn[source] = false;
-        if (endpoint.server().startedAt() > told.latestKnownStart) {
-            for (int i = 0; i < told.withdrawn.length; i++) {
-                told.withdrawn[i] = false; // it has started anew since, which the one that withdrew it may not know yet
+    private void list(int source, SourceViews views, Endpoint endpoint) {
+        views.bySource[source] = endpoint;
+        views.withdrawn[source] = false;
+        if (endpoint.server().startedAt() > views.latestKnownStart) {
+            // The server has restarted since; the source that withdrew it may not know this yet.
+            for (int i = 0; i < views.withdrawn.length; i++) {
+                views.withdrawn[i] = false;
             }
         }
-        Endpoint first = firstListed(told);
-        boolean differs = !first.address().equals(endpoint.address());
-        if (differs && !told.addressConflict) {
-            log.accept("membership: " + sourceNames.get(source) + " has " + endpoint.name() + " at "
-                    + endpoint.address() + ", which is at " + first.address() + " by an earlier source; that is used");
+        Endpoint first = firstListed(views);
+        boolean conflict = !first.address().equals(endpoint.address());
+        if (conflict && !views.addressConflict) {
+            log.accept("membership: " + sourceNames.get(source) + " lists " + endpoint.name() + " at "
+                    + endpoint.address() + ", but an earlier source lists it at " + first.address()
+                    + "; using the earlier source");
         }
-        told.addressConflict = differs;
+        views.addressConflict = conflict;
     }
 
-    private static Endpoint firstListed(SourceViews told) {
-        for (Endpoint each : told.bySource) {
-            if (each != null) {
-                return each;
+    private static Endpoint firstListed(SourceViews views) {
+        for (Endpoint endpoint : views.bySource) {
+            if (endpoint != null) {
+                return endpoint;
             }
         }
         return null;
     }
 
-    /** What all say together; null if it is not listed, or gone by one of them. */
-    private Endpoint merged(SourceViews told) {
-        Endpoint first = firstListed(told);
+    /** Returns the merged view of a server; null if no source lists it or one has withdrawn it. */
+    private Endpoint merged(SourceViews views) {
+        Endpoint first = firstListed(views);
         if (first == null) {
             return null;
         }
-        for (boolean each : told.withdrawn) {
-            if (each) {
+        for (boolean withdrawn : views.withdrawn) {
+            if (withdrawn) {
                 return null;
             }
         }
         Phase phase = first.server().phase();
-        long since = first.server().startedAt();
-        for (Endpoint each : told.bySource) {
-            if (each != null) {
-                phase = each.server().phase() == Phase.DRAINING ? Phase.DRAINING : phase;
-                since = Math.max(since, each.server().startedAt());
+        long startedAt = first.server().startedAt();
+        for (Endpoint endpoint : views.bySource) {
+            if (endpoint != null) {
+                phase = endpoint.server().phase() == Phase.DRAINING ? Phase.DRAINING : phase;
+                startedAt = Math.max(startedAt, endpoint.server().startedAt());
             }
         }
-        ServerOverride policy = serverOverrides
+        ServerOverride override = serverOverrides
                 .getOrDefault(first.name(), ServerOverride.NONE)
                 .combine(zoneOverrides.getOrDefault(first.server().zone(), ServerOverride.NONE));
         return first.with(
-                policy.drain() ? Phase.DRAINING : phase, first.server().weight() * policy.weightFactor(), since);
+                override.drain() ? Phase.DRAINING : phase,
+                first.server().weight() * override.weightFactor(),
+                startedAt);
     }
 }
--- a/src/main/java/gatefront/membership/ServerBans.java
+++ b/src/main/java/gatefront/membership/ServerBans.java
@@ -20,12 +20,20 @@
  * At most {@link #MAX_ENTRIES} entries are held.
  */
 public final class ServerBans {
-    /** Entries at the most; calls beyond are answered with a no. */
+    /** The maximum number of entries; drains beyond it are refused. */
     public static final int MAX_ENTRIES = 10_000;
-    /** A server put back that is listed no more is remembered for this long, for the other process to hear of it. */
+    /**
+     * How long the entry of a server that was put back is kept after the server has left the list, so that the other
+     * process of this agent learns of it.
+     */
     static final long READMITTED_RETENTION_MICROS = 60_000_000;
 
-    /** Whether a server is out, and since when that holds, in microseconds of the time of day. */
+    /**
+     * The last manual change of a server.
+     *
+     * @param drained whether the server is drained; false if it was put back
+     * @param changedAtMicros when that was changed, in microseconds of the time of day
+     */
     public record Entry(boolean drained, long changedAtMicros) {
         boolean supersedes(Entry other) {
             return other == null
@@ -34,13 +42,13 @@
         }
     }
 
-    /** What a call has come to. */
+    /** The result of a manual drain or of putting a server back. */
     public enum Outcome {
-        /** Done, or so already. */
+        /** The server is in the requested state, possibly since before. */
         APPLIED,
-        /** Nobody has this id. */
+        /** No server of this name is listed or has an entry. */
         UNKNOWN_SERVER,
-        /** Too many. */
+        /** The maximum number of entries is reached. */
         TOO_MANY
     }
 
@@ -48,42 +56,42 @@
     private final Map<String, Endpoint> listed = new LinkedHashMap<>();
     private boolean changed;
 
-    /** The list has changed; what of it goes on to the engine. */
+    /** Applies an update of the server list; returns the same servers with manual drains applied, for the engine. */
     public List<Endpoint> update(ListKind kind, List<Endpoint> endpoints) {
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
             listed.clear();
         }
-        List<Endpoint> laid = new ArrayList<>(endpoints.size());
-        for (Endpoint each : endpoints) {
-            if (each.server().phase() == Phase.GONE) {
-                listed.remove(each.name());
+        List<Endpoint> effective = new ArrayList<>(endpoints.size());
+        for (Endpoint endpoint : endpoints) {
+            if (endpoint.server().phase() == Phase.GONE) {
+                listed.remove(endpoint.name());
             } else {
-                listed.put(each.name(), each);
+                listed.put(endpoint.name(), endpoint);
             }
-            laid.add(applyBan(each));
+            effective.add(applyBan(endpoint));
         }
-        return laid;
+        return effective;
     }
 
-    /** An operator's call. */
-    public Outcome setDrained(String name, boolean out, long now) {
+    /** Drains a server manually ({@code drained}) or puts it back. */
+    public Outcome setDrained(String name, boolean drained, long now) {
         Entry before = entries.get(name);
         if (before == null && !listed.containsKey(name)) {
             return Outcome.UNKNOWN_SERVER;
         }
-        if ((before != null && before.drained) == out) {
-            return Outcome.APPLIED; // two calls out need one call back
+        if ((before != null && before.drained) == drained) {
+            return Outcome.APPLIED; // drains are not counted: one call puts the server back
         }
         evictExpired(now);
         if (before == null && entries.size() >= MAX_ENTRIES) {
             return Outcome.TOO_MANY;
         }
-        entries.put(name, new Entry(out, before == null ? now : Math.max(now, before.changedAtMicros + 1)));
+        entries.put(name, new Entry(drained, before == null ? now : Math.max(now, before.changedAtMicros + 1)));
         changed = true;
         return Outcome.APPLIED;
     }
 
-    /** What another process has; the lines of the list that are to be told anew. */
+    /** Merges the entries of another process; returns the listed servers that change by it. */
     public List<Endpoint> merge(Map<String, Entry> others) {
         Set<String> touched = new HashSet<>();
         others.forEach((name, entry) -> {
@@ -93,49 +101,49 @@
             }
         });
         changed |= !touched.isEmpty();
-        List<Endpoint> laid = new ArrayList<>();
-        touched.forEach(name -> laid.addAll(effectiveEndpoint(name)));
-        return laid;
+        List<Endpoint> effective = new ArrayList<>();
+        touched.forEach(name -> effective.addAll(effectiveEndpoint(name)));
+        return effective;
     }
 
-    /** The line of one server as it is to be told now; none if it is not listed. */
+    /** Returns a server as listed, with its manual drain applied; empty if it is not listed. */
     public List<Endpoint> effectiveEndpoint(String name) {
         Endpoint endpoint = listed.get(name);
         return endpoint == null ? List.of() : List.of(applyBan(endpoint));
     }
 
-    /** All entries, as other processes are to know them. */
+    /** Returns all entries, for other processes. */
     public Map<String, Entry> entries() {
         return Map.copyOf(entries);
     }
 
-    /** Whether entries have changed since this was last asked. */
+    /** Returns whether entries have changed since the last call. */
     public boolean takeChanged() {
-        boolean was = changed;
+        boolean result = changed;
         changed = false;
-        return was;
+        return result;
     }
 
-    /** Whether a server is out, listed or not. */
+    /** Returns whether a server is manually drained, listed or not. */
     public boolean isDrained(String name) {
         Entry entry = entries.get(name);
         return entry != null && entry.drained;
     }
 
-    /** How many listed servers are out. */
+    /** Returns the number of listed servers that are manually drained. */
     public int drainedCount() {
-        int out = 0;
-        for (Map.Entry<String, Entry> each : entries.entrySet()) {
-            out += each.getValue().drained && listed.containsKey(each.getKey()) ? 1 : 0;
+        int count = 0;
+        for (Map.Entry<String, Entry> entry : entries.entrySet()) {
+            count += entry.getValue().drained && listed.containsKey(entry.getKey()) ? 1 : 0;
         }
-        return out;
+        return count;
     }
 
     private void evictExpired(long now) {
         entries.entrySet()
-                .removeIf(each -> !each.getValue().drained
-                        && !listed.containsKey(each.getKey())
-                        && now - each.getValue().changedAtMicros > READMITTED_RETENTION_MICROS);
+                .removeIf(entry -> !entry.getValue().drained
+                        && !listed.containsKey(entry.getKey())
+                        && now - entry.getValue().changedAtMicros > READMITTED_RETENTION_MICROS);
     }
 
     private Endpoint applyBan(Endpoint endpoint) {
@@ -148,7 +156,7 @@
                         Phase.DRAINING,
                         endpoint.server().weight(),
                         endpoint.server().startedAt())
-                // Put back: operators have restarted it meanwhile, and the list may not say so, or later.
+                // Put back: operators may have restarted the server, which the list may report late or never.
                 : endpoint.with(
                         endpoint.server().phase(),
                         endpoint.server().weight(),
--- a/src/main/java/gatefront/membership/ServerOverride.java
+++ b/src/main/java/gatefront/membership/ServerOverride.java
@@ -1,13 +1,13 @@
 package gatefront.membership;
 
 /**
- * What staff lay over a server or a zone, whoever lists it.
+ * An override that operators apply to a server or a zone, whichever source lists it.
  *
- * @param drain it is to get nothing new
- * @param weightFactor its weight is so many times what is listed
+ * @param drain whether the server receives no new requests
+ * @param weightFactor the factor by which the listed weight is multiplied
  */
 public record ServerOverride(boolean drain, double weightFactor) {
-    /** Nothing. */
+    /** The override that changes nothing. */
     public static final ServerOverride NONE = new ServerOverride(false, 1);
 
     ServerOverride combine(ServerOverride other) {
--- a/src/main/java/gatefront/membership/package-info.java
+++ b/src/main/java/gatefront/membership/package-info.java
@@ -1,2 +1,2 @@
-/** What sources of the server list say; pure data. */
+/** What the sources of the server list report, and the overrides and manual drains applied to it; free of I/O. */
 package gatefront.membership;
--- a/src/main/java/gatefront/persistence/RecoveryRecordCodec.java
+++ b/src/main/java/gatefront/persistence/RecoveryRecordCodec.java
@@ -11,8 +11,9 @@
 import java.util.Map;
 
 /**
- * The records of what is kept, as protobuf messages behind a byte for the kind; {@code docs/design/recovery.md} has the
- * fields. Unknown fields are skipped; an unknown kind is a newer program's, and nothing of the store is believed then.
+ * Encodes and decodes the records of a {@link RecoveryStore}: a byte for the kind, followed by a protobuf message whose
+ * fields are described in {@code docs/design/recovery.md}. Unknown fields are skipped. An unknown kind was written by a
+ * newer version of the program, and the whole store is rejected.
  */
 final class RecoveryRecordCodec implements RecordConsumer {
     private static final byte KIND_START = 'L';
@@ -25,6 +26,7 @@
     private static final int FIELD_START_NUMBER = 3;
     private static final int FIELD_DRAINED = 4;
     private static final int FIELD_BYTES = 5;
+    /** One more than the highest field number. */
     private static final int FIELD_NUMBER_END = 6;
 
     private final Map<String, ServerBans.Entry> bans = new LinkedHashMap<>();
@@ -46,26 +48,26 @@
             fields.write(out);
             out.flush();
         } catch (IOException e) {
-            throw new IllegalStateException(e); // an array takes all
+            throw new IllegalStateException(e); // cannot happen: the output is an array in memory
         }
         return bytes.toByteArray();
     }
 
-    /** An instance has started, for the n-th time. */
-    static byte[] start(String instance, long life, long at) {
+    /** Encodes that an instance has started, with the number of the start and its time in microseconds. */
+    static byte[] start(String instance, long startNumber, long timeMicros) {
         return encode(KIND_START, out -> {
             out.writeString(FIELD_NAME, instance);
-            out.writeSInt64(FIELD_TIME, at);
-            out.writeUInt64(FIELD_START_NUMBER, life);
+            out.writeSInt64(FIELD_TIME, timeMicros);
+            out.writeUInt64(FIELD_START_NUMBER, startNumber);
         });
     }
 
-    /** It is still there. */
-    static byte[] aliveMark(long at) {
-        return encode(KIND_ALIVE_MARK, out -> out.writeSInt64(FIELD_TIME, at));
+    /** Encodes that the instance was running at a time. */
+    static byte[] aliveMark(long timeMicros) {
+        return encode(KIND_ALIVE_MARK, out -> out.writeSInt64(FIELD_TIME, timeMicros));
     }
 
-    /** Staff have taken a server out, or put it back. */
+    /** Encodes that operators have drained a server or put it back. */
     static byte[] ban(String name, ServerBans.Entry entry) {
         return encode(KIND_BAN, out -> {
             out.writeString(FIELD_NAME, name);
@@ -74,20 +76,20 @@
         });
     }
 
-    /** Nothing is known of a server any more. */
+    /** Encodes that the entry of a server has been removed. */
     static byte[] banRemoval(String name) {
         return encode(KIND_BAN_REMOVAL, out -> out.writeString(FIELD_NAME, name));
     }
 
-    /** Whether a record says only that there is nothing any more. */
+    /** Returns whether a record only removes an earlier one. */
     static boolean isRemoval(byte[] record) {
         return record[0] == KIND_BAN_REMOVAL;
     }
 
-    /** The whole list. */
-    static byte[] serverList(long at, byte[] list) {
+    /** Encodes the full server list and the time at which it was valid. */
+    static byte[] serverList(long timeMicros, byte[] list) {
         return encode(KIND_SERVER_LIST, out -> {
-            out.writeSInt64(FIELD_TIME, at);
+            out.writeSInt64(FIELD_TIME, timeMicros);
             out.writeByteArray(FIELD_BYTES, list);
         });
     }
@@ -116,7 +118,7 @@
                 case FIELD_BYTES -> bytes = in.readByteArray();
                 default -> {
                     if (!in.skipField(tag)) {
-                        throw new IOException("a record ends in the middle of a group");
+                        throw new IOException("malformed record: unexpected end-group tag " + tag);
                     }
                 }
             }
@@ -129,8 +131,11 @@
             }
             case KIND_ALIVE_MARK -> writtenUntilMicros = numbers[FIELD_TIME];
             case KIND_BAN -> {
-                if (name.isEmpty() || bans.size() >= ServerBans.MAX_ENTRIES && !bans.containsKey(name)) {
-                    throw new IOException("a call by hand without a name, or one too many");
+                if (name.isEmpty()) {
+                    throw new IOException("record of a manual drain has no server name");
+                }
+                if (bans.size() >= ServerBans.MAX_ENTRIES && !bans.containsKey(name)) {
+                    throw new IOException("more than " + ServerBans.MAX_ENTRIES + " manual drains in the store");
                 }
                 bans.put(name, new ServerBans.Entry(numbers[FIELD_DRAINED] != 0, numbers[FIELD_TIME]));
                 writtenUntilMicros = Math.max(writtenUntilMicros, numbers[FIELD_TIME]);
@@ -140,11 +145,14 @@
                 serverListMicros = numbers[FIELD_TIME];
                 serverList = bytes;
             }
-            default -> throw new IOException("a record is of no kind that is known here; a newer program wrote it");
+            default -> throw new IOException(
+                    record.length == 0
+                            ? "record is empty, expected a kind"
+                            : "unknown record kind " + record[0] + "; written by a newer version");
         }
     }
 
-    /** What has been read so far. */
+    /** Returns what has been read so far. */
     StoredState contents() {
         return new StoredState(
                 instance, startNumber, writtenUntilMicros, Map.copyOf(bans), serverListMicros, serverList);
--- a/src/main/java/gatefront/persistence/RecoveryStore.java
+++ b/src/main/java/gatefront/persistence/RecoveryStore.java
@@ -37,20 +37,27 @@
  * key, for snapshots.
  */
 public final class RecoveryStore {
-    /** Stores set aside at the most; a further one takes the place of the last. */
+    /** The maximum number of stores set aside; a further one replaces the last. */
     static final int MAX_SET_ASIDE = 3;
-    /** Records in the log from which a snapshot takes their place. */
+    /** The number of records written to the log after which a snapshot replaces them. */
     private static final int COMPACT_AFTER_RECORDS = 5_000;
 
     private static final Store.Options OPTIONS = new Store.Options(SigningKeys.NONE, 1 << 20, 64 << 20);
 
-    /** What opening a store has come to. */
+    /**
+     * The result of opening a store.
+     *
+     * @param store the store; if it could not be opened, each write tries again
+     * @param restored what could be read from it
+     * @param status the condition in which it was found
+     * @param detail text for operators; may be empty
+     */
     public record Opened(RecoveryStore store, StoredState restored, Recovery.StoreStatus status, String detail) {}
 
-    /** What a store holds, and the first damage in it or null. */
+    /** What a store holds, and a description of the first damage in it; null if there is none. */
     public record Inspection(StoredState contents, String damage) {}
 
-    /** What waits to be written about one thing, and who is told. */
+    /** The record to be written for a key, and the callbacks that receive the result: null on success. */
     private record PendingWrite(byte[] record, List<Consumer<IOException>> callbacks) {}
 
     private final Path folder;
@@ -64,11 +71,11 @@
         thread.setDaemon(true);
         return thread;
     });
-    // Of the loop:
+    // Confined to the event loop:
     private Map<String, PendingWrite> pendingWrites = new LinkedHashMap<>();
     private boolean writeInProgress;
     private boolean closed;
-    // Of the writer:
+    // Confined to the writer thread, after opening:
     private Store store;
     private long recordsInLog;
     private long startNumber;
@@ -82,67 +89,73 @@
     }
 
     /**
-     * Opens an instance's store, or begins one, and tells what it was found to be. Blocks; before the loop serves.
+     * Opens the store of an instance, or creates one, and reports its condition. Blocks on file I/O, so it must be
+     * called before the event loop serves requests.
      *
-     * @param loop where those who hand something over are told
-     * @param clock the time of day in microseconds
+     * @param loop the executor on which results are reported
+     * @param clock returns the time of day in microseconds
      */
     public static Opened open(Path folder, String instance, Executor loop, LongSupplier clock) {
-        RecoveryStore keeper = new RecoveryStore(folder, instance, loop, clock);
-        RecoveryRecordCodec read = new RecoveryRecordCodec();
+        RecoveryStore recoveryStore = new RecoveryStore(folder, instance, loop, clock);
+        RecoveryRecordCodec codec = new RecoveryRecordCodec();
         try {
-            boolean there = Files.isDirectory(folder);
-            keeper.store = Store.open(new DirectoryDisk(folder), OPTIONS, read);
-            StoredState kept = read.contents();
-            if (kept.instance() != null && !kept.instance().equals(instance)) {
-                keeper.store.close();
-                String aside = keeper.setAsideAndRecreate();
+            boolean folderExists = Files.isDirectory(folder);
+            recoveryStore.store = Store.open(new DirectoryDisk(folder), OPTIONS, codec);
+            StoredState restored = codec.contents();
+            if (restored.instance() != null && !restored.instance().equals(instance)) {
+                recoveryStore.store.close();
+                String aside = recoveryStore.setAsideAndRecreate();
                 return new Opened(
-                        keeper,
-                        kept,
+                        recoveryStore,
+                        restored,
                         Recovery.StoreStatus.FOREIGN,
-                        "that of " + kept.instance() + "; it was set aside as " + aside);
+                        "that of " + restored.instance() + ", expected " + instance + "; it was set aside as " + aside);
             }
-            keeper.recordStart(kept);
-            return kept.instance() == null
+            recoveryStore.recordStart(restored);
+            return restored.instance() == null
                     ? new Opened(
-                            keeper,
+                            recoveryStore,
                             StoredState.EMPTY,
                             Recovery.StoreStatus.MISSING,
-                            there ? "the folder is empty" : "there is no folder")
-                    : new Opened(keeper, kept, Recovery.StoreStatus.INTACT, "life " + (kept.startNumber() + 1));
+                            folderExists ? "the folder is empty" : "there is no folder")
+                    : new Opened(
+                            recoveryStore,
+                            restored,
+                            Recovery.StoreStatus.INTACT,
+                            "life " + (restored.startNumber() + 1));
         } catch (StoreInUseException e) {
-            return new Opened(keeper, StoredState.EMPTY, Recovery.StoreStatus.IN_USE, "");
+            return new Opened(recoveryStore, StoredState.EMPTY, Recovery.StoreStatus.IN_USE, "");
         } catch (CorruptStoreException e) {
             try {
-                String aside = keeper.setAsideAndRecreate();
+                String aside = recoveryStore.setAsideAndRecreate();
                 return new Opened(
-                        keeper,
-                        read.contents(),
+                        recoveryStore,
+                        codec.contents(),
                         Recovery.StoreStatus.DAMAGED,
                         e.getMessage() + "; it was set aside as " + aside);
-            } catch (IOException again) {
+            } catch (IOException recreation) {
                 return new Opened(
-                        keeper,
-                        read.contents(),
+                        recoveryStore,
+                        codec.contents(),
                         Recovery.StoreStatus.UNUSABLE,
-                        e.getMessage() + "; and " + again.getMessage());
+                        e.getMessage() + "; and " + recreation.getMessage());
             }
         } catch (IOException e) {
-            return new Opened(keeper, StoredState.EMPTY, Recovery.StoreStatus.UNUSABLE, String.valueOf(e.getMessage()));
+            return new Opened(
+                    recoveryStore, StoredState.EMPTY, Recovery.StoreStatus.UNUSABLE, String.valueOf(e.getMessage()));
         }
     }
 
-    /** Looks at a store, which may be in use, and changes nothing. */
+    /** Reads a store, which may be in use, without changing it. */
     public static Inspection inspect(Path folder) throws IOException {
-        RecoveryRecordCodec read = new RecoveryRecordCodec();
-        StoreVerification verify = StoreVerification.of(DirectoryDisk.existing(folder), OPTIONS.keys(), read);
+        RecoveryRecordCodec codec = new RecoveryRecordCodec();
+        StoreVerification verification = StoreVerification.of(DirectoryDisk.existing(folder), OPTIONS.keys(), codec);
         return new Inspection(
-                read.contents(),
-                verify.damage() == null ? null : verify.damage().getMessage());
+                codec.contents(),
+                verification.damage() == null ? null : verification.damage().getMessage());
     }
 
-    /** Sets what is there aside and begins anew. */
+    /** Moves the present store aside, creates a new one, and returns the path of the old one. */
     private String setAsideAndRecreate() throws IOException {
         Path aside = null;
         for (int i = 1; i <= MAX_SET_ASIDE && (aside == null || Files.exists(aside)); i++) {
@@ -150,8 +163,8 @@
         }
         if (Files.exists(aside)) {
             try (var files = Files.list(aside)) {
-                for (Path each : files.toList()) {
-                    Files.delete(each);
+                for (Path file : files.toList()) {
+                    Files.delete(file);
                 }
             }
             Files.delete(aside);
@@ -162,45 +175,50 @@
         return aside.toString();
     }
 
-    private void recordStart(StoredState kept) throws StoreFailedException {
-        startNumber = kept.startNumber() + 1;
-        kept.bans().forEach((name, entry) -> lastWritten.put("ban " + name, RecoveryRecordCodec.ban(name, entry)));
-        if (kept.serverList() != null) {
-            lastWritten.put("list", RecoveryRecordCodec.serverList(kept.serverListMicros(), kept.serverList()));
+    private void recordStart(StoredState restored) throws StoreFailedException {
+        startNumber = restored.startNumber() + 1;
+        restored.bans().forEach((name, entry) -> lastWritten.put("ban " + name, RecoveryRecordCodec.ban(name, entry)));
+        if (restored.serverList() != null) {
+            lastWritten.put("list", RecoveryRecordCodec.serverList(restored.serverListMicros(), restored.serverList()));
         }
         byte[] record = RecoveryRecordCodec.start(instance, startNumber, clock.getAsLong());
         lastWritten.put("life", record);
         store.append(List.of(record), true);
     }
 
-    /** A call by hand has changed something; told once it is on the disk, or cannot be. */
-    public void saveBan(String name, ServerBans.Entry entry, Consumer<IOException> told) {
+    /**
+     * Stores the entry of a server.
+     *
+     * @param entry the entry; null removes it
+     * @param callback receives null once the entry is on disk, or the failure
+     */
+    public void saveBan(String name, ServerBans.Entry entry, Consumer<IOException> callback) {
         enqueue(
                 "ban " + name,
                 entry == null ? RecoveryRecordCodec.banRemoval(name) : RecoveryRecordCodec.ban(name, entry),
-                told);
+                callback);
     }
 
-    /** The whole list as it is now. */
-    public void saveServerList(long at, byte[] list) {
-        enqueue("list", RecoveryRecordCodec.serverList(at, list), null);
+    /** Stores the full server list and the time at which it was valid, in microseconds of the time of day. */
+    public void saveServerList(long timeMicros, byte[] list) {
+        enqueue("list", RecoveryRecordCodec.serverList(timeMicros, list), null);
     }
 
-    /** This instance is there. */
+    /** Stores that this instance is running now. */
     public void saveAliveMark() {
         enqueue("mark", RecoveryRecordCodec.aliveMark(clock.getAsLong()), null);
     }
 
-    private void enqueue(String about, byte[] record, Consumer<IOException> told) {
-        List<Consumer<IOException>> all = new ArrayList<>();
-        PendingWrite before = pendingWrites.remove(about);
-        if (before != null) {
-            all.addAll(before.callbacks);
+    private void enqueue(String key, byte[] record, Consumer<IOException> callback) {
+        List<Consumer<IOException>> callbacks = new ArrayList<>();
+        PendingWrite previous = pendingWrites.remove(key);
+        if (previous != null) {
+            callbacks.addAll(previous.callbacks);
         }
-        if (told != null) {
-            all.add(told);
+        if (callback != null) {
+            callbacks.add(callback);
         }
-        pendingWrites.put(about, new PendingWrite(record, all));
+        pendingWrites.put(key, new PendingWrite(record, callbacks));
         startWrite();
     }
 
@@ -208,61 +226,63 @@
         if (writeInProgress || closed || pendingWrites.isEmpty()) {
             return;
         }
-        Map<String, PendingWrite> handed = pendingWrites;
+        Map<String, PendingWrite> batch = pendingWrites;
         pendingWrites = new LinkedHashMap<>();
         writeInProgress = true;
         writer.execute(() -> {
-            IOException fault = write(handed);
+            IOException failure = write(batch);
             try {
                 loop.execute(() -> {
                     writeInProgress = false;
-                    handed.values().forEach(each -> each.callbacks.forEach(told -> told.accept(fault)));
+                    batch.values().forEach(write -> write.callbacks.forEach(callback -> callback.accept(failure)));
                     startWrite();
                 });
             } catch (RejectedExecutionException e) {
-                writeInProgress = false; // the agent has ended; nobody waits any more
+                writeInProgress = false; // the event loop has shut down; no callback is waiting
             }
         });
     }
 
-    /** On the writer. */
-    private IOException write(Map<String, PendingWrite> handed) {
+    /** Writes a batch, on the writer thread; returns the failure, or null. */
+    private IOException write(Map<String, PendingWrite> batch) {
         try {
             if (store == null) {
-                RecoveryRecordCodec read = new RecoveryRecordCodec();
-                store = Store.open(new DirectoryDisk(folder), OPTIONS, read); // the process before has ended, perhaps
-                recordStart(read.contents());
+                RecoveryRecordCodec codec = new RecoveryRecordCodec();
+                // The previous process may have ended by now.
+                store = Store.open(new DirectoryDisk(folder), OPTIONS, codec);
+                recordStart(codec.contents());
             }
-            store.append(handed.values().stream().map(PendingWrite::record).toList(), true);
-            handed.forEach((about, each) -> {
-                if (RecoveryRecordCodec.isRemoval(each.record)) {
-                    lastWritten.remove(about);
+            store.append(batch.values().stream().map(PendingWrite::record).toList(), true);
+            batch.forEach((key, write) -> {
+                if (RecoveryRecordCodec.isRemoval(write.record)) {
+                    lastWritten.remove(key);
                 } else {
-                    lastWritten.put(about, each.record);
+                    lastWritten.put(key, write.record);
                 }
             });
-            recordsInLog += handed.size();
+            recordsInLog += batch.size();
             if (recordsInLog >= COMPACT_AFTER_RECORDS) {
                 compact();
             }
             return null;
         } catch (IOException e) {
             return e;
-        } catch (RuntimeException e) { // a fault of ours; the caller is told, and the agent serves on
+        } catch (RuntimeException e) {
+            // A programming error: it is reported like a failed write, and the agent keeps serving.
             return new IOException(e.toString(), e);
         }
     }
 
     private void compact() throws StoreFailedException {
         Store.Snapshot snapshot = store.snapshot();
-        for (byte[] each : lastWritten.values()) {
-            snapshot.add(each);
+        for (byte[] record : lastWritten.values()) {
+            snapshot.add(record);
         }
         snapshot.finish();
         recordsInLog = 0;
     }
 
-    /** Writes what waits, and ends; {@code then} runs on the writer. */
+    /** Writes what is pending and closes the store; {@code then} runs on the writer thread. */
     public void close(Runnable then) {
         saveAliveMark();
         closed = true;
@@ -276,7 +296,7 @@
                     store.close();
                 }
             } catch (IOException e) {
-                // what was to be kept has been told to be kept, or not
+                // the result of each write has been reported already
             } finally {
                 then.run();
             }
@@ -284,7 +304,7 @@
         writer.shutdown();
     }
 
-    /** Ends for an agent that never came up, and waits for it. */
+    /** Closes the store of an agent that failed to start, and waits up to a second for that. */
     public void abandon() {
         writer.execute(() -> {
             try {
@@ -292,7 +312,7 @@
                     store.close();
                 }
             } catch (IOException e) {
-                // it has told nobody that it keeps anything
+                // no write has been reported as successful
             }
         });
         writer.shutdown();
--- a/src/main/java/gatefront/persistence/package-info.java
+++ b/src/main/java/gatefront/persistence/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What an agent keeps over its death, on {@link gatefront.storage}: calls by hand, the last list, marks of being alive.
- * A thread of its own writes; what may be believed of it at a start is judged by {@link gatefront.recovery}.
+ * Persists what an agent restores after a restart, on {@link gatefront.storage}: manual drains, the last server list,
+ * and marks that the agent is alive. Writes run on a separate thread; {@link gatefront.recovery} decides how far the
+ * restored state may be used.
  */
 package gatefront.persistence;
--- a/src/main/java/gatefront/recovery/Recovery.java
+++ b/src/main/java/gatefront/recovery/Recovery.java
@@ -4,50 +4,52 @@
 import java.util.List;
 
 /**
- * The way of one agent from its start back to what it knew: a stage with a reason and a time, and whether something of
- * what it kept is lost, which holds for the life of the process, since nothing that comes later can tell what was lost.
+ * Tracks how far an agent has recovered its state since its start: a stage with a reason and the time at which it was
+ * reached, and whether stored state was lost. A loss is reported for the lifetime of the process, because nothing that
+ * is received later can show what was lost.
  *
- * <p>Times are microseconds of the time of day. State: the findings, one for each claim, and lines not yet taken.
+ * <p>Times are microseconds of the time of day. State: one result for each piece of state that was validated, and the
+ * log lines that have not been taken.
  */
 public final class Recovery {
-    /** How far it has come back. */
+    /** The stages of a recovery. */
     public enum Stage {
-        /** Nothing has been looked at. */
+        /** No state has been validated. */
         STARTING("starting"),
-        /** It serves, if it does, on what was kept or written in its file; nobody has confirmed that. */
+        /** The agent uses restored or configured state that no source has confirmed. */
         RESTORED("on what was kept"),
-        /** A whole list has come. */
+        /** A full server list has been received. */
         LIST_RECEIVED("listed"),
-        /** It serves, and nothing that it ought to know is missing. */
+        /** The agent serves, and no state is missing. */
         COMPLETE("whole"),
-        /** It serves, and something that it ought to know is lost: staff have to tell it again. */
+        /** The agent serves, but stored state is lost: operators have to repeat their manual drains. */
         INCOMPLETE("lacking");
 
         private final String label;
 
-        Stage(String words) {
-            this.label = words;
+        Stage(String label) {
+            this.label = label;
         }
 
-        /** As staff read it. */
+        /** Returns the words used in log lines and on the operators' statistics page. */
         public String label() {
             return label;
         }
     }
 
-    /** What a store was found to be. */
+    /** The condition in which the store was found. */
     public enum StoreStatus {
-        /** It is there and whole. */
+        /** The store could be read completely. */
         INTACT,
-        /** None is there: a first start, or it is lost. */
+        /** There is no store: this is the first start, or the store is lost. */
         MISSING,
-        /** A file of it is not what was written. */
+        /** A file of the store does not hold what was written. */
         DAMAGED,
-        /** It is that of another instance. */
+        /** The store belongs to another instance. */
         FOREIGN,
-        /** Another process of this instance has it. */
+        /** Another process of this instance has the store open. */
         IN_USE,
-        /** Nothing can be read or written there. */
+        /** The store can neither be read nor written. */
         UNUSABLE
     }
 
@@ -62,45 +64,46 @@
     private boolean serving;
     private String lossReason;
 
-    /** Begins at a time. */
+    /** Creates the recovery of an instance that starts at {@code now}. */
     public Recovery(String instance, StateValidator.Bounds bounds, long now) {
         this.instance = instance;
         this.bounds = bounds;
         this.stageSinceMicros = now;
     }
 
-    /** The store has been opened, or could not be; {@code why} is for staff. */
-    public void storeOpened(StoreStatus state, String why, long now) {
-        switch (state) {
-            case INTACT -> log("the store is whole, " + why);
-            case IN_USE -> log("another process of this instance has the store; what it tells is taken from it");
+    /** Records the result of opening the store; {@code detail} is text for operators. */
+    public void storeOpened(StoreStatus status, String detail, long now) {
+        switch (status) {
+            case INTACT -> log("the store is intact, " + detail);
+            case IN_USE -> log(
+                    "another process of this instance has the store open; " + "what that process reports is used");
             default -> {
-                lossReason = switch (state) {
+                lossReason = switch (status) {
                             case MISSING -> "no store: a first start, or it is lost";
                             case DAMAGED -> "the store is damaged";
                             case FOREIGN -> "the store is another's";
                             default -> "the store cannot be used, and nothing is kept";
                         }
-                        + (why.isEmpty() ? "" : "; " + why);
+                        + (detail.isEmpty() ? "" : "; " + detail);
                 log(lossReason);
             }
         }
         updateStage(now);
     }
 
-    /** Something is there to be believed or not. */
-    public ValidationResult validate(RestoredState claim, long now) {
-        ValidationResult finding = StateValidator.validate(claim, instance, now, bounds);
-        results.add(finding);
-        log(finding.logLine());
-        if (claim.kind() == StateKind.BANS && finding.trust() != TrustLevel.TRUSTED && lossReason == null) {
-            lossReason = finding.logLine();
+    /** Validates a piece of restored state. */
+    public ValidationResult validate(RestoredState state, long now) {
+        ValidationResult result = StateValidator.validate(state, instance, now, bounds);
+        results.add(result);
+        log(result.logLine());
+        if (state.kind() == StateKind.BANS && result.trust() != TrustLevel.TRUSTED && lossReason == null) {
+            lossReason = result.logLine();
         }
         updateStage(now);
-        return finding;
+        return result;
     }
 
-    /** A whole list has come from those who know. */
+    /** Records that a full server list has been received. */
     public void serverListReceived(long now) {
         if (!serverListReceived) {
             serverListReceived = true;
@@ -108,7 +111,7 @@
         }
     }
 
-    /** It takes callers. */
+    /** Records that the agent accepts requests. */
     public void servingStarted(long now) {
         serving = true;
         updateStage(now);
@@ -136,32 +139,32 @@
         logLines.add("recovery: " + line);
     }
 
-    /** How far it is. */
+    /** Returns the stage that has been reached. */
     public Stage stage() {
         return stage;
     }
 
-    /** Why it is no further. */
+    /** Returns why this stage, and no later one, has been reached. */
     public String reason() {
         return reason;
     }
 
-    /** Since when it is there. */
+    /** Returns the time at which the present stage was reached. */
     public long stageSinceMicros() {
         return stageSinceMicros;
     }
 
-    /** Whether something of what staff told this instance may not be known any more. */
+    /** Returns whether manual drains of this instance may have been lost. */
     public boolean stateLost() {
         return lossReason != null;
     }
 
-    /** What was found, in the order of the claims. */
+    /** Returns the results of all validations, in order. */
     public List<ValidationResult> results() {
         return List.copyOf(results);
     }
 
-    /** Lines for the log since this was last asked. */
+    /** Returns and removes the log lines added since the last call. */
     public List<String> takeLogLines() {
         List<String> taken = List.copyOf(logLines);
         logLines.clear();
--- a/src/main/java/gatefront/recovery/StallDetector.java
+++ b/src/main/java/gatefront/recovery/StallDetector.java
@@ -1,12 +1,13 @@
 package gatefront.recovery;
 
 /**
- * Whether this process has just started, or has stood still (stopped, swapped out, its machine asleep) for so long that
- * it may have missed a drain, and so must not send anything on before it has heard from those who know. It is told each
- * time that something happens, and by a beat when nothing does: a longer gap between two times is a standstill.
+ * Detects that this process has just started, or has stalled (stopped, swapped out, machine suspended) for so long that
+ * it may have missed the drain of a server. In both cases no request may be forwarded until the server list has been
+ * received. {@link #recordEvent} is called on every event, and periodically when there are none; a longer interval
+ * between two calls than the maximum is a stall.
  *
- * <p>Why not by the list's age: while this process stood still nobody told it anything, and its own view of the list
- * looks as fresh as it did before. Times are microseconds of a clock that goes on while the process stands still.
+ * <p>The age of the server list cannot be used for this: no updates are received during a stall, so the list looks as
+ * fresh afterwards as it did before. Times are microseconds of a clock that keeps running during a stall.
  */
 public final class StallDetector {
     private final long maxGapMicros;
@@ -17,55 +18,56 @@
     private long lastGapMicros;
 
     /**
-     * One that has just been awake.
+     * Creates a detector for a running process that is up to date.
      *
-     * @param gapMost so long it may have been busy
-     * @param patience so long it waits to hear, then it goes on with what it has
+     * @param maxGapMicros the longest interval between two events that still counts as busy; a longer one is a stall
+     * @param maxWaitMicros how long to wait for the server list after a stall before continuing with the present one
      */
-    public StallDetector(long gapMost, long patience) {
-        this.maxGapMicros = gapMost;
-        this.maxWaitMicros = patience;
+    public StallDetector(long maxGapMicros, long maxWaitMicros) {
+        this.maxGapMicros = maxGapMicros;
+        this.maxWaitMicros = maxWaitMicros;
     }
 
-    /** One that has just started and was told nothing yet; it notices no standstill. */
-    public static StallDetector forStartup(long now, long patience) {
-        StallDetector waking = new StallDetector(Long.MAX_VALUE, patience);
-        waking.resumedAtMicros = now;
-        waking.awaitingServerList = true;
-        return waking;
+    /** Creates a detector for a process that has just started and has no server list yet; it detects no stalls. */
+    public static StallDetector forStartup(long now, long maxWaitMicros) {
+        StallDetector detector = new StallDetector(Long.MAX_VALUE, maxWaitMicros);
+        detector.resumedAtMicros = now;
+        detector.awaitingServerList = true;
+        return detector;
     }
 
-    /** Something happens; returns whether the process has just woken. */
+    /** Records that the process is running at {@code now}; returns whether it has just resumed after a stall. */
     public boolean recordEvent(long now) {
-        boolean woke = lastEventMicros != Long.MIN_VALUE && now - lastEventMicros > maxGapMicros;
-        if (woke) {
+        boolean resumed = lastEventMicros != Long.MIN_VALUE && now - lastEventMicros > maxGapMicros;
+        if (resumed) {
             lastGapMicros = now - lastEventMicros;
             resumedAtMicros = now;
             awaitingServerList = true;
         }
         lastEventMicros = Math.max(lastEventMicros, now);
-        return woke;
+        return resumed;
     }
 
-    /** Whether it would notice a standstill: one that only starts has done its work once it has heard. */
+    /** Returns whether stalls are detected; a detector for startup is done once the server list has been received. */
     public boolean detectsStalls() {
         return maxGapMicros < Long.MAX_VALUE;
     }
 
-    /** Those who know have told all that there is. */
+    /** Records that a full server list has been received. */
     public void serverListReceived() {
         awaitingServerList = false;
     }
 
-    /** Whether what it knows is to be doubted now. */
+    /** Returns whether requests must wait for the server list; false once the maximum wait has passed. */
     public boolean awaitingServerList(long now) {
         if (awaitingServerList && now - resumedAtMicros >= maxWaitMicros) {
-            awaitingServerList = false; // nobody tells: to serve nobody for as long would be worse
+            // Without any update, serving with the present list does less harm than serving nobody any longer.
+            awaitingServerList = false;
         }
         return awaitingServerList;
     }
 
-    /** How long it last stood still. */
+    /** Returns the length of the last stall. */
     public long lastGapMicros() {
         return lastGapMicros;
     }
--- a/src/main/java/gatefront/recovery/StateKind.java
+++ b/src/main/java/gatefront/recovery/StateKind.java
@@ -1,19 +1,19 @@
 package gatefront.recovery;
 
-/** What an agent may know from before its start. */
+/** The kinds of state that an agent can restore at start. */
 public enum StateKind {
-    /** Servers that staff have taken out or put back by hand. */
+    /** Servers that operators have drained manually or put back. */
     BANS("calls by hand"),
-    /** The list of servers. */
+    /** The server list. */
     SERVER_LIST("the list");
 
     private final String label;
 
-    StateKind(String words) {
-        this.label = words;
+    StateKind(String label) {
+        this.label = label;
     }
 
-    /** As a line of the log has it. */
+    /** Returns the words used in log lines. */
     public String label() {
         return label;
     }
--- a/src/main/java/gatefront/recovery/StateSource.java
+++ b/src/main/java/gatefront/recovery/StateSource.java
@@ -1,21 +1,21 @@
 package gatefront.recovery;
 
-/** From where an agent has it. */
+/** Where restored state comes from. */
 public enum StateSource {
-    /** The platform's file. */
+    /** The configuration file of the platform. */
     CONFIGURATION("the configuration"),
-    /** What this instance kept itself. */
+    /** The store written by this instance. */
     STORE("the store"),
     /** Another process of this instance, during an upgrade or before a restart. */
     PREVIOUS_PROCESS("the process before");
 
     private final String label;
 
-    StateSource(String words) {
-        this.label = words;
+    StateSource(String label) {
+        this.label = label;
     }
 
-    /** As a line of the log has it. */
+    /** Returns the words used in log lines. */
     public String label() {
         return label;
     }
--- a/src/main/java/gatefront/recovery/StateValidator.java
+++ b/src/main/java/gatefront/recovery/StateValidator.java
@@ -3,86 +3,96 @@
 import java.util.Locale;
 
 /**
- * The rules by which claims are judged. A claim has to prove whose it is and of when; what cannot is dropped, and said.
+ * The rules by which restored state is validated. State must show which instance wrote it and when; state that cannot
+ * is discarded, and the reason is logged.
  *
- * <p>Calls by hand never lapse: those of this very instance hold at any age, for nobody else knows of them; where the
- * time up to which they were written lies long before the start, or after it, there may have been others since, and
- * they are doubted. A list is only a guess until the first whole one comes, so an old one is worse than none.
+ * <p>Manual drains never expire: those of this instance hold at any age, because no other source knows of them. If they
+ * were last written long before this start, or later than the present time, further ones may have followed, and they
+ * are unconfirmed. A restored server list is a guess until the first full list arrives, so using an outdated one is
+ * worse than having none.
  */
 public final class StateValidator {
-    private static final double MICROS = 1e6;
+    private static final double MICROS_PER_SECOND = 1e6;
 
     /**
-     * The figures, in microseconds.
+     * The limits used for validation, in microseconds.
      *
-     * @param unconfirmedAfterMicros calls by hand that end so long before the start may not be all
-     * @param maxListAgeMicros a list that is older serves nobody
-     * @param maxClockLeadMicros a time of day may be so much later than now: clocks of one machine that were set
+     * @param unconfirmedAfterMicros manual drains that were last written longer than this before the start may be
+     *     incomplete
+     * @param maxListAgeMicros a server list older than this is not used
+     * @param maxClockLeadMicros how far a stored time may lie ahead of the present time, since the machine's clock may
+     *     have been set back
      */
     public record Bounds(long unconfirmedAfterMicros, long maxListAgeMicros, long maxClockLeadMicros) {}
 
     private StateValidator() {}
 
-    /** Judges a claim. */
-    public static ValidationResult validate(RestoredState claim, String instance, long now, Bounds bounds) {
-        if (claim.instance() != null && !claim.instance().equals(instance)) {
-            return new ValidationResult(claim, TrustLevel.DISCARDED, "it is that of " + claim.instance());
+    /** Validates restored state at time {@code now} for the given instance. */
+    public static ValidationResult validate(RestoredState state, String instance, long now, Bounds bounds) {
+        if (state.instance() != null && !state.instance().equals(instance)) {
+            return new ValidationResult(
+                    state, TrustLevel.DISCARDED, "it is that of " + state.instance() + ", expected " + instance);
         }
-        if (claim.damaged()) {
-            return claim.kind() == StateKind.BANS
-                    ? new ValidationResult(claim, TrustLevel.UNCONFIRMED, "it is damaged; what could be read stays out")
-                    : new ValidationResult(claim, TrustLevel.DISCARDED, "it is damaged");
+        if (state.damaged()) {
+            return state.kind() == StateKind.BANS
+                    ? new ValidationResult(state, TrustLevel.UNCONFIRMED, "it is damaged; what could be read stays out")
+                    : new ValidationResult(state, TrustLevel.DISCARDED, "it is damaged");
         }
-        return claim.kind() == StateKind.BANS ? bans(claim, now, bounds) : list(claim, now, bounds);
+        return state.kind() == StateKind.BANS
+                ? validateBans(state, now, bounds)
+                : validateServerList(state, now, bounds);
     }
 
-    private static ValidationResult bans(RestoredState claim, long now, Bounds bounds) {
-        if (claim.source() == StateSource.PREVIOUS_PROCESS) {
-            return new ValidationResult(claim, TrustLevel.TRUSTED, "it says so itself");
+    private static ValidationResult validateBans(RestoredState state, long now, Bounds bounds) {
+        if (state.source() == StateSource.PREVIOUS_PROCESS) {
+            return new ValidationResult(state, TrustLevel.TRUSTED, "reported by that process");
         }
-        if (claim.writtenUntilMicros() > now + bounds.maxClockLeadMicros) {
+        if (state.writtenUntilMicros() > now + bounds.maxClockLeadMicros) {
             return new ValidationResult(
-                    claim,
+                    state,
                     TrustLevel.UNCONFIRMED,
-                    seconds(claim.writtenUntilMicros() - now) + " ahead of this clock; what is " + "out stays out");
+                    seconds(state.writtenUntilMicros() - now) + " ahead of this clock; what is " + "out stays out");
         }
-        if (claim.writtenUntilMicros() < now - bounds.unconfirmedAfterMicros) {
+        if (state.writtenUntilMicros() < now - bounds.unconfirmedAfterMicros) {
             return new ValidationResult(
-                    claim,
+                    state,
                     TrustLevel.UNCONFIRMED,
-                    "it ends " + seconds(now - claim.writtenUntilMicros()) + " before this start: "
+                    "it ends " + seconds(now - state.writtenUntilMicros()) + " before this start: "
                             + "either nobody was there, or it was put back; what is out stays out, "
                             + "calls since are not known");
         }
         return new ValidationResult(
-                claim,
+                state,
                 TrustLevel.TRUSTED,
-                "it ends " + seconds(Math.max(0, now - claim.writtenUntilMicros())) + " before this start");
+                "it ends " + seconds(Math.max(0, now - state.writtenUntilMicros())) + " before this start");
     }
 
-    private static ValidationResult list(RestoredState claim, long now, Bounds bounds) {
-        if (claim.source() == StateSource.CONFIGURATION) {
+    private static ValidationResult validateServerList(RestoredState state, long now, Bounds bounds) {
+        if (state.source() == StateSource.CONFIGURATION) {
             return new ValidationResult(
-                    claim, TrustLevel.UNCONFIRMED, "it has no date; it serves until the first whole list");
+                    state, TrustLevel.UNCONFIRMED, "it has no timestamp; used until the first full server list");
         }
-        if (claim.writtenUntilMicros() > now + bounds.maxClockLeadMicros) {
+        if (state.writtenUntilMicros() > now + bounds.maxClockLeadMicros) {
             return new ValidationResult(
-                    claim, TrustLevel.DISCARDED, seconds(claim.writtenUntilMicros() - now) + " ahead of this clock");
+                    state,
+                    TrustLevel.DISCARDED,
+                    seconds(state.writtenUntilMicros() - now) + " ahead of this clock, above the limit of "
+                            + seconds(bounds.maxClockLeadMicros));
         }
-        if (claim.writtenUntilMicros() < now - bounds.maxListAgeMicros) {
+        if (state.writtenUntilMicros() < now - bounds.maxListAgeMicros) {
             return new ValidationResult(
-                    claim,
+                    state,
                     TrustLevel.DISCARDED,
-                    seconds(now - claim.writtenUntilMicros()) + " old, over the " + seconds(bounds.maxListAgeMicros)
-                            + " that may be");
+                    seconds(now - state.writtenUntilMicros()) + " old, above the limit of "
+                            + seconds(bounds.maxListAgeMicros));
         }
         return new ValidationResult(
-                claim,
+                state,
                 TrustLevel.UNCONFIRMED,
-                seconds(Math.max(0, now - claim.writtenUntilMicros())) + " old; it serves until the first whole list");
+                seconds(Math.max(0, now - state.writtenUntilMicros())) + " old; used until the first full server list");
     }
 
     private static String seconds(long micros) {
-        return String.format(Locale.ROOT, "%.1f s", micros / MICROS);
+        return String.format(Locale.ROOT, "%.1f s", micros / MICROS_PER_SECOND);
     }
 }
--- a/src/main/java/gatefront/recovery/ValidationResult.java
+++ b/src/main/java/gatefront/recovery/ValidationResult.java
@@ -1,20 +1,15 @@
 package gatefront.recovery;
 
 /**
- * A verdict on a claim.
+ * The result of validating a piece of restored state.
  *
- * @param state the claim
- * @param trust what becomes of it
- * @param reason in words for staff
+ * @param state the state that was validated
+ * @param trust how far it may be used
+ * @param reason the reason, for operators
  */
 public record ValidationResult(RestoredState state, TrustLevel trust, String reason) {
-    /** As a line of the log. */
+    /** Returns the result as text for a log line. */
     public String logLine() {
-        return state.kind().label() + " from " + state.source().label() + ": "
-                + switch (trust) {
-                    case TRUSTED -> "believed";
-                    case UNCONFIRMED -> "doubted";
-                    case DISCARDED -> "dropped";
-                } + ", " + reason;
+        return state.kind().label() + " from " + state.source().label() + ": " + trust.label() + ", " + reason;
     }
 }
--- a/src/main/java/gatefront/recovery/package-info.java
+++ b/src/main/java/gatefront/recovery/package-info.java
@@ -1,6 +1,7 @@
 /**
- * What an agent may believe at its start and after it has stood still: from where a piece of state comes, how old it
- * is, whose it is, and by which rule it is believed, doubted or dropped; in which stage of coming back the agent is,
- * and why. Pure: events and times come in, verdicts and lines go out; owned by the agent's loop.
+ * Decides which state an agent may use after a start or a stall. State that is restored is validated by its source, its
+ * age and the instance that wrote it, and is trusted, kept as unconfirmed or discarded. Also tracks the stage that the
+ * recovery has reached and the reason. The code is free of I/O: events and times are passed in, results and log lines
+ * are returned. It is confined to the agent's event loop.
  */
 package gatefront.recovery;
--- a/src/main/java/gatefront/upgrade/ProcessHandover.java
+++ b/src/main/java/gatefront/upgrade/ProcessHandover.java
@@ -20,17 +20,18 @@
 import java.util.function.Consumer;
 
 /**
- * What two processes of one agent share in a folder while one takes over from the other: two locks, by which they know
- * of each other, and each one's bans in a file of its own. A lock goes with its process, however that ends. Owned by
- * the agent's loop; the files are small and in memory, so reading them there takes some microseconds.
+ * The state that two processes of one agent share in a folder while one takes over from the other: two locks, by which
+ * they detect each other, and a file with the manual drains of each process. A lock is released when its process ends,
+ * however it ends. Confined to the agent's event loop; the files are small and in the page cache, so reading them there
+ * takes a few microseconds.
  *
- * <p>State: the texts of others' files as last read, each dropped when its file is gone.
+ * <p>State: the text of each file of another process as last read, removed when the file is gone.
  */
 public final class ProcessHandover {
     private static final String BAN_FILE_PREFIX = "gatefront-bans-";
     private static final String SERVING_LOCK_FILE = "gatefront-serves.lock";
     private static final String SUCCESSOR_LOCK_FILE = "gatefront-comes.lock";
-    /** A longer file is none of ours. */
+    /** The maximum file size; a longer file was not written by this program. */
     private static final long MAX_FILE_BYTES = 4 << 20;
 
     private final Path folder;
@@ -44,11 +45,11 @@
     private final Map<Path, String> lastRead = new HashMap<>();
 
     /**
-     * Takes its place in the folder.
+     * Opens the shared folder and tries to acquire the serving lock, or else the lock of the successor.
      *
-     * @param folder common to both processes
-     * @param name of this process, not used by another
-     * @param log gets a line for each file that is not believed
+     * @param folder the folder shared by both processes
+     * @param name the name of this process, which no other process uses
+     * @param log receives a line for each file that is ignored
      * @throws IOException if the folder cannot be used
      */
     public ProcessHandover(Path folder, String name, Consumer<String> log) throws IOException {
@@ -69,26 +70,26 @@
         try {
             return file.tryLock();
         } catch (OverlappingFileLockException e) {
-            return null; // another agent of this process has it
+            return null; // another agent in this JVM holds the lock
         }
     }
 
-    /** Whether another process serves, and this one is to take over from it. */
+    /** Returns whether another process serves and this one is to take over from it. */
     public boolean isSuccessor() {
         return servingLock == null;
     }
 
-    /** Whether another process is there to take over from this one. */
+    /** Returns whether another process is waiting to take over from this one. */
     public boolean hasSuccessor() {
         if (servingLock == null) {
             return false;
         }
         try {
-            FileLock free = tryLock(successorChannel);
-            if (free != null) {
-                free.release();
+            FileLock lock = tryLock(successorChannel);
+            if (lock != null) {
+                lock.release();
             }
-            return free == null;
+            return lock == null;
         } catch (IOException e) {
             logOnce(e);
             return false;
@@ -96,16 +97,16 @@
     }
 
     /**
-     * Looks at the folder: whether the other process has ended, and what bans it has told since.
+     * Checks the folder: whether the other process has ended, and which manual drains it has published since.
      *
-     * @return entries that have changed, to be merged
+     * @return the entries of all files that have changed, to be merged
      */
     public Map<String, ServerBans.Entry> poll() {
-        Map<String, ServerBans.Entry> told = new LinkedHashMap<>();
-        Set<Path> there = new HashSet<>();
+        Map<String, ServerBans.Entry> changed = new LinkedHashMap<>();
+        Set<Path> present = new HashSet<>();
         try {
             if (servingLock == null) {
-                // The other one tries this lock for a moment, to find out whether somebody has it.
+                // Retried: the serving process briefly acquires this lock to find out whether it has a successor.
                 successorLock = successorLock == null ? tryLock(successorChannel) : successorLock;
                 servingLock = tryLock(servingChannel);
                 if (servingLock != null && successorLock != null) {
@@ -114,58 +115,62 @@
                 }
             }
             try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, BAN_FILE_PREFIX + "*")) {
-                for (Path each : files) {
-                    if (!each.equals(ownFile) && !each.toString().endsWith(".new")) {
-                        there.add(each);
-                        read(each, told);
+                for (Path file : files) {
+                    if (!file.equals(ownFile) && !file.toString().endsWith(".new")) {
+                        present.add(file);
+                        read(file, changed);
                     }
                 }
             }
         } catch (NoSuchFileException e) {
-            there.addAll(lastRead.keySet()); // one that goes just now; the next look has the rest
+            present.addAll(lastRead.keySet()); // a file was deleted during the listing; the next poll reads the rest
         } catch (IOException | DirectoryIteratorException e) {
             logOnce(new IOException(e));
         }
-        lastRead.keySet().retainAll(there);
-        return told;
+        lastRead.keySet().retainAll(present);
+        return changed;
     }
 
-    /** Whether files of other processes were there at the last look. */
+    /** Returns whether files of other processes existed at the last poll. */
     public boolean hasOtherFiles() {
         return !lastRead.isEmpty();
     }
 
     private void read(Path file, Map<String, ServerBans.Entry> into) throws IOException {
         try {
-            if (Files.size(file) > MAX_FILE_BYTES) {
-                throw new IllegalArgumentException("too long");
+            long size = Files.size(file);
+            if (size > MAX_FILE_BYTES) {
+                throw new IllegalArgumentException("file of " + size + " bytes, expected at most " + MAX_FILE_BYTES);
             }
-            // Not by its time: two calls may come within one tick of the clock that files are stamped with.
+            // Compared by content: two changes may fall within one tick of the file timestamps.
             String text = Files.readString(file);
             if (!text.equals(lastRead.put(file, text))) {
                 into.putAll(BanFileFormat.read(text));
             }
         } catch (IllegalArgumentException | java.nio.charset.CharacterCodingException e) {
-            log.accept("upgrade: " + file.getFileName() + " is not believed: " + e.getMessage());
+            log.accept("upgrade: " + file.getFileName() + " is ignored: " + e.getMessage());
         }
     }
 
-    /** Tells the other process, and the next one, what bans there are. */
+    /** Publishes the manual drains to the other process and to later ones. */
     public void publishBans(Map<String, ServerBans.Entry> entries) {
-        Path fresh = folder.resolve(ownFile.getFileName() + ".new");
+        Path temporary = folder.resolve(ownFile.getFileName() + ".new");
         try {
-            Files.writeString(fresh, BanFileFormat.write(entries));
-            Files.move(fresh, ownFile, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.writeString(temporary, BanFileFormat.write(entries));
+            Files.move(temporary, ownFile, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            logOnce(new IOException("bans cannot be written", e));
+            logOnce(new IOException("cannot write manual drains to " + ownFile, e));
         }
     }
 
-    /** Once alone: files of processes that have ended have been merged and told anew, and go. */
+    /**
+     * Deletes the files of processes that have ended, once no other process is running; their entries have been merged
+     * and published again by this process.
+     */
     public void deleteOtherFiles() {
-        for (Path each : lastRead.keySet()) {
+        for (Path file : lastRead.keySet()) {
             try {
-                Files.deleteIfExists(each);
+                Files.deleteIfExists(file);
             } catch (IOException e) {
                 logOnce(e);
             }
@@ -173,7 +178,7 @@
         lastRead.clear();
     }
 
-    /** This process is about to end: its place is free, and what it has told stays. */
+    /** Releases the locks of this process before it ends; its published file remains. */
     public void close() {
         try {
             servingChannel.close();
@@ -183,7 +188,7 @@
         }
     }
 
-    /** Says it once: what is wrong with a folder is wrong at each look. */
+    /** Logs an error unless it is the same as the last: a broken folder fails at each poll. */
     private void logOnce(IOException e) {
         String line = "upgrade: " + e;
         if (!line.equals(lastError)) {
--- a/src/main/java/gatefront/upgrade/package-info.java
+++ b/src/main/java/gatefront/upgrade/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What two processes of one agent know of each other while one takes over from the other: locks and bans in a common
- * folder. Owned by the agent's loop.
+ * Coordinates two processes of one agent while one takes over from the other, by locks and manual drains in a shared
+ * folder. Confined to the agent's event loop.
  */
 package gatefront.upgrade;
--- a/src/test/java/gatefront/budget/ResourceBudgetTest.java
+++ b/src/test/java/gatefront/budget/ResourceBudgetTest.java
@@ -10,21 +10,21 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Accounts, caps, floors. */
+/** Tests accounts, caps, pressure and leak detection. */
 class ResourceBudgetTest {
     private static final long MINUTE = 60_000_000;
 
     @Test
-    void aCapHoldsAndTellsHowOften() {
+    void capsAreEnforcedAndRejectionsCounted() {
         ResourceAccount account = new ResourceBudget(
                         1_000, Map.of(ResourcePurpose.CALLS, new ResourceBudget.Cap(2, 100)))
                 .account(ResourcePurpose.CALLS);
         assertTrue(account.tryAcquire(60));
-        assertFalse(account.tryAcquire(41), "over the bytes");
+        assertFalse(account.tryAcquire(41), "exceeds the cap on bytes");
         assertTrue(account.tryAcquire(40));
         account.release(40);
         assertTrue(account.tryAcquire(1));
-        assertFalse(account.tryAcquire(0), "over the entries");
+        assertFalse(account.tryAcquire(0), "exceeds the cap on entries");
         assertTrue(account.isFull());
         assertFalse(account.tryGrow(40));
         account.release(60);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aCapLoweredBelowWhatIsHeldTakesNothingNewAndLosesNothing() {
+    void loweredCapRejectsNewEntriesAndKeepsPresentOnes() {
         ResourceBudget budget = new ResourceBudget(1_000, Map.of());
         ResourceAccount account = budget.account(ResourcePurpose.CALLS);
         for (int i = 0; i < 10; i++) {
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void theWholeGoesByAStatedOrder() {
+    void pressureFollowsTheTotalHeld() {
         ResourceBudget budget = new ResourceBudget(1_000, Map.of());
         budget.account(ResourcePurpose.REQUESTS).add(1, 699);
         assertEquals(ResourceBudget.Pressure.NONE, budget.pressure());
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void anAccountThatDriftsIsNamed() {
+    void driftOfAnAccountIsReported() {
         ResourceBudget budget = new ResourceBudget(1_000, Map.of());
         budget.addRecount(ResourcePurpose.CALLS, () -> new ResourceBudget.Count(2, 10));
         budget.addRecount(ResourcePurpose.CALLS, () -> new ResourceBudget.Count(1, 0));
@@ -80,42 +80,42 @@
         assertEquals(List.of("calls has 2 entries of 10 bytes by its account, and 3 of 10 by count"), budget.drift());
     }
 
-    /** A load that swings by the hour, and one entry a minute that never goes: said within half an hour. */
+    /** A leak of one entry a minute under a load that varies from second to second is reported within half an hour. */
     @Test
-    void aLeakOfOneAMinuteIsFoundUnderAShiftingLoad() {
+    void leakOfOneEntryPerMinuteIsFoundUnderVaryingLoad() {
         for (int seed = 0; seed < 50; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             ResourceBudget budget = new ResourceBudget(1_000, Map.of());
             ResourceAccount account = budget.account(ResourcePurpose.CALLS);
             long leaked = 0;
-            long saidAfter = -1;
-            for (int second = 0; second < 3 * 3_600 && saidAfter < 0; second++) {
+            long reportedAfter = -1;
+            for (int second = 0; second < 3 * 3_600 && reportedAfter < 0; second++) {
                 leaked = Math.max(0, second - 3_600) / 60;
                 long load = random.nextInt(4) == 0 ? 0 : random.nextInt(50);
                 account.set(leaked + load, 0);
                 List<String> lines = budget.leakWarnings(second * 1_000_000L);
                 if (!lines.isEmpty()) {
-                    assertTrue(second > 3_600, "said before there was a leak, seed " + seed);
-                    assertTrue(lines.get(0).startsWith("held for calls: the least of each minute has risen"));
-                    saidAfter = second - 3_600;
+                    assertTrue(second > 3_600, "reported before there was a leak, seed " + seed);
+                    assertTrue(lines.get(0).startsWith("held for calls: the minimum of each minute has risen"));
+                    reportedAfter = second - 3_600;
                 }
             }
-            assertTrue(saidAfter >= 0 && saidAfter <= 1_800, "seed " + seed + ": " + saidAfter);
+            assertTrue(reportedAfter >= 0 && reportedAfter <= 1_800, "seed " + seed + ": " + reportedAfter);
         }
     }
 
     @Test
-    void aMorningThatFillsUpIsNoLeak() {
+    void slowlyRisingLoadIsNotReportedAsLeak() {
         LeakTrend trend = new LeakTrend(MINUTE, 15);
-        List<Long> said = new ArrayList<>();
+        List<Long> reported = new ArrayList<>();
         for (int minute = 0; minute < 600; minute++) {
-            // the load rises for hours, and with it what is held; but its least in a minute is often the same
+            // The load rises for hours, but the minimum of many consecutive minutes is the same.
             long held = minute / 30;
-            long risen = trend.observe(minute * MINUTE, held);
-            if (risen > 0) {
-                said.add(risen);
+            long growth = trend.observe(minute * MINUTE, held);
+            if (growth > 0) {
+                reported.add(growth);
             }
         }
-        assertEquals(List.of(), said);
+        assertEquals(List.of(), reported);
     }
 }
--- a/src/test/java/gatefront/membership/MembershipTest.java
+++ b/src/test/java/gatefront/membership/MembershipTest.java
@@ -15,7 +15,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** What two sources say together, where they disagree. */
+/** Tests how the lists of two sources are merged, in particular where they differ. */
 class MembershipTest {
     private static final int PADRON = 0;
     private static final int OTHER = 1;
@@ -36,125 +36,129 @@
 
     private static String text(List<Endpoint> endpoints) {
         return endpoints.stream()
-                .map(each -> each.name() + " " + each.server().phase() + " "
-                        + each.server().weight())
+                .map(endpoint -> endpoint.name() + " " + endpoint.server().phase() + " "
+                        + endpoint.server().weight())
                 .sorted()
                 .collect(Collectors.joining(", "));
     }
 
-    private String told(int source, ListKind kind, Endpoint... endpoints) {
+    private String update(int source, ListKind kind, Endpoint... endpoints) {
         return text(membership.update(source, kind, List.of(endpoints)));
     }
 
     @Test
-    void whatEitherListsIsThere() {
-        assertEquals("a READY 2.0", told(PADRON, ListKind.FULL, ready("a")));
-        assertEquals("b READY 2.0", told(OTHER, ListKind.FULL, ready("a"), ready("b")));
+    void mergedListHoldsServersOfAllSources() {
+        assertEquals("a READY 2.0", update(PADRON, ListKind.FULL, ready("a")));
+        assertEquals("b READY 2.0", update(OTHER, ListKind.FULL, ready("a"), ready("b")));
         assertEquals("a READY 2.0, b READY 2.0", text(membership.endpoints()));
     }
 
     @Test
-    void aDrainToldByOneHolds() {
-        told(PADRON, ListKind.FULL, ready("a"));
-        told(OTHER, ListKind.FULL, ready("a"));
-        assertEquals("a DRAINING 2.0", told(OTHER, ListKind.DELTA, nodo("a", Phase.DRAINING, 0, 80)));
-        assertEquals("", told(PADRON, ListKind.FULL, ready("a")), "the other's word does not undo it");
-        assertEquals("a READY 2.0", told(OTHER, ListKind.DELTA, ready("a")));
+    void drainReportedByOneSourceHolds() {
+        update(PADRON, ListKind.FULL, ready("a"));
+        update(OTHER, ListKind.FULL, ready("a"));
+        assertEquals("a DRAINING 2.0", update(OTHER, ListKind.DELTA, nodo("a", Phase.DRAINING, 0, 80)));
+        assertEquals("", update(PADRON, ListKind.FULL, ready("a")), "a list of the other source does not lift it");
+        assertEquals("a READY 2.0", update(OTHER, ListKind.DELTA, ready("a")));
     }
 
     @Test
-    void whatOneWithdrawsIsGoneThoughTheOtherListsIt() {
-        told(PADRON, ListKind.FULL, ready("a"), ready("b"));
-        told(OTHER, ListKind.FULL, ready("a"));
-        assertEquals("a GONE 2.0", told(OTHER, ListKind.FULL));
-        assertEquals("", told(PADRON, ListKind.FULL, ready("a"), ready("b")), "it stays gone");
-        assertEquals("a READY 2.0", told(OTHER, ListKind.DELTA, ready("a")), "until that source lists it again");
-        told(OTHER, ListKind.FULL);
-        assertEquals("a READY 2.0", told(PADRON, ListKind.DELTA, nodo("a", Phase.READY, 9, 80)), "or it started anew");
+    void serverWithdrawnByOneSourceIsGone() {
+        update(PADRON, ListKind.FULL, ready("a"), ready("b"));
+        update(OTHER, ListKind.FULL, ready("a"));
+        assertEquals("a GONE 2.0", update(OTHER, ListKind.FULL));
+        assertEquals("", update(PADRON, ListKind.FULL, ready("a"), ready("b")), "it stays gone");
+        assertEquals("a READY 2.0", update(OTHER, ListKind.DELTA, ready("a")), "until that source lists it again");
+        update(OTHER, ListKind.FULL);
+        assertEquals(
+                "a READY 2.0",
+                update(PADRON, ListKind.DELTA, nodo("a", Phase.READY, 9, 80)),
+                "or another source reports a later start");
     }
 
     @Test
-    void theStartThatWasKnownWhenItWasWithdrawnDoesNotBringItBack() {
-        told(PADRON, ListKind.FULL, nodo("a", Phase.READY, 5, 80));
-        told(OTHER, ListKind.FULL, nodo("a", Phase.READY, 5, 80));
-        told(OTHER, ListKind.FULL);
-        assertEquals("", told(PADRON, ListKind.FULL, nodo("a", Phase.READY, 5, 80)));
-        assertEquals("a READY 2.0", told(PADRON, ListKind.FULL, nodo("a", Phase.READY, 6, 80)));
+    void onlyALaterStartRestoresAWithdrawnServer() {
+        update(PADRON, ListKind.FULL, nodo("a", Phase.READY, 5, 80));
+        update(OTHER, ListKind.FULL, nodo("a", Phase.READY, 5, 80));
+        update(OTHER, ListKind.FULL);
+        assertEquals("", update(PADRON, ListKind.FULL, nodo("a", Phase.READY, 5, 80)));
+        assertEquals("a READY 2.0", update(PADRON, ListKind.FULL, nodo("a", Phase.READY, 6, 80)));
     }
 
     @Test
-    void whatNobodyListsAnyMoreIsForgottenSoThatWhoListsItAnewIsBelieved() {
-        told(PADRON, ListKind.FULL, ready("a"));
-        told(OTHER, ListKind.FULL, ready("a"));
-        told(OTHER, ListKind.FULL);
-        told(PADRON, ListKind.FULL);
-        assertEquals("a READY 2.0", told(PADRON, ListKind.FULL, ready("a")));
+    void serverThatNoSourceListsIsForgotten() {
+        update(PADRON, ListKind.FULL, ready("a"));
+        update(OTHER, ListKind.FULL, ready("a"));
+        update(OTHER, ListKind.FULL);
+        update(PADRON, ListKind.FULL);
+        assertEquals("a READY 2.0", update(PADRON, ListKind.FULL, ready("a")));
     }
 
     @Test
-    void aSourceThatNeverListedItHasNoSay() {
-        told(PADRON, ListKind.FULL, ready("a"));
-        assertEquals("", told(OTHER, ListKind.FULL));
+    void sourceThatNeverListedAServerCannotWithdrawIt() {
+        update(PADRON, ListKind.FULL, ready("a"));
+        assertEquals("", update(OTHER, ListKind.FULL));
         assertEquals("a READY 2.0", text(membership.endpoints()));
     }
 
     @Test
-    void aListFromEarlierIsReplacedByTheFirstOne() {
-        told(PADRON, ListKind.CACHED, ready("a"), ready("b"));
-        assertEquals("b GONE 2.0, c READY 2.0", told(PADRON, ListKind.FULL, ready("a"), ready("c")));
+    void cachedListIsReplacedByFirstFullList() {
+        update(PADRON, ListKind.CACHED, ready("a"), ready("b"));
+        assertEquals("b GONE 2.0, c READY 2.0", update(PADRON, ListKind.FULL, ready("a"), ready("c")));
     }
 
     @Test
-    void addressesThatDifferAreSaidOnceAndTheFirstSourceIsHeeded() {
-        told(PADRON, ListKind.FULL, ready("a"));
-        assertEquals("", told(OTHER, ListKind.FULL, nodo("a", Phase.READY, 0, 81)));
-        told(OTHER, ListKind.DELTA, nodo("a", Phase.READY, 0, 81));
+    void addressConflictIsLoggedOnceAndFirstSourceWins() {
+        update(PADRON, ListKind.FULL, ready("a"));
+        assertEquals("", update(OTHER, ListKind.FULL, nodo("a", Phase.READY, 0, 81)));
+        update(OTHER, ListKind.DELTA, nodo("a", Phase.READY, 0, 81));
         assertEquals(1, lines.size(), lines.toString());
-        assertTrue(lines.get(0).contains("registry has a at"), lines.get(0));
+        assertTrue(lines.get(0).contains("registry lists a at"), lines.get(0));
     }
 
     @Test
-    void policiesLieOverWhateverSource() {
-        told(PADRON, ListKind.FULL, ready("a"), ready("b"));
+    void overridesApplyToServersOfAllSources() {
+        update(PADRON, ListKind.FULL, ready("a"), ready("b"));
         assertEquals(
                 "a DRAINING 1.0", text(membership.setOverrides(Map.of("a", new ServerOverride(true, 0.5)), Map.of())));
         assertEquals(
                 "a READY 1.0, b READY 1.0",
                 text(membership.setOverrides(Map.of(), Map.of(0, new ServerOverride(false, 0.5)))));
-        assertEquals("c READY 1.0", told(OTHER, ListKind.FULL, ready("c")));
+        assertEquals("c READY 1.0", update(OTHER, ListKind.FULL, ready("c")));
         assertEquals("a READY 2.0, b READY 2.0, c READY 2.0", text(membership.setOverrides(Map.of(), Map.of())));
     }
 
-    /** Whatever two sources say in whatever order: the changes told add up to the list, and nothing is kept in vain. */
+    /** Random updates of two sources: the changes returned add up to the merged list, and no state is left over. */
     @Test
-    void theChangesAddUpToTheList() {
+    void changesAddUpToTheMergedList() {
         for (int seed = 0; seed < 300; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Membership mixed = new Membership(List.of("padrón", "registry"), line -> {});
+            Membership merged = new Membership(List.of("padrón", "registry"), line -> {});
             Map<String, Endpoint> known = new HashMap<>();
             for (int step = 0; step < 200; step++) {
-                List<Endpoint> some = new ArrayList<>();
+                List<Endpoint> reported = new ArrayList<>();
                 for (int i = random.nextInt(4); i > 0; i--) {
-                    some.add(nodo("n" + random.nextInt(5), Phase.values()[random.nextInt(3)], random.nextInt(3), 80));
+                    reported.add(
+                            nodo("n" + random.nextInt(5), Phase.values()[random.nextInt(3)], random.nextInt(3), 80));
                 }
                 ListKind kind = random.nextBoolean() ? ListKind.DELTA : ListKind.FULL;
                 List<Endpoint> changed = random.nextInt(6) == 0
-                        ? mixed.setOverrides(Map.of("n1", new ServerOverride(random.nextBoolean(), 0.5)), Map.of())
-                        : mixed.update(random.nextInt(2), kind, some);
-                for (Endpoint each : changed) {
-                    if (each.server().phase() == Phase.GONE) {
-                        assertTrue(known.remove(each.name()) != null, "gone twice");
+                        ? merged.setOverrides(Map.of("n1", new ServerOverride(random.nextBoolean(), 0.5)), Map.of())
+                        : merged.update(random.nextInt(2), kind, reported);
+                for (Endpoint endpoint : changed) {
+                    if (endpoint.server().phase() == Phase.GONE) {
+                        assertTrue(known.remove(endpoint.name()) != null, "reported as gone twice");
                     } else {
-                        assertTrue(!each.equals(known.put(each.name(), each)), "no change");
+                        assertTrue(!endpoint.equals(known.put(endpoint.name(), endpoint)), "reported without a change");
                     }
                 }
                 assertEquals(
                         Map.copyOf(known),
-                        mixed.endpoints().stream().collect(Collectors.toMap(Endpoint::name, e -> e)));
+                        merged.endpoints().stream().collect(Collectors.toMap(Endpoint::name, e -> e)));
             }
-            mixed.update(PADRON, ListKind.FULL, List.of());
-            mixed.update(OTHER, ListKind.FULL, List.of());
-            assertEquals(List.of(), mixed.endpoints());
+            merged.update(PADRON, ListKind.FULL, List.of());
+            merged.update(OTHER, ListKind.FULL, List.of());
+            assertEquals(List.of(), merged.endpoints());
         }
     }
 }
--- a/src/test/java/gatefront/membership/ServerBansTest.java
+++ b/src/test/java/gatefront/membership/ServerBansTest.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Servers out by hand, against a plain model where orders are random. */
+/** Tests manual drains, in part against a reference model with random orders of events. */
 class ServerBansTest {
     private final ServerBans bans = new ServerBans();
 
@@ -24,12 +24,12 @@
                 new Server(name.hashCode(), 0, 0, 0, phase, 1, startedAt), name, new InetSocketAddress("127.0.0.1", 1));
     }
 
-    private static Phase phase(List<Endpoint> told) {
-        return told.get(0).server().phase();
+    private static Phase phase(List<Endpoint> endpoints) {
+        return endpoints.get(0).server().phase();
     }
 
     @Test
-    void outHoldsWhateverTheListSaysUntilTheOneCallBack() {
+    void drainHoldsAcrossListUpdatesUntilPutBackOnce() {
         assertEquals(ServerBans.Outcome.UNKNOWN_SERVER, bans.setDrained("a", true, 5));
         bans.update(ListKind.FULL, List.of(endpoint("a", Phase.READY, 0), endpoint("b", Phase.READY, 0)));
         assertEquals(ServerBans.Outcome.APPLIED, bans.setDrained("a", true, 5));
@@ -37,7 +37,7 @@
         assertEquals(Phase.DRAINING, phase(bans.effectiveEndpoint("a")));
         assertEquals(1, bans.drainedCount());
         assertEquals(Phase.GONE, phase(bans.update(ListKind.DELTA, List.of(endpoint("a", Phase.GONE, 0)))));
-        assertEquals(0, bans.drainedCount(), "a server that is not listed is not in the pool");
+        assertEquals(0, bans.drainedCount(), "a server that is not listed is not counted");
         assertEquals(Phase.DRAINING, phase(bans.update(ListKind.DELTA, List.of(endpoint("a", Phase.READY, 9)))));
         assertEquals(Phase.DRAINING, phase(bans.update(ListKind.FULL, List.of(endpoint("a", Phase.READY, 9)))));
         assertEquals(ServerBans.Outcome.APPLIED, bans.setDrained("a", false, 7));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void putBackCountsAsStartedThenAlsoInLaterLists() {
+    void putBackServerCountsAsStartedAtThatTime() {
         bans.update(ListKind.FULL, List.of(endpoint("a", Phase.READY, 3)));
         bans.setDrained("a", true, 5);
         bans.setDrained("a", false, 8);
@@ -65,73 +65,74 @@
     }
 
     @Test
-    void aBanOnAServerThatHasLeftStaysAndCanBeLifted() {
+    void drainOfAnUnlistedServerStaysAndCanBeLifted() {
         bans.update(ListKind.FULL, List.of(endpoint("a", Phase.READY, 0)));
         bans.setDrained("a", true, 5);
         bans.update(ListKind.FULL, List.of());
         assertEquals(ServerBans.Outcome.APPLIED, bans.setDrained("a", false, 6));
         assertEquals(List.of(), bans.effectiveEndpoint("a"));
         bans.setDrained("b", true, 7 + ServerBans.READMITTED_RETENTION_MICROS);
-        assertEquals(1, bans.entries().size(), "nothing was taken in, so nothing is dropped");
+        assertEquals(1, bans.entries().size(), "an unknown server adds no entry and evicts none");
         bans.update(ListKind.FULL, List.of(endpoint("b", Phase.READY, 0)));
         bans.setDrained("b", true, 7 + ServerBans.READMITTED_RETENTION_MICROS);
-        assertEquals(Set.of("b"), bans.entries().keySet(), "what was put back and left is forgotten");
+        assertEquals(Set.of("b"), bans.entries().keySet(), "an unlisted server that was put back is evicted");
     }
 
-    /** Two processes get calls at random and hear of each other in any order, twice at times: both end at the last. */
+    /** Two processes get random changes and merge in any order, some twice: both converge to the last change. */
     @Test
-    void twoProcessesEndAtTheLastCallOfEach() {
+    void twoProcessesConvergeToTheLastChangeOfEachServer() {
         for (int seed = 0; seed < 300; seed++) {
             Random random = new Random(seed);
-            ServerBans[] both = {new ServerBans(), new ServerBans()};
+            ServerBans[] processes = {new ServerBans(), new ServerBans()};
             Map<String, Boolean> model = new HashMap<>();
             Map<String, Phase> list = new HashMap<>();
             long now = 0;
             for (int step = 0; step < 60; step++) {
                 now += 1 + random.nextInt(3);
                 String name = "s" + random.nextInt(4);
-                int which = random.nextInt(2);
+                int index = random.nextInt(2);
                 switch (random.nextInt(4)) {
                     case 0 -> {
-                        boolean out = random.nextBoolean();
-                        // Operators know what they did last: a call comes after both have heard of those before.
-                        exchange(both);
-                        if (both[which].setDrained(name, out, now) == ServerBans.Outcome.APPLIED) {
-                            model.put(name, out);
+                        boolean drained = random.nextBoolean();
+                        // An operator acts on the present state: a change follows once both processes have merged
+                        // earlier ones.
+                        exchange(processes);
+                        if (processes[index].setDrained(name, drained, now) == ServerBans.Outcome.APPLIED) {
+                            model.put(name, drained);
                         }
                     }
                     case 1 -> {
                         boolean gone = random.nextInt(3) == 0;
                         list.put(name, gone ? Phase.GONE : Phase.READY);
-                        for (ServerBans each : both) {
-                            each.update(ListKind.DELTA, List.of(endpoint(name, list.get(name), 0)));
+                        for (ServerBans process : processes) {
+                            process.update(ListKind.DELTA, List.of(endpoint(name, list.get(name), 0)));
                         }
                     }
-                    case 2 -> both[which].merge(both[1 - which].entries());
-                    default -> both[which].merge(both[which].entries());
+                    case 2 -> processes[index].merge(processes[1 - index].entries());
+                    default -> processes[index].merge(processes[index].entries());
                 }
             }
-            exchange(both);
-            Set<String> out = new HashSet<>();
-            model.forEach((name, is) -> {
-                if (is && list.get(name) == Phase.READY) {
-                    out.add(name);
+            exchange(processes);
+            Set<String> expected = new HashSet<>();
+            model.forEach((name, drained) -> {
+                if (drained && list.get(name) == Phase.READY) {
+                    expected.add(name);
                 }
             });
-            for (ServerBans each : both) {
+            for (ServerBans process : processes) {
                 Set<String> drained = new HashSet<>();
-                list.keySet().forEach(name -> each.effectiveEndpoint(name).stream()
+                list.keySet().forEach(name -> process.effectiveEndpoint(name).stream()
                         .filter(line -> line.server().phase() == Phase.DRAINING)
                         .forEach(line -> drained.add(name)));
-                assertEquals(out, drained, "seed " + seed);
-                assertEquals(out.size(), each.drainedCount());
+                assertEquals(expected, drained, "seed " + seed);
+                assertEquals(expected.size(), process.drainedCount());
             }
-            assertTrue(both[0].entries().equals(both[1].entries()), "seed " + seed);
+            assertTrue(processes[0].entries().equals(processes[1].entries()), "seed " + seed);
         }
     }
 
-    private static void exchange(ServerBans[] both) {
-        both[0].merge(both[1].entries());
-        both[1].merge(both[0].entries());
+    private static void exchange(ServerBans[] processes) {
+        processes[0].merge(processes[1].entries());
+        processes[1].merge(processes[0].entries());
     }
 }
--- a/src/test/java/gatefront/persistence/RecoveryStoreTest.java
+++ b/src/test/java/gatefront/persistence/RecoveryStoreTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What an instance finds again in its folder, and what it is told where it does not. */
+/** Tests what an instance restores from its folder, and what is reported where that is not possible. */
 class RecoveryStoreTest {
     @TempDir
     private Path dir;
@@ -30,34 +30,34 @@
         return RecoveryStore.open(dir.resolve("kept"), instance, loop::add, () -> clock);
     }
 
-    private void kept(RecoveryStore keeper, String name, ServerBans.Entry entry) throws Exception {
-        CompletableFuture<IOException> told = new CompletableFuture<>();
-        keeper.saveBan(name, entry, told::complete);
-        while (!told.isDone()) {
+    private void saveBan(RecoveryStore store, String name, ServerBans.Entry entry) throws Exception {
+        CompletableFuture<IOException> result = new CompletableFuture<>();
+        store.saveBan(name, entry, result::complete);
+        while (!result.isDone()) {
             loop.poll(10, TimeUnit.SECONDS).run();
         }
-        assertNull(told.join());
+        assertNull(result.join());
     }
 
-    private static void end(RecoveryStore keeper) throws Exception {
-        CompletableFuture<Void> ended = new CompletableFuture<>();
-        keeper.close(() -> ended.complete(null));
-        ended.get(10, TimeUnit.SECONDS);
+    private static void close(RecoveryStore store) throws Exception {
+        CompletableFuture<Void> closed = new CompletableFuture<>();
+        store.close(() -> closed.complete(null));
+        closed.get(10, TimeUnit.SECONDS);
     }
 
     @Test
-    void whatWasKeptIsThereAgainInItsNextLife() throws Exception {
+    void storedStateIsRestoredAtTheNextStart() throws Exception {
         RecoveryStore.Opened first = open("a");
         assertEquals(StoreStatus.MISSING, first.status());
-        kept(first.store(), "nodo-1", new ServerBans.Entry(true, 7));
-        kept(first.store(), "nodo-2", new ServerBans.Entry(true, 8));
-        kept(first.store(), "nodo-2", new ServerBans.Entry(false, 9));
-        kept(first.store(), "nodo-3", new ServerBans.Entry(true, 9));
-        kept(first.store(), "nodo-3", null);
+        saveBan(first.store(), "nodo-1", new ServerBans.Entry(true, 7));
+        saveBan(first.store(), "nodo-2", new ServerBans.Entry(true, 8));
+        saveBan(first.store(), "nodo-2", new ServerBans.Entry(false, 9));
+        saveBan(first.store(), "nodo-3", new ServerBans.Entry(true, 9));
+        saveBan(first.store(), "nodo-3", null);
         first.store().saveServerList(42, new byte[] {1, 2, 3});
         clock = 6_000_000;
         first.store().saveAliveMark();
-        end(first.store());
+        close(first.store());
         RecoveryStore.Opened second = open("a");
         assertEquals(StoreStatus.INTACT, second.status());
         assertEquals("life 2", second.detail());
@@ -67,38 +67,38 @@
         assertEquals(6_000_000, second.restored().writtenUntilMicros());
         assertEquals(42, second.restored().serverListMicros());
         assertArrayEquals(new byte[] {1, 2, 3}, second.restored().serverList());
-        end(second.store());
+        close(second.store());
     }
 
     @Test
-    void aLongLogBecomesASnapshotAndNothingIsLost() throws Exception {
-        RecoveryStore keeper = open("a").store();
-        kept(keeper, "nodo-1", new ServerBans.Entry(true, 7));
+    void longLogIsCompactedWithoutLoss() throws Exception {
+        RecoveryStore store = open("a").store();
+        saveBan(store, "nodo-1", new ServerBans.Entry(true, 7));
         for (int i = 0; i < 5_200; i++) {
-            kept(keeper, "nodo-2", new ServerBans.Entry(i % 2 == 0, i));
+            saveBan(store, "nodo-2", new ServerBans.Entry(i % 2 == 0, i));
         }
-        end(keeper);
+        close(store);
         try (var files = Files.list(dir.resolve("kept"))) {
-            assertTrue(files.anyMatch(each -> each.toString().endsWith(".snap")));
+            assertTrue(files.anyMatch(file -> file.toString().endsWith(".snap")));
         }
-        RecoveryStore.Opened again = open("a");
+        RecoveryStore.Opened reopened = open("a");
         assertEquals(
                 Map.of("nodo-1", new ServerBans.Entry(true, 7), "nodo-2", new ServerBans.Entry(false, 5_199)),
-                again.restored().bans());
-        assertEquals(2, again.restored().startNumber() + 1);
-        end(again.store());
+                reopened.restored().bans());
+        assertEquals(2, reopened.restored().startNumber() + 1);
+        close(reopened.store());
     }
 
     @Test
-    void anothersStoreIsSetAsideAndNotWritten() throws Exception {
+    void storeOfAnotherInstanceIsSetAsideAndNotWritten() throws Exception {
         RecoveryStore other = open("b").store();
-        kept(other, "nodo-1", new ServerBans.Entry(true, 7));
-        end(other);
+        saveBan(other, "nodo-1", new ServerBans.Entry(true, 7));
+        close(other);
         RecoveryStore.Opened opened = open("a");
         assertEquals(StoreStatus.FOREIGN, opened.status());
-        assertEquals("b", opened.restored().instance(), "for the claim to be dropped, and said");
-        kept(opened.store(), "nodo-9", new ServerBans.Entry(true, 1));
-        end(opened.store());
+        assertEquals("b", opened.restored().instance(), "needed so that the state is discarded and the reason logged");
+        saveBan(opened.store(), "nodo-9", new ServerBans.Entry(true, 1));
+        close(opened.store());
         assertEquals(
                 Map.of("nodo-9", new ServerBans.Entry(true, 1)),
                 open("a").restored().bans());
@@ -106,16 +106,16 @@
     }
 
     @Test
-    void aDamagedStoreIsSetAsideAndWhatCouldBeReadIsTold() throws Exception {
+    void damagedStoreIsSetAsideAndReadablePartIsReturned() throws Exception {
         for (int round = 1; round <= RecoveryStore.MAX_SET_ASIDE + 2; round++) {
-            RecoveryStore keeper = open("a").store();
-            kept(keeper, "nodo-1", new ServerBans.Entry(true, 7));
-            kept(keeper, "nodo-2", new ServerBans.Entry(true, 8));
-            kept(keeper, "nodo-3", new ServerBans.Entry(true, 9));
-            end(keeper);
+            RecoveryStore store = open("a").store();
+            saveBan(store, "nodo-1", new ServerBans.Entry(true, 7));
+            saveBan(store, "nodo-2", new ServerBans.Entry(true, 8));
+            saveBan(store, "nodo-3", new ServerBans.Entry(true, 9));
+            close(store);
             Path newest;
             try (var files = Files.list(dir.resolve("kept"))) {
-                newest = files.filter(each -> each.toString().endsWith(".log"))
+                newest = files.filter(file -> file.toString().endsWith(".log"))
                         .max(Path::compareTo)
                         .orElseThrow();
             }
@@ -126,7 +126,7 @@
             assertEquals(StoreStatus.DAMAGED, opened.status(), "round " + round);
             assertEquals("a", opened.restored().instance());
             assertTrue(opened.detail().contains(".log at "), opened.detail());
-            end(opened.store());
+            close(opened.store());
         }
         try (var files = Files.list(dir)) {
             assertEquals(1 + RecoveryStore.MAX_SET_ASIDE, files.count());
@@ -134,26 +134,26 @@
     }
 
     @Test
-    void aFolderThatCannotBeUsedIsSaidAndNothingIsToldToBeKept() throws Exception {
+    void unusableFolderIsReportedAndWritesFail() throws Exception {
         Files.writeString(dir.resolve("kept"), "a file");
         RecoveryStore.Opened opened = open("a");
         assertEquals(StoreStatus.UNUSABLE, opened.status());
-        CompletableFuture<IOException> told = new CompletableFuture<>();
-        opened.store().saveBan("nodo-1", new ServerBans.Entry(true, 1), told::complete);
+        CompletableFuture<IOException> result = new CompletableFuture<>();
+        opened.store().saveBan("nodo-1", new ServerBans.Entry(true, 1), result::complete);
         loop.poll(10, TimeUnit.SECONDS).run();
-        assertTrue(told.join() != null);
-        end(opened.store());
+        assertTrue(result.join() != null);
+        close(opened.store());
     }
 
     @Test
-    void theProcessBeforeHasTheStoreUntilItEnds() throws Exception {
-        RecoveryStore before = open("a").store();
-        kept(before, "nodo-1", new ServerBans.Entry(true, 7));
+    void storeIsInUseUntilThePreviousProcessEnds() throws Exception {
+        RecoveryStore previous = open("a").store();
+        saveBan(previous, "nodo-1", new ServerBans.Entry(true, 7));
         RecoveryStore.Opened second = open("a");
         assertEquals(StoreStatus.IN_USE, second.status());
-        end(before);
-        kept(second.store(), "nodo-2", new ServerBans.Entry(true, 8));
-        end(second.store());
-        assertEquals(2, open("a").restored().bans().size(), "what the one before kept is still there");
+        close(previous);
+        saveBan(second.store(), "nodo-2", new ServerBans.Entry(true, 8));
+        close(second.store());
+        assertEquals(2, open("a").restored().bans().size(), "the entry of the previous process is still there");
     }
 }
--- a/src/test/java/gatefront/upgrade/ProcessHandoverTest.java
+++ b/src/test/java/gatefront/upgrade/ProcessHandoverTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes of one agent in a folder, by files that may be torn, old or of others. */
+/** Tests two processes of one agent in a shared folder, with files that may be truncated, old or foreign. */
 class ProcessHandoverTest {
-    private static final Map<String, ServerBans.Entry> SOME =
+    private static final Map<String, ServerBans.Entry> ENTRIES =
             Map.of("s 1", new ServerBans.Entry(true, 7), "s-2", new ServerBans.Entry(false, 9));
 
     @TempDir
@@ -26,44 +26,44 @@
 
     private final List<String> log = new ArrayList<>();
 
-    private ProcessHandover enter(String name) throws IOException {
+    private ProcessHandover open(String name) throws IOException {
         return new ProcessHandover(folder, name, log::add);
     }
 
     @Test
-    void theSecondFollowsUntilTheFirstHasEndedAndTheFirstKnowsOfIt() throws IOException {
-        ProcessHandover first = enter("1");
+    void secondProcessIsSuccessorUntilTheFirstEnds() throws IOException {
+        ProcessHandover first = open("1");
         assertFalse(first.isSuccessor());
         assertFalse(first.hasSuccessor());
-        ProcessHandover second = enter("2");
+        ProcessHandover second = open("2");
         assertTrue(second.isSuccessor());
         assertTrue(first.hasSuccessor());
-        first.publishBans(SOME);
-        assertEquals(SOME, second.poll());
-        assertEquals(Map.of(), second.poll(), "what has not changed is not read again");
+        first.publishBans(ENTRIES);
+        assertEquals(ENTRIES, second.poll());
+        assertEquals(Map.of(), second.poll(), "an unchanged file is not reported again");
         first.close();
         second.poll();
         assertFalse(second.isSuccessor());
         assertFalse(second.hasSuccessor());
-        second.publishBans(SOME);
+        second.publishBans(ENTRIES);
         second.deleteOtherFiles();
-        ProcessHandover third = enter("3");
+        ProcessHandover third = open("3");
         assertTrue(second.hasSuccessor());
-        assertEquals(SOME, third.poll());
+        assertEquals(ENTRIES, third.poll());
         second.close();
         third.close();
     }
 
-    /** Guards against what is written within the same tick of the clock that files are stamped with. */
+    /** Guards against missing a change that is written within the same tick of the file timestamps. */
     @Test
-    void whatChangesWithoutANewTimeIsReadToo() throws IOException {
-        ProcessHandover first = enter("1");
-        ProcessHandover second = enter("2");
-        FileTime then = FileTime.fromMillis(1_000_000);
+    void changeWithinTheSameFileTimestampIsRead() throws IOException {
+        ProcessHandover first = open("1");
+        ProcessHandover second = open("2");
+        FileTime timestamp = FileTime.fromMillis(1_000_000);
         for (boolean out : List.of(true, false, true)) {
             Map<String, ServerBans.Entry> entries = Map.of("s", new ServerBans.Entry(out, out ? 5 : 55));
             first.publishBans(entries);
-            Files.setLastModifiedTime(folder.resolve("gatefront-bans-1"), then);
+            Files.setLastModifiedTime(folder.resolve("gatefront-bans-1"), timestamp);
             assertEquals(entries, second.poll());
         }
         first.close();
@@ -71,25 +71,25 @@
     }
 
     @Test
-    void oneThatFailsBeforeItServesIsForgotten() throws IOException {
-        ProcessHandover first = enter("1");
-        enter("2").close();
+    void successorThatFailsBeforeServingIsForgotten() throws IOException {
+        ProcessHandover first = open("1");
+        open("2").close();
         assertFalse(first.hasSuccessor());
         first.close();
     }
 
     @Test
-    void whatIsTornOldOrForeignIsToldAndNotBelieved() throws IOException {
-        String whole = BanFileFormat.write(SOME);
-        assertEquals(SOME, BanFileFormat.read(whole));
-        for (int cut = 0; cut < whole.length(); cut++) {
-            String part = whole.substring(0, cut);
+    void truncatedOldOrForeignFilesAreLoggedAndIgnored() throws IOException {
+        String text = BanFileFormat.write(ENTRIES);
+        assertEquals(ENTRIES, BanFileFormat.read(text));
+        for (int cut = 0; cut < text.length(); cut++) {
+            String part = text.substring(0, cut);
             assertThrows(IllegalArgumentException.class, () -> BanFileFormat.read(part), part);
         }
-        ProcessHandover first = enter("1");
+        ProcessHandover first = open("1");
         int lines = 0;
-        for (String text : List.of("", "lemonspan-bans 2\n", whole.replace("out", "in"), whole.substring(1), "\0")) {
-            Files.writeString(folder.resolve("gatefront-bans-x" + lines++), text);
+        for (String content : List.of("", "lemonspan-bans 2\n", text.replace("out", "in"), text.substring(1), "\0")) {
+            Files.writeString(folder.resolve("gatefront-bans-x" + lines++), content);
             assertEquals(Map.of(), first.poll());
             assertEquals(lines, log.size());
         }
