--- a/src/main/java/gatefront/membership/ServerBans.java
+++ b/src/main/java/gatefront/membership/ServerBans.java
@@ -10,143 +10,156 @@
 import java.util.Set;
 
 /**
- * Servers that operators have taken out by hand, laid over the list whatever it says. Out is a drain; put back is a
- * start at that time. The later entry for a server wins, so entries of several processes merge in any order.
+ * Manual drains: servers that operators have taken out of service, applied on top of the server list whatever the list
+ * says. A drained server is listed as {@link Phase#DRAINING}. A server that is put back counts as started at that time.
+ * For each server the entry with the later time wins, so entries of several processes can be merged in any order.
  *
- * <p>State: the list as last told, bounded as that is; an entry for each server taken out or put back. One put back
- * goes when the list has dropped the server and {@link #KEPT} has passed; one out stays until the call back, and no
- * more than {@link #MOST} are taken.
+ * <p>State: the most recent server list, and one entry for each server that was drained or put back. The entry of a
+ * server that was put back is removed once the server is no longer listed and
+ * {@link #READMITTED_RETENTION_MICROS} has passed; the entry of a drained server stays until the server is put back.
+ * At most {@link #MAX_ENTRIES} entries are held.
  */
 public final class ServerBans {
-    /** Entries at the most; calls beyond are answered with a no. */
-    public static final int MOST = 10_000;
-    /** A server put back that is listed no more is remembered for this long, for the other process to hear of it. */
-    static final long KEPT = 60_000_000;
+    /** The maximum number of entries; drains beyond it are refused. */
+    public static final int MAX_ENTRIES = 10_000;
+    /**
+     * How long the entry of a server that was put back is kept after the server has left the list, so that the other
+     * process of this agent learns of it.
+     */
+    static final long READMITTED_RETENTION_MICROS = 60_000_000;
 
-    /** Whether a server is out, and since when that holds, in microseconds of the time of day. */
-    public record Entry(boolean out, long at) {
-        boolean later(Entry other) {
-            return other == null || at > other.at || at == other.at && out && !other.out;
+    /**
+     * The last manual change of a server.
+     *
+     * @param drained whether the server is drained; false if it was put back
+     * @param changedAtMicros when that was changed, in microseconds of the time of day
+     */
+    public record Entry(boolean drained, long changedAtMicros) {
+        boolean supersedes(Entry other) {
+            return other == null
+                    || changedAtMicros > other.changedAtMicros
+                    || changedAtMicros == other.changedAtMicros && drained && !other.drained;
         }
     }
 
-    /** What a call has come to. */
-    public enum Answer {
-        /** Done, or so already. */
-        YES,
-        /** Nobody has this id. */
-        UNKNOWN,
-        /** Too many. */
-        FULL
+    /** The result of a manual drain or of putting a server back. */
+    public enum Outcome {
+        /** The server is in the requested state, possibly since before. */
+        APPLIED,
+        /** No server of this name is listed or has an entry. */
+        UNKNOWN_SERVER,
+        /** The maximum number of entries is reached. */
+        TOO_MANY
     }
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final Map<String, Endpoint> listed = new LinkedHashMap<>();
     private boolean changed;
 
-    /** The list has changed; what of it goes on to the engine. */
-    public List<Endpoint> told(ListKind kind, List<Endpoint> endpoints) {
+    /** Applies an update of the server list; returns the same servers with manual drains applied, for the engine. */
+    public List<Endpoint> update(ListKind kind, List<Endpoint> endpoints) {
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
             listed.clear();
         }
-        List<Endpoint> laid = new ArrayList<>(endpoints.size());
-        for (Endpoint each : endpoints) {
-            if (each.server().phase() == Phase.GONE) {
-                listed.remove(each.name());
+        List<Endpoint> effective = new ArrayList<>(endpoints.size());
+        for (Endpoint endpoint : endpoints) {
+            if (endpoint.server().phase() == Phase.GONE) {
+                listed.remove(endpoint.name());
             } else {
-                listed.put(each.name(), each);
+                listed.put(endpoint.name(), endpoint);
             }
-            laid.add(laid(each));
+            effective.add(applyBan(endpoint));
         }
-        return laid;
+        return effective;
     }
 
-    /** An operator's call. */
-    public Answer call(String name, boolean out, long now) {
+    /** Drains a server manually ({@code drained}) or puts it back. */
+    public Outcome setDrained(String name, boolean drained, long now) {
         Entry before = entries.get(name);
         if (before == null && !listed.containsKey(name)) {
-            return Answer.UNKNOWN;
+            return Outcome.UNKNOWN_SERVER;
         }
-        if ((before != null && before.out) == out) {
-            return Answer.YES; // two calls out need one call back
+        if ((before != null && before.drained) == drained) {
+            return Outcome.APPLIED; // drains are not counted: one call puts the server back
         }
-        forget(now);
-        if (before == null && entries.size() >= MOST) {
-            return Answer.FULL;
+        evictExpired(now);
+        if (before == null && entries.size() >= MAX_ENTRIES) {
+            return Outcome.TOO_MANY;
         }
-        entries.put(name, new Entry(out, before == null ? now : Math.max(now, before.at + 1)));
+        entries.put(name, new Entry(drained, before == null ? now : Math.max(now, before.changedAtMicros + 1)));
         changed = true;
-        return Answer.YES;
+        return Outcome.APPLIED;
     }
 
-    /** What another process has; the lines of the list that are to be told anew. */
+    /** Merges the entries of another process; returns the listed servers that change by it. */
     public List<Endpoint> merge(Map<String, Entry> others) {
         Set<String> touched = new HashSet<>();
         others.forEach((name, entry) -> {
-            if (entry.later(entries.get(name)) && (entries.containsKey(name) || entries.size() < MOST)) {
+            if (entry.supersedes(entries.get(name)) && (entries.containsKey(name) || entries.size() < MAX_ENTRIES)) {
                 entries.put(name, entry);
                 touched.add(name);
             }
         });
         changed |= !touched.isEmpty();
-        List<Endpoint> laid = new ArrayList<>();
-        touched.forEach(name -> laid.addAll(line(name)));
-        return laid;
+        List<Endpoint> effective = new ArrayList<>();
+        touched.forEach(name -> effective.addAll(effectiveEndpoint(name)));
+        return effective;
     }
 
-    /** The line of one server as it is to be told now; none if it is not listed. */
-    public List<Endpoint> line(String name) {
+    /** Returns a server as listed, with its manual drain applied; empty if it is not listed. */
+    public List<Endpoint> effectiveEndpoint(String name) {
         Endpoint endpoint = listed.get(name);
-        return endpoint == null ? List.of() : List.of(laid(endpoint));
+        return endpoint == null ? List.of() : List.of(applyBan(endpoint));
     }
 
-    /** All entries, as other processes are to know them. */
+    /** Returns all entries, for other processes. */
     public Map<String, Entry> entries() {
         return Map.copyOf(entries);
     }
 
-    /** Whether entries have changed since this was last asked. */
-    public boolean changed() {
-        boolean was = changed;
+    /** Returns whether entries have changed since the last call. */
+    public boolean takeChanged() {
+        boolean result = changed;
         changed = false;
-        return was;
+        return result;
     }
 
-    /** Whether a server is out, listed or not. */
-    public boolean isOut(String name) {
+    /** Returns whether a server is manually drained, listed or not. */
+    public boolean isDrained(String name) {
         Entry entry = entries.get(name);
-        return entry != null && entry.out;
+        return entry != null && entry.drained;
     }
 
-    /** How many listed servers are out. */
-    public int out() {
-        int out = 0;
-        for (Map.Entry<String, Entry> each : entries.entrySet()) {
-            out += each.getValue().out && listed.containsKey(each.getKey()) ? 1 : 0;
+    /** Returns the number of listed servers that are manually drained. */
+    public int drainedCount() {
+        int count = 0;
+        for (Map.Entry<String, Entry> entry : entries.entrySet()) {
+            count += entry.getValue().drained && listed.containsKey(entry.getKey()) ? 1 : 0;
         }
-        return out;
+        return count;
     }
 
-    private void forget(long now) {
+    private void evictExpired(long now) {
         entries.entrySet()
-                .removeIf(each ->
-                        !each.getValue().out && !listed.containsKey(each.getKey()) && now - each.getValue().at > KEPT);
+                .removeIf(entry -> !entry.getValue().drained
+                        && !listed.containsKey(entry.getKey())
+                        && now - entry.getValue().changedAtMicros > READMITTED_RETENTION_MICROS);
     }
 
-    private Endpoint laid(Endpoint endpoint) {
+    private Endpoint applyBan(Endpoint endpoint) {
         Entry entry = entries.get(endpoint.name());
         if (entry == null || endpoint.server().phase() == Phase.GONE) {
             return endpoint;
         }
-        return entry.out
+        return entry.drained
                 ? endpoint.with(
                         Phase.DRAINING,
                         endpoint.server().weight(),
                         endpoint.server().startedAt())
-                // Put back: operators have restarted it meanwhile, and the list may not say so, or later.
+                // Put back: operators may have restarted the server, which the list may report late or never.
                 : endpoint.with(
                         endpoint.server().phase(),
                         endpoint.server().weight(),
-                        Math.max(endpoint.server().startedAt(), entry.at));
+                        Math.max(endpoint.server().startedAt(), entry.changedAtMicros));
     }
 }
--- a/src/main/java/gatefront/persistence/RecoveryRecordCodec.java
+++ b/src/main/java/gatefront/persistence/RecoveryRecordCodec.java
@@ -11,34 +11,36 @@
 import java.util.Map;
 
 /**
- * The records of what is kept, as protobuf messages behind a byte for the kind; {@code docs/design/recovery.md} has the
- * fields. Unknown fields are skipped; an unknown kind is a newer program's, and nothing of the store is believed then.
+ * Encodes and decodes the records of a {@link RecoveryStore}: a byte for the kind, followed by a protobuf message whose
+ * fields are described in {@code docs/design/recovery.md}. Unknown fields are skipped. An unknown kind was written by a
+ * newer version of the program, and the whole store is rejected.
  */
 final class RecoveryRecordCodec implements RecordConsumer {
-    private static final byte LIFE = 'L';
-    private static final byte MARK = 'M';
-    private static final byte BAN = 'B';
-    private static final byte FORGOTTEN = 'F';
-    private static final byte LIST = 'S';
-    private static final int NAME = 1;
-    private static final int AT = 2;
-    private static final int NUMBER = 3;
-    private static final int OUT = 4;
-    private static final int BYTES = 5;
-    private static final int FIELDS = 6;
+    private static final byte KIND_START = 'L';
+    private static final byte KIND_ALIVE_MARK = 'M';
+    private static final byte KIND_BAN = 'B';
+    private static final byte KIND_BAN_REMOVAL = 'F';
+    private static final byte KIND_SERVER_LIST = 'S';
+    private static final int FIELD_NAME = 1;
+    private static final int FIELD_TIME = 2;
+    private static final int FIELD_START_NUMBER = 3;
+    private static final int FIELD_DRAINED = 4;
+    private static final int FIELD_BYTES = 5;
+    /** One more than the highest field number. */
+    private static final int FIELD_NUMBER_END = 6;
 
     private final Map<String, ServerBans.Entry> bans = new LinkedHashMap<>();
     private String instance;
-    private long life;
-    private long upTo = -1;
-    private long listAt = -1;
-    private byte[] list;
+    private long startNumber;
+    private long writtenUntilMicros = -1;
+    private long serverListMicros = -1;
+    private byte[] serverList;
 
-    private interface Fields {
+    private interface FieldWriter {
         void write(CodedOutputStream out) throws IOException;
     }
 
-    private static byte[] message(byte kind, Fields fields) {
+    private static byte[] encode(byte kind, FieldWriter fields) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(32);
         bytes.write(kind);
         CodedOutputStream out = CodedOutputStream.newInstance(bytes);
@@ -46,106 +48,113 @@
             fields.write(out);
             out.flush();
         } catch (IOException e) {
-            throw new IllegalStateException(e); // an array takes all
+            throw new IllegalStateException(e); // cannot happen: the output is an array in memory
         }
         return bytes.toByteArray();
     }
 
-    /** An instance has started, for the n-th time. */
-    static byte[] life(String instance, long life, long at) {
-        return message(LIFE, out -> {
-            out.writeString(NAME, instance);
-            out.writeSInt64(AT, at);
-            out.writeUInt64(NUMBER, life);
+    /** Encodes that an instance has started, with the number of the start and its time in microseconds. */
+    static byte[] start(String instance, long startNumber, long timeMicros) {
+        return encode(KIND_START, out -> {
+            out.writeString(FIELD_NAME, instance);
+            out.writeSInt64(FIELD_TIME, timeMicros);
+            out.writeUInt64(FIELD_START_NUMBER, startNumber);
         });
     }
 
-    /** It is still there. */
-    static byte[] mark(long at) {
-        return message(MARK, out -> out.writeSInt64(AT, at));
+    /** Encodes that the instance was running at a time. */
+    static byte[] aliveMark(long timeMicros) {
+        return encode(KIND_ALIVE_MARK, out -> out.writeSInt64(FIELD_TIME, timeMicros));
     }
 
-    /** Staff have taken a server out, or put it back. */
+    /** Encodes that operators have drained a server or put it back. */
     static byte[] ban(String name, ServerBans.Entry entry) {
-        return message(BAN, out -> {
-            out.writeString(NAME, name);
-            out.writeSInt64(AT, entry.at());
-            out.writeBool(OUT, entry.out());
+        return encode(KIND_BAN, out -> {
+            out.writeString(FIELD_NAME, name);
+            out.writeSInt64(FIELD_TIME, entry.changedAtMicros());
+            out.writeBool(FIELD_DRAINED, entry.drained());
         });
     }
 
-    /** Nothing is known of a server any more. */
-    static byte[] forgotten(String name) {
-        return message(FORGOTTEN, out -> out.writeString(NAME, name));
+    /** Encodes that the entry of a server has been removed. */
+    static byte[] banRemoval(String name) {
+        return encode(KIND_BAN_REMOVAL, out -> out.writeString(FIELD_NAME, name));
     }
 
-    /** Whether a record says only that there is nothing any more. */
-    static boolean ends(byte[] record) {
-        return record[0] == FORGOTTEN;
+    /** Returns whether a record only removes an earlier one. */
+    static boolean isRemoval(byte[] record) {
+        return record[0] == KIND_BAN_REMOVAL;
     }
 
-    /** The whole list. */
-    static byte[] list(long at, byte[] list) {
-        return message(LIST, out -> {
-            out.writeSInt64(AT, at);
-            out.writeByteArray(BYTES, list);
+    /** Encodes the full server list and the time at which it was valid. */
+    static byte[] serverList(long timeMicros, byte[] list) {
+        return encode(KIND_SERVER_LIST, out -> {
+            out.writeSInt64(FIELD_TIME, timeMicros);
+            out.writeByteArray(FIELD_BYTES, list);
         });
     }
 
     @Override
     public void snapshot(byte[] record) throws IOException {
-        take(record);
+        apply(record);
     }
 
     @Override
     public void record(long number, byte[] record) throws IOException {
-        take(record);
+        apply(record);
     }
 
-    private void take(byte[] record) throws IOException {
+    private void apply(byte[] record) throws IOException {
         String name = "";
         byte[] bytes = null;
-        long[] numbers = new long[FIELDS];
+        long[] numbers = new long[FIELD_NUMBER_END];
         CodedInputStream in =
                 CodedInputStream.newInstance(record, Math.min(1, record.length), Math.max(0, record.length - 1));
         for (int tag; (tag = in.readTag()) != 0; ) {
             switch (WireFormat.getTagFieldNumber(tag)) {
-                case NAME -> name = in.readStringRequireUtf8();
-                case AT -> numbers[AT] = in.readSInt64();
-                case NUMBER, OUT -> numbers[WireFormat.getTagFieldNumber(tag)] = in.readUInt64();
-                case BYTES -> bytes = in.readByteArray();
+                case FIELD_NAME -> name = in.readStringRequireUtf8();
+                case FIELD_TIME -> numbers[FIELD_TIME] = in.readSInt64();
+                case FIELD_START_NUMBER, FIELD_DRAINED -> numbers[WireFormat.getTagFieldNumber(tag)] = in.readUInt64();
+                case FIELD_BYTES -> bytes = in.readByteArray();
                 default -> {
                     if (!in.skipField(tag)) {
-                        throw new IOException("a record ends in the middle of a group");
+                        throw new IOException("malformed record: unexpected end-group tag " + tag);
                     }
                 }
             }
         }
         switch (record.length == 0 ? 0 : record[0]) {
-            case LIFE -> {
+            case KIND_START -> {
                 instance = name;
-                life = numbers[NUMBER];
-                upTo = numbers[AT];
+                startNumber = numbers[FIELD_START_NUMBER];
+                writtenUntilMicros = numbers[FIELD_TIME];
             }
-            case MARK -> upTo = numbers[AT];
-            case BAN -> {
-                if (name.isEmpty() || bans.size() >= ServerBans.MOST && !bans.containsKey(name)) {
-                    throw new IOException("a call by hand without a name, or one too many");
+            case KIND_ALIVE_MARK -> writtenUntilMicros = numbers[FIELD_TIME];
+            case KIND_BAN -> {
+                if (name.isEmpty()) {
+                    throw new IOException("record of a manual drain has no server name");
                 }
-                bans.put(name, new ServerBans.Entry(numbers[OUT] != 0, numbers[AT]));
-                upTo = Math.max(upTo, numbers[AT]);
+                if (bans.size() >= ServerBans.MAX_ENTRIES && !bans.containsKey(name)) {
+                    throw new IOException("more than " + ServerBans.MAX_ENTRIES + " manual drains in the store");
+                }
+                bans.put(name, new ServerBans.Entry(numbers[FIELD_DRAINED] != 0, numbers[FIELD_TIME]));
+                writtenUntilMicros = Math.max(writtenUntilMicros, numbers[FIELD_TIME]);
             }
-            case FORGOTTEN -> bans.remove(name);
-            case LIST -> {
-                listAt = numbers[AT];
-                list = bytes;
+            case KIND_BAN_REMOVAL -> bans.remove(name);
+            case KIND_SERVER_LIST -> {
+                serverListMicros = numbers[FIELD_TIME];
+                serverList = bytes;
             }
-            default -> throw new IOException("a record is of no kind that is known here; a newer program wrote it");
+            default -> throw new IOException(
+                    record.length == 0
+                            ? "record is empty, expected a kind"
+                            : "unknown record kind " + record[0] + "; written by a newer version");
         }
     }
 
-    /** What has been read so far. */
-    StoredState kept() {
-        return new StoredState(instance, life, upTo, Map.copyOf(bans), listAt, list);
+    /** Returns what has been read so far. */
+    StoredState contents() {
+        return new StoredState(
+                instance, startNumber, writtenUntilMicros, Map.copyOf(bans), serverListMicros, serverList);
     }
 }
--- a/src/main/java/gatefront/persistence/RecoveryStore.java
+++ b/src/main/java/gatefront/persistence/RecoveryStore.java
@@ -25,29 +25,40 @@
 import java.util.function.LongSupplier;
 
 /**
- * Keeps what an instance is to know again. The owner's loop hands records over; a thread of the keeper's own writes all
- * that have come together as one frame, forces it, and tells the loop. One hand-over is out at a time.
+ * Persists the state that an instance restores at its next start. The agent's event loop enqueues records; a writer
+ * thread owned by this store appends all records that have accumulated as one frame, syncs it to disk, and reports the
+ * result back on the event loop. At most one write is in progress at a time.
  *
- * <p>A store that cannot be believed is set aside, for staff, beside its folder ({@link #ASIDE_MOST} of them are kept),
- * and a new one is begun. State: what waits, by what it is about, so that it is bounded by {@link ServerBans#MOST}, a
- * list and a mark; on the thread, the same as last written, for snapshots.
+ * <p>A store that cannot be used (damaged, or of another instance) is moved to a sibling folder for operators to
+ * examine, and a new store is created. Up to {@link #MAX_SET_ASIDE} such folders are kept.
+ *
+ * <p>State: on the event loop, one pending record for each key (a server's name, the server list, the alive mark),
+ * which bounds it by {@link ServerBans#MAX_ENTRIES} plus two; on the writer thread, the last written record of each
+ * key, for snapshots.
  */
 public final class RecoveryStore {
-    /** Stores set aside at the most; a further one takes the place of the last. */
-    static final int ASIDE_MOST = 3;
-    /** Records in the log from which a snapshot takes their place. */
-    private static final int LOG_MOST = 5_000;
+    /** The maximum number of stores set aside; a further one replaces the last. */
+    static final int MAX_SET_ASIDE = 3;
+    /** The number of records written to the log after which a snapshot replaces them. */
+    private static final int COMPACT_AFTER_RECORDS = 5_000;
 
     private static final Store.Options OPTIONS = new Store.Options(SigningKeys.NONE, 1 << 20, 64 << 20);
 
-    /** What opening a store has come to. */
-    public record Opened(RecoveryStore keeper, StoredState kept, Recovery.Store state, String why) {}
+    /**
+     * The result of opening a store.
+     *
+     * @param store the store; if it could not be opened, each write tries again
+     * @param restored what could be read from it
+     * @param status the condition in which it was found
+     * @param detail text for operators; may be empty
+     */
+    public record Opened(RecoveryStore store, StoredState restored, Recovery.StoreStatus status, String detail) {}
 
-    /** What a store holds, and the first damage in it or null. */
-    public record Look(StoredState kept, String damage) {}
+    /** What a store holds, and a description of the first damage in it; null if there is none. */
+    public record Inspection(StoredState contents, String damage) {}
 
-    /** What waits to be written about one thing, and who is told. */
-    private record Waiting(byte[] record, List<Consumer<IOException>> told) {}
+    /** The record to be written for a key, and the callbacks that receive the result: null on success. */
+    private record PendingWrite(byte[] record, List<Consumer<IOException>> callbacks) {}
 
     private final Path folder;
     private final String instance;
@@ -60,15 +71,15 @@
         thread.setDaemon(true);
         return thread;
     });
-    // Of the loop:
-    private Map<String, Waiting> waiting = new LinkedHashMap<>();
-    private boolean out;
-    private boolean ended;
-    // Of the writer:
+    // Confined to the event loop:
+    private Map<String, PendingWrite> pendingWrites = new LinkedHashMap<>();
+    private boolean writeInProgress;
+    private boolean closed;
+    // Confined to the writer thread, after opening:
     private Store store;
-    private long logged;
-    private long life;
-    private final Map<String, byte[]> state = new LinkedHashMap<>();
+    private long recordsInLog;
+    private long startNumber;
+    private final Map<String, byte[]> lastWritten = new LinkedHashMap<>();
 
     private RecoveryStore(Path folder, String instance, Executor loop, LongSupplier clock) {
         this.folder = folder;
@@ -78,184 +89,204 @@
     }
 
     /**
-     * Opens an instance's store, or begins one, and tells what it was found to be. Blocks; before the loop serves.
+     * Opens the store of an instance, or creates one, and reports its condition. Blocks on file I/O, so it must be
+     * called before the event loop serves requests.
      *
-     * @param loop where those who hand something over are told
-     * @param clock the time of day in microseconds
+     * @param loop the executor on which results are reported
+     * @param clock returns the time of day in microseconds
      */
     public static Opened open(Path folder, String instance, Executor loop, LongSupplier clock) {
-        RecoveryStore keeper = new RecoveryStore(folder, instance, loop, clock);
-        RecoveryRecordCodec read = new RecoveryRecordCodec();
+        RecoveryStore recoveryStore = new RecoveryStore(folder, instance, loop, clock);
+        RecoveryRecordCodec codec = new RecoveryRecordCodec();
         try {
-            boolean there = Files.isDirectory(folder);
-            keeper.store = Store.open(new DirectoryDisk(folder), OPTIONS, read);
-            StoredState kept = read.kept();
-            if (kept.instance() != null && !kept.instance().equals(instance)) {
-                keeper.store.close();
-                String aside = keeper.anew();
+            boolean folderExists = Files.isDirectory(folder);
+            recoveryStore.store = Store.open(new DirectoryDisk(folder), OPTIONS, codec);
+            StoredState restored = codec.contents();
+            if (restored.instance() != null && !restored.instance().equals(instance)) {
+                recoveryStore.store.close();
+                String aside = recoveryStore.setAsideAndRecreate();
                 return new Opened(
-                        keeper,
-                        kept,
-                        Recovery.Store.ANOTHERS,
-                        "that of " + kept.instance() + "; it was set aside as " + aside);
+                        recoveryStore,
+                        restored,
+                        Recovery.StoreStatus.FOREIGN,
+                        "that of " + restored.instance() + ", expected " + instance + "; it was set aside as " + aside);
             }
-            keeper.begin(kept);
-            return kept.instance() == null
+            recoveryStore.recordStart(restored);
+            return restored.instance() == null
                     ? new Opened(
-                            keeper,
-                            StoredState.NOTHING,
-                            Recovery.Store.MISSING,
-                            there ? "the folder is empty" : "there is no folder")
-                    : new Opened(keeper, kept, Recovery.Store.WHOLE, "life " + (kept.life() + 1));
+                            recoveryStore,
+                            StoredState.EMPTY,
+                            Recovery.StoreStatus.MISSING,
+                            folderExists ? "the folder is empty" : "there is no folder")
+                    : new Opened(
+                            recoveryStore,
+                            restored,
+                            Recovery.StoreStatus.INTACT,
+                            "life " + (restored.startNumber() + 1));
         } catch (StoreInUseException e) {
-            return new Opened(keeper, StoredState.NOTHING, Recovery.Store.IN_USE, "");
+            return new Opened(recoveryStore, StoredState.EMPTY, Recovery.StoreStatus.IN_USE, "");
         } catch (CorruptStoreException e) {
             try {
-                String aside = keeper.anew();
+                String aside = recoveryStore.setAsideAndRecreate();
                 return new Opened(
-                        keeper, read.kept(), Recovery.Store.DAMAGED, e.getMessage() + "; it was set aside as " + aside);
-            } catch (IOException again) {
+                        recoveryStore,
+                        codec.contents(),
+                        Recovery.StoreStatus.DAMAGED,
+                        e.getMessage() + "; it was set aside as " + aside);
+            } catch (IOException recreation) {
                 return new Opened(
-                        keeper, read.kept(), Recovery.Store.UNUSABLE, e.getMessage() + "; and " + again.getMessage());
+                        recoveryStore,
+                        codec.contents(),
+                        Recovery.StoreStatus.UNUSABLE,
+                        e.getMessage() + "; and " + recreation.getMessage());
             }
         } catch (IOException e) {
-            return new Opened(keeper, StoredState.NOTHING, Recovery.Store.UNUSABLE, String.valueOf(e.getMessage()));
+            return new Opened(
+                    recoveryStore, StoredState.EMPTY, Recovery.StoreStatus.UNUSABLE, String.valueOf(e.getMessage()));
         }
     }
 
-    /** Looks at a store, which may be in use, and changes nothing. */
-    public static Look look(Path folder) throws IOException {
-        RecoveryRecordCodec read = new RecoveryRecordCodec();
-        StoreVerification verify = StoreVerification.of(DirectoryDisk.existing(folder), OPTIONS.keys(), read);
-        return new Look(
-                read.kept(), verify.damage() == null ? null : verify.damage().getMessage());
+    /** Reads a store, which may be in use, without changing it. */
+    public static Inspection inspect(Path folder) throws IOException {
+        RecoveryRecordCodec codec = new RecoveryRecordCodec();
+        StoreVerification verification = StoreVerification.of(DirectoryDisk.existing(folder), OPTIONS.keys(), codec);
+        return new Inspection(
+                codec.contents(),
+                verification.damage() == null ? null : verification.damage().getMessage());
     }
 
-    /** Sets what is there aside and begins anew. */
-    private String anew() throws IOException {
+    /** Moves the present store aside, creates a new one, and returns the path of the old one. */
+    private String setAsideAndRecreate() throws IOException {
         Path aside = null;
-        for (int i = 1; i <= ASIDE_MOST && (aside == null || Files.exists(aside)); i++) {
+        for (int i = 1; i <= MAX_SET_ASIDE && (aside == null || Files.exists(aside)); i++) {
             aside = folder.resolveSibling(folder.getFileName() + ".aside-" + i);
         }
         if (Files.exists(aside)) {
             try (var files = Files.list(aside)) {
-                for (Path each : files.toList()) {
-                    Files.delete(each);
+                for (Path file : files.toList()) {
+                    Files.delete(file);
                 }
             }
             Files.delete(aside);
         }
         Files.move(folder, aside);
         store = Store.open(new DirectoryDisk(folder), OPTIONS, new RecoveryRecordCodec());
-        begin(StoredState.NOTHING);
+        recordStart(StoredState.EMPTY);
         return aside.toString();
     }
 
-    private void begin(StoredState kept) throws StoreFailedException {
-        life = kept.life() + 1;
-        kept.bans().forEach((name, entry) -> state.put("ban " + name, RecoveryRecordCodec.ban(name, entry)));
-        if (kept.list() != null) {
-            state.put("list", RecoveryRecordCodec.list(kept.listAt(), kept.list()));
+    private void recordStart(StoredState restored) throws StoreFailedException {
+        startNumber = restored.startNumber() + 1;
+        restored.bans().forEach((name, entry) -> lastWritten.put("ban " + name, RecoveryRecordCodec.ban(name, entry)));
+        if (restored.serverList() != null) {
+            lastWritten.put("list", RecoveryRecordCodec.serverList(restored.serverListMicros(), restored.serverList()));
         }
-        byte[] record = RecoveryRecordCodec.life(instance, life, clock.getAsLong());
-        state.put("life", record);
+        byte[] record = RecoveryRecordCodec.start(instance, startNumber, clock.getAsLong());
+        lastWritten.put("life", record);
         store.append(List.of(record), true);
     }
 
-    /** A call by hand has changed something; told once it is on the disk, or cannot be. */
-    public void ban(String name, ServerBans.Entry entry, Consumer<IOException> told) {
-        add(
+    /**
+     * Stores the entry of a server.
+     *
+     * @param entry the entry; null removes it
+     * @param callback receives null once the entry is on disk, or the failure
+     */
+    public void saveBan(String name, ServerBans.Entry entry, Consumer<IOException> callback) {
+        enqueue(
                 "ban " + name,
-                entry == null ? RecoveryRecordCodec.forgotten(name) : RecoveryRecordCodec.ban(name, entry),
-                told);
+                entry == null ? RecoveryRecordCodec.banRemoval(name) : RecoveryRecordCodec.ban(name, entry),
+                callback);
     }
 
-    /** The whole list as it is now. */
-    public void list(long at, byte[] list) {
-        add("list", RecoveryRecordCodec.list(at, list), null);
+    /** Stores the full server list and the time at which it was valid, in microseconds of the time of day. */
+    public void saveServerList(long timeMicros, byte[] list) {
+        enqueue("list", RecoveryRecordCodec.serverList(timeMicros, list), null);
     }
 
-    /** This instance is there. */
-    public void mark() {
-        add("mark", RecoveryRecordCodec.mark(clock.getAsLong()), null);
+    /** Stores that this instance is running now. */
+    public void saveAliveMark() {
+        enqueue("mark", RecoveryRecordCodec.aliveMark(clock.getAsLong()), null);
     }
 
-    private void add(String about, byte[] record, Consumer<IOException> told) {
-        List<Consumer<IOException>> all = new ArrayList<>();
-        Waiting before = waiting.remove(about);
-        if (before != null) {
-            all.addAll(before.told);
+    private void enqueue(String key, byte[] record, Consumer<IOException> callback) {
+        List<Consumer<IOException>> callbacks = new ArrayList<>();
+        PendingWrite previous = pendingWrites.remove(key);
+        if (previous != null) {
+            callbacks.addAll(previous.callbacks);
         }
-        if (told != null) {
-            all.add(told);
+        if (callback != null) {
+            callbacks.add(callback);
         }
-        waiting.put(about, new Waiting(record, all));
-        handOver();
+        pendingWrites.put(key, new PendingWrite(record, callbacks));
+        startWrite();
     }
 
-    private void handOver() {
-        if (out || ended || waiting.isEmpty()) {
+    private void startWrite() {
+        if (writeInProgress || closed || pendingWrites.isEmpty()) {
             return;
         }
-        Map<String, Waiting> handed = waiting;
-        waiting = new LinkedHashMap<>();
-        out = true;
+        Map<String, PendingWrite> batch = pendingWrites;
+        pendingWrites = new LinkedHashMap<>();
+        writeInProgress = true;
         writer.execute(() -> {
-            IOException fault = write(handed);
+            IOException failure = write(batch);
             try {
                 loop.execute(() -> {
-                    out = false;
-                    handed.values().forEach(each -> each.told.forEach(told -> told.accept(fault)));
-                    handOver();
+                    writeInProgress = false;
+                    batch.values().forEach(write -> write.callbacks.forEach(callback -> callback.accept(failure)));
+                    startWrite();
                 });
             } catch (RejectedExecutionException e) {
-                out = false; // the agent has ended; nobody waits any more
+                writeInProgress = false; // the event loop has shut down; no callback is waiting
             }
         });
     }
 
-    /** On the writer. */
-    private IOException write(Map<String, Waiting> handed) {
+    /** Writes a batch, on the writer thread; returns the failure, or null. */
+    private IOException write(Map<String, PendingWrite> batch) {
         try {
             if (store == null) {
-                RecoveryRecordCodec read = new RecoveryRecordCodec();
-                store = Store.open(new DirectoryDisk(folder), OPTIONS, read); // the process before has ended, perhaps
-                begin(read.kept());
+                RecoveryRecordCodec codec = new RecoveryRecordCodec();
+                // The previous process may have ended by now.
+                store = Store.open(new DirectoryDisk(folder), OPTIONS, codec);
+                recordStart(codec.contents());
             }
-            store.append(handed.values().stream().map(Waiting::record).toList(), true);
-            handed.forEach((about, each) -> {
-                if (RecoveryRecordCodec.ends(each.record)) {
-                    state.remove(about);
+            store.append(batch.values().stream().map(PendingWrite::record).toList(), true);
+            batch.forEach((key, write) -> {
+                if (RecoveryRecordCodec.isRemoval(write.record)) {
+                    lastWritten.remove(key);
                 } else {
-                    state.put(about, each.record);
+                    lastWritten.put(key, write.record);
                 }
             });
-            logged += handed.size();
-            if (logged >= LOG_MOST) {
+            recordsInLog += batch.size();
+            if (recordsInLog >= COMPACT_AFTER_RECORDS) {
                 compact();
             }
             return null;
         } catch (IOException e) {
             return e;
-        } catch (RuntimeException e) { // a fault of ours; the caller is told, and the agent serves on
+        } catch (RuntimeException e) {
+            // A programming error: it is reported like a failed write, and the agent keeps serving.
             return new IOException(e.toString(), e);
         }
     }
 
     private void compact() throws StoreFailedException {
         Store.Snapshot snapshot = store.snapshot();
-        for (byte[] each : state.values()) {
-            snapshot.add(each);
+        for (byte[] record : lastWritten.values()) {
+            snapshot.add(record);
         }
         snapshot.finish();
-        logged = 0;
+        recordsInLog = 0;
     }
 
-    /** Writes what waits, and ends; {@code then} runs on the writer. */
+    /** Writes what is pending and closes the store; {@code then} runs on the writer thread. */
     public void close(Runnable then) {
-        mark();
-        ended = true;
-        Map<String, Waiting> last = waiting;
+        saveAliveMark();
+        closed = true;
+        Map<String, PendingWrite> last = pendingWrites;
         writer.execute(() -> {
             if (!last.isEmpty() && store != null) {
                 write(last);
@@ -265,7 +296,7 @@
                     store.close();
                 }
             } catch (IOException e) {
-                // what was to be kept has been told to be kept, or not
+                // the result of each write has been reported already
             } finally {
                 then.run();
             }
@@ -273,7 +304,7 @@
         writer.shutdown();
     }
 
-    /** Ends for an agent that never came up, and waits for it. */
+    /** Closes the store of an agent that failed to start, and waits up to a second for that. */
     public void abandon() {
         writer.execute(() -> {
             try {
@@ -281,7 +312,7 @@
                     store.close();
                 }
             } catch (IOException e) {
-                // it has told nobody that it keeps anything
+                // no write has been reported as successful
             }
         });
         writer.shutdown();
--- a/src/main/java/gatefront/recovery/StateKind.java
+++ b/src/main/java/gatefront/recovery/StateKind.java
@@ -1,20 +1,20 @@
 package gatefront.recovery;
 
-/** What an agent may know from before its start. */
+/** The kinds of state that an agent can restore at start. */
 public enum StateKind {
-    /** Servers that staff have taken out or put back by hand. */
+    /** Servers that operators have drained manually or put back. */
     BANS("calls by hand"),
-    /** The list of servers. */
-    LIST("the list");
+    /** The server list. */
+    SERVER_LIST("the list");
 
-    private final String words;
+    private final String label;
 
-    StateKind(String words) {
-        this.words = words;
+    StateKind(String label) {
+        this.label = label;
     }
 
-    /** As a line of the log has it. */
-    public String words() {
-        return words;
+    /** Returns the words used in log lines. */
+    public String label() {
+        return label;
     }
 }
--- a/src/main/java/gatefront/recovery/StateSource.java
+++ b/src/main/java/gatefront/recovery/StateSource.java
@@ -1,22 +1,22 @@
 package gatefront.recovery;
 
-/** From where an agent has it. */
+/** Where restored state comes from. */
 public enum StateSource {
-    /** The platform's file. */
+    /** The configuration file of the platform. */
     CONFIGURATION("the configuration"),
-    /** What this instance kept itself. */
+    /** The store written by this instance. */
     STORE("the store"),
     /** Another process of this instance, during an upgrade or before a restart. */
-    NEIGHBOUR("the process before");
+    PREVIOUS_PROCESS("the process before");
 
-    private final String words;
+    private final String label;
 
-    StateSource(String words) {
-        this.words = words;
+    StateSource(String label) {
+        this.label = label;
     }
 
-    /** As a line of the log has it. */
-    public String words() {
-        return words;
+    /** Returns the words used in log lines. */
+    public String label() {
+        return label;
     }
 }
--- a/src/main/java/gatefront/recovery/ValidationResult.java
+++ b/src/main/java/gatefront/recovery/ValidationResult.java
@@ -1,20 +1,15 @@
 package gatefront.recovery;
 
 /**
- * A verdict on a claim.
+ * The result of validating a piece of restored state.
  *
- * @param claim the claim
- * @param verdict what becomes of it
- * @param why in words for staff
+ * @param state the state that was validated
+ * @param trust how far it may be used
+ * @param reason the reason, for operators
  */
-public record ValidationResult(RestoredState claim, TrustLevel verdict, String why) {
-    /** As a line of the log. */
-    public String line() {
-        return claim.piece().words() + " from " + claim.source().words() + ": "
-                + switch (verdict) {
-                    case BELIEVED -> "believed";
-                    case DOUBTED -> "doubted";
-                    case DROPPED -> "dropped";
-                } + ", " + why;
+public record ValidationResult(RestoredState state, TrustLevel trust, String reason) {
+    /** Returns the result as text for a log line. */
+    public String logLine() {
+        return state.kind().label() + " from " + state.source().label() + ": " + trust.label() + ", " + reason;
     }
 }
--- a/src/main/java/gatefront/upgrade/ProcessHandover.java
+++ b/src/main/java/gatefront/upgrade/ProcessHandover.java
@@ -20,174 +20,179 @@
 import java.util.function.Consumer;
 
 /**
- * What two processes of one agent share in a folder while one takes over from the other: two locks, by which they know
- * of each other, and each one's bans in a file of its own. A lock goes with its process, however that ends. Owned by
- * the agent's loop; the files are small and in memory, so reading them there takes some microseconds.
+ * The state that two processes of one agent share in a folder while one takes over from the other: two locks, by which
+ * they detect each other, and a file with the manual drains of each process. A lock is released when its process ends,
+ * however it ends. Confined to the agent's event loop; the files are small and in the page cache, so reading them there
+ * takes a few microseconds.
  *
- * <p>State: the texts of others' files as last read, each dropped when its file is gone.
+ * <p>State: the text of each file of another process as last read, removed when the file is gone.
  */
 public final class ProcessHandover {
-    private static final String BANS = "gatefront-bans-";
-    private static final String SERVES = "gatefront-serves.lock";
-    private static final String COMES = "gatefront-comes.lock";
-    /** A longer file is none of ours. */
-    private static final long FILE_MAX = 4 << 20;
+    private static final String BAN_FILE_PREFIX = "gatefront-bans-";
+    private static final String SERVING_LOCK_FILE = "gatefront-serves.lock";
+    private static final String SUCCESSOR_LOCK_FILE = "gatefront-comes.lock";
+    /** The maximum file size; a longer file was not written by this program. */
+    private static final long MAX_FILE_BYTES = 4 << 20;
 
     private final Path folder;
-    private final Path own;
+    private final Path ownFile;
     private final Consumer<String> log;
-    private final FileChannel serves;
-    private final FileChannel comes;
-    private FileLock serving;
-    private FileLock coming;
-    private String said = "";
-    private final Map<Path, String> seen = new HashMap<>();
+    private final FileChannel servingChannel;
+    private final FileChannel successorChannel;
+    private FileLock servingLock;
+    private FileLock successorLock;
+    private String lastError = "";
+    private final Map<Path, String> lastRead = new HashMap<>();
 
     /**
-     * Takes its place in the folder.
+     * Opens the shared folder and tries to acquire the serving lock, or else the lock of the successor.
      *
-     * @param folder common to both processes
-     * @param name of this process, not used by another
-     * @param log gets a line for each file that is not believed
+     * @param folder the folder shared by both processes
+     * @param name the name of this process, which no other process uses
+     * @param log receives a line for each file that is ignored
      * @throws IOException if the folder cannot be used
      */
     public ProcessHandover(Path folder, String name, Consumer<String> log) throws IOException {
         this.folder = folder;
-        this.own = folder.resolve(BANS + name);
+        this.ownFile = folder.resolve(BAN_FILE_PREFIX + name);
         this.log = log;
-        this.serves = open(SERVES);
-        this.comes = open(COMES);
-        this.serving = lock(serves);
-        this.coming = serving == null ? lock(comes) : null;
+        this.servingChannel = open(SERVING_LOCK_FILE);
+        this.successorChannel = open(SUCCESSOR_LOCK_FILE);
+        this.servingLock = tryLock(servingChannel);
+        this.successorLock = servingLock == null ? tryLock(successorChannel) : null;
     }
 
     private FileChannel open(String name) throws IOException {
         return FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     }
 
-    private static FileLock lock(FileChannel file) throws IOException {
+    private static FileLock tryLock(FileChannel file) throws IOException {
         try {
             return file.tryLock();
         } catch (OverlappingFileLockException e) {
-            return null; // another agent of this process has it
+            return null; // another agent in this JVM holds the lock
         }
     }
 
-    /** Whether another process serves, and this one is to take over from it. */
-    public boolean follows() {
-        return serving == null;
+    /** Returns whether another process serves and this one is to take over from it. */
+    public boolean isSuccessor() {
+        return servingLock == null;
     }
 
-    /** Whether another process is there to take over from this one. */
-    public boolean followed() {
-        if (serving == null) {
+    /** Returns whether another process is waiting to take over from this one. */
+    public boolean hasSuccessor() {
+        if (servingLock == null) {
             return false;
         }
         try {
-            FileLock free = lock(comes);
-            if (free != null) {
-                free.release();
+            FileLock lock = tryLock(successorChannel);
+            if (lock != null) {
+                lock.release();
             }
-            return free == null;
+            return lock == null;
         } catch (IOException e) {
-            trouble(e);
+            logOnce(e);
             return false;
         }
     }
 
     /**
-     * Looks at the folder: whether the other process has ended, and what bans it has told since.
+     * Checks the folder: whether the other process has ended, and which manual drains it has published since.
      *
-     * @return entries that have changed, to be merged
+     * @return the entries of all files that have changed, to be merged
      */
-    public Map<String, ServerBans.Entry> look() {
-        Map<String, ServerBans.Entry> told = new LinkedHashMap<>();
-        Set<Path> there = new HashSet<>();
+    public Map<String, ServerBans.Entry> poll() {
+        Map<String, ServerBans.Entry> changed = new LinkedHashMap<>();
+        Set<Path> present = new HashSet<>();
         try {
-            if (serving == null) {
-                // The other one tries this lock for a moment, to find out whether somebody has it.
-                coming = coming == null ? lock(comes) : coming;
-                serving = lock(serves);
-                if (serving != null && coming != null) {
-                    coming.release();
-                    coming = null;
+            if (servingLock == null) {
+                // Retried: the serving process briefly acquires this lock to find out whether it has a successor.
+                successorLock = successorLock == null ? tryLock(successorChannel) : successorLock;
+                servingLock = tryLock(servingChannel);
+                if (servingLock != null && successorLock != null) {
+                    successorLock.release();
+                    successorLock = null;
                 }
             }
-            try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, BANS + "*")) {
-                for (Path each : files) {
-                    if (!each.equals(own) && !each.toString().endsWith(".new")) {
-                        there.add(each);
-                        read(each, told);
+            try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, BAN_FILE_PREFIX + "*")) {
+                for (Path file : files) {
+                    if (!file.equals(ownFile) && !file.toString().endsWith(".new")) {
+                        present.add(file);
+                        read(file, changed);
                     }
                 }
             }
         } catch (NoSuchFileException e) {
-            there.addAll(seen.keySet()); // one that goes just now; the next look has the rest
+            present.addAll(lastRead.keySet()); // a file was deleted during the listing; the next poll reads the rest
         } catch (IOException | DirectoryIteratorException e) {
-            trouble(new IOException(e));
+            logOnce(new IOException(e));
         }
-        seen.keySet().retainAll(there);
-        return told;
+        lastRead.keySet().retainAll(present);
+        return changed;
     }
 
-    /** Whether files of other processes were there at the last look. */
-    public boolean others() {
-        return !seen.isEmpty();
+    /** Returns whether files of other processes existed at the last poll. */
+    public boolean hasOtherFiles() {
+        return !lastRead.isEmpty();
     }
 
     private void read(Path file, Map<String, ServerBans.Entry> into) throws IOException {
         try {
-            if (Files.size(file) > FILE_MAX) {
-                throw new IllegalArgumentException("too long");
+            long size = Files.size(file);
+            if (size > MAX_FILE_BYTES) {
+                throw new IllegalArgumentException("file of " + size + " bytes, expected at most " + MAX_FILE_BYTES);
             }
-            // Not by its time: two calls may come within one tick of the clock that files are stamped with.
+            // Compared by content: two changes may fall within one tick of the file timestamps.
             String text = Files.readString(file);
-            if (!text.equals(seen.put(file, text))) {
+            if (!text.equals(lastRead.put(file, text))) {
                 into.putAll(BanFileFormat.read(text));
             }
         } catch (IllegalArgumentException | java.nio.charset.CharacterCodingException e) {
-            log.accept("upgrade: " + file.getFileName() + " is not believed: " + e.getMessage());
+            log.accept("upgrade: " + file.getFileName() + " is ignored: " + e.getMessage());
         }
     }
 
-    /** Tells the other process, and the next one, what bans there are. */
-    public void tell(Map<String, ServerBans.Entry> entries) {
-        Path fresh = folder.resolve(own.getFileName() + ".new");
+    /** Publishes the manual drains to the other process and to later ones. */
+    public void publishBans(Map<String, ServerBans.Entry> entries) {
+        Path temporary = folder.resolve(ownFile.getFileName() + ".new");
         try {
-            Files.writeString(fresh, BanFileFormat.write(entries));
-            Files.move(fresh, own, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.writeString(temporary, BanFileFormat.write(entries));
+            Files.move(temporary, ownFile, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            trouble(new IOException("bans cannot be written", e));
+            logOnce(new IOException("cannot write manual drains to " + ownFile, e));
         }
     }
 
-    /** Once alone: files of processes that have ended have been merged and told anew, and go. */
-    public void tidy() {
-        for (Path each : seen.keySet()) {
+    /**
+     * Deletes the files of processes that have ended, once no other process is running; their entries have been merged
+     * and published again by this process.
+     */
+    public void deleteOtherFiles() {
+        for (Path file : lastRead.keySet()) {
             try {
-                Files.deleteIfExists(each);
+                Files.deleteIfExists(file);
             } catch (IOException e) {
-                trouble(e);
+                logOnce(e);
             }
         }
-        seen.clear();
+        lastRead.clear();
     }
 
-    /** This process is about to end: its place is free, and what it has told stays. */
+    /** Releases the locks of this process before it ends; its published file remains. */
     public void close() {
         try {
-            serves.close();
-            comes.close();
+            servingChannel.close();
+            successorChannel.close();
         } catch (IOException e) {
-            trouble(e);
+            logOnce(e);
         }
     }
 
-    /** Says it once: what is wrong with a folder is wrong at each look. */
-    private void trouble(IOException e) {
+    /** Logs an error unless it is the same as the last: a broken folder fails at each poll. */
+    private void logOnce(IOException e) {
         String line = "upgrade: " + e;
-        if (!line.equals(said)) {
-            said = line;
+        if (!line.equals(lastError)) {
+            lastError = line;
             log.accept(line);
         }
     }
