--- a/src/main/java/gatefront/agent/Agent.java
+++ b/src/main/java/gatefront/agent/Agent.java
@@ -149,7 +149,7 @@
             public void failed(String why) {
                 say("discovery: " + why);
                 if (config.settings().askDiscovery()) {
-                    engine.servers(Balancer.ListKind.FAILED, List.of());
+                    engine.updateServers(Balancer.ListKind.FAILED, List.of());
                 }
             }
         });
@@ -186,11 +186,11 @@
                         engine,
                         this::servers,
                         () -> listed = true);
-        clients = new HttpFrontend(transport, config, each, this::ready, budget, engine.through(backends));
+        clients = new HttpFrontend(transport, config, each, this::ready, budget, engine.listenerFor(backends));
         fronts.add(clients);
         if (thrift != null) {
             fronts.add(new ThriftFrontend(
-                    transport, config, thrift, each, this::ready, budget, engine.through(overThrift)));
+                    transport, config, thrift, each, this::ready, budget, engine.listenerFor(overThrift)));
         }
         operations = config.management() == null ? null : operations(this, neighbour);
     }
@@ -259,11 +259,14 @@
     public static Agent start(Path config, Path extensions, String management, Path shared) throws IOException {
         Config read = Config.read(config).managedAt(management);
         return serve(
-                read, extensions == null ? Extensions.NONE : Extensions.read(extensions, read), shared, Engine::usual);
+                read,
+                extensions == null ? Extensions.NONE : Extensions.read(extensions, read),
+                shared,
+                Engine::createDefaultBalancer);
     }
 
     static Agent start(Config config) throws IOException {
-        return start(config, Engine::usual);
+        return start(config, Engine::createDefaultBalancer);
     }
 
     /** With another module than the usual one. */
@@ -273,12 +276,12 @@
 
     /** With what an installation has besides. */
     static Agent start(Config config, Extensions extensions) throws IOException {
-        return serve(config, extensions, null, Engine::usual);
+        return serve(config, extensions, null, Engine::createDefaultBalancer);
     }
 
     /** With a folder that it shares with other processes of the same agent. */
     static Agent start(Config config, Path shared) throws IOException {
-        return serve(config, Extensions.NONE, shared, Engine::usual);
+        return serve(config, Extensions.NONE, shared, Engine::createDefaultBalancer);
     }
 
     private static Agent serve(Config config, Extensions extensions, Path shared, Function<Engine, Balancer> module)
@@ -298,7 +301,7 @@
             } catch (IOException e) {
                 throw agent.unable(e.getMessage());
             }
-            agent.engine.usage(agent.keeper.usage());
+            agent.engine.setUsageMeter(agent.keeper.usage());
         }
         if (extensions.recovery() != null) {
             agent.recovering = StateRecovery.open(sockets, extensions.recovery(), config);
@@ -384,7 +387,7 @@
         // Guards against sending to what the list before had and this one has not: a new process is told from its first
         // moment, and the list it starts with may be old. Harm: with nobody to tell, calls wait for so long.
         long grace = Math.min(FIRST_LIST_MS, config.settings().obligations().drainGrace() / 1_000);
-        engine.wakes(StallDetector.starting(transport.nanos() / 1_000, grace * 1_000), grace, () -> {});
+        engine.setStallDetector(StallDetector.starting(transport.nanos() / 1_000, grace * 1_000), grace, () -> {});
         Discovery.Listing known;
         try {
             known = Discovery.decode(recovering == null ? config.known() : recovering.known(config.known()), config);
@@ -440,7 +443,7 @@
     private void wakes() {
         long grace = config.settings().obligations().drainGrace();
         StallDetector waking = new StallDetector(Math.max(BEAT_MS * 2_000, grace - BEAT_MS * 1_000), HEAR_MICROS);
-        engine.wakes(waking, HEAR_MICROS / 1000, () -> {
+        engine.setStallDetector(waking, HEAR_MICROS / 1000, () -> {
             say(String.format(
                     Locale.ROOT,
                     "recovery: it stood still for %.1f s; nothing is sent on before the list "
@@ -451,7 +454,7 @@
                 discovery.fetch();
             }
         });
-        loop.scheduleWithFixedDelay(engine::beat, BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(engine::checkForStall, BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
     }
 
     private void sayWhere() {
@@ -468,9 +471,9 @@
         if (recovering != null) {
             recovering.told(kind, endpoints);
         }
-        engine.servers(kind, operations == null ? endpoints : operations.told(kind, endpoints));
+        engine.updateServers(kind, operations == null ? endpoints : operations.told(kind, endpoints));
         if (kind == Balancer.ListKind.FULL) {
-            engine.heard();
+            engine.fullListReceived();
             serves();
         }
     }
@@ -562,8 +565,8 @@
                         cap(extensions);
                     }
                     if (!changed.source().equals(config.source())) {
-                        engine.settings(changed.settings());
-                        clients.changed(changed);
+                        engine.updateSettings(changed.settings());
+                        clients.updateConfig(changed);
                     }
                     config = changed;
                     if (recovering != null) {
@@ -609,10 +612,10 @@
         long last = longest + KILL_AFTER_MS - LAST_MS;
         loop.execute(() -> {
             boolean handsOver = operations != null && serves && operations.followed();
-            fronts.forEach(handsOver ? Frontend::handOver : Frontend::leave);
+            fronts.forEach(handsOver ? Frontend::handOver : Frontend::markNotReady);
             loop.schedule(this::endIfUnused, handsOver ? 0 : LINGER_MS, TimeUnit.MILLISECONDS);
             loop.schedule(this::end, Math.min(SERVE_ON_MOST_MS, last - CLOSING_MS), TimeUnit.MILLISECONDS);
-            loop.schedule(engine::giveUpAll, last, TimeUnit.MILLISECONDS);
+            loop.schedule(engine::failAllPending, last, TimeUnit.MILLISECONDS);
         });
     }
 
@@ -695,13 +698,13 @@
     }
 
     /** What it holds now; to be asked on its loop. */
-    public Engine.Held held() {
-        return engine.held();
+    public Engine.TrackedCounts held() {
+        return engine.trackedCounts();
     }
 
     /** How many servers something is kept for: what leaves the list must leave nothing behind. */
     int kept() throws InterruptedException {
-        return loop.submit(() -> engine.servers()).sync().getNow();
+        return loop.submit(() -> engine.trackedServers()).sync().getNow();
     }
 
     /** How many requests of its own it has answered before it said that it was ready. */
--- a/src/main/java/gatefront/agent/MembershipSources.java
+++ b/src/main/java/gatefront/agent/MembershipSources.java
@@ -58,7 +58,7 @@
 
             @Override
             public void limits(Map<Integer, Integer> classes) {
-                engine.limits(classes);
+                engine.setClassLimits(classes);
                 transport.log("limits: in progress at once at most "
                         + (classes.isEmpty()
                                 ? "any"
--- a/src/main/java/gatefront/agent/OperatorControls.java
+++ b/src/main/java/gatefront/agent/OperatorControls.java
@@ -139,7 +139,7 @@
             keep(bans.entries(), kept -> {});
         }
         if (!lines.isEmpty()) {
-            engine.servers(ListKind.DELTA, lines);
+            engine.updateServers(ListKind.DELTA, lines);
         }
         if (!neighbour.follows() && neighbour.others() && !neighbour.followed()) {
             neighbour.tidy();
@@ -214,7 +214,7 @@
             }
             List<Endpoint> line = bans.line(backend);
             if (!line.isEmpty()) {
-                engine.servers(ListKind.DELTA, line);
+                engine.updateServers(ListKind.DELTA, line);
             }
         }
         return answer;
@@ -228,17 +228,17 @@
     @Override
     public Map<String, Long> figures() {
         Map<String, Long> figures = new LinkedHashMap<>();
-        RequestCounters tally = engine.tally();
+        RequestCounters tally = engine.counters();
         List<String> classes = host.classes();
         for (int i = 0; i < classes.size(); i++) {
             figures.put("ok." + classes.get(i), tally.ok(i));
             figures.put("shed." + classes.get(i), tally.shed(i));
             figures.put("errors." + classes.get(i), tally.errors(i));
         }
-        figures.put("tries", tally.tries());
+        figures.put("tries", tally.attempts());
         figures.put("active", tally.active());
-        figures.put("pool_size", (long) engine.listed());
-        figures.put("pool_ejected", (long) bans.out() + engine.avoided());
+        figures.put("pool_size", (long) engine.listedServers());
+        figures.put("pool_ejected", (long) bans.out() + engine.avoidedServers());
         figures.put("config_applied", applied);
         figures.put("config_rejected", rejected);
         return figures;
--- a/src/main/java/gatefront/agent/UsageRecorder.java
+++ b/src/main/java/gatefront/agent/UsageRecorder.java
@@ -131,7 +131,7 @@
 
     private void take(long period) {
         Config now = config.get();
-        usage.take((tenant, type, requests, work, bytes) -> {
+        usage.drain((tenant, type, requests, work, bytes) -> {
             double worth = now.settings().classes().get(type).worth();
             waiting.merge(
                     new Ledger.Cell(
--- a/src/main/java/gatefront/agent/Warmup.java
+++ b/src/main/java/gatefront/agent/Warmup.java
@@ -94,7 +94,7 @@
     private void start() {
         loop.schedule(this::end, MOST_MS, TimeUnit.MILLISECONDS);
         Balancer.Server self = new Balancer.Server(SELF, config.settings().zone(), 0, 0, Balancer.Phase.READY, 1, 0);
-        backends.self(SELF, own);
+        backends.addSelf(SELF, own);
         module.servers(micros(), Balancer.ListKind.FULL, List.of(self));
         next();
     }
@@ -118,7 +118,7 @@
     private void end() {
         if (!over) {
             over = true;
-            backends.gone(SELF);
+            backends.removeServer(SELF);
             then.accept(answered);
         }
     }
@@ -157,7 +157,7 @@
         backends.send(server, request % ENDS_EVERY == 0 ? ends : outgoing, timeout, result -> {
             answered += result.outcome() == Balancer.Outcome.ERROR ? 1 : 0; // it says that it is not ready
             long now = micros();
-            module.outcome(now, request, 0, server, Balancer.Outcome.OK, now - sentAt, true, result.load());
+            module.outcome(now, request, 0, server, Balancer.Outcome.OK, now - sentAt, true, result.loadReport());
             done();
         });
     }
--- a/src/main/java/gatefront/connection/LoadReportParser.java
+++ b/src/main/java/gatefront/connection/LoadReportParser.java
@@ -7,9 +7,9 @@
 
 /** Reads the load reports of servers: {@code name=value} pairs behind commas. */
 public final class LoadReportParser {
-    private static final double[] NONE = new double[0];
+    private static final double[] NO_VALUES = new double[0];
     /** The names of the values as servers write them, where the settings say otherwise. */
-    private static final Map<String, String> WRITTEN = Map.of(
+    private static final Map<String, String> DEFAULT_REPORT_NAMES = Map.of(
             "concurrent",
             "inflight",
             "depth",
@@ -31,9 +31,9 @@
     }
 
     /** The values in the order of the fields; none, if there is no report, or one that is none. */
-    public double[] read(String text) {
+    public double[] parse(String text) {
         if (text == null || fields.isEmpty()) {
-            return NONE;
+            return NO_VALUES;
         }
         Map<String, Double> values = new HashMap<>();
         for (String pair : text.split(",")) {
@@ -41,18 +41,18 @@
             try {
                 double value = Double.parseDouble(pair.substring(equals + 1).trim());
                 if (!(value >= 0 && value < Double.POSITIVE_INFINITY)) {
-                    return NONE; // Guards against a figure that is none poisoning every mean it enters.
+                    return NO_VALUES; // Guards against a figure that is none poisoning every mean it enters.
                 }
                 values.put(pair.substring(0, Math.max(0, equals)).trim(), value);
             } catch (NumberFormatException e) {
-                return NONE;
+                return NO_VALUES;
             }
         }
         List<Double> load = new ArrayList<>();
         for (String name : fields) {
-            Double value = values.getOrDefault(name, values.get(WRITTEN.getOrDefault(name, name)));
+            Double value = values.getOrDefault(name, values.get(DEFAULT_REPORT_NAMES.getOrDefault(name, name)));
             if (value == null) {
-                return NONE;
+                return NO_VALUES;
             }
             load.add(value);
         }
--- a/src/main/java/gatefront/connection/PooledUpstream.java
+++ b/src/main/java/gatefront/connection/PooledUpstream.java
@@ -42,45 +42,45 @@
     /** No load report. */
     protected static final double[] NO_LOAD = new double[0];
     /** The part of the servers' idle time after which a connection is not used again. */
-    private static final double IDLE_PART = 0.75;
+    private static final double MAX_IDLE_FRACTION = 0.75;
 
     private static final long SWEEP_SECONDS = 1;
     /**
      * A connection rests for this long after an answer. Guards against a second copy or noise right behind
      * the answer, which would be taken for the answer of the next request: it shows in that time.
      */
-    private static final long REST_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
+    private static final long QUIET_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
 
     private static final long PROBE_TIMEOUT_MICROS = 250_000;
     /** An answer that is being passed on and of which nothing comes for so long is over. */
-    private static final long STALLED_NANOS = TimeUnit.SECONDS.toNanos(4);
+    private static final long STALL_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(4);
 
     private final Transport transport;
     private final EventLoop loop;
     private final Bootstrap bootstrap;
-    private final long idleNanos;
-    private final int connectionsMost;
+    private final long maxIdleNanos;
+    private final int maxConnections;
     /** By server, from its first line as ready until it drains or goes. */
     private final Map<Long, Pool> pools = new HashMap<>();
 
     private int connections;
-    private int attempts;
-    private final ResourceAccount held;
-    private final ResourceAccount answers;
+    private int attemptCount;
+    private final ResourceAccount connectionAccount;
+    private final ResourceAccount responseAccount;
 
     /** What is kept for one server at one address. */
     private static final class Pool {
         final InetSocketAddress address;
-        final long restNanos;
+        final long quietPeriodNanos;
         /** Most recently used first: what is not needed grows old and is closed. */
         final Deque<Connection> idle = new ArrayDeque<>();
 
         final Set<Attempt> connecting = new LinkedHashSet<>();
         boolean retired;
 
-        Pool(InetSocketAddress address, long restNanos) {
+        Pool(InetSocketAddress address, long quietPeriodNanos) {
             this.address = address;
-            this.restNanos = restNanos;
+            this.quietPeriodNanos = quietPeriodNanos;
         }
 
         void closeIdle() {
@@ -94,55 +94,55 @@
      * Nothing is connected yet.
      *
      * @param transport its loop, clock and network
-     * @param connectionsMost connections held at the most
+     * @param maxConnections connections held at the most
      * @param connectTimeoutMicros a connection not up by then has failed
      * @param idleCloseMicros servers close a connection that has been idle for this long
      * @param budget of the agent
      */
     protected PooledUpstream(
             Transport transport,
-            int connectionsMost,
+            int maxConnections,
             long connectTimeoutMicros,
             long idleCloseMicros,
             ResourceBudget budget) {
-        this.held = budget.of(ResourcePurpose.SERVER_CONNECTIONS);
-        this.answers = budget.of(ResourcePurpose.SERVER_ANSWERS);
+        this.connectionAccount = budget.of(ResourcePurpose.SERVER_CONNECTIONS);
+        this.responseAccount = budget.of(ResourcePurpose.SERVER_ANSWERS);
         this.transport = transport;
         this.loop = transport.loop();
-        this.connectionsMost = connectionsMost;
-        this.idleNanos = (long) (1000 * IDLE_PART * idleCloseMicros);
+        this.maxConnections = maxConnections;
+        this.maxIdleNanos = (long) (1000 * MAX_IDLE_FRACTION * idleCloseMicros);
         this.bootstrap = new Bootstrap()
                 .group(loop)
                 .channelFactory(transport.dialers())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (connectTimeoutMicros / 1000))
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, BufferLimits.reads())
-                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, BufferLimits.MARKS)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, BufferLimits.receiveBufferAllocator())
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, BufferLimits.WRITE_WATER_MARK)
                 .disableResolver(); // addresses are literal; the usual resolvers would keep the loop for ever
-        loop.scheduleWithFixedDelay(this::closeOld, SWEEP_SECONDS, SWEEP_SECONDS, TimeUnit.SECONDS);
+        loop.scheduleWithFixedDelay(this::closeExpired, SWEEP_SECONDS, SWEEP_SECONDS, TimeUnit.SECONDS);
     }
 
     // ---- What a protocol adds ----
 
     /** Sets up a new connection: its codec, and a {@link Reader} behind it. */
-    protected abstract void init(Connection connection, ChannelPipeline pipeline);
+    protected abstract void initPipeline(Connection connection, ChannelPipeline pipeline);
 
     /**
      * What is written for a request.
      *
      * @param request as it was handed in
-     * @param number of the attempt
+     * @param attemptNumber of the attempt
      * @param millisLeft of its time, at least 1; 0 if it has no limit
      */
-    protected abstract Object message(Payload request, int number, long millisLeft);
+    protected abstract Object requestMessage(Payload request, int attemptNumber, long millisLeft);
 
     /** A piece of a request's body, as it is written; for protocols that have such. */
-    protected Object part(ByteBuf piece) {
-        return piece;
+    protected Object bodyChunk(ByteBuf chunk) {
+        return chunk;
     }
 
     /** What is written behind the last piece. */
-    protected Object lastPart() {
+    protected Object bodyEnd() {
         return Unpooled.EMPTY_BUFFER;
     }
 
@@ -150,7 +150,7 @@
     protected abstract Payload probe();
 
     /** The last byte of an attempt's request has left. */
-    protected void left(Attempt attempt) {}
+    protected void requestSent(Attempt attempt) {}
 
     /** Where a listed server is reached by this protocol, or null if it is not. */
     protected InetSocketAddress address(Endpoint endpoint) {
@@ -160,20 +160,20 @@
     // ---- Servers ----
 
     @Override
-    public void listed(Endpoint endpoint) {
+    public void updateServer(Endpoint endpoint) {
         long id = endpoint.server().id();
         Pool pool = pools.get(id);
         InetSocketAddress address = address(endpoint);
         if (endpoint.server().phase() != Balancer.Phase.READY || address == null) {
-            gone(id);
+            removeServer(id);
         } else if (pool == null || !pool.address.equals(address)) {
-            gone(id); // Guards against using what leads to the address that it had before.
-            pools.put(id, new Pool(address, REST_NANOS));
+            removeServer(id); // Guards against using what leads to the address that it had before.
+            pools.put(id, new Pool(address, QUIET_PERIOD_NANOS));
         }
     }
 
     /** The agent itself as a server: nothing but its answers comes from it, so connections need no rest. */
-    public void self(long id, InetSocketAddress address) {
+    public void addSelf(long id, InetSocketAddress address) {
         pools.put(id, new Pool(address, 0));
     }
 
@@ -183,7 +183,7 @@
      * against memory and connections kept for servers that will never come back.
      */
     @Override
-    public void gone(long server) {
+    public void removeServer(long server) {
         Pool pool = pools.remove(server);
         if (pool != null) {
             pool.retired = true;
@@ -201,27 +201,27 @@
     }
 
     @Override
-    public int size() {
+    public int serverCount() {
         return pools.size();
     }
 
-    private void closeOld() {
+    private void closeExpired() {
         for (Pool pool : pools.values()) {
-            while (!pool.idle.isEmpty() && pool.idle.peekLast().old()) {
+            while (!pool.idle.isEmpty() && pool.idle.peekLast().isExpired()) {
                 pool.idle.pollLast().channel.close();
             }
         }
     }
 
     /** Makes room under the limit on sockets by closing the connection that has been idle for longest. */
-    private boolean roomForOne() {
-        if (connections < connectionsMost && !held.full()) {
+    private boolean ensureCapacity() {
+        if (connections < maxConnections && !connectionAccount.full()) {
             return true;
         }
         Connection oldest = null;
         for (Pool pool : pools.values()) {
             Connection last = pool.idle.peekLast();
-            if (last != null && (oldest == null || last.idleSince - oldest.idleSince < 0)) {
+            if (last != null && (oldest == null || last.idleSinceNanos - oldest.idleSinceNanos < 0)) {
                 oldest = last;
             }
         }
@@ -229,71 +229,72 @@
             return false;
         }
         oldest.channel.close();
-        return connections < connectionsMost && !held.full();
+        return connections < maxConnections && !connectionAccount.full();
     }
 
     /** Takes the most recently used connection that has rested and was silent meanwhile, or none. */
-    private Connection rested(Pool pool) {
+    private Connection takeIdle(Pool pool) {
         long now = transport.nanos();
-        Connection fit = null;
-        List<Connection> unfit = null;
-        for (Iterator<Connection> all = pool.idle.iterator(); fit == null && all.hasNext(); ) {
-            Connection each = all.next();
-            if (now - each.idleSince >= pool.restNanos) {
-                all.remove();
-                if (!each.old() && transport.silent(each.channel)) {
-                    fit = each;
+        Connection usable = null;
+        List<Connection> unusable = null;
+        for (Iterator<Connection> iterator = pool.idle.iterator(); usable == null && iterator.hasNext(); ) {
+            Connection connection = iterator.next();
+            if (now - connection.idleSinceNanos >= pool.quietPeriodNanos) {
+                iterator.remove();
+                if (!connection.isExpired() && transport.silent(connection.channel)) {
+                    usable = connection;
                 } else {
-                    unfit = unfit == null ? new ArrayList<>() : unfit;
-                    unfit.add(each);
+                    unusable = unusable == null ? new ArrayList<>() : unusable;
+                    unusable.add(connection);
                 }
             }
         }
-        if (unfit != null) {
-            unfit.forEach(each -> each.channel.close()); // not while the pool is being looked through
+        if (unusable != null) {
+            unusable.forEach(connection -> connection.channel.close()); // not while the pool is being looked through
         }
-        return fit;
+        return usable;
     }
 
     // ---- Attempts ----
 
     @Override
-    public Upstream.Attempt send(long server, Payload request, long timeoutMicros, Listener then) {
-        Attempt attempt = new Attempt(request, timeoutMicros, then);
+    public Upstream.Attempt send(long server, Payload request, long timeoutMicros, Listener listener) {
+        Attempt attempt = new Attempt(request, timeoutMicros, listener);
         attempt.start(server);
         return attempt;
     }
 
     @Override
-    public void probe(long server, Listener then) {
-        new Attempt(probe(), PROBE_TIMEOUT_MICROS, then).start(server);
+    public void probe(long server, Listener listener) {
+        new Attempt(probe(), PROBE_TIMEOUT_MICROS, listener).start(server);
     }
 
     /** One request on its way to a server, or a probe. */
     protected final class Attempt implements Upstream.Attempt {
         private final Payload request;
-        private final int number = ++attempts;
-        private final Listener then;
-        private final long endAt;
-        private final boolean limited;
-        private final Future<?> timer;
+        private final int number = ++attemptCount;
+        private final Listener listener;
+        private final long deadlineNanos;
+        private final boolean hasDeadline;
+        private final Future<?> timeoutTimer;
         private Pool pool;
         private Connection connection;
-        private Channel dialled;
-        private boolean written;
+        private Channel connectingChannel;
+        private boolean requestSent;
         private boolean ended;
         /** Its answer, where that is passed on in pieces; and when the server last gave some. */
-        private BodyStream flow;
+        private BodyStream responseStream;
 
-        private long progressAt;
+        private long lastProgressNanos;
 
-        private Attempt(Payload request, long timeoutMicros, Listener then) {
+        private Attempt(Payload request, long timeoutMicros, Listener listener) {
             this.request = request;
-            this.then = then;
-            this.limited = timeoutMicros > 0;
-            this.endAt = transport.nanos() + 1000 * timeoutMicros;
-            this.timer =
-                    limited ? loop.schedule(() -> end(Outcome.TIMEOUT), timeoutMicros, TimeUnit.MICROSECONDS) : null;
+            this.listener = listener;
+            this.hasDeadline = timeoutMicros > 0;
+            this.deadlineNanos = transport.nanos() + 1000 * timeoutMicros;
+            this.timeoutTimer = hasDeadline
+                    ? loop.schedule(() -> end(Outcome.TIMEOUT), timeoutMicros, TimeUnit.MICROSECONDS)
+                    : null;
         }
 
         /** What was handed in. */
@@ -312,10 +313,10 @@
                 end(Outcome.NEVER_SENT);
                 return;
             }
-            Connection idle = rested(pool);
+            Connection idle = takeIdle(pool);
             if (idle != null) {
                 write(idle);
-            } else if (roomForOne()) {
+            } else if (ensureCapacity()) {
                 connect();
             } else {
                 end(Outcome.NEVER_SENT); // Guards against running out of descriptors.
@@ -323,22 +324,22 @@
         }
 
         private void connect() {
-            Connection fresh = new Connection(pool);
+            Connection newConnection = new Connection(pool);
             pool.connecting.add(this);
             connections++;
-            held.add(1, 0);
-            var connecting = bootstrap.clone().handler(fresh).connect(pool.address);
-            dialled = connecting.channel();
-            dialled.closeFuture().addListener(closed -> {
+            connectionAccount.add(1, 0);
+            var connecting = bootstrap.clone().handler(newConnection).connect(pool.address);
+            connectingChannel = connecting.channel();
+            connectingChannel.closeFuture().addListener(closed -> {
                 connections--;
-                held.give(0);
+                connectionAccount.give(0);
             });
             connecting.addListener(done -> {
                 pool.connecting.remove(this);
                 if (ended) {
-                    dialled.close();
+                    connectingChannel.close();
                 } else if (done.isSuccess()) {
-                    write(fresh);
+                    write(newConnection);
                 } else {
                     end(Outcome.CONNECT_FAILED);
                 }
@@ -346,100 +347,103 @@
         }
 
         /** The head of its answer has come. */
-        public void answering() {
-            then.answering();
+        public void responseStarted() {
+            listener.onResponseStarted();
         }
 
         /** Its answer has begun and is passed on in pieces: from now on it may take as long as the server gives. */
-        public void begun(Payload answer, BodyStream pieces) {
-            flow = pieces;
-            if (timer != null) {
-                timer.cancel(false);
+        public void startStreaming(Payload response, BodyStream stream) {
+            responseStream = stream;
+            if (timeoutTimer != null) {
+                timeoutTimer.cancel(false);
             }
-            progress();
-            watch();
-            then.begun(answer);
+            recordProgress();
+            scheduleStallCheck();
+            listener.onResponseStreaming(response);
         }
 
         /** The server has given something. */
-        public void progress() {
-            progressAt = transport.nanos();
+        public void recordProgress() {
+            lastProgressNanos = transport.nanos();
         }
 
         /** Guards against an answer that stops in the middle, held open for ever. */
-        private void watch() {
+        private void scheduleStallCheck() {
             loop.schedule(
                     () -> {
                         if (!ended) {
-                            if (flow.isOpen() && !flow.isStopped() && transport.nanos() - progressAt > STALLED_NANOS) {
+                            if (responseStream.isOpen()
+                                    && !responseStream.isPaused()
+                                    && transport.nanos() - lastProgressNanos > STALL_TIMEOUT_NANOS) {
                                 end(Outcome.TIMEOUT);
                             } else {
-                                watch();
+                                scheduleStallCheck();
                             }
                         }
                     },
-                    STALLED_NANOS / 4,
+                    STALL_TIMEOUT_NANOS / 4,
                     TimeUnit.NANOSECONDS);
         }
 
         /** Writes the head at once and the body as it comes. */
-        private void pass(BodyStream upload) {
-            if (timer != null) {
-                timer.cancel(false);
+        private void streamRequest(BodyStream upload) {
+            if (timeoutTimer != null) {
+                timeoutTimer.cancel(false);
             }
-            Channel to = connection.channel;
+            Channel channel = connection.channel;
             connection.upload = upload;
-            to.writeAndFlush(message(request, number, 0)); // the caller's time counts from the last byte
-            then.spent();
-            upload.to(new BodyStream.Taker() {
+            channel.writeAndFlush(requestMessage(request, number, 0)); // the caller's time counts from the last byte
+            listener.onRequestStreaming();
+            upload.attach(new BodyStream.Consumer() {
                 @Override
-                public boolean piece(ByteBuf piece) {
+                public boolean onChunk(ByteBuf chunk) {
                     if (ended) {
-                        piece.release();
+                        chunk.release();
                         return false;
                     }
-                    to.writeAndFlush(part(piece));
-                    return to.isWritable();
+                    channel.writeAndFlush(bodyChunk(chunk));
+                    return channel.isWritable();
                 }
 
                 @Override
-                public void ended() {
-                    to.writeAndFlush(lastPart()).addListener(done -> written(done.isSuccess()));
+                public void onComplete() {
+                    channel.writeAndFlush(bodyEnd()).addListener(done -> requestWritten(done.isSuccess()));
                 }
 
                 @Override
-                public void broken() {
+                public void onAbort() {
                     end(Outcome.CANCELLED);
                 }
             });
         }
 
-        private void written(boolean whole) {
-            if (whole) {
-                written = true;
-                left(this);
-                then.written();
+        private void requestWritten(boolean complete) {
+            if (complete) {
+                requestSent = true;
+                requestSent(this);
+                listener.onRequestSent();
             } else {
                 end(Outcome.CONNECT_FAILED); // the last byte never left, so it cannot have begun
             }
         }
 
-        private void write(Connection to) {
-            connection = to;
-            to.attempt = this;
-            if (request.flow() != null) {
-                pass(request.flow());
+        private void write(Connection idleOrNew) {
+            connection = idleOrNew;
+            idleOrNew.attempt = this;
+            if (request.bodyStream() != null) {
+                streamRequest(request.bodyStream());
                 return;
             }
-            long millisLeft = limited ? Math.max(1, (endAt - transport.nanos()) / 1_000_000) : 0;
-            to.channel
-                    .writeAndFlush(message(request, number, millisLeft))
-                    .addListener(done -> written(done.isSuccess()));
+            long millisLeft = hasDeadline ? Math.max(1, (deadlineNanos - transport.nanos()) / 1_000_000) : 0;
+            idleOrNew
+                    .channel
+                    .writeAndFlush(requestMessage(request, number, millisLeft))
+                    .addListener(done -> requestWritten(done.isSuccess()));
         }
 
         /** The connection has ended under the attempt. Before its last byte was written it did not run. */
-        private void broken() {
-            end(written ? Outcome.RESET : Outcome.CONNECT_FAILED);
+        private void connectionLost() {
+            end(requestSent ? Outcome.RESET : Outcome.CONNECT_FAILED);
         }
 
         @Override
@@ -462,11 +466,11 @@
                 return;
             }
             ended = true;
-            if (flow != null && flow.isOpen()) {
-                flow.breakOff();
+            if (responseStream != null && responseStream.isOpen()) {
+                responseStream.abort();
             }
-            if (timer != null) {
-                timer.cancel(false);
+            if (timeoutTimer != null) {
+                timeoutTimer.cancel(false);
             }
             if (pool != null) {
                 pool.connecting.remove(this);
@@ -474,16 +478,16 @@
             if (connection != null) {
                 connection.attempt = null;
                 connection.upload = null;
-                if (reusable && written && !pool.retired) {
-                    connection.idleSince = transport.nanos();
+                if (reusable && requestSent && !pool.retired) {
+                    connection.idleSinceNanos = transport.nanos();
                     pool.idle.addFirst(connection);
                 } else {
                     connection.channel.close(); // what may still come on it belongs to nobody
                 }
-            } else if (dialled != null) {
-                dialled.close();
+            } else if (connectingChannel != null) {
+                connectingChannel.close();
             }
-            loop.execute(() -> then.ended(result));
+            loop.execute(() -> listener.onResult(result));
         }
     }
 
@@ -495,20 +499,20 @@
         /** The request that is leaving in pieces, or null. */
         private BodyStream upload;
 
-        private long idleSince;
+        private long idleSinceNanos;
 
         private Connection(Pool pool) {
             this.pool = pool;
         }
 
-        private boolean old() {
-            return transport.nanos() - idleSince >= idleNanos;
+        private boolean isExpired() {
+            return transport.nanos() - idleSinceNanos >= maxIdleNanos;
         }
 
         @Override
         protected void initChannel(Channel ch) {
             channel = ch;
-            init(this, ch.pipeline());
+            initPipeline(this, ch.pipeline());
         }
     }
 
@@ -516,9 +520,9 @@
     protected abstract class Reader extends SimpleChannelInboundHandler<Object> {
         private final Connection connection;
         /** Bytes of an answer that has come in part. */
-        private int part;
+        private int partialBytes;
         /** Whether the connection was reset: its end is not that of an answer. */
-        protected boolean broke;
+        protected boolean connectionReset;
 
         /** Of this connection. */
         protected Reader(Connection connection) {
@@ -530,47 +534,47 @@
          *
          * @return false if it is spoilt: nothing of it is served, and the attempt may have run
          */
-        protected abstract boolean read(Attempt attempt, Object part);
+        protected abstract boolean read(Attempt attempt, Object message);
 
         @Override
-        protected final void channelRead0(ChannelHandlerContext ctx, Object part) {
+        protected final void channelRead0(ChannelHandlerContext ctx, Object message) {
             Attempt attempt = connection.attempt;
             if (attempt == null) {
                 ctx.close(); // an answer to nothing
-            } else if (!attempt.written || !read(attempt, part)) {
-                attempt.broken(); // an answer before the request has left whole cannot be an answer to it
+            } else if (!attempt.requestSent || !read(attempt, message)) {
+                attempt.connectionLost(); // an answer before the request has left whole cannot be an answer to it
             }
         }
 
         /** Counts bytes of an answer that is not yet whole; false, and not counted, if there is no room. */
-        protected final boolean hold(int bytes) {
-            if (!answers.grow(bytes)) {
+        protected final boolean reserve(int bytes) {
+            if (!responseAccount.grow(bytes)) {
                 return false;
             }
-            part += bytes;
+            partialBytes += bytes;
             return true;
         }
 
         /** The answer is whole and handed on, or nothing of it is kept. */
         protected final void release() {
-            answers.shrink(part);
-            part = 0;
+            responseAccount.shrink(partialBytes);
+            partialBytes = 0;
         }
 
         /** Reads on, or leaves what comes to the system until there is room. */
-        protected final void reading(boolean on) {
+        protected final void setReading(boolean on) {
             connection.channel.config().setAutoRead(on);
         }
 
         /** Does something after a time, if the attempt has not ended by then. */
-        protected final void later(Attempt attempt, long millis, Runnable what) {
+        protected final void runAfter(Attempt attempt, long delayMillis, Runnable action) {
             loop.schedule(
                     () -> {
                         if (!attempt.ended) {
-                            what.run();
+                            action.run();
                         }
                     },
-                    millis,
+                    delayMillis,
                     TimeUnit.MILLISECONDS);
         }
 
@@ -586,13 +590,13 @@
             release();
             connection.pool.idle.remove(connection);
             if (connection.attempt != null) {
-                connection.attempt.broken();
+                connection.attempt.connectionLost();
             }
         }
 
         @Override
         public final void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            broke = true;
+            connectionReset = true;
             ctx.close(); // reset; what that means for the attempt is told by channelInactive
         }
     }
--- a/src/main/java/gatefront/engine/BodyStream.java
+++ b/src/main/java/gatefront/engine/BodyStream.java
@@ -5,121 +5,122 @@
 import java.util.Deque;
 
 /**
- * A body that passes in pieces from the connection it comes on to the one it leaves by. Its giver stops reading while
- * the taker has no room, so what it holds is bounded by {@link #MOST} and one read more, whatever the body's size. One
- * thread. Pieces are released by whoever has them when it ends; a flow that is over holds none.
+ * A request or response body that is passed in chunks from the connection it arrives on to the connection it leaves by.
+ * The producer pauses while the consumer cannot take more, so the bytes held are bounded by
+ * {@link #HIGH_WATER_MARK_BYTES} plus one read, whatever the size of the body. Not thread-safe: all calls are made on
+ * one event loop. Each chunk is released by whoever owns it when the stream ends; a closed stream owns none.
  */
 public final class BodyStream {
     /** Bytes that wait at the most before the giver is to stop. */
-    static final int MOST = 32 << 10;
+    static final int HIGH_WATER_MARK_BYTES = 32 << 10;
 
     /** Where the pieces come from. */
-    public interface Giver {
+    public interface Producer {
         /** So many bytes have left for the taker. */
-        void passed(int bytes);
+        void onConsumed(int bytes);
 
         /** There is room again. */
-        void more();
+        void onResume();
 
         /** Nothing more is wanted. */
-        void unwanted();
+        void onCancel();
     }
 
     /** Where the pieces go; told in order, and nothing after an end. */
-    public interface Taker {
+    public interface Consumer {
         /** A piece, now the taker's; false if there is no room for another until {@link #resume()}. */
-        boolean piece(ByteBuf piece);
+        boolean onChunk(ByteBuf chunk);
 
         /** It is whole. */
-        void ended();
+        void onComplete();
 
         /** It never will be. */
-        void broken();
+        void onAbort();
     }
 
     private enum State {
         OPEN,
-        ENDED,
-        BROKEN,
-        OVER
-    }
-
-    private final Giver giver;
-    private final Deque<ByteBuf> waiting = new ArrayDeque<>();
-    private int held;
-    private long passed;
-    private Taker taker;
-    private boolean full;
-    private boolean stopped;
+        COMPLETED,
+        ABORTED,
+        CLOSED
+    }
+
+    private final Producer producer;
+    private final Deque<ByteBuf> pending = new ArrayDeque<>();
+    private int pendingBytes;
+    private long transferredBytes;
+    private Consumer consumer;
+    private boolean consumerBlocked;
+    private boolean producerPaused;
     private State state = State.OPEN;
 
     /** Empty, from this giver. */
-    public BodyStream(Giver giver) {
-        this.giver = giver;
+    public BodyStream(Producer producer) {
+        this.producer = producer;
     }
 
-    /** A piece, now the flow's; false if the giver is to stop until {@link Giver#more()}. */
-    public boolean give(ByteBuf piece) {
+    /** A piece, now the flow's; false if the giver is to stop until {@link Producer#onResume()}. */
+    public boolean write(ByteBuf chunk) {
         if (state != State.OPEN) {
-            piece.release();
+            chunk.release();
             return false;
         }
-        waiting.add(piece);
-        held += piece.readableBytes();
-        pass();
-        stopped = state == State.OPEN && held >= MOST;
-        return !stopped;
+        pending.add(chunk);
+        pendingBytes += chunk.readableBytes();
+        deliver();
+        producerPaused = state == State.OPEN && pendingBytes >= HIGH_WATER_MARK_BYTES;
+        return !producerPaused;
     }
 
     /** All pieces have been given. */
-    public void end() {
-        finish(State.ENDED);
+    public void complete() {
+        finish(State.COMPLETED);
     }
 
     /** It breaks off: what waits is dropped. */
-    public void breakOff() {
+    public void abort() {
         if (state == State.OPEN) {
-            drop();
+            discardPending();
         }
-        finish(State.BROKEN);
+        finish(State.ABORTED);
     }
 
-    private void finish(State to) {
+    private void finish(State endState) {
         if (state == State.OPEN) {
-            state = to;
-            pass();
+            state = endState;
+            deliver();
         }
     }
 
     /** From now on the pieces go there. */
-    public void to(Taker next) {
-        taker = next;
-        pass();
+    public void attach(Consumer newConsumer) {
+        consumer = newConsumer;
+        deliver();
     }
 
     /** The taker has room again. */
     public void resume() {
-        full = false;
-        pass();
-        if (stopped && held < MOST && state == State.OPEN) {
-            stopped = false;
-            giver.more();
+        consumerBlocked = false;
+        deliver();
+        if (producerPaused && pendingBytes < HIGH_WATER_MARK_BYTES && state == State.OPEN) {
+            producerPaused = false;
+            producer.onResume();
         }
     }
 
     /** Nothing more is wanted; the giver is told unless it had ended. */
     public void cancel() {
-        boolean open = state == State.OPEN;
-        state = State.OVER;
-        drop();
-        if (open) {
-            giver.unwanted();
+        boolean wasOpen = state == State.OPEN;
+        state = State.CLOSED;
+        discardPending();
+        if (wasOpen) {
+            producer.onCancel();
         }
     }
 
     /** How many bytes have passed. */
-    public long passed() {
-        return passed;
+    public long transferredBytes() {
+        return transferredBytes;
     }
 
     /** Whether its giver may still give. */
@@ -128,36 +129,36 @@
     }
 
     /** Whether the giver has stopped for want of room. */
-    public boolean isStopped() {
-        return stopped;
-    }
-
-    private void pass() {
-        while (taker != null && !full && !waiting.isEmpty()) {
-            ByteBuf piece = waiting.poll();
-            int bytes = piece.readableBytes();
-            held -= bytes;
-            passed += bytes;
-            full = !taker.piece(piece);
-            giver.passed(bytes);
+    public boolean isPaused() {
+        return producerPaused;
+    }
+
+    private void deliver() {
+        while (consumer != null && !consumerBlocked && !pending.isEmpty()) {
+            ByteBuf chunk = pending.poll();
+            int bytes = chunk.readableBytes();
+            pendingBytes -= bytes;
+            transferredBytes += bytes;
+            consumerBlocked = !consumer.onChunk(chunk);
+            producer.onConsumed(bytes);
         }
-        if (taker != null && waiting.isEmpty() && (state == State.ENDED || state == State.BROKEN)) {
-            boolean whole = state == State.ENDED;
-            state = State.OVER;
+        if (consumer != null && pending.isEmpty() && (state == State.COMPLETED || state == State.ABORTED)) {
+            boolean whole = state == State.COMPLETED;
+            state = State.CLOSED;
             if (whole) {
-                taker.ended();
+                consumer.onComplete();
             } else {
-                taker.broken();
+                consumer.onAbort();
             }
         }
     }
 
-    private void drop() {
-        for (ByteBuf each = waiting.poll(); each != null; each = waiting.poll()) {
-            int bytes = each.readableBytes();
-            held -= bytes;
-            each.release();
-            giver.passed(bytes);
+    private void discardPending() {
+        for (ByteBuf chunk = pending.poll(); chunk != null; chunk = pending.poll()) {
+            int bytes = chunk.readableBytes();
+            pendingBytes -= bytes;
+            chunk.release();
+            producer.onConsumed(bytes);
         }
     }
 }
--- a/src/main/java/gatefront/engine/ClientRequest.java
+++ b/src/main/java/gatefront/engine/ClientRequest.java
@@ -6,27 +6,27 @@
  * @param id as the caller gave it; one of a name is held at a time, whatever protocols they came by
  * @param requestClass index of its class
  * @param tenant index of its tenant
- * @param key for affinity, 0 if not given
- * @param hint of its cost, 0 if not given
+ * @param affinityKey for affinity, 0 if not given
+ * @param costHint of its cost, 0 if not given
  * @param timeoutMs the caller's time, in milliseconds from now
- * @param repeated whether the caller says that it has asked before
+ * @param clientRetry whether the caller says that it has asked before
  * @param payload what goes to the server
  */
 public record ClientRequest(
         String id,
         int requestClass,
         int tenant,
-        long key,
-        long hint,
+        long affinityKey,
+        long costHint,
         long timeoutMs,
-        boolean repeated,
+        boolean clientRetry,
         Payload payload) {
-    private static final int ID_MOST = 128;
+    private static final int MAX_ID_LENGTH = 128;
 
     /** Whether a text has the form of an id or key: letters, digits and a few marks, and not too many. */
-    public static boolean isId(String text) {
+    public static boolean isValidId(String text) {
         return !text.isEmpty()
-                && text.length() <= ID_MOST
+                && text.length() <= MAX_ID_LENGTH
                 && text.chars()
                         .allMatch(c -> c < 128
                                 && (Character.isLetterOrDigit(c) || c == '-' || c == '_' || c == '.' || c == ':'));
--- a/src/main/java/gatefront/engine/Exchange.java
+++ b/src/main/java/gatefront/engine/Exchange.java
@@ -24,5 +24,5 @@
     void refused(long retryAfterMicros);
 
     /** It has failed. */
-    void failed(Failure why);
+    void failed(Failure reason);
 }
--- a/src/main/java/gatefront/engine/Frontend.java
+++ b/src/main/java/gatefront/engine/Frontend.java
@@ -8,10 +8,10 @@
     /** What hears of the calls. */
     interface Listener {
         /** A well-formed call has come; it is owed one answer through its exchange. */
-        void call(ClientRequest call, Exchange exchange);
+        void request(ClientRequest request, Exchange exchange);
 
         /** The caller has left with this exchange unanswered. */
-        void callerLeft(Exchange exchange);
+        void clientLeft(Exchange exchange);
     }
 
     /** Begins to listen; the future tells whether it could. */
@@ -21,7 +21,7 @@
     Channel channel();
 
     /** From now on it says that it is not ready; all else goes on. */
-    void leave();
+    void markNotReady();
 
     /** Another process takes over its address: no further connections, and each answer is the last of its own. */
     void handOver();
--- a/src/main/java/gatefront/engine/RequestCounters.java
+++ b/src/main/java/gatefront/engine/RequestCounters.java
@@ -10,7 +10,7 @@
     private long[] ok;
     private long[] shed;
     private long[] errors;
-    private long tries;
+    private long attempts;
     private long active;
 
     /** Nothing yet, of so many classes. */
@@ -27,53 +27,53 @@
         errors = Arrays.copyOf(errors, classes);
     }
 
-    void served(int of) {
-        ok[of]++;
+    void recordServed(int requestClass) {
+        ok[requestClass]++;
     }
 
-    void refused(int of) {
-        shed[of]++;
+    void recordShed(int requestClass) {
+        shed[requestClass]++;
     }
 
-    void failed(int of) {
-        errors[of]++;
+    void recordError(int requestClass) {
+        errors[requestClass]++;
     }
 
-    void tried() {
-        tries++;
+    void recordAttempt() {
+        attempts++;
     }
 
-    void begun() {
+    void recordStarted() {
         active++;
     }
 
-    void ended() {
+    void recordEnded() {
         active--;
     }
 
     /** Served, of a class. */
-    public long ok(int of) {
-        return ok[of];
+    public long ok(int requestClass) {
+        return ok[requestClass];
     }
 
     /** Refused, of a class. */
-    public long shed(int of) {
-        return shed[of];
+    public long shed(int requestClass) {
+        return shed[requestClass];
     }
 
     /** Failed, of a class; those whose caller has gone are among them. */
-    public long errors(int of) {
-        return errors[of];
+    public long errors(int requestClass) {
+        return errors[requestClass];
     }
 
     /** How many classes have counts. */
-    public int classes() {
+    public int classCount() {
         return ok.length;
     }
 
     /** Attempts whose last byte has left for a server; probes are none. */
-    public long tries() {
-        return tries;
+    public long attempts() {
+        return attempts;
     }
 
     /** Requests taken and not ended. */
--- a/src/main/java/gatefront/engine/Upstream.java
+++ b/src/main/java/gatefront/engine/Upstream.java
@@ -12,28 +12,28 @@
      * How an attempt or probe ended.
      *
      * @param outcome for the decision module
-     * @param load the server's load report in the order of the settings' fields; empty if none came
-     * @param served what was served, else null
-     * @param rejected what blames the call, else null
+     * @param loadReport the server's load report in the order of the settings' fields; empty if none came
+     * @param response what was served, else null
+     * @param rejection what blames the call, else null
      */
-    record Result(Outcome outcome, double[] load, Payload served, Payload rejected) {}
+    record Result(Outcome outcome, double[] loadReport, Payload response, Payload rejection) {}
 
     /** What hears of an attempt or probe; its result comes last, and once. */
     interface Listener {
         /** It has ended. */
-        void ended(Result result);
+        void onResult(Result result);
 
         /** The last byte of the request has left. */
-        default void written() {}
+        default void onRequestSent() {}
 
         /** A request that comes in pieces begins to leave: it cannot be sent again. */
-        default void spent() {}
+        default void onRequestStreaming() {}
 
         /** The head of an answer has come, where a protocol tells; what goes ahead of an answer is none. */
-        default void answering() {}
+        default void onResponseStarted() {}
 
         /** An answer that comes in pieces has begun; its result is told when it has ended. */
-        default void begun(Payload answer) {}
+        default void onResponseStreaming(Payload response) {}
     }
 
     /** A call on its way to a server. */
@@ -43,20 +43,20 @@
     }
 
     /** Applies a line of the server list. */
-    void listed(Endpoint endpoint);
+    void updateServer(Endpoint endpoint);
 
     /** Nothing new goes to this server: what is not written yet ends as {@link Outcome#NEVER_SENT}. */
-    void gone(long server);
+    void removeServer(long server);
 
     /** Closes the idle connections to a server. */
     void closeIdle(long server);
 
     /** How many servers something is kept for. */
-    int size();
+    int serverCount();
 
     /** Sends a call; a time-out of 0 microseconds is none. */
-    Attempt send(long server, Payload payload, long timeoutMicros, Listener then);
+    Attempt send(long server, Payload payload, long timeoutMicros, Listener listener);
 
     /** Asks a server for its health. */
-    void probe(long server, Listener then);
+    void probe(long server, Listener listener);
 }
--- a/src/main/java/gatefront/engine/UsageMeter.java
+++ b/src/main/java/gatefront/engine/UsageMeter.java
@@ -8,39 +8,40 @@
  */
 public final class UsageMeter {
     /** Who is told. */
-    public interface Taker {
+    public interface Visitor {
         /** So many requests, of so many microseconds of servers' time and so many bytes. */
-        void cell(int tenant, int requestClass, long requests, long work, long bytes);
+        void visit(int tenant, int requestClass, long requests, long serverMicros, long bytes);
     }
 
-    private static final int FIGURES = 3;
+    private static final int VALUES_PER_CLASS = 3;
 
     private long[][] byTenant = {};
 
     /** A request was served. */
-    void served(int tenant, int requestClass, long work, long bytes) {
+    void record(int tenant, int requestClass, long serverMicros, long bytes) {
         if (tenant >= byTenant.length) {
-            int known = byTenant.length;
+            int oldLength = byTenant.length;
             byTenant = Arrays.copyOf(byTenant, tenant + 1);
-            Arrays.fill(byTenant, known, tenant + 1, new long[0]);
+            Arrays.fill(byTenant, oldLength, tenant + 1, new long[0]);
         }
-        int at = FIGURES * requestClass;
-        if (at >= byTenant[tenant].length) {
-            byTenant[tenant] = Arrays.copyOf(byTenant[tenant], at + FIGURES);
+        int offset = VALUES_PER_CLASS * requestClass;
+        if (offset >= byTenant[tenant].length) {
+            byTenant[tenant] = Arrays.copyOf(byTenant[tenant], offset + VALUES_PER_CLASS);
         }
         long[] cells = byTenant[tenant];
-        cells[at]++;
-        cells[at + 1] += work;
-        cells[at + 2] += bytes;
+        cells[offset]++;
+        cells[offset + 1] += serverMicros;
+        cells[offset + 2] += bytes;
     }
 
     /** Tells each cell with use, and begins anew. */
-    public void take(Taker taker) {
+    public void drain(Visitor visitor) {
         for (int tenant = 0; tenant < byTenant.length; tenant++) {
             long[] cells = byTenant[tenant];
-            for (int at = 0; at < cells.length; at += FIGURES) {
-                if (cells[at] > 0) {
-                    taker.cell(tenant, at / FIGURES, cells[at], cells[at + 1], cells[at + 2]);
+            for (int offset = 0; offset < cells.length; offset += VALUES_PER_CLASS) {
+                if (cells[offset] > 0) {
+                    visitor.visit(
+                            tenant, offset / VALUES_PER_CLASS, cells[offset], cells[offset + 1], cells[offset + 2]);
                 }
             }
             Arrays.fill(cells, 0);
--- a/src/main/java/gatefront/http/HttpFrontend.java
+++ b/src/main/java/gatefront/http/HttpFrontend.java
@@ -8,7 +8,7 @@
 import gatefront.engine.Engine;
 import gatefront.engine.Payload;
 import gatefront.http.HttpUpstream.Outgoing;
-import gatefront.http.HttpUpstream.Served;
+import gatefront.http.HttpUpstream.ServedResponse;
 import gatefront.http.codec.StrictHttpDecoders;
 import gatefront.policy.Balancer;
 import gatefront.transport.Transport;
@@ -49,10 +49,10 @@
  */
 public final class HttpFrontend extends AbstractFrontend {
     /** What a connection has asked: a request, the agent's health (neither), or what earned it an error. */
-    private record Asked(ClientRequest request, HttpResponseStatus error, boolean keepAlive) {}
+    private record QueuedRequest(ClientRequest request, HttpResponseStatus error, boolean keepAlive) {}
 
     /** What goes from hop to hop only, or is set anew. */
-    private static final AsciiString[] NOT_FORWARDED = {
+    private static final AsciiString[] HOP_BY_HOP_HEADERS = {
         HttpHeaderNames.CONNECTION,
         AsciiString.cached("Keep-Alive"),
         AsciiString.cached("Proxy-Connection"),
@@ -72,7 +72,7 @@
     private static final AsciiString WORK_HINT = AsciiString.cached("Work-Hint");
     private static final AsciiString IDEMPOTENCY_KEY = AsciiString.cached("Idempotency-Key");
     /** What a request says once at the most; of two, a server might believe the other. */
-    private static final AsciiString[] ONCE = {
+    private static final AsciiString[] SINGLE_VALUE_HEADERS = {
         HttpHeaderNames.HOST,
         REQUEST_ID,
         REQUEST_CLASS,
@@ -85,11 +85,11 @@
         IDEMPOTENCY_KEY
     };
 
-    private static final long TIMEOUT_MS_MAX = 3_600_000;
+    private static final long MAX_TIMEOUT_MS = 3_600_000;
     /** Requests read ahead on one connection before it is left alone. */
-    private static final int AHEAD_MOST = 4;
+    private static final int MAX_PIPELINED = 4;
     /** A large body of which nothing comes for so long ends with its connection. */
-    private static final long UPLOAD_STALLED_MS = 2_500;
+    private static final long UPLOAD_STALL_TIMEOUT_MS = 2_500;
 
     private final Transport transport;
     private Config config;
@@ -100,11 +100,11 @@
     public HttpFrontend(
             Transport transport,
             Config config,
-            int connectionsMost,
+            int maxConnections,
             BooleanSupplier ready,
             ResourceBudget budget,
             Listener listener) {
-        super(transport, config.listen(), connectionsMost, budget);
+        super(transport, config.listen(), maxConnections, budget);
         this.transport = transport;
         this.config = config;
         this.listener = listener;
@@ -112,34 +112,34 @@
     }
 
     @Override
-    protected void init(DuplexChannel channel) {
+    protected void initPipeline(DuplexChannel channel) {
         StrictHttpDecoders.Requests decoder = new StrictHttpDecoders.Requests();
-        channel.pipeline().addLast(decoder, new HttpResponseEncoder(), new Caller(channel, decoder));
+        channel.pipeline().addLast(decoder, new HttpResponseEncoder(), new ClientConnection(channel, decoder));
     }
 
     /** Requests whose heads come from now on are read by this configuration. */
-    public void changed(Config to) {
-        config = to;
+    public void updateConfig(Config newConfig) {
+        config = newConfig;
     }
 
     /** One request and the answer it is owed. */
     private final class Exchange implements gatefront.engine.Exchange {
-        private final Caller connection;
+        private final ClientConnection connection;
         private final boolean keepAlive;
-        private final int bytes;
+        private final int requestBodyBytes;
         private boolean answered;
         /** The answer that is being passed on in pieces, or null. */
-        private BodyStream passing;
+        private BodyStream responseStream;
 
-        private Exchange(Caller connection, boolean keepAlive, int bytes) {
+        private Exchange(ClientConnection connection, boolean keepAlive, int requestBodyBytes) {
             this.connection = connection;
             this.keepAlive = keepAlive;
-            this.bytes = bytes;
+            this.requestBodyBytes = requestBodyBytes;
         }
 
         @Override
         public void served(Payload payload) {
-            answer(HttpResponseStatus.OK, (Served) payload, 0);
+            answer(HttpResponseStatus.OK, (ServedResponse) payload, 0);
         }
 
         @Override
@@ -153,9 +153,9 @@
         }
 
         @Override
-        public void failed(Failure why) {
+        public void failed(Failure reason) {
             answer(
-                    switch (why) {
+                    switch (reason) {
                         case NOT_SERVED -> HttpResponseStatus.BAD_GATEWAY;
                         case TIME_UP -> HttpResponseStatus.GATEWAY_TIMEOUT;
                         case DUPLICATE -> HttpResponseStatus.CONFLICT;
@@ -163,40 +163,40 @@
                     });
         }
 
-        private void answer(HttpResponseStatus status, Served served, long retryAfterMicros) {
+        private void answer(HttpResponseStatus status, ServedResponse served, long retryAfterMicros) {
             if (answered || connection.current != this) {
                 return;
             }
             answered = true;
-            if (served != null && served.flow() != null) {
-                pass(served);
+            if (served != null && served.bodyStream() != null) {
+                streamResponse(served);
                 return;
             }
             ByteBuf body = served == null ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(served.body());
             // What is set here was checked when it came.
-            HttpHeaders headers = HttpUpstream.UNCHECKED.newHeaders();
+            HttpHeaders headers = HttpUpstream.UNVALIDATED_HEADERS.newHeaders();
             var response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body, headers, EmptyHttpHeaders.INSTANCE);
             headers.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
             if (served != null) {
-                describe(served, headers);
+                setContentHeaders(served, headers);
             }
             if (retryAfterMicros > 0) {
                 headers.set(HttpHeaderNames.RETRY_AFTER, String.valueOf(retryAfterMicros / 1e6));
             }
             // What was asked in advance is answered before the connection ends.
-            boolean last = last();
+            boolean last = closesConnection();
             if (last) {
                 headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
-            connection.answered(this, connection.write(response, body.readableBytes()), last);
+            connection.responseWritten(this, connection.write(response, body.readableBytes()), last);
         }
 
-        private boolean last() {
-            return !keepAlive || connection.uploading() || closing() && !connection.asksMore();
+        private boolean closesConnection() {
+            return !keepAlive || connection.isUploading() || closesAfterResponse() && !connection.hasPipelinedRequest();
         }
 
-        private void describe(Served served, HttpHeaders headers) {
+        private void setContentHeaders(ServedResponse served, HttpHeaders headers) {
             if (served.contentType() != null) {
                 headers.set(HttpHeaderNames.CONTENT_TYPE, served.contentType());
             }
@@ -206,44 +206,44 @@
         }
 
         /** Passes an answer on in pieces; one that breaks off ends the connection, so that the caller can tell. */
-        private void pass(Served served) {
-            HttpHeaders headers = HttpUpstream.UNCHECKED.newHeaders();
+        private void streamResponse(ServedResponse served) {
+            HttpHeaders headers = HttpUpstream.UNVALIDATED_HEADERS.newHeaders();
             if (served.length() < 0) {
                 headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
             } else {
                 headers.set(HttpHeaderNames.CONTENT_LENGTH, served.length());
             }
-            describe(served, headers);
-            boolean last = last();
+            setContentHeaders(served, headers);
+            boolean last = closesConnection();
             if (last) {
                 headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
-            passing = served.flow();
+            responseStream = served.bodyStream();
             connection.write(new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, headers), 0);
-            connection.passes();
-            passing.to(new BodyStream.Taker() {
+            connection.beginStreaming();
+            responseStream.attach(new BodyStream.Consumer() {
                 @Override
-                public boolean piece(ByteBuf piece) {
-                    connection.write(new DefaultHttpContent(piece), piece.readableBytes());
-                    return connection.takes();
+                public boolean onChunk(ByteBuf chunk) {
+                    connection.write(new DefaultHttpContent(chunk), chunk.readableBytes());
+                    return connection.isWritable();
                 }
 
                 @Override
-                public void ended() {
-                    passing = null;
+                public void onComplete() {
+                    responseStream = null;
                     // Not before the caller has taken it: the time that a last answer has does not begin until then.
                     connection.write(LastHttpContent.EMPTY_LAST_CONTENT, 0).addListener(done -> {
                         if (connection.current == Exchange.this) { // else its caller has left meanwhile
                             // Its head was written long ago, and the end may have come near since.
-                            connection.answered(Exchange.this, (ChannelFuture) done, last || last());
+                            connection.responseWritten(Exchange.this, (ChannelFuture) done, last || closesConnection());
                         }
                     });
                 }
 
                 @Override
-                public void broken() {
-                    passing = null;
-                    connection.cut();
+                public void onAbort() {
+                    responseStream = null;
+                    connection.closeNow();
                 }
             });
         }
@@ -255,161 +255,164 @@
     }
 
     /** One connection of the application's. */
-    private final class Caller extends Connection {
+    private final class ClientConnection extends Connection {
         private final StrictHttpDecoders.Requests decoder;
-        private final Deque<Asked> ahead = new ArrayDeque<>();
+        private final Deque<QueuedRequest> pipelined = new ArrayDeque<>();
         /** The exchange that is owed an answer, or null. */
         private Exchange current;
         /** The request whose body is coming in, null for one about health; what has come of the body. */
-        private ClientRequest incoming;
+        private ClientRequest incomingRequest;
 
         private boolean keepAlive;
         private ByteBuf body = Unpooled.EMPTY_BUFFER;
         /** The rest of a body that is too long to be held, on its way to a server; null while there is none. */
         private BodyStream upload;
 
-        private long uploaded;
+        private long uploadedBytes;
         /** How the body that is coming in ends. */
-        private long length;
+        private long bodyFraming;
 
-        Caller(DuplexChannel channel, StrictHttpDecoders.Requests decoder) {
+        ClientConnection(DuplexChannel channel, StrictHttpDecoders.Requests decoder) {
             super(channel);
             this.decoder = decoder;
         }
 
         private ChannelFuture write(Object response, int bytes) {
-            return answer(response, bytes);
+            return writeResponse(response, bytes);
         }
 
         @Override
-        protected void tooSlow() {
-            wrong(HttpResponseStatus.REQUEST_TIMEOUT);
+        protected void onReadTimeout() {
+            rejectInput(HttpResponseStatus.REQUEST_TIMEOUT);
         }
 
         @Override
-        protected void ended() {
-            ahead.clear();
+        protected void onClosed() {
+            pipelined.clear();
             body = Unpooled.EMPTY_BUFFER;
-            Exchange left = current;
+            Exchange abandoned = current;
             current = null;
-            if (left != null) {
-                listener.callerLeft(left);
-                if (left.passing != null) {
-                    left.passing.cancel();
+            if (abandoned != null) {
+                listener.clientLeft(abandoned);
+                if (abandoned.responseStream != null) {
+                    abandoned.responseStream.cancel();
                 }
             }
             if (upload != null) {
-                upload.breakOff();
+                upload.abort();
                 upload = null;
             }
         }
 
-        private boolean takes() {
+        private boolean isWritable() {
             return channel.isWritable();
         }
 
         /** Whether the body of a request is on its way and not whole: what follows it on the connection is unknown. */
-        private boolean uploading() {
+        private boolean isUploading() {
             return upload != null;
         }
 
-        private void passes() {
-            move(State.PASSING);
+        private void beginStreaming() {
+            transitionTo(State.STREAMING_RESPONSE);
         }
 
-        private void cut() {
+        private void closeNow() {
             channel.close();
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, Object read) {
-            if (deaf) {
+            if (ignoresInput) {
                 return;
             }
-            HttpObject part = (HttpObject) read;
-            if (part.decoderResult().isFailure()) {
-                wrong(HttpResponseStatus.BAD_REQUEST);
+            HttpObject message = (HttpObject) read;
+            if (message.decoderResult().isFailure()) {
+                rejectInput(HttpResponseStatus.BAD_REQUEST);
                 return;
             }
-            if (part instanceof HttpRequest head) {
-                begin(head);
+            if (message instanceof HttpRequest head) {
+                beginRequest(head);
             }
-            if (part instanceof HttpContent content && !deaf) {
-                add(content.content());
+            if (message instanceof HttpContent content && !ignoresInput) {
+                addBody(content.content());
             }
-            if (part instanceof LastHttpContent && !deaf && upload != null) {
+            if (message instanceof LastHttpContent && !ignoresInput && upload != null) {
                 BodyStream whole = upload;
                 upload = null;
-                whole.end();
-            } else if (part instanceof LastHttpContent && !deaf) {
-                ClientRequest whole =
-                        incoming == null || !body.isReadable() ? incoming : with(incoming, ByteBufUtil.getBytes(body));
+                whole.complete();
+            } else if (message instanceof LastHttpContent && !ignoresInput) {
+                ClientRequest whole = incomingRequest == null || !body.isReadable()
+                        ? incomingRequest
+                        : withBody(incomingRequest, ByteBufUtil.getBytes(body));
                 body = Unpooled.EMPTY_BUFFER;
-                ask(new Asked(whole, null, keepAlive));
+                enqueue(new QueuedRequest(whole, null, keepAlive));
             }
         }
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            if ((state() == State.SILENT || state() == State.KEPT) && decoder.begun()) {
-                move(State.BEGUN);
+            if ((state() == State.NEW || state() == State.KEEP_ALIVE) && decoder.isRequestStarted()) {
+                transitionTo(State.READING_REQUEST);
             }
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-            if (current != null && current.passing != null && channel.isWritable()) {
-                move(State.PASSING); // it has taken something
-                current.passing.resume();
+            if (current != null && current.responseStream != null && channel.isWritable()) {
+                transitionTo(State.STREAMING_RESPONSE); // it has taken something
+                current.responseStream.resume();
             }
-            next();
+            processNext();
         }
 
-        private void begin(HttpRequest head) {
+        private void beginRequest(HttpRequest head) {
             keepAlive = HttpUtil.isKeepAlive(head);
-            incoming = null;
-            length = StrictHttpDecoders.framing(head.headers());
-            HttpResponseStatus error = badFraming(head, length);
-            if (error == null && !health(head)) {
-                incoming = parse(head);
-                error = incoming == null ? HttpResponseStatus.BAD_REQUEST : null;
+            incomingRequest = null;
+            bodyFraming = StrictHttpDecoders.framing(head.headers());
+            HttpResponseStatus error = framingError(head, bodyFraming);
+            if (error == null && !isHealthCheck(head)) {
+                incomingRequest = parse(head);
+                error = incomingRequest == null ? HttpResponseStatus.BAD_REQUEST : null;
             }
             if (error != null) {
-                wrong(error);
+                rejectInput(error);
                 return;
             }
-            if (length > 0 || length == StrictHttpDecoders.CHUNKED) {
-                body = Unpooled.buffer(length > 0 ? (int) Math.min(length, 1024) : 256, HttpUpstream.BODY_MAX);
-                if (HttpUtil.is100ContinueExpected(head) && current == null && ahead.isEmpty()) {
+            if (bodyFraming > 0 || bodyFraming == StrictHttpDecoders.CHUNKED) {
+                body = Unpooled.buffer(
+                        bodyFraming > 0 ? (int) Math.min(bodyFraming, 1024) : 256,
+                        HttpUpstream.MAX_BUFFERED_BODY_BYTES);
+                if (HttpUtil.is100ContinueExpected(head) && current == null && pipelined.isEmpty()) {
                     channel.writeAndFlush(new DefaultFullHttpResponse(
                             HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
                 }
             }
         }
 
-        private void add(ByteBuf bytes) {
+        private void addBody(ByteBuf bytes) {
             int n = bytes.readableBytes();
-            if (state() == State.BEGUN && n > 0) {
-                move(State.BEGUN); // a body may come slowly, as long as it comes
+            if (state() == State.READING_REQUEST && n > 0) {
+                transitionTo(State.READING_REQUEST); // a body may come slowly, as long as it comes
             }
-            if (upload == null && body.readableBytes() + n > HttpUpstream.BODY_MAX) {
-                if (incoming == null) {
-                    wrong(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+            if (upload == null && body.readableBytes() + n > HttpUpstream.MAX_BUFFERED_BODY_BYTES) {
+                if (incomingRequest == null) {
+                    rejectInput(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
                     return;
                 }
                 beginUpload();
             }
             if (upload != null) {
-                uploaded += n;
-                if (uploaded > HttpUpstream.LARGE_MAX) {
-                    endUpload(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
-                } else if (!hold(n)) {
-                    endUpload(HttpResponseStatus.SERVICE_UNAVAILABLE);
-                } else if (!upload.give(bytes.retain())) {
-                    channel.config().setAutoRead(!upload.isStopped());
+                uploadedBytes += n;
+                if (uploadedBytes > HttpUpstream.MAX_STREAMED_BODY_BYTES) {
+                    abortUpload(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+                } else if (!reserve(n)) {
+                    abortUpload(HttpResponseStatus.SERVICE_UNAVAILABLE);
+                } else if (!upload.write(bytes.retain())) {
+                    channel.config().setAutoRead(!upload.isPaused());
                 }
-            } else if (!hold(n)) {
-                wrong(HttpResponseStatus.SERVICE_UNAVAILABLE);
+            } else if (!reserve(n)) {
+                rejectInput(HttpResponseStatus.SERVICE_UNAVAILABLE);
             } else if (n > 0) {
                 body.writeBytes(bytes);
             }
@@ -417,67 +420,70 @@
 
         /** What has come of a body begins its way to a server, and the rest follows as it comes. */
         private void beginUpload() {
-            BodyStream pieces = new BodyStream(new BodyStream.Giver() {
+            BodyStream stream = new BodyStream(new BodyStream.Producer() {
                 @Override
-                public void passed(int bytes) {
+                public void onConsumed(int bytes) {
                     release(bytes);
                 }
 
                 @Override
-                public void more() {
-                    if (!deaf) {
+                public void onResume() {
+                    if (!ignoresInput) {
                         channel.config().setAutoRead(true);
                     }
                 }
 
                 @Override
-                public void unwanted() {
+                public void onCancel() {
                     // Answered before it was whole: nothing more is read as a request, and the connection ends.
-                    deaf = true;
+                    ignoresInput = true;
                     upload = null;
                     channel.config().setAutoRead(true);
                 }
             });
-            ByteBuf come = body;
+            ByteBuf received = body;
             body = Unpooled.EMPTY_BUFFER;
-            upload = pieces;
-            uploaded = come.readableBytes();
-            pieces.give(come);
-            watch(pieces, uploaded);
-            ask(new Asked(with(incoming, pieces, length), null, keepAlive));
+            upload = stream;
+            uploadedBytes = received.readableBytes();
+            stream.write(received);
+            scheduleUploadStallCheck(stream, uploadedBytes);
+            enqueue(new QueuedRequest(withBody(incomingRequest, stream, bodyFraming), null, keepAlive));
         }
 
         /** No more is taken of a body that is on its way: nobody gets it whole, and the caller is told why. */
-        private void endUpload(HttpResponseStatus why) {
-            BodyStream pieces = upload;
-            Exchange asked = current;
-            if (asked == null || ahead.stream().anyMatch(each -> each.request != null)) {
+        private void abortUpload(HttpResponseStatus status) {
+            BodyStream stream = upload;
+            Exchange exchange = current;
+            if (exchange == null || pipelined.stream().anyMatch(each -> each.request != null)) {
                 channel.close(); // one that waits for the answers before it: they are not to be overtaken
                 return;
             }
-            asked.answer(why, null, why.equals(HttpResponseStatus.SERVICE_UNAVAILABLE) ? Engine.RETRY_AFTER_MICROS : 0);
-            listener.callerLeft(asked);
+            exchange.answer(
+                    status,
+                    null,
+                    status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE) ? Engine.RETRY_AFTER_MICROS : 0);
+            listener.clientLeft(exchange);
             upload = null;
-            pieces.breakOff();
+            stream.abort();
             channel.config().setAutoRead(true); // what still comes is read and dropped until the answer has been read
         }
 
         /** Guards against a body of which nothing more comes, held open for ever. */
-        private void watch(BodyStream pieces, long before) {
+        private void scheduleUploadStallCheck(BodyStream stream, long uploadedBefore) {
             transport
                     .loop()
                     .schedule(
                             () -> {
-                                if (upload != pieces) {
+                                if (upload != stream) {
                                     return;
                                 }
-                                if (uploaded == before && !pieces.isStopped()) {
+                                if (uploadedBytes == uploadedBefore && !stream.isPaused()) {
                                     channel.close();
                                 } else {
-                                    watch(pieces, uploaded);
+                                    scheduleUploadStallCheck(stream, uploadedBytes);
                                 }
                             },
-                            UPLOAD_STALLED_MS,
+                            UPLOAD_STALL_TIMEOUT_MS,
                             TimeUnit.MILLISECONDS);
         }
 
@@ -485,53 +491,54 @@
          * What came is no request. Guards against answering it out of turn, where the client would take the
          * error for the answer to what it asked before, and against reading on what nobody will use.
          */
-        private void wrong(HttpResponseStatus error) {
+        private void rejectInput(HttpResponseStatus error) {
             if (upload != null) {
-                endUpload(error);
+                abortUpload(error);
                 return;
             }
-            deaf = true;
+            ignoresInput = true;
             body = Unpooled.EMPTY_BUFFER;
             channel.config().setAutoRead(false);
-            ask(new Asked(null, error, false));
+            enqueue(new QueuedRequest(null, error, false));
         }
 
         /** Whether a request has come in advance; what is none may go unanswered with its connection. */
-        private boolean asksMore() {
-            return !ahead.isEmpty() && ahead.peek().error == null;
+        private boolean hasPipelinedRequest() {
+            return !pipelined.isEmpty() && pipelined.peek().error == null;
         }
 
-        private void ask(Asked asked) {
-            ahead.add(asked);
-            next();
+        private void enqueue(QueuedRequest queued) {
+            pipelined.add(queued);
+            processNext();
         }
 
         /** What was asked is taken in its turn, and not while answers are still to be read. */
-        private void next() {
-            if (!deaf) {
-                channel.config().setAutoRead(ahead.size() < AHEAD_MOST && (upload == null || !upload.isStopped()));
+        private void processNext() {
+            if (!ignoresInput) {
+                channel.config()
+                        .setAutoRead(pipelined.size() < MAX_PIPELINED && (upload == null || !upload.isPaused()));
             }
-            if (current == null && !ahead.isEmpty() && channel.isWritable()) {
-                take(ahead.poll());
+            if (current == null && !pipelined.isEmpty() && channel.isWritable()) {
+                process(pipelined.poll());
             }
         }
 
-        private void take(Asked asked) {
-            move(State.OWED);
-            ClientRequest request = asked.request;
-            Exchange exchange = new Exchange(this, asked.keepAlive, request == null ? 0 : body(request).length);
+        private void process(QueuedRequest queued) {
+            transitionTo(State.AWAITING_RESPONSE);
+            ClientRequest request = queued.request;
+            Exchange exchange = new Exchange(this, queued.keepAlive, request == null ? 0 : bodyOf(request).length);
             current = exchange;
             try {
-                if (asked.error != null) {
-                    boolean refused = asked.error.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
-                    exchange.answer(asked.error, null, refused ? Engine.RETRY_AFTER_MICROS : 0);
+                if (queued.error != null) {
+                    boolean refused = queued.error.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
+                    exchange.answer(queued.error, null, refused ? Engine.RETRY_AFTER_MICROS : 0);
                 } else if (request == null) {
                     exchange.answer(
-                            ready.getAsBoolean() && !leaving()
+                            ready.getAsBoolean() && !isNotReady()
                                     ? HttpResponseStatus.OK
                                     : HttpResponseStatus.SERVICE_UNAVAILABLE);
                 } else {
-                    listener.call(request, exchange);
+                    listener.request(request, exchange);
                 }
             } catch (RuntimeException e) {
                 // Guards against a fault here that would leave the client without its answer.
@@ -541,73 +548,73 @@
         }
 
         /** After an answer: the connection ends or is in no use, or what was asked in advance is next. */
-        private void answered(Exchange exchange, ChannelFuture written, boolean last) {
+        private void responseWritten(Exchange exchange, ChannelFuture written, boolean closeConnection) {
             current = null;
-            release(exchange.bytes);
-            if (last) {
-                boolean unread = (deaf || upload != null) && decoder.begun();
-                ahead.clear();
-                finish(written, unread);
+            release(exchange.requestBodyBytes);
+            if (closeConnection) {
+                boolean hasUnreadInput = (ignoresInput || upload != null) && decoder.isRequestStarted();
+                pipelined.clear();
+                closeAfterWrite(written, hasUnreadInput);
             } else {
-                move(decoder.begun() ? State.BEGUN : State.KEPT);
-                if (!ahead.isEmpty()) {
-                    channel.eventLoop().execute(this::next);
+                transitionTo(decoder.isRequestStarted() ? State.READING_REQUEST : State.KEEP_ALIVE);
+                if (!pipelined.isEmpty()) {
+                    channel.eventLoop().execute(this::processNext);
                 }
             }
         }
     }
 
-    private static ClientRequest with(ClientRequest call, byte[] body) {
-        Outgoing without = (Outgoing) call.payload();
+    private static ClientRequest withBody(ClientRequest request, byte[] body) {
+        Outgoing payload = (Outgoing) request.payload();
         return new ClientRequest(
-                call.id(),
-                call.requestClass(),
-                call.tenant(),
-                call.key(),
-                call.hint(),
-                call.timeoutMs(),
-                call.repeated(),
-                new Outgoing(without.method(), without.uri(), without.headers(), body));
+                request.id(),
+                request.requestClass(),
+                request.tenant(),
+                request.affinityKey(),
+                request.costHint(),
+                request.timeoutMs(),
+                request.clientRetry(),
+                new Outgoing(payload.method(), payload.uri(), payload.headers(), body));
     }
 
-    private static ClientRequest with(ClientRequest call, BodyStream body, long length) {
-        Outgoing without = (Outgoing) call.payload();
+    private static ClientRequest withBody(ClientRequest request, BodyStream body, long length) {
+        Outgoing payload = (Outgoing) request.payload();
         return new ClientRequest(
-                call.id(),
-                call.requestClass(),
-                call.tenant(),
-                call.key(),
-                call.hint(),
-                call.timeoutMs(),
-                call.repeated(),
+                request.id(),
+                request.requestClass(),
+                request.tenant(),
+                request.affinityKey(),
+                request.costHint(),
+                request.timeoutMs(),
+                request.clientRetry(),
                 new Outgoing(
-                        without.method(),
-                        without.uri(),
-                        without.headers(),
+                        payload.method(),
+                        payload.uri(),
+                        payload.headers(),
                         HttpUpstream.NO_BODY,
                         body,
                         Math.max(-1, length)));
     }
 
-    private static byte[] body(ClientRequest call) {
-        return ((Outgoing) call.payload()).body();
+    private static byte[] bodyOf(ClientRequest request) {
+        return ((Outgoing) request.payload()).body();
     }
 
-    private static boolean health(HttpRequest head) {
+    private static boolean isHealthCheck(HttpRequest head) {
         return head.uri().equals("/healthz")
                 && head.method().equals(HttpMethod.GET)
                 && !head.headers().contains(REQUEST_ID);
     }
 
     /** Why the bytes that follow cannot be told apart or will not be read, or null. */
-    private static HttpResponseStatus badFraming(HttpRequest head, long length) {
+    private static HttpResponseStatus framingError(HttpRequest head, long length) {
         if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
             return HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED;
         }
-        if (length == StrictHttpDecoders.UNCLEAR) {
+        if (length == StrictHttpDecoders.AMBIGUOUS) {
             return HttpResponseStatus.BAD_REQUEST;
         }
-        if (length > HttpUpstream.LARGE_MAX) {
+        if (length > HttpUpstream.MAX_STREAMED_BODY_BYTES) {
             return HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE;
         }
         String expected = head.headers().get(HttpHeaderNames.EXPECT);
@@ -628,34 +635,36 @@
     public ClientRequest parse(HttpRequest request) {
         HttpHeaders headers = request.headers();
         String uri = request.uri();
-        if (!visible(uri, '!') || !uri.startsWith("/")) {
+        if (!isVisibleAscii(uri, '!') || !uri.startsWith("/")) {
             return null;
         }
-        HttpHeaders forwarded = HttpUpstream.UNCHECKED.newHeaders();
-        int seen = 0;
-        for (Iterator<Map.Entry<CharSequence, CharSequence>> all = headers.iteratorCharSequence(); all.hasNext(); ) {
-            Map.Entry<CharSequence, CharSequence> each = all.next();
-            int once = index(ONCE, each.getKey());
-            if (!visible(each.getValue(), ' ') || once >= 0 && (seen & 1 << once) != 0) {
+        HttpHeaders forwarded = HttpUpstream.UNVALIDATED_HEADERS.newHeaders();
+        int seenSingleHeaders = 0;
+        for (Iterator<Map.Entry<CharSequence, CharSequence>> entries = headers.iteratorCharSequence();
+                entries.hasNext(); ) {
+            Map.Entry<CharSequence, CharSequence> header = entries.next();
+            int singleIndex = indexOf(SINGLE_VALUE_HEADERS, header.getKey());
+            if (!isVisibleAscii(header.getValue(), ' ')
+                    || singleIndex >= 0 && (seenSingleHeaders & 1 << singleIndex) != 0) {
                 return null;
             }
-            seen |= once < 0 ? 0 : 1 << once;
-            if (once >= 0 || index(NOT_FORWARDED, each.getKey()) < 0) {
-                forwarded.add(each.getKey(), each.getValue());
+            seenSingleHeaders |= singleIndex < 0 ? 0 : 1 << singleIndex;
+            if (singleIndex >= 0 || indexOf(HOP_BY_HOP_HEADERS, header.getKey()) < 0) {
+                forwarded.add(header.getKey(), header.getValue());
             }
         }
-        String named = headers.get(REQUEST_CLASS, "");
-        int requestClass = config.classNumber(named);
-        long timeout = StrictHttpDecoders.digits(headers.get(HttpUpstream.REQUEST_TIMEOUT), 0);
-        long hint = StrictHttpDecoders.digits(headers.get(WORK_HINT, "0"), -1);
+        String className = headers.get(REQUEST_CLASS, "");
+        int requestClass = config.classNumber(className);
+        long timeoutMs = StrictHttpDecoders.parseDigits(headers.get(HttpUpstream.REQUEST_TIMEOUT), 0);
+        long workHint = StrictHttpDecoders.parseDigits(headers.get(WORK_HINT, "0"), -1);
         String id = headers.get(REQUEST_ID, "");
         int tenant = config.tenants().indexOf(headers.get(TENANT, ""));
         if (requestClass < 0
-                || !named.equals(firstPart(uri))
-                || timeout < 1
-                || timeout > TIMEOUT_MS_MAX
-                || hint < 0
-                || !ClientRequest.isId(id)
+                || !className.equals(firstPathSegment(uri))
+                || timeoutMs < 1
+                || timeoutMs > MAX_TIMEOUT_MS
+                || workHint < 0
+                || !ClientRequest.isValidId(id)
                 || headers.get(HttpHeaderNames.HOST, "").isEmpty()
                 || tenant < 0 && !config.tenants().isEmpty()) {
             return null;
@@ -663,34 +672,36 @@
         Balancer.Semantics semantics =
                 config.settings().classes().get(requestClass).semantics();
         HttpMethod method = semantics == Balancer.Semantics.SAFE ? HttpMethod.GET : HttpMethod.POST;
-        String repeat = headers.get(IDEMPOTENCY_KEY);
+        String idempotencyKey = headers.get(IDEMPOTENCY_KEY);
         // Guards against an effect twice: without its key no server would drop a repeat.
         boolean keyed = semantics == Balancer.Semantics.KEYED;
         if (!request.method().equals(method)
-                || (keyed ? repeat == null || !ClientRequest.isId(repeat) : repeat != null)) {
+                || (keyed
+                        ? idempotencyKey == null || !ClientRequest.isValidId(idempotencyKey)
+                        : idempotencyKey != null)) {
             return null;
         }
         for (String option : headers.getAllAsString(HttpHeaderNames.CONNECTION)) {
             for (String name : option.split(",")) {
-                if (index(ONCE, name.trim()) < 0) {
+                if (indexOf(SINGLE_VALUE_HEADERS, name.trim()) < 0) {
                     forwarded.remove(name.trim());
                 }
             }
         }
-        String key = headers.get(AFFINITY_KEY, "");
+        String affinityKey = headers.get(AFFINITY_KEY, "");
         return new ClientRequest(
                 id,
                 requestClass,
                 Math.max(0, tenant),
-                key.isEmpty() ? 0 : Config.id(key),
-                hint,
-                timeout,
+                affinityKey.isEmpty() ? 0 : Config.id(affinityKey),
+                workHint,
+                timeoutMs,
                 "1".equals(headers.get(CLIENT_RETRY)),
                 new Outgoing(request.method(), uri, forwarded, HttpUpstream.NO_BODY));
     }
 
     /** The part of a path between its first slash and the next one or the question mark. */
-    private static String firstPart(String uri) {
+    private static String firstPathSegment(String uri) {
         int end = 1;
         while (end < uri.length() && uri.charAt(end) != '/' && uri.charAt(end) != '?') {
             end++;
@@ -698,7 +709,7 @@
         return uri.substring(1, end);
     }
 
-    private static int index(AsciiString[] names, CharSequence name) {
+    private static int indexOf(AsciiString[] names, CharSequence name) {
         for (int i = 0; i < names.length; i++) {
             if (names[i].length() == name.length() && names[i].contentEqualsIgnoreCase(name)) {
                 return i;
@@ -708,10 +719,10 @@
     }
 
     /** Whether a text is of visible characters alone, and from this one on. */
-    private static boolean visible(CharSequence text, char least) {
+    private static boolean isVisibleAscii(CharSequence text, char lowest) {
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
-            if ((c < least || c > '~') && c != '\t') {
+            if ((c < lowest || c > '~') && c != '\t') {
                 return false;
             }
         }
--- a/src/main/java/gatefront/http/HttpUpstream.java
+++ b/src/main/java/gatefront/http/HttpUpstream.java
@@ -42,7 +42,7 @@
 public final class HttpUpstream extends PooledUpstream {
     /** What is sent: method, target and body go on as they came. */
     public record Outgoing(
-            HttpMethod method, String uri, HttpHeaders headers, byte[] body, BodyStream flow, long length)
+            HttpMethod method, String uri, HttpHeaders headers, byte[] body, BodyStream bodyStream, long length)
             implements Payload {
         /** With a body that is here whole. */
         public Outgoing(HttpMethod method, String uri, HttpHeaders headers, byte[] body) {
@@ -50,17 +50,17 @@
         }
 
         @Override
-        public long bytes() {
-            return flow == null ? body.length : flow.passed();
+        public long bodyBytes() {
+            return bodyStream == null ? body.length : bodyStream.transferredBytes();
         }
     }
 
     /** A served answer: the body, whole or in pieces, its length if known, and what tells how to read it. */
-    record Served(byte[] body, BodyStream flow, long length, String contentType, String contentEncoding)
+    record ServedResponse(byte[] body, BodyStream bodyStream, long length, String contentType, String contentEncoding)
             implements Payload {
         @Override
-        public long bytes() {
-            return flow == null ? body.length : flow.passed();
+        public long bodyBytes() {
+            return bodyStream == null ? body.length : bodyStream.transferredBytes();
         }
     }
 
@@ -69,34 +69,34 @@
 
     public static final AsciiString REQUEST_TIMEOUT = AsciiString.cached("Request-Timeout-Ms");
     /** For headers that were checked when they came. */
-    static final HttpHeadersFactory UNCHECKED =
+    static final HttpHeadersFactory UNVALIDATED_HEADERS =
             DefaultHttpHeadersFactory.headersFactory().withValidation(false);
 
-    static final int BODY_MAX = 64 << 10;
+    static final int MAX_BUFFERED_BODY_BYTES = 64 << 10;
     /** What is longer passes in pieces, up to this. */
-    static final long LARGE_MAX = 32L << 20;
+    static final long MAX_STREAMED_BODY_BYTES = 32L << 20;
     /** An answer of unknown length that is not whole so long after its first bytes is passed on as it comes. */
-    private static final long WHOLE_MS = 200;
+    private static final long STREAM_AFTER_MS = 200;
     /** Of the answers that blame the request those that blame the moment: too slow, too early, too many. */
-    private static final Set<Integer> MAY_SUCCEED_LATER = Set.of(408, 425, 429);
+    private static final Set<Integer> RETRYABLE_CLIENT_ERRORS = Set.of(408, 425, 429);
 
     public static final byte[] NO_BODY = new byte[0];
 
-    private final LoadReportParser load;
+    private final LoadReportParser loadReportParser;
     private final Outgoing probe;
 
     /** Holds so many connections at the most. */
-    public HttpUpstream(Transport transport, Config config, int connectionsMost, ResourceBudget budget) {
-        super(transport, connectionsMost, config.connectTimeoutMicros(), config.idleCloseMicros(), budget);
-        load = new LoadReportParser(config.loadFields());
+    public HttpUpstream(Transport transport, Config config, int maxConnections, ResourceBudget budget) {
+        super(transport, maxConnections, config.connectTimeoutMicros(), config.idleCloseMicros(), budget);
+        loadReportParser = new LoadReportParser(config.loadFields());
         probe = new Outgoing(
                 HttpMethod.GET, config.loadByProbe() ? "/load" : "/healthz", new DefaultHttpHeaders(), NO_BODY);
     }
 
     @Override
-    protected void init(Connection connection, ChannelPipeline pipeline) {
+    protected void initPipeline(Connection connection, ChannelPipeline pipeline) {
         StrictHttpDecoders.Responses decoder = new StrictHttpDecoders.Responses();
-        pipeline.addLast(decoder, new HttpRequestEncoder(), new Answers(connection, decoder));
+        pipeline.addLast(decoder, new HttpRequestEncoder(), new ResponseReader(connection, decoder));
     }
 
     @Override
@@ -105,10 +105,10 @@
     }
 
     @Override
-    protected Object message(Payload payload, int number, long millisLeft) {
+    protected Object requestMessage(Payload payload, int attemptNumber, long millisLeft) {
         Outgoing request = (Outgoing) payload;
-        HttpHeaders headers = UNCHECKED.newHeaders().set(request.headers);
-        HttpRequest message = request.flow != null
+        HttpHeaders headers = UNVALIDATED_HEADERS.newHeaders().set(request.headers);
+        HttpRequest message = request.bodyStream != null
                 ? new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method, request.uri, headers)
                 : new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1,
@@ -132,110 +132,110 @@
     }
 
     @Override
-    protected Object part(ByteBuf piece) {
-        return new DefaultHttpContent(piece);
+    protected Object bodyChunk(ByteBuf chunk) {
+        return new DefaultHttpContent(chunk);
     }
 
     @Override
-    protected Object lastPart() {
+    protected Object bodyEnd() {
         return LastHttpContent.EMPTY_LAST_CONTENT;
     }
 
     /** The text of an answer's load report, or null. */
-    private static String report(Attempt attempt, HttpHeaders headers, byte[] body) {
+    private static String loadReportText(Attempt attempt, HttpHeaders headers, byte[] body) {
         String text = headers.get("Server-Load");
-        boolean asked = ((Outgoing) attempt.request()).uri.equals("/load");
-        return text == null && asked ? new String(body, StandardCharsets.US_ASCII) : text;
+        boolean loadProbe = ((Outgoing) attempt.request()).uri.equals("/load");
+        return text == null && loadProbe ? new String(body, StandardCharsets.US_ASCII) : text;
     }
 
-    private final class Answers extends Reader {
+    private final class ResponseReader extends Reader {
         private final StrictHttpDecoders.Responses decoder;
         /** The answer that is coming in, or null; one with a status of 1xx goes ahead of the one awaited. */
         private HttpResponse head;
 
-        private final ByteBuf body = Unpooled.buffer(0, BODY_MAX);
+        private final ByteBuf body = Unpooled.buffer(0, MAX_BUFFERED_BODY_BYTES);
         /** Where the body goes that is passed on in pieces, or null; and how much of it has come. */
-        private BodyStream flow;
+        private BodyStream stream;
 
-        private long passed;
+        private long streamedBytes;
 
-        Answers(Connection connection, StrictHttpDecoders.Responses decoder) {
+        ResponseReader(Connection connection, StrictHttpDecoders.Responses decoder) {
             super(connection);
             this.decoder = decoder;
         }
 
         @Override
-        protected boolean read(Attempt attempt, Object read) {
-            HttpObject part = (HttpObject) read;
-            if (part.decoderResult().isFailure()
-                    || part instanceof HttpResponse first && !begin(attempt, first)
-                    || part instanceof HttpContent content && !add(attempt, content)) {
+        protected boolean read(Attempt attempt, Object message) {
+            HttpObject httpObject = (HttpObject) message;
+            if (httpObject.decoderResult().isFailure()
+                    || httpObject instanceof HttpResponse first && !beginResponse(attempt, first)
+                    || httpObject instanceof HttpContent content && !addBody(attempt, content)) {
                 return false;
             }
-            if (part instanceof LastHttpContent) {
-                HttpResponse whole = head;
+            if (httpObject instanceof LastHttpContent) {
+                HttpResponse response = head;
                 head = null;
-                if (broke && StrictHttpDecoders.framing(whole.headers()) == StrictHttpDecoders.NO_LENGTH) {
+                if (connectionReset && StrictHttpDecoders.framing(response.headers()) == StrictHttpDecoders.NO_LENGTH) {
                     return false; // reset in the middle: its end is not the body's
                 }
-                if (whole.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
-                    finish(attempt, whole);
+                if (response.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
+                    finishResponse(attempt, response);
                 }
             }
             return true;
         }
 
         /** Takes the head of an answer; false if it cannot end well. */
-        private boolean begin(Attempt attempt, HttpResponse first) {
-            head = first;
-            int status = first.status().code();
-            long length = StrictHttpDecoders.framing(first.headers());
+        private boolean beginResponse(Attempt attempt, HttpResponse response) {
+            head = response;
+            int status = response.status().code();
+            long length = StrictHttpDecoders.framing(response.headers());
             if (status < 200) {
                 return status != 101; // nobody asked for another protocol
             }
-            attempt.answering();
+            attempt.responseStarted();
             // Guards against a body that nobody will read: one that is too long is not waited for.
-            boolean may = length == StrictHttpDecoders.CHUNKED
+            boolean acceptable = length == StrictHttpDecoders.CHUNKED
                     || length == StrictHttpDecoders.NO_LENGTH
-                    || length >= 0 && length <= (status == 200 ? LARGE_MAX : BODY_MAX);
-            if (may && status == 200 && length > BODY_MAX) {
-                pass(attempt);
-            } else if (may && status == 200 && length < 0) {
-                passUnlessWhole(attempt, first);
+                    || length >= 0 && length <= (status == 200 ? MAX_STREAMED_BODY_BYTES : MAX_BUFFERED_BODY_BYTES);
+            if (acceptable && status == 200 && length > MAX_BUFFERED_BODY_BYTES) {
+                beginStreaming(attempt);
+            } else if (acceptable && status == 200 && length < 0) {
+                scheduleStreaming(attempt, response);
             }
-            return may;
+            return acceptable;
         }
 
-        private void passUnlessWhole(Attempt attempt, HttpResponse first) {
-            later(attempt, WHOLE_MS, () -> {
-                if (head == first && flow == null && body.isReadable()) {
-                    pass(attempt);
-                } else if (head == first && flow == null) {
-                    passUnlessWhole(attempt, first);
+        private void scheduleStreaming(Attempt attempt, HttpResponse response) {
+            runAfter(attempt, STREAM_AFTER_MS, () -> {
+                if (head == response && stream == null && body.isReadable()) {
+                    beginStreaming(attempt);
+                } else if (head == response && stream == null) {
+                    scheduleStreaming(attempt, response);
                 }
             });
         }
 
-        private boolean add(Attempt attempt, HttpContent content) {
+        private boolean addBody(Attempt attempt, HttpContent content) {
             int n = content.content().readableBytes();
-            if (flow == null && body.readableBytes() + n > BODY_MAX) {
+            if (stream == null && body.readableBytes() + n > MAX_BUFFERED_BODY_BYTES) {
                 if (head.status().code() != 200) {
                     return false;
                 }
-                pass(attempt);
+                beginStreaming(attempt);
             }
-            if (flow != null) {
-                passed += n;
-                attempt.progress();
-                if (passed > LARGE_MAX) {
+            if (stream != null) {
+                streamedBytes += n;
+                attempt.recordProgress();
+                if (streamedBytes > MAX_STREAMED_BODY_BYTES) {
                     return false;
                 }
-                if (n > 0 && !flow.give(content.content().retain())) {
-                    reading(!flow.isStopped());
+                if (n > 0 && !stream.write(content.content().retain())) {
+                    setReading(!stream.isPaused());
                 }
                 return true;
             }
-            if (!hold(n)) {
+            if (!reserve(n)) {
                 return false;
             }
             body.writeBytes(content.content());
@@ -243,70 +243,74 @@
         }
 
         /** From now on the answer goes to the caller as it comes; an attempt at it is the last. */
-        private void pass(Attempt attempt) {
-            BodyStream pieces = new BodyStream(new BodyStream.Giver() {
+        private void beginStreaming(Attempt attempt) {
+            BodyStream newStream = new BodyStream(new BodyStream.Producer() {
                 @Override
-                public void passed(int bytes) {}
+                public void onConsumed(int bytes) {}
 
                 @Override
-                public void more() {
-                    reading(true);
+                public void onResume() {
+                    setReading(true);
                 }
 
                 @Override
-                public void unwanted() {
+                public void onCancel() {
                     attempt.cancel();
                 }
             });
-            flow = pieces;
-            ByteBuf come = Unpooled.wrappedBuffer(ByteBufUtil.getBytes(body));
+            stream = newStream;
+            ByteBuf received = Unpooled.wrappedBuffer(ByteBufUtil.getBytes(body));
             body.clear().capacity(0);
             release();
-            passed = come.readableBytes();
+            streamedBytes = received.readableBytes();
             long length = StrictHttpDecoders.framing(head.headers());
-            attempt.begun(
-                    new Served(
+            attempt.startStreaming(
+                    new ServedResponse(
                             NO_BODY,
-                            pieces,
+                            newStream,
                             length < 0 ? -1 : length,
                             head.headers().get(HttpHeaderNames.CONTENT_TYPE),
                             head.headers().get(HttpHeaderNames.CONTENT_ENCODING)),
-                    pieces);
-            if (come.isReadable()) {
-                pieces.give(come);
+                    newStream);
+            if (received.isReadable()) {
+                newStream.write(received);
             }
         }
 
-        private void finish(Attempt attempt, HttpResponse whole) {
+        private void finishResponse(Attempt attempt, HttpResponse response) {
             byte[] bytes = ByteBufUtil.getBytes(body);
             body.clear().capacity(0);
             release();
-            HttpHeaders headers = whole.headers();
-            int status = whole.status().code();
-            boolean turnedAway = (status == 503 || status == 504) && "1".equals(headers.get("Not-Started"));
-            Outcome outcome = status == 200 ? Outcome.OK : turnedAway ? Outcome.FULL : Outcome.ERROR;
-            BodyStream pieces = flow;
-            flow = null;
-            if (pieces != null) {
-                reading(true);
-                pieces.end();
+            HttpHeaders headers = response.headers();
+            int status = response.status().code();
+            boolean notStarted = (status == 503 || status == 504) && "1".equals(headers.get("Not-Started"));
+            Outcome outcome = status == 200 ? Outcome.OK : notStarted ? Outcome.FULL : Outcome.ERROR;
+            BodyStream finishedStream = stream;
+            stream = null;
+            if (finishedStream != null) {
+                setReading(true);
+                finishedStream.complete();
             }
-            Served served = status != 200 || pieces != null
+            ServedResponse served = status != 200 || finishedStream != null
                     ? null
-                    : new Served(
+                    : new ServedResponse(
                             bytes,
                             null,
                             bytes.length,
                             headers.get(HttpHeaderNames.CONTENT_TYPE),
                             headers.get(HttpHeaderNames.CONTENT_ENCODING));
-            Rejection bad =
-                    whole.status().codeClass() == HttpStatusClass.CLIENT_ERROR && !MAY_SUCCEED_LATER.contains(status)
-                            ? new Rejection(whole.status())
-                            : null;
-            boolean ends = StrictHttpDecoders.framing(headers) != StrictHttpDecoders.NO_LENGTH;
+            Rejection rejection = response.status().codeClass() == HttpStatusClass.CLIENT_ERROR
+                            && !RETRYABLE_CLIENT_ERRORS.contains(status)
+                    ? new Rejection(response.status())
+                    : null;
+            boolean delimited = StrictHttpDecoders.framing(headers) != StrictHttpDecoders.NO_LENGTH;
             attempt.end(
-                    new Result(outcome, load.read(report(attempt, headers, bytes)), served, bad),
-                    ends && HttpUtil.isKeepAlive(whole) && !decoder.leftover());
+                    new Result(
+                            outcome,
+                            loadReportParser.parse(loadReportText(attempt, headers, bytes)),
+                            served,
+                            rejection),
+                    delimited && HttpUtil.isKeepAlive(response) && !decoder.hasLeftover());
         }
     }
 }
--- a/src/main/java/gatefront/http/codec/StrictHttpDecoders.java
+++ b/src/main/java/gatefront/http/codec/StrictHttpDecoders.java
@@ -18,52 +18,52 @@
  * message here, since two readers that mend differently see different messages in the same bytes.
  */
 public final class StrictHttpDecoders {
-    private static final int LINE_MAX = 4096;
-    private static final int HEAD_MAX = 8192;
+    private static final int MAX_INITIAL_LINE_BYTES = 4096;
+    private static final int MAX_HEADER_BYTES = 8192;
     /** How a body ends, where no length tells it. */
     public static final long NO_LENGTH = -1;
 
     public static final long CHUNKED = -2;
-    public static final long UNCLEAR = -3;
+    public static final long AMBIGUOUS = -3;
 
     private StrictHttpDecoders() {}
 
-    private static HttpDecoderConfig strict() {
+    private static HttpDecoderConfig strictConfig() {
         return new HttpDecoderConfig()
-                .setMaxInitialLineLength(LINE_MAX)
-                .setMaxHeaderSize(HEAD_MAX)
+                .setMaxInitialLineLength(MAX_INITIAL_LINE_BYTES)
+                .setMaxHeaderSize(MAX_HEADER_BYTES)
                 .setAllowDuplicateContentLengths(false)
                 .setStrictLineParsing(true);
     }
 
-    /** How a message's body ends: its length, {@link #CHUNKED}, {@link #NO_LENGTH} or {@link #UNCLEAR}. */
+    /** How a message's body ends: its length, {@link #CHUNKED}, {@link #NO_LENGTH} or {@link #AMBIGUOUS}. */
     public static long framing(HttpHeaders headers) {
         List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
         List<String> lengths = headers.getAll(HttpHeaderNames.CONTENT_LENGTH);
         if (codings.size() + lengths.size() > 1) {
-            return UNCLEAR;
+            return AMBIGUOUS;
         }
         if (!codings.isEmpty()) {
-            return codings.get(0).equalsIgnoreCase("chunked") ? CHUNKED : UNCLEAR;
+            return codings.get(0).equalsIgnoreCase("chunked") ? CHUNKED : AMBIGUOUS;
         }
-        return lengths.isEmpty() ? NO_LENGTH : digits(lengths.get(0), UNCLEAR);
+        return lengths.isEmpty() ? NO_LENGTH : parseDigits(lengths.get(0), AMBIGUOUS);
     }
 
     /** A whole number written in digits alone, or the other value. */
-    public static long digits(String text, long otherwise) {
+    public static long parseDigits(String text, long fallback) {
         if (text == null || text.isEmpty() || text.length() > 18) {
-            return otherwise;
+            return fallback;
         }
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) < '0' || text.charAt(i) > '9') {
-                return otherwise;
+                return fallback;
             }
         }
         return Long.parseLong(text);
     }
 
     /** Guards against a length beside a coding: the library would drop one, and the next reader the other. */
-    private static void refuseBoth() {
+    private static void rejectLengthWithCoding() {
         throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
     }
 
@@ -77,11 +77,11 @@
 
         /** Strict on both heads and bodies. */
         public Requests() {
-            super(strict());
+            super(strictConfig());
         }
 
         /** Whether a request has begun to come. */
-        public boolean begun() {
+        public boolean isRequestStarted() {
             return !atStart;
         }
 
@@ -105,7 +105,7 @@
 
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            refuseBoth();
+            rejectLengthWithCoding();
         }
     }
 
@@ -113,15 +113,15 @@
     public static final class Responses extends HttpResponseDecoder {
         private boolean atStart = true;
         private boolean headRead;
-        private boolean mayEndWithConnection;
+        private boolean bodyMayEndWithConnection;
 
         /** Strict on both heads and bodies. */
         public Responses() {
-            super(strict());
+            super(strictConfig());
         }
 
         /** Whether bytes have come that belong to no message yet. */
-        public boolean leftover() {
+        public boolean hasLeftover() {
             return actualReadableBytes() > 0;
         }
 
@@ -143,17 +143,17 @@
         protected HttpMessage createMessage(String[] line) {
             if (!line[0].equals("HTTP/1.1") && !line[0].equals("HTTP/1.0")
                     || line[1].length() != 3
-                    || digits(line[1], 0) < 100) {
+                    || parseDigits(line[1], 0) < 100) {
                 throw new IllegalArgumentException("status line"); // the library would take "+200" for 200
             }
             headRead = false;
-            mayEndWithConnection = line[1].equals("200");
+            bodyMayEndWithConnection = line[1].equals("200");
             return super.createMessage(line);
         }
 
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            refuseBoth();
+            rejectLengthWithCoding();
         }
 
         /**
@@ -162,7 +162,7 @@
          */
         @Override
         protected boolean isDecodingRequest() {
-            return !headRead || !mayEndWithConnection;
+            return !headRead || !bodyMayEndWithConnection;
         }
 
         @Override
--- a/src/main/java/gatefront/rehearsal/PlanShrinker.java
+++ b/src/main/java/gatefront/rehearsal/PlanShrinker.java
@@ -42,7 +42,7 @@
      * @return the smallest plan found that still breaks one of the rules, or null if the seed breaks none
      */
     public static Plan shrink(Plan plan, long seed, Consumer<String> listener) {
-        return shrink(plan, seed, Engine::usual, listener);
+        return shrink(plan, seed, Engine::createDefaultBalancer, listener);
     }
 
     static Plan shrink(Plan plan, long seed, Function<Engine, Balancer> module, Consumer<String> listener) {
--- a/src/main/java/gatefront/rehearsal/Rehearsal.java
+++ b/src/main/java/gatefront/rehearsal/Rehearsal.java
@@ -58,7 +58,7 @@
      * @param seed from which all else follows
      */
     public Rehearsal(Plan plan, long seed) {
-        this(plan, seed, Engine::usual);
+        this(plan, seed, Engine::createDefaultBalancer);
     }
 
     /** A rehearsal with another decision module, as tests have it. */
@@ -184,7 +184,7 @@
     /** Nothing goes on any more: what is held now is held for nobody. */
     private void end(RunContext day, VirtualTime time, long at) {
         for (AgentStandIn each : day.agents) {
-            Engine.Held held = ((VirtualAgent) each).held();
+            Engine.TrackedCounts held = ((VirtualAgent) each).held();
             if (held != null && (held.requests() > 0 || held.attempts() > 0)) {
                 day.checker.left(
                         day.now(),
--- a/src/main/java/gatefront/rehearsal/VirtualAgent.java
+++ b/src/main/java/gatefront/rehearsal/VirtualAgent.java
@@ -90,7 +90,7 @@
     }
 
     /** What it holds, or null if it does not run. */
-    Engine.Held held() {
+    Engine.TrackedCounts held() {
         return agent == null ? null : agent.held();
     }
 }
--- a/src/main/java/gatefront/thrift/ThriftCall.java
+++ b/src/main/java/gatefront/thrift/ThriftCall.java
@@ -13,7 +13,7 @@
  */
 record ThriftCall(ThriftMessage message, int timeoutAt, int timeoutBytes) implements Payload {
     @Override
-    public long bytes() {
+    public long bodyBytes() {
         return message.body().length;
     }
 
--- a/src/main/java/gatefront/thrift/ThriftFrontend.java
+++ b/src/main/java/gatefront/thrift/ThriftFrontend.java
@@ -62,7 +62,7 @@
     }
 
     @Override
-    protected void init(DuplexChannel channel) {
+    protected void initPipeline(DuplexChannel channel) {
         MessageDecoder decoder = new MessageDecoder(MessageLimits.USUAL, settings.form());
         channel.pipeline().addLast(decoder, new Caller(channel, decoder));
     }
@@ -163,7 +163,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, Object read) {
-            if (deaf) {
+            if (ignoresInput) {
                 return;
             }
             if (read instanceof MalformedMessageException) {
@@ -171,7 +171,7 @@
                 return;
             }
             ThriftMessage call = (ThriftMessage) read;
-            if (!hold(call.body().length)) {
+            if (!reserve(call.body().length)) {
                 stop(); // without room it cannot even wait for its turn
                 return;
             }
@@ -181,8 +181,8 @@
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            if ((state() == State.SILENT || state() == State.KEPT) && decoder.begun()) {
-                move(State.BEGUN);
+            if ((state() == State.NEW || state() == State.KEEP_ALIVE) && decoder.begun()) {
+                transitionTo(State.READING_REQUEST);
             }
         }
 
@@ -192,26 +192,26 @@
         }
 
         @Override
-        protected void tooSlow() {
+        protected void onReadTimeout() {
             stop();
         }
 
         /** Nothing more is read; what has come before is answered, and then the connection ends. */
         private void stop() {
-            deaf = true;
+            ignoresInput = true;
             unread = true;
             channel.config().setAutoRead(false);
             if (inFlight.isEmpty() && ahead.isEmpty()) {
-                finish(channel.writeAndFlush(Unpooled.EMPTY_BUFFER), true);
+                closeAfterWrite(channel.writeAndFlush(Unpooled.EMPTY_BUFFER), true);
             }
         }
 
         @Override
-        protected void ended() {
+        protected void onClosed() {
             ahead.clear();
             List<Exchange> left = List.copyOf(inFlight.values());
             inFlight.clear();
-            left.forEach(listener::callerLeft);
+            left.forEach(listener::clientLeft);
         }
 
         /** Takes what has come, as far as it may be in work at once, and not while answers are still to be read. */
@@ -222,13 +222,13 @@
                     && !inFlight.containsKey(ahead.peek().header().seqid())) {
                 take(ahead.poll());
             }
-            if (!deaf) {
+            if (!ignoresInput) {
                 channel.config().setAutoRead(ahead.size() < AHEAD_MOST);
             }
         }
 
         private void take(ThriftMessage message) {
-            move(State.OWED);
+            transitionTo(State.AWAITING_RESPONSE);
             MessageHeader header = message.header();
             ThriftSettings.Method method = settings.method(header.name());
             Exchange exchange = new Exchange(this, message, method != null && method.declares());
@@ -239,7 +239,7 @@
                 } else if (header.name().equals(ThriftConventions.HEALTH)) {
                     exchange.answer(
                             MessageHeader.Type.REPLY,
-                            ErrorResults.health(message.encoding(), ready.getAsBoolean() && !leaving()));
+                            ErrorResults.health(message.encoding(), ready.getAsBoolean() && !isNotReady()));
                 } else if (method == null) {
                     exchange.wrong(ThriftConventions.UNKNOWN_METHOD, "unknown method " + header.name());
                 } else {
@@ -260,7 +260,7 @@
                 return;
             }
             CallMetadata data = found.metadata();
-            listener.call(
+            listener.request(
                     new ClientRequest(
                             data.requestId,
                             method.requestClass(),
@@ -278,19 +278,19 @@
             release(call.body().length);
             ChannelFuture written = call.header().type() == MessageHeader.Type.ONEWAY
                     ? null
-                    : answer(reply(call, type, body), body.length);
-            if (closing() && !deaf) {
-                deaf = true; // Guards against a caller that goes on asking, whose connection would never end.
+                    : writeResponse(reply(call, type, body), body.length);
+            if (closesAfterResponse() && !ignoresInput) {
+                ignoresInput = true; // Guards against a caller that goes on asking, whose connection would never end.
                 channel.config().setAutoRead(false);
             }
             if (!inFlight.isEmpty()) {
                 proceed();
                 return;
             }
-            if (ahead.isEmpty() && deaf) {
-                finish(written == null ? channel.writeAndFlush(Unpooled.EMPTY_BUFFER) : written, unread);
+            if (ahead.isEmpty() && ignoresInput) {
+                closeAfterWrite(written == null ? channel.writeAndFlush(Unpooled.EMPTY_BUFFER) : written, unread);
             } else {
-                move(decoder.begun() ? State.BEGUN : State.KEPT);
+                transitionTo(decoder.begun() ? State.READING_REQUEST : State.KEEP_ALIVE);
                 proceed();
             }
         }
@@ -317,7 +317,7 @@
 
     /** Why a call is not taken, or null. The rules are those of requests over HTTP. */
     private String check(CallMetadata data, ThriftSettings.Method method) {
-        if (!ClientRequest.isId(data.requestId)) {
+        if (!ClientRequest.isValidId(data.requestId)) {
             return "requestId is missing or has not the form of an id";
         }
         if (data.timeoutMs < 1 || data.timeoutMs > TIMEOUT_MS_MAX) {
@@ -332,7 +332,7 @@
         // Guards against an effect twice: without its key no server would drop a repeat.
         boolean keyed = config.settings().classes().get(method.requestClass()).semantics() == Balancer.Semantics.KEYED;
         if (keyed
-                ? data.idempotencyKey == null || !ClientRequest.isId(data.idempotencyKey)
+                ? data.idempotencyKey == null || !ClientRequest.isValidId(data.idempotencyKey)
                 : data.idempotencyKey != null) {
             return keyed
                     ? "idempotencyKey is missing or has not the form of an id"
--- a/src/main/java/gatefront/thrift/ThriftReply.java
+++ b/src/main/java/gatefront/thrift/ThriftReply.java
@@ -6,7 +6,7 @@
 /** What a server has said; its seqid is that of its connection. */
 record ThriftReply(ThriftMessage message) implements Payload {
     @Override
-    public long bytes() {
+    public long bodyBytes() {
         return message.body().length;
     }
 }
--- a/src/main/java/gatefront/thrift/ThriftUpstream.java
+++ b/src/main/java/gatefront/thrift/ThriftUpstream.java
@@ -55,7 +55,7 @@
     }
 
     @Override
-    protected void init(Connection connection, ChannelPipeline pipeline) {
+    protected void initPipeline(Connection connection, ChannelPipeline pipeline) {
         MessageDecoder decoder = new MessageDecoder(MessageLimits.USUAL);
         pipeline.addLast(decoder, new Replies(connection, decoder));
     }
@@ -66,7 +66,7 @@
     }
 
     @Override
-    protected Object message(Payload payload, int number, long millisLeft) {
+    protected Object requestMessage(Payload payload, int number, long millisLeft) {
         ThriftCall call = (ThriftCall) payload;
         MessageHeader header = new MessageHeader(
                 call.message().header().name(), call.message().header().type(), number);
@@ -78,7 +78,7 @@
 
     /** A call that gets no reply has been served, as far as anyone will know, when it has left. */
     @Override
-    protected void left(Attempt attempt) {
+    protected void requestSent(Attempt attempt) {
         if (((ThriftCall) attempt.request()).message().header().type() == MessageHeader.Type.ONEWAY) {
             attempt.end(new Result(Outcome.OK, NO_LOAD, attempt.request(), null), true);
         }
@@ -146,7 +146,7 @@
                 report = fields.string();
             }
         }
-        return new Result(outcome, load.read(report), outcome == Outcome.OK ? new ThriftReply(reply) : null, null);
+        return new Result(outcome, load.parse(report), outcome == Outcome.OK ? new ThriftReply(reply) : null, null);
     }
 
     private static Result exception(ThriftMessage reply) {
--- a/src/test/java/gatefront/connection/UpstreamContract.java
+++ b/src/test/java/gatefront/connection/UpstreamContract.java
@@ -55,37 +55,37 @@
     private VirtualHost nodo;
     private PooledUpstream upstream;
     /** What the nodo does with a call that has come whole. */
-    private Script script = (ctx, reply) -> send(ctx, reply);
+    private ServerScript onRequest = (ctx, reply) -> send(ctx, reply);
     /** What it does when the first bytes of a connection have come. */
-    private Script first = (ctx, reply) -> {};
+    private ServerScript onFirstBytes = (ctx, reply) -> {};
 
-    private int accepted;
-    private int whole;
-    private int ended;
+    private int acceptedConnections;
+    private int completeRequests;
+    private int closedConnections;
 
     /** What a nodo does; {@code reply} is its whole answer, if there is a whole call to answer. */
-    private interface Script {
+    private interface ServerScript {
         void run(ChannelHandlerContext ctx, byte[] reply);
     }
 
     /** The upstream, whose nodos listen on the port of their endpoints. */
-    protected abstract PooledUpstream upstream(Transport transport, int port);
+    protected abstract PooledUpstream createUpstream(Transport transport, int port);
 
     /** A call. */
-    protected abstract Payload call();
+    protected abstract Payload newRequest();
 
     /** What makes one object of each whole call at a nodo; nothing that writes. */
-    protected abstract void decode(ChannelPipeline pipeline);
+    protected abstract void addServerDecoder(ChannelPipeline pipeline);
 
     /** The bytes of the answer to a call, by the object that was made of it. */
-    protected abstract byte[] reply(Object call);
+    protected abstract byte[] responseBytes(Object request);
 
     @BeforeEach
-    void set() throws Exception {
+    void setUp() throws Exception {
         agent = host("agent", 1);
         nodo = host("nodo", 2);
         listen();
-        use(agent);
+        useTransport(agent);
     }
 
     private VirtualHost host(String name, int last) throws Exception {
@@ -93,13 +93,14 @@
                 name, InetAddress.getByAddress(new byte[] {127, 0, 0, (byte) last}), 0, 1 << 24, line -> {});
     }
 
-    private void use(Transport transport) {
-        upstream = upstream(transport, NODO_PORT);
-        list(Balancer.Phase.READY);
+    private void useTransport(Transport transport) {
+        upstream = createUpstream(transport, NODO_PORT);
+        updateServerPhase(Balancer.Phase.READY);
     }
 
-    private void list(Balancer.Phase phase) {
-        upstream.listed(new Endpoint(new Balancer.Server(SERVER, 0, 0, 0, phase, 1, 0), "nodo", nodo.at(NODO_PORT)));
+    private void updateServerPhase(Balancer.Phase phase) {
+        upstream.updateServer(
+                new Endpoint(new Balancer.Server(SERVER, 0, 0, 0, phase, 1, 0), "nodo", nodo.at(NODO_PORT)));
     }
 
     private void listen() {
@@ -109,7 +110,7 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                        accepted++;
+                        acceptedConnections++;
                         ch.pipeline().addLast(new ChannelInboundHandlerAdapter() {
                             private boolean begun;
 
@@ -117,28 +118,28 @@
                             public void channelRead(ChannelHandlerContext ctx, Object bytes) {
                                 if (!begun) {
                                     begun = true;
-                                    first.run(ctx, null);
+                                    onFirstBytes.run(ctx, null);
                                 }
                                 ctx.fireChannelRead(bytes);
                             }
 
                             @Override
                             public void channelInactive(ChannelHandlerContext ctx) {
-                                ended++;
+                                closedConnections++;
                             }
                         });
-                        decode(ch.pipeline());
+                        addServerDecoder(ch.pipeline());
                         ch.pipeline().addLast(new SimpleChannelInboundHandler<>() {
                             @Override
                             protected void channelRead0(ChannelHandlerContext ctx, Object call) {
-                                whole++;
-                                script.run(ctx, reply(call));
+                                completeRequests++;
+                                onRequest.run(ctx, responseBytes(call));
                             }
                         });
                     }
                 })
                 .bind(nodo.at(NODO_PORT));
-        run(0);
+        advanceMillis(0);
     }
 
     private static void send(ChannelHandlerContext ctx, byte[] bytes) {
@@ -150,257 +151,257 @@
         ctx.close();
     }
 
-    private void run(long forMs) {
+    private void advanceMillis(long forMs) {
         time.run(time.nanoTime() + forMs * MS);
     }
 
-    private Upstream.Attempt attempt(long timeoutMs) {
-        return upstream.send(SERVER, call(), 1000 * timeoutMs, results::add);
+    private Upstream.Attempt startAttempt(long timeoutMs) {
+        return upstream.send(SERVER, newRequest(), 1000 * timeoutMs, results::add);
     }
 
     /** The outcome of a call with a second of time. */
-    private Result result() {
+    private Result runAttempt() {
         int before = results.size();
-        attempt(1_000);
-        run(2_000);
+        startAttempt(1_000);
+        advanceMillis(2_000);
         assertEquals(before + 1, results.size(), "one result, exactly");
         return results.get(before);
     }
 
     /** Lets a call's first bytes through, and keeps the rest until the connection ends. */
-    private static final class Stalling extends ChannelDuplexHandler {
-        private static final int THROUGH = 10;
-        private final List<ChannelPromise> kept = new ArrayList<>();
+    private static final class StallingHandler extends ChannelDuplexHandler {
+        private static final int FORWARDED_BYTES = 10;
+        private final List<ChannelPromise> pendingWrites = new ArrayList<>();
 
         @Override
         public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
             ByteBuf bytes = (ByteBuf) message;
-            if (kept.isEmpty()) {
-                ctx.write(bytes.copy(bytes.readerIndex(), THROUGH));
+            if (pendingWrites.isEmpty()) {
+                ctx.write(bytes.copy(bytes.readerIndex(), FORWARDED_BYTES));
             }
             bytes.release();
-            kept.add(promise);
+            pendingWrites.add(promise);
         }
 
-        private void fail() {
-            kept.forEach(each -> each.tryFailure(new ClosedChannelException()));
+        private void failPendingWrites() {
+            pendingWrites.forEach(each -> each.tryFailure(new ClosedChannelException()));
         }
 
         @Override
         public void close(ChannelHandlerContext ctx, ChannelPromise promise) {
-            fail();
+            failPendingWrites();
             ctx.close(promise);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            fail(); // as a channel does: what was not written fails before its end is told
+            failPendingWrites(); // as a channel does: what was not written fails before its end is told
             ctx.fireChannelInactive();
         }
     }
 
-    private void stall() {
+    private void useStallingTransport() {
         Supplier<ChannelHandler> nothing = ChannelInboundHandlerAdapter::new;
-        use(new TamperingTransport(agent, nothing, Stalling::new));
+        useTransport(new TamperingTransport(agent, nothing, StallingHandler::new));
     }
 
     @Test
-    public void callsAreServedOnOneConnectionOneAfterTheOther() {
+    public void sequentialAttemptsShareOneConnection() {
         for (int i = 0; i < 3; i++) {
-            Result result = result();
+            Result result = runAttempt();
             assertEquals(Outcome.OK, result.outcome());
-            assertNotNull(result.served());
+            assertNotNull(result.response());
         }
-        assertEquals(1, accepted);
-        attempt(1_000);
-        attempt(1_000);
-        run(100);
-        assertEquals(2, accepted, "at the same time, each on its own");
+        assertEquals(1, acceptedConnections);
+        startAttempt(1_000);
+        startAttempt(1_000);
+        advanceMillis(100);
+        assertEquals(2, acceptedConnections, "at the same time, each on its own");
         assertEquals(
                 5, results.stream().filter(each -> each.outcome() == Outcome.OK).count());
     }
 
     /** A nodo restarts under half a call: it never ran, for its last byte never left. */
     @Test
-    public void aCallCutOffBeforeItsLastByteNeverRan() {
-        stall();
-        first = (ctx, none) -> reset(ctx);
-        assertEquals(Outcome.CONNECT_FAILED, result().outcome());
-        assertEquals(0, whole);
+    public void resetBeforeTheLastRequestByteCountsAsNeverRun() {
+        useStallingTransport();
+        onFirstBytes = (ctx, none) -> reset(ctx);
+        assertEquals(Outcome.CONNECT_FAILED, runAttempt().outcome());
+        assertEquals(0, completeRequests);
         assertTrue(Outcome.CONNECT_FAILED.neverRan());
     }
 
     /** A nodo restarts over a whole call: it may have run. */
     @Test
-    public void aCallCutOffAfterItsLastByteMayHaveRun() {
-        script = (ctx, reply) -> reset(ctx);
-        assertEquals(Outcome.RESET, result().outcome());
-        assertEquals(1, whole);
-        script = (ctx, reply) -> nodo.kill();
-        assertEquals(Outcome.RESET, result().outcome());
+    public void resetAfterTheLastRequestByteMayHaveRun() {
+        onRequest = (ctx, reply) -> reset(ctx);
+        assertEquals(Outcome.RESET, runAttempt().outcome());
+        assertEquals(1, completeRequests);
+        onRequest = (ctx, reply) -> nodo.kill();
+        assertEquals(Outcome.RESET, runAttempt().outcome());
     }
 
     @Test
-    public void aReplyCutOffAnywhereIsNotServed() {
+    public void truncatedResponseIsNotServed() {
         int[] cut = {0};
         int[] length = {Integer.MAX_VALUE};
-        script = (ctx, reply) -> {
+        onRequest = (ctx, reply) -> {
             length[0] = reply.length;
             send(ctx, Arrays.copyOf(reply, cut[0]));
             reset(ctx);
         };
         for (cut[0] = 0; cut[0] < length[0]; cut[0]++) {
-            Result result = result();
+            Result result = runAttempt();
             assertEquals(Outcome.RESET, result.outcome(), "after " + cut[0] + " bytes");
-            assertNull(result.served());
+            assertNull(result.response());
         }
     }
 
     /** What comes before the call has left whole cannot be an answer to it. */
     @Test
-    public void aReplyAheadOfTheWholeCallIsNoAnswer() {
+    public void responseBeforeTheWholeRequestWasSentIsIgnored() {
         byte[][] reply = new byte[1][];
-        script = (ctx, bytes) -> reply[0] = bytes;
-        attempt(50);
-        run(100);
+        onRequest = (ctx, bytes) -> reply[0] = bytes;
+        startAttempt(50);
+        advanceMillis(100);
         assertNotNull(reply[0]);
-        stall();
-        first = (ctx, none) -> send(ctx, reply[0]);
-        Result result = result();
+        useStallingTransport();
+        onFirstBytes = (ctx, none) -> send(ctx, reply[0]);
+        Result result = runAttempt();
         assertEquals(Outcome.CONNECT_FAILED, result.outcome());
-        assertNull(result.served());
+        assertNull(result.response());
     }
 
     @Test
-    public void aReplyThatComesTooLateMeetsNoLaterCall() {
+    public void lateResponseIsNotGivenToALaterAttempt() {
         int[] calls = {0};
-        script = (ctx, reply) ->
+        onRequest = (ctx, reply) ->
                 ctx.executor().schedule(() -> send(ctx, reply), calls[0]++ == 0 ? 300 : 0, TimeUnit.MILLISECONDS);
-        attempt(100);
-        run(103);
+        startAttempt(100);
+        advanceMillis(103);
         assertEquals(Outcome.TIMEOUT, results.get(0).outcome());
-        assertEquals(1, ended, "its connection is closed at once");
-        assertEquals(Outcome.OK, result().outcome());
-        assertEquals(2, accepted);
+        assertEquals(1, closedConnections, "its connection is closed at once");
+        assertEquals(Outcome.OK, runAttempt().outcome());
+        assertEquals(2, acceptedConnections);
         assertEquals(2, results.size());
     }
 
     @Test
-    public void aCancelledCallEndsAtOnceAndItsConnectionWithIt() {
-        script = (ctx, reply) -> {};
-        Upstream.Attempt attempt = attempt(1_000);
-        run(10);
+    public void cancelledAttemptEndsAtOnceAndClosesItsConnection() {
+        onRequest = (ctx, reply) -> {};
+        Upstream.Attempt attempt = startAttempt(1_000);
+        advanceMillis(10);
         attempt.cancel();
         assertEquals(0, results.size(), "not within the call that cancels");
-        run(2);
+        advanceMillis(2);
         assertEquals(Outcome.CANCELLED, results.get(0).outcome());
-        assertEquals(1, ended);
-        run(2_000);
+        assertEquals(1, closedConnections);
+        advanceMillis(2_000);
         assertEquals(1, results.size());
     }
 
     @Test
-    public void whatIsLeftBehindAReplyMeetsNoLaterCall() {
-        script = (ctx, reply) -> {
+    public void surplusResponseBytesAreNotGivenToALaterAttempt() {
+        onRequest = (ctx, reply) -> {
             byte[] more = Arrays.copyOf(reply, 2 * reply.length);
             System.arraycopy(reply, 0, more, reply.length, reply.length);
             send(ctx, more);
         };
-        assertEquals(Outcome.OK, result().outcome());
-        assertEquals(Outcome.OK, result().outcome());
-        assertEquals(2, accepted, "the second call is not answered by the first one's second reply");
+        assertEquals(Outcome.OK, runAttempt().outcome());
+        assertEquals(Outcome.OK, runAttempt().outcome());
+        assertEquals(2, acceptedConnections, "the second call is not answered by the first one's second reply");
     }
 
     /** The same a moment later, while the connection rests. */
     @Test
-    public void aSecondReplyAMomentLaterMeetsNoLaterCall() {
-        script = (ctx, reply) -> {
+    public void delayedDuplicateResponseIsNotGivenToALaterAttempt() {
+        onRequest = (ctx, reply) -> {
             send(ctx, reply);
             ctx.executor().schedule(() -> send(ctx, reply), 5, TimeUnit.MILLISECONDS);
         };
-        assertEquals(Outcome.OK, result().outcome());
-        assertEquals(Outcome.OK, result().outcome());
-        assertEquals(2, accepted);
+        assertEquals(Outcome.OK, runAttempt().outcome());
+        assertEquals(Outcome.OK, runAttempt().outcome());
+        assertEquals(2, acceptedConnections);
     }
 
     @Test
-    public void bytesThatAreNoReplyAreNotServed() {
-        script = (ctx, reply) -> send(ctx, new byte[] {(byte) 0xff, 1, 2, 3, 4, 5, 6, 7, 8, 9});
-        Result result = result();
+    public void malformedResponseIsNotServed() {
+        onRequest = (ctx, reply) -> send(ctx, new byte[] {(byte) 0xff, 1, 2, 3, 4, 5, 6, 7, 8, 9});
+        Result result = runAttempt();
         assertEquals(Outcome.RESET, result.outcome());
-        assertNull(result.served());
+        assertNull(result.response());
     }
 
     @Test
-    public void aNodoThatRefusesConnectionsOrIsSilentNeverRanAnything() {
+    public void failedConnectionCountsAsNeverRun() {
         nodo.kill();
-        assertEquals(Outcome.CONNECT_FAILED, result().outcome());
+        assertEquals(Outcome.CONNECT_FAILED, runAttempt().outcome());
         nodo.vanish();
-        assertEquals(Outcome.CONNECT_FAILED, result().outcome());
+        assertEquals(Outcome.CONNECT_FAILED, runAttempt().outcome());
     }
 
     @Test
-    public void nothingNewGoesToANodoThatDrainsThoughItsConnectionIsComingUp() {
-        attempt(1_000);
-        list(Balancer.Phase.DRAINING);
-        run(2_000);
+    public void pendingConnectionIsNotUsedOnceTheServerDrains() {
+        startAttempt(1_000);
+        updateServerPhase(Balancer.Phase.DRAINING);
+        advanceMillis(2_000);
         assertEquals(
                 List.of(Outcome.NEVER_SENT),
                 results.stream().map(Result::outcome).toList());
-        assertEquals(0, whole);
-        assertEquals(0, upstream.size());
+        assertEquals(0, completeRequests);
+        assertEquals(0, upstream.serverCount());
     }
 
     /** A server that has another address is reached there, and not over what leads to the old one. */
     @Test
-    public void aNodoListedAtAnotherAddressIsReachedThere() throws Exception {
-        assertEquals(Outcome.OK, result().outcome());
+    public void movedServerIsReachedAtItsNewAddress() throws Exception {
+        assertEquals(Outcome.OK, runAttempt().outcome());
         VirtualHost before = nodo;
         nodo = host("elsewhere", 3);
         listen();
-        list(Balancer.Phase.READY);
+        updateServerPhase(Balancer.Phase.READY);
         before.kill();
-        assertEquals(Outcome.OK, result().outcome());
-        assertEquals(2, accepted);
+        assertEquals(Outcome.OK, runAttempt().outcome());
+        assertEquals(2, acceptedConnections);
     }
 
     /** Another server at the address of one that has gone gets connections of its own; the old ones are closed. */
     @Test
-    public void anAddressTakenOverByAnotherNodoIsDialledAnew() {
-        assertEquals(Outcome.OK, result().outcome());
-        assertEquals(0, ended);
-        upstream.gone(SERVER);
-        run(10);
-        assertEquals(1, ended);
-        upstream.listed(new Endpoint(
+    public void newServerAtAReusedAddressGetsNewConnections() {
+        assertEquals(Outcome.OK, runAttempt().outcome());
+        assertEquals(0, closedConnections);
+        upstream.removeServer(SERVER);
+        advanceMillis(10);
+        assertEquals(1, closedConnections);
+        upstream.updateServer(new Endpoint(
                 new Balancer.Server(SERVER + 1, 0, 0, 0, Balancer.Phase.READY, 1, 0), "other", nodo.at(NODO_PORT)));
-        upstream.send(SERVER + 1, call(), 1_000_000, results::add);
-        run(1_000);
+        upstream.send(SERVER + 1, newRequest(), 1_000_000, results::add);
+        advanceMillis(1_000);
         assertEquals(Outcome.OK, results.get(1).outcome());
-        assertEquals(2, accepted);
-        attempt(1_000);
-        run(10);
+        assertEquals(2, acceptedConnections);
+        startAttempt(1_000);
+        advanceMillis(10);
         assertEquals(Outcome.NEVER_SENT, results.get(2).outcome(), "nothing goes to the one that has left");
     }
 
     /** What is out when the drain is told ends as it would, and its connection is not kept. */
     @Test
-    public void whatIsOutWhenADrainIsToldIsFinished() {
-        script = (ctx, reply) -> ctx.executor().schedule(() -> send(ctx, reply), 100, TimeUnit.MILLISECONDS);
-        attempt(1_000);
-        run(50);
-        list(Balancer.Phase.DRAINING);
-        run(100);
+    public void outstandingAttemptFinishesWhenTheServerDrains() {
+        onRequest = (ctx, reply) -> ctx.executor().schedule(() -> send(ctx, reply), 100, TimeUnit.MILLISECONDS);
+        startAttempt(1_000);
+        advanceMillis(50);
+        updateServerPhase(Balancer.Phase.DRAINING);
+        advanceMillis(100);
         assertEquals(Outcome.OK, results.get(0).outcome());
-        assertEquals(1, ended);
+        assertEquals(1, closedConnections);
     }
 
     @Test
-    public void aProbeAsksForHealth() {
+    public void probeIsAnsweredByTheServer() {
         upstream.probe(SERVER, results::add);
-        run(1_000);
+        advanceMillis(1_000);
         assertEquals(1, results.size());
-        assertEquals(1, whole);
+        assertEquals(1, completeRequests);
         assertEquals(Outcome.OK, results.get(0).outcome());
     }
 }
--- a/src/test/java/gatefront/http/HttpUpstreamTest.java
+++ b/src/test/java/gatefront/http/HttpUpstreamTest.java
@@ -18,7 +18,7 @@
 /** The contract over HTTP/1.1. */
 class HttpUpstreamTest extends UpstreamContract {
     @Override
-    protected PooledUpstream upstream(Transport transport, int port) {
+    protected PooledUpstream createUpstream(Transport transport, int port) {
         return new HttpUpstream(
                 transport,
                 Config.read(Path.of("src/test/resources/config.json")),
@@ -27,18 +27,18 @@
     }
 
     @Override
-    protected Payload call() {
+    protected Payload newRequest() {
         return new HttpUpstream.Outgoing(
                 HttpMethod.POST, "/order?q=1", new DefaultHttpHeaders(), "cuerpo".getBytes(StandardCharsets.US_ASCII));
     }
 
     @Override
-    protected void decode(ChannelPipeline pipeline) {
+    protected void addServerDecoder(ChannelPipeline pipeline) {
         pipeline.addLast(new HttpRequestDecoder(), new HttpObjectAggregator(1 << 16));
     }
 
     @Override
-    protected byte[] reply(Object call) {
+    protected byte[] responseBytes(Object call) {
         return "HTTP/1.1 200 OK\r\nServer-Load: inflight=1,queue=0\r\nContent-Length: 5\r\n\r\nhecho"
                 .getBytes(StandardCharsets.US_ASCII);
     }
--- a/src/test/java/gatefront/rehearsal/FaultyAgentTest.java
+++ b/src/test/java/gatefront/rehearsal/FaultyAgentTest.java
@@ -29,7 +29,7 @@
 
         Faulty(Engine agent) {
             this.agent = agent;
-            this.right = Engine.usual(agent);
+            this.right = Engine.createDefaultBalancer(agent);
         }
 
         @Override
--- a/src/test/java/gatefront/thrift/ThriftUpstreamTest.java
+++ b/src/test/java/gatefront/thrift/ThriftUpstreamTest.java
@@ -32,7 +32,7 @@
         }
 
         @Override
-        protected PooledUpstream upstream(Transport transport, int port) {
+        protected PooledUpstream createUpstream(Transport transport, int port) {
             return new ThriftUpstream(
                     transport,
                     Config.read(Path.of("src/test/resources/config.json")),
@@ -42,7 +42,7 @@
         }
 
         @Override
-        protected Payload call() {
+        protected Payload newRequest() {
             byte[] arguments =
                     new StructWriter(form.encoding()).string(2, "cuerpo").end();
             return new ThriftCall(
@@ -53,12 +53,12 @@
         }
 
         @Override
-        protected void decode(ChannelPipeline pipeline) {
+        protected void addServerDecoder(ChannelPipeline pipeline) {
             pipeline.addLast(new MessageDecoder(MessageLimits.USUAL));
         }
 
         @Override
-        protected byte[] reply(Object read) {
+        protected byte[] responseBytes(Object read) {
             ThriftMessage call = (ThriftMessage) read;
             byte[] result = call.header().name().equals(ThriftConventions.HEALTH)
                     ? ErrorResults.health(call.encoding(), true)
