--- a/src/main/java/gatefront/connection/AbstractFrontend.java
+++ b/src/main/java/gatefront/connection/AbstractFrontend.java
@@ -24,46 +24,52 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The callers' connections: how many there may be, how long each may say nothing, how each ends. What a protocol adds
- * is what the bytes mean. All of it runs on the agent's event loop.
+ * Manages the connections of clients: their number, their timeouts and how they are closed. Subclasses add the
+ * protocol. Runs on the agent's event loop.
  */
 public abstract class AbstractFrontend implements Frontend {
-    /** What a connection is at. */
+    /** The state of a connection. */
     protected enum State {
-        /** New, and nothing said yet. */
+        /** Accepted; no byte has been received. */
         NEW,
-        /** Half a request sent. */
+        /** Part of a request has been received. */
         READING_REQUEST,
-        /** Kept after an answer. */
+        /** Kept open after a response. */
         KEEP_ALIVE,
-        /** Owed an answer. */
+        /** A request waits for its response. */
         AWAITING_RESPONSE,
-        /** Its answer is passed on in pieces; since it last took some. */
+        /** A response is being streamed; entered anew whenever the client takes some of it. */
         STREAMING_RESPONSE,
-        /** Its last answer is being written. */
+        /** The last response of the connection is being written. */
         WRITING_LAST_RESPONSE,
-        /** Its last answer is being read. */
+        /** Output is shut down; the client is reading the last response. */
         LINGERING
     }
 
-    /** How long a connection may say nothing. */
+    /** Longest time from accepting a connection to its first byte. */
     private static final long NEW_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
-    /** How long it may take over a head, and then from one piece of a body to the next. */
+    /** Longest time for the head of a request, and then between two chunks of its body. */
     private static final long READ_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
-    /** How long one that has had an answer is kept while there is room, and while there is little. */
+    /** Keep-alive timeout. */
     private static final long KEEP_ALIVE_NANOS = TimeUnit.SECONDS.toNanos(30);
 
+    /** Keep-alive timeout under pressure, and the idle time before a connection may be closed to admit another. */
     private static final long MIN_KEEP_ALIVE_NANOS = TimeUnit.SECONDS.toNanos(2);
-    /** How long a new connection may say nothing at the least: its first request is on the way. */
+    /** Age before a silent new connection may be closed to admit another: its first request may be on its way. */
     private static final long MIN_NEW_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-    /** How long one that ends may take until its last answer is written, and then over reading it. */
+    /** Longest time for writing the last response of a connection. */
     private static final long LAST_WRITE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
-    /** How long one may read nothing of an answer that is passed on in pieces. */
+    /** Longest time for which a client may read nothing of a streamed response. */
     private static final long STALL_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
+    /** Longest time for which a connection lingers so that the client can read the last response. */
     private static final long LINGER_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+    /** Largest number of connections that linger at the same time. */
     private static final int MAX_LINGERING = 16;
-    /** From this part of the room on those kept are closed sooner, and each answer is a connection's last. */
+    /**
+     * Fraction of the connection limit from which on idle connections are closed sooner and every connection is closed
+     * after its next response.
+     */
     private static final double PRESSURE_FRACTION = 0.6;
 
     private static final long SWEEP_MS = 100;
@@ -73,24 +79,24 @@
     private final ServerBootstrap bootstrap;
     private Channel serverChannel;
     private final Set<Connection> connections = new LinkedHashSet<>();
-    /** Of these, by what they are at, the longest at it first. */
+    /** The connections by state; in each set, the one that entered the state first comes first. */
     private final Map<State, Set<Connection>> connectionsByState = new EnumMap<>(State.class);
 
     private final ResourceBudget budget;
     private final ResourceAccount connectionAccount;
     private final ResourceAccount requestAccount;
     private final ResourceAccount responseAccount;
-    private boolean notReady;
-    /** Whether each answer is to be its connection's last, for the end is near. */
+    private boolean markedNotReady;
+    /** Whether each connection is closed after its next response, because the agent is shutting down. */
     private boolean closeAfterResponse;
 
     /**
-     * Listens to nobody yet; {@link #listen()} begins.
+     * Creates a frontend that does not listen before {@link #listen()} is called.
      *
-     * @param transport its loop, clock and network
-     * @param listenAddress where it listens
-     * @param maxConnections connections held at the most
-     * @param budget of the agent
+     * @param transport provides the event loop, clock and network
+     * @param listenAddress address to listen on
+     * @param maxConnections largest number of open connections
+     * @param budget resource budget of the agent
      */
     protected AbstractFrontend(
             Transport transport, InetSocketAddress listenAddress, int maxConnections, ResourceBudget budget) {
@@ -103,12 +109,14 @@
                 ResourcePurpose.REQUESTS,
                 () -> new ResourceBudget.Count(
                         0,
-                        connections.stream().mapToLong(each -> each.heldBytes).sum()));
+                        connections.stream()
+                                .mapToLong(connection -> connection.heldBytes)
+                                .sum()));
         this.transport = transport;
         this.listenAddress = listenAddress;
         this.maxConnections = maxConnections;
-        for (State each : State.values()) {
-            connectionsByState.put(each, new LinkedHashSet<>());
+        for (State state : State.values()) {
+            connectionsByState.put(state, new LinkedHashSet<>());
         }
         bootstrap = new ServerBootstrap()
                 .group(transport.loop())
@@ -126,7 +134,7 @@
                 });
     }
 
-    /** Sets up a new connection: its decoder, and a {@link Connection} behind it. */
+    /** Sets up the pipeline of a new connection: its codec, followed by a {@link Connection}. */
     protected abstract void initPipeline(DuplexChannel channel);
 
     @Override
@@ -148,12 +156,12 @@
 
     @Override
     public void markNotReady() {
-        notReady = true;
+        markedNotReady = true;
     }
 
     @Override
     public void handOver() {
-        notReady = true;
+        markedNotReady = true;
         closeAfterResponse = true;
         transport.closeShared(serverChannel);
     }
@@ -177,21 +185,21 @@
         return connections.isEmpty();
     }
 
-    /** Whether the end has been asked for. */
-    protected final boolean isNotReady() {
-        return notReady;
+    /** Returns whether health checks are to be answered with "not ready". */
+    protected final boolean isMarkedNotReady() {
+        return markedNotReady;
     }
 
-    /** Whether each answer is to be its connection's last: at the end, and while room is scarce. */
+    /** Returns whether a connection is closed after its next response: at shutdown, and under pressure. */
     protected final boolean closesAfterResponse() {
         return closeAfterResponse || isUnderPressure();
     }
 
     /**
-     * Keeps the connections under the limit on sockets. Guards against running out of descriptors, which
-     * would end the agent, and against silent or forgotten connections shutting the others out: they make
-     * room, the longest silent first. While none can go none is accepted: one in use must not be closed
-     * unannounced, for its next request may be on the way.
+     * Keeps the number of connections under the limit. Guards against running out of file descriptors, which would end
+     * the agent, and against silent or forgotten connections shutting out others: those are closed, the longest silent
+     * first. While none can be closed, no connection is accepted: one in use must not be closed unannounced, as its
+     * next request may be on its way.
      */
     private void enforceConnectionLimit() {
         long now = transport.nanos();
@@ -202,46 +210,51 @@
                                         .size()
                         >= maxConnections
                 || connectionAccount.full()) {
-            Connection first = oldestIfSince(State.NEW, now - MIN_NEW_NANOS);
-            first = first == null ? oldestIfSince(State.KEEP_ALIVE, now - MIN_KEEP_ALIVE_NANOS) : first;
-            if (first == null) {
+            Connection oldest = oldestIfSince(State.NEW, now - MIN_NEW_NANOS);
+            oldest = oldest == null ? oldestIfSince(State.KEEP_ALIVE, now - MIN_KEEP_ALIVE_NANOS) : oldest;
+            if (oldest == null) {
                 break;
             }
-            first.closeAfterFlush();
+            oldest.closeAfterFlush();
             if (connectionAccount.full()) {
-                break; // it goes when what it was sent is written, and the next look finds out
+                break; // it leaves the account once its output is flushed; the next sweep sees that
             }
         }
         serverChannel.config().setAutoRead(connections.size() < maxConnections && !connectionAccount.full());
     }
 
-    /** The first of them if it has been there since then. */
+    /**
+     * Returns the connection that has been in a state for longest if it entered it by {@code sinceNanos}, else null.
+     */
     private Connection oldestIfSince(State state, long sinceNanos) {
         Set<Connection> candidates = connectionsByState.get(state);
-        Connection first = candidates.isEmpty() ? null : candidates.iterator().next();
-        return first != null && first.stateSinceNanos - sinceNanos <= 0 ? first : null;
+        Connection oldest = candidates.isEmpty() ? null : candidates.iterator().next();
+        return oldest != null && oldest.stateSinceNanos - sinceNanos <= 0 ? oldest : null;
     }
 
-    /** Ends what takes too long. Guards against descriptors and memory held for nobody. */
+    /**
+     * Closes connections whose timeout has passed. Guards against descriptors and memory held for unresponsive clients.
+     */
     private void sweep() {
         expired(State.NEW, NEW_TIMEOUT_NANOS).forEach(Connection::closeAfterFlush);
         expired(State.KEEP_ALIVE, isUnderPressure() ? MIN_KEEP_ALIVE_NANOS : KEEP_ALIVE_NANOS)
                 .forEach(Connection::closeAfterFlush);
-        for (Connection each : expired(State.READING_REQUEST, READ_TIMEOUT_NANOS)) {
-            each.onReadTimeout();
-            if (each.state == State.READING_REQUEST) {
-                each.channel.close(); // it does not read either
+        for (Connection connection : expired(State.READING_REQUEST, READ_TIMEOUT_NANOS)) {
+            connection.onReadTimeout();
+            if (connection.state == State.READING_REQUEST) {
+                connection.channel.close(); // no error could be sent, as the client does not read either
             }
         }
         expired(State.STREAMING_RESPONSE, STALL_TIMEOUT_NANOS).stream()
-                .filter(each -> !each.channel.isWritable())
-                .forEach(each -> each.channel.close());
-        expired(State.WRITING_LAST_RESPONSE, LAST_WRITE_TIMEOUT_NANOS).forEach(each -> each.channel.close());
-        expired(State.LINGERING, LINGER_NANOS).forEach(each -> each.channel.close());
+                .filter(connection -> !connection.channel.isWritable())
+                .forEach(connection -> connection.channel.close());
+        expired(State.WRITING_LAST_RESPONSE, LAST_WRITE_TIMEOUT_NANOS)
+                .forEach(connection -> connection.channel.close());
+        expired(State.LINGERING, LINGER_NANOS).forEach(connection -> connection.channel.close());
         enforceConnectionLimit();
     }
 
-    /** Whether room gets scarce: clients that keep their connections without need then have to dial again. */
+    /** Returns whether connections or resources are getting scarce; idle clients then have to reconnect. */
     private boolean isUnderPressure() {
         return connections.size() >= PRESSURE_FRACTION * maxConnections
                 || budget.pressure() != ResourceBudget.Pressure.NONE;
@@ -250,39 +263,38 @@
     private List<Connection> expired(State state, long timeoutNanos) {
         long sinceNanos = transport.nanos() - timeoutNanos;
         return connectionsByState.get(state).stream()
-                .takeWhile(each -> each.stateSinceNanos - sinceNanos <= 0)
+                .takeWhile(connection -> connection.stateSinceNanos - sinceNanos <= 0)
                 .toList();
     }
 
-    /** One connection of a caller's; it is the last handler of its pipeline. */
+    /** One connection of a client; it is the last handler of its pipeline. */
     protected abstract class Connection extends SimpleChannelInboundHandler<Object> {
-        /** Its channel. */
         protected final DuplexChannel channel;
-        /** Nothing more is taken from it: what came was wrong, or it ends. */
+        /** Whether further input is ignored, because invalid input was received or the connection is being closed. */
         protected boolean ignoresInput;
 
         private State state;
         private long stateSinceNanos;
-        /** What its requests' bodies take. */
+        /** Bytes that the bodies of its requests hold in memory. */
         private int heldBytes;
 
-        /** New, on this channel. */
+        /** Creates a connection on {@code channel}. */
         protected Connection(DuplexChannel channel) {
             this.channel = channel;
         }
 
-        /** Half a request has come, and then nothing for too long. */
+        /** Called when the rest of a partly received request has not arrived in time. */
         protected abstract void onReadTimeout();
 
-        /** The caller has closed it: nothing more can be answered. */
+        /** Called when the connection has been closed; no more responses can be sent. */
         protected abstract void onClosed();
 
-        /** What it is at. */
+        /** Returns the state of the connection. */
         protected final State state() {
             return state;
         }
 
-        /** It is at something else from now on; null is the end. */
+        /** Enters a state and restarts its clock; null means that the connection is closed. */
         protected final void transitionTo(State newState) {
             if (state != null) {
                 connectionsByState.get(state).remove(this);
@@ -294,7 +306,7 @@
             }
         }
 
-        /** Counts bytes of requests that are held; false, and not counted, if there is no room. */
+        /** Reserves bytes for request bodies; returns false, and reserves nothing, if the budget has no room. */
         protected final boolean reserve(int bytes) {
             // Guards against running out of memory.
             if (!requestAccount.grow(bytes)) {
@@ -304,13 +316,13 @@
             return true;
         }
 
-        /** Bytes of requests are no longer held. */
+        /** Releases reserved bytes. */
         protected final void release(int bytes) {
             heldBytes -= bytes;
             requestAccount.shrink(bytes);
         }
 
-        /** Writes an answer, which counts as held until it has left for the caller. */
+        /** Writes a response, whose bytes count as held until they have been written. */
         protected final ChannelFuture writeResponse(Object message, int bytes) {
             responseAccount.add(1, bytes);
             return channel.writeAndFlush(message).addListener(done -> responseAccount.give(bytes));
@@ -337,19 +349,19 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.close(); // its connection broke; what it was owed is told by channelInactive
+            ctx.close(); // the connection is broken; channelInactive cancels its request
         }
 
         /**
-         * Its last answer is being written.
+         * Closes the connection after its last response.
          *
-         * @param written tells when that is done
-         * @param hasUnreadInput whether more has come from it than was read
+         * @param written completes when the response has been written
+         * @param hasUnreadInput whether received bytes are left unread
          */
         protected final void closeAfterWrite(ChannelFuture written, boolean hasUnreadInput) {
             ignoresInput = true;
             transitionTo(State.WRITING_LAST_RESPONSE);
-            // Guards against a reset for what was not read, which would overtake the answer.
+            // Guards against a reset because of unread input, which would overtake the response.
             written.addListener(hasUnreadInput ? done -> linger() : ChannelFutureListener.CLOSE);
         }
 
@@ -362,7 +374,7 @@
             }
         }
 
-        /** Closes it once what it was sent is written. */
+        /** Closes the connection once pending output has been written. */
         protected final void closeAfterFlush() {
             closeAfterWrite(channel.writeAndFlush(Unpooled.EMPTY_BUFFER), false);
         }
--- a/src/main/java/gatefront/connection/BufferLimits.java
+++ b/src/main/java/gatefront/connection/BufferLimits.java
@@ -4,14 +4,14 @@
 import io.netty.channel.RecvByteBufAllocator;
 import io.netty.channel.WriteBufferWaterMark;
 
-/** What a connection of either side may have on its way, so that many with large bodies fit in little memory. */
+/** Buffer sizes of connections to clients and servers, small enough that many large bodies fit in little memory. */
 final class BufferLimits {
-    /** Read at once at the most: a piece that waits keeps the whole of what it was read with. */
+    /** Largest single read: a pending chunk keeps the whole buffer that it was read into. */
     private static final int MAX_READ_BYTES = 16 << 10;
 
     private static final int MIN_READ_BYTES = 64;
     private static final int INITIAL_READ_BYTES = 2 << 10;
-    /** Written and not yet taken by the system: from twice a read on nothing more is, until it is one again. */
+    /** Channels are unwritable from two full reads of pending output until it has fallen to one. */
     static final WriteBufferWaterMark WRITE_WATER_MARK = new WriteBufferWaterMark(MAX_READ_BYTES, 2 * MAX_READ_BYTES);
 
     private BufferLimits() {}
--- a/src/main/java/gatefront/connection/LoadReportParser.java
+++ b/src/main/java/gatefront/connection/LoadReportParser.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the load reports of servers: {@code name=value} pairs behind commas. */
+/** Parses the load reports of servers: {@code name=value} pairs, separated by commas. */
 public final class LoadReportParser {
     private static final double[] NO_VALUES = new double[0];
-    /** The names of the values as servers write them, where the settings say otherwise. */
+    /** Names that servers use in reports, by the names that the settings use, where they differ. */
     private static final Map<String, String> DEFAULT_REPORT_NAMES = Map.of(
             "concurrent",
             "inflight",
@@ -25,12 +25,14 @@
 
     private final List<String> fields;
 
-    /** Reports of these fields, by the settings' names. */
+    /** Creates a parser of reports with these fields, named as in the settings. */
     public LoadReportParser(List<String> fields) {
         this.fields = List.copyOf(fields);
     }
 
-    /** The values in the order of the fields; none, if there is no report, or one that is none. */
+    /**
+     * Returns the values in the order of the fields; an empty array if the report is missing, incomplete or invalid.
+     */
     public double[] parse(String text) {
         if (text == null || fields.isEmpty()) {
             return NO_VALUES;
@@ -41,21 +43,21 @@
             try {
                 double value = Double.parseDouble(pair.substring(equals + 1).trim());
                 if (!(value >= 0 && value < Double.POSITIVE_INFINITY)) {
-                    return NO_VALUES; // Guards against a figure that is none poisoning every mean it enters.
+                    return NO_VALUES; // Guards against NaN and infinity, which would spoil every mean they enter.
                 }
                 values.put(pair.substring(0, Math.max(0, equals)).trim(), value);
             } catch (NumberFormatException e) {
                 return NO_VALUES;
             }
         }
-        List<Double> load = new ArrayList<>();
+        List<Double> report = new ArrayList<>();
         for (String name : fields) {
             Double value = values.getOrDefault(name, values.get(DEFAULT_REPORT_NAMES.getOrDefault(name, name)));
             if (value == null) {
                 return NO_VALUES;
             }
-            load.add(value);
+            report.add(value);
         }
-        return load.stream().mapToDouble(Double::doubleValue).toArray();
+        return report.stream().mapToDouble(Double::doubleValue).toArray();
     }
 }
--- a/src/main/java/gatefront/connection/PooledUpstream.java
+++ b/src/main/java/gatefront/connection/PooledUpstream.java
@@ -34,25 +34,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The connections to the servers: a pool for each, one attempt a connection at a time. What a protocol adds is how a
- * request is written and what an arrival means. All of it runs on the agent's event loop, and every result is queued
- * there, not handed over in a call.
+ * Manages the connections to the servers: one pool for each server, one attempt at a time on each connection.
+ * Subclasses add how a request is written and how a response is read. Runs on the agent's event loop; each result is
+ * queued there and never delivered from within a call.
  */
 public abstract class PooledUpstream implements Upstream {
-    /** No load report. */
+    /** The result of an attempt without a load report. */
     protected static final double[] NO_LOAD = new double[0];
-    /** The part of the servers' idle time after which a connection is not used again. */
+    /** Fraction of the servers' idle timeout after which a connection is not used again. */
     private static final double MAX_IDLE_FRACTION = 0.75;
 
     private static final long SWEEP_SECONDS = 1;
     /**
-     * A connection rests for this long after an answer. Guards against a second copy or noise right behind
-     * the answer, which would be taken for the answer of the next request: it shows in that time.
+     * A connection is not used for this long after a response. Guards against a second copy or stray bytes right behind
+     * the response, which would be taken for the response to the next request: they arrive within that time.
      */
     private static final long QUIET_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
 
     private static final long PROBE_TIMEOUT_MICROS = 250_000;
-    /** An answer that is being passed on and of which nothing comes for so long is over. */
+    /** A streamed response of which nothing arrives for this long times out. */
     private static final long STALL_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(4);
 
     private final Transport transport;
@@ -60,7 +60,7 @@
     private final Bootstrap bootstrap;
     private final long maxIdleNanos;
     private final int maxConnections;
-    /** By server, from its first line as ready until it drains or goes. */
+    /** Pools by server id, from the first list entry that is ready until the server drains or is removed. */
     private final Map<Long, Pool> pools = new HashMap<>();
 
     private int connections;
@@ -68,11 +68,11 @@
     private final ResourceAccount connectionAccount;
     private final ResourceAccount responseAccount;
 
-    /** What is kept for one server at one address. */
+    /** The state kept for one server at one address. */
     private static final class Pool {
         final InetSocketAddress address;
         final long quietPeriodNanos;
-        /** Most recently used first: what is not needed grows old and is closed. */
+        /** Idle connections, most recently used first, so that surplus ones expire and are closed. */
         final Deque<Connection> idle = new ArrayDeque<>();
 
         final Set<Attempt> connecting = new LinkedHashSet<>();
@@ -91,13 +91,13 @@
     }
 
     /**
-     * Nothing is connected yet.
+     * Creates an upstream without connections.
      *
-     * @param transport its loop, clock and network
-     * @param maxConnections connections held at the most
-     * @param connectTimeoutMicros a connection not up by then has failed
-     * @param idleCloseMicros servers close a connection that has been idle for this long
-     * @param budget of the agent
+     * @param transport provides the event loop, clock and network
+     * @param maxConnections largest number of open connections
+     * @param connectTimeoutMicros time after which an attempt to connect has failed
+     * @param idleCloseMicros time after which servers close an idle connection
+     * @param budget resource budget of the agent
      */
     protected PooledUpstream(
             Transport transport,
@@ -118,41 +118,42 @@
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, BufferLimits.receiveBufferAllocator())
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, BufferLimits.WRITE_WATER_MARK)
-                .disableResolver(); // addresses are literal; the usual resolvers would keep the loop for ever
+                .disableResolver(); // addresses are literal; Netty's default resolvers would hold on to the loop for
+        // ever
         loop.scheduleWithFixedDelay(this::closeExpired, SWEEP_SECONDS, SWEEP_SECONDS, TimeUnit.SECONDS);
     }
 
-    // ---- What a protocol adds ----
+    // ---- Protocol ----
 
-    /** Sets up a new connection: its codec, and a {@link Reader} behind it. */
+    /** Sets up the pipeline of a new connection: its codec, followed by a {@link Reader}. */
     protected abstract void initPipeline(Connection connection, ChannelPipeline pipeline);
 
     /**
-     * What is written for a request.
+     * Returns the message to write for a request.
      *
-     * @param request as it was handed in
-     * @param attemptNumber of the attempt
-     * @param millisLeft of its time, at least 1; 0 if it has no limit
+     * @param request the payload passed to {@link #send}
+     * @param attemptNumber number of the attempt
+     * @param millisLeft time until the attempt times out, in milliseconds, at least 1; 0 if it has no timeout
      */
     protected abstract Object requestMessage(Payload request, int attemptNumber, long millisLeft);
 
-    /** A piece of a request's body, as it is written; for protocols that have such. */
+    /** Returns the message to write for a chunk of a streamed request body, in protocols that have them. */
     protected Object bodyChunk(ByteBuf chunk) {
         return chunk;
     }
 
-    /** What is written behind the last piece. */
+    /** Returns the message to write after the last chunk. */
     protected Object bodyEnd() {
         return Unpooled.EMPTY_BUFFER;
     }
 
-    /** The request that asks for a server's health. */
+    /** Returns the request that probes a server's health. */
     protected abstract Payload probe();
 
-    /** The last byte of an attempt's request has left. */
+    /** Called when the last byte of an attempt's request has been sent. */
     protected void requestSent(Attempt attempt) {}
 
-    /** Where a listed server is reached by this protocol, or null if it is not. */
+    /** Returns the address of a listed server for this protocol, or null if it has none. */
     protected InetSocketAddress address(Endpoint endpoint) {
         return endpoint.address();
     }
@@ -167,27 +168,27 @@
         if (endpoint.server().phase() != Balancer.Phase.READY || address == null) {
             removeServer(id);
         } else if (pool == null || !pool.address.equals(address)) {
-            removeServer(id); // Guards against using what leads to the address that it had before.
+            removeServer(id); // Guards against using connections to the server's former address.
             pools.put(id, new Pool(address, QUIET_PERIOD_NANOS));
         }
     }
 
-    /** The agent itself as a server: nothing but its answers comes from it, so connections need no rest. */
+    /** Adds the agent itself as a server. It sends nothing but its responses, so connections need no quiet period. */
     public void addSelf(long id, InetSocketAddress address) {
         pools.put(id, new Pool(address, 0));
     }
 
     /**
-     * Nothing new goes to this server, and nothing is kept for it but by the attempts that are out. Guards
-     * against a request that is written when its connection comes up only after the drain was told, and
-     * against memory and connections kept for servers that will never come back.
+     * Stops sending to a server, and drops all state but that of outstanding attempts. Guards against a request written
+     * on a connection that is established only after the server started to drain, and against memory and connections
+     * kept for servers that never come back.
      */
     @Override
     public void removeServer(long server) {
         Pool pool = pools.remove(server);
         if (pool != null) {
             pool.retired = true;
-            List.copyOf(pool.connecting).forEach(each -> each.end(Outcome.NEVER_SENT));
+            List.copyOf(pool.connecting).forEach(attempt -> attempt.end(Outcome.NEVER_SENT));
             pool.closeIdle();
         }
     }
@@ -213,7 +214,10 @@
         }
     }
 
-    /** Makes room under the limit on sockets by closing the connection that has been idle for longest. */
+    /**
+     * Returns whether another connection may be opened; at the limit, closes the connection that has been idle for
+     * longest.
+     */
     private boolean ensureCapacity() {
         if (connections < maxConnections && !connectionAccount.full()) {
             return true;
@@ -232,7 +236,7 @@
         return connections < maxConnections && !connectionAccount.full();
     }
 
-    /** Takes the most recently used connection that has rested and was silent meanwhile, or none. */
+    /** Takes the most recently used connection that stayed silent for its quiet period, or returns null. */
     private Connection takeIdle(Pool pool) {
         long now = transport.nanos();
         Connection usable = null;
@@ -250,7 +254,8 @@
             }
         }
         if (unusable != null) {
-            unusable.forEach(connection -> connection.channel.close()); // not while the pool is being looked through
+            unusable.forEach(
+                    connection -> connection.channel.close()); // closing modifies the pool, so not during the iteration
         }
         return usable;
     }
@@ -269,7 +274,7 @@
         new Attempt(probe(), PROBE_TIMEOUT_MICROS, listener).start(server);
     }
 
-    /** One request on its way to a server, or a probe. */
+    /** One sending of a request to a server, or a probe. */
     protected final class Attempt implements Upstream.Attempt {
         private final Payload request;
         private final int number = ++attemptCount;
@@ -282,9 +287,10 @@
         private Channel connectingChannel;
         private boolean requestSent;
         private boolean ended;
-        /** Its answer, where that is passed on in pieces; and when the server last gave some. */
+        /** The response if it is being streamed, else null. */
         private BodyStream responseStream;
 
+        /** When the server last sent some of the streamed response. */
         private long lastProgressNanos;
 
         private Attempt(Payload request, long timeoutMicros, Listener listener) {
@@ -297,12 +303,12 @@
                     : null;
         }
 
-        /** What was handed in. */
+        /** Returns the payload passed to {@link #send}. */
         public Payload request() {
             return request;
         }
 
-        /** Its number among those of the upstream, in the order in which they were made; it wraps around. */
+        /** Returns the number of the attempt, counted up by the upstream; it wraps around. */
         public int number() {
             return number;
         }
@@ -319,7 +325,7 @@
             } else if (ensureCapacity()) {
                 connect();
             } else {
-                end(Outcome.NEVER_SENT); // Guards against running out of descriptors.
+                end(Outcome.NEVER_SENT); // Guards against running out of file descriptors.
             }
         }
 
@@ -346,12 +352,12 @@
             });
         }
 
-        /** The head of its answer has come. */
+        /** Reports that the head of the response has arrived. */
         public void responseStarted() {
             listener.onResponseStarted();
         }
 
-        /** Its answer has begun and is passed on in pieces: from now on it may take as long as the server gives. */
+        /** Streams the response from now on: the timeout ends, and only a stall of the server ends the attempt. */
         public void startStreaming(Payload response, BodyStream stream) {
             responseStream = stream;
             if (timeoutTimer != null) {
@@ -362,12 +368,12 @@
             listener.onResponseStreaming(response);
         }
 
-        /** The server has given something. */
+        /** Notes that the server has sent some of the response. */
         public void recordProgress() {
             lastProgressNanos = transport.nanos();
         }
 
-        /** Guards against an answer that stops in the middle, held open for ever. */
+        /** Guards against holding open for ever a response that stops in the middle. */
         private void scheduleStallCheck() {
             loop.schedule(
                     () -> {
@@ -385,14 +391,14 @@
                     TimeUnit.NANOSECONDS);
         }
 
-        /** Writes the head at once and the body as it comes. */
+        /** Writes the head at once, and the body as it arrives. */
         private void streamRequest(BodyStream upload) {
             if (timeoutTimer != null) {
                 timeoutTimer.cancel(false);
             }
             Channel channel = connection.channel;
             connection.upload = upload;
-            channel.writeAndFlush(requestMessage(request, number, 0)); // the caller's time counts from the last byte
+            channel.writeAndFlush(requestMessage(request, number, 0)); // the timeout counts from the last byte
             listener.onRequestStreaming();
             upload.attach(new BodyStream.Consumer() {
                 @Override
@@ -423,7 +429,7 @@
                 requestSent(this);
                 listener.onRequestSent();
             } else {
-                end(Outcome.CONNECT_FAILED); // the last byte never left, so it cannot have begun
+                end(Outcome.CONNECT_FAILED); // the last byte was not sent, so the request cannot have run
             }
         }
 
@@ -441,7 +447,7 @@
                     .addListener(done -> requestWritten(done.isSuccess()));
         }
 
-        /** The connection has ended under the attempt. Before its last byte was written it did not run. */
+        /** The connection was closed during the attempt. If the last byte was not sent, the request did not run. */
         private void connectionLost() {
             end(requestSent ? Outcome.RESET : Outcome.CONNECT_FAILED);
         }
@@ -456,10 +462,10 @@
         }
 
         /**
-         * It has ended; what comes after its first end is disregarded.
+         * Ends the attempt; calls after the first are ignored.
          *
-         * @param result how
-         * @param reusable whether another attempt may follow on the connection
+         * @param result the result to report
+         * @param reusable whether the connection may be used for another attempt
          */
         public void end(Result result, boolean reusable) {
             if (ended) {
@@ -482,7 +488,7 @@
                     connection.idleSinceNanos = transport.nanos();
                     pool.idle.addFirst(connection);
                 } else {
-                    connection.channel.close(); // what may still come on it belongs to nobody
+                    connection.channel.close(); // whatever still arrives belongs to no attempt
                 }
             } else if (connectingChannel != null) {
                 connectingChannel.close();
@@ -496,7 +502,7 @@
         private final Pool pool;
         private Channel channel;
         private Attempt attempt;
-        /** The request that is leaving in pieces, or null. */
+        /** The request body that is being streamed to the server, or null. */
         private BodyStream upload;
 
         private long idleSinceNanos;
@@ -516,23 +522,23 @@
         }
     }
 
-    /** Turns what arrives on a connection into the outcome of its attempt. */
+    /** Turns what arrives on a connection into the result of its attempt. */
     protected abstract class Reader extends SimpleChannelInboundHandler<Object> {
         private final Connection connection;
-        /** Bytes of an answer that has come in part. */
+        /** Reserved bytes of a response that is not yet complete. */
         private int partialBytes;
-        /** Whether the connection was reset: its end is not that of an answer. */
+        /** Whether the connection was reset, so that its end does not complete a response. */
         protected boolean connectionReset;
 
-        /** Of this connection. */
+        /** Creates a reader for {@code connection}. */
         protected Reader(Connection connection) {
             this.connection = connection;
         }
 
         /**
-         * Something has been read.
+         * Handles a decoded message.
          *
-         * @return false if it is spoilt: nothing of it is served, and the attempt may have run
+         * @return false if the response is invalid: nothing of it is served, and the request may have run
          */
         protected abstract boolean read(Attempt attempt, Object message);
 
@@ -540,13 +546,16 @@
         protected final void channelRead0(ChannelHandlerContext ctx, Object message) {
             Attempt attempt = connection.attempt;
             if (attempt == null) {
-                ctx.close(); // an answer to nothing
+                ctx.close(); // no attempt is outstanding
             } else if (!attempt.requestSent || !read(attempt, message)) {
-                attempt.connectionLost(); // an answer before the request has left whole cannot be an answer to it
+                attempt.connectionLost(); // a response that arrives before the whole request was sent cannot belong to
+                // it
             }
         }
 
-        /** Counts bytes of an answer that is not yet whole; false, and not counted, if there is no room. */
+        /**
+         * Reserves bytes for an incomplete response; returns false, and reserves nothing, if the budget has no room.
+         */
         protected final boolean reserve(int bytes) {
             if (!responseAccount.grow(bytes)) {
                 return false;
@@ -555,18 +564,18 @@
             return true;
         }
 
-        /** The answer is whole and handed on, or nothing of it is kept. */
+        /** Releases the reserved bytes: the response was handed over or discarded. */
         protected final void release() {
             responseAccount.shrink(partialBytes);
             partialBytes = 0;
         }
 
-        /** Reads on, or leaves what comes to the system until there is room. */
+        /** Turns reading from the connection on or off. */
         protected final void setReading(boolean on) {
             connection.channel.config().setAutoRead(on);
         }
 
-        /** Does something after a time, if the attempt has not ended by then. */
+        /** Runs {@code action} after a delay unless the attempt has ended by then. */
         protected final void runAfter(Attempt attempt, long delayMillis, Runnable action) {
             loop.schedule(
                     () -> {
@@ -597,7 +606,7 @@
         @Override
         public final void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             connectionReset = true;
-            ctx.close(); // reset; what that means for the attempt is told by channelInactive
+            ctx.close(); // channelInactive decides what the reset means for the attempt
         }
     }
 }
--- a/src/main/java/gatefront/engine/BodyStream.java
+++ b/src/main/java/gatefront/engine/BodyStream.java
@@ -11,30 +11,33 @@
  * one event loop. Each chunk is released by whoever owns it when the stream ends; a closed stream owns none.
  */
 public final class BodyStream {
-    /** Bytes that wait at the most before the giver is to stop. */
+    /** Pending bytes at which the producer has to pause. */
     static final int HIGH_WATER_MARK_BYTES = 32 << 10;
 
-    /** Where the pieces come from. */
+    /** The source of the chunks, as the stream calls it back. */
     public interface Producer {
-        /** So many bytes have left for the taker. */
+        /** This many bytes are no longer held by the stream: they were passed to the consumer or discarded. */
         void onConsumed(int bytes);
 
-        /** There is room again. */
+        /** The stream can take chunks again after {@link #write} returned false. */
         void onResume();
 
-        /** Nothing more is wanted. */
+        /** The consumer needs no further chunks. */
         void onCancel();
     }
 
-    /** Where the pieces go; told in order, and nothing after an end. */
+    /**
+     * The destination of the chunks. Its methods are called in order, and none after {@code onComplete} or {@code
+     * onAbort}.
+     */
     public interface Consumer {
-        /** A piece, now the taker's; false if there is no room for another until {@link #resume()}. */
+        /** Takes ownership of a chunk; returns false if it can take no other until {@link #resume()} is called. */
         boolean onChunk(ByteBuf chunk);
 
-        /** It is whole. */
+        /** The body is complete. */
         void onComplete();
 
-        /** It never will be. */
+        /** The body has ended before it was complete. */
         void onAbort();
     }
 
@@ -54,12 +57,12 @@
     private boolean producerPaused;
     private State state = State.OPEN;
 
-    /** Empty, from this giver. */
+    /** Creates an empty stream that is fed by {@code producer}. */
     public BodyStream(Producer producer) {
         this.producer = producer;
     }
 
-    /** A piece, now the flow's; false if the giver is to stop until {@link Producer#onResume()}. */
+    /** Takes ownership of a chunk; returns false if the producer has to pause until {@link Producer#onResume()}. */
     public boolean write(ByteBuf chunk) {
         if (state != State.OPEN) {
             chunk.release();
@@ -72,12 +75,12 @@
         return !producerPaused;
     }
 
-    /** All pieces have been given. */
+    /** The producer has written all chunks. */
     public void complete() {
         finish(State.COMPLETED);
     }
 
-    /** It breaks off: what waits is dropped. */
+    /** Ends the body before it is complete; pending chunks are discarded. */
     public void abort() {
         if (state == State.OPEN) {
             discardPending();
@@ -92,13 +95,13 @@
         }
     }
 
-    /** From now on the pieces go there. */
+    /** Sets the consumer of all pending and further chunks. */
     public void attach(Consumer newConsumer) {
         consumer = newConsumer;
         deliver();
     }
 
-    /** The taker has room again. */
+    /** The consumer can take chunks again. */
     public void resume() {
         consumerBlocked = false;
         deliver();
@@ -108,7 +111,7 @@
         }
     }
 
-    /** Nothing more is wanted; the giver is told unless it had ended. */
+    /** Discards the rest of the body; the producer is notified unless it has already ended. */
     public void cancel() {
         boolean wasOpen = state == State.OPEN;
         state = State.CLOSED;
@@ -118,17 +121,17 @@
         }
     }
 
-    /** How many bytes have passed. */
+    /** Returns the number of bytes passed to the consumer so far. */
     public long transferredBytes() {
         return transferredBytes;
     }
 
-    /** Whether its giver may still give. */
+    /** Returns whether the producer may still write. */
     public boolean isOpen() {
         return state == State.OPEN;
     }
 
-    /** Whether the giver has stopped for want of room. */
+    /** Returns whether the producer has been told to pause. */
     public boolean isPaused() {
         return producerPaused;
     }
--- a/src/main/java/gatefront/engine/ClientRequest.java
+++ b/src/main/java/gatefront/engine/ClientRequest.java
@@ -1,16 +1,16 @@
 package gatefront.engine;
 
 /**
- * What a caller asks, protocol aside, its names resolved to the settings' indexes.
+ * A client's request without anything specific to its protocol; class and tenant are indexes into the settings.
  *
- * @param id as the caller gave it; one of a name is held at a time, whatever protocols they came by
- * @param requestClass index of its class
- * @param tenant index of its tenant
- * @param affinityKey for affinity, 0 if not given
- * @param costHint of its cost, 0 if not given
- * @param timeoutMs the caller's time, in milliseconds from now
- * @param clientRetry whether the caller says that it has asked before
- * @param payload what goes to the server
+ * @param id chosen by the client; only one request with an id is in progress at a time, across all protocols
+ * @param requestClass index of the request class
+ * @param tenant index of the tenant
+ * @param affinityKey selects the preferred servers; 0 if not given
+ * @param costHint expected cost of the request; 0 if not given
+ * @param timeoutMs time until the client's deadline, in milliseconds
+ * @param clientRetry whether the client says that it is repeating the request
+ * @param payload the content to send to the server
  */
 public record ClientRequest(
         String id,
@@ -23,7 +23,9 @@
         Payload payload) {
     private static final int MAX_ID_LENGTH = 128;
 
-    /** Whether a text has the form of an id or key: letters, digits and a few marks, and not too many. */
+    /**
+     * Returns whether {@code text} is a valid id or key: ASCII letters, digits and {@code - _ . :}, up to 128 in all.
+     */
     public static boolean isValidId(String text) {
         return !text.isEmpty()
                 && text.length() <= MAX_ID_LENGTH
--- a/src/main/java/gatefront/engine/Engine.java
+++ b/src/main/java/gatefront/engine/Engine.java
@@ -23,13 +23,13 @@
 import java.util.regex.Pattern;
 
 /**
- * Hosts the decision module: the one place where events enter it, and where its actions become attempts and
- * answers. It knows no protocol. One event loop thread owns it and the module.
+ * Hosts the decision module: the one place where events enter it and where its actions become attempts and responses.
+ * It is independent of protocols. The engine and the module are confined to one event loop thread.
  */
 public final class Engine implements Balancer.Actions {
-    /** When a caller that is refused should come back, where the module does not say: in a moment. */
+    /** Advised wait before a retry of a refused request where the module gives none, in microseconds. */
     public static final long RETRY_AFTER_MICROS = 250_000;
-    /** Of the caller's time, what the answer's way back and a late wake-up may take. */
+    /** Part of the client's timeout reserved for a late wake-up and the response's way back, in microseconds. */
     private static final long DEADLINE_MARGIN_MICROS = 10_000;
 
     private static final Pattern SERVER_PREFIX = Pattern.compile("^server (-?\\d+)");
@@ -38,7 +38,7 @@
     private final EventLoop loop;
     private final Balancer.Settings settings;
     private final long seed;
-    /** One for each protocol, the one that probes first. */
+    /** One for each protocol; the first one also sends the probes. */
     private final List<Upstream> upstreams;
 
     private final Source source;
@@ -48,44 +48,48 @@
     private final ResourceAccount serverAccount;
     private final ClassLimits classLimits;
     private final RequestCounters counters;
-    /** Where use is counted; null where nobody wants it. */
+    /** Records usage; null if usage is not recorded. */
     private UsageMeter usageMeter;
     /**
-     * Calls taken and not yet done with, by the module's ids, by their exchanges and by their callers' ids: each
-     * goes when it is answered and no attempt is out, which its own guard sees to at its deadline at the latest.
+     * Requests in progress, by the module's id. An entry, here and in the two maps below, is removed once the request
+     * is answered and no attempt is outstanding; its deadline timer forces that at the latest.
      */
     private final Map<Long, Pending> pendingById = new HashMap<>();
 
     private final Map<Exchange, Pending> pendingByExchange = new HashMap<>();
     private final Map<String, Pending> pendingByClientId = new HashMap<>();
-    /** Of the servers listed; each goes when the list says so. */
+    /** Names of the listed servers by id; an entry is removed when its server leaves the list. */
     private final Map<Long, String> serverNames = new HashMap<>();
-    /** The monotonic clock is anchored once to the time of day, in which the list tells starts. */
+    /**
+     * Offset from the monotonic clock to the time of day, in microseconds. It is taken once at start; the server list
+     * gives start times in time of day.
+     */
     private final long anchorMicros;
 
     private long nextId = 1;
+    /** Whether the module is running an event. */
     private boolean dispatching;
-    /** Whether this process has stood still; null where nobody asks. */
+    /** Detects that this process was suspended for a while; null when no such check is active. */
     private StallDetector stallDetector;
 
     private Runnable onStall;
     private long recheckMs;
-    /** Events of the module that wait until it has heard; no more than came within that time. */
+    /** Events that wait for a full server list; bounded by what arrives during that wait. */
     private final List<Runnable> deferredEvents = new ArrayList<>();
 
-    /** Where the list of servers comes from, as the module may ask for it. */
+    /** The source of the server list, as the module may ask for it. */
     public interface Source {
         /** Subscribes to changes. */
         void watch();
 
-        /** Asks for the whole list once. */
+        /** Requests the full list once. */
         void fetch();
     }
 
-    /** What is held: calls taken, attempts out, and servers that something is kept for. */
+    /** Numbers of requests in progress, outstanding attempts, and servers that state is kept for. */
     public record TrackedCounts(int requests, int attempts, int servers) {}
 
-    /** A call taken and not yet done with. */
+    /** A request in progress. */
     private static final class Pending {
         final long id;
         final ClientRequest request;
@@ -94,7 +98,7 @@
         final List<Upstream.Attempt> attempts = new ArrayList<>(1);
         int outstandingAttempts;
         boolean answered;
-        /** Whether an answer is on its way to the caller in pieces. */
+        /** Whether a response is being streamed to the client. */
         boolean streaming;
 
         Payload streamedResponse;
@@ -109,15 +113,15 @@
     }
 
     /**
-     * An engine that holds nothing yet.
+     * Creates an engine without requests or servers.
      *
-     * @param transport its loop, clock and log
-     * @param settings for the decision module
-     * @param seed for its random choices
-     * @param upstreams the ways to the servers, one for each protocol; the first is asked for their health
-     * @param source where the list comes from; it may be asked before this returns
-     * @param budget of the agent
-     * @param balancerFactory makes the decision module
+     * @param transport provides the event loop, clock and log
+     * @param settings settings of the decision module
+     * @param seed seed of the module's random choices
+     * @param upstreams connections to the servers, one upstream for each protocol; the first one sends the probes
+     * @param source source of the server list; it may be called before this constructor returns
+     * @param budget resource budget of the agent
+     * @param balancerFactory creates the decision module
      */
     public Engine(
             Transport transport,
@@ -144,17 +148,17 @@
         this.balancer = balancerFactory.apply(this);
     }
 
-    /** The decision module in service. */
+    /** Creates the decision module that is used by default. */
     public static Balancer createDefaultBalancer(Engine engine) {
         return new AdaptiveBalancer(engine.settings, engine.seed, engine.now(), engine);
     }
 
-    /** Microseconds of the clock that the module sees. */
+    /** Returns the time that the module sees: the anchored monotonic clock, in microseconds. */
     public long now() {
         return anchorMicros + transport.nanos() / 1000;
     }
 
-    /** The settings have changed; see {@link Balancer#settings}. Requests that are held keep theirs. */
+    /** Applies changed settings; see {@link Balancer#settings}. Requests in progress keep the former ones. */
     public void updateSettings(Balancer.Settings newSettings) {
         int classes = Math.max(counters.classCount(), newSettings.classes().size());
         counters.grow(classes);
@@ -162,56 +166,58 @@
         dispatch(() -> balancer.settings(now(), newSettings));
     }
 
-    /** How requests have ended; to be asked on its loop. */
+    /** Returns the counters of how requests have ended; must be called on the event loop. */
     public RequestCounters counters() {
         return counters;
     }
 
-    /** Counts use there from now on. */
+    /** Records usage in {@code meter} from now on. */
     public void setUsageMeter(UsageMeter meter) {
         usageMeter = meter;
     }
 
-    /** How many servers are listed; to be asked on its loop. */
+    /** Returns the number of listed servers; must be called on the event loop. */
     public int listedServers() {
         return serverNames.size();
     }
 
-    /** How many of them the module avoids by choice; to be asked on its loop. */
+    /** Returns how many listed servers the module avoids by its own choice; must be called on the event loop. */
     public int avoidedServers() {
         return balancer.avoided(now());
     }
 
-    /** What it holds now; to be asked on its loop. */
+    /** Returns the numbers of requests, attempts and servers held now; must be called on the event loop. */
     public TrackedCounts trackedCounts() {
         return new TrackedCounts(
                 Math.max(pendingById.size(), Math.max(pendingByExchange.size(), pendingByClientId.size())),
                 pendingById.values().stream()
-                        .mapToInt(each -> each.outstandingAttempts)
+                        .mapToInt(pending -> pending.outstandingAttempts)
                         .sum(),
                 trackedServers());
     }
 
-    /** How many servers something is kept for; to be asked on its loop. */
+    /** Returns the number of servers that state is kept for; must be called on the event loop. */
     public int trackedServers() {
         return Math.max(
                 serverNames.size(),
                 upstreams.stream().mapToInt(Upstream::serverCount).max().orElse(0));
     }
 
-    /** How many calls of a class may be in progress, by its index; classes without an entry have no limit. */
+    /**
+     * Sets how many requests of each class, by its index, may be in progress; a class without an entry has no limit.
+     */
     public void setClassLimits(Map<Integer, Integer> maxInProgressByClass) {
         classLimits.set(maxInProgressByClass);
     }
 
-    /** Answers all that is still held, as out of time. */
+    /** Fails all requests in progress with {@link Exchange.Failure#TIME_UP}. */
     public void failAllPending() {
-        List.copyOf(pendingById.values()).forEach(each -> failPending(each, Exchange.Failure.TIME_UP));
+        List.copyOf(pendingById.values()).forEach(pending -> failPending(pending, Exchange.Failure.TIME_UP));
     }
 
     // ---- Events ----
 
-    /** Lets an event into the module. One that arises inside another waits its turn on the loop. */
+    /** Runs an event of the module. An event that arises inside another one is queued on the event loop. */
     private void dispatch(Runnable event) {
         dispatch(null, event);
     }
@@ -220,8 +226,8 @@
      * Suspends decisions while {@code detector} doubts what this process knows: events are deferred until
      * {@link #fullListReceived()} is called or the detector stops waiting.
      *
-     * @param recheckMs when it is looked at again at the latest
-     * @param stallAction runs after a standstill, to see to it that somebody tells
+     * @param recheckMs longest time until the detector is checked again, in milliseconds
+     * @param stallAction run after a stall was detected; it has to request a full server list
      */
     public void setStallDetector(StallDetector detector, long recheckMs, Runnable stallAction) {
         stallDetector = detector;
@@ -230,14 +236,14 @@
         scheduleStallCheck();
     }
 
-    /** Nothing may be happening; looks at the clock. */
+    /** Checks for a stall, as there may be no other event that does. */
     public void checkForStall() {
         if (!isSuspended()) {
             releaseDeferred();
         }
     }
 
-    /** A whole list has come: what was held back is decided now. */
+    /** Notes that a full server list has arrived, and runs the deferred events. */
     public void fullListReceived() {
         if (stallDetector != null) {
             stallDetector.heard();
@@ -266,13 +272,13 @@
             stallDetector = null;
         }
         if (!deferredEvents.isEmpty()) {
-            List<Runnable> now = List.copyOf(deferredEvents);
+            List<Runnable> events = List.copyOf(deferredEvents);
             deferredEvents.clear();
-            now.forEach(Runnable::run);
+            events.forEach(Runnable::run);
         }
     }
 
-    /** The same for an event of one call, which is given up if the module fails over it. */
+    /** Runs an event of one request, which is failed if the module throws. */
     private void dispatch(Pending pending, Runnable event) {
         if (isSuspended()) {
             deferredEvents.add(() -> dispatch(pending, event));
@@ -300,7 +306,9 @@
         }
     }
 
-    /** Guards against a call that the module has lost by a fault of its own: it is still failed once. */
+    /**
+     * Fails a request. Guards against a request that the module has lost through a fault: it still gets one response.
+     */
     private void failPending(Pending pending, Exchange.Failure reason) {
         if (!pending.answered) {
             logLine("request given up: " + reason);
@@ -312,7 +320,7 @@
         }
     }
 
-    /** The list of servers has changed; {@link Balancer.ListKind#FAILED} and no entries if it could not be had. */
+    /** Applies a server list; {@link Balancer.ListKind#FAILED} without entries means that it could not be obtained. */
     public void updateServers(Balancer.ListKind kind, List<Endpoint> endpoints) {
         List<Endpoint> accepted = withinCapacity(endpoints);
         Set<Long> removed = new HashSet<>(
@@ -323,15 +331,15 @@
             if (serverNames.put(id, endpoint.name()) == null) {
                 serverAccount.add(1, 0);
             }
-            upstreams.forEach(each -> each.updateServer(endpoint));
+            upstreams.forEach(upstream -> upstream.updateServer(endpoint));
         }
-        removed.forEach(id -> upstreams.forEach(each -> each.removeServer(id)));
+        removed.forEach(id -> upstreams.forEach(upstream -> upstream.removeServer(id)));
         List<Balancer.Server> entries = accepted.stream().map(Endpoint::server).toList();
         runEvent(null, () -> balancer.servers(now(), kind, entries));
         accepted.stream()
                 .map(Endpoint::server)
-                .filter(each -> each.phase() == Balancer.Phase.GONE)
-                .forEach(each -> removed.add(each.id()));
+                .filter(server -> server.phase() == Balancer.Phase.GONE)
+                .forEach(server -> removed.add(server.id()));
         removed.forEach(id -> {
             if (serverNames.remove(id) != null) {
                 serverAccount.give(0);
@@ -339,31 +347,31 @@
         });
     }
 
-    /** What of a list there is room for: changes of known servers always, for a drain may be among them. */
+    /** Returns the entries that the budget has room for. Known servers are always included, as one may be draining. */
     private List<Endpoint> withinCapacity(List<Endpoint> endpoints) {
         if (serverNames.size() + endpoints.size() <= serverAccount.entriesCap()) {
             return endpoints;
         }
-        List<Endpoint> taken = new ArrayList<>();
-        long fresh = serverAccount.entriesCap() - serverNames.size();
-        for (Endpoint each : endpoints) {
-            if (serverNames.containsKey(each.server().id()) || fresh-- > 0) {
-                taken.add(each);
+        List<Endpoint> accepted = new ArrayList<>();
+        long remainingNew = serverAccount.entriesCap() - serverNames.size();
+        for (Endpoint endpoint : endpoints) {
+            if (serverNames.containsKey(endpoint.server().id()) || remainingNew-- > 0) {
+                accepted.add(endpoint);
             }
         }
-        if (taken.size() < endpoints.size()) {
-            logLine("list: " + (endpoints.size() - taken.size()) + " servers are not taken, more than the "
+        if (accepted.size() < endpoints.size()) {
+            logLine("list: " + (endpoints.size() - accepted.size()) + " servers are not taken, more than the "
                     + serverAccount.entriesCap() + " that may be held");
         }
-        return taken;
+        return accepted;
     }
 
-    /** What a front hands its calls to, for them to go to the servers by an upstream. */
+    /** Returns a listener for a frontend whose requests are sent through {@code upstream}. */
     public Frontend.Listener listenerFor(Upstream upstream) {
         return new Frontend.Listener() {
             @Override
-            public void request(ClientRequest call, Exchange exchange) {
-                accept(call, exchange, upstream);
+            public void request(ClientRequest request, Exchange exchange) {
+                accept(request, exchange, upstream);
             }
 
             @Override
@@ -373,48 +381,50 @@
         };
     }
 
-    private void accept(ClientRequest call, Exchange exchange, Upstream upstream) {
-        // Guards against an effect twice, and against one call getting the other's answer: the second is
-        // not passed on, whoever sent it and by whatever protocol, and the first goes on unharmed.
-        if (pendingByClientId.containsKey(call.id())) {
+    private void accept(ClientRequest request, Exchange exchange, Upstream upstream) {
+        // Guards against running a request twice, and against one request getting the other's response: a second
+        // request with the same id is not sent, whatever client and protocol it came from, and the first one goes on.
+        if (pendingByClientId.containsKey(request.id())) {
             exchange.failed(Exchange.Failure.DUPLICATE);
-            counters.recordError(call.requestClass());
+            counters.recordError(request.requestClass());
             return;
         }
-        // Guards against falling over with all that is held: what is new is turned away, and told when to come back.
+        // Guards against running out of memory with all requests in progress: new ones are refused with a retry-after.
         if (budget.pressure() == ResourceBudget.Pressure.FULL
                 || budget.of(ResourcePurpose.ANSWERS).full()
-                || !admit(call.requestClass())
+                || !admit(request.requestClass())
                 || !requestAccount.take(0)) {
             exchange.refused(RETRY_AFTER_MICROS);
-            counters.recordShed(call.requestClass());
+            counters.recordShed(request.requestClass());
             return;
         }
-        classLimits.begun(call.requestClass());
+        classLimits.begun(request.requestClass());
         counters.recordStarted();
         long id = nextId++;
-        Pending pending = new Pending(id, call, exchange, upstream);
+        Pending pending = new Pending(id, request, exchange, upstream);
         pendingById.put(id, pending);
         pendingByExchange.put(exchange, pending);
-        pendingByClientId.put(call.id(), pending);
+        pendingByClientId.put(request.id(), pending);
         long deadline = now() + startDeadlineTimer(pending);
         Balancer.Request balancerRequest = new Balancer.Request(
                 id,
-                call.requestClass(),
-                call.tenant(),
-                call.affinityKey(),
-                call.costHint(),
+                request.requestClass(),
+                request.tenant(),
+                request.affinityKey(),
+                request.costHint(),
                 deadline,
-                call.clientRetry(),
+                request.clientRetry(),
                 false);
         dispatch(pending, () -> {
-            if (!pending.answered) { // its caller's time may have passed while it was held back
+            if (!pending.answered) { // the deadline may have passed while the event was deferred
                 balancer.request(now(), balancerRequest);
             }
         });
     }
 
-    /** Gives a call up when its caller's time from now on has passed; returns that time. */
+    /**
+     * Starts the timer that fails a request once the client's timeout has passed; returns that time in microseconds.
+     */
     private long startDeadlineTimer(Pending pending) {
         long remainingMicros = Math.max(0, 1000 * pending.request.timeoutMs() - DEADLINE_MARGIN_MICROS);
         pending.deadlineTimer = loop.schedule(
@@ -422,15 +432,15 @@
         return remainingMicros;
     }
 
-    /** Whether a class's limit lets one more in; where it does not, staff hear of it now and then. */
+    /** Returns whether a class's limit admits another request; refusals are logged at a limited rate. */
     private boolean admit(int requestClass) {
-        boolean room = classLimits.room(requestClass);
-        long refused = room ? 0 : classLimits.met(now(), requestClass);
+        boolean admitted = classLimits.room(requestClass);
+        long refused = admitted ? 0 : classLimits.met(now(), requestClass);
         if (refused > 0) {
             logLine("limits: class " + requestClass + " is at its limit, " + classLimits.inProgress(requestClass)
-                    + " in progress; refused " + refused + " of it since last said");
+                    + " in progress; refused " + refused + " since the last message");
         }
-        return room;
+        return admitted;
     }
 
     private void abandonRequest(Exchange exchange) {
@@ -443,17 +453,18 @@
         }
     }
 
-    /** Ends the attempts that outlive their caller, where the module has left them. */
+    /** Cancels the attempts that the module has left running after the request ended. */
     private void cancelAttempts(Pending pending) {
         pending.attempts.forEach(Upstream.Attempt::cancel);
     }
 
     private void attemptEnded(Pending pending, int attempt, long server, long elapsedMicros, Upstream.Result result) {
         pending.outstandingAttempts--;
-        // Guards against asking every server what one has found to be no good, and against blaming it.
+        // Guards against retrying on every server a request that one has found invalid, and against blaming that
+        // server.
         boolean requestRejected = result.rejection() != null;
         if (!pending.answered && pending.streaming) {
-            // The front has had the whole of it, or knows that it breaks off.
+            // The frontend has received the whole response, or knows that it was aborted.
             if (result.outcome() == Balancer.Outcome.OK) {
                 recordServed(pending, elapsedMicros, pending.streamedResponse);
             } else {
@@ -500,7 +511,7 @@
         counters.recordEnded();
         BodyStream upload = pending.request.payload().bodyStream();
         if (upload != null && upload.isOpen()) {
-            upload.cancel(); // nobody will read the rest
+            upload.cancel(); // no server will read the rest
         }
         pending.deadlineTimer.cancel(false);
         pendingByExchange.remove(pending.exchange);
@@ -520,7 +531,7 @@
     // ---- Actions ----
 
     @Override
-    public void send(long request, long server, long timeout) {
+    public void send(long request, long server, long timeoutMicros) {
         Pending pending = pendingById.get(request);
         if (pending == null || pending.answered) {
             return;
@@ -528,62 +539,67 @@
         int attempt = pending.attempts.size();
         long sentAt = now();
         pending.outstandingAttempts++;
-        pending.attempts.add(pending.upstream.send(server, pending.request.payload(), timeout, new Upstream.Listener() {
-            /** Since when the server has had it, and how long it took to answer; negative while it has not. */
-            private long since = sentAt;
-
-            private long took = -1;
-
-            @Override
-            public void onResult(Upstream.Result result) {
-                boolean served = result.outcome() == Balancer.Outcome.OK && took >= 0;
-                attemptEnded(pending, attempt, server, served ? took : now() - since, result);
-            }
-
-            @Override
-            public void onRequestSent() {
-                counters.recordAttempt();
-                if (pending.request.payload().bodyStream() != null && !pending.answered) {
-                    startDeadlineTimer(pending); // a caller's time counts from its last byte, and so does the server's
-                    since = now();
-                }
-            }
-
-            @Override
-            public void onRequestStreaming() {
-                pending.deadlineTimer.cancel(false);
-                begins();
-            }
-
-            @Override
-            public void onResponseStarted() {
-                took = now() - since; // what it then takes to write is no work of the server's
-            }
-
-            @Override
-            public void onResponseStreaming(Payload answer) {
-                if (pending.answered || pending.streaming) {
-                    pending.attempts.get(attempt).cancel();
-                    return;
-                }
-                pending.streaming = true;
-                pending.streamedResponse = answer;
-                pending.deadlineTimer.cancel(false);
-                begins();
-                pending.exchange.served(answer);
-            }
-
-            private void begins() {
-                dispatch(pending, () -> balancer.streamStarted(now(), pending.id, attempt, server, now() - sentAt));
-            }
-        }));
+        pending.attempts.add(
+                pending.upstream.send(server, pending.request.payload(), timeoutMicros, new Upstream.Listener() {
+                    /** When the server was given the request, in microseconds. */
+                    private long givenAtMicros = sentAt;
+
+                    /** How long the server took until its response started, in microseconds; negative before that. */
+                    private long latencyMicros = -1;
+
+                    @Override
+                    public void onResult(Upstream.Result result) {
+                        boolean served = result.outcome() == Balancer.Outcome.OK && latencyMicros >= 0;
+                        attemptEnded(pending, attempt, server, served ? latencyMicros : now() - givenAtMicros, result);
+                    }
+
+                    @Override
+                    public void onRequestSent() {
+                        counters.recordAttempt();
+                        if (pending.request.payload().bodyStream() != null && !pending.answered) {
+                            startDeadlineTimer(pending); // both the timeout and the latency count from the last byte
+                            givenAtMicros = now();
+                        }
+                    }
+
+                    @Override
+                    public void onRequestStreaming() {
+                        pending.deadlineTimer.cancel(false);
+                        reportStreaming();
+                    }
+
+                    @Override
+                    public void onResponseStarted() {
+                        latencyMicros =
+                                now() - givenAtMicros; // sending the response body is not counted as the server's work
+                    }
+
+                    @Override
+                    public void onResponseStreaming(Payload response) {
+                        if (pending.answered || pending.streaming) {
+                            pending.attempts.get(attempt).cancel();
+                            return;
+                        }
+                        pending.streaming = true;
+                        pending.streamedResponse = response;
+                        pending.deadlineTimer.cancel(false);
+                        reportStreaming();
+                        pending.exchange.served(response);
+                    }
+
+                    private void reportStreaming() {
+                        dispatch(
+                                pending,
+                                () -> balancer.streamStarted(now(), pending.id, attempt, server, now() - sentAt));
+                    }
+                }));
     }
 
     @Override
-    public void refuse(long request, long retryAfter) {
+    public void refuse(long request, long retryAfterMicros) {
         Pending pending = pendingById.get(request);
         if (pending != null && !pending.answered) {
-            pending.exchange.refused(retryAfter > 0 ? retryAfter : RETRY_AFTER_MICROS);
+            pending.exchange.refused(retryAfterMicros > 0 ? retryAfterMicros : RETRY_AFTER_MICROS);
             counters.recordShed(pending.request.requestClass());
             markAnswered(pending);
         }
@@ -622,13 +638,13 @@
     public void tell(int agent, byte[] message) {} // the module sends no messages
 
     @Override
-    public void timer(long token, long delay) {
-        loop.schedule(() -> dispatch(() -> balancer.timer(now(), token)), delay, TimeUnit.MICROSECONDS);
+    public void timer(long token, long delayMicros) {
+        loop.schedule(() -> dispatch(() -> balancer.timer(now(), token)), delayMicros, TimeUnit.MICROSECONDS);
     }
 
     @Override
     public void closeIdle(long server) {
-        upstreams.forEach(each -> each.closeIdle(server));
+        upstreams.forEach(upstream -> upstream.closeIdle(server));
     }
 
     @Override
--- a/src/main/java/gatefront/engine/Exchange.java
+++ b/src/main/java/gatefront/engine/Exchange.java
@@ -1,28 +1,32 @@
 package gatefront.engine;
 
-/** One call and the final answer it is owed; a second answer, or one to a caller that has left, is dropped. */
+/** One request and its final response. A second response, or one to a client that has disconnected, is discarded. */
 public interface Exchange {
-    /** Why a call has failed, where no server's answer says so. */
+    /** Why a request has failed, where no server's response says so. */
     enum Failure {
-        /** No server has served it; nothing is promised about its effect. */
+        /** No server has served the request; whether it took effect is unknown. */
         NOT_SERVED,
-        /** Its time is up. */
+        /** The request's deadline has passed. */
         TIME_UP,
-        /** Another of the same id is held; this one has not been passed on. */
+        /** Another request with the same id is in progress; this one has not been sent to a server. */
         DUPLICATE,
-        /** A fault of the agent's own. */
+        /** An internal error of the agent. */
         INTERNAL
     }
 
-    /** A server's answer. */
+    /** Responds with a server's response. */
     void served(Payload payload);
 
-    /** A server has found that the call itself is no good; what it said. */
+    /** Responds that a server has found the request itself invalid; {@code payload} is what the server said. */
     void rejected(Payload payload);
 
-    /** It did not run, and asking again is harmless; the wait advised, in microseconds, is more than 0. */
+    /**
+     * Responds that the request was not run and can safely be retried.
+     *
+     * @param retryAfterMicros advised wait before a retry, in microseconds, greater than 0
+     */
     void refused(long retryAfterMicros);
 
-    /** It has failed. */
+    /** Responds that the request has failed. */
     void failed(Failure reason);
 }
--- a/src/main/java/gatefront/engine/Frontend.java
+++ b/src/main/java/gatefront/engine/Frontend.java
@@ -3,35 +3,40 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 
-/** Where calls come in. Each exchange gets one answer in its turn, whatever else happens to its connection. */
+/**
+ * Accepts requests from clients. Each exchange gets one response, in order, whatever else happens on its connection.
+ */
 public interface Frontend {
-    /** What hears of the calls. */
+    /** Receives the requests. */
     interface Listener {
-        /** A well-formed call has come; it is owed one answer through its exchange. */
+        /** A well-formed request has arrived; it must get one response through its exchange. */
         void request(ClientRequest request, Exchange exchange);
 
-        /** The caller has left with this exchange unanswered. */
+        /** The client has disconnected before this exchange got its response. */
         void clientLeft(Exchange exchange);
     }
 
-    /** Begins to listen; the future tells whether it could. */
+    /** Starts listening; the future tells whether the address could be bound. */
     ChannelFuture listen();
 
-    /** What listens. */
+    /** Returns the listening channel. */
     Channel channel();
 
-    /** From now on it says that it is not ready; all else goes on. */
+    /** Reports "not ready" to health checks from now on; requests are served as before. */
     void markNotReady();
 
-    /** Another process takes over its address: no further connections, and each answer is the last of its own. */
+    /**
+     * Hands the address over to another process: accepts no further connections, and closes each after its next
+     * response.
+     */
     void handOver();
 
-    /** From now on each answer is the last of its connection, and connections in no use are closed. */
+    /** Closes idle connections, and from now on each other connection after its next response. */
     void drain();
 
-    /** Takes no further connections, nor what has not come whole by now. */
+    /** Accepts no further connections, and closes those on which no complete request has arrived. */
     void stopListening();
 
-    /** Whether no connection is left. */
+    /** Returns whether no connection is open. */
     boolean isEmpty();
 }
--- a/src/main/java/gatefront/engine/Payload.java
+++ b/src/main/java/gatefront/engine/Payload.java
@@ -1,13 +1,13 @@
 package gatefront.engine;
 
-/** What a protocol carries from a caller to a server or back; the engine passes it on unseen. */
+/** The content of a request or response in the form of its protocol; the engine passes it on without looking inside. */
 public interface Payload {
-    /** What of it comes in pieces, and can be sent only once; null if it is here whole. */
+    /** Returns the body if it is streamed and so can be sent only once; null if the whole body is in memory. */
     default BodyStream bodyStream() {
         return null;
     }
 
-    /** Bytes of its body that are here, or have passed. */
+    /** Returns the number of bytes of the body that are in memory, or have been streamed so far. */
     default long bodyBytes() {
         return 0;
     }
--- a/src/main/java/gatefront/engine/RequestCounters.java
+++ b/src/main/java/gatefront/engine/RequestCounters.java
@@ -3,8 +3,9 @@
 import java.util.Arrays;
 
 /**
- * How requests have ended, by the number of their class, and what is under way. One thread; counts from the process's
- * start. A number for each class that there ever was: classes are bounded where they get their numbers.
+ * Counts by class index how requests have ended, and how many are in progress, since the process started. Not
+ * thread-safe. A class keeps its counters when it leaves the settings; the number of classes is bounded where indexes
+ * are assigned.
  */
 public final class RequestCounters {
     private long[] ok;
@@ -13,18 +14,18 @@
     private long attempts;
     private long active;
 
-    /** Nothing yet, of so many classes. */
+    /** Creates counters for this many classes. */
     public RequestCounters(int classes) {
         ok = new long[classes];
         shed = new long[classes];
         errors = new long[classes];
     }
 
-    /** There are so many classes now. */
-    void grow(int classes) {
-        ok = Arrays.copyOf(ok, classes);
-        shed = Arrays.copyOf(shed, classes);
-        errors = Arrays.copyOf(errors, classes);
+    /** Makes room for this many classes. */
+    void grow(int classCount) {
+        ok = Arrays.copyOf(ok, classCount);
+        shed = Arrays.copyOf(shed, classCount);
+        errors = Arrays.copyOf(errors, classCount);
     }
 
     void recordServed(int requestClass) {
@@ -51,32 +52,32 @@
         active--;
     }
 
-    /** Served, of a class. */
+    /** Returns how many requests of a class were served. */
     public long ok(int requestClass) {
         return ok[requestClass];
     }
 
-    /** Refused, of a class. */
+    /** Returns how many requests of a class were refused. */
     public long shed(int requestClass) {
         return shed[requestClass];
     }
 
-    /** Failed, of a class; those whose caller has gone are among them. */
+    /** Returns how many requests of a class failed, including those whose client disconnected. */
     public long errors(int requestClass) {
         return errors[requestClass];
     }
 
-    /** How many classes have counts. */
+    /** Returns the number of classes that have counters. */
     public int classCount() {
         return ok.length;
     }
 
-    /** Attempts whose last byte has left for a server; probes are none. */
+    /** Returns how many attempts were sent to a server to their last byte; probes are not counted. */
     public long attempts() {
         return attempts;
     }
 
-    /** Requests taken and not ended. */
+    /** Returns how many accepted requests are in progress. */
     public long active() {
         return active;
     }
--- a/src/main/java/gatefront/engine/Upstream.java
+++ b/src/main/java/gatefront/engine/Upstream.java
@@ -4,59 +4,59 @@
 import gatefront.policy.Balancer.Outcome;
 
 /**
- * The way to the servers. Every result comes later, never within the call that asks for it, and exactly once.
- * Nothing is kept for a server that is not listed as ready but by the attempts that are out.
+ * Sends attempts and probes to the servers. Each result is delivered exactly once, and never from within the method
+ * that started the attempt or probe. For a server that is not listed as ready, only outstanding attempts hold state.
  */
 public interface Upstream {
     /**
      * How an attempt or probe ended.
      *
-     * @param outcome for the decision module
-     * @param loadReport the server's load report in the order of the settings' fields; empty if none came
-     * @param response what was served, else null
-     * @param rejection what blames the call, else null
+     * @param outcome reported to the decision module
+     * @param loadReport the server's load report in the order of the configured fields; empty if there was none
+     * @param response the response if the server served the request, else null
+     * @param rejection the response if the server found the request itself invalid, else null
      */
     record Result(Outcome outcome, double[] loadReport, Payload response, Payload rejection) {}
 
-    /** What hears of an attempt or probe; its result comes last, and once. */
+    /** Is notified of the progress of an attempt or probe; its result comes last, and once. */
     interface Listener {
-        /** It has ended. */
+        /** The attempt or probe has ended. */
         void onResult(Result result);
 
-        /** The last byte of the request has left. */
+        /** The last byte of the request has been sent. */
         default void onRequestSent() {}
 
-        /** A request that comes in pieces begins to leave: it cannot be sent again. */
+        /** A streamed request starts to be sent; it cannot be sent again. */
         default void onRequestStreaming() {}
 
-        /** The head of an answer has come, where a protocol tells; what goes ahead of an answer is none. */
+        /** The head of the response has arrived, where the protocol shows it; interim responses are not reported. */
         default void onResponseStarted() {}
 
-        /** An answer that comes in pieces has begun; its result is told when it has ended. */
+        /** A streamed response has started; its result is reported when the stream has ended. */
         default void onResponseStreaming(Payload response) {}
     }
 
-    /** A call on its way to a server. */
+    /** One sending of a request to a server. */
     interface Attempt {
-        /** Stops waiting for it; its result is {@link Outcome#CANCELLED}, if there is none yet. */
+        /** Stops the attempt; if it has no result yet, that is {@link Outcome#CANCELLED}. */
         void cancel();
     }
 
-    /** Applies a line of the server list. */
+    /** Applies one entry of the server list. */
     void updateServer(Endpoint endpoint);
 
-    /** Nothing new goes to this server: what is not written yet ends as {@link Outcome#NEVER_SENT}. */
+    /** Sends nothing new to this server: attempts not yet written end as {@link Outcome#NEVER_SENT}. */
     void removeServer(long server);
 
     /** Closes the idle connections to a server. */
     void closeIdle(long server);
 
-    /** How many servers something is kept for. */
+    /** Returns the number of servers that state is kept for. */
     int serverCount();
 
-    /** Sends a call; a time-out of 0 microseconds is none. */
+    /** Sends a request; a timeout of 0 means that there is none. */
     Attempt send(long server, Payload payload, long timeoutMicros, Listener listener);
 
-    /** Asks a server for its health. */
+    /** Probes a server's health. */
     void probe(long server, Listener listener);
 }
--- a/src/main/java/gatefront/engine/UsageMeter.java
+++ b/src/main/java/gatefront/engine/UsageMeter.java
@@ -3,13 +3,16 @@
 import java.util.Arrays;
 
 /**
- * What was served, by the numbers of its tenant and its class, since it was last taken. One thread. A cell for each
- * pair that there ever was: both are bounded where they get their numbers. A request costs three additions.
+ * Sums what was served by tenant index and class index since the last {@link #drain}. Not thread-safe. Each pair that
+ * was ever used keeps a cell; both are bounded where indexes are assigned. Recording a request costs three additions.
  */
 public final class UsageMeter {
-    /** Who is told. */
+    /** Receives the sums of a tenant and class. */
     public interface Visitor {
-        /** So many requests, of so many microseconds of servers' time and so many bytes. */
+        /**
+         * Reports the number of requests, the servers' time in microseconds and the bytes of request and response
+         * bodies.
+         */
         void visit(int tenant, int requestClass, long requests, long serverMicros, long bytes);
     }
 
@@ -17,7 +20,7 @@
 
     private long[][] byTenant = {};
 
-    /** A request was served. */
+    /** Records a served request. */
     void record(int tenant, int requestClass, long serverMicros, long bytes) {
         if (tenant >= byTenant.length) {
             int oldLength = byTenant.length;
@@ -34,7 +37,7 @@
         cells[offset + 2] += bytes;
     }
 
-    /** Tells each cell with use, and begins anew. */
+    /** Passes each cell with any requests to {@code visitor}, and resets all. */
     public void drain(Visitor visitor) {
         for (int tenant = 0; tenant < byTenant.length; tenant++) {
             long[] cells = byTenant[tenant];
--- a/src/main/java/gatefront/http/HttpFrontend.java
+++ b/src/main/java/gatefront/http/HttpFrontend.java
@@ -43,15 +43,15 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The application's side: requests in, final answers out. Each exchange is answered once; what is asked in
- * advance on a connection waits for the answer before it. What is no request as the protocol has it is
- * answered with an error in its turn, and its connection ends. All of it runs on the agent's event loop.
+ * Accepts clients' requests over HTTP/1.1 and sends the final responses. Each exchange gets one response; pipelined
+ * requests wait for the response before them. Input that is not a valid request gets an error response in its turn, and
+ * its connection is closed. Runs on the agent's event loop.
  */
 public final class HttpFrontend extends AbstractFrontend {
-    /** What a connection has asked: a request, the agent's health (neither), or what earned it an error. */
+    /** Input that waits for its turn: a request, an error to respond with, or, with neither, a health check. */
     private record QueuedRequest(ClientRequest request, HttpResponseStatus error, boolean keepAlive) {}
 
-    /** What goes from hop to hop only, or is set anew. */
+    /** Headers that are hop-by-hop, or that the agent sets itself; not forwarded to servers. */
     private static final AsciiString[] HOP_BY_HOP_HEADERS = {
         HttpHeaderNames.CONNECTION,
         AsciiString.cached("Keep-Alive"),
@@ -71,7 +71,7 @@
     private static final AsciiString CLIENT_RETRY = AsciiString.cached("Client-Retry");
     private static final AsciiString WORK_HINT = AsciiString.cached("Work-Hint");
     private static final AsciiString IDEMPOTENCY_KEY = AsciiString.cached("Idempotency-Key");
-    /** What a request says once at the most; of two, a server might believe the other. */
+    /** Headers that a request may carry once at most: of two values, a server might use the other one. */
     private static final AsciiString[] SINGLE_VALUE_HEADERS = {
         HttpHeaderNames.HOST,
         REQUEST_ID,
@@ -86,9 +86,9 @@
     };
 
     private static final long MAX_TIMEOUT_MS = 3_600_000;
-    /** Requests read ahead on one connection before it is left alone. */
+    /** Pipelined requests on one connection before reading from it is paused. */
     private static final int MAX_PIPELINED = 4;
-    /** A large body of which nothing comes for so long ends with its connection. */
+    /** A streamed request body of which nothing arrives for this long is aborted and its connection closed. */
     private static final long UPLOAD_STALL_TIMEOUT_MS = 2_500;
 
     private final Transport transport;
@@ -96,7 +96,7 @@
     private final Listener listener;
     private final BooleanSupplier ready;
 
-    /** Listens to nobody yet; {@link #listen()} begins. */
+    /** Creates a frontend that does not listen before {@link #listen()} is called. */
     public HttpFrontend(
             Transport transport,
             Config config,
@@ -117,18 +117,18 @@
         channel.pipeline().addLast(decoder, new HttpResponseEncoder(), new ClientConnection(channel, decoder));
     }
 
-    /** Requests whose heads come from now on are read by this configuration. */
+    /** Parses requests whose heads arrive from now on by this configuration. */
     public void updateConfig(Config newConfig) {
         config = newConfig;
     }
 
-    /** One request and the answer it is owed. */
+    /** One request and its response. */
     private final class Exchange implements gatefront.engine.Exchange {
         private final ClientConnection connection;
         private final boolean keepAlive;
         private final int requestBodyBytes;
         private boolean answered;
-        /** The answer that is being passed on in pieces, or null. */
+        /** The response that is being streamed, or null. */
         private BodyStream responseStream;
 
         private Exchange(ClientConnection connection, boolean keepAlive, int requestBodyBytes) {
@@ -139,22 +139,22 @@
 
         @Override
         public void served(Payload payload) {
-            answer(HttpResponseStatus.OK, (ServedResponse) payload, 0);
+            respond(HttpResponseStatus.OK, (ServedResponse) payload, 0);
         }
 
         @Override
         public void rejected(Payload payload) {
-            answer(((HttpUpstream.Rejection) payload).status());
+            respond(((HttpUpstream.Rejection) payload).status());
         }
 
         @Override
         public void refused(long retryAfterMicros) {
-            answer(HttpResponseStatus.SERVICE_UNAVAILABLE, null, retryAfterMicros);
+            respond(HttpResponseStatus.SERVICE_UNAVAILABLE, null, retryAfterMicros);
         }
 
         @Override
         public void failed(Failure reason) {
-            answer(
+            respond(
                     switch (reason) {
                         case NOT_SERVED -> HttpResponseStatus.BAD_GATEWAY;
                         case TIME_UP -> HttpResponseStatus.GATEWAY_TIMEOUT;
@@ -163,7 +163,7 @@
                     });
         }
 
-        private void answer(HttpResponseStatus status, ServedResponse served, long retryAfterMicros) {
+        private void respond(HttpResponseStatus status, ServedResponse served, long retryAfterMicros) {
             if (answered || connection.current != this) {
                 return;
             }
@@ -173,7 +173,7 @@
                 return;
             }
             ByteBuf body = served == null ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(served.body());
-            // What is set here was checked when it came.
+            // The values set here were validated when they were received.
             HttpHeaders headers = HttpUpstream.UNVALIDATED_HEADERS.newHeaders();
             var response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body, headers, EmptyHttpHeaders.INSTANCE);
@@ -184,12 +184,12 @@
             if (retryAfterMicros > 0) {
                 headers.set(HttpHeaderNames.RETRY_AFTER, String.valueOf(retryAfterMicros / 1e6));
             }
-            // What was asked in advance is answered before the connection ends.
-            boolean last = closesConnection();
-            if (last) {
+            // Pipelined requests are answered before the connection is closed.
+            boolean closeConnection = closesConnection();
+            if (closeConnection) {
                 headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
-            connection.responseWritten(this, connection.write(response, body.readableBytes()), last);
+            connection.afterResponse(this, connection.write(response, body.readableBytes()), closeConnection);
         }
 
         private boolean closesConnection() {
@@ -205,7 +205,7 @@
             }
         }
 
-        /** Passes an answer on in pieces; one that breaks off ends the connection, so that the caller can tell. */
+        /** Streams a response; if it is aborted, the connection is closed so that the client can tell. */
         private void streamResponse(ServedResponse served) {
             HttpHeaders headers = HttpUpstream.UNVALIDATED_HEADERS.newHeaders();
             if (served.length() < 0) {
@@ -214,8 +214,8 @@
                 headers.set(HttpHeaderNames.CONTENT_LENGTH, served.length());
             }
             setContentHeaders(served, headers);
-            boolean last = closesConnection();
-            if (last) {
+            boolean closeConnection = closesConnection();
+            if (closeConnection) {
                 headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
             responseStream = served.bodyStream();
@@ -231,11 +231,12 @@
                 @Override
                 public void onComplete() {
                     responseStream = null;
-                    // Not before the caller has taken it: the time that a last answer has does not begin until then.
+                    // Only once it is written, so that the timeout for writing a last response starts then.
                     connection.write(LastHttpContent.EMPTY_LAST_CONTENT, 0).addListener(done -> {
-                        if (connection.current == Exchange.this) { // else its caller has left meanwhile
-                            // Its head was written long ago, and the end may have come near since.
-                            connection.responseWritten(Exchange.this, (ChannelFuture) done, last || closesConnection());
+                        if (connection.current == Exchange.this) { // else the client has disconnected
+                            // The agent may have begun to shut down since the head was written.
+                            connection.afterResponse(
+                                    Exchange.this, (ChannelFuture) done, closeConnection || closesConnection());
                         }
                     });
                 }
@@ -248,28 +249,29 @@
             });
         }
 
-        /** The same without a body. */
-        private void answer(HttpResponseStatus status) {
-            answer(status, null, 0);
+        /** Responds with a status and no body. */
+        private void respond(HttpResponseStatus status) {
+            respond(status, null, 0);
         }
     }
 
-    /** One connection of the application's. */
+    /** One connection of a client. */
     private final class ClientConnection extends Connection {
         private final StrictHttpDecoders.Requests decoder;
         private final Deque<QueuedRequest> pipelined = new ArrayDeque<>();
-        /** The exchange that is owed an answer, or null. */
+        /** The exchange whose response is due next, or null. */
         private Exchange current;
-        /** The request whose body is coming in, null for one about health; what has come of the body. */
+        /** The request whose body is being received; null for a health check. */
         private ClientRequest incomingRequest;
 
         private boolean keepAlive;
+        /** The part of the body received so far, while it is not streamed. */
         private ByteBuf body = Unpooled.EMPTY_BUFFER;
-        /** The rest of a body that is too long to be held, on its way to a server; null while there is none. */
+        /** The body that is being streamed to a server because it is too long to be buffered, or null. */
         private BodyStream upload;
 
         private long uploadedBytes;
-        /** How the body that is coming in ends. */
+        /** Framing of the body that is being received; see {@link StrictHttpDecoders#framing}. */
         private long bodyFraming;
 
         ClientConnection(DuplexChannel channel, StrictHttpDecoders.Requests decoder) {
@@ -308,7 +310,7 @@
             return channel.isWritable();
         }
 
-        /** Whether the body of a request is on its way and not whole: what follows it on the connection is unknown. */
+        /** Returns whether a streamed request body is still incomplete, so that the next request cannot be located. */
         private boolean isUploading() {
             return upload != null;
         }
@@ -338,15 +340,15 @@
                 addBody(content.content());
             }
             if (message instanceof LastHttpContent && !ignoresInput && upload != null) {
-                BodyStream whole = upload;
+                BodyStream complete = upload;
                 upload = null;
-                whole.complete();
+                complete.complete();
             } else if (message instanceof LastHttpContent && !ignoresInput) {
-                ClientRequest whole = incomingRequest == null || !body.isReadable()
+                ClientRequest complete = incomingRequest == null || !body.isReadable()
                         ? incomingRequest
                         : withBody(incomingRequest, ByteBufUtil.getBytes(body));
                 body = Unpooled.EMPTY_BUFFER;
-                enqueue(new QueuedRequest(whole, null, keepAlive));
+                enqueue(new QueuedRequest(complete, null, keepAlive));
             }
         }
 
@@ -360,7 +362,7 @@
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
             if (current != null && current.responseStream != null && channel.isWritable()) {
-                transitionTo(State.STREAMING_RESPONSE); // it has taken something
+                transitionTo(State.STREAMING_RESPONSE); // the client has read some of it
                 current.responseStream.resume();
             }
             processNext();
@@ -391,11 +393,11 @@
         }
 
         private void addBody(ByteBuf bytes) {
-            int n = bytes.readableBytes();
-            if (state() == State.READING_REQUEST && n > 0) {
-                transitionTo(State.READING_REQUEST); // a body may come slowly, as long as it comes
+            int length = bytes.readableBytes();
+            if (state() == State.READING_REQUEST && length > 0) {
+                transitionTo(State.READING_REQUEST); // a body may arrive slowly as long as it makes progress
             }
-            if (upload == null && body.readableBytes() + n > HttpUpstream.MAX_BUFFERED_BODY_BYTES) {
+            if (upload == null && body.readableBytes() + length > HttpUpstream.MAX_BUFFERED_BODY_BYTES) {
                 if (incomingRequest == null) {
                     rejectInput(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
                     return;
@@ -403,22 +405,22 @@
                 beginUpload();
             }
             if (upload != null) {
-                uploadedBytes += n;
+                uploadedBytes += length;
                 if (uploadedBytes > HttpUpstream.MAX_STREAMED_BODY_BYTES) {
                     abortUpload(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
-                } else if (!reserve(n)) {
+                } else if (!reserve(length)) {
                     abortUpload(HttpResponseStatus.SERVICE_UNAVAILABLE);
                 } else if (!upload.write(bytes.retain())) {
                     channel.config().setAutoRead(!upload.isPaused());
                 }
-            } else if (!reserve(n)) {
+            } else if (!reserve(length)) {
                 rejectInput(HttpResponseStatus.SERVICE_UNAVAILABLE);
-            } else if (n > 0) {
+            } else if (length > 0) {
                 body.writeBytes(bytes);
             }
         }
 
-        /** What has come of a body begins its way to a server, and the rest follows as it comes. */
+        /** Starts streaming the request body: first what has been received, then the rest as it arrives. */
         private void beginUpload() {
             BodyStream stream = new BodyStream(new BodyStream.Producer() {
                 @Override
@@ -435,7 +437,8 @@
 
                 @Override
                 public void onCancel() {
-                    // Answered before it was whole: nothing more is read as a request, and the connection ends.
+                    // The response came before the body was complete: no further request is read, and the connection
+                    // is closed.
                     ignoresInput = true;
                     upload = null;
                     channel.config().setAutoRead(true);
@@ -450,25 +453,25 @@
             enqueue(new QueuedRequest(withBody(incomingRequest, stream, bodyFraming), null, keepAlive));
         }
 
-        /** No more is taken of a body that is on its way: nobody gets it whole, and the caller is told why. */
+        /** Aborts a streamed request body, of which no server gets the whole, and responds with {@code status}. */
         private void abortUpload(HttpResponseStatus status) {
             BodyStream stream = upload;
             Exchange exchange = current;
-            if (exchange == null || pipelined.stream().anyMatch(each -> each.request != null)) {
-                channel.close(); // one that waits for the answers before it: they are not to be overtaken
+            if (exchange == null || pipelined.stream().anyMatch(queued -> queued.request != null)) {
+                channel.close(); // earlier responses are due first, and the error must not overtake them
                 return;
             }
-            exchange.answer(
+            exchange.respond(
                     status,
                     null,
                     status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE) ? Engine.RETRY_AFTER_MICROS : 0);
             listener.clientLeft(exchange);
             upload = null;
             stream.abort();
-            channel.config().setAutoRead(true); // what still comes is read and dropped until the answer has been read
+            channel.config().setAutoRead(true); // the rest is read and discarded until the client has read the response
         }
 
-        /** Guards against a body of which nothing more comes, held open for ever. */
+        /** Guards against holding open for ever a request body that stops in the middle. */
         private void scheduleUploadStallCheck(BodyStream stream, long uploadedBefore) {
             transport
                     .loop()
@@ -488,8 +491,9 @@
         }
 
         /**
-         * What came is no request. Guards against answering it out of turn, where the client would take the
-         * error for the answer to what it asked before, and against reading on what nobody will use.
+         * Queues an error response to invalid input and stops reading. Guards against responding out of turn, where the
+         * client would take the error for the response to an earlier request, and against reading input that is not
+         * used.
          */
         private void rejectInput(HttpResponseStatus error) {
             if (upload != null) {
@@ -502,7 +506,7 @@
             enqueue(new QueuedRequest(null, error, false));
         }
 
-        /** Whether a request has come in advance; what is none may go unanswered with its connection. */
+        /** Returns whether a valid request is pipelined; invalid input may go without a response when closing. */
         private boolean hasPipelinedRequest() {
             return !pipelined.isEmpty() && pipelined.peek().error == null;
         }
@@ -512,7 +516,7 @@
             processNext();
         }
 
-        /** What was asked is taken in its turn, and not while answers are still to be read. */
+        /** Processes the next pipelined request once the response before it is sent and the client reads responses. */
         private void processNext() {
             if (!ignoresInput) {
                 channel.config()
@@ -531,24 +535,26 @@
             try {
                 if (queued.error != null) {
                     boolean refused = queued.error.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
-                    exchange.answer(queued.error, null, refused ? Engine.RETRY_AFTER_MICROS : 0);
+                    exchange.respond(queued.error, null, refused ? Engine.RETRY_AFTER_MICROS : 0);
                 } else if (request == null) {
-                    exchange.answer(
-                            ready.getAsBoolean() && !isNotReady()
+                    exchange.respond(
+                            ready.getAsBoolean() && !isMarkedNotReady()
                                     ? HttpResponseStatus.OK
                                     : HttpResponseStatus.SERVICE_UNAVAILABLE);
                 } else {
                     listener.request(request, exchange);
                 }
             } catch (RuntimeException e) {
-                // Guards against a fault here that would leave the client without its answer.
+                // Guards against a fault that would leave the client without a response.
                 transport.log("request failed: " + e);
-                exchange.answer(HttpResponseStatus.INTERNAL_SERVER_ERROR);
+                exchange.respond(HttpResponseStatus.INTERNAL_SERVER_ERROR);
             }
         }
 
-        /** After an answer: the connection ends or is in no use, or what was asked in advance is next. */
-        private void responseWritten(Exchange exchange, ChannelFuture written, boolean closeConnection) {
+        /**
+         * After a response, closes the connection, processes the next pipelined request or keeps the connection idle.
+         */
+        private void afterResponse(Exchange exchange, ChannelFuture written, boolean closeConnection) {
             current = null;
             release(exchange.requestBodyBytes);
             if (closeConnection) {
@@ -606,7 +612,7 @@
                 && !head.headers().contains(REQUEST_ID);
     }
 
-    /** Why the bytes that follow cannot be told apart or will not be read, or null. */
+    /** Returns the error if the end of the message cannot be determined or its body is not accepted, else null. */
     private static HttpResponseStatus framingError(HttpRequest head, long length) {
         if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
             return HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED;
@@ -629,8 +635,8 @@
     }
 
     /**
-     * The request as the agent takes it, or null if it is not as the protocol has it. Guards against passing
-     * on what a server would turn away, or would close a connection for on which more is waiting.
+     * Parses a request; returns null if it does not follow the protocol. Guards against forwarding what a server would
+     * reject, or would answer by closing a connection that other requests wait for.
      */
     public ClientRequest parse(HttpRequest request) {
         HttpHeaders headers = request.headers();
@@ -673,7 +679,7 @@
                 config.settings().classes().get(requestClass).semantics();
         HttpMethod method = semantics == Balancer.Semantics.SAFE ? HttpMethod.GET : HttpMethod.POST;
         String idempotencyKey = headers.get(IDEMPOTENCY_KEY);
-        // Guards against an effect twice: without its key no server would drop a repeat.
+        // Guards against running a request twice: without a key no server could recognize the repetition.
         boolean keyed = semantics == Balancer.Semantics.KEYED;
         if (!request.method().equals(method)
                 || (keyed
@@ -700,7 +706,7 @@
                 new Outgoing(request.method(), uri, forwarded, HttpUpstream.NO_BODY));
     }
 
-    /** The part of a path between its first slash and the next one or the question mark. */
+    /** Returns the part of a path between its first slash and the next slash or question mark. */
     private static String firstPathSegment(String uri) {
         int end = 1;
         while (end < uri.length() && uri.charAt(end) != '/' && uri.charAt(end) != '?') {
@@ -718,7 +724,7 @@
         return -1;
     }
 
-    /** Whether a text is of visible characters alone, and from this one on. */
+    /** Returns whether a text has only visible ASCII characters from {@code lowest} on, and tabs. */
     private static boolean isVisibleAscii(CharSequence text, char lowest) {
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
--- a/src/main/java/gatefront/http/HttpUpstream.java
+++ b/src/main/java/gatefront/http/HttpUpstream.java
@@ -38,13 +38,15 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Set;
 
-/** The servers over HTTP/1.1: a request a connection at a time, and what its answer says of it. */
+/**
+ * Sends requests to servers over HTTP/1.1, one at a time on each connection, and derives results from the responses.
+ */
 public final class HttpUpstream extends PooledUpstream {
-    /** What is sent: method, target and body go on as they came. */
+    /** A request to send; method, target and body are forwarded unchanged. */
     public record Outgoing(
             HttpMethod method, String uri, HttpHeaders headers, byte[] body, BodyStream bodyStream, long length)
             implements Payload {
-        /** With a body that is here whole. */
+        /** Creates a request whose whole body is in memory. */
         public Outgoing(HttpMethod method, String uri, HttpHeaders headers, byte[] body) {
             this(method, uri, headers, body, null, body.length);
         }
@@ -55,7 +57,7 @@
         }
     }
 
-    /** A served answer: the body, whole or in pieces, its length if known, and what tells how to read it. */
+    /** A served response: its body, in memory or streamed, the length (-1 if unknown), and its type and encoding. */
     record ServedResponse(byte[] body, BodyStream bodyStream, long length, String contentType, String contentEncoding)
             implements Payload {
         @Override
@@ -64,20 +66,22 @@
         }
     }
 
-    /** The status of an answer that blames the request. */
+    /** A response that found the request itself invalid. */
     record Rejection(HttpResponseStatus status) implements Payload {}
 
+    /** Header that gives the time until the request's deadline, in milliseconds. */
     public static final AsciiString REQUEST_TIMEOUT = AsciiString.cached("Request-Timeout-Ms");
-    /** For headers that were checked when they came. */
+    /** Creates headers without validation, for values that were validated when they were received. */
     static final HttpHeadersFactory UNVALIDATED_HEADERS =
             DefaultHttpHeadersFactory.headersFactory().withValidation(false);
 
+    /** Largest body that is buffered. */
     static final int MAX_BUFFERED_BODY_BYTES = 64 << 10;
-    /** What is longer passes in pieces, up to this. */
+    /** Largest body that is streamed. */
     static final long MAX_STREAMED_BODY_BYTES = 32L << 20;
-    /** An answer of unknown length that is not whole so long after its first bytes is passed on as it comes. */
+    /** A response of unknown length that is still incomplete after this time is streamed. */
     private static final long STREAM_AFTER_MS = 200;
-    /** Of the answers that blame the request those that blame the moment: too slow, too early, too many. */
+    /** 4xx statuses that do not mean an invalid request: request timeout, too early, too many requests. */
     private static final Set<Integer> RETRYABLE_CLIENT_ERRORS = Set.of(408, 425, 429);
 
     public static final byte[] NO_BODY = new byte[0];
@@ -85,7 +89,7 @@
     private final LoadReportParser loadReportParser;
     private final Outgoing probe;
 
-    /** Holds so many connections at the most. */
+    /** Creates an upstream without connections. */
     public HttpUpstream(Transport transport, Config config, int maxConnections, ResourceBudget budget) {
         super(transport, maxConnections, config.connectTimeoutMicros(), config.idleCloseMicros(), budget);
         loadReportParser = new LoadReportParser(config.loadFields());
@@ -141,7 +145,7 @@
         return LastHttpContent.EMPTY_LAST_CONTENT;
     }
 
-    /** The text of an answer's load report, or null. */
+    /** Returns the text of a response's load report, or null. */
     private static String loadReportText(Attempt attempt, HttpHeaders headers, byte[] body) {
         String text = headers.get("Server-Load");
         boolean loadProbe = ((Outgoing) attempt.request()).uri.equals("/load");
@@ -150,11 +154,11 @@
 
     private final class ResponseReader extends Reader {
         private final StrictHttpDecoders.Responses decoder;
-        /** The answer that is coming in, or null; one with a status of 1xx goes ahead of the one awaited. */
+        /** The head of the response that is being received, or null; may be an interim (1xx) response. */
         private HttpResponse head;
 
         private final ByteBuf body = Unpooled.buffer(0, MAX_BUFFERED_BODY_BYTES);
-        /** Where the body goes that is passed on in pieces, or null; and how much of it has come. */
+        /** The stream that the body is written to, or null while it is buffered. */
         private BodyStream stream;
 
         private long streamedBytes;
@@ -168,7 +172,7 @@
         protected boolean read(Attempt attempt, Object message) {
             HttpObject httpObject = (HttpObject) message;
             if (httpObject.decoderResult().isFailure()
-                    || httpObject instanceof HttpResponse first && !beginResponse(attempt, first)
+                    || httpObject instanceof HttpResponse response && !beginResponse(attempt, response)
                     || httpObject instanceof HttpContent content && !addBody(attempt, content)) {
                 return false;
             }
@@ -176,7 +180,7 @@
                 HttpResponse response = head;
                 head = null;
                 if (connectionReset && StrictHttpDecoders.framing(response.headers()) == StrictHttpDecoders.NO_LENGTH) {
-                    return false; // reset in the middle: its end is not the body's
+                    return false; // the body ends with the connection, but this end is a reset
                 }
                 if (response.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
                     finishResponse(attempt, response);
@@ -185,16 +189,16 @@
             return true;
         }
 
-        /** Takes the head of an answer; false if it cannot end well. */
+        /** Handles the head of a response; returns false if it is unacceptable. */
         private boolean beginResponse(Attempt attempt, HttpResponse response) {
             head = response;
             int status = response.status().code();
             long length = StrictHttpDecoders.framing(response.headers());
             if (status < 200) {
-                return status != 101; // nobody asked for another protocol
+                return status != 101; // no protocol upgrade was requested
             }
             attempt.responseStarted();
-            // Guards against a body that nobody will read: one that is too long is not waited for.
+            // Guards against receiving a body that cannot be used: one that is too long is rejected at once.
             boolean acceptable = length == StrictHttpDecoders.CHUNKED
                     || length == StrictHttpDecoders.NO_LENGTH
                     || length >= 0 && length <= (status == 200 ? MAX_STREAMED_BODY_BYTES : MAX_BUFFERED_BODY_BYTES);
@@ -217,32 +221,32 @@
         }
 
         private boolean addBody(Attempt attempt, HttpContent content) {
-            int n = content.content().readableBytes();
-            if (stream == null && body.readableBytes() + n > MAX_BUFFERED_BODY_BYTES) {
+            int length = content.content().readableBytes();
+            if (stream == null && body.readableBytes() + length > MAX_BUFFERED_BODY_BYTES) {
                 if (head.status().code() != 200) {
                     return false;
                 }
                 beginStreaming(attempt);
             }
             if (stream != null) {
-                streamedBytes += n;
+                streamedBytes += length;
                 attempt.recordProgress();
                 if (streamedBytes > MAX_STREAMED_BODY_BYTES) {
                     return false;
                 }
-                if (n > 0 && !stream.write(content.content().retain())) {
+                if (length > 0 && !stream.write(content.content().retain())) {
                     setReading(!stream.isPaused());
                 }
                 return true;
             }
-            if (!reserve(n)) {
+            if (!reserve(length)) {
                 return false;
             }
             body.writeBytes(content.content());
             return true;
         }
 
-        /** From now on the answer goes to the caller as it comes; an attempt at it is the last. */
+        /** Streams the response to the client from now on; the request cannot be retried afterwards. */
         private void beginStreaming(Attempt attempt) {
             BodyStream newStream = new BodyStream(new BodyStream.Producer() {
                 @Override
--- a/src/main/java/gatefront/http/codec/StrictHttpDecoders.java
+++ b/src/main/java/gatefront/http/codec/StrictHttpDecoders.java
@@ -14,16 +14,17 @@
 import java.util.List;
 
 /**
- * HTTP/1.1 as the agent reads it from either side: what the library would mend or overlook is an unreadable
- * message here, since two readers that mend differently see different messages in the same bytes.
+ * Decoders of HTTP/1.1 requests and responses that reject what Netty would repair or ignore, since two parsers that
+ * repair differently see different messages in the same bytes.
  */
 public final class StrictHttpDecoders {
     private static final int MAX_INITIAL_LINE_BYTES = 4096;
     private static final int MAX_HEADER_BYTES = 8192;
-    /** How a body ends, where no length tells it. */
+    /** Framing of a message with neither a length nor a transfer coding. */
     public static final long NO_LENGTH = -1;
-
+    /** Framing of a chunked body. */
     public static final long CHUNKED = -2;
+    /** Framing that is invalid or contradictory. */
     public static final long AMBIGUOUS = -3;
 
     private StrictHttpDecoders() {}
@@ -36,7 +37,9 @@
                 .setStrictLineParsing(true);
     }
 
-    /** How a message's body ends: its length, {@link #CHUNKED}, {@link #NO_LENGTH} or {@link #AMBIGUOUS}. */
+    /**
+     * Returns the framing of a body: its length in bytes, {@link #CHUNKED}, {@link #NO_LENGTH} or {@link #AMBIGUOUS}.
+     */
     public static long framing(HttpHeaders headers) {
         List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
         List<String> lengths = headers.getAll(HttpHeaderNames.CONTENT_LENGTH);
@@ -49,7 +52,7 @@
         return lengths.isEmpty() ? NO_LENGTH : parseDigits(lengths.get(0), AMBIGUOUS);
     }
 
-    /** A whole number written in digits alone, or the other value. */
+    /** Parses a number of 1 to 18 decimal digits; returns {@code fallback} for any other text or null. */
     public static long parseDigits(String text, long fallback) {
         if (text == null || text.isEmpty() || text.length() > 18) {
             return fallback;
@@ -62,7 +65,7 @@
         return Long.parseLong(text);
     }
 
-    /** Guards against a length beside a coding: the library would drop one, and the next reader the other. */
+    /** Rejects a length beside a coding: Netty would drop one of them, and the next parser the other. */
     private static void rejectLengthWithCoding() {
         throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
     }
@@ -71,16 +74,16 @@
         return !out.isEmpty() && out.get(out.size() - 1) instanceof LastHttpContent;
     }
 
-    /** What the application sends. */
+    /** Decodes the requests of clients. */
     public static final class Requests extends HttpRequestDecoder {
         private boolean atStart = true;
 
-        /** Strict on both heads and bodies. */
+        /** Creates a decoder that is strict on heads and bodies. */
         public Requests() {
             super(strictConfig());
         }
 
-        /** Whether a request has begun to come. */
+        /** Returns whether a request has been received in part. */
         public boolean isRequestStarted() {
             return !atStart;
         }
@@ -89,12 +92,12 @@
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
             if (atStart && in.isReadable()) {
                 byte first = in.getByte(in.readerIndex());
-                // Guards against noise before a request: the library passes over control characters for ever.
+                // Guards against stray bytes before a request: Netty would skip control characters for ever.
                 if (first != '\r' && first != '\n' && (first < 'A' || first > 'Z')) {
                     in.skipBytes(in.readableBytes());
-                    HttpMessage noise = createInvalidMessage();
-                    noise.setDecoderResult(DecoderResult.failure(new IllegalArgumentException("no request line")));
-                    out.add(noise);
+                    HttpMessage invalid = createInvalidMessage();
+                    invalid.setDecoderResult(DecoderResult.failure(new IllegalArgumentException("no request line")));
+                    out.add(invalid);
                     return;
                 }
                 atStart = false;
@@ -109,18 +112,18 @@
         }
     }
 
-    /** What servers and discovery send. */
+    /** Decodes the responses of servers and of discovery. */
     public static final class Responses extends HttpResponseDecoder {
         private boolean atStart = true;
         private boolean headRead;
         private boolean bodyMayEndWithConnection;
 
-        /** Strict on both heads and bodies. */
+        /** Creates a decoder that is strict on heads and bodies. */
         public Responses() {
             super(strictConfig());
         }
 
-        /** Whether bytes have come that belong to no message yet. */
+        /** Returns whether bytes have been received that belong to no message yet. */
         public boolean hasLeftover() {
             return actualReadableBytes() > 0;
         }
@@ -128,7 +131,7 @@
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
             if (atStart && in.isReadable()) {
-                if (in.getByte(in.readerIndex()) != 'H') { // Guards against noise before an answer.
+                if (in.getByte(in.readerIndex()) != 'H') { // Guards against stray bytes before a response.
                     in.skipBytes(in.readableBytes());
                     ctx.close();
                     return;
@@ -144,7 +147,7 @@
             if (!line[0].equals("HTTP/1.1") && !line[0].equals("HTTP/1.0")
                     || line[1].length() != 3
                     || parseDigits(line[1], 0) < 100) {
-                throw new IllegalArgumentException("status line"); // the library would take "+200" for 200
+                throw new IllegalArgumentException("status line"); // Netty would take "+200" for 200
             }
             headRead = false;
             bodyMayEndWithConnection = line[1].equals("200");
@@ -157,8 +160,8 @@
         }
 
         /**
-         * Reads heads as strictly as those of requests: else a line without a colon counts as a header. A body without
-         * a length ends with the connection where something is served; with any other status it has none.
+         * Makes Netty read heads as strictly as those of requests; otherwise a line without a colon counts as a header.
+         * A body without a length ends with the connection if the status is 200; with any other status there is none.
          */
         @Override
         protected boolean isDecodingRequest() {
@@ -167,13 +170,13 @@
 
         @Override
         protected boolean isContentAlwaysEmpty(HttpMessage message) {
-            headRead = true; // this is asked once, when the head has been read
+            headRead = true; // called once, when the head has been read
             return super.isContentAlwaysEmpty(message);
         }
 
         @Override
         protected boolean isSwitchingToNonHttp1Protocol(HttpResponse response) {
-            return false; // nobody asked for another protocol; what takes a 101 refuses it
+            return false; // no protocol upgrade was requested; the reader of a 101 response rejects it
         }
     }
 }
--- a/src/main/java/gatefront/http/codec/package-info.java
+++ b/src/main/java/gatefront/http/codec/package-info.java
@@ -1,4 +1,4 @@
 /**
- * HTTP/1.1 as read strictly from either side.
+ * Strict decoders of HTTP/1.1 requests and responses.
  */
 package gatefront.http.codec;
--- a/src/main/java/gatefront/http/package-info.java
+++ b/src/main/java/gatefront/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * HTTP/1.1 for the engine: the application's side and the servers' side, each owner of its connections.
- * Runs on the agent's loop.
+ * HTTP/1.1 for the engine: the frontend for clients and the upstream for servers, each of which owns its connections.
+ * Runs on the agent's event loop.
  */
 package gatefront.http;
--- a/src/main/java/gatefront/thrift/ThriftFrontend.java
+++ b/src/main/java/gatefront/thrift/ThriftFrontend.java
@@ -239,7 +239,7 @@
                 } else if (header.name().equals(ThriftConventions.HEALTH)) {
                     exchange.answer(
                             MessageHeader.Type.REPLY,
-                            ErrorResults.health(message.encoding(), ready.getAsBoolean() && !isNotReady()));
+                            ErrorResults.health(message.encoding(), ready.getAsBoolean() && !isMarkedNotReady()));
                 } else if (method == null) {
                     exchange.wrong(ThriftConventions.UNKNOWN_METHOD, "unknown method " + header.name());
                 } else {
--- a/src/test/java/gatefront/connection/UpstreamContract.java
+++ b/src/test/java/gatefront/connection/UpstreamContract.java
@@ -40,44 +40,47 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What every upstream owes the engine, whatever it speaks: which outcome each fault of a nodo has, and that what comes
- * too late or is left over meets no later call. On virtual time; one way takes a millisecond.
+ * Tests that every upstream has to pass, whatever its protocol: the outcome reported for each fault of a server, and
+ * that late or surplus response bytes never reach a later attempt. Runs on virtual time; the network latency is one
+ * millisecond each way.
  */
 public abstract class UpstreamContract {
-    private static final long MS = 1_000_000;
+    private static final long NANOS_PER_MS = 1_000_000;
     private static final int NODO_PORT = 80;
     private static final long SERVER = 7;
 
     private final VirtualTime time = new VirtualTime();
-    private final Network network = new Network(time, 0, (from, to, bytes) -> MS);
+    private final Network network = new Network(time, 0, (from, to, bytes) -> NANOS_PER_MS);
     private final List<Result> results = new ArrayList<>();
     private VirtualHost agent;
     private VirtualHost nodo;
     private PooledUpstream upstream;
-    /** What the nodo does with a call that has come whole. */
-    private ServerScript onRequest = (ctx, reply) -> send(ctx, reply);
-    /** What it does when the first bytes of a connection have come. */
+    /** What the server does when a complete request has arrived. */
+    private ServerScript onRequest = (ctx, reply) -> sendBytes(ctx, reply);
+    /** What the server does when the first bytes of a connection have arrived. */
     private ServerScript onFirstBytes = (ctx, reply) -> {};
 
     private int acceptedConnections;
     private int completeRequests;
     private int closedConnections;
 
-    /** What a nodo does; {@code reply} is its whole answer, if there is a whole call to answer. */
+    /**
+     * An action of the server; {@code reply} is the response to the request, or null if no complete one has arrived.
+     */
     private interface ServerScript {
         void run(ChannelHandlerContext ctx, byte[] reply);
     }
 
-    /** The upstream, whose nodos listen on the port of their endpoints. */
+    /** Creates the upstream under test, whose servers listen on the port of their endpoints. */
     protected abstract PooledUpstream createUpstream(Transport transport, int port);
 
-    /** A call. */
+    /** Creates a request. */
     protected abstract Payload newRequest();
 
-    /** What makes one object of each whole call at a nodo; nothing that writes. */
+    /** Adds a decoder to the server's pipeline that emits one object for each complete request and writes nothing. */
     protected abstract void addServerDecoder(ChannelPipeline pipeline);
 
-    /** The bytes of the answer to a call, by the object that was made of it. */
+    /** Returns the bytes of the response to a request, given the object that the decoder emitted for it. */
     protected abstract byte[] responseBytes(Object request);
 
     @BeforeEach
@@ -112,12 +115,12 @@
                     protected void initChannel(Channel ch) {
                         acceptedConnections++;
                         ch.pipeline().addLast(new ChannelInboundHandlerAdapter() {
-                            private boolean begun;
+                            private boolean started;
 
                             @Override
                             public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-                                if (!begun) {
-                                    begun = true;
+                                if (!started) {
+                                    started = true;
                                     onFirstBytes.run(ctx, null);
                                 }
                                 ctx.fireChannelRead(bytes);
@@ -131,9 +134,9 @@
                         addServerDecoder(ch.pipeline());
                         ch.pipeline().addLast(new SimpleChannelInboundHandler<>() {
                             @Override
-                            protected void channelRead0(ChannelHandlerContext ctx, Object call) {
+                            protected void channelRead0(ChannelHandlerContext ctx, Object request) {
                                 completeRequests++;
-                                onRequest.run(ctx, responseBytes(call));
+                                onRequest.run(ctx, responseBytes(request));
                             }
                         });
                     }
@@ -142,7 +145,7 @@
         advanceMillis(0);
     }
 
-    private static void send(ChannelHandlerContext ctx, byte[] bytes) {
+    private static void sendBytes(ChannelHandlerContext ctx, byte[] bytes) {
         ctx.writeAndFlush(Unpooled.wrappedBuffer(bytes));
     }
 
@@ -151,24 +154,24 @@
         ctx.close();
     }
 
-    private void advanceMillis(long forMs) {
-        time.run(time.nanoTime() + forMs * MS);
+    private void advanceMillis(long millis) {
+        time.run(time.nanoTime() + millis * NANOS_PER_MS);
     }
 
     private Upstream.Attempt startAttempt(long timeoutMs) {
         return upstream.send(SERVER, newRequest(), 1000 * timeoutMs, results::add);
     }
 
-    /** The outcome of a call with a second of time. */
+    /** Returns the result of an attempt with a timeout of one second. */
     private Result runAttempt() {
         int before = results.size();
         startAttempt(1_000);
         advanceMillis(2_000);
-        assertEquals(before + 1, results.size(), "one result, exactly");
+        assertEquals(before + 1, results.size(), "exactly one result");
         return results.get(before);
     }
 
-    /** Lets a call's first bytes through, and keeps the rest until the connection ends. */
+    /** Forwards the first bytes of a request, and holds back the rest until the connection is closed. */
     private static final class StallingHandler extends ChannelDuplexHandler {
         private static final int FORWARDED_BYTES = 10;
         private final List<ChannelPromise> pendingWrites = new ArrayList<>();
@@ -195,7 +198,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            failPendingWrites(); // as a channel does: what was not written fails before its end is told
+            failPendingWrites(); // as a real channel does: pending writes fail before channelInactive
             ctx.fireChannelInactive();
         }
     }
@@ -216,12 +219,12 @@
         startAttempt(1_000);
         startAttempt(1_000);
         advanceMillis(100);
-        assertEquals(2, acceptedConnections, "at the same time, each on its own");
+        assertEquals(2, acceptedConnections, "concurrent attempts use separate connections");
         assertEquals(
                 5, results.stream().filter(each -> each.outcome() == Outcome.OK).count());
     }
 
-    /** A nodo restarts under half a call: it never ran, for its last byte never left. */
+    /** The server restarts while the request is being sent. The request cannot have run: its last byte was not sent. */
     @Test
     public void resetBeforeTheLastRequestByteCountsAsNeverRun() {
         useStallingTransport();
@@ -231,7 +234,7 @@
         assertTrue(Outcome.CONNECT_FAILED.neverRan());
     }
 
-    /** A nodo restarts over a whole call: it may have run. */
+    /** The server restarts after it has received the whole request, which may have run. */
     @Test
     public void resetAfterTheLastRequestByteMayHaveRun() {
         onRequest = (ctx, reply) -> reset(ctx);
@@ -247,7 +250,7 @@
         int[] length = {Integer.MAX_VALUE};
         onRequest = (ctx, reply) -> {
             length[0] = reply.length;
-            send(ctx, Arrays.copyOf(reply, cut[0]));
+            sendBytes(ctx, Arrays.copyOf(reply, cut[0]));
             reset(ctx);
         };
         for (cut[0] = 0; cut[0] < length[0]; cut[0]++) {
@@ -257,7 +260,7 @@
         }
     }
 
-    /** What comes before the call has left whole cannot be an answer to it. */
+    /** A response that arrives before the whole request was sent cannot belong to that request. */
     @Test
     public void responseBeforeTheWholeRequestWasSentIsIgnored() {
         byte[][] reply = new byte[1][];
@@ -266,7 +269,7 @@
         advanceMillis(100);
         assertNotNull(reply[0]);
         useStallingTransport();
-        onFirstBytes = (ctx, none) -> send(ctx, reply[0]);
+        onFirstBytes = (ctx, none) -> sendBytes(ctx, reply[0]);
         Result result = runAttempt();
         assertEquals(Outcome.CONNECT_FAILED, result.outcome());
         assertNull(result.response());
@@ -274,13 +277,13 @@
 
     @Test
     public void lateResponseIsNotGivenToALaterAttempt() {
-        int[] calls = {0};
-        onRequest = (ctx, reply) ->
-                ctx.executor().schedule(() -> send(ctx, reply), calls[0]++ == 0 ? 300 : 0, TimeUnit.MILLISECONDS);
+        int[] requests = {0};
+        onRequest = (ctx, reply) -> ctx.executor()
+                .schedule(() -> sendBytes(ctx, reply), requests[0]++ == 0 ? 300 : 0, TimeUnit.MILLISECONDS);
         startAttempt(100);
         advanceMillis(103);
         assertEquals(Outcome.TIMEOUT, results.get(0).outcome());
-        assertEquals(1, closedConnections, "its connection is closed at once");
+        assertEquals(1, closedConnections, "the connection is closed at once");
         assertEquals(Outcome.OK, runAttempt().outcome());
         assertEquals(2, acceptedConnections);
         assertEquals(2, results.size());
@@ -292,7 +295,7 @@
         Upstream.Attempt attempt = startAttempt(1_000);
         advanceMillis(10);
         attempt.cancel();
-        assertEquals(0, results.size(), "not within the call that cancels");
+        assertEquals(0, results.size(), "no result from within cancel()");
         advanceMillis(2);
         assertEquals(Outcome.CANCELLED, results.get(0).outcome());
         assertEquals(1, closedConnections);
@@ -303,21 +306,21 @@
     @Test
     public void surplusResponseBytesAreNotGivenToALaterAttempt() {
         onRequest = (ctx, reply) -> {
-            byte[] more = Arrays.copyOf(reply, 2 * reply.length);
-            System.arraycopy(reply, 0, more, reply.length, reply.length);
-            send(ctx, more);
+            byte[] twice = Arrays.copyOf(reply, 2 * reply.length);
+            System.arraycopy(reply, 0, twice, reply.length, reply.length);
+            sendBytes(ctx, twice);
         };
         assertEquals(Outcome.OK, runAttempt().outcome());
         assertEquals(Outcome.OK, runAttempt().outcome());
-        assertEquals(2, acceptedConnections, "the second call is not answered by the first one's second reply");
+        assertEquals(2, acceptedConnections, "the second request is not answered by the surplus response to the first");
     }
 
-    /** The same a moment later, while the connection rests. */
+    /** The duplicate arrives during the connection's quiet period. */
     @Test
     public void delayedDuplicateResponseIsNotGivenToALaterAttempt() {
         onRequest = (ctx, reply) -> {
-            send(ctx, reply);
-            ctx.executor().schedule(() -> send(ctx, reply), 5, TimeUnit.MILLISECONDS);
+            sendBytes(ctx, reply);
+            ctx.executor().schedule(() -> sendBytes(ctx, reply), 5, TimeUnit.MILLISECONDS);
         };
         assertEquals(Outcome.OK, runAttempt().outcome());
         assertEquals(Outcome.OK, runAttempt().outcome());
@@ -326,7 +329,7 @@
 
     @Test
     public void malformedResponseIsNotServed() {
-        onRequest = (ctx, reply) -> send(ctx, new byte[] {(byte) 0xff, 1, 2, 3, 4, 5, 6, 7, 8, 9});
+        onRequest = (ctx, reply) -> sendBytes(ctx, new byte[] {(byte) 0xff, 1, 2, 3, 4, 5, 6, 7, 8, 9});
         Result result = runAttempt();
         assertEquals(Outcome.RESET, result.outcome());
         assertNull(result.response());
@@ -352,20 +355,20 @@
         assertEquals(0, upstream.serverCount());
     }
 
-    /** A server that has another address is reached there, and not over what leads to the old one. */
+    /** A server whose address changed is reached at the new one, not over connections to the old one. */
     @Test
     public void movedServerIsReachedAtItsNewAddress() throws Exception {
         assertEquals(Outcome.OK, runAttempt().outcome());
-        VirtualHost before = nodo;
+        VirtualHost formerHost = nodo;
         nodo = host("elsewhere", 3);
         listen();
         updateServerPhase(Balancer.Phase.READY);
-        before.kill();
+        formerHost.kill();
         assertEquals(Outcome.OK, runAttempt().outcome());
         assertEquals(2, acceptedConnections);
     }
 
-    /** Another server at the address of one that has gone gets connections of its own; the old ones are closed. */
+    /** A new server at the address of a removed one gets its own connections; those of the removed one are closed. */
     @Test
     public void newServerAtAReusedAddressGetsNewConnections() {
         assertEquals(Outcome.OK, runAttempt().outcome());
@@ -381,13 +384,13 @@
         assertEquals(2, acceptedConnections);
         startAttempt(1_000);
         advanceMillis(10);
-        assertEquals(Outcome.NEVER_SENT, results.get(2).outcome(), "nothing goes to the one that has left");
+        assertEquals(Outcome.NEVER_SENT, results.get(2).outcome(), "nothing is sent to the removed server");
     }
 
-    /** What is out when the drain is told ends as it would, and its connection is not kept. */
+    /** An attempt that is outstanding when its server starts to drain finishes; its connection is then closed. */
     @Test
     public void outstandingAttemptFinishesWhenTheServerDrains() {
-        onRequest = (ctx, reply) -> ctx.executor().schedule(() -> send(ctx, reply), 100, TimeUnit.MILLISECONDS);
+        onRequest = (ctx, reply) -> ctx.executor().schedule(() -> sendBytes(ctx, reply), 100, TimeUnit.MILLISECONDS);
         startAttempt(1_000);
         advanceMillis(50);
         updateServerPhase(Balancer.Phase.DRAINING);
--- a/src/test/java/gatefront/http/HttpUpstreamTest.java
+++ b/src/test/java/gatefront/http/HttpUpstreamTest.java
@@ -15,7 +15,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** The contract over HTTP/1.1. */
+/** Runs the upstream contract over HTTP/1.1. */
 class HttpUpstreamTest extends UpstreamContract {
     @Override
     protected PooledUpstream createUpstream(Transport transport, int port) {
@@ -38,7 +38,7 @@
     }
 
     @Override
-    protected byte[] responseBytes(Object call) {
+    protected byte[] responseBytes(Object request) {
         return "HTTP/1.1 200 OK\r\nServer-Load: inflight=1,queue=0\r\nContent-Length: 5\r\n\r\nhecho"
                 .getBytes(StandardCharsets.US_ASCII);
     }
