--- a/src/main/java/gatefront/connection/AbstractFrontend.java
+++ b/src/main/java/gatefront/connection/AbstractFrontend.java
@@ -47,7 +47,7 @@
     }
 
     /** Longest time from accepting a connection to its first byte. */
-    private static final long NEW_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
+    private static final long FIRST_BYTE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
     /** Longest time for the head of a request, and then between two chunks of its body. */
     private static final long READ_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
     /** Keep-alive timeout. */
@@ -56,7 +56,7 @@
     /** Keep-alive timeout under pressure, and the idle time before a connection may be closed to admit another. */
     private static final long MIN_KEEP_ALIVE_NANOS = TimeUnit.SECONDS.toNanos(2);
     /** Age before a silent new connection may be closed to admit another: its first request may be on its way. */
-    private static final long MIN_NEW_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final long MIN_SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
     /** Longest time for writing the last response of a connection. */
     private static final long LAST_WRITE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
     /** Longest time for which a client may read nothing of a streamed response. */
@@ -210,8 +210,8 @@
                                         .size()
                         >= maxConnections
                 || connectionAccount.full()) {
-            Connection oldest = oldestIfSince(State.NEW, now - MIN_NEW_NANOS);
-            oldest = oldest == null ? oldestIfSince(State.KEEP_ALIVE, now - MIN_KEEP_ALIVE_NANOS) : oldest;
+            Connection oldest = oldestInStateSince(State.NEW, now - MIN_SILENCE_NANOS);
+            oldest = oldest == null ? oldestInStateSince(State.KEEP_ALIVE, now - MIN_KEEP_ALIVE_NANOS) : oldest;
             if (oldest == null) {
                 break;
             }
@@ -226,7 +226,7 @@
     /**
      * Returns the connection that has been in a state for longest if it entered it by {@code sinceNanos}, else null.
      */
-    private Connection oldestIfSince(State state, long sinceNanos) {
+    private Connection oldestInStateSince(State state, long sinceNanos) {
         Set<Connection> candidates = connectionsByState.get(state);
         Connection oldest = candidates.isEmpty() ? null : candidates.iterator().next();
         return oldest != null && oldest.stateSinceNanos - sinceNanos <= 0 ? oldest : null;
@@ -236,7 +236,7 @@
      * Closes connections whose timeout has passed. Guards against descriptors and memory held for unresponsive clients.
      */
     private void sweep() {
-        expired(State.NEW, NEW_TIMEOUT_NANOS).forEach(Connection::closeAfterFlush);
+        expired(State.NEW, FIRST_BYTE_TIMEOUT_NANOS).forEach(Connection::closeAfterFlush);
         expired(State.KEEP_ALIVE, isUnderPressure() ? MIN_KEEP_ALIVE_NANOS : KEEP_ALIVE_NANOS)
                 .forEach(Connection::closeAfterFlush);
         for (Connection connection : expired(State.READING_REQUEST, READ_TIMEOUT_NANOS)) {
--- a/src/main/java/gatefront/connection/PooledUpstream.java
+++ b/src/main/java/gatefront/connection/PooledUpstream.java
@@ -118,8 +118,8 @@
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, BufferLimits.receiveBufferAllocator())
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, BufferLimits.WRITE_WATER_MARK)
-                .disableResolver(); // addresses are literal; Netty's default resolvers would hold on to the loop for
-        // ever
+                // Addresses are literal; Netty's default resolvers would hold on to the loop for ever.
+                .disableResolver();
         loop.scheduleWithFixedDelay(this::closeExpired, SWEEP_SECONDS, SWEEP_SECONDS, TimeUnit.SECONDS);
     }
 
@@ -151,7 +151,7 @@
     protected abstract Payload probe();
 
     /** Called when the last byte of an attempt's request has been sent. */
-    protected void requestSent(Attempt attempt) {}
+    protected void onRequestSent(Attempt attempt) {}
 
     /** Returns the address of a listed server for this protocol, or null if it has none. */
     protected InetSocketAddress address(Endpoint endpoint) {
@@ -254,8 +254,8 @@
             }
         }
         if (unusable != null) {
-            unusable.forEach(
-                    connection -> connection.channel.close()); // closing modifies the pool, so not during the iteration
+            // Closing a channel modifies the pool, so this must not happen during the iteration.
+            unusable.forEach(connection -> connection.channel.close());
         }
         return usable;
     }
@@ -426,7 +426,7 @@
         private void requestWritten(boolean complete) {
             if (complete) {
                 requestSent = true;
-                requestSent(this);
+                onRequestSent(this);
                 listener.onRequestSent();
             } else {
                 end(Outcome.CONNECT_FAILED); // the last byte was not sent, so the request cannot have run
@@ -548,8 +548,8 @@
             if (attempt == null) {
                 ctx.close(); // no attempt is outstanding
             } else if (!attempt.requestSent || !read(attempt, message)) {
-                attempt.connectionLost(); // a response that arrives before the whole request was sent cannot belong to
-                // it
+                // A response that arrives before the whole request was sent cannot belong to it.
+                attempt.connectionLost();
             }
         }
 
--- a/src/main/java/gatefront/engine/BodyStream.java
+++ b/src/main/java/gatefront/engine/BodyStream.java
@@ -75,7 +75,7 @@
         return !producerPaused;
     }
 
-    /** The producer has written all chunks. */
+    /** Called by the producer when it has written all chunks. */
     public void complete() {
         finish(State.COMPLETED);
     }
@@ -101,7 +101,7 @@
         deliver();
     }
 
-    /** The consumer can take chunks again. */
+    /** Called by the consumer when it can take chunks again. */
     public void resume() {
         consumerBlocked = false;
         deliver();
@@ -146,9 +146,9 @@
             producer.onConsumed(bytes);
         }
         if (consumer != null && pending.isEmpty() && (state == State.COMPLETED || state == State.ABORTED)) {
-            boolean whole = state == State.COMPLETED;
+            boolean complete = state == State.COMPLETED;
             state = State.CLOSED;
-            if (whole) {
+            if (complete) {
                 consumer.onComplete();
             } else {
                 consumer.onAbort();
--- a/src/main/java/gatefront/http/HttpFrontend.java
+++ b/src/main/java/gatefront/http/HttpFrontend.java
@@ -52,7 +52,7 @@
     private record QueuedRequest(ClientRequest request, HttpResponseStatus error, boolean keepAlive) {}
 
     /** Headers that are hop-by-hop, or that the agent sets itself; not forwarded to servers. */
-    private static final AsciiString[] HOP_BY_HOP_HEADERS = {
+    private static final AsciiString[] UNFORWARDED_HEADERS = {
         HttpHeaderNames.CONNECTION,
         AsciiString.cached("Keep-Alive"),
         AsciiString.cached("Proxy-Connection"),
@@ -655,7 +655,7 @@
                 return null;
             }
             seenSingleHeaders |= singleIndex < 0 ? 0 : 1 << singleIndex;
-            if (singleIndex >= 0 || indexOf(HOP_BY_HOP_HEADERS, header.getKey()) < 0) {
+            if (singleIndex >= 0 || indexOf(UNFORWARDED_HEADERS, header.getKey()) < 0) {
                 forwarded.add(header.getKey(), header.getValue());
             }
         }
--- a/src/main/java/gatefront/http/HttpUpstream.java
+++ b/src/main/java/gatefront/http/HttpUpstream.java
@@ -282,7 +282,7 @@
         }
 
         private void finishResponse(Attempt attempt, HttpResponse response) {
-            byte[] bytes = ByteBufUtil.getBytes(body);
+            byte[] bodyBytes = ByteBufUtil.getBytes(body);
             body.clear().capacity(0);
             release();
             HttpHeaders headers = response.headers();
@@ -298,9 +298,9 @@
             ServedResponse served = status != 200 || finishedStream != null
                     ? null
                     : new ServedResponse(
-                            bytes,
+                            bodyBytes,
                             null,
-                            bytes.length,
+                            bodyBytes.length,
                             headers.get(HttpHeaderNames.CONTENT_TYPE),
                             headers.get(HttpHeaderNames.CONTENT_ENCODING));
             Rejection rejection = response.status().codeClass() == HttpStatusClass.CLIENT_ERROR
@@ -311,7 +311,7 @@
             attempt.end(
                     new Result(
                             outcome,
-                            loadReportParser.parse(loadReportText(attempt, headers, bytes)),
+                            loadReportParser.parse(loadReportText(attempt, headers, bodyBytes)),
                             served,
                             rejection),
                     delimited && HttpUtil.isKeepAlive(response) && !decoder.hasLeftover());
--- a/src/main/java/gatefront/http/codec/StrictHttpDecoders.java
+++ b/src/main/java/gatefront/http/codec/StrictHttpDecoders.java
@@ -96,7 +96,8 @@
                 if (first != '\r' && first != '\n' && (first < 'A' || first > 'Z')) {
                     in.skipBytes(in.readableBytes());
                     HttpMessage invalid = createInvalidMessage();
-                    invalid.setDecoderResult(DecoderResult.failure(new IllegalArgumentException("no request line")));
+                    invalid.setDecoderResult(
+                            DecoderResult.failure(new IllegalArgumentException("malformed request line")));
                     out.add(invalid);
                     return;
                 }
@@ -147,7 +148,7 @@
             if (!line[0].equals("HTTP/1.1") && !line[0].equals("HTTP/1.0")
                     || line[1].length() != 3
                     || parseDigits(line[1], 0) < 100) {
-                throw new IllegalArgumentException("status line"); // Netty would take "+200" for 200
+                throw new IllegalArgumentException("malformed status line"); // Netty would take "+200" for 200
             }
             headRead = false;
             bodyMayEndWithConnection = line[1].equals("200");
--- a/src/main/java/gatefront/thrift/ThriftUpstream.java
+++ b/src/main/java/gatefront/thrift/ThriftUpstream.java
@@ -78,7 +78,7 @@
 
     /** A call that gets no reply has been served, as far as anyone will know, when it has left. */
     @Override
-    protected void requestSent(Attempt attempt) {
+    protected void onRequestSent(Attempt attempt) {
         if (((ThriftCall) attempt.request()).message().header().type() == MessageHeader.Type.ONEWAY) {
             attempt.end(new Result(Outcome.OK, NO_LOAD, attempt.request(), null), true);
         }
