--- a/src/main/java/gatefront/connection/AbstractFrontend.java
+++ b/src/main/java/gatefront/connection/AbstractFrontend.java
@@ -24,90 +24,99 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The callers' connections: how many there may be, how long each may say nothing, how each ends. What a protocol adds
- * is what the bytes mean. All of it runs on the agent's event loop.
+ * Manages the connections of clients: their number, their timeouts and how they are closed. Subclasses add the
+ * protocol. Runs on the agent's event loop.
  */
 public abstract class AbstractFrontend implements Frontend {
-    /** What a connection is at. */
+    /** The state of a connection. */
     protected enum State {
-        /** New, and nothing said yet. */
-        SILENT,
-        /** Half a request sent. */
-        BEGUN,
-        /** Kept after an answer. */
-        KEPT,
-        /** Owed an answer. */
-        OWED,
-        /** Its answer is passed on in pieces; since it last took some. */
-        PASSING,
-        /** Its last answer is being written. */
-        FINISHING,
-        /** Its last answer is being read. */
-        ENDING
+        /** Accepted; no byte has been received. */
+        NEW,
+        /** Part of a request has been received. */
+        READING_REQUEST,
+        /** Kept open after a response. */
+        KEEP_ALIVE,
+        /** A request waits for its response. */
+        AWAITING_RESPONSE,
+        /** A response is being streamed; entered anew whenever the client takes some of it. */
+        STREAMING_RESPONSE,
+        /** The last response of the connection is being written. */
+        WRITING_LAST_RESPONSE,
+        /** Output is shut down; the client is reading the last response. */
+        LINGERING
     }
 
-    /** How long a connection may say nothing. */
-    private static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(2);
-    /** How long it may take over a head, and then from one piece of a body to the next. */
-    private static final long BEGUN_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
-    /** How long one that has had an answer is kept while there is room, and while there is little. */
-    private static final long KEPT_NANOS = TimeUnit.SECONDS.toNanos(30);
-
-    private static final long KEPT_LEAST_NANOS = TimeUnit.SECONDS.toNanos(2);
-    /** How long a new connection may say nothing at the least: its first request is on the way. */
-    private static final long SILENT_LEAST_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-    /** How long one that ends may take until its last answer is written, and then over reading it. */
-    private static final long FINISH_NANOS = TimeUnit.SECONDS.toNanos(3);
-    /** How long one may read nothing of an answer that is passed on in pieces. */
-    private static final long STALLED_NANOS = TimeUnit.SECONDS.toNanos(30);
-
+    /** Longest time from accepting a connection to its first byte. */
+    private static final long FIRST_BYTE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
+    /** Longest time for the head of a request, and then between two chunks of its body. */
+    private static final long READ_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
+    /** Keep-alive timeout. */
+    private static final long KEEP_ALIVE_NANOS = TimeUnit.SECONDS.toNanos(30);
+
+    /** Keep-alive timeout under pressure, and the idle time before a connection may be closed to admit another. */
+    private static final long MIN_KEEP_ALIVE_NANOS = TimeUnit.SECONDS.toNanos(2);
+    /** Age before a silent new connection may be closed to admit another: its first request may be on its way. */
+    private static final long MIN_SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    /** Longest time for writing the last response of a connection. */
+    private static final long LAST_WRITE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
+    /** Longest time for which a client may read nothing of a streamed response. */
+    private static final long STALL_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
+
+    /** Longest time for which a connection lingers so that the client can read the last response. */
     private static final long LINGER_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
-    private static final int LINGER_MOST = 16;
-    /** From this part of the room on those kept are closed sooner, and each answer is a connection's last. */
-    private static final double PRESSED = 0.6;
+    /** Largest number of connections that linger at the same time. */
+    private static final int MAX_LINGERING = 16;
+    /**
+     * Fraction of the connection limit from which on idle connections are closed sooner and every connection is closed
+     * after its next response.
+     */
+    private static final double PRESSURE_FRACTION = 0.6;
 
     private static final long SWEEP_MS = 100;
     private final Transport transport;
-    private final InetSocketAddress listen;
-    private final int connectionsMost;
+    private final InetSocketAddress listenAddress;
+    private final int maxConnections;
     private final ServerBootstrap bootstrap;
-    private Channel server;
+    private Channel serverChannel;
     private final Set<Connection> connections = new LinkedHashSet<>();
-    /** Of these, by what they are at, the longest at it first. */
-    private final Map<State, Set<Connection>> at = new EnumMap<>(State.class);
+    /** The connections by state; in each set, the one that entered the state first comes first. */
+    private final Map<State, Set<Connection>> connectionsByState = new EnumMap<>(State.class);
 
     private final ResourceBudget budget;
-    private final ResourceAccount callers;
-    private final ResourceAccount requests;
-    private final ResourceAccount answers;
-    private boolean leaving;
-    /** Whether each answer is to be its connection's last, for the end is near. */
-    private boolean closing;
+    private final ResourceAccount connectionAccount;
+    private final ResourceAccount requestAccount;
+    private final ResourceAccount responseAccount;
+    private boolean markedNotReady;
+    /** Whether each connection is closed after its next response, because the agent is shutting down. */
+    private boolean closeAfterResponse;
 
     /**
-     * Listens to nobody yet; {@link #listen()} begins.
+     * Creates a frontend that does not listen before {@link #listen()} is called.
      *
-     * @param transport its loop, clock and network
-     * @param listen where it listens
-     * @param connectionsMost connections held at the most
-     * @param budget of the agent
+     * @param transport provides the event loop, clock and network
+     * @param listenAddress address to listen on
+     * @param maxConnections largest number of open connections
+     * @param budget resource budget of the agent
      */
     protected AbstractFrontend(
-            Transport transport, InetSocketAddress listen, int connectionsMost, ResourceBudget budget) {
+            Transport transport, InetSocketAddress listenAddress, int maxConnections, ResourceBudget budget) {
         this.budget = budget;
-        this.callers = budget.account(ResourcePurpose.CALLER_CONNECTIONS);
-        this.requests = budget.account(ResourcePurpose.REQUESTS);
-        this.answers = budget.account(ResourcePurpose.ANSWERS);
+        this.connectionAccount = budget.account(ResourcePurpose.CALLER_CONNECTIONS);
+        this.requestAccount = budget.account(ResourcePurpose.REQUESTS);
+        this.responseAccount = budget.account(ResourcePurpose.ANSWERS);
         budget.addRecount(ResourcePurpose.CALLER_CONNECTIONS, () -> new ResourceBudget.Count(connections.size(), 0));
         budget.addRecount(
                 ResourcePurpose.REQUESTS,
                 () -> new ResourceBudget.Count(
-                        0, connections.stream().mapToLong(each -> each.held).sum()));
+                        0,
+                        connections.stream()
+                                .mapToLong(connection -> connection.heldBytes)
+                                .sum()));
         this.transport = transport;
-        this.listen = listen;
-        this.connectionsMost = connectionsMost;
-        for (State each : State.values()) {
-            at.put(each, new LinkedHashSet<>());
+        this.listenAddress = listenAddress;
+        this.maxConnections = maxConnections;
+        for (State state : State.values()) {
+            connectionsByState.put(state, new LinkedHashSet<>());
         }
         bootstrap = new ServerBootstrap()
                 .group(transport.loop())
@@ -115,23 +124,23 @@
                 .option(ChannelOption.SO_BACKLOG, 1024)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, BufferLimits.reads())
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, BufferLimits.MARKS)
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, BufferLimits.receiveBufferAllocator())
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, BufferLimits.WRITE_WATER_MARK)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                        init((DuplexChannel) ch);
+                        initPipeline((DuplexChannel) ch);
                     }
                 });
     }
 
-    /** Sets up a new connection: its decoder, and a {@link Connection} behind it. */
-    protected abstract void init(DuplexChannel channel);
+    /** Sets up the pipeline of a new connection: its codec, followed by a {@link Connection}. */
+    protected abstract void initPipeline(DuplexChannel channel);
 
     @Override
     public ChannelFuture listen() {
-        ChannelFuture bound = bootstrap.bind(listen);
-        server = bound.channel();
+        ChannelFuture bound = bootstrap.bind(listenAddress);
+        serverChannel = bound.channel();
         bound.addListener(done -> {
             if (done.isSuccess()) {
                 transport.loop().scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
@@ -142,33 +151,33 @@
 
     @Override
     public Channel channel() {
-        return server;
+        return serverChannel;
     }
 
     @Override
-    public void leave() {
-        leaving = true;
+    public void markNotReady() {
+        markedNotReady = true;
     }
 
     @Override
     public void handOver() {
-        leaving = true;
-        closing = true;
-        transport.closeShared(server);
+        markedNotReady = true;
+        closeAfterResponse = true;
+        transport.closeShared(serverChannel);
     }
 
     @Override
     public void drain() {
-        closing = true;
-        List.copyOf(at.get(State.SILENT)).forEach(Connection::close);
-        List.copyOf(at.get(State.KEPT)).forEach(Connection::close);
+        closeAfterResponse = true;
+        List.copyOf(connectionsByState.get(State.NEW)).forEach(Connection::closeAfterFlush);
+        List.copyOf(connectionsByState.get(State.KEEP_ALIVE)).forEach(Connection::closeAfterFlush);
     }
 
     @Override
     public void stopListening() {
-        server.close();
+        serverChannel.close();
         drain();
-        List.copyOf(at.get(State.BEGUN)).forEach(Connection::close);
+        List.copyOf(connectionsByState.get(State.READING_REQUEST)).forEach(Connection::closeAfterFlush);
     }
 
     @Override
@@ -176,188 +185,198 @@
         return connections.isEmpty();
     }
 
-    /** Whether the end has been asked for. */
-    protected final boolean leaving() {
-        return leaving;
+    /** Returns whether health checks are to be answered with "not ready". */
+    protected final boolean isMarkedNotReady() {
+        return markedNotReady;
     }
 
-    /** Whether each answer is to be its connection's last: at the end, and while room is scarce. */
-    protected final boolean closing() {
-        return closing || pressed();
+    /** Returns whether a connection is closed after its next response: at shutdown, and under pressure. */
+    protected final boolean closesAfterResponse() {
+        return closeAfterResponse || isUnderPressure();
     }
 
     /**
-     * Keeps the connections under the limit on sockets. Guards against running out of descriptors, which
-     * would end the agent, and against silent or forgotten connections shutting the others out: they make
-     * room, the longest silent first. While none can go none is accepted: one in use must not be closed
-     * unannounced, for its next request may be on the way.
+     * Keeps the number of connections under the limit. Guards against running out of file descriptors, which would end
+     * the agent, and against silent or forgotten connections shutting out others: those are closed, the longest silent
+     * first. While none can be closed, no connection is accepted: one in use must not be closed unannounced, as its
+     * next request may be on its way.
      */
-    private void makeRoom() {
+    private void enforceConnectionLimit() {
         long now = transport.nanos();
         while (connections.size()
-                                - at.get(State.ENDING).size()
-                                - at.get(State.FINISHING).size()
-                        >= connectionsMost
-                || callers.isFull()) {
-            Connection first = older(State.SILENT, now - SILENT_LEAST_NANOS);
-            first = first == null ? older(State.KEPT, now - KEPT_LEAST_NANOS) : first;
-            if (first == null) {
+                                - connectionsByState.get(State.LINGERING).size()
+                                - connectionsByState
+                                        .get(State.WRITING_LAST_RESPONSE)
+                                        .size()
+                        >= maxConnections
+                || connectionAccount.isFull()) {
+            Connection oldest = oldestInStateSince(State.NEW, now - MIN_SILENCE_NANOS);
+            oldest = oldest == null ? oldestInStateSince(State.KEEP_ALIVE, now - MIN_KEEP_ALIVE_NANOS) : oldest;
+            if (oldest == null) {
                 break;
             }
-            first.close();
-            if (callers.isFull()) {
-                break; // it goes when what it was sent is written, and the next look finds out
+            oldest.closeAfterFlush();
+            if (connectionAccount.isFull()) {
+                break; // it leaves the account once its output is flushed; the next sweep sees that
             }
         }
-        server.config().setAutoRead(connections.size() < connectionsMost && !callers.isFull());
+        serverChannel.config().setAutoRead(connections.size() < maxConnections && !connectionAccount.isFull());
     }
 
-    /** The first of them if it has been there since then. */
-    private Connection older(State state, long since) {
-        Set<Connection> some = at.get(state);
-        Connection first = some.isEmpty() ? null : some.iterator().next();
-        return first != null && first.since - since <= 0 ? first : null;
+    /**
+     * Returns the connection that has been in a state for longest if it entered it by {@code sinceNanos}, else null.
+     */
+    private Connection oldestInStateSince(State state, long sinceNanos) {
+        Set<Connection> candidates = connectionsByState.get(state);
+        Connection oldest = candidates.isEmpty() ? null : candidates.iterator().next();
+        return oldest != null && oldest.stateSinceNanos - sinceNanos <= 0 ? oldest : null;
     }
 
-    /** Ends what takes too long. Guards against descriptors and memory held for nobody. */
+    /**
+     * Closes connections whose timeout has passed. Guards against descriptors and memory held for unresponsive clients.
+     */
     private void sweep() {
-        expired(State.SILENT, PATIENCE_NANOS).forEach(Connection::close);
-        expired(State.KEPT, pressed() ? KEPT_LEAST_NANOS : KEPT_NANOS).forEach(Connection::close);
-        for (Connection each : expired(State.BEGUN, BEGUN_NANOS)) {
-            each.tooSlow();
-            if (each.state == State.BEGUN) {
-                each.channel.close(); // it does not read either
+        expired(State.NEW, FIRST_BYTE_TIMEOUT_NANOS).forEach(Connection::closeAfterFlush);
+        expired(State.KEEP_ALIVE, isUnderPressure() ? MIN_KEEP_ALIVE_NANOS : KEEP_ALIVE_NANOS)
+                .forEach(Connection::closeAfterFlush);
+        for (Connection connection : expired(State.READING_REQUEST, READ_TIMEOUT_NANOS)) {
+            connection.onReadTimeout();
+            if (connection.state == State.READING_REQUEST) {
+                connection.channel.close(); // no error could be sent, as the client does not read either
             }
         }
-        expired(State.PASSING, STALLED_NANOS).stream()
-                .filter(each -> !each.channel.isWritable())
-                .forEach(each -> each.channel.close());
-        expired(State.FINISHING, FINISH_NANOS).forEach(each -> each.channel.close());
-        expired(State.ENDING, LINGER_NANOS).forEach(each -> each.channel.close());
-        makeRoom();
+        expired(State.STREAMING_RESPONSE, STALL_TIMEOUT_NANOS).stream()
+                .filter(connection -> !connection.channel.isWritable())
+                .forEach(connection -> connection.channel.close());
+        expired(State.WRITING_LAST_RESPONSE, LAST_WRITE_TIMEOUT_NANOS)
+                .forEach(connection -> connection.channel.close());
+        expired(State.LINGERING, LINGER_NANOS).forEach(connection -> connection.channel.close());
+        enforceConnectionLimit();
     }
 
-    /** Whether room gets scarce: clients that keep their connections without need then have to dial again. */
-    private boolean pressed() {
-        return connections.size() >= PRESSED * connectionsMost || budget.pressure() != ResourceBudget.Pressure.NONE;
+    /** Returns whether connections or resources are getting scarce; idle clients then have to reconnect. */
+    private boolean isUnderPressure() {
+        return connections.size() >= PRESSURE_FRACTION * maxConnections
+                || budget.pressure() != ResourceBudget.Pressure.NONE;
     }
 
-    private List<Connection> expired(State state, long nanos) {
-        long since = transport.nanos() - nanos;
-        return at.get(state).stream().takeWhile(each -> each.since - since <= 0).toList();
+    private List<Connection> expired(State state, long timeoutNanos) {
+        long sinceNanos = transport.nanos() - timeoutNanos;
+        return connectionsByState.get(state).stream()
+                .takeWhile(connection -> connection.stateSinceNanos - sinceNanos <= 0)
+                .toList();
     }
 
-    /** One connection of a caller's; it is the last handler of its pipeline. */
+    /** One connection of a client; it is the last handler of its pipeline. */
     protected abstract class Connection extends SimpleChannelInboundHandler<Object> {
-        /** Its channel. */
         protected final DuplexChannel channel;
-        /** Nothing more is taken from it: what came was wrong, or it ends. */
-        protected boolean deaf;
+        /** Whether further input is ignored, because invalid input was received or the connection is being closed. */
+        protected boolean ignoresInput;
 
         private State state;
-        private long since;
-        /** What its requests' bodies take. */
-        private int held;
+        private long stateSinceNanos;
+        /** Bytes that the bodies of its requests hold in memory. */
+        private int heldBytes;
 
-        /** New, on this channel. */
+        /** Creates a connection on {@code channel}. */
         protected Connection(DuplexChannel channel) {
             this.channel = channel;
         }
 
-        /** Half a request has come, and then nothing for too long. */
-        protected abstract void tooSlow();
+        /** Called when the rest of a partly received request has not arrived in time. */
+        protected abstract void onReadTimeout();
 
-        /** The caller has closed it: nothing more can be answered. */
-        protected abstract void ended();
+        /** Called when the connection has been closed; no more responses can be sent. */
+        protected abstract void onClosed();
 
-        /** What it is at. */
+        /** Returns the state of the connection. */
         protected final State state() {
             return state;
         }
 
-        /** It is at something else from now on; null is the end. */
-        protected final void move(State to) {
+        /** Enters a state and restarts its clock; null means that the connection is closed. */
+        protected final void transitionTo(State newState) {
             if (state != null) {
-                at.get(state).remove(this);
+                connectionsByState.get(state).remove(this);
             }
-            state = to;
-            since = transport.nanos();
+            state = newState;
+            stateSinceNanos = transport.nanos();
             if (state != null) {
-                at.get(state).add(this);
+                connectionsByState.get(state).add(this);
             }
         }
 
-        /** Counts bytes of requests that are held; false, and not counted, if there is no room. */
-        protected final boolean hold(int bytes) {
+        /** Reserves bytes for request bodies; returns false, and reserves nothing, if the budget has no room. */
+        protected final boolean reserve(int bytes) {
             // Guards against running out of memory.
-            if (!requests.tryGrow(bytes)) {
+            if (!requestAccount.tryGrow(bytes)) {
                 return false;
             }
-            held += bytes;
+            heldBytes += bytes;
             return true;
         }
 
-        /** Bytes of requests are no longer held. */
+        /** Releases reserved bytes. */
         protected final void release(int bytes) {
-            held -= bytes;
-            requests.shrink(bytes);
+            heldBytes -= bytes;
+            requestAccount.shrink(bytes);
         }
 
-        /** Writes an answer, which counts as held until it has left for the caller. */
-        protected final ChannelFuture answer(Object message, int bytes) {
-            answers.add(1, bytes);
-            return channel.writeAndFlush(message).addListener(done -> answers.release(bytes));
+        /** Writes a response, whose bytes count as held until they have been written. */
+        protected final ChannelFuture writeResponse(Object message, int bytes) {
+            responseAccount.add(1, bytes);
+            return channel.writeAndFlush(message).addListener(done -> responseAccount.release(bytes));
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             connections.add(this);
-            callers.add(1, 0);
-            move(State.SILENT);
-            makeRoom();
+            connectionAccount.add(1, 0);
+            transitionTo(State.NEW);
+            enforceConnectionLimit();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(this);
-            callers.release(0);
-            move(null);
-            deaf = true;
-            ended();
-            release(held);
-            makeRoom();
+            connectionAccount.release(0);
+            transitionTo(null);
+            ignoresInput = true;
+            onClosed();
+            release(heldBytes);
+            enforceConnectionLimit();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.close(); // its connection broke; what it was owed is told by channelInactive
+            ctx.close(); // the connection is broken; channelInactive cancels its request
         }
 
         /**
-         * Its last answer is being written.
+         * Closes the connection after its last response.
          *
-         * @param written tells when that is done
-         * @param unread whether more has come from it than was read
+         * @param written completes when the response has been written
+         * @param hasUnreadInput whether received bytes are left unread
          */
-        protected final void finish(ChannelFuture written, boolean unread) {
-            deaf = true;
-            move(State.FINISHING);
-            // Guards against a reset for what was not read, which would overtake the answer.
-            written.addListener(unread ? done -> linger() : ChannelFutureListener.CLOSE);
+        protected final void closeAfterWrite(ChannelFuture written, boolean hasUnreadInput) {
+            ignoresInput = true;
+            transitionTo(State.WRITING_LAST_RESPONSE);
+            // Guards against a reset because of unread input, which would overtake the response.
+            written.addListener(hasUnreadInput ? done -> linger() : ChannelFutureListener.CLOSE);
         }
 
         private void linger() {
-            if (at.get(State.ENDING).size() >= LINGER_MOST) {
+            if (connectionsByState.get(State.LINGERING).size() >= MAX_LINGERING) {
                 channel.close();
             } else if (channel.isActive()) {
-                move(State.ENDING);
+                transitionTo(State.LINGERING);
                 channel.shutdownOutput();
             }
         }
 
-        /** Closes it once what it was sent is written. */
-        protected final void close() {
-            finish(channel.writeAndFlush(Unpooled.EMPTY_BUFFER), false);
+        /** Closes the connection once pending output has been written. */
+        protected final void closeAfterFlush() {
+            closeAfterWrite(channel.writeAndFlush(Unpooled.EMPTY_BUFFER), false);
         }
     }
 }
--- a/src/main/java/gatefront/connection/LoadReportParser.java
+++ b/src/main/java/gatefront/connection/LoadReportParser.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the load reports of servers: {@code name=value} pairs behind commas. */
+/** Parses the load reports of servers: {@code name=value} pairs, separated by commas. */
 public final class LoadReportParser {
-    private static final double[] NONE = new double[0];
-    /** The names of the values as servers write them, where the settings say otherwise. */
-    private static final Map<String, String> WRITTEN = Map.of(
+    private static final double[] NO_VALUES = new double[0];
+    /** Names that servers use in reports, by the names that the settings use, where they differ. */
+    private static final Map<String, String> DEFAULT_REPORT_NAMES = Map.of(
             "concurrent",
             "inflight",
             "depth",
@@ -25,15 +25,17 @@
 
     private final List<String> fields;
 
-    /** Reports of these fields, by the settings' names. */
+    /** Creates a parser of reports with these fields, named as in the settings. */
     public LoadReportParser(List<String> fields) {
         this.fields = List.copyOf(fields);
     }
 
-    /** The values in the order of the fields; none, if there is no report, or one that is none. */
-    public double[] read(String text) {
+    /**
+     * Returns the values in the order of the fields; an empty array if the report is missing, incomplete or invalid.
+     */
+    public double[] parse(String text) {
         if (text == null || fields.isEmpty()) {
-            return NONE;
+            return NO_VALUES;
         }
         Map<String, Double> values = new HashMap<>();
         for (String pair : text.split(",")) {
@@ -41,21 +43,21 @@
             try {
                 double value = Double.parseDouble(pair.substring(equals + 1).trim());
                 if (!(value >= 0 && value < Double.POSITIVE_INFINITY)) {
-                    return NONE; // Guards against a figure that is none poisoning every mean it enters.
+                    return NO_VALUES; // Guards against NaN and infinity, which would spoil every mean they enter.
                 }
                 values.put(pair.substring(0, Math.max(0, equals)).trim(), value);
             } catch (NumberFormatException e) {
-                return NONE;
+                return NO_VALUES;
             }
         }
-        List<Double> load = new ArrayList<>();
+        List<Double> report = new ArrayList<>();
         for (String name : fields) {
-            Double value = values.getOrDefault(name, values.get(WRITTEN.getOrDefault(name, name)));
+            Double value = values.getOrDefault(name, values.get(DEFAULT_REPORT_NAMES.getOrDefault(name, name)));
             if (value == null) {
-                return NONE;
+                return NO_VALUES;
             }
-            load.add(value);
+            report.add(value);
         }
-        return load.stream().mapToDouble(Double::doubleValue).toArray();
+        return report.stream().mapToDouble(Double::doubleValue).toArray();
     }
 }
