--- a/src/main/java/gatefront/agent/Agent.java
+++ b/src/main/java/gatefront/agent/Agent.java
@@ -123,8 +123,8 @@
         this.transport = transport;
         loop = transport.loop();
         int each = (config.sockets() - SOCKETS_RESERVED) / (thrift == null ? 2 : 4);
-        usual = caps(transport.memory(), each * (thrift == null ? 1 : 2));
-        budget = new ResourceBudget(transport.memory(), usual);
+        usual = caps(transport.maxMemoryBytes(), each * (thrift == null ? 1 : 2));
+        budget = new ResourceBudget(transport.maxMemoryBytes(), usual);
         cap(extensions);
         status = extensions.memory() == null || extensions.memory().status() == null
                 ? null
@@ -133,7 +133,7 @@
         ThriftUpstream overThrift = thrift == null ? null : new ThriftUpstream(transport, config, thrift, each, budget);
         List<Upstream> upstreams = overThrift == null
                 ? List.of(backends)
-                : thrift.probes() ? List.of(overThrift, backends) : List.of(backends, overThrift);
+                : thrift.probesOverThrift() ? List.of(overThrift, backends) : List.of(backends, overThrift);
         discovery = new Discovery(transport, config, new Discovery.Listener() {
             @Override
             public void list(Balancer.ListKind kind, List<Endpoint> endpoints) {
@@ -257,7 +257,7 @@
      * @throws IOException if an address cannot be listened on
      */
     public static Agent start(Path config, Path extensions, String management, Path shared) throws IOException {
-        Config read = Config.read(config).managedAt(management);
+        Config read = Config.read(config).withManagementAddress(management);
         return serve(
                 read,
                 extensions == null ? Extensions.NONE : Extensions.read(extensions, read),
@@ -393,7 +393,9 @@
         engine.setStallDetector(StallDetector.forStartup(transport.nanos() / 1_000, grace * 1_000), grace, () -> {});
         Discovery.Listing known;
         try {
-            known = Discovery.decode(recovering == null ? config.known() : recovering.known(config.known()), config);
+            known = Discovery.decode(
+                    recovering == null ? config.cachedServerList() : recovering.known(config.cachedServerList()),
+                    config);
         } catch (IllegalArgumentException e) {
             say("known list: " + e.getMessage());
             known = new Discovery.Listing(0, true, List.of());
@@ -561,13 +563,13 @@
             loop.execute(() -> {
                 boolean taken = false;
                 try {
-                    Config changed = config.changedBy(from.get());
+                    Config changed = config.reloadedWith(from.get());
                     Extensions extensions = besides.apply(changed);
                     // All is read and checked; from here on nothing fails.
                     if (extensions != null) {
                         cap(extensions);
                     }
-                    if (!changed.source().equals(config.source())) {
+                    if (!changed.settingsJson().equals(config.settingsJson())) {
                         engine.updateSettings(changed.settings());
                         clients.updateConfig(changed);
                     }
--- a/src/main/java/gatefront/agent/Extensions.java
+++ b/src/main/java/gatefront/agent/Extensions.java
@@ -58,7 +58,7 @@
      */
     public static Extensions read(Path path, Config config) {
         try {
-            return parse(path.toString(), TomlFile.text(path, ""), config);
+            return parse(path.toString(), TomlFile.read(path, ""), config);
         } catch (TomlException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
@@ -73,7 +73,7 @@
         LedgerSettings ledger = top.has("ledger") ? LedgerSettings.read(top.table("ledger")) : null;
         RecoverySettings recovery =
                 top.has("recovery") ? RecoverySettings.read(top.table("recovery"), top.table("rehearsal")) : null;
-        top.finish();
+        top.rejectUnknownKeys();
         return new Extensions(thrift, registry, memory, ledger, recovery);
     }
 
@@ -82,33 +82,33 @@
         try {
             listen = Config.address(table.text("listen", null));
         } catch (IllegalArgumentException e) {
-            throw table.bad("listen", "is to be a literal address and a port, as in \"127.0.0.1:9090\"");
+            throw table.invalid("listen", "is to be a literal address and a port, as in \"127.0.0.1:9090\"");
         }
         String framing = table.word("framing", "any", List.of("any", "framed", "unframed"));
         String protocol = table.word("protocol", "any", List.of("any", "binary", "binary-old", "compact"));
         if (framing.equals("any") != protocol.equals("any")) {
-            throw table.bad(
+            throw table.invalid(
                     framing.equals("any") ? "protocol" : "framing",
                     "framing and protocol are both told from the first bytes, or both fixed");
         }
         MessageFormat form =
                 framing.equals("any") ? null : new MessageFormat(framing.equals("framed"), ENCODINGS.get(protocol));
-        int port = table.whole("nodo_port", -1, 1, PORT_MOST);
+        int port = table.integer("nodo_port", -1, 1, PORT_MOST);
         if (!table.has("nodo_port")) {
-            throw table.bad("nodo_port", "is missing; it is the port where nodos speak Thrift");
+            throw table.invalid("nodo_port", "is missing; it is the port where nodos speak Thrift");
         }
-        boolean framed = table.flag("nodo_framed", true);
+        boolean framed = table.bool("nodo_framed", true);
         boolean probes = table.word("probes", "http", List.of("http", "thrift")).equals("thrift");
         Map<String, Method> methods = new LinkedHashMap<>();
         for (TomlTable each : table.tables("methods")) {
             String name = each.text("name", null);
             int kind = config.classes().indexOf(each.word("class", null, config.classes()));
-            if (methods.put(name, new Method(kind, each.flag("declares", false))) != null) {
-                throw each.bad("name", "\"" + name + "\" is there twice");
+            if (methods.put(name, new Method(kind, each.bool("declares", false))) != null) {
+                throw each.invalid("name", "\"" + name + "\" is there twice");
             }
         }
         if (methods.isEmpty()) {
-            throw table.bad("methods", "is missing; a [[thrift.methods]] for each method that is carried");
+            throw table.invalid("methods", "is missing; a [[thrift.methods]] for each method that is carried");
         }
         return new ThriftSettings(listen, form, port, framed, probes, Map.copyOf(methods));
     }
--- a/src/main/java/gatefront/agent/LedgerSettings.java
+++ b/src/main/java/gatefront/agent/LedgerSettings.java
@@ -24,12 +24,12 @@
     static LedgerSettings read(TomlTable table) throws TomlException {
         String instance = table.text("instance", null);
         if (!instance.matches(EntryId.NAME)) {
-            throw table.bad("instance", "is to be letters, digits, dots and dashes, 64 at the most");
+            throw table.invalid("instance", "is to be letters, digits, dots and dashes, 64 at the most");
         }
         double period = table.number("period_s", DAY, 1, 366 * DAY);
         double write = table.number("write_s", WRITE, 0.1, DAY);
         if (2 * write > period) {
-            throw table.bad("write_s", "is to be half of period_s at the most, for a period to be written in time");
+            throw table.invalid("write_s", "is to be half of period_s at the most, for a period to be written in time");
         }
         String keys = table.text("keys", "");
         return new LedgerSettings(
--- a/src/main/java/gatefront/agent/MemorySettings.java
+++ b/src/main/java/gatefront/agent/MemorySettings.java
@@ -27,10 +27,10 @@
             try {
                 status = Config.address(table.text("status", null));
             } catch (IllegalArgumentException e) {
-                throw table.bad("status", "is to be a literal address and a port, as in \"127.0.0.1:9191\"");
+                throw table.invalid("status", "is to be a literal address and a port, as in \"127.0.0.1:9191\"");
             }
             if (!status.getAddress().isLoopbackAddress()) {
-                throw table.bad("status", "is to be a loopback address: the page tells everything to whoever asks");
+                throw table.invalid("status", "is to be a loopback address: the page tells everything to whoever asks");
             }
         }
         Map<ResourcePurpose, ResourceBudget.Cap> caps = new EnumMap<>(ResourcePurpose.class);
@@ -39,22 +39,22 @@
                 .toList();
         for (TomlTable each : table.tables("caps")) {
             ResourcePurpose purpose = ResourcePurpose.values()[words.indexOf(each.word("purpose", null, words))];
-            int entries = each.whole("entries", -1, 1, ENTRIES_MOST);
+            int entries = each.integer("entries", -1, 1, ENTRIES_MOST);
             double kib = each.number("kib", -1.0, 1, KIB_MOST);
             if (purpose == ResourcePurpose.REGISTRY) {
-                throw each.bad("purpose", "registry has its cap in keys of [registry]");
+                throw each.invalid("purpose", "registry has its cap in keys of [registry]");
             }
             if (entries >= 0 && !purpose.limitsEntries()) {
-                throw each.bad("entries", "means nothing for " + purpose.label() + ", which is held to kib");
+                throw each.invalid("entries", "means nothing for " + purpose.label() + ", which is held to kib");
             }
             if (kib >= 0 && !purpose.limitsBytes()) {
-                throw each.bad("kib", "means nothing for " + purpose.label() + ", which is held to entries");
+                throw each.invalid("kib", "means nothing for " + purpose.label() + ", which is held to entries");
             }
             if (entries < 0 && kib < 0) {
-                throw each.bad("entries", "is missing; a cap is of entries, of kib, or of both");
+                throw each.invalid("entries", "is missing; a cap is of entries, of kib, or of both");
             }
             if (caps.put(purpose, new ResourceBudget.Cap(entries, kib < 0 ? -1 : (long) (1024 * kib))) != null) {
-                throw each.bad("purpose", "\"" + purpose.label() + "\" is there twice");
+                throw each.invalid("purpose", "\"" + purpose.label() + "\" is there twice");
             }
         }
         return new MemorySettings(status, caps);
--- a/src/main/java/gatefront/agent/RecoverySettings.java
+++ b/src/main/java/gatefront/agent/RecoverySettings.java
@@ -49,18 +49,18 @@
     static RecoverySettings read(TomlTable table, TomlTable rehearsal) throws TomlException {
         String instance = table.text("instance", null);
         if (!instance.matches(EntryId.NAME)) {
-            throw table.bad("instance", "is to be letters, digits, dots and dashes, 64 at the most");
+            throw table.invalid("instance", "is to be letters, digits, dots and dashes, 64 at the most");
         }
         double mark = table.number("mark_s", MARK, 0.05, 60);
         double doubt = table.number("doubt_s", DOUBT, 0.1, DAY);
         if (2 * mark > doubt) {
-            throw table.bad("doubt_s", "is to be twice mark_s at least, else every start is doubted");
+            throw table.invalid("doubt_s", "is to be twice mark_s at least, else every start is doubted");
         }
         Set<Guard> without = new HashSet<>();
         List<String> words = List.of(Guard.values()).stream().map(Guard::word).toList();
         for (String each : rehearsal.texts("without")) {
             if (!words.contains(each)) {
-                throw rehearsal.bad("without", "\"" + each + "\" is none of " + String.join(", ", words));
+                throw rehearsal.invalid("without", "\"" + each + "\" is none of " + String.join(", ", words));
             }
             without.add(Guard.values()[words.indexOf(each)]);
         }
--- a/src/main/java/gatefront/agent/RegistrySettingsReader.java
+++ b/src/main/java/gatefront/agent/RegistrySettingsReader.java
@@ -36,40 +36,40 @@
             try {
                 endpoints.add(Config.address(each));
             } catch (IllegalArgumentException e) {
-                throw table.bad(
+                throw table.invalid(
                         "endpoints",
                         "\"" + each + "\" is to be a literal address and a port, as in " + "\"127.0.0.1:"
                                 + (kind == Kind.ETCD ? 2379 : 8500) + "\"");
             }
         }
         if (endpoints.isEmpty()) {
-            throw table.bad("endpoints", "is missing; it lists the registry's members, as in [\"127.0.0.1:2379\"]");
+            throw table.invalid("endpoints", "is missing; it lists the registry's members, as in [\"127.0.0.1:2379\"]");
         }
         String prefix = table.text("prefix", null);
         if (!prefix.matches("[A-Za-z0-9._~-]+(/[A-Za-z0-9._~-]+)*/")) {
-            throw table.bad("prefix", "is to be words with a slash behind each, as in \"oaxaca/\"");
+            throw table.invalid("prefix", "is to be words with a slash behind each, as in \"oaxaca/\"");
         }
         boolean instead =
                 table.word("padron", "beside", List.of("beside", "instead")).equals("instead");
         boolean etcd = kind == Kind.ETCD;
         for (String key : etcd ? List.of("token_file", "service") : List.of("user", "password_file")) {
             if (table.has(key)) {
-                throw table.bad(key, "means nothing for " + (etcd ? "etcd" : "Consul, which has token_file"));
+                throw table.invalid(key, "means nothing for " + (etcd ? "etcd" : "Consul, which has token_file"));
             }
         }
         if (table.has("user") != table.has("password_file")) {
-            throw table.bad(
+            throw table.invalid(
                     table.has("user") ? "password_file" : "user", "is missing; user and password_file go together");
         }
         String user = table.has("user") ? table.text("user", null) : null;
         String service = table.has("service") ? table.text("service", null) : null;
         if (service != null && !service.matches("[A-Za-z0-9._~-]+")) {
-            throw table.bad("service", "is to be the name of one service, as in \"cuentas\"");
+            throw table.invalid("service", "is to be the name of one service, as in \"cuentas\"");
         }
         Reads reads = Reads.valueOf(table.word("reads", "usual", List.of("usual", "consistent", "stale"))
                 .toUpperCase(Locale.ROOT));
         if (etcd && reads == Reads.CONSISTENT) {
-            throw table.bad("reads", "\"consistent\" is what etcd does by itself: \"usual\"");
+            throw table.invalid("reads", "\"consistent\" is what etcd does by itself: \"usual\"");
         }
         double ask = table.number("ask_s", 2.0, 0.1, 600);
         double silence = table.number("silence_s", 8.0, 0.5, 600);
@@ -77,10 +77,11 @@
         double reread = table.number("reread_s", 600.0, 0, 86_400);
         double most = table.number("backoff_s", 1.0, 0.05, 60);
         if (etcd && silence < 2 * ask) {
-            throw table.bad("silence_s", "is to be at least twice ask_s, " + ask + ": an answer needs time to come");
+            throw table.invalid(
+                    "silence_s", "is to be at least twice ask_s, " + ask + ": an answer needs time to come");
         }
         if (stale < silence) {
-            throw table.bad("stale_s", "is to be at least silence_s, " + silence);
+            throw table.invalid("stale_s", "is to be at least silence_s, " + silence);
         }
         FollowerLimits bounds = new FollowerLimits(
                 50_000,
@@ -90,10 +91,11 @@
                 (long) (silence * SECOND),
                 (long) (stale * SECOND),
                 (long) (reread * SECOND),
-                table.whole("keys", 20_000, 1, 1_000_000));
+                table.integer("keys", 20_000, 1, 1_000_000));
         Path state = table.has("state_file") ? Path.of(table.text("state_file", null)) : null;
         if (state != null && !Files.isDirectory(state.toAbsolutePath().getParent())) {
-            throw table.bad("state_file", "its folder " + state.toAbsolutePath().getParent() + " is not there");
+            throw table.invalid(
+                    "state_file", "its folder " + state.toAbsolutePath().getParent() + " is not there");
         }
         return new RegistrySettings(
                 kind,
@@ -114,10 +116,10 @@
         if (!table.has(key)) {
             return null;
         }
-        String secret = TomlFile.text(Path.of(table.text(key, null)), " (" + key + " of the registry)")
+        String secret = TomlFile.read(Path.of(table.text(key, null)), " (" + key + " of the registry)")
                 .strip();
         if (secret.isEmpty() || !secret.matches("[\\x21-\\x7e]+")) {
-            throw table.bad(key, "the file is to hold one word of plain letters, and nothing else");
+            throw table.invalid(key, "the file is to hold one word of plain letters, and nothing else");
         }
         return secret;
     }
--- a/src/main/java/gatefront/agent/StateRecovery.java
+++ b/src/main/java/gatefront/agent/StateRecovery.java
@@ -106,7 +106,7 @@
         if (kept.serverList() != null) {
             boolean read = true;
             try {
-                own = Config.json(new ByteArrayInputStream(kept.serverList()));
+                own = Config.parseJson(new ByteArrayInputStream(kept.serverList()));
             } catch (IOException e) {
                 read = false;
             }
--- a/src/main/java/gatefront/cli/RegistryCommand.java
+++ b/src/main/java/gatefront/cli/RegistryCommand.java
@@ -118,7 +118,7 @@
             add(text, "token_file", tokenFile);
             TomlTable top = TomlFile.parse("command line", text.toString());
             RegistrySettings settings = RegistrySettingsReader.read(top.table("registry"));
-            top.finish();
+            top.rejectUnknownKeys();
             return settings;
         }
 
--- a/src/main/java/gatefront/config/Config.java
+++ b/src/main/java/gatefront/config/Config.java
@@ -35,7 +35,7 @@
  * @param discovery where the server list comes from
  * @param seed for random choices; new with each start
  * @param sockets how many file descriptors the process may hold
- * @param known the server list as this agent last had it, in discovery's form
+ * @param cachedServerList the server list as this agent last had it, in discovery's form
  * @param settings what the module is told
  * @param classes names of the request classes, in the settings' order
  * @param tenants names of the tenants, in the settings' order
@@ -46,8 +46,8 @@
  * @param connectTimeoutMicros a connection not up by then has failed
  * @param idleCloseMicros a server closes a connection that has been idle for this long
  * @param management where operators call; null if they have no door
- * @param dropped classes that keep their number and are no longer known by name
- * @param source the settings as they stood in the file
+ * @param removedClasses classes that keep their number and are no longer known by name
+ * @param settingsJson the settings as they stood in the file
  */
 public record Config(
         InetSocketAddress listen,
@@ -55,7 +55,7 @@
         InetSocketAddress discovery,
         long seed,
         int sockets,
-        JsonNode known,
+        JsonNode cachedServerList,
         Balancer.Settings settings,
         List<String> classes,
         List<String> tenants,
@@ -65,32 +65,32 @@
         boolean loadByProbe,
         long connectTimeoutMicros,
         long idleCloseMicros,
-        Set<String> dropped,
-        JsonNode source) {
+        Set<String> removedClasses,
+        JsonNode settingsJson) {
 
-    private static final int NESTING_MAX = 100;
+    private static final int MAX_NESTING = 100;
     /** Classes that there may be in the life of a process: each keeps what it has at every server. */
-    private static final int CLASSES_MOST = 128;
+    private static final int MAX_CLASSES = 128;
 
     private static final JsonFactory JSON = JsonFactory.builder()
             .streamReadConstraints(
-                    StreamReadConstraints.builder().maxNestingDepth(NESTING_MAX).build())
+                    StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING).build())
             .build();
 
     /** Reads the file; an unusable one is an exception whose message is one plain line. */
     public static Config read(Path file) {
         JsonNode root;
         try {
-            root = json(new ByteArrayInputStream(Files.readAllBytes(file)));
+            root = parseJson(new ByteArrayInputStream(Files.readAllBytes(file)));
         } catch (IOException e) {
             String why = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
             throw new IllegalArgumentException("cannot read " + file + ": " + why, e);
         }
-        return of(root);
+        return fromJson(root);
     }
 
     /** The same with a door for operators at this address; null changes nothing. */
-    public Config managedAt(String address) {
+    public Config withManagementAddress(String address) {
         return address == null || address.isEmpty()
                 ? this
                 : new Config(
@@ -99,7 +99,7 @@
                         discovery,
                         seed,
                         sockets,
-                        known,
+                        cachedServerList,
                         settings,
                         classes,
                         tenants,
@@ -109,13 +109,13 @@
                         loadByProbe,
                         connectTimeoutMicros,
                         idleCloseMicros,
-                        dropped,
-                        source);
+                        removedClasses,
+                        settingsJson);
     }
 
     /** Takes the configuration from its JSON. */
-    public static Config of(JsonNode root) {
-        JsonNode settings = need(root, "settings");
+    public static Config fromJson(JsonNode root) {
+        JsonNode settings = required(root, "settings");
         Map<String, String> pairs = new HashMap<>();
         flatten("", settings, pairs);
         return new Config(
@@ -123,7 +123,7 @@
                 root.path("management").asText("").isEmpty() ? null : address(text(root, "management")),
                 address(text(root, "discovery")),
                 seed(text(root, "seed")),
-                (int) atLeast(64, need(root, "limits"), "sockets"),
+                (int) numberAtLeast(64, required(root, "limits"), "sockets"),
                 root.path("known"),
                 SettingsParser.parse(pairs),
                 names(settings.path("classes")),
@@ -132,15 +132,15 @@
                 names(settings.path("kinds")),
                 names(settings.path("load-info").path("fields")),
                 settings.path("load-info").path("via").asText().equals("probe"),
-                atLeast(1000, need(settings, "caps"), "dial-timeout-us"),
-                atLeast(1000, need(settings, "caps"), "idle-close-us"),
+                numberAtLeast(1000, required(settings, "caps"), "dial-timeout-us"),
+                numberAtLeast(1000, required(settings, "caps"), "idle-close-us"),
                 Set.of(),
                 settings);
     }
 
     /** The number of a class that is known by this name, or negative. */
-    public int classNumber(String name) {
-        return dropped.contains(name) ? -1 : classes.indexOf(name);
+    public int classIndex(String name) {
+        return removedClasses.contains(name) ? -1 : classes.indexOf(name);
     }
 
     /**
@@ -149,59 +149,59 @@
      *
      * @throws IllegalArgumentException if the file lacks what the one before had, or makes no sense; one plain line
      */
-    public Config changedBy(Config newer) {
-        SettingsCompatibility.check(source, newer.source);
+    public Config reloadedWith(Config newer) {
+        SettingsCompatibility.check(settingsJson, newer.settingsJson);
         List<String> names = new ArrayList<>(classes);
         List<Balancer.RequestClass> types = new ArrayList<>(settings.classes());
-        Set<String> gone = new HashSet<>(classes);
+        Set<String> removed = new HashSet<>(classes);
         for (int i = 0; i < newer.classes.size(); i++) {
             String name = newer.classes.get(i);
-            gone.remove(name);
-            int at = names.indexOf(name);
-            if (at < 0) {
+            removed.remove(name);
+            int index = names.indexOf(name);
+            if (index < 0) {
                 names.add(name);
                 types.add(newer.settings.classes().get(i));
             } else {
-                types.set(at, newer.settings.classes().get(i));
+                types.set(index, newer.settings.classes().get(i));
             }
         }
-        if (names.size() > CLASSES_MOST) {
+        if (names.size() > MAX_CLASSES) {
             throw new IllegalArgumentException("config: classes: " + names.size() + " different names since the start, "
-                    + "more than the " + CLASSES_MOST + " that may be; it needs a restart");
+                    + "more than the " + MAX_CLASSES + " that may be; it needs a restart");
         }
-        Balancer.Settings was = settings;
-        Balancer.Settings is = newer.settings;
+        Balancer.Settings current = settings;
+        Balancer.Settings updated = newer.settings;
         Balancer.Settings merged = new Balancer.Settings(
-                was.agent(),
-                was.agents(),
-                was.zone(),
-                was.zones(),
-                was.tick(),
-                was.askDiscovery(),
-                was.warmKeys(),
-                was.listedWeights(),
-                was.worthByWork(),
-                is.overQuotaWorth(),
+                current.agent(),
+                current.agents(),
+                current.zone(),
+                current.zones(),
+                current.tick(),
+                current.askDiscovery(),
+                current.warmKeys(),
+                current.listedWeights(),
+                current.worthByWork(),
+                updated.overQuotaWorth(),
                 new Balancer.Permits(
-                        is.permits().maxAttempts(),
-                        was.permits().duplicates(),
-                        was.permits().cancel(),
-                        was.permits().probes(),
-                        was.permits().messages(),
-                        is.permits().maxRetryAfter()),
-                is.obligations(),
-                is.prices(),
-                is.goal(),
+                        updated.permits().maxAttempts(),
+                        current.permits().duplicates(),
+                        current.permits().cancel(),
+                        current.permits().probes(),
+                        current.permits().messages(),
+                        updated.permits().maxRetryAfter()),
+                updated.obligations(),
+                updated.prices(),
+                updated.goal(),
                 List.copyOf(types),
-                is.tenants(),
-                was.loadFields());
+                updated.tenants(),
+                current.loadFields());
         return new Config(
                 listen,
                 management,
                 newer.discovery,
                 seed,
                 sockets,
-                known,
+                cachedServerList,
                 merged,
                 List.copyOf(names),
                 newer.tenants,
@@ -211,21 +211,21 @@
                 loadByProbe,
                 connectTimeoutMicros,
                 idleCloseMicros,
-                Set.copyOf(gone),
-                newer.source);
+                Set.copyOf(removed),
+                newer.settingsJson);
     }
 
     /**
      * Reads JSON. The library's mapper would do the same, but its making takes a quarter of a second on half
      * a core (it sets up dates, locales and the reading of classes): nobody is served meanwhile.
      */
-    public static JsonNode json(InputStream from) throws IOException {
-        try (JsonParser parser = JSON.createParser(from)) {
-            return json(parser, parser.nextToken());
+    public static JsonNode parseJson(InputStream input) throws IOException {
+        try (JsonParser parser = JSON.createParser(input)) {
+            return parseJson(parser, parser.nextToken());
         }
     }
 
-    private static JsonNode json(JsonParser from, JsonToken at) throws IOException {
+    private static JsonNode parseJson(JsonParser input, JsonToken at) throws IOException {
         JsonNodeFactory nodes = JsonNodeFactory.instance;
         if (at == null) {
             return nodes.missingNode();
@@ -233,30 +233,30 @@
         switch (at) {
             case START_OBJECT:
                 ObjectNode object = nodes.objectNode();
-                while (from.nextToken() != JsonToken.END_OBJECT) {
-                    String name = from.currentName();
-                    object.set(name, json(from, from.nextToken()));
+                while (input.nextToken() != JsonToken.END_OBJECT) {
+                    String name = input.currentName();
+                    object.set(name, parseJson(input, input.nextToken()));
                 }
                 return object;
             case START_ARRAY:
                 ArrayNode array = nodes.arrayNode();
-                while (from.nextToken() != JsonToken.END_ARRAY) {
-                    array.add(json(from, from.currentToken()));
+                while (input.nextToken() != JsonToken.END_ARRAY) {
+                    array.add(parseJson(input, input.currentToken()));
                 }
                 return array;
             case VALUE_NUMBER_INT:
-                return from.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                        ? nodes.numberNode(from.getBigIntegerValue())
-                        : nodes.numberNode(from.getLongValue());
+                return input.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+                        ? nodes.numberNode(input.getBigIntegerValue())
+                        : nodes.numberNode(input.getLongValue());
             case VALUE_NUMBER_FLOAT:
-                return nodes.numberNode(from.getDoubleValue());
+                return nodes.numberNode(input.getDoubleValue());
             case VALUE_NULL:
                 return nodes.nullNode();
             case VALUE_TRUE:
             case VALUE_FALSE:
-                return nodes.booleanNode(from.getBooleanValue());
+                return nodes.booleanNode(input.getBooleanValue());
             default:
-                return nodes.textNode(from.getText());
+                return nodes.textNode(input.getText());
         }
     }
 
@@ -264,8 +264,8 @@
     private static void flatten(String path, JsonNode node, Map<String, String> pairs) {
         if (node.isObject()) {
             node.properties()
-                    .forEach(each -> flatten(
-                            path.isEmpty() ? each.getKey() : path + "." + each.getKey(), each.getValue(), pairs));
+                    .forEach(field -> flatten(
+                            path.isEmpty() ? field.getKey() : path + "." + field.getKey(), field.getValue(), pairs));
         } else if (node.isArray() && node.path(0).isContainerNode()) {
             pairs.put(path + ".count", String.valueOf(node.size()));
             for (int i = 0; i < node.size(); i++) {
@@ -284,7 +284,7 @@
     /** The words of a list of words, or the names of a list of objects. */
     private static List<String> names(JsonNode list) {
         List<String> names = new ArrayList<>();
-        list.forEach(each -> names.add(each.isObject() ? each.path("name").asText() : each.asText()));
+        list.forEach(item -> names.add(item.isObject() ? item.path("name").asText() : item.asText()));
         return List.copyOf(names);
     }
 
@@ -294,7 +294,7 @@
         return id == 0 ? 1 : id;
     }
 
-    private static JsonNode need(JsonNode node, String name) {
+    private static JsonNode required(JsonNode node, String name) {
         JsonNode found = node.path(name);
         if (found.isMissingNode() || found.isNull()) {
             throw new IllegalArgumentException("config: " + name + " is missing");
@@ -303,12 +303,12 @@
     }
 
     private static String text(JsonNode node, String name) {
-        return need(node, name).asText();
+        return required(node, name).asText();
     }
 
-    private static long atLeast(long least, JsonNode node, String name) {
-        JsonNode value = need(node, name);
-        if (!value.isNumber() || value.asLong() < least) {
+    private static long numberAtLeast(long min, JsonNode node, String name) {
+        JsonNode value = required(node, name);
+        if (!value.isNumber() || value.asLong() < min) {
             throw new IllegalArgumentException("config: " + name + " has an unusable value: " + value);
         }
         return value.asLong();
--- a/src/main/java/gatefront/config/EndpointJson.java
+++ b/src/main/java/gatefront/config/EndpointJson.java
@@ -45,9 +45,9 @@
      * @throws IllegalArgumentException if it makes no sense
      */
     public static Endpoint decode(JsonNode entry, String name, Config config) {
-        String called = name == null ? entry.path("name").asText() : name;
+        String serverName = name == null ? entry.path("name").asText() : name;
         int zone = config.zones().indexOf(entry.path("zone").asText());
-        if (called.isEmpty() || zone < 0) {
+        if (serverName.isEmpty() || zone < 0) {
             throw new IllegalArgumentException("name or zone of a server: " + entry);
         }
         Phase phase =
@@ -59,14 +59,14 @@
                 };
         return new Endpoint(
                 new Server(
-                        Config.id(called),
+                        Config.id(serverName),
                         zone,
                         entry.path("group").asInt(),
                         config.kinds().indexOf(entry.path("type").asText()),
                         phase,
                         entry.path("weight").asDouble(1),
                         1000 * entry.path("since_ms").asLong()),
-                called,
+                serverName,
                 Config.address(entry.path("address").asText()));
     }
 }
--- a/src/main/java/gatefront/config/SettingsCompatibility.java
+++ b/src/main/java/gatefront/config/SettingsCompatibility.java
@@ -13,48 +13,48 @@
     private SettingsCompatibility() {}
 
     /** An IllegalArgumentException names the key that is missing or of another kind. */
-    static void check(JsonNode before, JsonNode now) {
-        same("settings", before, now);
-        if (now.path(CLASSES).isEmpty()) {
-            throw bad("settings.classes", "has no class");
+    static void check(JsonNode before, JsonNode after) {
+        checkObject("settings", before, after);
+        if (after.path(CLASSES).isEmpty()) {
+            throw invalid("settings.classes", "has no class");
         }
-        items("settings.classes", before.path(CLASSES), now.path(CLASSES));
-        items("settings.realms", before.path(TENANTS), now.path(TENANTS));
+        checkItems("settings.classes", before.path(CLASSES), after.path(CLASSES));
+        checkItems("settings.realms", before.path(TENANTS), after.path(TENANTS));
     }
 
-    private static void same(String path, JsonNode before, JsonNode now) {
-        for (Map.Entry<String, JsonNode> each : before.properties()) {
-            String key = path + "." + each.getKey();
-            JsonNode found = now.path(each.getKey());
-            kind(key, each.getValue(), found);
+    private static void checkObject(String path, JsonNode before, JsonNode after) {
+        for (Map.Entry<String, JsonNode> field : before.properties()) {
+            String key = path + "." + field.getKey();
+            JsonNode found = after.path(field.getKey());
+            checkKind(key, field.getValue(), found);
             if (found.isObject()) {
-                same(key, each.getValue(), found);
+                checkObject(key, field.getValue(), found);
             }
         }
     }
 
     /** Each item has a name of its own and the keys that all items before had. */
-    private static void items(String path, JsonNode before, JsonNode now) {
+    private static void checkItems(String path, JsonNode before, JsonNode after) {
         Set<String> common = new HashSet<>();
         before.path(0).fieldNames().forEachRemaining(common::add);
         before.forEach(item -> common.removeIf(key -> !item.has(key)));
         Set<String> names = new HashSet<>();
-        int at = 0;
-        for (JsonNode item : now) {
-            String here = path + "." + at++;
+        int index = 0;
+        for (JsonNode item : after) {
+            String itemPath = path + "." + index++;
             for (String key : common) {
-                kind(here + "." + key, before.path(0).path(key), item.path(key));
+                checkKind(itemPath + "." + key, before.path(0).path(key), item.path(key));
             }
             if (item.path("name").asText("").isEmpty()
                     || !names.add(item.path("name").asText())) {
-                throw bad(here + ".name", "is missing, or there twice");
+                throw invalid(itemPath + ".name", "is missing, or there twice");
             }
         }
     }
 
-    private static void kind(String key, JsonNode before, JsonNode found) {
+    private static void checkKind(String key, JsonNode before, JsonNode found) {
         if (found.isMissingNode() || found.isNull() && !before.isNull()) {
-            throw bad(key, "is missing");
+            throw invalid(key, "is missing");
         }
         if (!before.isNull()
                 && (found.isNumber() != before.isNumber()
@@ -62,11 +62,11 @@
                         || found.isBoolean() != before.isBoolean()
                         || found.isArray() != before.isArray()
                         || found.isObject() != before.isObject())) {
-            throw bad(key, "is of another kind than before: " + found);
+            throw invalid(key, "is of another kind than before: " + found);
         }
     }
 
-    private static IllegalArgumentException bad(String key, String why) {
-        return new IllegalArgumentException("config: " + key + " " + why);
+    private static IllegalArgumentException invalid(String key, String problem) {
+        return new IllegalArgumentException("config: " + key + " " + problem);
     }
 }
--- a/src/main/java/gatefront/connection/AbstractFrontend.java
+++ b/src/main/java/gatefront/connection/AbstractFrontend.java
@@ -120,7 +120,7 @@
         }
         bootstrap = new ServerBootstrap()
                 .group(transport.loop())
-                .channelFactory(transport.sharedListeners())
+                .channelFactory(transport.sharedServerChannels())
                 .option(ChannelOption.SO_BACKLOG, 1024)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -163,7 +163,7 @@
     public void handOver() {
         markedNotReady = true;
         closeAfterResponse = true;
-        transport.closeShared(serverChannel);
+        transport.closeSharedListener(serverChannel);
     }
 
     @Override
--- a/src/main/java/gatefront/connection/PooledUpstream.java
+++ b/src/main/java/gatefront/connection/PooledUpstream.java
@@ -113,7 +113,7 @@
         this.maxIdleNanos = (long) (1000 * MAX_IDLE_FRACTION * idleCloseMicros);
         this.bootstrap = new Bootstrap()
                 .group(loop)
-                .channelFactory(transport.dialers())
+                .channelFactory(transport.clientChannels())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (connectTimeoutMicros / 1000))
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, BufferLimits.receiveBufferAllocator())
@@ -245,7 +245,7 @@
             Connection connection = iterator.next();
             if (now - connection.idleSinceNanos >= pool.quietPeriodNanos) {
                 iterator.remove();
-                if (!connection.isExpired() && transport.silent(connection.channel)) {
+                if (!connection.isExpired() && transport.hasNoUnreadInput(connection.channel)) {
                     usable = connection;
                 } else {
                     unusable = unusable == null ? new ArrayList<>() : unusable;
--- a/src/main/java/gatefront/drill/Drill.java
+++ b/src/main/java/gatefront/drill/Drill.java
@@ -17,8 +17,8 @@
 /** Speaks the simulator's wire for many instances. It decides nothing. */
 public final class Drill {
     private static final double[] NO_LOAD = new double[0];
-    private static final int LISTS = 16;
-    private static final int SERVER_BYTES = 22;
+    private static final int MAX_LISTS = 16;
+    private static final int SERVER_ENTRY_BYTES = 22;
 
     private final FrameReader in;
     private final OutputStream outStream;
@@ -30,7 +30,7 @@
     public Drill(InputStream in, OutputStream out) {
         this.in = new FrameReader(in);
         this.outStream = out;
-        for (int i = 0; i < LISTS; i++) {
+        for (int i = 0; i < MAX_LISTS; i++) {
             lists.add(null);
         }
     }
@@ -39,13 +39,13 @@
     public void run() throws IOException {
         while (in.nextFrame()) {
             while (in.nextRecord()) {
-                record(in.clock());
+                handleRecord(in.clock());
             }
             out.flush(outStream);
         }
     }
 
-    private void record(long now) {
+    private void handleRecord(long now) {
         int code = in.code();
         if (code == 25) {
             defineList();
@@ -55,8 +55,8 @@
         out.instance(id);
         if (code == 24) {
             long seed = in.i64();
-            Balancer.Settings settings = settings(in.text(in.u32()));
-            decide(() -> instances.put(id, new AdaptiveBalancer(settings, seed, now, out)));
+            Balancer.Settings settings = parseSettings(in.text(in.u32()));
+            runDecision(() -> instances.put(id, new AdaptiveBalancer(settings, seed, now, out)));
             return;
         }
         Balancer instance = instances.get(id);
@@ -67,10 +67,10 @@
             instances.remove(id);
             return;
         }
-        decide(() -> event(code, instance, now));
+        runDecision(() -> dispatchEvent(code, instance, now));
     }
 
-    private static Balancer.Settings settings(String text) {
+    private static Balancer.Settings parseSettings(String text) {
         try {
             return SettingsParser.parse(text);
         } catch (IllegalArgumentException e) {
@@ -79,23 +79,23 @@
     }
 
     /** Runs a piece of the decision code; its failure is told as the instance's death. */
-    private void decide(Runnable decision) {
+    private void runDecision(Runnable decision) {
         try {
             decision.run();
         } catch (WireException e) {
             throw e;
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
-            out.die(e + (trace.length > 0 ? " at " + trace[0] : ""));
+            out.instanceFailed(e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
-    private void event(int code, Balancer instance, long now) {
+    private void dispatchEvent(int code, Balancer instance, long now) {
         switch (code) {
             case 16 -> {
-                long spent = in.u32();
+                long elapsedMicros = in.u32();
                 Outcome outcome = outcome(in.u16());
-                instance.probed(now, in.u32(), outcome, spent, load());
+                instance.probed(now, in.u32(), outcome, elapsedMicros, readLoadReport());
             }
             case 17 -> instance.streamStarted(now, in.i64(), in.u16(), in.u32(), in.u32());
             case 18 -> {
@@ -123,15 +123,15 @@
                                 (attributes & 2) != 0,
                                 (attributes & 4) != 0));
             }
-            case 21 -> announce(instance, now);
+            case 21 -> applyServerList(instance, now);
             case 22 -> {
                 long id = in.i64();
                 int attempt = in.u16();
                 long server = in.u32();
                 Outcome outcome = outcome(in.u16());
-                long spent = in.u32();
+                long elapsedMicros = in.u32();
                 boolean closed = in.u8() != 0;
-                instance.outcome(now, id, attempt, server, outcome, spent, closed, load());
+                instance.outcome(now, id, attempt, server, outcome, elapsedMicros, closed, readLoadReport());
             }
             case 23 -> instance.clientLeft(now, in.i64());
             case 26 -> instance.timer(now, in.i64());
@@ -141,10 +141,10 @@
 
     private void defineList() {
         int number = in.u8();
-        if (number >= LISTS) {
-            throw new WireException(in.where() + ": list number " + number + " is over " + (LISTS - 1));
+        if (number >= MAX_LISTS) {
+            throw new WireException(in.where() + ": list number " + number + " is over " + (MAX_LISTS - 1));
         }
-        int count = in.count(in.u32(), SERVER_BYTES);
+        int count = in.checkedCount(in.u32(), SERVER_ENTRY_BYTES);
         List<Balancer.Server> entries = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             long server = in.u32();
@@ -158,7 +158,7 @@
         lists.set(number, List.copyOf(entries));
     }
 
-    private void announce(Balancer instance, long now) {
+    private void applyServerList(Balancer instance, long now) {
         int number = in.u8();
         ListKind kind =
                 switch (in.u8()) {
@@ -173,20 +173,20 @@
             instance.servers(now, kind, List.of());
             return;
         }
-        List<Balancer.Server> entries = number < LISTS ? lists.get(number) : null;
+        List<Balancer.Server> entries = number < MAX_LISTS ? lists.get(number) : null;
         if (entries == null) {
             throw new WireException(in.where() + ": list " + number + " was never defined");
         }
         instance.servers(now, kind, entries);
     }
 
-    private double[] load() {
-        int n = in.u8();
-        if (n == 0) {
+    private double[] readLoadReport() {
+        int count = in.u8();
+        if (count == 0) {
             return NO_LOAD;
         }
-        double[] load = new double[in.count(n, 4)];
-        for (int i = 0; i < n; i++) {
+        double[] load = new double[in.checkedCount(count, 4)];
+        for (int i = 0; i < count; i++) {
             load[i] = in.f32();
         }
         return load;
--- a/src/main/java/gatefront/drill/FrameReader.java
+++ b/src/main/java/gatefront/drill/FrameReader.java
@@ -7,14 +7,14 @@
 
 /** Reads frames into one reused buffer and hands out the fields of their records. */
 final class FrameReader {
-    private static final int HEADER_AFTER_LENGTH = 12;
-    private static final int RECORD_HEADER = 5;
+    private static final int HEADER_BYTES = 12;
+    private static final int RECORD_HEADER_BYTES = 5;
     /** Many times what a host sends, and well within the memory the adapter is given. */
-    private static final int LENGTH_MAX = 128 << 20;
+    private static final int MAX_FRAME_BYTES = 128 << 20;
 
     private final InputStream in;
     private byte[] buffer = new byte[1 << 16];
-    private int at;
+    private int position;
     private int end;
     private int recordEnd;
     private int recordsLeft;
@@ -29,31 +29,31 @@
 
     /** Reads the next frame; false at the end of the input. */
     boolean nextFrame() throws IOException {
-        int got = in.readNBytes(buffer, 0, 4);
-        if (got == 0) {
+        int bytesRead = in.readNBytes(buffer, 0, 4);
+        if (bytesRead == 0) {
             return false;
         }
         frames++;
-        if (got < 4) {
+        if (bytesRead < 4) {
             throw new WireException("frame " + frames + ": input ends inside the length");
         }
-        at = 0;
+        position = 0;
         end = 4;
         recordEnd = 4;
         int length = i32();
-        if (length < HEADER_AFTER_LENGTH || length > LENGTH_MAX) {
+        if (length < HEADER_BYTES || length > MAX_FRAME_BYTES) {
             throw new WireException(
                     "frame " + frames + ": length " + Integer.toUnsignedString(length) + " is not possible");
         }
         if (buffer.length < length) {
-            buffer = new byte[Math.max(length, Math.min(2 * buffer.length, LENGTH_MAX))];
+            buffer = new byte[Math.max(length, Math.min(2 * buffer.length, MAX_FRAME_BYTES))];
         }
         if (in.readNBytes(buffer, 0, length) < length) {
             throw new WireException("frame " + frames + ": input ends inside the frame");
         }
-        at = 0;
+        position = 0;
         end = length;
-        recordEnd = HEADER_AFTER_LENGTH;
+        recordEnd = HEADER_BYTES;
         recordsLeft = i32();
         clock = i64();
         recordIndex = 0;
@@ -69,27 +69,27 @@
 
     /** Moves to the next record of the frame; false after the last. */
     boolean nextRecord() {
-        if (at != recordEnd) {
-            throw new WireException(where() + ": " + (recordEnd - at) + " bytes too many");
+        if (position != recordEnd) {
+            throw new WireException(where() + ": " + (recordEnd - position) + " bytes too many");
         }
         if (recordsLeft == 0) {
-            if (at != end) {
-                throw new WireException("frame " + frames + ": " + (end - at) + " bytes after the last record");
+            if (position != end) {
+                throw new WireException("frame " + frames + ": " + (end - position) + " bytes after the last record");
             }
             return false;
         }
         recordsLeft--;
         recordIndex++;
         recordEnd = end;
-        if (end - at < RECORD_HEADER) {
+        if (end - position < RECORD_HEADER_BYTES) {
             throw new WireException(where() + ": the frame ends inside the record");
         }
         code = u8();
         int size = i32();
-        if (size < 0 || size > end - at) {
+        if (size < 0 || size > end - position) {
             throw new WireException(where() + ": size " + Integer.toUnsignedString(size) + " is over the frame");
         }
-        recordEnd = at + size;
+        recordEnd = position + size;
         return true;
     }
 
@@ -101,15 +101,15 @@
         return "frame " + frames + " record " + recordIndex + " (code " + code + ")";
     }
 
-    private void need(int bytes) {
-        if (bytes < 0 || recordEnd - at < bytes) {
+    private void require(int bytes) {
+        if (bytes < 0 || recordEnd - position < bytes) {
             throw new WireException(where() + ": too short for its fields");
         }
     }
 
     int u8() {
-        need(1);
-        return buffer[at++] & 0xff;
+        require(1);
+        return buffer[position++] & 0xff;
     }
 
     int u16() {
@@ -117,12 +117,12 @@
     }
 
     int i32() {
-        need(4);
-        int value = (buffer[at] & 0xff) << 24
-                | (buffer[at + 1] & 0xff) << 16
-                | (buffer[at + 2] & 0xff) << 8
-                | buffer[at + 3] & 0xff;
-        at += 4;
+        require(4);
+        int value = (buffer[position] & 0xff) << 24
+                | (buffer[position + 1] & 0xff) << 16
+                | (buffer[position + 2] & 0xff) << 8
+                | buffer[position + 3] & 0xff;
+        position += 4;
         return value;
     }
 
@@ -139,24 +139,24 @@
     }
 
     /** Checks a count of items against what the record still holds. */
-    int count(long items, int itemSize) {
-        if (items * itemSize > recordEnd - at) {
+    int checkedCount(long items, int itemSize) {
+        if (items * itemSize > recordEnd - position) {
             throw new WireException(where() + ": too short for its fields");
         }
         return (int) items;
     }
 
     String text(long length) {
-        int n = count(length, 1);
-        String text = new String(buffer, at, n, StandardCharsets.UTF_8);
-        at += n;
+        int size = checkedCount(length, 1);
+        String text = new String(buffer, position, size, StandardCharsets.UTF_8);
+        position += size;
         return text;
     }
 
     byte[] bytes(int length) {
-        need(length);
-        byte[] copy = Arrays.copyOfRange(buffer, at, at + length);
-        at += length;
+        require(length);
+        byte[] copy = Arrays.copyOfRange(buffer, position, position + length);
+        position += length;
         return copy;
     }
 }
--- a/src/main/java/gatefront/http/HttpFrontend.java
+++ b/src/main/java/gatefront/http/HttpFrontend.java
@@ -660,7 +660,7 @@
             }
         }
         String className = headers.get(REQUEST_CLASS, "");
-        int requestClass = config.classNumber(className);
+        int requestClass = config.classIndex(className);
         long timeoutMs = StrictHttpDecoders.parseDigits(headers.get(HttpUpstream.REQUEST_TIMEOUT), 0);
         long workHint = StrictHttpDecoders.parseDigits(headers.get(WORK_HINT, "0"), -1);
         String id = headers.get(REQUEST_ID, "");
--- a/src/main/java/gatefront/management/ManagementEndpoint.java
+++ b/src/main/java/gatefront/management/ManagementEndpoint.java
@@ -52,7 +52,7 @@
     }
 
     @Override
-    protected void call(FullHttpRequest request, Consumer<Reply> answer) {
+    protected void handle(FullHttpRequest request, Consumer<Reply> answer) {
         String uri = request.uri();
         int queryStart = uri.indexOf('?');
         String path = queryStart < 0 ? uri : uri.substring(0, queryStart);
--- a/src/main/java/gatefront/padron/Discovery.java
+++ b/src/main/java/gatefront/padron/Discovery.java
@@ -98,7 +98,7 @@
         this.jitter = new SplittableRandom(config.seed());
         this.bootstrap = new Bootstrap()
                 .group(loop)
-                .channelFactory(transport.dialers())
+                .channelFactory(transport.clientChannels())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) ANSWER_MS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .disableResolver()
@@ -240,7 +240,7 @@
         }
         Listing listing;
         try (InputStream body = new ByteBufInputStream(response.content())) {
-            listing = decode(Config.json(body), config);
+            listing = decode(Config.parseJson(body), config);
         } catch (IOException | IllegalArgumentException e) {
             // Guards against a list that cannot be read: the old one stays, and the whole is asked for, since
             // what the lost one changed is unknown.
--- a/src/main/java/gatefront/registry/ConsulConnector.java
+++ b/src/main/java/gatefront/registry/ConsulConnector.java
@@ -59,7 +59,7 @@
         this.follower = follower;
         this.bootstrap = new Bootstrap()
                 .group(transport.loop())
-                .channelFactory(transport.dialers())
+                .channelFactory(transport.clientChannels())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DIAL_MS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .disableResolver()
@@ -185,7 +185,7 @@
                 throw new IllegalArgumentException("index " + index);
             }
             if (status == 200) {
-                JsonNode root = Config.json(body);
+                JsonNode root = Config.parseJson(body);
                 entries = settings.service() == null
                         ? decode(root, index)
                         : ConsulHealth.decode(root, settings.prefix(), index);
--- a/src/main/java/gatefront/registry/GrpcConnection.java
+++ b/src/main/java/gatefront/registry/GrpcConnection.java
@@ -68,7 +68,7 @@
         this.authority = to.getAddress().getHostAddress() + ":" + to.getPort();
         ChannelFuture connecting = new Bootstrap()
                 .group(transport.loop())
-                .channelFactory(transport.dialers())
+                .channelFactory(transport.clientChannels())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DIAL_MS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .disableResolver()
--- a/src/main/java/gatefront/registry/RegistryStateFile.java
+++ b/src/main/java/gatefront/registry/RegistryStateFile.java
@@ -90,7 +90,7 @@
             if (Long.parseLong(head[5]) != checksum(kept, body)) {
                 throw new IOException(from + " has another checksum than its text; it is not used");
             }
-            for (JsonNode each : Config.json(new ByteArrayInputStream(body))) {
+            for (JsonNode each : Config.parseJson(new ByteArrayInputStream(body))) {
                 kept.entries()
                         .add(new KeyEntry(
                                 each.path("k").asText(),
--- a/src/main/java/gatefront/registry/RegistryView.java
+++ b/src/main/java/gatefront/registry/RegistryView.java
@@ -92,7 +92,7 @@
     }
 
     private static JsonNode json(String value) throws IOException {
-        JsonNode root = Config.json(new ByteArrayInputStream(value.getBytes(StandardCharsets.UTF_8)));
+        JsonNode root = Config.parseJson(new ByteArrayInputStream(value.getBytes(StandardCharsets.UTF_8)));
         if (!root.isObject()) {
             throw new IllegalArgumentException("it is no JSON object");
         }
--- a/src/main/java/gatefront/rehearsal/ClientStandIn.java
+++ b/src/main/java/gatefront/rehearsal/ClientStandIn.java
@@ -120,7 +120,7 @@
         this.hurry = day.draw("hurry " + agent);
         this.bootstrap = new Bootstrap()
                 .group(machine.transport().loop())
-                .channelFactory(machine.transport().dialers())
+                .channelFactory(machine.transport().clientChannels())
                 .remoteAddress(to)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 3_000)
                 .option(ChannelOption.TCP_NODELAY, true)
@@ -411,7 +411,7 @@
 
         @Override
         ChannelHandler[] codec() {
-            return new ChannelHandler[] {new MessageDecoder(MessageLimits.USUAL)};
+            return new ChannelHandler[] {new MessageDecoder(MessageLimits.DEFAULT)};
         }
 
         @Override
--- a/src/main/java/gatefront/rehearsal/LoopbackMachine.java
+++ b/src/main/java/gatefront/rehearsal/LoopbackMachine.java
@@ -127,7 +127,7 @@
     }
 
     @Override
-    public ChannelFactory<? extends ServerChannel> listeners() {
+    public ChannelFactory<? extends ServerChannel> serverChannels() {
         return () -> track(new NioServerSocketChannel() {
             @Override
             protected int doReadMessages(List<Object> accepted) throws Exception {
@@ -139,17 +139,17 @@
     }
 
     @Override
-    public ChannelFactory<? extends Channel> dialers() {
+    public ChannelFactory<? extends Channel> clientChannels() {
         return () -> track(new NioSocketChannel());
     }
 
     @Override
-    public boolean silent(Channel channel) {
+    public boolean hasNoUnreadInput(Channel channel) {
         throw new UnsupportedOperationException("no stand-in asks that");
     }
 
     @Override
-    public long memory() {
+    public long maxMemoryBytes() {
         return Runtime.getRuntime().maxMemory();
     }
 
--- a/src/main/java/gatefront/rehearsal/NodoStandIn.java
+++ b/src/main/java/gatefront/rehearsal/NodoStandIn.java
@@ -181,14 +181,15 @@
         day.listens(
                 new ServerBootstrap()
                         .group(machine.transport().loop())
-                        .channelFactory(machine.transport().listeners())
+                        .channelFactory(machine.transport().serverChannels())
                         .childHandler(new ChannelInitializer<Channel>() {
                             @Override
                             protected void initChannel(Channel ch) {
                                 if (day.form == null) {
                                     ch.pipeline().addLast(new HttpServerCodec(), new HttpServing());
                                 } else {
-                                    ch.pipeline().addLast(new MessageDecoder(MessageLimits.USUAL), new ThriftServing());
+                                    ch.pipeline()
+                                            .addLast(new MessageDecoder(MessageLimits.DEFAULT), new ThriftServing());
                                 }
                             }
                         })
--- a/src/main/java/gatefront/rehearsal/PadronStandIn.java
+++ b/src/main/java/gatefront/rehearsal/PadronStandIn.java
@@ -118,7 +118,7 @@
             int agent = i;
             ChannelFuture bound = new ServerBootstrap()
                     .group(machine.transport().loop())
-                    .channelFactory(machine.transport().listeners())
+                    .channelFactory(machine.transport().serverChannels())
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel ch) {
@@ -250,7 +250,7 @@
             return new Padron.Entry(name, "", 0, "", 0, Padron.Status.GONE, 1, 0);
         }
         try {
-            JsonNode read = Config.json(new ByteArrayInputStream(value.getBytes(StandardCharsets.UTF_8)));
+            JsonNode read = Config.parseJson(new ByteArrayInputStream(value.getBytes(StandardCharsets.UTF_8)));
             return new Padron.Entry(
                     name,
                     "",
@@ -304,7 +304,7 @@
 
     /** Learns of something, some time after it has happened, and tells it. */
     void learns(Runnable change) {
-        day.at(day.now() + (long) (1e6 * day.plan.padron().noticeSeconds().draw(draw::between)), () -> {
+        day.at(day.now() + (long) (1e6 * day.plan.padron().noticeSeconds().sample(draw::between)), () -> {
             change.run();
             news();
         });
--- a/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
+++ b/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
@@ -309,10 +309,10 @@
     // ---- Faults ----
 
     private void schedule(ProcessFault fault, RandomStream draw, long from) {
-        long at = from + (long) (MICROS * fault.at().draw(draw::between));
-        long lasts = (long) (MICROS * fault.lasts().draw(draw::between));
-        double spread = MICROS * fault.spread().draw(draw::between);
-        double size = fault.size().draw(draw::between);
+        long at = from + (long) (MICROS * fault.at().sample(draw::between));
+        long lasts = (long) (MICROS * fault.lasts().sample(draw::between));
+        double spread = MICROS * fault.spread().sample(draw::between);
+        double size = fault.size().sample(draw::between);
         long number = draw.number();
         int[] targets = targets(fault, draw);
         day.record.band(fault.kind().word(), at - from, at - from + Math.max(lasts, 1_000_000));
--- a/src/main/java/gatefront/rehearsal/ResolvedPlan.java
+++ b/src/main/java/gatefront/rehearsal/ResolvedPlan.java
@@ -57,7 +57,7 @@
         List<Demand.Kind> kinds = new ArrayList<>();
         for (Plan.Kind each : plan.classes()) {
             kinds.add(new Demand.Kind(
-                    each.name(), each.share(), 1000 * each.workMs().draw(draw::between), each.variation()));
+                    each.name(), each.share(), 1000 * each.workMs().sample(draw::between), each.variation()));
         }
         int agents = plan.agents().count();
         int[] zones = new int[agents];
@@ -72,11 +72,11 @@
                 List.copyOf(kinds),
                 zones,
                 shares,
-                plan.callers().tryShare().draw(draw::between),
-                1000 * plan.network().crossMs().draw(draw::between),
-                (long) (1000 * told.reportMs().draw(draw::between)),
-                1000 * told.probeMs().draw(draw::between),
-                1000 * told.connectionMs().draw(draw::between),
+                plan.callers().tryShare().sample(draw::between),
+                1000 * plan.network().crossMs().sample(draw::between),
+                (long) (1000 * told.reportMs().sample(draw::between)),
+                1000 * told.probeMs().sample(draw::between),
+                1000 * told.connectionMs().sample(draw::between),
                 troubles(plan, seed));
     }
 
@@ -87,7 +87,7 @@
     private static List<Nodo> nodos(Plan plan, RandomStream draw, RandomStream starts) {
         Plan.Nodos told = plan.nodos();
         double[] shares = told.kinds().stream().mapToDouble(Plan.Machine::share).toArray();
-        double limitedShare = told.limited().draw(draw::between);
+        double limitedShare = told.limited().sample(draw::between);
         List<Nodo> nodos = new ArrayList<>();
         int[] left = new int[plan.zones().size()];
         int[] cells = new int[plan.zones().size()];
@@ -97,13 +97,13 @@
         for (int i = 0; i < told.count(); i++) {
             int zone = zone(plan, i);
             if (left[zone] == 0) {
-                left[zone] = (int) StrictMath.rint(told.bloque().draw(draw::between));
+                left[zone] = (int) StrictMath.rint(told.bloque().sample(draw::between));
                 cells[zone] = nextCell++;
-                limits[zone] = draw.unit() < limitedShare ? told.limit().draw(draw::between) : 1;
+                limits[zone] = draw.unit() < limitedShare ? told.limit().sample(draw::between) : 1;
             }
             left[zone]--;
             Plan.Machine kind = told.kinds().get(kinds[i]);
-            double speed = kind.speed().draw(draw::between);
+            double speed = kind.speed().sample(draw::between);
             NodoModel.Machine machine = new NodoModel.Machine(
                     kind.cores(),
                     speed,
@@ -112,8 +112,8 @@
                     kind.thrash(),
                     kind.thrashAt(),
                     warmth(
-                            told.coldFrom().draw(starts::between),
-                            told.coldSeconds().draw(starts::between)),
+                            told.coldFrom().sample(starts::between),
+                            told.coldSeconds().sample(starts::between)),
                     warmth(told.coldFrom().low(), told.coldSeconds().high()),
                     plan.rules().fallMultiple(),
                     (long) (1e6 * plan.rules().fallSeconds()));
@@ -175,12 +175,12 @@
                     };
             troubles.add(new Trouble(
                     fault,
-                    (long) (1e6 * fault.at().draw(draw::between)),
-                    (long) (1e6 * fault.lasts().draw(draw::between)),
+                    (long) (1e6 * fault.at().sample(draw::between)),
+                    (long) (1e6 * fault.lasts().sample(draw::between)),
                     targets(plan, fault, most, draw),
-                    fault.size().draw(draw::between),
-                    (long) (1e6 * fault.every().draw(draw::between)),
-                    (long) (1e6 * fault.spread().draw(draw::between))));
+                    fault.size().sample(draw::between),
+                    (long) (1e6 * fault.every().sample(draw::between)),
+                    (long) (1e6 * fault.spread().sample(draw::between))));
         }
         troubles.sort((a, b) -> Long.compare(a.at, b.at));
         return List.copyOf(troubles);
--- a/src/main/java/gatefront/rehearsal/VirtualAgent.java
+++ b/src/main/java/gatefront/rehearsal/VirtualAgent.java
@@ -40,7 +40,7 @@
         if (!machine.running()) {
             machine.boot();
         }
-        Agent mine = Agent.start(Config.of(config()), besides(), outside.apply(machine.transport()), module);
+        Agent mine = Agent.start(Config.fromJson(config()), besides(), outside.apply(machine.transport()), module);
         agent = mine;
         mine.whenEnded(() -> {
             if (agent == mine) {
@@ -80,7 +80,7 @@
     @Override
     void reload() {
         if (agent != null) {
-            agent.reload(() -> Config.of(config()));
+            agent.reload(() -> Config.fromJson(config()));
         }
     }
 
--- a/src/main/java/gatefront/rehearsal/net/VirtualHost.java
+++ b/src/main/java/gatefront/rehearsal/net/VirtualHost.java
@@ -129,22 +129,22 @@
     }
 
     @Override
-    public ChannelFactory<? extends ServerChannel> listeners() {
+    public ChannelFactory<? extends ServerChannel> serverChannels() {
         return () -> new MemoryServerChannel(this);
     }
 
     @Override
-    public ChannelFactory<? extends Channel> dialers() {
+    public ChannelFactory<? extends Channel> clientChannels() {
         return () -> new MemoryChannel(null, this);
     }
 
     @Override
-    public boolean silent(Channel channel) {
+    public boolean hasNoUnreadInput(Channel channel) {
         return ((MemoryChannel) channel).silent();
     }
 
     @Override
-    public long memory() {
+    public long maxMemoryBytes() {
         return memory;
     }
 
--- a/src/main/java/gatefront/rehearsal/plan/PlanReader.java
+++ b/src/main/java/gatefront/rehearsal/plan/PlanReader.java
@@ -58,7 +58,7 @@
      * @throws TomlException if it cannot be played
      */
     public static Plan read(Path path) throws TomlException {
-        return parse(path.toString(), TomlFile.text(path, "; built in are " + String.join(", ", BUILT_IN)));
+        return parse(path.toString(), TomlFile.read(path, "; built in are " + String.join(", ", BUILT_IN)));
     }
 
     /** A plan that comes with the jar. */
@@ -117,12 +117,12 @@
         for (TomlTable each : top.tables("faults")) {
             Fault fault = fault(each, seconds, agents.count(), nodos.count(), zones);
             if (fault.kind().ofRegistry() && padron.source().equals("padron")) {
-                throw each.bad(
+                throw each.invalid(
                         "kind", fault.kind().word() + " needs a registry: [padron] source = \"etcd\" or \"consul\"");
             }
             faults.add(fault);
         }
-        top.finish();
+        top.rejectUnknownKeys();
         return new Plan(
                 name,
                 seconds,
@@ -143,11 +143,11 @@
         Set<String> seen = new HashSet<>();
         for (String each : names) {
             if (!seen.add(each)) {
-                throw table.bad(key, "\"" + each + "\" stands there twice");
+                throw table.invalid(key, "\"" + each + "\" stands there twice");
             }
         }
         if (names.isEmpty() && !key.equals("tenants")) {
-            throw table.bad(key, "is missing; at least one is needed");
+            throw table.invalid(key, "is missing; at least one is needed");
         }
     }
 
@@ -163,29 +163,29 @@
 
     private static Plan.Agents agents(TomlTable t) throws TomlException {
         return new Plan.Agents(
-                t.whole("count", 5, 1, COUNT_MOST),
-                t.whole("sockets", 384, 64, 1 << 20),
-                t.whole("memory_mb", 128, 16, 1 << 20),
+                t.integer("count", 5, 1, COUNT_MOST),
+                t.integer("sockets", 384, 64, 1 << 20),
+                t.integer("memory_mb", 128, 16, 1 << 20),
                 t.number("skew", 0.5, 0, 3));
     }
 
     private static Plan.Nodos nodos(TomlTable t) throws TomlException {
         List<Plan.Machine> kinds = new ArrayList<>();
         for (TomlTable each : t.tables("kinds")) {
-            int cores = each.whole("cores", 2, 1, 1024);
+            int cores = each.integer("cores", 2, 1, 1024);
             kinds.add(new Plan.Machine(
                     each.text("name", null),
                     each.number("share", 1.0, 0, MANY),
                     cores,
                     each.range("speed", new NumberRange(1, 1), 0.01, 100),
-                    each.whole("slots", 2 * cores, 1, 100_000),
-                    each.whole("room", 16 * cores, 0, 1_000_000),
+                    each.integer("slots", 2 * cores, 1, 100_000),
+                    each.integer("room", 16 * cores, 0, 1_000_000),
                     each.number("thrash", 0.0, 0, 10),
                     each.number("thrash_at", 4.0, 0, 1000)));
         }
         distinct(t, "kinds", kinds.stream().map(Plan.Machine::name).toList());
         return new Plan.Nodos(
-                t.whole("count", 14, 1, COUNT_MOST),
+                t.integer("count", 14, 1, COUNT_MOST),
                 t.range("bloque", new NumberRange(6, 10), 1, 10_000),
                 t.range("limited", new NumberRange(0, 0), 0, 1),
                 t.range("limit", new NumberRange(0.6, 0.6), 0.01, 1),
@@ -195,7 +195,7 @@
                 t.number("noise", 0.1, 0, 1),
                 t.range("probe_ms", new NumberRange(0.51, 1), 0, 1000),
                 t.range("connection_ms", new NumberRange(1, 1), 0, 1000),
-                t.whole("connections", 200, 1, 1 << 20),
+                t.integer("connections", 200, 1, 1 << 20),
                 t.number("idle_s", 60.0, 0.1, 3600),
                 kinds);
     }
@@ -206,18 +206,18 @@
                 t.number("drain_ms", 500.0, 0, 60_000),
                 t.number("fall_multiple", 3.0, 1, 1000),
                 t.number("fall_s", 3.0, 0.1, 600),
-                t.whole("max_attempts", 6, 1, 60));
+                t.integer("max_attempts", 6, 1, 60));
     }
 
     private static Plan.Callers callers(TomlTable t, List<Plan.Kind> classes) throws TomlException {
         return new Plan.Callers(
                 t.number("rate", null, 0.01, 1e6),
-                t.whole("retries", 2, 0, 20),
+                t.integer("retries", 2, 0, 20),
                 t.number("backoff_ms", 50.0, 1, 60_000),
                 t.number("honour", 0.8, 0, 1),
                 t.range("try_share", new NumberRange(0.5, 0.8), 0.05, 1),
                 t.number("hint_error", 0.4, 0, 5),
-                t.flag("marks_retry", true),
+                t.bool("marks_retry", true),
                 t.number("retry_after_ms", 1000.0, 0, 60_000));
     }
 
@@ -228,7 +228,7 @@
                     t.word("repeats", null, List.of("safe", "keyed", "unsafe")).toUpperCase(Locale.ROOT));
             boolean keyed = semantics == Semantics.KEYED;
             if (!keyed && (t.has("window_ms") || t.has("dropped_by"))) {
-                throw t.bad(
+                throw t.invalid(
                         t.has("window_ms") ? "window_ms" : "dropped_by",
                         "means something for repeats = \"keyed\" only");
             }
@@ -237,7 +237,7 @@
             double aim = t.number("aim_ms", null, 1, 3_600_000);
             double giveUp = t.number("give_up_ms", null, 1, 3_600_000);
             if (aim > giveUp) {
-                throw t.bad("aim_ms", "is later than give_up_ms, when nobody waits any more");
+                throw t.invalid("aim_ms", "is later than give_up_ms, when nobody waits any more");
             }
             classes.add(new Plan.Kind(
                     t.text("name", null),
@@ -265,13 +265,13 @@
         NumberRange at = t.range("at_s", null, 0, seconds);
         List<String> names = t.texts("names");
         if (kind.whom() == Fault.Kind.Whom.NOBODY && (t.has("names") || t.has("share"))) {
-            throw t.bad(t.has("names") ? "names" : "share", "means nothing for " + word + ": it meets all");
+            throw t.invalid(t.has("names") ? "names" : "share", "means nothing for " + word + ": it meets all");
         }
         String prefix = kind.whom() == Fault.Kind.Whom.AGENTS ? "agent-" : "nodo-";
         int most = kind.whom() == Fault.Kind.Whom.AGENTS ? agents : nodos;
         for (String name : names) {
             if (!name.matches(prefix + "[1-9][0-9]{0,5}") || Integer.parseInt(name.substring(prefix.length())) > most) {
-                throw t.bad("names", "\"" + name + "\" is none of " + prefix + "1 to " + prefix + most);
+                throw t.invalid("names", "\"" + name + "\" is none of " + prefix + "1 to " + prefix + most);
             }
         }
         NumberRange size = kind.sized() ? t.range("size", null, 0, 1000) : new NumberRange(1, 1);
@@ -280,23 +280,23 @@
                 || kind == Fault.Kind.BREAK_OFF
                 || kind == Fault.Kind.HURRY;
         if (part && size.high() > 1) {
-            throw t.bad("size", "is a part for " + word + ", from 0 to 1");
+            throw t.invalid("size", "is a part for " + word + ", from 0 to 1");
         }
         if ((kind == Fault.Kind.SLOW || kind == Fault.Kind.JUMP) && size.low() <= 0) {
-            throw t.bad("size", "is a factor for " + word + ", above 0");
+            throw t.invalid("size", "is a factor for " + word + ", above 0");
         }
         for (String key : List.of("zone", "spread_s")) {
             if (t.has(key)
                     && (kind.whom() == Fault.Kind.Whom.NOBODY
                             || kind == Fault.Kind.AGENT_RESTART && key.equals("spread_s"))) {
-                throw t.bad(
+                throw t.invalid(
                         key,
                         "means nothing for " + word
                                 + (kind == Fault.Kind.AGENT_RESTART ? ": for_s says how far apart" : ": it meets all"));
             }
         }
         if (t.has("zone") && t.has("names")) {
-            throw t.bad("zone", "cannot stand beside names, which tell already whom it meets");
+            throw t.invalid("zone", "cannot stand beside names, which tell already whom it meets");
         }
         int zone = t.has("zone") ? zones.indexOf(t.word("zone", null, zones)) : -1;
         return new Fault(
--- a/src/main/java/gatefront/rehearsal/processes/ProcessPlanReader.java
+++ b/src/main/java/gatefront/rehearsal/processes/ProcessPlanReader.java
@@ -32,7 +32,7 @@
 
     /** Reads a plan file; {@code agents} in place of the plan's, where it is not null. */
     public static ProcessPlan read(Path path, Integer agents) throws TomlException {
-        return parse(path.toString(), TomlFile.text(path, "; built in are " + String.join(", ", BUILT_IN)), agents);
+        return parse(path.toString(), TomlFile.read(path, "; built in are " + String.join(", ", BUILT_IN)), agents);
     }
 
     /** A plan that comes with the jar. */
@@ -51,13 +51,13 @@
         String name = top.text("name", null);
         String base = top.word("day", "processes", List.of("processes"));
         double seconds = top.number("seconds", null, 2, 3_600);
-        int usual = top.whole("agents", 24, 1, AGENTS_MOST);
-        int nodos = top.whole("nodos", usual, 1, PlanReader.COUNT_MOST);
-        boolean keeps = top.flag("keeps", true);
+        int usual = top.integer("agents", 24, 1, AGENTS_MOST);
+        int nodos = top.integer("nodos", usual, 1, PlanReader.COUNT_MOST);
+        boolean keeps = top.bool("keeps", true);
         double load = top.number("load", 0.5, 0.01, 2);
         int agents = asked == null ? usual : asked;
         if (agents < 1 || agents > AGENTS_MOST) {
-            throw top.bad("agents", "is to be 1 to " + AGENTS_MOST);
+            throw top.invalid("agents", "is to be 1 to " + AGENTS_MOST);
         }
         Plan day = PlanReader.parse(base + ".toml", PlanReader.builtInText(FOLDER + base));
         Plan sized = day.sized(agents, Math.max(1, (nodos * agents + usual - 1) / usual))
@@ -68,7 +68,7 @@
             Fault fault = PlanReader.fault(
                     each, seconds, sized.agents().count(), sized.nodos().count(), sized.zones());
             if (fault.kind().whom() == Fault.Kind.Whom.AGENTS || fault.kind().ofRegistry()) {
-                throw each.bad("kind", "is not of the world; [[faults]] has what happens to processes");
+                throw each.invalid("kind", "is not of the world; [[faults]] has what happens to processes");
             }
             world.add(fault);
         }
@@ -76,7 +76,7 @@
         for (TomlTable each : top.tables("faults")) {
             faults.add(fault(each, seconds, sized));
         }
-        top.finish();
+        top.rejectUnknownKeys();
         return new ProcessPlan(name, sized.with(world), keeps, List.copyOf(faults));
     }
 
@@ -85,22 +85,22 @@
         List<String> names = names(t, "names", "agent-", day.agents().count());
         List<String> nodos = names(t, "nodos", "nodo-", day.nodos().count());
         if (kind.byHand() == nodos.isEmpty()) {
-            throw t.bad(
+            throw t.invalid(
                     "nodos",
                     kind.byHand()
                             ? "is missing; it says who is taken out or put back"
                             : "means nothing for " + kind.word());
         }
         if (t.has("state") && kind != Kind.KILL) {
-            throw t.bad("state", "goes with kind = \"kill\": a folder is changed while its process is dead");
+            throw t.invalid("state", "goes with kind = \"kill\": a folder is changed while its process is dead");
         }
         for (String key : List.of("clock_s", "disk_kb")) {
             if (t.has(key) && kind != Kind.KILL && kind != Kind.TERM) {
-                throw t.bad(key, "goes with kind = \"kill\" or \"term\": it is for the next process");
+                throw t.invalid(key, "goes with kind = \"kill\" or \"term\": it is for the next process");
             }
         }
         if (t.has("links") != kind.ofLinks()) {
-            throw t.bad(
+            throw t.invalid(
                     "links",
                     kind.ofLinks()
                             ? "is missing; it says which links: nodos, padron, callers, door, all"
@@ -108,7 +108,7 @@
         }
         State state = word(t, "state", State.KEPT, State.values());
         if (t.has("saved_s") != (state == State.OLDER)) {
-            throw t.bad(
+            throw t.invalid(
                     "saved_s",
                     state == State.OLDER
                             ? "is missing; it is the second of which the older copy is"
@@ -125,7 +125,7 @@
                 t.range("spread_s", new NumberRange(0, 0), 0, 3600),
                 state,
                 t.number("clock_s", 0.0, -DAYS, DAYS),
-                t.whole("disk_kb", 0, 0, 1 << 20),
+                t.integer("disk_kb", 0, 0, 1 << 20),
                 saved,
                 word(t, "links", Links.ALL, Links.values()),
                 word(t, "direction", Direction.BOTH, Direction.values()),
@@ -137,7 +137,7 @@
         List<String> names = t.texts(key);
         for (String name : names) {
             if (!name.matches(prefix + "[1-9][0-9]{0,5}") || Integer.parseInt(name.substring(prefix.length())) > most) {
-                throw t.bad(key, "\"" + name + "\" is none of " + prefix + "1 to " + prefix + most);
+                throw t.invalid(key, "\"" + name + "\" is none of " + prefix + "1 to " + prefix + most);
             }
         }
         return names;
--- a/src/main/java/gatefront/rehearsal/registry/RegistryStandIn.java
+++ b/src/main/java/gatefront/rehearsal/registry/RegistryStandIn.java
@@ -59,7 +59,7 @@
     public ChannelFuture listen(InetSocketAddress at) {
         ChannelFuture bound = new ServerBootstrap()
                 .group(transport.loop())
-                .channelFactory(transport.listeners())
+                .channelFactory(transport.serverChannels())
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
--- a/src/main/java/gatefront/status/OperatorHttpServer.java
+++ b/src/main/java/gatefront/status/OperatorHttpServer.java
@@ -28,7 +28,7 @@
 
 /** HTTP/1.1 for staff: one call a connection, a bound on connections, a time for a call that does not end. */
 public abstract class OperatorHttpServer {
-    private static final int BODY_MAX = 1 << 10;
+    private static final int MAX_BODY_BYTES = 1 << 10;
 
     /** An answer: its status, the type of its text, the text. */
     public record Reply(int status, String type, String text) {
@@ -40,8 +40,8 @@
 
     private final Transport transport;
     private final InetSocketAddress listen;
-    private final int connectionsMost;
-    private final long patienceMs;
+    private final int maxConnections;
+    private final long requestTimeoutMs;
     /** The oldest first. Each is removed when it closes: after its answer or its time, or for a newer one. */
     private final Set<Channel> open = new LinkedHashSet<>();
 
@@ -52,24 +52,25 @@
      *
      * @param transport its loop and network
      * @param listen where
-     * @param connectionsMost open at the most; the oldest then ends, for its caller has had the most time
-     * @param patienceMs a call not ended by then is cut off
+     * @param maxConnections open at the most; the oldest then ends, for its caller has had the most time
+     * @param requestTimeoutMs a call not ended by then is cut off
      */
-    protected OperatorHttpServer(Transport transport, InetSocketAddress listen, int connectionsMost, long patienceMs) {
+    protected OperatorHttpServer(
+            Transport transport, InetSocketAddress listen, int maxConnections, long requestTimeoutMs) {
         this.transport = transport;
         this.listen = listen;
-        this.connectionsMost = connectionsMost;
-        this.patienceMs = patienceMs;
+        this.maxConnections = maxConnections;
+        this.requestTimeoutMs = requestTimeoutMs;
     }
 
     /** Answers a call that could be read; on the loop, at once or later. */
-    protected abstract void call(FullHttpRequest request, Consumer<Reply> answer);
+    protected abstract void handle(FullHttpRequest request, Consumer<Reply> answer);
 
     /** Begins to listen; the future tells whether it could. */
     public final ChannelFuture listen() {
         ChannelFuture bound = new ServerBootstrap()
                 .group(transport.loop())
-                .channelFactory(transport.listeners())
+                .channelFactory(transport.serverChannels())
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
@@ -93,19 +94,19 @@
     }
 
     private void accept(Channel ch) {
-        if (open.size() >= connectionsMost) {
+        if (open.size() >= maxConnections) {
             open.iterator().next().close();
         }
         open.add(ch);
-        var cutOff = transport.loop().schedule(() -> ch.close(), patienceMs, TimeUnit.MILLISECONDS);
+        var timeout = transport.loop().schedule(() -> ch.close(), requestTimeoutMs, TimeUnit.MILLISECONDS);
         ch.closeFuture().addListener(closed -> {
             open.remove(ch);
-            cutOff.cancel(false);
+            timeout.cancel(false);
         });
-        ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(BODY_MAX), new Answers());
+        ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new RequestHandler());
     }
 
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private boolean answered;
 
         @Override
@@ -114,13 +115,14 @@
                 return; // one call a connection
             }
             answered = true;
-            Throwable unread = request.decoderResult().cause();
-            if (unread instanceof TooLongHttpHeaderException || unread instanceof TooLongHttpLineException) {
+            Throwable decodeFailure = request.decoderResult().cause();
+            if (decodeFailure instanceof TooLongHttpHeaderException
+                    || decodeFailure instanceof TooLongHttpLineException) {
                 answer(ctx, Reply.plain(431, "too long\n"));
-            } else if (unread != null) {
+            } else if (decodeFailure != null) {
                 answer(ctx, Reply.plain(400, "not to be read\n"));
             } else {
-                call(request, reply -> answer(ctx, reply));
+                handle(request, reply -> answer(ctx, reply));
             }
         }
 
--- a/src/main/java/gatefront/status/ProcessMetrics.java
+++ b/src/main/java/gatefront/status/ProcessMetrics.java
@@ -11,14 +11,14 @@
  * and take 2 MB to load; the kernel's files are read in some microseconds, and only where somebody asks.
  *
  * @param heapUsed bytes, garbage with it
- * @param heapTaken bytes that the process has of the system for it
- * @param heapMost bytes
+ * @param heapCommitted bytes that the process has of the system for it
+ * @param heapMax bytes
  * @param buffers bytes of buffers outside the heap, as the allocator has them
  * @param resident bytes of memory in use; -1 where the system does not tell
  * @param descriptors open ones; -1 where the system does not tell
  */
 public record ProcessMetrics(
-        long heapUsed, long heapTaken, long heapMost, long buffers, long resident, long descriptors) {
+        long heapUsed, long heapCommitted, long heapMax, long buffers, long resident, long descriptors) {
     private static final Path MEMORY = Path.of("/proc/self/statm");
     private static final Path DESCRIPTORS = Path.of("/proc/self/fd");
     private static final long PAGE = 4_096;
@@ -45,8 +45,8 @@
 
     private static long descriptorsNow() {
         long count = -1; // that of the folder itself
-        try (DirectoryStream<Path> all = Files.newDirectoryStream(DESCRIPTORS)) {
-            for (Path each : all) {
+        try (DirectoryStream<Path> entries = Files.newDirectoryStream(DESCRIPTORS)) {
+            for (Path entry : entries) {
                 count++;
             }
             return count;
--- a/src/main/java/gatefront/status/StatusEndpoint.java
+++ b/src/main/java/gatefront/status/StatusEndpoint.java
@@ -9,19 +9,19 @@
 
 /** Answers {@code GET /status} and {@code GET /status.json}, one request a connection. */
 public final class StatusEndpoint extends OperatorHttpServer {
-    private static final int CONNECTIONS_MOST = 4;
-    private static final long PATIENCE_MS = 2_000;
+    private static final int MAX_CONNECTIONS = 4;
+    private static final long REQUEST_TIMEOUT_MS = 2_000;
 
     private final ResourceBudget budget;
 
     /** Listens to nobody yet. */
     public StatusEndpoint(Transport transport, InetSocketAddress listen, ResourceBudget budget) {
-        super(transport, listen, CONNECTIONS_MOST, PATIENCE_MS);
+        super(transport, listen, MAX_CONNECTIONS, REQUEST_TIMEOUT_MS);
         this.budget = budget;
     }
 
     @Override
-    protected void call(FullHttpRequest request, Consumer<Reply> answer) {
+    protected void handle(FullHttpRequest request, Consumer<Reply> answer) {
         answer.accept(reply(request));
     }
 
--- a/src/main/java/gatefront/status/StatusPage.java
+++ b/src/main/java/gatefront/status/StatusPage.java
@@ -24,17 +24,22 @@
                 "highest",
                 "cap",
                 "turned away"));
-        for (ResourcePurpose each : ResourcePurpose.values()) {
-            ResourceAccount a = budget.account(each);
+        for (ResourcePurpose purpose : ResourcePurpose.values()) {
+            ResourceAccount account = budget.account(purpose);
             out.append(String.format(
                     Locale.ROOT,
                     "%-20s %9d %9d %9s ",
-                    each.label(),
-                    a.entries(),
-                    a.peakEntries(),
-                    cap(a.entriesCap())));
+                    purpose.label(),
+                    account.entries(),
+                    account.peakEntries(),
+                    cap(account.entriesCap())));
             out.append(String.format(
-                    Locale.ROOT, "%12d %12d %12s %11d%n", a.bytes(), a.peakBytes(), cap(a.bytesCap()), a.rejections()));
+                    Locale.ROOT,
+                    "%12d %12d %12s %11d%n",
+                    account.bytes(),
+                    account.peakBytes(),
+                    cap(account.bytesCap()),
+                    account.rejections()));
         }
         return out.append(String.format(
                         Locale.ROOT,
@@ -46,19 +51,19 @@
                         Locale.ROOT,
                         "heap                 %d of %d bytes, garbage with it%n",
                         process.heapUsed(),
-                        process.heapMost()))
+                        process.heapMax()))
                 .append(String.format(
                         Locale.ROOT, "buffers              %d bytes outside the heap%n", process.buffers()))
                 .append(String.format(
                         Locale.ROOT,
                         "process              %s bytes resident, %s descriptors%n",
-                        known(process.resident()),
-                        known(process.descriptors())))
+                        format(process.resident()),
+                        format(process.descriptors())))
                 .toString();
     }
 
-    private static String known(long figure) {
-        return figure < 0 ? "unknown" : String.valueOf(figure);
+    private static String format(long value) {
+        return value < 0 ? "unknown" : String.valueOf(value);
     }
 
     private static String cap(long cap) {
@@ -69,26 +74,26 @@
     public static ObjectNode json(ResourceBudget budget, ProcessMetrics process) {
         ObjectNode root = JsonNodeFactory.instance.objectNode();
         ObjectNode purposes = root.putObject("purposes");
-        for (ResourcePurpose each : ResourcePurpose.values()) {
-            ResourceAccount a = budget.account(each);
-            ObjectNode one = purposes.putObject(each.label())
-                    .put("entries", a.entries())
-                    .put("entries_highest", a.peakEntries())
-                    .put("bytes", a.bytes())
-                    .put("bytes_highest", a.peakBytes())
-                    .put("turned_away", a.rejections());
-            if (a.entriesCap() != Long.MAX_VALUE) {
-                one.put("entries_cap", a.entriesCap());
+        for (ResourcePurpose purpose : ResourcePurpose.values()) {
+            ResourceAccount account = budget.account(purpose);
+            ObjectNode fields = purposes.putObject(purpose.label())
+                    .put("entries", account.entries())
+                    .put("entries_highest", account.peakEntries())
+                    .put("bytes", account.bytes())
+                    .put("bytes_highest", account.peakBytes())
+                    .put("turned_away", account.rejections());
+            if (account.entriesCap() != Long.MAX_VALUE) {
+                fields.put("entries_cap", account.entriesCap());
             }
-            if (a.bytesCap() != Long.MAX_VALUE) {
-                one.put("bytes_cap", a.bytesCap());
+            if (account.bytesCap() != Long.MAX_VALUE) {
+                fields.put("bytes_cap", account.bytesCap());
             }
         }
         root.put("bytes", budget.bytes())
                 .put("bytes_total", budget.totalBytes())
                 .put("pressure", budget.pressure().name().toLowerCase(Locale.ROOT));
         root.put("heap_used", process.heapUsed())
-                .put("heap_most", process.heapMost())
+                .put("heap_most", process.heapMax())
                 .put("buffers", process.buffers());
         if (process.resident() >= 0) {
             root.put("resident", process.resident());
--- a/src/main/java/gatefront/thrift/CallMetadata.java
+++ b/src/main/java/gatefront/thrift/CallMetadata.java
@@ -13,64 +13,64 @@
     boolean clientRetry;
     String idempotencyKey;
     /** Where the time stands in the body, and how many bytes it takes. */
-    int timeoutAt = -1;
+    int timeoutOffset = -1;
 
     int timeoutBytes;
 
     private CallMetadata() {}
 
     /** Reads it; {@code wrong} is why there is none that can be used, else null. */
-    record Found(CallMetadata metadata, String wrong) {}
+    record ParseResult(CallMetadata metadata, String error) {}
 
     /** Takes it from the first argument of a call. */
-    static Found of(ThriftMessage call) {
+    static ParseResult parse(ThriftMessage call) {
         StructReader arguments = new StructReader(call.encoding(), call.body());
         // Guards against a second copy behind the first, of which the server might believe the other.
-        CallMetadata found = null;
+        CallMetadata metadata = null;
         while (arguments.next()) {
             if (arguments.id() != ThriftConventions.METADATA) {
                 continue;
             }
-            if (found != null) {
-                return new Found(null, "argument 1 comes twice");
+            if (metadata != null) {
+                return new ParseResult(null, "argument 1 comes twice");
             }
             StructReader fields = arguments.struct();
             if (fields == null) {
-                return new Found(null, "argument 1 is not the metadata struct");
+                return new ParseResult(null, "argument 1 is not the metadata struct");
             }
-            found = new CallMetadata();
-            String wrong = found.read(fields);
-            if (wrong != null) {
-                return new Found(null, wrong);
+            metadata = new CallMetadata();
+            String error = metadata.read(fields);
+            if (error != null) {
+                return new ParseResult(null, error);
             }
         }
-        return new Found(found, found == null ? "argument 1, the metadata, is missing" : null);
+        return new ParseResult(metadata, metadata == null ? "argument 1, the metadata, is missing" : null);
     }
 
     private String read(StructReader fields) {
-        long seen = 0;
+        long seenIds = 0;
         while (fields.next()) {
             int id = fields.id();
             if (id < ThriftConventions.REQUEST_ID || id > ThriftConventions.IDEMPOTENCY_KEY) {
                 continue; // of a later version
             }
-            if ((seen & 1L << id) != 0) {
+            if ((seenIds & 1L << id) != 0) {
                 return "metadata field " + id + " comes twice";
             }
-            seen |= 1L << id;
-            if (!take(id, fields)) {
+            seenIds |= 1L << id;
+            if (!readField(id, fields)) {
                 return "metadata field " + id + " has another type";
             }
         }
         return null;
     }
 
-    private boolean take(int id, StructReader fields) {
+    private boolean readField(int id, StructReader fields) {
         switch (id) {
             case ThriftConventions.TIMEOUT_MS -> {
-                timeoutAt = fields.position();
+                timeoutOffset = fields.position();
                 Long value = fields.number();
-                timeoutBytes = fields.position() - timeoutAt;
+                timeoutBytes = fields.position() - timeoutOffset;
                 timeoutMs = value == null ? 0 : value;
                 return value != null;
             }
--- a/src/main/java/gatefront/thrift/ThriftFrontend.java
+++ b/src/main/java/gatefront/thrift/ThriftFrontend.java
@@ -31,12 +31,12 @@
  * answers apart by their order. What is no message ends its connection, once what came before it is answered.
  */
 public final class ThriftFrontend extends AbstractFrontend {
-    private static final long TIMEOUT_MS_MAX = 3_600_000;
+    private static final long MAX_TIMEOUT_MS = 3_600_000;
     /** Calls of one connection in work at the most, and read ahead beyond these before it is left alone. */
-    private static final int IN_FLIGHT_MOST = 32;
+    private static final int MAX_IN_FLIGHT = 32;
 
-    private static final int AHEAD_MOST = 4;
-    private static final int REPLY_OVERHEAD = 160;
+    private static final int MAX_QUEUED = 4;
+    private static final int REPLY_OVERHEAD_BYTES = 160;
 
     private final Transport transport;
     private final Config config;
@@ -49,11 +49,11 @@
             Transport transport,
             Config config,
             ThriftSettings settings,
-            int connectionsMost,
+            int maxConnections,
             BooleanSupplier ready,
             ResourceBudget budget,
             Listener listener) {
-        super(transport, settings.listen(), connectionsMost, budget);
+        super(transport, settings.listen(), maxConnections, budget);
         this.transport = transport;
         this.config = config;
         this.settings = settings;
@@ -63,49 +63,49 @@
 
     @Override
     protected void initPipeline(DuplexChannel channel) {
-        MessageDecoder decoder = new MessageDecoder(MessageLimits.USUAL, settings.form());
-        channel.pipeline().addLast(decoder, new Caller(channel, decoder));
+        MessageDecoder decoder = new MessageDecoder(MessageLimits.DEFAULT, settings.format());
+        channel.pipeline().addLast(decoder, new ClientConnection(channel, decoder));
     }
 
     /** One call and the answer it is owed. */
     private final class Exchange implements gatefront.engine.Exchange {
-        private final Caller connection;
+        private final ClientConnection connection;
         private final ThriftMessage call;
-        private final boolean declares;
+        private final boolean declaresExceptions;
         private boolean answered;
 
-        private Exchange(Caller connection, ThriftMessage call, boolean declares) {
+        private Exchange(ClientConnection connection, ThriftMessage call, boolean declaresExceptions) {
             this.connection = connection;
             this.call = call;
-            this.declares = declares;
+            this.declaresExceptions = declaresExceptions;
         }
 
         @Override
         public void served(Payload payload) {
             if (call.header().type() == MessageHeader.Type.ONEWAY) {
-                answer(null, null);
+                respond(null, null);
             } else {
-                pass(payload);
+                forward(payload);
             }
         }
 
         @Override
         public void rejected(Payload payload) {
-            pass(payload);
+            forward(payload);
         }
 
-        private void pass(Payload payload) {
+        private void forward(Payload payload) {
             ThriftMessage reply = ((ThriftReply) payload).message();
-            answer(reply.header().type(), reply.body());
+            respond(reply.header().type(), reply.body());
         }
 
         @Override
         public void refused(long retryAfterMicros) {
             long millis = Math.max(1, retryAfterMicros / 1000);
-            if (declares) {
-                answer(MessageHeader.Type.REPLY, ErrorResults.refused(call.encoding(), "not started", millis));
+            if (declaresExceptions) {
+                respond(MessageHeader.Type.REPLY, ErrorResults.refused(call.encoding(), "not started", millis));
             } else {
-                answer(
+                respond(
                         MessageHeader.Type.EXCEPTION,
                         ErrorResults.application(
                                 call.encoding(),
@@ -115,48 +115,48 @@
         }
 
         @Override
-        public void failed(Failure why) {
+        public void failed(Failure failure) {
             String reason =
-                    switch (why) {
+                    switch (failure) {
                         case NOT_SERVED -> "no server has served it";
                         case TIME_UP -> "its time is up";
                         case DUPLICATE -> "another of the same request id is held";
                         case INTERNAL -> "a fault of the agent's own";
                     };
-            if (declares) {
-                answer(MessageHeader.Type.REPLY, ErrorResults.failed(call.encoding(), reason));
+            if (declaresExceptions) {
+                respond(MessageHeader.Type.REPLY, ErrorResults.failed(call.encoding(), reason));
             } else {
-                answer(
+                respond(
                         MessageHeader.Type.EXCEPTION,
                         ErrorResults.application(
                                 call.encoding(), ThriftConventions.INTERNAL_ERROR, "failed: " + reason));
             }
         }
 
-        private void wrong(int type, String why) {
-            answer(MessageHeader.Type.EXCEPTION, ErrorResults.application(call.encoding(), type, why));
+        private void respondWithError(int type, String message) {
+            respond(MessageHeader.Type.EXCEPTION, ErrorResults.application(call.encoding(), type, message));
         }
 
         /** Gives the final answer; a call that wants none gets none, and is over all the same. */
-        private void answer(MessageHeader.Type type, byte[] body) {
+        private void respond(MessageHeader.Type type, byte[] body) {
             if (!answered && connection.inFlight.get(call.header().seqid()) == this) {
                 answered = true;
-                connection.answered(call, type, body);
+                connection.complete(call, type, body);
             }
         }
     }
 
     /** One connection of the application's. */
-    private final class Caller extends Connection {
+    private final class ClientConnection extends Connection {
         private final MessageDecoder decoder;
         /** Owed an answer, by seqid, in the order in which they came. */
         private final Map<Integer, Exchange> inFlight = new LinkedHashMap<>();
 
-        private final Deque<ThriftMessage> ahead = new ArrayDeque<>();
+        private final Deque<ThriftMessage> queued = new ArrayDeque<>();
         /** What came was wrong, and more of it may be on the way. */
-        private boolean unread;
+        private boolean mayHaveUnreadInput;
 
-        Caller(DuplexChannel channel, MessageDecoder decoder) {
+        ClientConnection(DuplexChannel channel, MessageDecoder decoder) {
             super(channel);
             this.decoder = decoder;
         }
@@ -167,173 +167,175 @@
                 return;
             }
             if (read instanceof MalformedMessageException) {
-                stop();
+                stopReading();
                 return;
             }
             ThriftMessage call = (ThriftMessage) read;
             if (!reserve(call.body().length)) {
-                stop(); // without room it cannot even wait for its turn
+                stopReading(); // without room it cannot even wait for its turn
                 return;
             }
-            ahead.add(call);
-            next();
+            queued.add(call);
+            processQueued();
         }
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            if ((state() == State.NEW || state() == State.KEEP_ALIVE) && decoder.begun()) {
+            if ((state() == State.NEW || state() == State.KEEP_ALIVE) && decoder.hasPartialMessage()) {
                 transitionTo(State.READING_REQUEST);
             }
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-            next();
+            processQueued();
         }
 
         @Override
         protected void onReadTimeout() {
-            stop();
+            stopReading();
         }
 
         /** Nothing more is read; what has come before is answered, and then the connection ends. */
-        private void stop() {
+        private void stopReading() {
             ignoresInput = true;
-            unread = true;
+            mayHaveUnreadInput = true;
             channel.config().setAutoRead(false);
-            if (inFlight.isEmpty() && ahead.isEmpty()) {
+            if (inFlight.isEmpty() && queued.isEmpty()) {
                 closeAfterWrite(channel.writeAndFlush(Unpooled.EMPTY_BUFFER), true);
             }
         }
 
         @Override
         protected void onClosed() {
-            ahead.clear();
-            List<Exchange> left = List.copyOf(inFlight.values());
+            queued.clear();
+            List<Exchange> abandoned = List.copyOf(inFlight.values());
             inFlight.clear();
-            left.forEach(listener::clientLeft);
+            abandoned.forEach(listener::clientLeft);
         }
 
         /** Takes what has come, as far as it may be in work at once, and not while answers are still to be read. */
-        private void next() {
-            while (!ahead.isEmpty()
+        private void processQueued() {
+            while (!queued.isEmpty()
                     && channel.isWritable()
-                    && inFlight.size() < IN_FLIGHT_MOST
-                    && !inFlight.containsKey(ahead.peek().header().seqid())) {
-                take(ahead.poll());
+                    && inFlight.size() < MAX_IN_FLIGHT
+                    && !inFlight.containsKey(queued.peek().header().seqid())) {
+                process(queued.poll());
             }
             if (!ignoresInput) {
-                channel.config().setAutoRead(ahead.size() < AHEAD_MOST);
+                channel.config().setAutoRead(queued.size() < MAX_QUEUED);
             }
         }
 
-        private void take(ThriftMessage message) {
+        private void process(ThriftMessage message) {
             transitionTo(State.AWAITING_RESPONSE);
             MessageHeader header = message.header();
             ThriftSettings.Method method = settings.method(header.name());
-            Exchange exchange = new Exchange(this, message, method != null && method.declares());
+            Exchange exchange = new Exchange(this, message, method != null && method.declaresExceptions());
             inFlight.put(header.seqid(), exchange);
             try {
                 if (header.type() != MessageHeader.Type.CALL && header.type() != MessageHeader.Type.ONEWAY) {
-                    exchange.wrong(ThriftConventions.INVALID_MESSAGE_TYPE, "neither a call nor oneway");
+                    exchange.respondWithError(ThriftConventions.INVALID_MESSAGE_TYPE, "neither a call nor oneway");
                 } else if (header.name().equals(ThriftConventions.HEALTH)) {
-                    exchange.answer(
+                    exchange.respond(
                             MessageHeader.Type.REPLY,
                             ErrorResults.health(message.encoding(), ready.getAsBoolean() && !isMarkedNotReady()));
                 } else if (method == null) {
-                    exchange.wrong(ThriftConventions.UNKNOWN_METHOD, "unknown method " + header.name());
+                    exchange.respondWithError(ThriftConventions.UNKNOWN_METHOD, "unknown method " + header.name());
                 } else {
-                    call(message, method, exchange);
+                    dispatch(message, method, exchange);
                 }
             } catch (RuntimeException e) {
                 // Guards against a fault here that would leave the client without its answer.
                 transport.log("call failed: " + e);
-                exchange.wrong(ThriftConventions.INTERNAL_ERROR, "a fault of the agent's own");
+                exchange.respondWithError(ThriftConventions.INTERNAL_ERROR, "a fault of the agent's own");
             }
         }
 
-        private void call(ThriftMessage message, ThriftSettings.Method method, Exchange exchange) {
-            CallMetadata.Found found = CallMetadata.of(message);
-            String wrong = found.wrong() != null ? found.wrong() : check(found.metadata(), method);
-            if (wrong != null) {
-                exchange.wrong(ThriftConventions.PROTOCOL_ERROR, wrong);
+        private void dispatch(ThriftMessage message, ThriftSettings.Method method, Exchange exchange) {
+            CallMetadata.ParseResult parsed = CallMetadata.parse(message);
+            String error = parsed.error() != null ? parsed.error() : validate(parsed.metadata(), method);
+            if (error != null) {
+                exchange.respondWithError(ThriftConventions.PROTOCOL_ERROR, error);
                 return;
             }
-            CallMetadata data = found.metadata();
+            CallMetadata metadata = parsed.metadata();
             listener.request(
                     new ClientRequest(
-                            data.requestId,
+                            metadata.requestId,
                             method.requestClass(),
-                            Math.max(0, config.tenants().indexOf(data.tenant)),
-                            data.affinityKey.isEmpty() ? 0 : Config.id(data.affinityKey),
-                            data.workHint,
-                            data.timeoutMs,
-                            data.clientRetry,
-                            new ThriftCall(message, data.timeoutAt, data.timeoutBytes)),
+                            Math.max(0, config.tenants().indexOf(metadata.tenant)),
+                            metadata.affinityKey.isEmpty() ? 0 : Config.id(metadata.affinityKey),
+                            metadata.workHint,
+                            metadata.timeoutMs,
+                            metadata.clientRetry,
+                            new ThriftCall(message, metadata.timeoutOffset, metadata.timeoutBytes)),
                     exchange);
         }
 
-        private void answered(ThriftMessage call, MessageHeader.Type type, byte[] body) {
+        private void complete(ThriftMessage call, MessageHeader.Type type, byte[] body) {
             inFlight.remove(call.header().seqid());
             release(call.body().length);
-            ChannelFuture written = call.header().type() == MessageHeader.Type.ONEWAY
+            ChannelFuture writeFuture = call.header().type() == MessageHeader.Type.ONEWAY
                     ? null
-                    : writeResponse(reply(call, type, body), body.length);
+                    : writeResponse(encodeReply(call, type, body), body.length);
             if (closesAfterResponse() && !ignoresInput) {
                 ignoresInput = true; // Guards against a caller that goes on asking, whose connection would never end.
                 channel.config().setAutoRead(false);
             }
             if (!inFlight.isEmpty()) {
-                proceed();
+                scheduleQueued();
                 return;
             }
-            if (ahead.isEmpty() && ignoresInput) {
-                closeAfterWrite(written == null ? channel.writeAndFlush(Unpooled.EMPTY_BUFFER) : written, unread);
+            if (queued.isEmpty() && ignoresInput) {
+                closeAfterWrite(
+                        writeFuture == null ? channel.writeAndFlush(Unpooled.EMPTY_BUFFER) : writeFuture,
+                        mayHaveUnreadInput);
             } else {
-                transitionTo(decoder.begun() ? State.READING_REQUEST : State.KEEP_ALIVE);
-                proceed();
+                transitionTo(decoder.hasPartialMessage() ? State.READING_REQUEST : State.KEEP_ALIVE);
+                scheduleQueued();
             }
         }
 
-        private void proceed() {
-            if (!ahead.isEmpty()) {
-                channel.eventLoop().execute(this::next);
+        private void scheduleQueued() {
+            if (!queued.isEmpty()) {
+                channel.eventLoop().execute(this::processQueued);
             }
         }
 
-        private ByteBuf reply(ThriftMessage call, MessageHeader.Type type, byte[] body) {
+        private ByteBuf encodeReply(ThriftMessage call, MessageHeader.Type type, byte[] body) {
             // As servers of several services reply: some generated clients compare the name with the method's alone.
             String name = call.header().name();
             MessageHeader header = new MessageHeader(
                     name.substring(name.indexOf(':') + 1), type, call.header().seqid());
-            ByteBuf out = Unpooled.buffer(body.length + REPLY_OVERHEAD);
+            ByteBuf out = Unpooled.buffer(body.length + REPLY_OVERHEAD_BYTES);
             MessageEncoder.write(
                     new ThriftMessage(call.encoding(), header, body),
-                    decoder.form().framed(),
+                    decoder.format().framed(),
                     out);
             return out;
         }
     }
 
     /** Why a call is not taken, or null. The rules are those of requests over HTTP. */
-    private String check(CallMetadata data, ThriftSettings.Method method) {
-        if (!ClientRequest.isValidId(data.requestId)) {
+    private String validate(CallMetadata metadata, ThriftSettings.Method method) {
+        if (!ClientRequest.isValidId(metadata.requestId)) {
             return "requestId is missing or has not the form of an id";
         }
-        if (data.timeoutMs < 1 || data.timeoutMs > TIMEOUT_MS_MAX) {
-            return "timeoutMs is not within 1 to " + TIMEOUT_MS_MAX;
+        if (metadata.timeoutMs < 1 || metadata.timeoutMs > MAX_TIMEOUT_MS) {
+            return "timeoutMs is not within 1 to " + MAX_TIMEOUT_MS;
         }
-        if (data.workHint < 0) {
+        if (metadata.workHint < 0) {
             return "workHint is negative";
         }
-        if (!config.tenants().isEmpty() && !config.tenants().contains(data.tenant)) {
+        if (!config.tenants().isEmpty() && !config.tenants().contains(metadata.tenant)) {
             return "tenant is not known";
         }
         // Guards against an effect twice: without its key no server would drop a repeat.
         boolean keyed = config.settings().classes().get(method.requestClass()).semantics() == Balancer.Semantics.KEYED;
         if (keyed
-                ? data.idempotencyKey == null || !ClientRequest.isValidId(data.idempotencyKey)
-                : data.idempotencyKey != null) {
+                ? metadata.idempotencyKey == null || !ClientRequest.isValidId(metadata.idempotencyKey)
+                : metadata.idempotencyKey != null) {
             return keyed
                     ? "idempotencyKey is missing or has not the form of an id"
                     : "idempotencyKey on a method that is not keyed";
--- a/src/main/java/gatefront/thrift/ThriftSettings.java
+++ b/src/main/java/gatefront/thrift/ThriftSettings.java
@@ -5,32 +5,32 @@
 import java.util.Map;
 
 /**
- * How an agent speaks Thrift.
+ * Settings for Thrift: the listener for clients, the transport to the servers and the supported methods.
  *
- * @param listen where callers connect
- * @param form the only form that callers' messages may have; null if any is taken
- * @param serverPort where the listed servers speak Thrift, on the host that the list gives
- * @param framedServers whether the servers want frames
- * @param probes whether servers are asked for their health over Thrift, and not over HTTP
- * @param methods by name; behind a service's name and a colon too
+ * @param listen address on which clients connect
+ * @param format the only message format accepted from clients; null accepts any
+ * @param serverPort port on which the servers accept Thrift, on the host given by the server list
+ * @param serversFramed whether messages to the servers are framed
+ * @param probesOverThrift whether health probes are sent over Thrift instead of HTTP
+ * @param methods supported methods by name; a key may be prefixed with the service name and a colon
  */
 public record ThriftSettings(
         InetSocketAddress listen,
-        MessageFormat form,
+        MessageFormat format,
         int serverPort,
-        boolean framedServers,
-        boolean probes,
+        boolean serversFramed,
+        boolean probesOverThrift,
         Map<String, Method> methods) {
     /**
-     * A method that is carried.
+     * A supported method.
      *
-     * @param requestClass index of its class
-     * @param declares whether it declares the exceptions Refused and Failed. Harm, if it is said wrongly: a generated
-     *     client passes over an exception that it does not know, and takes a void method for done
+     * @param requestClass index of its request class
+     * @param declaresExceptions whether it declares the exceptions Refused and Failed. It must not be set for a method
+     *     that does not: a generated client skips an unknown exception and takes a void method as completed
      */
-    public record Method(int requestClass, boolean declares) {}
+    public record Method(int requestClass, boolean declaresExceptions) {}
 
-    /** The method that a name stands for, or null. */
+    /** Returns the method of this name, with or without a service prefix, or null if there is none. */
     Method method(String name) {
         Method found = methods.get(name);
         return found != null ? found : methods.get(name.substring(name.indexOf(':') + 1));
--- a/src/main/java/gatefront/thrift/ThriftUpstream.java
+++ b/src/main/java/gatefront/thrift/ThriftUpstream.java
@@ -31,15 +31,15 @@
  */
 public final class ThriftUpstream extends PooledUpstream {
     private final ThriftSettings settings;
-    private final LoadReportParser load;
+    private final LoadReportParser loadReportParser;
     private final Payload probe;
 
     /** Holds so many connections at the most. */
     public ThriftUpstream(
-            Transport transport, Config config, ThriftSettings settings, int connectionsMost, ResourceBudget budget) {
-        super(transport, connectionsMost, config.connectTimeoutMicros(), config.idleCloseMicros(), budget);
+            Transport transport, Config config, ThriftSettings settings, int maxConnections, ResourceBudget budget) {
+        super(transport, maxConnections, config.connectTimeoutMicros(), config.idleCloseMicros(), budget);
         this.settings = settings;
-        this.load = new LoadReportParser(config.loadFields());
+        this.loadReportParser = new LoadReportParser(config.loadFields());
         this.probe = new ThriftCall(
                 new ThriftMessage(
                         ThriftEncoding.BINARY,
@@ -56,8 +56,8 @@
 
     @Override
     protected void initPipeline(Connection connection, ChannelPipeline pipeline) {
-        MessageDecoder decoder = new MessageDecoder(MessageLimits.USUAL);
-        pipeline.addLast(decoder, new Replies(connection, decoder));
+        MessageDecoder decoder = new MessageDecoder(MessageLimits.DEFAULT);
+        pipeline.addLast(decoder, new ReplyReader(connection, decoder));
     }
 
     @Override
@@ -70,9 +70,9 @@
         ThriftCall call = (ThriftCall) payload;
         MessageHeader header = new MessageHeader(
                 call.message().header().name(), call.message().header().type(), number);
-        byte[] body = call.body(millisLeft);
+        byte[] body = call.bodyWithTimeout(millisLeft);
         ByteBuf out = Unpooled.buffer(body.length + 64);
-        MessageEncoder.write(new ThriftMessage(call.message().encoding(), header, body), settings.framedServers(), out);
+        MessageEncoder.write(new ThriftMessage(call.message().encoding(), header, body), settings.serversFramed(), out);
         return out;
     }
 
@@ -84,58 +84,58 @@
         }
     }
 
-    private final class Replies extends Reader {
+    private final class ReplyReader extends Reader {
         private final MessageDecoder decoder;
 
-        Replies(Connection connection, MessageDecoder decoder) {
+        ReplyReader(Connection connection, MessageDecoder decoder) {
             super(connection);
             this.decoder = decoder;
         }
 
         @Override
         protected boolean read(Attempt attempt, Object read) {
-            if (!(read instanceof ThriftMessage reply) || !answers(reply, attempt)) {
+            if (!(read instanceof ThriftMessage reply) || !matches(reply, attempt)) {
                 return false;
             }
-            attempt.end(result(reply, attempt), !decoder.leftover());
+            attempt.end(result(reply, attempt), !decoder.hasUnreadBytes());
             return true;
         }
     }
 
     /** Guards against the reply to another call, where a server mixes them up. */
-    private static boolean answers(ThriftMessage reply, Attempt attempt) {
+    private static boolean matches(ThriftMessage reply, Attempt attempt) {
         ThriftMessage call = ((ThriftCall) attempt.request()).message();
         MessageHeader.Type type = reply.header().type();
         String name = reply.header().name();
-        boolean named = name.equals(call.header().name())
-                || name.equals(unqualified(call.header().name()));
+        boolean sameName = name.equals(call.header().name())
+                || name.equals(withoutServiceName(call.header().name()));
         return reply.header().seqid() == attempt.number()
-                && reply.encoding().sameBody(call.encoding())
-                && (type == MessageHeader.Type.EXCEPTION || type == MessageHeader.Type.REPLY && named);
+                && reply.encoding().hasSameBodyFormat(call.encoding())
+                && (type == MessageHeader.Type.EXCEPTION || type == MessageHeader.Type.REPLY && sameName);
     }
 
     /** A server that serves several services replies with the method's name alone. */
-    private static String unqualified(String name) {
+    private static String withoutServiceName(String name) {
         return name.substring(name.indexOf(':') + 1);
     }
 
     private Result result(ThriftMessage reply, Attempt attempt) {
         if (reply.header().type() == MessageHeader.Type.EXCEPTION) {
-            return exception(reply);
+            return exceptionResult(reply);
         }
-        boolean probing = attempt.request() == probe;
+        boolean isProbe = attempt.request() == probe;
         Outcome outcome = Outcome.OK;
-        String report = null;
+        String loadReport = null;
         StructReader fields = new StructReader(reply.encoding(), reply.body());
         while (fields.next()) {
-            if (probing && fields.id() == ThriftConventions.SUCCESS && fields.isStruct()) {
+            if (isProbe && fields.id() == ThriftConventions.SUCCESS && fields.isStruct()) {
                 StructReader health = fields.struct();
                 outcome = Outcome.ERROR;
                 while (health.next()) {
                     if (health.id() == ThriftConventions.READY && Boolean.TRUE.equals(health.bool())) {
                         outcome = Outcome.OK;
                     } else if (health.id() == ThriftConventions.HEALTH_LOAD) {
-                        report = health.string();
+                        loadReport = health.string();
                     }
                 }
             } else if (fields.id() == ThriftConventions.REFUSED && fields.isStruct()) {
@@ -143,24 +143,28 @@
             } else if (fields.id() == ThriftConventions.FAILED && fields.isStruct()) {
                 outcome = Outcome.ERROR;
             } else if (fields.id() == ThriftConventions.LOAD) {
-                report = fields.string();
+                loadReport = fields.string();
             }
         }
-        return new Result(outcome, load.parse(report), outcome == Outcome.OK ? new ThriftReply(reply) : null, null);
+        return new Result(
+                outcome,
+                loadReportParser.parse(loadReport),
+                outcome == Outcome.OK ? new ThriftReply(reply) : null,
+                null);
     }
 
-    private static Result exception(ThriftMessage reply) {
+    private static Result exceptionResult(ThriftMessage reply) {
         long type = 0;
         StructReader fields = new StructReader(reply.encoding(), reply.body());
         while (fields.next()) {
             if (fields.id() == ThriftConventions.APPLICATION_TYPE) {
-                Long said = fields.number();
-                type = said == null ? 0 : said;
+                Long value = fields.number();
+                type = value == null ? 0 : value;
             }
         }
-        boolean blamesCall = type == ThriftConventions.UNKNOWN_METHOD
+        boolean rejectsCall = type == ThriftConventions.UNKNOWN_METHOD
                 || type == ThriftConventions.INVALID_MESSAGE_TYPE
                 || type >= ThriftConventions.PROTOCOL_ERROR && type <= ThriftConventions.UNSUPPORTED_CLIENT_TYPE;
-        return new Result(Outcome.ERROR, NO_LOAD, null, blamesCall ? new ThriftReply(reply) : null);
+        return new Result(Outcome.ERROR, NO_LOAD, null, rejectsCall ? new ThriftReply(reply) : null);
     }
 }
--- a/src/main/java/gatefront/thrift/codec/MessageDecoder.java
+++ b/src/main/java/gatefront/thrift/codec/MessageDecoder.java
@@ -19,12 +19,12 @@
     private static final int LENGTH_BYTES = 4;
 
     private final MessageLimits limits;
-    private MessageFormat form;
+    private MessageFormat format;
     private MessageScanner scanner;
     /** Of the frame that is coming in, behind its length; 0 while there is none. */
-    private int frame;
+    private int frameLength;
 
-    private boolean deaf;
+    private boolean failed;
 
     /** Tells the form by the first bytes. */
     public MessageDecoder(MessageLimits limits) {
@@ -32,53 +32,53 @@
     }
 
     /** Takes messages of one form only. */
-    public MessageDecoder(MessageLimits limits, MessageFormat form) {
+    public MessageDecoder(MessageLimits limits, MessageFormat format) {
         this.limits = limits;
-        this.form = form;
+        this.format = format;
     }
 
     /** The form of the messages, or null if nothing has told it yet. */
-    public MessageFormat form() {
-        return form;
+    public MessageFormat format() {
+        return format;
     }
 
     /** Whether a message has begun to come and is not whole. */
-    public boolean begun() {
-        return !deaf && actualReadableBytes() > 0;
+    public boolean hasPartialMessage() {
+        return !failed && actualReadableBytes() > 0;
     }
 
     /** Whether bytes have come that belong to no message read. */
-    public boolean leftover() {
+    public boolean hasUnreadBytes() {
         return actualReadableBytes() > 0;
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-        if (deaf) {
+        if (failed) {
             in.skipBytes(in.readableBytes());
             return;
         }
         try {
-            if (form == null) {
-                form = detect(in);
+            if (format == null) {
+                format = detectFormat(in);
             }
-            ThriftMessage message = form == null ? null : form.framed() ? framed(in) : unframed(in);
+            ThriftMessage message = format == null ? null : format.framed() ? decodeFramed(in) : decodeUnframed(in);
             if (message != null) {
                 out.add(message);
             }
         } catch (MalformedMessageException e) {
-            deaf = true;
+            failed = true;
             in.skipBytes(in.readableBytes());
             out.add(e);
         }
     }
 
-    private MessageFormat detect(ByteBuf in) throws MalformedMessageException {
+    private MessageFormat detectFormat(ByteBuf in) throws MalformedMessageException {
         int first = in.getUnsignedByte(in.readerIndex());
-        if (first == ThriftEncoding.BINARY_FIRST) {
+        if (first == ThriftEncoding.BINARY_FIRST_BYTE) {
             return new MessageFormat(false, ThriftEncoding.BINARY);
         }
-        if (first == ThriftEncoding.COMPACT_FIRST) {
+        if (first == ThriftEncoding.COMPACT_FIRST_BYTE) {
             return new MessageFormat(false, ThriftEncoding.COMPACT);
         }
         if (first > 0x7f) {
@@ -89,57 +89,57 @@
         }
         int length = in.getInt(in.readerIndex());
         int fifth = in.getUnsignedByte(in.readerIndex() + LENGTH_BYTES);
-        if (fifth == ThriftEncoding.BINARY_FIRST) {
+        if (fifth == ThriftEncoding.BINARY_FIRST_BYTE) {
             return new MessageFormat(true, ThriftEncoding.BINARY);
         }
-        if (fifth == ThriftEncoding.COMPACT_FIRST) {
+        if (fifth == ThriftEncoding.COMPACT_FIRST_BYTE) {
             return new MessageFormat(true, ThriftEncoding.COMPACT);
         }
         if (fifth == 0) {
             return new MessageFormat(true, ThriftEncoding.BINARY_OLD);
         }
-        if (length <= limits.name() && fifth > ' ' && fifth <= '~') {
+        if (length <= limits.maxNameBytes() && fifth > ' ' && fifth <= '~') {
             return new MessageFormat(false, ThriftEncoding.BINARY_OLD);
         }
         throw new MalformedMessageException("no message of any form that is known");
     }
 
-    private ThriftMessage unframed(ByteBuf in) throws MalformedMessageException {
+    private ThriftMessage decodeUnframed(ByteBuf in) throws MalformedMessageException {
         if (scanner == null) {
-            scanner = new MessageScanner(form.encoding(), limits, limits.message());
+            scanner = new MessageScanner(format.encoding(), limits, limits.maxMessageBytes());
         }
-        return scanner.scan(in, in.readerIndex(), in.writerIndex()) ? take(in) : null;
+        return scanner.scan(in, in.readerIndex(), in.writerIndex()) ? readMessage(in) : null;
     }
 
-    private ThriftMessage framed(ByteBuf in) throws MalformedMessageException {
-        if (frame == 0) {
+    private ThriftMessage decodeFramed(ByteBuf in) throws MalformedMessageException {
+        if (frameLength == 0) {
             if (in.readableBytes() < LENGTH_BYTES) {
                 return null;
             }
             int length = in.getInt(in.readerIndex());
-            if (length <= 0 || length > limits.message()) {
+            if (length <= 0 || length > limits.maxMessageBytes()) {
                 throw new MalformedMessageException(
-                        "a frame of " + length + " bytes, where 1 to " + limits.message() + " are permitted");
+                        "a frame of " + length + " bytes, where 1 to " + limits.maxMessageBytes() + " are permitted");
             }
             in.skipBytes(LENGTH_BYTES);
-            frame = length;
-            scanner = new MessageScanner(form.encoding(), limits, length);
+            frameLength = length;
+            scanner = new MessageScanner(format.encoding(), limits, length);
         }
         if (!scanner.scan(in, in.readerIndex(), in.writerIndex())) {
             return null;
         }
-        if (scanner.passed() < frame) {
+        if (scanner.scannedBytes() < frameLength) {
             throw new MalformedMessageException(
-                    "a frame of " + frame + " bytes around a message of " + scanner.passed());
+                    "a frame of " + frameLength + " bytes around a message of " + scanner.scannedBytes());
         }
-        frame = 0;
-        return take(in);
+        frameLength = 0;
+        return readMessage(in);
     }
 
-    private ThriftMessage take(ByteBuf in) {
-        byte[] body = new byte[scanner.passed() - scanner.bodyAt()];
-        in.skipBytes(scanner.bodyAt()).readBytes(body);
-        ThriftMessage message = new ThriftMessage(form.encoding(), scanner.header(), body);
+    private ThriftMessage readMessage(ByteBuf in) {
+        byte[] body = new byte[scanner.scannedBytes() - scanner.bodyOffset()];
+        in.skipBytes(scanner.bodyOffset()).readBytes(body);
+        ThriftMessage message = new ThriftMessage(format.encoding(), scanner.header(), body);
         scanner = null;
         return message;
     }
--- a/src/main/java/gatefront/thrift/codec/MessageEncoder.java
+++ b/src/main/java/gatefront/thrift/codec/MessageEncoder.java
@@ -15,44 +15,44 @@
      *
      * @param message what
      * @param framed whether behind its length
-     * @param to where
+     * @param out where
      */
-    public static void write(ThriftMessage message, boolean framed, ByteBuf to) {
-        int lengthAt = to.writerIndex();
+    public static void write(ThriftMessage message, boolean framed, ByteBuf out) {
+        int lengthIndex = out.writerIndex();
         if (framed) {
-            to.writeInt(0);
+            out.writeInt(0);
         }
         byte[] name = message.header().name().getBytes(StandardCharsets.ISO_8859_1);
         int type = message.header().type().number();
         int seqid = message.header().seqid();
         switch (message.encoding()) {
-            case BINARY -> to.writeInt(STRICT_VERSION | type)
+            case BINARY -> out.writeInt(STRICT_VERSION | type)
                     .writeInt(name.length)
                     .writeBytes(name)
                     .writeInt(seqid);
-            case BINARY_OLD -> to.writeInt(name.length)
+            case BINARY_OLD -> out.writeInt(name.length)
                     .writeBytes(name)
                     .writeByte(type)
                     .writeInt(seqid);
             case COMPACT -> {
-                to.writeByte(ThriftEncoding.COMPACT_FIRST).writeByte(type << 5 | COMPACT_VERSION);
-                varint(seqid & 0xffffffffL, to);
-                varint(name.length, to);
-                to.writeBytes(name);
+                out.writeByte(ThriftEncoding.COMPACT_FIRST_BYTE).writeByte(type << 5 | COMPACT_VERSION);
+                writeVarint(seqid & 0xffffffffL, out);
+                writeVarint(name.length, out);
+                out.writeBytes(name);
             }
         }
-        to.writeBytes(message.body());
+        out.writeBytes(message.body());
         if (framed) {
-            to.setInt(lengthAt, to.writerIndex() - lengthAt - 4);
+            out.setInt(lengthIndex, out.writerIndex() - lengthIndex - 4);
         }
     }
 
-    static void varint(long value, ByteBuf to) {
-        long rest = value;
-        while ((rest & ~0x7fL) != 0) {
-            to.writeByte((int) (rest & 0x7f | 0x80));
-            rest >>>= 7;
+    static void writeVarint(long value, ByteBuf out) {
+        long remaining = value;
+        while ((remaining & ~0x7fL) != 0) {
+            out.writeByte((int) (remaining & 0x7f | 0x80));
+            remaining >>>= 7;
         }
-        to.writeByte((int) rest);
+        out.writeByte((int) remaining);
     }
 }
--- a/src/main/java/gatefront/thrift/codec/MessageScanner.java
+++ b/src/main/java/gatefront/thrift/codec/MessageScanner.java
@@ -17,42 +17,42 @@
     private static final int STRUCT = 100;
     private static final int LIST = 101;
     private static final int MAP = 102;
-    private static final int MORE = -1;
+    private static final int INCOMPLETE = -1;
 
     private final ThriftEncoding encoding;
     private final MessageLimits limits;
     /** The message has so many bytes at the most. */
-    private final int bound;
+    private final int maxBytes;
     /** What is open, the outermost first: what it is, values left, types of the values at odd and even places. */
-    private final int[] kind;
+    private final int[] openKinds;
 
-    private final int[] left;
-    private final int[] odd;
-    private final int[] even;
+    private final int[] valuesLeft;
+    private final int[] oddTypes;
+    private final int[] evenTypes;
     private int depth;
     private ByteBuf in;
-    private int start;
+    private int messageStart;
     private int available;
     /** Bytes of the message passed, and bytes to be passed over next. */
-    private int at;
+    private int position;
 
-    private long skip;
+    private long bytesToSkip;
     /** The type of the value that is next, or STOP. */
-    private int next = STOP;
+    private int nextType = STOP;
 
     private boolean inContainer;
     private MessageHeader header;
-    private int bodyAt;
+    private int bodyOffset;
 
     /** One message in an encoding, of so many bytes at the most. */
-    MessageScanner(ThriftEncoding encoding, MessageLimits limits, int bound) {
+    MessageScanner(ThriftEncoding encoding, MessageLimits limits, int maxBytes) {
         this.encoding = encoding;
         this.limits = limits;
-        this.bound = bound;
-        kind = new int[limits.depth()];
-        left = new int[limits.depth()];
-        odd = new int[limits.depth()];
-        even = new int[limits.depth()];
+        this.maxBytes = maxBytes;
+        openKinds = new int[limits.maxDepth()];
+        valuesLeft = new int[limits.maxDepth()];
+        oddTypes = new int[limits.maxDepth()];
+        evenTypes = new int[limits.maxDepth()];
     }
 
     /** The head, once it has been read, or null. */
@@ -61,143 +61,146 @@
     }
 
     /** Where the struct behind the head begins, in bytes from the message's first. */
-    int bodyAt() {
-        return bodyAt;
+    int bodyOffset() {
+        return bodyOffset;
     }
 
     /** Bytes passed so far; the message's length, once it is whole. */
-    int passed() {
-        return at;
+    int scannedBytes() {
+        return position;
     }
 
     /**
      * Goes on.
      *
      * @param bytes has the message from {@code from} on
-     * @param from index of the message's first byte
-     * @param until index behind the last byte that there is
+     * @param start index of the message's first byte
+     * @param end index behind the last byte that there is
      * @return whether the message is whole
      * @throws MalformedMessageException if it is none
      */
-    boolean scan(ByteBuf bytes, int from, int until) throws MalformedMessageException {
+    boolean scan(ByteBuf bytes, int start, int end) throws MalformedMessageException {
         in = bytes;
-        start = from;
-        available = Math.min(until - from, bound);
+        messageStart = start;
+        available = Math.min(end - start, maxBytes);
         if (header == null) {
-            if (!head()) {
-                return starved();
+            if (!readHeader()) {
+                return awaitMoreInput();
             }
-            bodyAt = at;
+            bodyOffset = position;
             open(STRUCT, 0, 0, 0);
         }
         while (depth > 0) {
-            if (skip > 0) {
-                int passing = (int) Math.min(skip, available - at);
-                at += passing;
-                skip -= passing;
-                if (skip > 0) {
-                    return starved();
+            if (bytesToSkip > 0) {
+                int skippable = (int) Math.min(bytesToSkip, available - position);
+                position += skippable;
+                bytesToSkip -= skippable;
+                if (bytesToSkip > 0) {
+                    return awaitMoreInput();
                 }
-            } else if (next != STOP) {
-                if (!(encoding == ThriftEncoding.COMPACT ? compactValue(next) : binaryValue(next))) {
-                    return starved();
+            } else if (nextType != STOP) {
+                if (!(encoding == ThriftEncoding.COMPACT ? compactValue(nextType) : binaryValue(nextType))) {
+                    return awaitMoreInput();
                 }
             } else if (!advance()) {
-                return starved();
+                return awaitMoreInput();
             }
         }
         return true;
     }
 
     /** There are no bytes to go on with; within the bound there will never be, if it has been reached. */
-    private boolean starved() throws MalformedMessageException {
-        if (available == bound) {
-            throw new MalformedMessageException("longer than the " + bound + " bytes that it may have");
+    private boolean awaitMoreInput() throws MalformedMessageException {
+        if (available == maxBytes) {
+            throw new MalformedMessageException("longer than the " + maxBytes + " bytes that it may have");
         }
         return false;
     }
 
-    private boolean has(int n) {
-        return available - at >= n;
+    private boolean hasBytes(int count) {
+        return available - position >= count;
     }
 
-    private int unsigned(int offset) {
-        return in.getUnsignedByte(start + at + offset);
+    private int unsignedByte(int offset) {
+        return in.getUnsignedByte(messageStart + position + offset);
     }
 
     // ---- The head ----
 
-    private boolean head() throws MalformedMessageException {
+    private boolean readHeader() throws MalformedMessageException {
         return switch (encoding) {
-            case BINARY -> strictHead();
-            case BINARY_OLD -> oldHead();
-            case COMPACT -> compactHead();
+            case BINARY -> readStrictHeader();
+            case BINARY_OLD -> readOldHeader();
+            case COMPACT -> readCompactHeader();
         };
     }
 
-    private boolean strictHead() throws MalformedMessageException {
-        if (!has(8)) {
+    private boolean readStrictHeader() throws MalformedMessageException {
+        if (!hasBytes(8)) {
             return false;
         }
-        int version = in.getInt(start);
+        int version = in.getInt(messageStart);
         if ((version & 0xffffff00) != 0x80010000) {
             throw new MalformedMessageException(String.format("version %08x of the binary protocol", version));
         }
         Type type = Type.of(version & 0xff);
-        int length = nameLength(in.getInt(start + 4));
-        if (!has(12 + length)) {
+        int length = checkNameLength(in.getInt(messageStart + 4));
+        if (!hasBytes(12 + length)) {
             return false;
         }
-        header = new MessageHeader(name(start + 8, length), type, in.getInt(start + 8 + length));
-        at = 12 + length;
+        header = new MessageHeader(readName(messageStart + 8, length), type, in.getInt(messageStart + 8 + length));
+        position = 12 + length;
         return true;
     }
 
-    private boolean oldHead() throws MalformedMessageException {
-        if (!has(4)) {
+    private boolean readOldHeader() throws MalformedMessageException {
+        if (!hasBytes(4)) {
             return false;
         }
-        int length = nameLength(in.getInt(start));
-        if (!has(9 + length)) {
+        int length = checkNameLength(in.getInt(messageStart));
+        if (!hasBytes(9 + length)) {
             return false;
         }
         header = new MessageHeader(
-                name(start + 4, length), Type.of(in.getByte(start + 4 + length)), in.getInt(start + 5 + length));
-        at = 9 + length;
+                readName(messageStart + 4, length),
+                Type.of(in.getByte(messageStart + 4 + length)),
+                in.getInt(messageStart + 5 + length));
+        position = 9 + length;
         return true;
     }
 
-    private boolean compactHead() throws MalformedMessageException {
-        if (!has(2)) {
+    private boolean readCompactHeader() throws MalformedMessageException {
+        if (!hasBytes(2)) {
             return false;
         }
-        if (in.getUnsignedByte(start) != ThriftEncoding.COMPACT_FIRST || (in.getByte(start + 1) & 0x1f) != 1) {
+        if (in.getUnsignedByte(messageStart) != ThriftEncoding.COMPACT_FIRST_BYTE
+                || (in.getByte(messageStart + 1) & 0x1f) != 1) {
             throw new MalformedMessageException("version of the compact protocol");
         }
-        Type type = Type.of(in.getUnsignedByte(start + 1) >> 5);
-        int seqidBytes = varintBytes(2, 5);
-        int lengthBytes = seqidBytes == MORE ? MORE : varintBytes(2 + seqidBytes, 5);
-        if (lengthBytes == MORE) {
+        Type type = Type.of(in.getUnsignedByte(messageStart + 1) >> 5);
+        int seqidBytes = varintLength(2, 5);
+        int lengthBytes = seqidBytes == INCOMPLETE ? INCOMPLETE : varintLength(2 + seqidBytes, 5);
+        if (lengthBytes == INCOMPLETE) {
             return false;
         }
-        int length = nameLength((int) Math.min(varint(2 + seqidBytes, lengthBytes), Integer.MAX_VALUE));
-        int before = 2 + seqidBytes + lengthBytes;
-        if (!has(before + length)) {
+        int length = checkNameLength((int) Math.min(readVarint(2 + seqidBytes, lengthBytes), Integer.MAX_VALUE));
+        int nameOffset = 2 + seqidBytes + lengthBytes;
+        if (!hasBytes(nameOffset + length)) {
             return false;
         }
-        header = new MessageHeader(name(start + before, length), type, (int) varint(2, seqidBytes));
-        at = before + length;
+        header = new MessageHeader(readName(messageStart + nameOffset, length), type, (int) readVarint(2, seqidBytes));
+        position = nameOffset + length;
         return true;
     }
 
-    private int nameLength(int said) throws MalformedMessageException {
-        if (said < 0 || said > limits.name()) {
-            throw new MalformedMessageException("a method's name of " + (said & 0xffffffffL) + " bytes");
+    private int checkNameLength(int length) throws MalformedMessageException {
+        if (length < 0 || length > limits.maxNameBytes()) {
+            throw new MalformedMessageException("a method's name of " + (length & 0xffffffffL) + " bytes");
         }
-        return said;
+        return length;
     }
 
-    private String name(int from, int length) throws MalformedMessageException {
+    private String readName(int from, int length) throws MalformedMessageException {
         String name = in.toString(from, length, StandardCharsets.ISO_8859_1);
         for (int i = 0; i < length; i++) {
             if (name.charAt(i) <= ' ' || name.charAt(i) > '~') {
@@ -209,112 +212,113 @@
 
     // ---- The struct ----
 
-    private void open(int what, int values, int oddType, int evenType) throws MalformedMessageException {
-        if (depth == kind.length) {
-            throw new MalformedMessageException("nested more than " + kind.length + " deep");
+    private void open(int kind, int values, int oddType, int evenType) throws MalformedMessageException {
+        if (depth == openKinds.length) {
+            throw new MalformedMessageException("nested more than " + openKinds.length + " deep");
         }
-        kind[depth] = what;
-        left[depth] = values;
-        odd[depth] = oddType;
-        even[depth] = evenType;
+        openKinds[depth] = kind;
+        valuesLeft[depth] = values;
+        oddTypes[depth] = oddType;
+        evenTypes[depth] = evenType;
         depth++;
     }
 
     /** Goes to the next value of what is open, or closes it. */
     private boolean advance() throws MalformedMessageException {
         int top = depth - 1;
-        if (kind[top] == STRUCT) {
+        if (openKinds[top] == STRUCT) {
             return encoding == ThriftEncoding.COMPACT ? compactField() : binaryField();
         }
-        if (left[top] == 0) {
+        if (valuesLeft[top] == 0) {
             depth--;
         } else {
-            next = (left[top] & 1) == 0 ? even[top] : odd[top];
-            if (next == STOP) {
+            nextType = (valuesLeft[top] & 1) == 0 ? evenTypes[top] : oddTypes[top];
+            if (nextType == STOP) {
                 throw new MalformedMessageException(
                         "values of type 0"); // they would take no bytes, and no end of steps
             }
             inContainer = true;
-            left[top]--;
+            valuesLeft[top]--;
         }
         return true;
     }
 
-    private void pass(long bytes) throws MalformedMessageException {
-        if (bytes < 0 || bytes > bound - at) {
-            throw new MalformedMessageException("says " + bytes + " bytes where at most " + (bound - at) + " are left");
+    private void skipBytes(long bytes) throws MalformedMessageException {
+        if (bytes < 0 || bytes > maxBytes - position) {
+            throw new MalformedMessageException(
+                    "says " + bytes + " bytes where at most " + (maxBytes - position) + " are left");
         }
-        skip = bytes;
-        next = STOP;
+        bytesToSkip = bytes;
+        nextType = STOP;
     }
 
     /** Opens a list or map of so many values, each of a byte at the least. */
-    private void openContainer(int what, long values, int oddType, int evenType) throws MalformedMessageException {
-        if (values < 0 || values > bound - at) {
+    private void openContainer(int kind, long values, int oddType, int evenType) throws MalformedMessageException {
+        if (values < 0 || values > maxBytes - position) {
             throw new MalformedMessageException(
-                    "says " + values + " values where at most " + (bound - at) + " bytes are left");
+                    "says " + values + " values where at most " + (maxBytes - position) + " bytes are left");
         }
-        next = STOP;
-        open(what, (int) values, oddType, evenType);
+        nextType = STOP;
+        open(kind, (int) values, oddType, evenType);
     }
 
     // ---- Binary ----
 
     private boolean binaryField() {
-        if (!has(1)) {
+        if (!hasBytes(1)) {
             return false;
         }
-        int type = unsigned(0);
+        int type = unsignedByte(0);
         if (type == STOP) {
-            at++;
+            position++;
             depth--;
             return true;
         }
-        if (!has(3)) {
+        if (!hasBytes(3)) {
             return false;
         }
-        at += 3;
-        next = type;
+        position += 3;
+        nextType = type;
         inContainer = false;
         return true;
     }
 
     private boolean binaryValue(int type) throws MalformedMessageException {
         switch (type) {
-            case 2, 3 -> pass(1);
-            case 6 -> pass(2);
-            case 8 -> pass(4);
-            case 4, 10 -> pass(8);
-            case 16 -> pass(16);
+            case 2, 3 -> skipBytes(1);
+            case 6 -> skipBytes(2);
+            case 8 -> skipBytes(4);
+            case 4, 10 -> skipBytes(8);
+            case 16 -> skipBytes(16);
             case 11 -> {
-                if (!has(4)) {
+                if (!hasBytes(4)) {
                     return false;
                 }
-                int length = in.getInt(start + at);
-                at += 4;
-                pass(length);
+                int length = in.getInt(messageStart + position);
+                position += 4;
+                skipBytes(length);
             }
             case 12 -> {
-                next = STOP;
+                nextType = STOP;
                 open(STRUCT, 0, 0, 0);
             }
             case 13 -> {
-                if (!has(6)) {
+                if (!hasBytes(6)) {
                     return false;
                 }
-                int keys = unsigned(0);
-                int values = unsigned(1);
-                int size = in.getInt(start + at + 2);
-                at += 6;
+                int keys = unsignedByte(0);
+                int values = unsignedByte(1);
+                int size = in.getInt(messageStart + position + 2);
+                position += 6;
                 openContainer(MAP, 2L * size, values, keys);
             }
             case 14, 15 -> {
-                if (!has(5)) {
+                if (!hasBytes(5)) {
                     return false;
                 }
-                int elements = unsigned(0);
-                int size = in.getInt(start + at + 1);
-                at += 5;
+                int elements = unsignedByte(0);
+                int size = in.getInt(messageStart + position + 1);
+                position += 5;
                 openContainer(LIST, size, elements, elements);
             }
             default -> throw new MalformedMessageException("type " + type + " of the binary protocol");
@@ -325,55 +329,55 @@
     // ---- Compact ----
 
     private boolean compactField() throws MalformedMessageException {
-        if (!has(1)) {
+        if (!hasBytes(1)) {
             return false;
         }
-        int first = unsigned(0);
+        int first = unsignedByte(0);
         if (first == STOP) {
-            at++;
+            position++;
             depth--;
             return true;
         }
         int bytes = 1;
         if (first >> 4 == 0) {
-            int id = varintBytes(at + 1, 3);
-            if (id == MORE) {
+            int idBytes = varintLength(position + 1, 3);
+            if (idBytes == INCOMPLETE) {
                 return false;
             }
-            bytes += id;
+            bytes += idBytes;
         }
         int type = first & 0xf;
         if (type == STOP) {
             throw new MalformedMessageException("type 0 of the compact protocol");
         }
-        at += bytes;
-        next = type;
+        position += bytes;
+        nextType = type;
         inContainer = false;
         return true;
     }
 
     private boolean compactValue(int type) throws MalformedMessageException {
         switch (type) {
-            case 1, 2 -> pass(inContainer ? 1 : 0); // a field's type is its value
-            case 3 -> pass(1);
+            case 1, 2 -> skipBytes(inContainer ? 1 : 0); // a field's type is its value
+            case 3 -> skipBytes(1);
             case 4, 5, 6 -> {
-                int bytes = varintBytes(at, type == 4 ? 3 : type == 5 ? 5 : 10);
-                if (bytes == MORE) {
+                int bytes = varintLength(position, type == 4 ? 3 : type == 5 ? 5 : 10);
+                if (bytes == INCOMPLETE) {
                     return false;
                 }
-                at += bytes;
-                next = STOP;
+                position += bytes;
+                nextType = STOP;
             }
-            case 7 -> pass(8);
-            case 13 -> pass(16);
+            case 7 -> skipBytes(8);
+            case 13 -> skipBytes(16);
             case 8 -> {
-                int bytes = varintBytes(at, 5);
-                if (bytes == MORE) {
+                int bytes = varintLength(position, 5);
+                if (bytes == INCOMPLETE) {
                     return false;
                 }
-                long length = varint(at, bytes);
-                at += bytes;
-                pass(length);
+                long length = readVarint(position, bytes);
+                position += bytes;
+                skipBytes(length);
             }
             case 9, 10 -> {
                 return compactList();
@@ -382,7 +386,7 @@
                 return compactMap();
             }
             case 12 -> {
-                next = STOP;
+                nextType = STOP;
                 open(STRUCT, 0, 0, 0);
             }
             default -> throw new MalformedMessageException("type " + type + " of the compact protocol");
@@ -391,52 +395,52 @@
     }
 
     private boolean compactList() throws MalformedMessageException {
-        if (!has(1)) {
+        if (!hasBytes(1)) {
             return false;
         }
-        int first = unsigned(0);
+        int first = unsignedByte(0);
         long size = first >> 4;
         int bytes = 1;
         if (size == 15) {
-            int more = varintBytes(at + 1, 5);
-            if (more == MORE) {
+            int sizeBytes = varintLength(position + 1, 5);
+            if (sizeBytes == INCOMPLETE) {
                 return false;
             }
-            size = varint(at + 1, more);
-            bytes += more;
+            size = readVarint(position + 1, sizeBytes);
+            bytes += sizeBytes;
         }
-        at += bytes;
+        position += bytes;
         openContainer(LIST, size, first & 0xf, first & 0xf);
         return true;
     }
 
     private boolean compactMap() throws MalformedMessageException {
-        int bytes = varintBytes(at, 5);
-        if (bytes == MORE) {
+        int bytes = varintLength(position, 5);
+        if (bytes == INCOMPLETE) {
             return false;
         }
-        long size = varint(at, bytes);
+        long size = readVarint(position, bytes);
         if (size == 0) {
-            at += bytes;
+            position += bytes;
             openContainer(MAP, 0, 0, 0);
             return true;
         }
-        if (!has(bytes + 1)) {
+        if (!hasBytes(bytes + 1)) {
             return false;
         }
-        int types = unsigned(bytes);
-        at += bytes + 1;
+        int types = unsignedByte(bytes);
+        position += bytes + 1;
         openContainer(MAP, 2 * size, types & 0xf, types >> 4);
         return true;
     }
 
     /** How many bytes the varint at an offset has, or MORE if its end is not there yet. */
-    private int varintBytes(int offset, int most) throws MalformedMessageException {
-        for (int i = 0; i < most; i++) {
+    private int varintLength(int offset, int maxLength) throws MalformedMessageException {
+        for (int i = 0; i < maxLength; i++) {
             if (offset + i >= available) {
-                return MORE;
+                return INCOMPLETE;
             }
-            if (in.getByte(start + offset + i) >= 0) {
+            if (in.getByte(messageStart + offset + i) >= 0) {
                 return i + 1;
             }
         }
@@ -444,10 +448,10 @@
     }
 
     /** An unsigned varint of 32 bits, or the low 32 bits of a longer one. */
-    private long varint(int offset, int bytes) {
+    private long readVarint(int offset, int bytes) {
         long value = 0;
         for (int i = 0; i < Math.min(bytes, 5); i++) {
-            value |= (in.getByte(start + offset + i) & 0x7fL) << 7 * i;
+            value |= (in.getByte(messageStart + offset + i) & 0x7fL) << 7 * i;
         }
         return value & 0xffffffffL;
     }
--- a/src/main/java/gatefront/thrift/codec/StructReader.java
+++ b/src/main/java/gatefront/thrift/codec/StructReader.java
@@ -12,13 +12,13 @@
     private final ThriftEncoding encoding;
     private final ByteBuffer in;
     private int id;
-    private int last;
+    private int lastId;
     /** By the binary protocol's numbers; 0 behind the last field. */
     private int type;
     /** A bool's value in the compact protocol, which is part of its field's head. */
-    private boolean set;
+    private boolean compactBool;
 
-    private boolean read = true;
+    private boolean valueRead = true;
 
     /** Stands before the first field. */
     public StructReader(ThriftEncoding encoding, byte[] struct) {
@@ -32,14 +32,14 @@
 
     /** Goes to the next field; false if there is none. What the one before holds is passed over, if not read. */
     public boolean next() {
-        if (!read) {
+        if (!valueRead) {
             skip(type);
         }
-        read = false;
+        valueRead = false;
         int first = in.get() & 0xff;
         if (first == 0) {
             type = 0;
-            read = true;
+            valueRead = true;
             return false;
         }
         if (encoding != ThriftEncoding.COMPACT) {
@@ -47,10 +47,10 @@
             id = in.getShort();
             return true;
         }
-        id = first >> 4 == 0 ? (short) zigzag() : last + (first >> 4);
-        last = id;
-        type = binary(first & 0xf);
-        set = (first & 0xf) == 1;
+        id = first >> 4 == 0 ? (short) readZigzag() : lastId + (first >> 4);
+        lastId = id;
+        type = toBinaryType(first & 0xf);
+        compactBool = (first & 0xf) == 1;
         return true;
     }
 
@@ -74,8 +74,8 @@
         if (type != 11) {
             return null;
         }
-        read = true;
-        byte[] bytes = new byte[encoding == ThriftEncoding.COMPACT ? (int) varint() : in.getInt()];
+        valueRead = true;
+        byte[] bytes = new byte[encoding == ThriftEncoding.COMPACT ? (int) readVarint() : in.getInt()];
         in.get(bytes);
         return new String(bytes, StandardCharsets.UTF_8);
     }
@@ -85,12 +85,12 @@
         if (type != 3 && type != 6 && type != 8 && type != 10) {
             return null;
         }
-        read = true;
+        valueRead = true;
         if (type == 3) {
             return (long) in.get();
         }
         if (encoding == ThriftEncoding.COMPACT) {
-            return zigzag();
+            return readZigzag();
         }
         return type == 6 ? in.getShort() : type == 8 ? in.getInt() : in.getLong();
     }
@@ -100,8 +100,8 @@
         if (type != 2) {
             return null;
         }
-        read = true;
-        return encoding == ThriftEncoding.COMPACT ? set : in.get() != 0;
+        valueRead = true;
+        return encoding == ThriftEncoding.COMPACT ? compactBool : in.get() != 0;
     }
 
     /** A field that is a struct, or null; to be read to its end before this goes on. */
@@ -109,12 +109,12 @@
         if (type != 12) {
             return null;
         }
-        read = true;
+        valueRead = true;
         return new StructReader(encoding, in);
     }
 
-    private static int binary(int compact) {
-        return switch (compact) {
+    private static int toBinaryType(int compactType) {
+        return switch (compactType) {
             case 1, 2 -> 2;
             case 3 -> 3;
             case 4 -> 6;
@@ -130,20 +130,20 @@
         };
     }
 
-    private void skip(int what) {
-        switch (what) {
-            case 2 -> pass(encoding == ThriftEncoding.COMPACT ? 0 : 1);
-            case 3 -> pass(1);
-            case 4 -> pass(8);
-            case 16 -> pass(16);
+    private void skip(int valueType) {
+        switch (valueType) {
+            case 2 -> skipBytes(encoding == ThriftEncoding.COMPACT ? 0 : 1);
+            case 3 -> skipBytes(1);
+            case 4 -> skipBytes(8);
+            case 16 -> skipBytes(16);
             case 6, 8, 10 -> {
                 if (encoding == ThriftEncoding.COMPACT) {
-                    zigzag();
+                    readZigzag();
                 } else {
-                    pass(what == 6 ? 2 : what == 8 ? 4 : 8);
+                    skipBytes(valueType == 6 ? 2 : valueType == 8 ? 4 : 8);
                 }
             }
-            case 11 -> pass(encoding == ThriftEncoding.COMPACT ? (int) varint() : in.getInt());
+            case 11 -> skipBytes(encoding == ThriftEncoding.COMPACT ? (int) readVarint() : in.getInt());
             case 12 -> {
                 StructReader inner = new StructReader(encoding, in);
                 while (inner.next()) {
@@ -156,67 +156,67 @@
     }
 
     /** Values inside of containers: there a bool takes a byte in either protocol. */
-    private void skipValue(int what) {
-        if (what == 2) {
-            pass(1);
+    private void skipElement(int valueType) {
+        if (valueType == 2) {
+            skipBytes(1);
         } else {
-            skip(what);
+            skip(valueType);
         }
     }
 
     private void skipList() {
-        int elements;
+        int elementType;
         long size;
         if (encoding == ThriftEncoding.COMPACT) {
             int first = in.get() & 0xff;
-            elements = binary(first & 0xf);
-            size = first >> 4 == 15 ? varint() : first >> 4;
+            elementType = toBinaryType(first & 0xf);
+            size = first >> 4 == 15 ? readVarint() : first >> 4;
         } else {
-            elements = in.get() & 0xff;
+            elementType = in.get() & 0xff;
             size = in.getInt();
         }
         for (long i = 0; i < size; i++) {
-            skipValue(elements);
+            skipElement(elementType);
         }
     }
 
     private void skipMap() {
-        int keys;
-        int values;
+        int keyType;
+        int valueType;
         long size;
         if (encoding == ThriftEncoding.COMPACT) {
-            size = varint();
+            size = readVarint();
             int types = size == 0 ? 0 : in.get() & 0xff;
-            keys = binary(types >> 4);
-            values = binary(types & 0xf);
+            keyType = toBinaryType(types >> 4);
+            valueType = toBinaryType(types & 0xf);
         } else {
-            keys = in.get() & 0xff;
-            values = in.get() & 0xff;
+            keyType = in.get() & 0xff;
+            valueType = in.get() & 0xff;
             size = in.getInt();
         }
         for (long i = 0; i < size; i++) {
-            skipValue(keys);
-            skipValue(values);
+            skipElement(keyType);
+            skipElement(valueType);
         }
     }
 
-    private void pass(int bytes) {
+    private void skipBytes(int bytes) {
         in.position(in.position() + bytes);
     }
 
-    private long varint() {
+    private long readVarint() {
         long value = 0;
         for (int shift = 0; ; shift += 7) {
-            byte each = in.get();
-            value |= (each & 0x7fL) << shift;
-            if (each >= 0) {
+            byte next = in.get();
+            value |= (next & 0x7fL) << shift;
+            if (next >= 0) {
                 return value;
             }
         }
     }
 
-    private long zigzag() {
-        long value = varint();
+    private long readZigzag() {
+        long value = readVarint();
         return value >>> 1 ^ -(value & 1);
     }
 }
--- a/src/main/java/gatefront/thrift/codec/StructWriter.java
+++ b/src/main/java/gatefront/thrift/codec/StructWriter.java
@@ -9,23 +9,23 @@
 public final class StructWriter {
     private final ThriftEncoding encoding;
     private final ByteBuf out = Unpooled.buffer(64);
-    private int last;
+    private int lastId;
 
     /** Begins a struct. */
     public StructWriter(ThriftEncoding encoding) {
         this.encoding = encoding;
     }
 
-    private void field(int id, int binaryType, int compactType) {
+    private void writeFieldHeader(int id, int binaryType, int compactType) {
         if (encoding != ThriftEncoding.COMPACT) {
             out.writeByte(binaryType).writeShort(id);
-        } else if (id > last && id - last <= 15) {
-            out.writeByte(id - last << 4 | compactType);
+        } else if (id > lastId && id - lastId <= 15) {
+            out.writeByte(id - lastId << 4 | compactType);
         } else {
             out.writeByte(compactType);
-            MessageEncoder.varint(zigzag(id), out);
+            MessageEncoder.writeVarint(zigzag(id), out);
         }
-        last = id;
+        lastId = id;
     }
 
     private static long zigzag(long value) {
@@ -34,10 +34,10 @@
 
     /** A field of type string or binary. */
     public StructWriter string(int id, String value) {
-        field(id, 11, 8);
+        writeFieldHeader(id, 11, 8);
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
         if (encoding == ThriftEncoding.COMPACT) {
-            MessageEncoder.varint(bytes.length, out);
+            MessageEncoder.writeVarint(bytes.length, out);
         } else {
             out.writeInt(bytes.length);
         }
@@ -47,9 +47,9 @@
 
     /** A field of type i32. */
     public StructWriter i32(int id, int value) {
-        field(id, 8, 5);
+        writeFieldHeader(id, 8, 5);
         if (encoding == ThriftEncoding.COMPACT) {
-            MessageEncoder.varint(zigzag(value), out);
+            MessageEncoder.writeVarint(zigzag(value), out);
         } else {
             out.writeInt(value);
         }
@@ -58,9 +58,9 @@
 
     /** A field of type i64. */
     public StructWriter i64(int id, long value) {
-        field(id, 10, 6);
+        writeFieldHeader(id, 10, 6);
         if (encoding == ThriftEncoding.COMPACT) {
-            MessageEncoder.varint(zigzag(value), out);
+            MessageEncoder.writeVarint(zigzag(value), out);
         } else {
             out.writeLong(value);
         }
@@ -69,7 +69,7 @@
 
     /** A field of type bool. */
     public StructWriter bool(int id, boolean value) {
-        field(id, 2, value ? 1 : 2);
+        writeFieldHeader(id, 2, value ? 1 : 2);
         if (encoding != ThriftEncoding.COMPACT) {
             out.writeByte(value ? 1 : 0);
         }
@@ -78,7 +78,7 @@
 
     /** A field that is a struct, whose bytes are another writer's. */
     public StructWriter struct(int id, byte[] struct) {
-        field(id, 12, 12);
+        writeFieldHeader(id, 12, 12);
         out.writeBytes(struct);
         return this;
     }
--- a/src/main/java/gatefront/thrift/codec/ThriftEncoding.java
+++ b/src/main/java/gatefront/thrift/codec/ThriftEncoding.java
@@ -10,12 +10,12 @@
     COMPACT;
 
     /** The first byte of a message with a version. */
-    static final int BINARY_FIRST = 0x80;
+    static final int BINARY_FIRST_BYTE = 0x80;
 
-    static final int COMPACT_FIRST = 0x82;
+    static final int COMPACT_FIRST_BYTE = 0x82;
 
     /** Whether two messages' bodies are read alike; the forms of the binary protocol differ in their headers alone. */
-    public boolean sameBody(ThriftEncoding other) {
+    public boolean hasSameBodyFormat(ThriftEncoding other) {
         return (this == COMPACT) == (other == COMPACT);
     }
 }
--- a/src/main/java/gatefront/toml/KeyLineIndex.java
+++ b/src/main/java/gatefront/toml/KeyLineIndex.java
@@ -19,20 +19,23 @@
 
     KeyLineIndex(List<String> text) {
         Map<String, Integer> counts = new HashMap<>();
-        String at = "";
+        String tablePath = "";
         for (int i = 0; i < text.size(); i++) {
             Matcher table = TABLE.matcher(text.get(i));
             Matcher key = KEY.matcher(text.get(i));
             if (table.matches()) {
-                at = resolve(table.group(2), counts);
+                tablePath = resolve(table.group(2), counts);
                 if (table.group(1).length() == 2) {
-                    int n = counts.merge(table.group(2), 1, Integer::sum) - 1;
-                    at = resolve(table.group(2), counts);
-                    lines.putIfAbsent(at.replaceFirst("\\." + n + "$", ""), i + 1);
+                    int index = counts.merge(table.group(2), 1, Integer::sum) - 1;
+                    tablePath = resolve(table.group(2), counts);
+                    lines.putIfAbsent(tablePath.replaceFirst("\\." + index + "$", ""), i + 1);
                 }
-                lines.putIfAbsent(at, i + 1);
+                lines.putIfAbsent(tablePath, i + 1);
             } else if (key.matches()) {
-                lines.putIfAbsent((at.isEmpty() ? "" : at + ".") + key.group(1).replace("\"", ""), i + 1);
+                lines.putIfAbsent(
+                        (tablePath.isEmpty() ? "" : tablePath + ".")
+                                + key.group(1).replace("\"", ""),
+                        i + 1);
             }
         }
     }
@@ -44,18 +47,20 @@
         for (String part : name.split("\\.")) {
             plain.append(plain.isEmpty() ? "" : ".").append(part);
             path.append(path.isEmpty() ? "" : ".").append(part);
-            Integer n = counts.get(plain.toString());
-            if (n != null) {
-                path.append('.').append(n - 1);
+            Integer count = counts.get(plain.toString());
+            if (count != null) {
+                path.append('.').append(count - 1);
             }
         }
         return path.toString();
     }
 
     /** The line of a path, or of what is around it; at least 1. */
-    int of(String path) {
-        for (String at = path; !at.isEmpty(); at = at.substring(0, Math.max(0, at.lastIndexOf('.')))) {
-            Integer line = lines.get(at);
+    int lineOf(String path) {
+        for (String ancestor = path;
+                !ancestor.isEmpty();
+                ancestor = ancestor.substring(0, Math.max(0, ancestor.lastIndexOf('.')))) {
+            Integer line = lines.get(ancestor);
             if (line != null) {
                 return line;
             }
--- a/src/main/java/gatefront/toml/TomlFile.java
+++ b/src/main/java/gatefront/toml/TomlFile.java
@@ -10,7 +10,7 @@
 
 /** Reads TOML files. */
 public final class TomlFile {
-    private static final long BYTES_MOST = 1 << 20;
+    private static final long MAX_BYTES = 1 << 20;
 
     private TomlFile() {}
 
@@ -18,18 +18,18 @@
      * Reads a file.
      *
      * @param path where it is
-     * @param otherwise what to say besides where there is none
+     * @param hint what to say besides where there is none
      * @return its text
      * @throws TomlException if it cannot be read
      */
-    public static String text(Path path, String otherwise) throws TomlException {
+    public static String read(Path path, String hint) throws TomlException {
         try {
-            if (Files.exists(path) && Files.size(path) > BYTES_MOST) {
+            if (Files.exists(path) && Files.size(path) > MAX_BYTES) {
                 throw new TomlException(path + ":1: is larger than such a file may be, 1 MiB");
             }
             return Files.readString(path);
         } catch (NoSuchFileException e) {
-            throw new TomlException(path + ": no such file" + otherwise);
+            throw new TomlException(path + ": no such file" + hint);
         } catch (MalformedInputException e) {
             throw new TomlException(path + ":1: is not text in UTF-8");
         } catch (IOException e) {
--- a/src/main/java/gatefront/toml/TomlTable.java
+++ b/src/main/java/gatefront/toml/TomlTable.java
@@ -15,8 +15,8 @@
     private final KeyLineIndex lines;
     private final String path;
     private final JsonNode node;
-    private final Set<String> taken = new LinkedHashSet<>();
-    private final List<TomlTable> inner = new ArrayList<>();
+    private final Set<String> readKeys = new LinkedHashSet<>();
+    private final List<TomlTable> subtables = new ArrayList<>();
 
     TomlTable(String file, KeyLineIndex lines, String path, JsonNode node) {
         this.file = file;
@@ -25,28 +25,28 @@
         this.node = node;
     }
 
-    private String at(String key) {
+    private String pathOf(String key) {
         return path.isEmpty() ? key : path + "." + key;
     }
 
     /** What is wrong with a key, as one line; to be thrown. */
-    public TomlException bad(String key, String what) {
-        return new TomlException(file + ":" + lines.of(at(key)) + ": " + at(key) + ": " + what);
+    public TomlException invalid(String key, String problem) {
+        return new TomlException(file + ":" + lines.lineOf(pathOf(key)) + ": " + pathOf(key) + ": " + problem);
     }
 
     /** A key is missing; where another looks as if it were meant, the message is about that one. */
-    private TomlException missing(String key, String what) {
+    private TomlException missing(String key, String expected) {
         for (Iterator<String> names = node.fieldNames(); names.hasNext(); ) {
             String name = names.next();
-            if (!taken.contains(name) && distance(name, key) <= Math.max(1, key.length() / 3)) {
-                return bad(name, "is not known here; is \"" + key + "\" meant?");
+            if (!readKeys.contains(name) && distance(name, key) <= Math.max(1, key.length() / 3)) {
+                return invalid(name, "is not known here; is \"" + key + "\" meant?");
             }
         }
-        return bad(key, "is missing; " + what);
+        return invalid(key, "is missing; " + expected);
     }
 
-    private JsonNode take(String key) {
-        taken.add(key);
+    private JsonNode lookup(String key) {
+        readKeys.add(key);
         return node.path(key);
     }
 
@@ -57,113 +57,114 @@
 
     /** A table within; one that is missing is taken as empty. */
     public TomlTable table(String key) throws TomlException {
-        JsonNode found = take(key);
+        JsonNode found = lookup(key);
         if (!found.isMissingNode() && !found.isObject()) {
-            throw bad(key, "is to be a table, as in [" + at(key) + "]");
+            throw invalid(key, "is to be a table, as in [" + pathOf(key) + "]");
         }
-        TomlTable table = new TomlTable(file, lines, at(key), found);
-        inner.add(table);
+        TomlTable table = new TomlTable(file, lines, pathOf(key), found);
+        subtables.add(table);
         return table;
     }
 
     /** The tables of an array of tables, perhaps none. */
     public List<TomlTable> tables(String key) throws TomlException {
-        JsonNode found = take(key);
+        JsonNode found = lookup(key);
         if (!found.isMissingNode() && !found.isArray()) {
-            throw bad(key, "is to be a list of tables, as in [[" + at(key) + "]]");
+            throw invalid(key, "is to be a list of tables, as in [[" + pathOf(key) + "]]");
         }
         List<TomlTable> tables = new ArrayList<>();
         for (int i = 0; i < found.size(); i++) {
             if (!found.get(i).isObject()) {
-                throw bad(key, "is to be a list of tables, as in [[" + at(key) + "]]");
+                throw invalid(key, "is to be a list of tables, as in [[" + pathOf(key) + "]]");
             }
-            tables.add(new TomlTable(file, lines, at(key) + "." + i, found.get(i)));
+            tables.add(new TomlTable(file, lines, pathOf(key) + "." + i, found.get(i)));
         }
-        inner.addAll(tables);
+        subtables.addAll(tables);
         return tables;
     }
 
     /** A text; null for {@code otherwise} if it must be there. */
-    public String text(String key, String otherwise) throws TomlException {
-        JsonNode found = take(key);
-        if (found.isMissingNode() && otherwise != null) {
-            return otherwise;
+    public String text(String key, String defaultValue) throws TomlException {
+        JsonNode found = lookup(key);
+        if (found.isMissingNode() && defaultValue != null) {
+            return defaultValue;
         }
         if (!found.isTextual() || found.asText().isBlank()) {
             throw found.isMissingNode()
                     ? missing(key, "it is a name in quotes")
-                    : bad(key, "is to be a text in quotes");
+                    : invalid(key, "is to be a text in quotes");
         }
         return found.asText();
     }
 
     /** A list of texts, perhaps none. */
     public List<String> texts(String key) throws TomlException {
-        JsonNode found = take(key);
+        JsonNode found = lookup(key);
         List<String> texts = new ArrayList<>();
         if (!found.isMissingNode() && !found.isArray()) {
-            throw bad(key, "is to be a list of texts, as in [\"a\", \"b\"]");
+            throw invalid(key, "is to be a list of texts, as in [\"a\", \"b\"]");
         }
-        for (JsonNode each : found) {
-            if (!each.isTextual()) {
-                throw bad(key, "is to be a list of texts; " + each + " is none");
+        for (JsonNode element : found) {
+            if (!element.isTextual()) {
+                throw invalid(key, "is to be a list of texts; " + element + " is none");
             }
-            texts.add(each.asText());
+            texts.add(element.asText());
         }
         return texts;
     }
 
     /** True or false. */
-    public boolean flag(String key, boolean otherwise) throws TomlException {
-        JsonNode found = take(key);
+    public boolean bool(String key, boolean defaultValue) throws TomlException {
+        JsonNode found = lookup(key);
         if (!found.isMissingNode() && !found.isBoolean()) {
-            throw bad(key, "is to be true or false");
+            throw invalid(key, "is to be true or false");
         }
-        return found.isMissingNode() ? otherwise : found.asBoolean();
+        return found.isMissingNode() ? defaultValue : found.asBoolean();
     }
 
     /** One of some words. */
-    public String word(String key, String otherwise, List<String> words) throws TomlException {
-        String word = text(key, otherwise);
+    public String word(String key, String defaultValue, List<String> words) throws TomlException {
+        String word = text(key, defaultValue);
         if (!words.contains(word)) {
-            throw bad(key, "\"" + word + "\" is none of " + String.join(", ", words) + meant(word, words));
+            throw invalid(key, "\"" + word + "\" is none of " + String.join(", ", words) + suggestion(word, words));
         }
         return word;
     }
 
     /** A whole number within bounds. */
-    public int whole(String key, int otherwise, int least, int most) throws TomlException {
-        double value = number(key, (double) otherwise, least, most);
+    public int integer(String key, int defaultValue, int min, int max) throws TomlException {
+        double value = number(key, (double) defaultValue, min, max);
         if (value != StrictMath.rint(value)) {
-            throw bad(key, "is to be a whole number, not " + value);
+            throw invalid(key, "is to be a whole number, not " + value);
         }
         return (int) value;
     }
 
     /** A number within bounds; null for {@code otherwise} if it must be there. */
-    public double number(String key, Double otherwise, double least, double most) throws TomlException {
-        NumberRange range = range(key, otherwise == null ? null : new NumberRange(otherwise, otherwise), least, most);
+    public double number(String key, Double defaultValue, double min, double max) throws TomlException {
+        NumberRange range =
+                range(key, defaultValue == null ? null : new NumberRange(defaultValue, defaultValue), min, max);
         if (range.low() != range.high()) {
-            throw bad(key, "is to be one number, not a range");
+            throw invalid(key, "is to be one number, not a range");
         }
         return range.low();
     }
 
     /** A number or a range of two, within bounds; null for {@code otherwise} if it must be there. */
-    public NumberRange range(String key, NumberRange otherwise, double least, double most) throws TomlException {
-        JsonNode found = take(key);
+    public NumberRange range(String key, NumberRange defaultValue, double min, double max) throws TomlException {
+        JsonNode found = lookup(key);
         if (found.isMissingNode()) {
-            if (otherwise == null) {
-                throw missing(key, "it is a number from " + plain(least) + " to " + plain(most));
+            if (defaultValue == null) {
+                throw missing(key, "it is a number from " + format(min) + " to " + format(max));
             }
-            return otherwise;
+            return defaultValue;
         }
         boolean pair = found.isArray()
                 && found.size() == 2
                 && found.get(0).isNumber()
                 && found.get(1).isNumber();
         if (!pair && !found.isNumber()) {
-            throw bad(
+            throw invalid(
                     key,
                     "is to be a number, or a range of two as in [1, 2], not " + found
                             + (found.isTextual() ? "; the unit stands in the key's name" : ""));
@@ -172,49 +173,49 @@
                 ? new NumberRange(found.get(0).asDouble(), found.get(1).asDouble())
                 : new NumberRange(found.asDouble(), found.asDouble());
         if (range.low() > range.high()) {
-            throw bad(key, "the range " + found + " runs backwards; the lower figure comes first");
+            throw invalid(key, "the range " + found + " runs backwards; the lower figure comes first");
         }
-        if (!(range.low() >= least && range.high() <= most)) {
-            throw bad(key, found + " is not within " + plain(least) + " to " + plain(most));
+        if (!(range.low() >= min && range.high() <= max)) {
+            throw invalid(key, found + " is not within " + format(min) + " to " + format(max));
         }
         return range;
     }
 
-    private static String plain(double figure) {
-        return figure == StrictMath.rint(figure) && Math.abs(figure) < 1e15
-                ? String.valueOf((long) figure)
-                : String.valueOf(figure);
+    private static String format(double value) {
+        return value == StrictMath.rint(value) && Math.abs(value) < 1e15
+                ? String.valueOf((long) value)
+                : String.valueOf(value);
     }
 
     /** Refuses what nobody has taken: it was meant, and would not be heeded. */
-    public void finish() throws TomlException {
+    public void rejectUnknownKeys() throws TomlException {
         List<String> names = new ArrayList<>();
         node.fieldNames().forEachRemaining(names::add);
         for (String name : names) {
-            if (!taken.contains(name)) {
-                throw bad(name, "is not known here" + meant(name, new TreeSet<>(taken)));
+            if (!readKeys.contains(name)) {
+                throw invalid(name, "is not known here" + suggestion(name, new TreeSet<>(readKeys)));
             }
         }
-        for (TomlTable each : inner) {
-            each.finish();
+        for (TomlTable table : subtables) {
+            table.rejectUnknownKeys();
         }
     }
 
     /** The nearest of some words, where one is near. */
-    static String meant(String word, Iterable<String> words) {
-        String best = null;
-        int least = Math.max(1, word.length() / 3) + 1;
+    static String suggestion(String word, Iterable<String> words) {
+        String closest = null;
+        int bestDistance = Math.max(1, word.length() / 3) + 1;
         List<String> all = new ArrayList<>();
-        for (String each : words) {
-            all.add(each);
-            int distance = distance(word, each);
-            if (distance < least) {
-                least = distance;
-                best = each;
+        for (String candidate : words) {
+            all.add(candidate);
+            int distance = distance(word, candidate);
+            if (distance < bestDistance) {
+                bestDistance = distance;
+                closest = candidate;
             }
         }
-        return best != null
-                ? "; is \"" + best + "\" meant?"
+        return closest != null
+                ? "; is \"" + closest + "\" meant?"
                 : "; known are " + all.stream().sorted().collect(Collectors.joining(", "));
     }
 
--- a/src/main/java/gatefront/transport/SocketTransport.java
+++ b/src/main/java/gatefront/transport/SocketTransport.java
@@ -16,20 +16,20 @@
 import java.nio.channels.SocketChannel;
 import java.util.concurrent.TimeUnit;
 
-/** Real sockets and the system's clocks, on one event loop thread of its own. */
+/** Transport over NIO sockets and the system clocks, with one event loop thread of its own. */
 public final class SocketTransport implements Transport {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final long clockOff;
+    private final long clockOffsetMicros;
 
-    /** With the system's time of day. */
+    /** Uses the system's wall clock. */
     public SocketTransport() {
         this(0);
     }
 
-    /** With a time of day that is off by so many microseconds, for rehearsals. */
-    public SocketTransport(long clockOff) {
-        this.clockOff = clockOff;
+    /** Uses a wall clock that is offset by this many microseconds, for rehearsals of clock skew. */
+    public SocketTransport(long clockOffsetMicros) {
+        this.clockOffsetMicros = clockOffsetMicros;
     }
 
     @Override
@@ -39,39 +39,39 @@
 
     @Override
     public long wallMicros() {
-        return 1000 * System.currentTimeMillis() + clockOff;
+        return 1000 * System.currentTimeMillis() + clockOffsetMicros;
     }
 
     @Override
-    public ChannelFactory<? extends ServerChannel> listeners() {
+    public ChannelFactory<? extends ServerChannel> serverChannels() {
         return NioServerSocketChannel::new;
     }
 
     @Override
-    public ChannelFactory<? extends ServerChannel> sharedListeners() {
-        return Shared::new;
+    public ChannelFactory<? extends ServerChannel> sharedServerChannels() {
+        return SharedServerChannel::new;
     }
 
     @Override
-    public void closeShared(Channel listener) {
-        if (listener instanceof Shared shared && shared.isActive()) {
-            shared.takeAll();
+    public void closeSharedListener(Channel listener) {
+        if (listener instanceof SharedServerChannel shared && shared.isActive()) {
+            shared.acceptAll();
         }
         listener.close();
     }
 
     @Override
-    public ChannelFactory<? extends Channel> dialers() {
-        return Inspectable::new;
+    public ChannelFactory<? extends Channel> clientChannels() {
+        return ClientChannel::new;
     }
 
     @Override
-    public boolean silent(Channel channel) {
-        return ((Inspectable) channel).silent();
+    public boolean hasNoUnreadInput(Channel channel) {
+        return ((ClientChannel) channel).hasNoUnreadInput();
     }
 
     @Override
-    public long memory() {
+    public long maxMemoryBytes() {
         return Runtime.getRuntime().maxMemory();
     }
 
@@ -81,22 +81,22 @@
     }
 
     @Override
-    public void close(Runnable then) {
-        group.shutdownGracefully(50, 500, TimeUnit.MILLISECONDS).addListener(done -> then.run());
+    public void close(Runnable onClosed) {
+        group.shutdownGracefully(50, 500, TimeUnit.MILLISECONDS).addListener(done -> onClosed.run());
     }
 
-    /** Listens on an address that another process may share. */
-    private static final class Shared extends NioServerSocketChannel {
-        Shared() {
+    /** A listening channel with {@code SO_REUSEPORT}. */
+    private static final class SharedServerChannel extends NioServerSocketChannel {
+        SharedServerChannel() {
             config().setOption(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
         }
 
-        void takeAll() {
+        void acceptAll() {
             try {
-                for (SocketChannel each = javaChannel().accept();
-                        each != null;
-                        each = javaChannel().accept()) {
-                    pipeline().fireChannelRead(new NioSocketChannel(this, each));
+                for (SocketChannel accepted = javaChannel().accept();
+                        accepted != null;
+                        accepted = javaChannel().accept()) {
+                    pipeline().fireChannelRead(new NioSocketChannel(this, accepted));
                 }
                 pipeline().fireChannelReadComplete();
             } catch (IOException e) {
@@ -105,9 +105,9 @@
         }
     }
 
-    /** A socket that can be asked whether its peer has been silent. */
-    private static final class Inspectable extends NioSocketChannel {
-        boolean silent() {
+    /** A channel for outgoing connections that can be checked for unread input. */
+    private static final class ClientChannel extends NioSocketChannel {
+        boolean hasNoUnreadInput() {
             try {
                 return isActive() && javaChannel().read(ByteBuffer.allocate(1)) == 0;
             } catch (IOException e) {
--- a/src/main/java/gatefront/transport/Transport.java
+++ b/src/main/java/gatefront/transport/Transport.java
@@ -6,52 +6,52 @@
 import io.netty.channel.ServerChannel;
 
 /**
- * The outside of one process: its loop, its clock, its network, its log. Channels made by it implement
+ * The environment of one process: its event loop, clock, network and log. Channels created through it implement
  * {@link io.netty.channel.socket.DuplexChannel}, and addresses are {@link java.net.InetSocketAddress}.
  */
 public interface Transport {
-    /** The loop on which everything of the process runs. */
+    /** The event loop that runs all work of the process. */
     EventLoop loop();
 
-    /** Nanoseconds of a clock that never runs backwards; differences mean something, values do not. */
+    /** Nanoseconds of a monotonic clock with an arbitrary origin; only differences are meaningful. */
     default long nanos() {
         return loop().ticker().nanoTime();
     }
 
-    /** Microseconds since 1970 by the time of day, which all processes share. */
+    /** Wall-clock time in microseconds since the Unix epoch, comparable between processes. */
     long wallMicros();
 
-    /** Makes what listens. */
-    ChannelFactory<? extends ServerChannel> listeners();
+    /** Creates listening channels. */
+    ChannelFactory<? extends ServerChannel> serverChannels();
 
-    /** Makes what listens on an address that another process of the same agent may share. */
-    default ChannelFactory<? extends ServerChannel> sharedListeners() {
-        return listeners();
+    /** Creates listening channels on an address that another process of the same agent may share. */
+    default ChannelFactory<? extends ServerChannel> sharedServerChannels() {
+        return serverChannels();
     }
 
     /**
-     * Ends a channel of {@link #sharedListeners()}: what the system has taken on for it is accepted first, in the same
-     * turn of the loop. Guards against connections being reset that were made and not yet seen.
+     * Closes a channel of {@link #sharedServerChannels()}. Connections pending in the accept queue are accepted first,
+     * in the same task of the loop; closing the listener would reset them.
      */
-    default void closeShared(Channel listener) {
+    default void closeSharedListener(Channel listener) {
         listener.close();
     }
 
-    /** Makes what dials. */
-    ChannelFactory<? extends Channel> dialers();
+    /** Creates channels for outgoing connections. */
+    ChannelFactory<? extends Channel> clientChannels();
 
     /**
-     * Whether a channel of {@link #dialers()} is open with nothing unread. Guards against what has arrived
-     * since the loop last looked: a close, or bytes that would be taken for the next answer.
+     * Whether a channel of {@link #clientChannels()} is open and has no unread input. Detects what has arrived since the
+     * loop last polled the socket: a close, or bytes that would be taken as the next response.
      */
-    boolean silent(Channel channel);
+    boolean hasNoUnreadInput(Channel channel);
 
-    /** Bytes of memory that the process may use for what it holds. */
-    long memory();
+    /** Maximum memory of the process, in bytes. */
+    long maxMemoryBytes();
 
-    /** One plain line for the process's log. */
+    /** Writes one line to the log of the process. */
     void log(String line);
 
-    /** Ends the loop; {@code then} runs once nothing runs on it any more. */
-    void close(Runnable then);
+    /** Shuts the loop down; {@code onClosed} runs after its last task. */
+    void close(Runnable onClosed);
 }
--- a/src/main/java/gatefront/transport/package-info.java
+++ b/src/main/java/gatefront/transport/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What a program here is given of the outside: one event loop with its clock, and the making of channels. In
- * service these are the NIO loop and sockets; in a rehearsal a loop on virtual time and an in-memory network.
- * Nothing above reads a clock or makes a loop or a socket of its own.
+ * Abstraction of the environment: one event loop with its clock, and the creation of channels. In production these are
+ * the NIO loop and sockets; in a rehearsal, a loop on virtual time and an in-memory network. Code that uses this package
+ * reads no clock and creates no loop or socket of its own.
  */
 package gatefront.transport;
