--- a/src/test/java/gatefront/agent/AgentFixture.java
+++ b/src/test/java/gatefront/agent/AgentFixture.java
@@ -93,19 +93,19 @@
     }
 
     AgentFixture start() throws IOException {
-        agent = Agent.start(Config.of(config));
+        agent = Agent.start(Config.fromJson(config));
         awaitReady();
         return this;
     }
 
     AgentFixture start(Extensions extensions) throws IOException {
-        agent = Agent.start(Config.of(config), extensions);
+        agent = Agent.start(Config.fromJson(config), extensions);
         awaitReady();
         return this;
     }
 
     AgentFixture start(Function<Engine, Balancer> module) throws IOException {
-        agent = Agent.start(Config.of(config), module);
+        agent = Agent.start(Config.fromJson(config), module);
         awaitReady();
         return this;
     }
@@ -113,7 +113,7 @@
     /** The usual module behind one that is told of each event before it, and may fail. */
     Function<Engine, Balancer> overheard(BiConsumer<String, Object[]> before) {
         return agent -> {
-            Balancer rules = new AdaptiveBalancer(Config.of(config).settings(), 1, 0, agent);
+            Balancer rules = new AdaptiveBalancer(Config.fromJson(config).settings(), 1, 0, agent);
             return (Balancer) Proxy.newProxyInstance(
                     Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, details) -> {
                         before.accept(method.getName(), details);
--- a/src/test/java/gatefront/agent/AgentTest.java
+++ b/src/test/java/gatefront/agent/AgentTest.java
@@ -442,7 +442,7 @@
                 .add(AgentFixture.endpoint(2, "127.0.0.1:9", "Gone"));
         entry.put("since_ms", 1_700_000_000_123L);
         List<gatefront.membership.Endpoint> list = gatefront.padron.Discovery.decode(
-                        stage.config.get("known"), Config.of(stage.config))
+                        stage.config.get("known"), Config.fromJson(stage.config))
                 .endpoints();
         assertEquals(1_700_000_000_123_000L, list.get(0).server().startedAt());
         assertEquals(0, list.get(1).server().startedAt());
@@ -642,15 +642,15 @@
         stage.config.put("seed", "not hex");
         assertEquals(
                 "config: seed has an unusable value: not hex",
-                assertThrows(IllegalArgumentException.class, () -> Config.of(stage.config))
+                assertThrows(IllegalArgumentException.class, () -> Config.fromJson(stage.config))
                         .getMessage());
         stage.config.put("seed", "1").put("listen", "somewhere");
         assertEquals(
                 "unusable address: somewhere",
-                assertThrows(IllegalArgumentException.class, () -> Config.of(stage.config))
+                assertThrows(IllegalArgumentException.class, () -> Config.fromJson(stage.config))
                         .getMessage());
         stage.config.remove("settings");
-        assertThrows(IllegalArgumentException.class, () -> Config.of(stage.config));
+        assertThrows(IllegalArgumentException.class, () -> Config.fromJson(stage.config));
     }
 
     /** What the list at the start had and the first one has not gets nothing: this process counts as told of that. */
@@ -667,7 +667,7 @@
         });
         stage.config.put("discovery", slow.address());
         stage.settings("obligations", o -> o.put("stop-sending-within-us", 900_000));
-        stage.agent = Agent.start(Config.of(stage.config));
+        stage.agent = Agent.start(Config.fromJson(stage.config));
         Socket socket = stage.dial();
         ScriptedPeer.write(socket, stage.request("lookup", 8_000, ""));
         called.countDown();
@@ -682,7 +682,7 @@
         stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
         ScriptedPeer silent = stage.peer((message, socket) -> new CountDownLatch(1).await());
         stage.config.put("discovery", silent.address());
-        stage.agent = Agent.start(Config.of(stage.config));
+        stage.agent = Agent.start(Config.fromJson(stage.config));
         long at = System.nanoTime();
         Socket socket = stage.dial();
         assertEquals(
--- a/src/test/java/gatefront/agent/ExtensionsTest.java
+++ b/src/test/java/gatefront/agent/ExtensionsTest.java
@@ -46,16 +46,16 @@
     void whatIsSaidIsTakenAndTheRestIsUsual() throws Exception {
         ThriftSettings settings = read(GOOD);
         assertEquals(9090, settings.listen().getPort());
-        assertNull(settings.form(), "any form is taken");
+        assertNull(settings.format(), "any form is taken");
         assertEquals(9091, settings.serverPort());
-        assertTrue(settings.framedServers());
-        assertFalse(settings.probes());
+        assertTrue(settings.serversFramed());
+        assertFalse(settings.probesOverThrift());
         assertEquals(new Method(1, true), settings.methods().get("pagar"));
         assertEquals(new Method(0, false), settings.methods().get("Cuentas:saldo"));
         assertEquals(
                 new MessageFormat(false, ThriftEncoding.COMPACT),
                 read(GOOD.replace("nodo_port", "framing = \"unframed\"\nprotocol = \"compact\"\nnodo_port"))
-                        .form());
+                        .format());
         assertNull(read(""), "no Thrift where there is no table");
     }
 
--- a/src/test/java/gatefront/agent/LedgerClockTest.java
+++ b/src/test/java/gatefront/agent/LedgerClockTest.java
@@ -48,8 +48,8 @@
                 new Class<?>[] {Transport.class},
                 (proxy, method, args) ->
                         method.getName().equals("wallMicros") ? wall.get() : method.invoke(sockets, args));
-        Config config =
-                Config.of(new ObjectMapper().readTree(Files.readAllBytes(Path.of("src/test/resources/config.json"))));
+        Config config = Config.fromJson(
+                new ObjectMapper().readTree(Files.readAllBytes(Path.of("src/test/resources/config.json"))));
         UsageRecorder keeper = UsageRecorder.open(
                 transport,
                 new LedgerSettings(folder.resolve("books"), "a", null, SECOND, SECOND / 10, 1 << 20),
--- a/src/test/java/gatefront/agent/MemoryTest.java
+++ b/src/test/java/gatefront/agent/MemoryTest.java
@@ -45,8 +45,8 @@
     }
 
     private AgentFixture start(String caps) throws IOException, TomlException {
-        return stage.start(
-                Extensions.parse("x.toml", "[memory]\nstatus = \"127.0.0.1:0\"\n" + caps, Config.of(stage.config)));
+        return stage.start(Extensions.parse(
+                "x.toml", "[memory]\nstatus = \"127.0.0.1:0\"\n" + caps, Config.fromJson(stage.config)));
     }
 
     private static String cap(ResourcePurpose purpose, String figures) {
@@ -362,7 +362,7 @@
             String message = assertThrows(
                             TomlException.class,
                             () -> Extensions.parse(
-                                    "x.toml", "[memory]\n" + each.get(0) + "\n", Config.of(stage.config)))
+                                    "x.toml", "[memory]\n" + each.get(0) + "\n", Config.fromJson(stage.config)))
                     .getMessage();
             assertTrue(message.contains(each.get(1)) && message.lines().count() == 1, message);
         }
--- a/src/test/java/gatefront/agent/OperatorControlsTest.java
+++ b/src/test/java/gatefront/agent/OperatorControlsTest.java
@@ -50,7 +50,7 @@
     }
 
     private void start() throws IOException {
-        stage.agent = Agent.start(Config.of(stage.config), shared);
+        stage.agent = Agent.start(Config.fromJson(stage.config), shared);
         agents.add(stage.agent);
         AgentFixture.await(() -> door("GET", "/healthcheck").status() == 200);
     }
@@ -349,7 +349,7 @@
         try (ServerSocket held = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             ProcessHandover old = new ProcessHandover(shared, "old", line -> {});
             stage.config.put("listen", "127.0.0.1:" + held.getLocalPort());
-            Agent fresh = Agent.start(Config.of(stage.config), shared);
+            Agent fresh = Agent.start(Config.fromJson(stage.config), shared);
             fresh.awaitEnd();
             assertTrue(fresh.failed());
             fresh.stop(); // as the program's end does
@@ -513,7 +513,7 @@
         int taken = stage.agent.management().getPort();
         stage.config.put("management", "127.0.0.1:" + taken);
         try {
-            Agent.start(Config.of(stage.config), shared);
+            Agent.start(Config.fromJson(stage.config), shared);
             throw new AssertionError("two doors at one address");
         } catch (IOException e) {
             assertTrue(e.getMessage().startsWith("cannot listen on"), e.getMessage());
--- a/src/test/java/gatefront/agent/RegistrySourceTest.java
+++ b/src/test/java/gatefront/agent/RegistrySourceTest.java
@@ -64,7 +64,7 @@
             %s
             """
                         .formatted(kind.name().toLowerCase(), registry.address().getPort(), rest),
-                Config.of(stage.config));
+                Config.fromJson(stage.config));
     }
 
     private void put(String key, ObjectNode value) throws Exception {
--- a/src/test/java/gatefront/agent/ThriftAgentFixture.java
+++ b/src/test/java/gatefront/agent/ThriftAgentFixture.java
@@ -110,7 +110,7 @@
     }
 
     ThriftAgentFixture start() throws IOException {
-        Config read = Config.of(config);
+        Config read = Config.fromJson(config);
         List<String> classes = read.classes();
         Map<String, Method> methods = new java.util.HashMap<>();
         for (String each : List.of("lookup", "pay", "order")) {
--- a/src/test/java/gatefront/agent/UsageRecorderTest.java
+++ b/src/test/java/gatefront/agent/UsageRecorderTest.java
@@ -45,7 +45,7 @@
                 "x.toml",
                 "[ledger]\nfolder = \"" + folder.resolve("books") + "\"\n"
                         + "instance = \"agente-1\"\nwrite_s = 0.1\nperiod_s = 86400\n" + more,
-                Config.of(stage.config));
+                Config.fromJson(stage.config));
     }
 
     private LedgerStore.Look look() throws IOException {
@@ -108,7 +108,7 @@
         stage.start(Extensions.parse(
                 "x.toml",
                 "[ledger]\nfolder = \"" + folder.resolve("books") + "\"\ninstance = \"agente-1\"\nwrite_s = 3600\n",
-                Config.of(stage.config)));
+                Config.fromJson(stage.config)));
         ask(2, "pay");
         stage.agent.stop();
         assertEquals(2, all(look().ledger(), "pay").requests());
--- a/src/test/java/gatefront/connection/UpstreamContract.java
+++ b/src/test/java/gatefront/connection/UpstreamContract.java
@@ -109,7 +109,7 @@
     private void listen() {
         new ServerBootstrap()
                 .group(nodo.loop())
-                .channelFactory(nodo.listeners())
+                .channelFactory(nodo.serverChannels())
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
--- a/src/test/java/gatefront/drill/DrillTest.java
+++ b/src/test/java/gatefront/drill/DrillTest.java
@@ -16,7 +16,7 @@
     private static final int SEND = 16;
     private static final int LOG = 24;
 
-    private static List<Reply> of(List<Reply> replies, int code) {
+    private static List<Reply> withCode(List<Reply> replies, int code) {
         return replies.stream().filter(r -> r.code() == code).toList();
     }
 
@@ -25,14 +25,14 @@
     }
 
     @Test
-    void anEmptyBatchIsAnsweredEmpty() throws IOException {
+    void emptyFrameGetsAnEmptyReply() throws IOException {
         assertEquals(
                 List.of(List.of(), List.of()),
                 new FrameBuilder().frame(1).frame(2).run());
     }
 
     @Test
-    void aRequestIsSentToAListedServerAndItsOutcomeClosesIt() throws IOException {
+    void requestIsSentToAListedServerAndCompletedByItsOutcome() throws IOException {
         var replies = new FrameBuilder()
                 .spawn(3)
                 .list(0, 0x91f03b7cL)
@@ -43,18 +43,18 @@
                 .finished(3, 77, 0x91f03b7cL, 200, 2)
                 .frame(3000)
                 .run();
-        List<Reply> sends = of(replies.get(1), SEND);
+        List<Reply> sends = withCode(replies.get(1), SEND);
         assertEquals(1, sends.size());
         assertEquals(3, sends.get(0).instance());
         assertEquals(77, sends.get(0).fields().getLong());
         assertEquals(0x91f03b7c, sends.get(0).fields().getInt());
         int timeout = sends.get(0).fields().getInt();
         assertTrue(timeout > 0 && timeout <= 1_000_000, "timeout " + timeout);
-        assertTrue(of(replies.get(2), SEND).isEmpty());
+        assertTrue(withCode(replies.get(2), SEND).isEmpty());
     }
 
     @Test
-    void aRestartInOneBatchForgetsTheList() throws IOException {
+    void restartWithinOneFrameDiscardsTheServerList() throws IOException {
         var replies = new FrameBuilder()
                 .spawn(3)
                 .list(0, 5)
@@ -64,11 +64,11 @@
                 .submit(3, 1, 5_000_000)
                 .frame(1000)
                 .run();
-        assertTrue(of(replies.get(0), SEND).isEmpty());
+        assertTrue(withCode(replies.get(0), SEND).isEmpty());
     }
 
     @Test
-    void aListNumberUsedAgainInOneBatchIsResolvedByOrder() throws IOException {
+    void reusedListNumberInOneFrameIsResolvedInOrder() throws IOException {
         var replies = new FrameBuilder()
                 .spawn(1)
                 .spawn(2)
@@ -80,13 +80,13 @@
                 .submit(2, 2, 5_000_000)
                 .frame(1000)
                 .run();
-        List<Reply> sends = of(replies.get(0), SEND);
+        List<Reply> sends = withCode(replies.get(0), SEND);
         sends.forEach(s -> s.fields().getLong());
         assertEquals(List.of(5, 6), sends.stream().map(s -> s.fields().getInt()).toList());
     }
 
     @Test
-    void anExceptionInTheModuleIsToldAsItsDeath() throws IOException {
+    void exceptionInTheModuleIsReportedAsInstanceFailure() throws IOException {
         var replies = new FrameBuilder()
                 .spawn(1)
                 .record(20, out -> {
@@ -101,11 +101,11 @@
                 })
                 .frame(1000)
                 .run();
-        assertEquals(1, of(replies.get(0), 25).size());
+        assertEquals(1, withCode(replies.get(0), 25).size());
     }
 
     @Test
-    void logLinesCarryTheServersState() throws IOException {
+    void serverStateChangeIsLogged() throws IOException {
         var replies = new FrameBuilder()
                 .spawn(1)
                 .list(0, 5)
@@ -114,25 +114,25 @@
                 .announce(1, 1, 3)
                 .frame(1000)
                 .run();
-        assertEquals(1, of(replies.get(0), LOG).size());
+        assertEquals(1, withCode(replies.get(0), LOG).size());
     }
 
     // ---- malformed input ----
 
     @Test
-    void aTruncatedLengthIsNamed() {
+    void truncatedLengthIsReported() {
         assertEquals("frame 1: input ends inside the length", failure(new FrameBuilder().raw(new byte[] {0, 0})));
     }
 
     @Test
-    void aTruncatedFrameIsNamed() {
+    void truncatedFrameIsReported() {
         assertEquals(
                 "frame 2: input ends inside the frame",
                 failure(new FrameBuilder().frame(1).raw(new byte[] {0, 0, 0, 12, 0})));
     }
 
     @Test
-    void aFrameLengthThatCannotBeIsNamed() {
+    void impossibleFrameLengthIsReported() {
         assertEquals(
                 "frame 1: length 4294967295 is not possible",
                 failure(new FrameBuilder().raw(new byte[] {-1, -1, -1, -1})));
@@ -140,14 +140,14 @@
 
     /** Failed before: two gigabytes were set aside for a frame that said it had them. */
     @Test
-    void aFrameLargerThanAnyHostSendsIsNamedAndNotSetAside() {
+    void oversizedFrameIsReportedAndNotAllocated() {
         assertEquals(
                 "frame 1: length 1879048192 is not possible",
                 failure(new FrameBuilder().raw(new byte[] {0x70, 0, 0, 0})));
     }
 
     @Test
-    void aRecordTooShortForItsFieldsIsNamed() {
+    void recordShorterThanItsFieldsIsReported() {
         assertEquals(
                 "frame 1 record 2 (code 20): too short for its fields",
                 failure(new FrameBuilder()
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void aRecordLongerThanItsFieldsIsNamed() {
+    void recordLongerThanItsFieldsIsReported() {
         assertEquals(
                 "frame 1 record 2 (code 26): 1 bytes too many",
                 failure(new FrameBuilder()
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void aRecordOverTheFrameIsNamed() {
+    void recordBeyondItsFrameIsReported() {
         assertTrue(failure(new FrameBuilder().raw(FrameBuilder.bytes(out -> {
                     out.writeInt(17);
                     out.writeInt(1);
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void unknownCodesInstancesListsAndOutcomesAreNamed() {
+    void unknownCodesInstancesListsAndOutcomesAreReported() {
         assertEquals(
                 "frame 1 record 2 (code 99): unknown code",
                 failure(new FrameBuilder()
@@ -205,7 +205,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"caps.max-attempts", "classes.0.semantics", "discovery", "granularity-us", "me"})
-    void aMissingSettingIsNamed(String key) {
+    void missingSettingIsReported(String key) {
         String without = FrameBuilder.SETTINGS.replaceAll("(?m)^" + key.replace(".", "\\.") + "=.*\n", "");
         assertEquals(
                 "settings: " + key + " is missing",
@@ -213,7 +213,7 @@
     }
 
     @Test
-    void anUnusableSettingIsNamed() {
+    void unusableSettingIsReported() {
         String bad = FrameBuilder.SETTINGS.replace("semantics=safe", "semantics=perhaps");
         assertEquals(
                 "settings: classes.0.semantics has an unusable value: perhaps",
@@ -236,7 +236,7 @@
                 "classes.0.aim-us=0",
                 "group-size=Infinity"
             })
-    void aSettingOutOfRangeIsNamed(String pair) {
+    void settingOutOfRangeIsReported(String pair) {
         String key = pair.substring(0, pair.indexOf('='));
         String bad = FrameBuilder.SETTINGS.replaceAll("(?m)^" + key.replace(".", "\\.") + "=.*\n", pair + "\n");
         assertEquals(
@@ -257,7 +257,7 @@
 
     @Test
     void unknownLoadValuesAreIgnored() throws IOException {
-        String loads = FrameBuilder.SETTINGS + "load-info.via=answers\nload-info.fields=depth,shoe_size\n";
-        assertEquals(1, new FrameBuilder().spawn(1, loads).frame(1).run().size());
+        String settings = FrameBuilder.SETTINGS + "load-info.via=answers\nload-info.fields=depth,shoe_size\n";
+        assertEquals(1, new FrameBuilder().spawn(1, settings).frame(1).run().size());
     }
 }
--- a/src/test/java/gatefront/padron/DiscoveryTest.java
+++ b/src/test/java/gatefront/padron/DiscoveryTest.java
@@ -69,7 +69,7 @@
     private void listen() {
         new ServerBootstrap()
                 .group(padron.loop())
-                .channelFactory(padron.listeners())
+                .channelFactory(padron.serverChannels())
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
@@ -101,7 +101,7 @@
         ObjectNode root =
                 (ObjectNode) new ObjectMapper().readTree(Files.readAllBytes(Path.of("src/test/resources/config.json")));
         root.put("discovery", "127.0.0.2:" + PORT).put("seed", seed);
-        Discovery discovery = new Discovery(agent, Config.of(root), new Discovery.Listener() {
+        Discovery discovery = new Discovery(agent, Config.fromJson(root), new Discovery.Listener() {
             @Override
             public void list(ListKind kind, List<Endpoint> endpoints) {
                 heard.add(kind + " " + endpoints.stream().map(Endpoint::name).toList());
--- a/src/test/java/gatefront/registry/RegistryContract.java
+++ b/src/test/java/gatefront/registry/RegistryContract.java
@@ -462,7 +462,7 @@
         for (int i = 0; i < MEMBERS; i++) {
             liars.add(new ServerBootstrap()
                     .group(hosts.get(i).loop())
-                    .channelFactory(hosts.get(i).listeners())
+                    .channelFactory(hosts.get(i).serverChannels())
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel ch) {
--- a/src/test/java/gatefront/rehearsal/net/NetworkTest.java
+++ b/src/test/java/gatefront/rehearsal/net/NetworkTest.java
@@ -95,7 +95,7 @@
     private void listen(boolean halfClosure) {
         new ServerBootstrap()
                 .group(there.loop())
-                .channelFactory(there.listeners())
+                .channelFactory(there.serverChannels())
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, halfClosure)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
@@ -111,7 +111,7 @@
     private ChannelFuture dial() {
         return new Bootstrap()
                 .group(here.loop())
-                .channelFactory(here.dialers())
+                .channelFactory(here.clientChannels())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 2000)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new Notes("client"))
@@ -270,12 +270,12 @@
     @Test
     void bytesUnreadShowThatAChannelIsNotSilent() {
         Channel client = connect(false);
-        assertTrue(here.silent(client));
+        assertTrue(here.hasNoUnreadInput(client));
         client.config().setAutoRead(false);
         accepted.writeAndFlush(bytes("x"));
         accepted.writeAndFlush(bytes("y"));
         run(20);
-        assertFalse(here.silent(client));
+        assertFalse(here.hasNoUnreadInput(client));
     }
 
     /**
--- a/src/test/java/gatefront/rehearsal/net/TamperingTransport.java
+++ b/src/test/java/gatefront/rehearsal/net/TamperingTransport.java
@@ -24,9 +24,9 @@
     }
 
     @Override
-    public ChannelFactory<? extends ServerChannel> listeners() {
+    public ChannelFactory<? extends ServerChannel> serverChannels() {
         return () -> {
-            ServerChannel server = right.listeners().newChannel();
+            ServerChannel server = right.serverChannels().newChannel();
             server.pipeline().addFirst(new ChannelInboundHandlerAdapter() {
                 @Override
                 public void channelRead(ChannelHandlerContext ctx, Object child) {
@@ -39,22 +39,22 @@
     }
 
     @Override
-    public ChannelFactory<? extends Channel> dialers() {
+    public ChannelFactory<? extends Channel> clientChannels() {
         return () -> {
-            Channel channel = right.dialers().newChannel();
+            Channel channel = right.clientChannels().newChannel();
             channel.pipeline().addFirst(dialled.get());
             return channel;
         };
     }
 
     @Override
-    public boolean silent(Channel channel) {
-        return right.silent(channel);
+    public boolean hasNoUnreadInput(Channel channel) {
+        return right.hasNoUnreadInput(channel);
     }
 
     @Override
-    public long memory() {
-        return right.memory();
+    public long maxMemoryBytes() {
+        return right.maxMemoryBytes();
     }
 
     @Override
--- a/src/test/java/gatefront/thrift/CallMetadataTest.java
+++ b/src/test/java/gatefront/thrift/CallMetadataTest.java
@@ -16,12 +16,12 @@
  * place.
  */
 class CallMetadataTest {
-    private static CallMetadata.Found of(ThriftEncoding encoding, byte[] arguments) {
-        return CallMetadata.of(
+    private static CallMetadata.ParseResult parse(ThriftEncoding encoding, byte[] arguments) {
+        return CallMetadata.parse(
                 new ThriftMessage(encoding, new MessageHeader("m", MessageHeader.Type.CALL, 1), arguments));
     }
 
-    private static StructWriter usual(ThriftEncoding encoding, long timeoutMs) {
+    private static StructWriter defaultMetadata(ThriftEncoding encoding, long timeoutMs) {
         return new StructWriter(encoding)
                 .string(1, "r-1")
                 .i64(2, timeoutMs)
@@ -33,13 +33,13 @@
     }
 
     @Test
-    void allFieldsAreReadAndThoseOfLaterVersionsPassedOver() {
+    void allFieldsAreReadAndUnknownOnesSkipped() {
         for (ThriftEncoding encoding : ThriftEncoding.values()) {
-            byte[] metadata = usual(encoding, 250)
+            byte[] metadata = defaultMetadata(encoding, 250)
                     .string(60, "later")
                     .struct(61, new StructWriter(encoding).end())
                     .end();
-            CallMetadata data = of(
+            CallMetadata data = parse(
                             encoding,
                             new StructWriter(encoding)
                                     .struct(1, metadata)
@@ -58,34 +58,34 @@
 
     /** Guards against a second copy that the server believes, and the agent does not. */
     @Test
-    void whatComesTwiceOrAsAnotherTypeOrNotAtAllHasAReason() {
+    void duplicateMistypedOrMissingMetadataIsReported() {
         for (ThriftEncoding encoding : ThriftEncoding.values()) {
-            byte[] metadata = usual(encoding, 250).end();
+            byte[] metadata = defaultMetadata(encoding, 250).end();
             assertEquals(
                     "argument 1 comes twice",
-                    of(
+                    parse(
                                     encoding,
                                     new StructWriter(encoding)
                                             .struct(1, metadata)
                                             .i32(2, 5)
                                             .struct(1, metadata)
                                             .end())
-                            .wrong());
+                            .error());
             assertEquals(
                     "metadata field 1 comes twice",
-                    of(
+                    parse(
                                     encoding,
                                     new StructWriter(encoding)
                                             .struct(
                                                     1,
-                                                    usual(encoding, 250)
+                                                    defaultMetadata(encoding, 250)
                                                             .string(1, "r-2")
                                                             .end())
                                             .end())
-                            .wrong());
+                            .error());
             assertEquals(
                     "metadata field 2 has another type",
-                    of(
+                    parse(
                                     encoding,
                                     new StructWriter(encoding)
                                             .struct(
@@ -95,10 +95,10 @@
                                                             .string(2, "250")
                                                             .end())
                                             .end())
-                            .wrong());
+                            .error());
             assertEquals(
                     "metadata field 7 has another type",
-                    of(
+                    parse(
                                     encoding,
                                     new StructWriter(encoding)
                                             .struct(
@@ -108,70 +108,77 @@
                                                             .i64(7, 1)
                                                             .end())
                                             .end())
-                            .wrong());
+                            .error());
             assertEquals(
                     "argument 1 is not the metadata struct",
-                    of(encoding, new StructWriter(encoding).string(1, "r-1").end())
-                            .wrong());
+                    parse(encoding, new StructWriter(encoding).string(1, "r-1").end())
+                            .error());
             assertEquals(
                     "argument 1, the metadata, is missing",
-                    of(encoding, new StructWriter(encoding).struct(2, metadata).end())
-                            .wrong());
+                    parse(
+                                    encoding,
+                                    new StructWriter(encoding)
+                                            .struct(2, metadata)
+                                            .end())
+                            .error());
         }
     }
 
     /** Guards against a time that does not fit, which would be read as another. */
     @Test
-    void aTimeThatDoesNotFitIsNotWritten() {
+    void timeoutThatDoesNotFitIsNotWritten() {
         byte[] arguments = new StructWriter(ThriftEncoding.COMPACT)
-                .struct(1, usual(ThriftEncoding.COMPACT, 63).end())
+                .struct(1, defaultMetadata(ThriftEncoding.COMPACT, 63).end())
                 .end();
         ThriftMessage call = new ThriftMessage(
                 ThriftEncoding.COMPACT, new MessageHeader("m", MessageHeader.Type.CALL, 1), arguments);
-        CallMetadata data = CallMetadata.of(call).metadata();
+        CallMetadata data = CallMetadata.parse(call).metadata();
         assertEquals(1, data.timeoutBytes);
         assertEquals(
                 63,
-                of(ThriftEncoding.COMPACT, new ThriftCall(call, data.timeoutAt, 1).body(64))
+                parse(ThriftEncoding.COMPACT, new ThriftCall(call, data.timeoutOffset, 1).bodyWithTimeout(64))
                         .metadata()
                         .timeoutMs);
         assertEquals(
                 62,
-                of(ThriftEncoding.COMPACT, new ThriftCall(call, data.timeoutAt, 1).body(62))
+                parse(ThriftEncoding.COMPACT, new ThriftCall(call, data.timeoutOffset, 1).bodyWithTimeout(62))
                         .metadata()
                         .timeoutMs);
     }
 
     /** What is left of the time takes the place of what there was, and no other byte changes. */
     @Test
-    void theTimeLeftIsWrittenInItsPlaceAndAtItsLength() {
+    void remainingTimeReplacesTheTimeoutInPlace() {
         Random random = new Random(3);
         for (int i = 0; i < 20_000; i++) {
             ThriftEncoding encoding = ThriftEncoding.values()[i % 3];
             long timeout = 1 + random.nextInt(1 << 1 + random.nextInt(21));
             long left = 1 + (long) (random.nextDouble() * timeout);
             byte[] arguments = new StructWriter(encoding)
-                    .struct(1, usual(encoding, timeout).end())
+                    .struct(1, defaultMetadata(encoding, timeout).end())
                     .i32(2, 5)
                     .end();
             ThriftMessage call =
                     new ThriftMessage(encoding, new MessageHeader("m", MessageHeader.Type.CALL, 1), arguments);
-            CallMetadata before = CallMetadata.of(call).metadata();
-            byte[] sent = new ThriftCall(call, before.timeoutAt, before.timeoutBytes).body(left);
-            CallMetadata after = of(encoding, sent).metadata();
+            CallMetadata before = CallMetadata.parse(call).metadata();
+            byte[] sent = new ThriftCall(call, before.timeoutOffset, before.timeoutBytes).bodyWithTimeout(left);
+            CallMetadata after = parse(encoding, sent).metadata();
             assertEquals(left, after.timeoutMs, encoding + " " + timeout);
             assertEquals(arguments.length, sent.length);
             for (int at = 0; at < sent.length; at++) {
-                boolean inside = at >= before.timeoutAt && at < before.timeoutAt + before.timeoutBytes;
+                boolean inside = at >= before.timeoutOffset && at < before.timeoutOffset + before.timeoutBytes;
                 assertTrue(inside || sent[at] == arguments[at], "byte " + at);
             }
             assertEquals("k-1", after.idempotencyKey);
         }
-        assertNull(of(
+        assertNull(parse(
                         ThriftEncoding.COMPACT,
                         new StructWriter(ThriftEncoding.COMPACT)
-                                .struct(1, usual(ThriftEncoding.COMPACT, 9).end())
+                                .struct(
+                                        1,
+                                        defaultMetadata(ThriftEncoding.COMPACT, 9)
+                                                .end())
                                 .end())
-                .wrong());
+                .error());
     }
 }
--- a/src/test/java/gatefront/thrift/ThriftUpstreamTest.java
+++ b/src/test/java/gatefront/thrift/ThriftUpstreamTest.java
@@ -24,11 +24,11 @@
 
 /** The contract over Thrift, in each form. */
 class ThriftUpstreamTest {
-    private abstract static class InForm extends UpstreamContract {
-        private final MessageFormat form;
+    private abstract static class WithFormat extends UpstreamContract {
+        private final MessageFormat format;
 
-        InForm(boolean framed, ThriftEncoding encoding) {
-            form = new MessageFormat(framed, encoding);
+        WithFormat(boolean framed, ThriftEncoding encoding) {
+            format = new MessageFormat(framed, encoding);
         }
 
         @Override
@@ -36,7 +36,7 @@
             return new ThriftUpstream(
                     transport,
                     Config.read(Path.of("src/test/resources/config.json")),
-                    new ThriftSettings(null, null, port, form.framed(), true, Map.of()),
+                    new ThriftSettings(null, null, port, format.framed(), true, Map.of()),
                     50,
                     new ResourceBudget(1 << 24, Map.of()));
         }
@@ -44,17 +44,17 @@
         @Override
         protected Payload newRequest() {
             byte[] arguments =
-                    new StructWriter(form.encoding()).string(2, "cuerpo").end();
+                    new StructWriter(format.encoding()).string(2, "cuerpo").end();
             return new ThriftCall(
                     new ThriftMessage(
-                            form.encoding(), new MessageHeader("order", MessageHeader.Type.CALL, 5), arguments),
+                            format.encoding(), new MessageHeader("order", MessageHeader.Type.CALL, 5), arguments),
                     -1,
                     0);
         }
 
         @Override
         protected void addServerDecoder(ChannelPipeline pipeline) {
-            pipeline.addLast(new MessageDecoder(MessageLimits.USUAL));
+            pipeline.addLast(new MessageDecoder(MessageLimits.DEFAULT));
         }
 
         @Override
@@ -72,35 +72,35 @@
                                     MessageHeader.Type.REPLY,
                                     call.header().seqid()),
                             result),
-                    form.framed(),
+                    format.framed(),
                     out);
             return ByteBufUtil.getBytes(out);
         }
     }
 
     @Nested
-    class FramedBinary extends InForm {
+    class FramedBinary extends WithFormat {
         FramedBinary() {
             super(true, ThriftEncoding.BINARY);
         }
     }
 
     @Nested
-    class FramedCompact extends InForm {
+    class FramedCompact extends WithFormat {
         FramedCompact() {
             super(true, ThriftEncoding.COMPACT);
         }
     }
 
     @Nested
-    class UnframedBinary extends InForm {
+    class UnframedBinary extends WithFormat {
         UnframedBinary() {
             super(false, ThriftEncoding.BINARY);
         }
     }
 
     @Nested
-    class UnframedCompact extends InForm {
+    class UnframedCompact extends WithFormat {
         UnframedCompact() {
             super(false, ThriftEncoding.COMPACT);
         }
--- a/src/test/java/gatefront/thrift/codec/MessageDecoderTest.java
+++ b/src/test/java/gatefront/thrift/codec/MessageDecoderTest.java
@@ -30,28 +30,28 @@
 
     /** What comes of bytes that arrive in pieces that end before these places. */
     private static List<Object> decode(byte[] bytes, int... cuts) {
-        EmbeddedChannel channel = new EmbeddedChannel(new MessageDecoder(MessageLimits.USUAL));
-        int from = 0;
+        EmbeddedChannel channel = new EmbeddedChannel(new MessageDecoder(MessageLimits.DEFAULT));
+        int start = 0;
         for (int cut : cuts) {
-            channel.writeInbound(Unpooled.copiedBuffer(bytes, from, cut - from));
-            from = cut;
+            channel.writeInbound(Unpooled.copiedBuffer(bytes, start, cut - start));
+            start = cut;
         }
-        channel.writeInbound(Unpooled.copiedBuffer(bytes, from, bytes.length - from));
+        channel.writeInbound(Unpooled.copiedBuffer(bytes, start, bytes.length - start));
         List<Object> out = new ArrayList<>();
-        for (Object each = channel.readInbound(); each != null; each = channel.readInbound()) {
-            out.add(each);
+        for (Object message = channel.readInbound(); message != null; message = channel.readInbound()) {
+            out.add(message);
         }
         channel.finishAndReleaseAll();
         return out;
     }
 
-    private static String why(byte[] bytes) {
+    private static String failureOf(byte[] bytes) {
         List<Object> out = decode(bytes);
         assertEquals(1, out.size(), out.toString());
         return ((MalformedMessageException) out.get(0)).getMessage();
     }
 
-    private static byte[] glued(byte[]... parts) {
+    private static byte[] concat(byte[]... parts) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         Arrays.stream(parts).forEach(out::writeBytes);
         return out.toByteArray();
@@ -65,8 +65,8 @@
         return bytes;
     }
 
-    private static byte[] call(MessageFormat form) throws Exception {
-        return MessageSamples.message(form, "pagar", 1, 7, to -> {
+    private static byte[] call(MessageFormat format) throws Exception {
+        return MessageSamples.message(format, "pagar", 1, 7, to -> {
             to.writeFieldBegin(new TField("texto", TType.STRING, (short) 2));
             to.writeString("hola");
             to.writeFieldEnd();
@@ -74,64 +74,64 @@
     }
 
     private static byte[] frame(byte[] message) {
-        return glued(bytes(0, 0, message.length >> 8, message.length), message);
+        return concat(bytes(0, 0, message.length >> 8, message.length), message);
     }
 
     @Test
-    void everyFormIsToldByItsFirstBytesAndReadWithItsHeader() throws Exception {
-        for (MessageFormat form : MessageSamples.FORMS) {
-            EmbeddedChannel channel = new EmbeddedChannel(new MessageDecoder(MessageLimits.USUAL));
-            channel.writeInbound(Unpooled.copiedBuffer(call(form)));
+    void everyFormatIsDetectedFromItsFirstBytes() throws Exception {
+        for (MessageFormat format : MessageSamples.FORMATS) {
+            EmbeddedChannel channel = new EmbeddedChannel(new MessageDecoder(MessageLimits.DEFAULT));
+            channel.writeInbound(Unpooled.copiedBuffer(call(format)));
             ThriftMessage message = channel.readInbound();
-            assertEquals(new MessageHeader("pagar", Type.CALL, 7), message.header(), form.toString());
-            assertEquals(form, channel.pipeline().get(MessageDecoder.class).form());
-            assertFalse(channel.pipeline().get(MessageDecoder.class).leftover());
+            assertEquals(new MessageHeader("pagar", Type.CALL, 7), message.header(), format.toString());
+            assertEquals(format, channel.pipeline().get(MessageDecoder.class).format());
+            assertFalse(channel.pipeline().get(MessageDecoder.class).hasUnreadBytes());
         }
     }
 
     /** Each message of the reference is found whole, its struct passed on byte for byte, in any pieces. */
     @Test
-    void messagesOfTheReferenceAreFoundWholeHoweverTheyAreCut() throws Exception {
+    void referenceMessagesAreDecodedHoweverTheyAreSplit() throws Exception {
         Random random = new Random(5);
         for (int i = 0; i < 3000; i++) {
-            MessageFormat form = MessageSamples.FORMS[i % MessageSamples.FORMS.length];
-            byte[] first = MessageSamples.random(form, random);
-            byte[] second = MessageSamples.random(form, random);
-            byte[] both = glued(first, second);
+            MessageFormat format = MessageSamples.FORMATS[i % MessageSamples.FORMATS.length];
+            byte[] first = MessageSamples.random(format, random);
+            byte[] second = MessageSamples.random(format, random);
+            byte[] both = concat(first, second);
             List<Object> whole = decode(both);
-            assertEquals(2, whole.size(), form + " " + whole);
+            assertEquals(2, whole.size(), format + " " + whole);
             int[] cuts =
                     random.ints(random.nextInt(6), 0, both.length + 1).sorted().toArray();
-            same(whole, decode(both, cuts));
-            same(whole.subList(0, 1), decode(first));
+            assertSameMessages(whole, decode(both, cuts));
+            assertSameMessages(whole.subList(0, 1), decode(first));
             ThriftMessage message = (ThriftMessage) whole.get(0);
             assertTrue(first.length >= message.body().length);
             assertArrayEquals(
                     Arrays.copyOfRange(first, first.length - message.body().length, first.length), message.body());
-            ByteBuf again = Unpooled.buffer();
-            MessageEncoder.write(message, form.framed(), again);
-            byte[] written = new byte[again.readableBytes()];
-            again.readBytes(written);
+            ByteBuf encoded = Unpooled.buffer();
+            MessageEncoder.write(message, format.framed(), encoded);
+            byte[] written = new byte[encoded.readableBytes()];
+            encoded.readBytes(written);
             assertArrayEquals(first, written, "and the encoder writes what the reference wrote");
         }
     }
 
-    private static void same(List<Object> some, List<Object> others) {
-        assertEquals(some.size(), others.size());
-        for (int i = 0; i < some.size(); i++) {
-            if (some.get(i) instanceof MalformedMessageException malformed) {
-                assertEquals(malformed.getMessage(), ((MalformedMessageException) others.get(i)).getMessage());
+    private static void assertSameMessages(List<Object> expected, List<Object> actual) {
+        assertEquals(expected.size(), actual.size());
+        for (int i = 0; i < expected.size(); i++) {
+            if (expected.get(i) instanceof MalformedMessageException malformed) {
+                assertEquals(malformed.getMessage(), ((MalformedMessageException) actual.get(i)).getMessage());
                 continue;
             }
-            ThriftMessage one = (ThriftMessage) some.get(i);
-            ThriftMessage other = (ThriftMessage) others.get(i);
+            ThriftMessage one = (ThriftMessage) expected.get(i);
+            ThriftMessage other = (ThriftMessage) actual.get(i);
             assertEquals(one.header(), other.header());
             assertArrayEquals(one.body(), other.body());
         }
     }
 
     @Test
-    void aMessageThatComesByteByByteIsReadOnce() throws Exception {
+    void messageArrivingByteByByteIsDecodedOnce() throws Exception {
         byte[] bytes = MessageSamples.message(FRAMED, "m", 1, 1, to -> {
             to.writeFieldBegin(new TField("f", TType.STRING, (short) 1));
             to.writeString("x".repeat(30_000));
@@ -139,11 +139,11 @@
         });
         int[] cuts = new int[bytes.length - 1];
         Arrays.setAll(cuts, i -> i + 1);
-        same(decode(bytes), decode(bytes, cuts));
+        assertSameMessages(decode(bytes), decode(bytes, cuts));
     }
 
     @Test
-    void whatOurWriterWritesTheReferenceReads() throws Exception {
+    void referenceReadsWhatStructWriterWrites() throws Exception {
         for (ThriftEncoding encoding : ThriftEncoding.values()) {
             byte[] inner = new StructWriter(encoding)
                     .string(1, "r-1")
@@ -181,15 +181,15 @@
     }
 
     @Test
-    void ourReaderFindsFieldsBehindAnythingThatTheReferenceWrites() throws Exception {
+    void structReaderFindsFieldsAfterAnyReferenceValue() throws Exception {
         Random random = new Random(11);
         for (int i = 0; i < 3000; i++) {
-            MessageFormat form = MessageSamples.FORMS[i % MessageSamples.FORMS.length];
+            MessageFormat format = MessageSamples.FORMATS[i % MessageSamples.FORMATS.length];
             ThriftMessage message = (ThriftMessage)
-                    decode(MessageSamples.withoutUuids(form, random)).get(0);
+                    decode(MessageSamples.withoutUuids(format, random)).get(0);
             StructReader reader = new StructReader(message.encoding(), message.body());
             TProtocol in = MessageSamples.protocol(
-                    form.encoding(), new TMemoryInputTransport(message.body(), 0, message.body().length));
+                    format.encoding(), new TMemoryInputTransport(message.body(), 0, message.body().length));
             in.readStructBegin();
             while (reader.next()) {
                 TField field = in.readFieldBegin();
@@ -215,11 +215,11 @@
     }
 
     @Test
-    void framesWithLengthsThatNoFrameHasAreRefused() throws Exception {
-        assertTrue(why(glued(bytes(0, 0, 0, 0), bytes(0x80, 1, 0, 1))).contains("a frame of 0 bytes"));
-        assertTrue(why(bytes(0xff, 0xff, 0xff, 0xff, 0x80)).contains("neither"));
-        assertTrue(why(bytes(0x7f, 0xff, 0xff, 0xff, 0x80, 1)).contains("a frame of 2147483647 bytes"));
-        EmbeddedChannel fixed = new EmbeddedChannel(new MessageDecoder(MessageLimits.USUAL, FRAMED));
+    void invalidFrameLengthsAreRejected() throws Exception {
+        assertTrue(failureOf(concat(bytes(0, 0, 0, 0), bytes(0x80, 1, 0, 1))).contains("a frame of 0 bytes"));
+        assertTrue(failureOf(bytes(0xff, 0xff, 0xff, 0xff, 0x80)).contains("neither"));
+        assertTrue(failureOf(bytes(0x7f, 0xff, 0xff, 0xff, 0x80, 1)).contains("a frame of 2147483647 bytes"));
+        EmbeddedChannel fixed = new EmbeddedChannel(new MessageDecoder(MessageLimits.DEFAULT, FRAMED));
         fixed.writeInbound(Unpooled.copiedBuffer(bytes(0x80, 0, 0, 0, 0x80)));
         assertTrue(((MalformedMessageException) fixed.readInbound())
                 .getMessage()
@@ -227,67 +227,68 @@
     }
 
     @Test
-    void framesThatDisagreeWithTheStructInsideAreRefused() throws Exception {
+    void framesWhoseLengthDiffersFromTheMessageAreRejected() throws Exception {
         byte[] message = call(new MessageFormat(false, ThriftEncoding.BINARY));
-        assertTrue(why(frame(glued(message, bytes(1)))).contains("around a message of"));
-        assertTrue(why(frame(Arrays.copyOf(message, message.length - 1))).contains("longer than"));
-        assertTrue(why(frame(glued(message, message))).contains("around a message of"), "two calls in one frame");
+        assertTrue(failureOf(frame(concat(message, bytes(1)))).contains("around a message of"));
+        assertTrue(failureOf(frame(Arrays.copyOf(message, message.length - 1))).contains("longer than"));
+        assertTrue(
+                failureOf(frame(concat(message, message))).contains("around a message of"), "two calls in one frame");
     }
 
     @Test
-    void lengthsAndCountsOverWhatIsLeftAreRefusedWhenTheyAreSaid() {
+    void lengthsAndCountsBeyondTheRemainingBytesAreRejectedAtOnce() {
         byte[] compact = bytes(0x82, 0x21, 1, 1, 'm');
         byte[] binary = bytes(0x80, 1, 0, 1, 0, 0, 0, 1, 'm', 0, 0, 0, 1);
-        for (byte[] lie : List.of(
-                glued(binary, bytes(11, 0, 1, 0x7f, 0xff, 0xff, 0xff)),
-                glued(binary, bytes(11, 0, 1, 0xff, 0, 0, 0)),
-                glued(binary, bytes(15, 0, 1, 12, 0x7f, 0xff, 0xff, 0xff)),
-                glued(binary, bytes(14, 0, 1, 3, 0xff, 0, 0, 0)),
-                glued(binary, bytes(13, 0, 1, 3, 3, 0x40, 0, 0, 0)),
-                glued(binary, bytes(13, 0, 1, 3, 3, 0x80, 0, 0, 0)),
-                glued(compact, bytes(0x18, 0xff, 0xff, 0xff, 0xff, 0x0f)),
-                glued(compact, bytes(0x19, 0xf3, 0xff, 0xff, 0xff, 0x7f)),
-                glued(compact, bytes(0x1b, 0xff, 0xff, 0xff, 0x7f, 0x33)))) {
-            assertTrue(why(lie).startsWith("says "), why(lie));
+        for (byte[] message : List.of(
+                concat(binary, bytes(11, 0, 1, 0x7f, 0xff, 0xff, 0xff)),
+                concat(binary, bytes(11, 0, 1, 0xff, 0, 0, 0)),
+                concat(binary, bytes(15, 0, 1, 12, 0x7f, 0xff, 0xff, 0xff)),
+                concat(binary, bytes(14, 0, 1, 3, 0xff, 0, 0, 0)),
+                concat(binary, bytes(13, 0, 1, 3, 3, 0x40, 0, 0, 0)),
+                concat(binary, bytes(13, 0, 1, 3, 3, 0x80, 0, 0, 0)),
+                concat(compact, bytes(0x18, 0xff, 0xff, 0xff, 0xff, 0x0f)),
+                concat(compact, bytes(0x19, 0xf3, 0xff, 0xff, 0xff, 0x7f)),
+                concat(compact, bytes(0x1b, 0xff, 0xff, 0xff, 0x7f, 0x33)))) {
+            assertTrue(failureOf(message).startsWith("says "), failureOf(message));
         }
     }
 
     @Test
-    void varintsWithoutEndAndUnknownTypesAndVersionsAreRefused() {
+    void unterminatedVarintsAndUnknownTypesAndVersionsAreRejected() {
         byte[] compact = bytes(0x82, 0x21, 1, 1, 'm');
-        byte[] endless = bytes(0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff);
+        byte[] unterminated = bytes(0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff);
         for (int type : new int[] {0x14, 0x15, 0x16, 0x18, 0x1b}) {
-            assertEquals("a varint without an end", why(glued(compact, bytes(type), endless)));
+            assertEquals("a varint without an end", failureOf(concat(compact, bytes(type), unterminated)));
         }
-        assertEquals("a varint without an end", why(glued(bytes(0x82, 0x21), endless)));
-        assertTrue(why(glued(compact, bytes(0x1e))).contains("type 14"));
-        assertTrue(why(glued(compact, bytes(0x10))).contains("type 0"));
-        assertTrue(why(glued(compact, bytes(0x19, 0x10))).contains("type 0"), "values that would take no bytes");
-        assertTrue(why(bytes(0x82, 0x22, 1)).contains("version"));
-        assertTrue(why(bytes(0x80, 2, 0, 1, 0, 0, 0, 1)).contains("version"));
-        assertTrue(why(bytes(0x80, 1, 0, 9, 0, 0, 0, 1)).contains("message type 9"));
+        assertEquals("a varint without an end", failureOf(concat(bytes(0x82, 0x21), unterminated)));
+        assertTrue(failureOf(concat(compact, bytes(0x1e))).contains("type 14"));
+        assertTrue(failureOf(concat(compact, bytes(0x10))).contains("type 0"));
+        assertTrue(failureOf(concat(compact, bytes(0x19, 0x10))).contains("type 0"), "values that would take no bytes");
+        assertTrue(failureOf(bytes(0x82, 0x22, 1)).contains("version"));
+        assertTrue(failureOf(bytes(0x80, 2, 0, 1, 0, 0, 0, 1)).contains("version"));
+        assertTrue(failureOf(bytes(0x80, 1, 0, 9, 0, 0, 0, 1)).contains("message type 9"));
         byte[] binary = bytes(0x80, 1, 0, 1, 0, 0, 0, 1, 'm', 0, 0, 0, 1);
-        assertTrue(why(glued(binary, bytes(1, 0, 1))).contains("type 1"));
-        assertTrue(why(glued(binary, bytes(99, 0, 1))).contains("type 99"));
-        assertTrue(why(bytes(0x80, 1, 0, 1, 0x7f, 0, 0, 0)).contains("name of"));
-        assertTrue(why(bytes(0x80, 1, 0, 1, 0, 0, 0, 1, '\n', 0, 0, 0, 1)).contains("character"));
-        assertTrue(why("GET / HTTP/1.1\r\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII))
+        assertTrue(failureOf(concat(binary, bytes(1, 0, 1))).contains("type 1"));
+        assertTrue(failureOf(concat(binary, bytes(99, 0, 1))).contains("type 99"));
+        assertTrue(failureOf(bytes(0x80, 1, 0, 1, 0x7f, 0, 0, 0)).contains("name of"));
+        assertTrue(failureOf(bytes(0x80, 1, 0, 1, 0, 0, 0, 1, '\n', 0, 0, 0, 1)).contains("character"));
+        assertTrue(failureOf("GET / HTTP/1.1\r\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII))
                 .contains("form"));
     }
 
     @Test
-    void whatIsNestedTenThousandDeepIsRefused() {
+    void deepNestingIsRejected() {
         byte[] deep = new byte[10_020];
         byte[] head = bytes(0x82, 0x21, 1, 1, 'm');
         System.arraycopy(head, 0, deep, 0, head.length);
         Arrays.fill(deep, head.length, deep.length, (byte) 0x1c);
-        assertEquals("nested more than 32 deep", why(deep));
+        assertEquals("nested more than 32 deep", failureOf(deep));
         Arrays.fill(deep, head.length, deep.length, (byte) 0x19); // a list of one list of one list ...
-        assertEquals("nested more than 32 deep", why(deep));
+        assertEquals("nested more than 32 deep", failureOf(deep));
     }
 
     @Test
-    void aMessageOverTheLimitIsRefusedBeforeItIsKept() throws Exception {
+    void messageOverTheLimitIsRejectedBeforeItIsBuffered() throws Exception {
         byte[] large = MessageSamples.message(COMPACT, "m", 1, 1, to -> {
             for (int i = 1; i < 5; i++) {
                 to.writeFieldBegin(new TField("f", TType.STRING, (short) i));
@@ -295,12 +296,12 @@
                 to.writeFieldEnd();
             }
         });
-        assertTrue(why(large).contains("20000 bytes where"), why(large));
+        assertTrue(failureOf(large).contains("20000 bytes where"), failureOf(large));
     }
 
     @Test
-    void afterAMessageOfAnotherFormNothingMoreIsRead() throws Exception {
-        List<Object> out = decode(glued(call(FRAMED), call(COMPACT), call(FRAMED)));
+    void nothingIsDecodedAfterAMessageOfAnotherFormat() throws Exception {
+        List<Object> out = decode(concat(call(FRAMED), call(COMPACT), call(FRAMED)));
         assertEquals(2, out.size());
         assertTrue(out.get(1) instanceof MalformedMessageException);
     }
@@ -310,12 +311,12 @@
      * as whole, and the reader goes through whatever the decoder lets pass.
      */
     @Test
-    void mutatedMessagesAreMessagesOrReasonsTheSameInPiecesAsWhole() throws Exception {
+    void mutatedMessagesDecodeTheSameInPiecesAsWhole() throws Exception {
         Random random = new Random(42);
-        int passed = 0;
+        int decoded = 0;
         List<byte[]> seeds = new ArrayList<>();
         for (int i = 0; i < 600; i++) {
-            seeds.add(MessageSamples.random(MessageSamples.FORMS[i % MessageSamples.FORMS.length], random));
+            seeds.add(MessageSamples.random(MessageSamples.FORMATS[i % MessageSamples.FORMATS.length], random));
         }
         for (int i = 0; i < 200_000; i++) {
             byte[] bytes = seeds.get(random.nextInt(seeds.size())).clone();
@@ -333,10 +334,10 @@
             }
             List<Object> whole = decode(bytes);
             int cut = random.nextInt(bytes.length + 1);
-            same(whole, decode(bytes, cut));
+            assertSameMessages(whole, decode(bytes, cut));
             for (Object each : whole) {
                 if (each instanceof ThriftMessage message) {
-                    passed++;
+                    decoded++;
                     StructReader reader = new StructReader(message.encoding(), message.body());
                     while (reader.next()) {
                         if (random.nextBoolean()) {
@@ -346,6 +347,6 @@
                 }
             }
         }
-        assertTrue(passed > 20_000 && passed < 190_000, passed + " of them are still messages");
+        assertTrue(decoded > 20_000 && decoded < 190_000, decoded + " of them are still messages");
     }
 }
--- a/src/test/java/gatefront/thrift/codec/MessageSamples.java
+++ b/src/test/java/gatefront/thrift/codec/MessageSamples.java
@@ -19,7 +19,7 @@
 
 /** Messages as the reference implementation writes them. */
 final class MessageSamples {
-    static final MessageFormat[] FORMS = {
+    static final MessageFormat[] FORMATS = {
         new MessageFormat(true, ThriftEncoding.BINARY),
         new MessageFormat(true, ThriftEncoding.COMPACT),
         new MessageFormat(false, ThriftEncoding.BINARY),
@@ -63,48 +63,48 @@
     }
 
     /** A message as the reference writes it. */
-    static byte[] message(MessageFormat form, String name, int type, int seqid, Body body) throws TException {
+    static byte[] message(MessageFormat format, String name, int type, int seqid, Body body) throws TException {
         TMemoryBuffer memory = new TMemoryBuffer(512);
-        TTransport transport = form.framed() ? new TFramedTransport(memory) : memory;
-        TProtocol to = protocol(form.encoding(), transport);
-        to.writeMessageBegin(new TMessage(name, (byte) type, seqid));
-        to.writeStructBegin(new TStruct("args"));
-        body.write(to);
-        to.writeFieldStop();
-        to.writeStructEnd();
-        to.writeMessageEnd();
+        TTransport transport = format.framed() ? new TFramedTransport(memory) : memory;
+        TProtocol out = protocol(format.encoding(), transport);
+        out.writeMessageBegin(new TMessage(name, (byte) type, seqid));
+        out.writeStructBegin(new TStruct("args"));
+        body.write(out);
+        out.writeFieldStop();
+        out.writeStructEnd();
+        out.writeMessageEnd();
         transport.flush();
         return java.util.Arrays.copyOf(memory.getArray(), memory.length());
     }
 
     /** A message with any fields of any types. */
-    static byte[] random(MessageFormat form, Random random) throws TException {
-        return random(form, random, TYPES.length);
+    static byte[] random(MessageFormat format, Random random) throws TException {
+        return random(format, random, TYPES.length);
     }
 
     /** The same with types alone that the reference can pass over. */
-    static byte[] withoutUuids(MessageFormat form, Random random) throws TException {
-        return random(form, random, WITHOUT_UUID);
+    static byte[] withoutUuids(MessageFormat format, Random random) throws TException {
+        return random(format, random, WITHOUT_UUID);
     }
 
-    private static byte[] random(MessageFormat form, Random random, int types) throws TException {
+    private static byte[] random(MessageFormat format, Random random, int types) throws TException {
         return message(
-                form,
+                format,
                 "metodo" + random.nextInt(100),
                 MESSAGE_TYPES[random.nextInt(4)],
                 random.nextInt(),
                 to -> fields(to, random, 0, types));
     }
 
-    private static void fields(TProtocol to, Random random, int depth, int types) throws TException {
-        int n = random.nextInt(5);
+    private static void fields(TProtocol out, Random random, int depth, int types) throws TException {
+        int count = random.nextInt(5);
         int id = random.nextInt(4);
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < count; i++) {
             byte type = type(random, depth, types);
             id += 1 + (random.nextInt(5) == 0 ? random.nextInt(400) : random.nextInt(3));
-            to.writeFieldBegin(new TField("f", type, (short) id));
-            value(to, type, random, depth, types);
-            to.writeFieldEnd();
+            out.writeFieldBegin(new TField("f", type, (short) id));
+            value(out, type, random, depth, types);
+            out.writeFieldEnd();
         }
     }
 
@@ -112,52 +112,52 @@
         return TYPES[random.nextInt(depth > 4 ? 7 : types)];
     }
 
-    private static void value(TProtocol to, byte type, Random random, int depth, int types) throws TException {
+    private static void value(TProtocol out, byte type, Random random, int depth, int types) throws TException {
         switch (type) {
-            case TType.BOOL -> to.writeBool(random.nextBoolean());
-            case TType.BYTE -> to.writeByte((byte) random.nextInt());
-            case TType.DOUBLE -> to.writeDouble(random.nextDouble());
-            case TType.I16 -> to.writeI16((short) random.nextInt());
-            case TType.I32 -> to.writeI32(random.nextInt() >> random.nextInt(32));
-            case TType.I64 -> to.writeI64(random.nextLong() >> random.nextInt(64));
-            case TType.UUID -> to.writeUuid(new java.util.UUID(random.nextLong(), random.nextLong()));
+            case TType.BOOL -> out.writeBool(random.nextBoolean());
+            case TType.BYTE -> out.writeByte((byte) random.nextInt());
+            case TType.DOUBLE -> out.writeDouble(random.nextDouble());
+            case TType.I16 -> out.writeI16((short) random.nextInt());
+            case TType.I32 -> out.writeI32(random.nextInt() >> random.nextInt(32));
+            case TType.I64 -> out.writeI64(random.nextLong() >> random.nextInt(64));
+            case TType.UUID -> out.writeUuid(new java.util.UUID(random.nextLong(), random.nextLong()));
             case TType.STRING -> {
                 byte[] bytes = new byte[random.nextInt(random.nextInt(10) == 0 ? 300 : 12)];
                 random.nextBytes(bytes);
-                to.writeBinary(ByteBuffer.wrap(bytes));
+                out.writeBinary(ByteBuffer.wrap(bytes));
             }
             case TType.STRUCT -> {
-                to.writeStructBegin(new TStruct("s"));
-                fields(to, random, depth + 1, types);
-                to.writeFieldStop();
-                to.writeStructEnd();
+                out.writeStructBegin(new TStruct("s"));
+                fields(out, random, depth + 1, types);
+                out.writeFieldStop();
+                out.writeStructEnd();
             }
             case TType.MAP -> {
-                byte keys = type(random, depth + 1, types);
-                byte values = type(random, depth + 1, types);
-                int n = random.nextInt(4);
-                to.writeMapBegin(new TMap(keys, values, n));
-                for (int i = 0; i < n; i++) {
-                    value(to, keys, random, depth + 1, types);
-                    value(to, values, random, depth + 1, types);
+                byte keyType = type(random, depth + 1, types);
+                byte valueType = type(random, depth + 1, types);
+                int count = random.nextInt(4);
+                out.writeMapBegin(new TMap(keyType, valueType, count));
+                for (int i = 0; i < count; i++) {
+                    value(out, keyType, random, depth + 1, types);
+                    value(out, valueType, random, depth + 1, types);
                 }
-                to.writeMapEnd();
+                out.writeMapEnd();
             }
             default -> {
-                byte elements = type(random, depth + 1, types);
-                int n = random.nextInt(random.nextInt(8) == 0 ? 40 : 4);
+                byte elementType = type(random, depth + 1, types);
+                int count = random.nextInt(random.nextInt(8) == 0 ? 40 : 4);
                 if (type == TType.SET) {
-                    to.writeSetBegin(new TSet(elements, n));
+                    out.writeSetBegin(new TSet(elementType, count));
                 } else {
-                    to.writeListBegin(new TList(elements, n));
+                    out.writeListBegin(new TList(elementType, count));
                 }
-                for (int i = 0; i < n; i++) {
-                    value(to, elements, random, depth + 1, types);
+                for (int i = 0; i < count; i++) {
+                    value(out, elementType, random, depth + 1, types);
                 }
                 if (type == TType.SET) {
-                    to.writeSetEnd();
+                    out.writeSetEnd();
                 } else {
-                    to.writeListEnd();
+                    out.writeListEnd();
                 }
             }
         }
--- a/src/test/java/gatefront/transport/SharedListenerTest.java
+++ b/src/test/java/gatefront/transport/SharedListenerTest.java
@@ -24,7 +24,7 @@
         transports.add(transport);
         return new ServerBootstrap()
                 .group(transport.loop())
-                .channelFactory(transport.sharedListeners())
+                .channelFactory(transport.sharedServerChannels())
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
@@ -37,8 +37,8 @@
     }
 
     @AfterEach
-    void strike() {
-        transports.forEach(each -> each.close(() -> {}));
+    void closeTransports() {
+        transports.forEach(transport -> transport.close(() -> {}));
     }
 
     @Test
@@ -50,30 +50,30 @@
 
     /** Guards against connections that were made and not yet seen being reset with their listener. */
     @Test
-    void whatTheSystemHasTakenOnIsAcceptedBeforeTheListenerCloses() throws Exception {
+    void pendingConnectionsAreAcceptedBeforeTheListenerCloses() throws Exception {
         Channel listener = listen(0);
         SocketTransport transport = transports.get(0);
         CountDownLatch busy = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch close = new CountDownLatch(1);
         transport.loop().execute(() -> {
             busy.countDown();
             try {
-                go.await();
+                close.await();
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
-            transport.closeShared(listener);
+            transport.closeSharedListener(listener);
         });
         busy.await();
-        List<Socket> callers = new ArrayList<>();
+        List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) { // more than are accepted in one look
-            callers.add(new Socket(
+            clients.add(new Socket(
                     InetAddress.getLoopbackAddress(), ((InetSocketAddress) listener.localAddress()).getPort()));
         }
-        go.countDown();
+        close.countDown();
         listener.closeFuture().sync();
         assertEquals(60, transport.loop().submit(() -> accepted.size()).sync().getNow());
-        for (Socket each : callers) {
+        for (Socket each : clients) {
             each.close();
         }
     }
