--- a/src/main/java/gatefront/thrift/CallMetadata.java
+++ b/src/main/java/gatefront/thrift/CallMetadata.java
@@ -3,7 +3,7 @@
 import gatefront.thrift.codec.StructReader;
 import gatefront.thrift.codec.ThriftMessage;
 
-/** What a caller says of its call beside its arguments. */
+/** The metadata struct that a client sends as the first argument of each call. */
 final class CallMetadata {
     String requestId = "";
     long timeoutMs;
@@ -12,20 +12,26 @@
     long workHint;
     boolean clientRetry;
     String idempotencyKey;
-    /** Where the time stands in the body, and how many bytes it takes. */
+    /** Offset of the timeout value in the body; -1 if the call has none. */
     int timeoutOffset = -1;
 
+    /** Encoded length of the timeout value. */
     int timeoutBytes;
 
     private CallMetadata() {}
 
-    /** Reads it; {@code wrong} is why there is none that can be used, else null. */
+    /**
+     * The outcome of parsing.
+     *
+     * @param metadata the metadata; meaningless if there is an error
+     * @param error why the metadata cannot be used; null if it can
+     */
     record ParseResult(CallMetadata metadata, String error) {}
 
-    /** Takes it from the first argument of a call. */
+    /** Parses the metadata from argument 1 of a call. */
     static ParseResult parse(ThriftMessage call) {
         StructReader arguments = new StructReader(call.encoding(), call.body());
-        // Guards against a second copy behind the first, of which the server might believe the other.
+        // A duplicate is rejected: the agent and the server could each use a different copy.
         CallMetadata metadata = null;
         while (arguments.next()) {
             if (arguments.id() != ThriftConventions.METADATA) {
@@ -52,7 +58,7 @@
         while (fields.next()) {
             int id = fields.id();
             if (id < ThriftConventions.REQUEST_ID || id > ThriftConventions.IDEMPOTENCY_KEY) {
-                continue; // of a later version
+                continue; // field of a later version of the IDL
             }
             if ((seenIds & 1L << id) != 0) {
                 return "metadata field " + id + " comes twice";
--- a/src/main/java/gatefront/thrift/ErrorResults.java
+++ b/src/main/java/gatefront/thrift/ErrorResults.java
@@ -3,11 +3,11 @@
 import gatefront.thrift.codec.StructWriter;
 import gatefront.thrift.codec.ThriftEncoding;
 
-/** The bodies of answers that no server has made. */
+/** Encodes the result bodies that the agent creates itself. */
 final class ErrorResults {
     private ErrorResults() {}
 
-    /** A TApplicationException. */
+    /** Encodes a TApplicationException. */
     static byte[] application(ThriftEncoding encoding, int type, String message) {
         return new StructWriter(encoding)
                 .string(ThriftConventions.APPLICATION_MESSAGE, message)
@@ -15,7 +15,7 @@
                 .end();
     }
 
-    /** A result that is the declared exception Refused. */
+    /** Encodes a result with the declared exception Refused. */
     static byte[] refused(ThriftEncoding encoding, String reason, long retryAfterMs) {
         return new StructWriter(encoding)
                 .struct(
@@ -27,7 +27,7 @@
                 .end();
     }
 
-    /** A result that is the declared exception Failed. */
+    /** Encodes a result with the declared exception Failed. */
     static byte[] failed(ThriftEncoding encoding, String reason) {
         return new StructWriter(encoding)
                 .struct(
@@ -38,7 +38,7 @@
                 .end();
     }
 
-    /** The result of the question for health. */
+    /** Encodes the result of the health method. */
     static byte[] health(ThriftEncoding encoding, boolean ready) {
         return new StructWriter(encoding)
                 .struct(
--- a/src/main/java/gatefront/thrift/ThriftCall.java
+++ b/src/main/java/gatefront/thrift/ThriftCall.java
@@ -5,11 +5,11 @@
 import gatefront.thrift.codec.ThriftMessage;
 
 /**
- * A call on its way to a server.
+ * A call that is sent to servers.
  *
- * @param message as it came
- * @param timeoutOffset where in its body the caller's time stands; -1 if nowhere
- * @param timeoutBytes how many bytes it takes there
+ * @param message the message as received from the client
+ * @param timeoutOffset offset of the client's timeout value in the body; -1 if there is none
+ * @param timeoutBytes encoded length of the timeout value
  */
 record ThriftCall(ThriftMessage message, int timeoutOffset, int timeoutBytes) implements Payload {
     @Override
@@ -18,8 +18,9 @@
     }
 
     /**
-     * The arguments, byte for byte but for the time: in its place and of its length is what is left. What is left is
-     * never more than there was, so in the compact protocol its varint fits, with groups of zeros behind.
+     * Returns the arguments with the timeout replaced by the remaining time, at the same encoded length; no other byte
+     * changes. The remaining time never exceeds the original timeout, so in the compact protocol its varint fits
+     * and is padded with zero groups. A value that does not fit leaves the arguments as they are.
      */
     byte[] bodyWithTimeout(long remainingMillis) {
         boolean compact = message.encoding() == ThriftEncoding.COMPACT;
--- a/src/main/java/gatefront/thrift/ThriftFrontend.java
+++ b/src/main/java/gatefront/thrift/ThriftFrontend.java
@@ -26,16 +26,19 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The application's side over Thrift: calls in, final answers out, each by its seqid as soon as there is one. Calls
- * that have the same seqid as one that waits for its answer are taken after it: a client that numbers nothing tells
- * answers apart by their order. What is no message ends its connection, once what came before it is answered.
+ * Accepts client requests over Thrift. Each response carries the seqid of its request and is sent as soon as it is
+ * available. A request whose seqid equals that of an outstanding one is processed after it, because a client that does
+ * not number its calls matches responses by order. Malformed input closes the connection after the requests received
+ * before it have been answered.
  */
 public final class ThriftFrontend extends AbstractFrontend {
     private static final long MAX_TIMEOUT_MS = 3_600_000;
-    /** Calls of one connection in work at the most, and read ahead beyond these before it is left alone. */
+    /** Maximum requests of one connection that are in flight. */
     private static final int MAX_IN_FLIGHT = 32;
 
+    /** Queued requests of one connection from which reading is paused. */
     private static final int MAX_QUEUED = 4;
+
     private static final int REPLY_OVERHEAD_BYTES = 160;
 
     private final Transport transport;
@@ -44,7 +47,7 @@
     private final Listener listener;
     private final BooleanSupplier ready;
 
-    /** Listens to nobody yet; {@link #listen()} begins. */
+    /** Creates a frontend that does not listen until {@link #listen()} is called. */
     public ThriftFrontend(
             Transport transport,
             Config config,
@@ -67,7 +70,7 @@
         channel.pipeline().addLast(decoder, new ClientConnection(channel, decoder));
     }
 
-    /** One call and the answer it is owed. */
+    /** One request and its pending response. */
     private final class Exchange implements gatefront.engine.Exchange {
         private final ClientConnection connection;
         private final ThriftMessage call;
@@ -137,7 +140,7 @@
             respond(MessageHeader.Type.EXCEPTION, ErrorResults.application(call.encoding(), type, message));
         }
 
-        /** Gives the final answer; a call that wants none gets none, and is over all the same. */
+        /** Completes the request; a response is written only for types other than ONEWAY. */
         private void respond(MessageHeader.Type type, byte[] body) {
             if (!answered && connection.inFlight.get(call.header().seqid()) == this) {
                 answered = true;
@@ -146,14 +149,14 @@
         }
     }
 
-    /** One connection of the application's. */
+    /** A connection from a client. */
     private final class ClientConnection extends Connection {
         private final MessageDecoder decoder;
-        /** Owed an answer, by seqid, in the order in which they came. */
+        /** Outstanding requests by seqid, in order of arrival. */
         private final Map<Integer, Exchange> inFlight = new LinkedHashMap<>();
 
         private final Deque<ThriftMessage> queued = new ArrayDeque<>();
-        /** What came was wrong, and more of it may be on the way. */
+        /** Whether reading was stopped early (malformed input, no memory, timeout), so that unread input may remain. */
         private boolean mayHaveUnreadInput;
 
         ClientConnection(DuplexChannel channel, MessageDecoder decoder) {
@@ -172,7 +175,7 @@
             }
             ThriftMessage call = (ThriftMessage) read;
             if (!reserve(call.body().length)) {
-                stopReading(); // without room it cannot even wait for its turn
+                stopReading(); // without a memory reservation the request cannot even be queued
                 return;
             }
             queued.add(call);
@@ -196,7 +199,7 @@
             stopReading();
         }
 
-        /** Nothing more is read; what has come before is answered, and then the connection ends. */
+        /** Stops reading; the connection is closed once the requests received so far have been answered. */
         private void stopReading() {
             ignoresInput = true;
             mayHaveUnreadInput = true;
@@ -214,7 +217,7 @@
             abandoned.forEach(listener::clientLeft);
         }
 
-        /** Takes what has come, as far as it may be in work at once, and not while answers are still to be read. */
+        /** Processes queued requests up to the in-flight limit, unless the client is slow to read responses. */
         private void processQueued() {
             while (!queued.isEmpty()
                     && channel.isWritable()
@@ -246,7 +249,7 @@
                     dispatch(message, method, exchange);
                 }
             } catch (RuntimeException e) {
-                // Guards against a fault here that would leave the client without its answer.
+                // An unexpected failure must not leave the client without a response.
                 transport.log("call failed: " + e);
                 exchange.respondWithError(ThriftConventions.INTERNAL_ERROR, "a fault of the agent's own");
             }
@@ -280,7 +283,7 @@
                     ? null
                     : writeResponse(encodeReply(call, type, body), body.length);
             if (closesAfterResponse() && !ignoresInput) {
-                ignoresInput = true; // Guards against a caller that goes on asking, whose connection would never end.
+                ignoresInput = true; // otherwise a client that keeps sending would hold the connection open forever
                 channel.config().setAutoRead(false);
             }
             if (!inFlight.isEmpty()) {
@@ -304,7 +307,8 @@
         }
 
         private ByteBuf encodeReply(ThriftMessage call, MessageHeader.Type type, byte[] body) {
-            // As servers of several services reply: some generated clients compare the name with the method's alone.
+            // The service prefix is dropped, as multiplexed servers do: some generated clients compare the method name
+            // only.
             String name = call.header().name();
             MessageHeader header = new MessageHeader(
                     name.substring(name.indexOf(':') + 1), type, call.header().seqid());
@@ -317,7 +321,7 @@
         }
     }
 
-    /** Why a call is not taken, or null. The rules are those of requests over HTTP. */
+    /** Returns why a request is invalid, or null. The rules are the same as for requests over HTTP. */
     private String validate(CallMetadata metadata, ThriftSettings.Method method) {
         if (!ClientRequest.isValidId(metadata.requestId)) {
             return "requestId is missing or has not the form of an id";
@@ -331,7 +335,7 @@
         if (!config.tenants().isEmpty() && !config.tenants().contains(metadata.tenant)) {
             return "tenant is not known";
         }
-        // Guards against an effect twice: without its key no server would drop a repeat.
+        // Without its key a server cannot detect a duplicate of a keyed request and would execute it twice.
         boolean keyed = config.settings().classes().get(method.requestClass()).semantics() == Balancer.Semantics.KEYED;
         if (keyed
                 ? metadata.idempotencyKey == null || !ClientRequest.isValidId(metadata.idempotencyKey)
--- a/src/main/java/gatefront/thrift/ThriftReply.java
+++ b/src/main/java/gatefront/thrift/ThriftReply.java
@@ -3,7 +3,7 @@
 import gatefront.engine.Payload;
 import gatefront.thrift.codec.ThriftMessage;
 
-/** What a server has said; its seqid is that of its connection. */
+/** A reply from a server; its seqid is the attempt's number on the upstream connection, not the client's seqid. */
 record ThriftReply(ThriftMessage message) implements Payload {
     @Override
     public long bodyBytes() {
--- a/src/main/java/gatefront/thrift/ThriftUpstream.java
+++ b/src/main/java/gatefront/thrift/ThriftUpstream.java
@@ -22,19 +22,20 @@
 import java.net.InetSocketAddress;
 
 /**
- * The servers over Thrift: a call a connection at a time, and what its reply says of it.
+ * Sends attempts and probes to servers over Thrift, one at a time on each connection, and classifies the replies.
  *
- * <p>What a reply proves. The declared exception Refused: nothing ran. Failed: nothing is promised. Any other result,
- * an exception of the method's own too, is the server's answer and goes to the caller as it is. Of the
- * TApplicationExceptions those that find fault with the call go to the caller as well, and the call is sent nowhere
- * else; none is taken as proof that nothing ran, for a handler that calls other services passes on theirs.
+ * <p>The declared exception Refused means that nothing was executed. Failed means that the call may have been executed.
+ * Any other result, including the method's other exceptions, is the server's response and is forwarded to the client
+ * unchanged. A TApplicationException that rejects the call itself is forwarded as well, and the call is not retried.
+ * No TApplicationException proves that nothing was executed, because a handler may pass on one it received from another
+ * service.
  */
 public final class ThriftUpstream extends PooledUpstream {
     private final ThriftSettings settings;
     private final LoadReportParser loadReportParser;
     private final Payload probe;
 
-    /** Holds so many connections at the most. */
+    /** Creates an upstream with at most {@code maxConnections} connections. */
     public ThriftUpstream(
             Transport transport, Config config, ThriftSettings settings, int maxConnections, ResourceBudget budget) {
         super(transport, maxConnections, config.connectTimeoutMicros(), config.idleCloseMicros(), budget);
@@ -76,7 +77,7 @@
         return out;
     }
 
-    /** A call that gets no reply has been served, as far as anyone will know, when it has left. */
+    /** A oneway call has no reply and counts as successful once it has been written. */
     @Override
     protected void onRequestSent(Attempt attempt) {
         if (((ThriftCall) attempt.request()).message().header().type() == MessageHeader.Type.ONEWAY) {
@@ -102,7 +103,7 @@
         }
     }
 
-    /** Guards against the reply to another call, where a server mixes them up. */
+    /** Whether a reply belongs to the attempt; rejects the reply to another call if a server mixes them up. */
     private static boolean matches(ThriftMessage reply, Attempt attempt) {
         ThriftMessage call = ((ThriftCall) attempt.request()).message();
         MessageHeader.Type type = reply.header().type();
@@ -114,7 +115,7 @@
                 && (type == MessageHeader.Type.EXCEPTION || type == MessageHeader.Type.REPLY && sameName);
     }
 
-    /** A server that serves several services replies with the method's name alone. */
+    /** Returns the method name alone, which is what a multiplexed server replies with. */
     private static String withoutServiceName(String name) {
         return name.substring(name.indexOf(':') + 1);
     }
--- a/src/main/java/gatefront/thrift/codec/MalformedMessageException.java
+++ b/src/main/java/gatefront/thrift/codec/MalformedMessageException.java
@@ -1,11 +1,11 @@
 package gatefront.thrift.codec;
 
-/** Bytes that are no message; the message says why. */
+/** Input that is not a valid Thrift message. */
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** Has no stack trace: a peer can have many of these made. */
-    public MalformedMessageException(String why) {
-        super(why, null, false, false);
+    /** Creates an exception without a stack trace, because a peer can provoke it at a high rate. */
+    public MalformedMessageException(String message) {
+        super(message, null, false, false);
     }
 }
--- a/src/main/java/gatefront/thrift/codec/MessageDecoder.java
+++ b/src/main/java/gatefront/thrift/codec/MessageDecoder.java
@@ -6,14 +6,14 @@
 import java.util.List;
 
 /**
- * Reads the messages of one connection: a {@link ThriftMessage} for each, and one {@link MalformedMessageException} for
- * what is none, after which nothing more is read. The form is told from the first bytes, or given; all messages of a
- * connection have the same.
+ * Decodes the messages of one connection. Emits a {@link ThriftMessage} for each message, or a single
+ * {@link MalformedMessageException} for invalid input, after which all further input is discarded. The format is either
+ * given or detected from the first bytes; all messages of a connection have the same format.
  *
- * <p>How it is told: a first byte of 0x80 or 0x82 begins an unframed message of the strict binary or the compact
- * protocol. Otherwise the first four bytes are a length, and the fifth tells of what: 0x80 and 0x82 of a frame as
- * above, 0 of a frame in the old binary protocol (the first byte of its name's length), and a visible character of the
- * name itself, in the old binary protocol without frames.
+ * <p>Detection: a first byte of 0x80 or 0x82 begins an unframed message of the strict binary or the compact protocol.
+ * Otherwise the first four bytes are a length and the fifth byte identifies the format. 0x80 and 0x82 indicate a frame
+ * of the protocols above, 0 a frame of the old binary protocol (the first byte of the name length), and a visible
+ * character an unframed message of the old binary protocol (the first character of the method name).
  */
 public final class MessageDecoder extends ByteToMessageDecoder {
     private static final int LENGTH_BYTES = 4;
@@ -21,33 +21,34 @@
     private final MessageLimits limits;
     private MessageFormat format;
     private MessageScanner scanner;
-    /** Of the frame that is coming in, behind its length; 0 while there is none. */
+    /** Length of the frame being received, without the length field; 0 between frames. */
     private int frameLength;
 
+    /** Whether invalid input has been seen. */
     private boolean failed;
 
-    /** Tells the form by the first bytes. */
+    /** Creates a decoder that detects the format from the first bytes. */
     public MessageDecoder(MessageLimits limits) {
         this(limits, null);
     }
 
-    /** Takes messages of one form only. */
+    /** Creates a decoder for one format; null detects it. */
     public MessageDecoder(MessageLimits limits, MessageFormat format) {
         this.limits = limits;
         this.format = format;
     }
 
-    /** The form of the messages, or null if nothing has told it yet. */
+    /** The format of the messages, or null if it has not been detected yet. */
     public MessageFormat format() {
         return format;
     }
 
-    /** Whether a message has begun to come and is not whole. */
+    /** Whether part of a message has been received. */
     public boolean hasPartialMessage() {
         return !failed && actualReadableBytes() > 0;
     }
 
-    /** Whether bytes have come that belong to no message read. */
+    /** Whether bytes have been received beyond the messages decoded so far. */
     public boolean hasUnreadBytes() {
         return actualReadableBytes() > 0;
     }
@@ -82,7 +83,8 @@
             return new MessageFormat(false, ThriftEncoding.COMPACT);
         }
         if (first > 0x7f) {
-            throw new MalformedMessageException("neither a message nor a frame's length");
+            throw new MalformedMessageException(
+                    String.format("first byte 0x%02x begins neither a message nor a frame length", first));
         }
         if (in.readableBytes() <= LENGTH_BYTES) {
             return null;
@@ -101,7 +103,8 @@
         if (length <= limits.maxNameBytes() && fifth > ' ' && fifth <= '~') {
             return new MessageFormat(false, ThriftEncoding.BINARY_OLD);
         }
-        throw new MalformedMessageException("no message of any form that is known");
+        throw new MalformedMessageException(
+                String.format("unknown message format: length %d followed by byte 0x%02x", length, fifth));
     }
 
     private ThriftMessage decodeUnframed(ByteBuf in) throws MalformedMessageException {
@@ -119,7 +122,7 @@
             int length = in.getInt(in.readerIndex());
             if (length <= 0 || length > limits.maxMessageBytes()) {
                 throw new MalformedMessageException(
-                        "a frame of " + length + " bytes, where 1 to " + limits.maxMessageBytes() + " are permitted");
+                        "frame of " + length + " bytes; expected 1 to " + limits.maxMessageBytes());
             }
             in.skipBytes(LENGTH_BYTES);
             frameLength = length;
@@ -130,7 +133,7 @@
         }
         if (scanner.scannedBytes() < frameLength) {
             throw new MalformedMessageException(
-                    "a frame of " + frameLength + " bytes around a message of " + scanner.scannedBytes());
+                    "frame of " + frameLength + " bytes contains a message of " + scanner.scannedBytes() + " bytes");
         }
         frameLength = 0;
         return readMessage(in);
--- a/src/main/java/gatefront/thrift/codec/MessageEncoder.java
+++ b/src/main/java/gatefront/thrift/codec/MessageEncoder.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 
-/** Writes messages. */
+/** Encodes messages. */
 public final class MessageEncoder {
     private static final int STRICT_VERSION = 0x80010000;
     private static final int COMPACT_VERSION = 1;
@@ -13,8 +13,8 @@
     /**
      * Writes a message.
      *
-     * @param message what
-     * @param framed whether behind its length
+     * @param message the message
+     * @param framed whether to write its length before it
      * @param out where
      */
     public static void write(ThriftMessage message, boolean framed, ByteBuf out) {
--- a/src/main/java/gatefront/thrift/codec/MessageFormat.java
+++ b/src/main/java/gatefront/thrift/codec/MessageFormat.java
@@ -1,9 +1,9 @@
 package gatefront.thrift.codec;
 
 /**
- * How messages stand on a connection.
+ * The format of the messages on a connection.
  *
- * @param framed whether each is behind its length in four bytes (TFramedTransport)
- * @param encoding how its values are written
+ * @param framed whether each message is preceded by its length in four bytes (TFramedTransport)
+ * @param encoding the protocol of the messages
  */
 public record MessageFormat(boolean framed, ThriftEncoding encoding) {}
--- a/src/main/java/gatefront/thrift/codec/MessageHeader.java
+++ b/src/main/java/gatefront/thrift/codec/MessageHeader.java
@@ -1,14 +1,14 @@
 package gatefront.thrift.codec;
 
 /**
- * The head of a message.
+ * The header of a message.
  *
- * @param name the method's; behind a service's name and a colon where the client multiplexes (TMultiplexedProtocol)
- * @param type what the message is
- * @param seqid the client's number for the call, which the reply repeats
+ * @param name the method name, prefixed with the service name and a colon if multiplexed (TMultiplexedProtocol)
+ * @param type the message type
+ * @param seqid the sequence id assigned by the client, which the reply repeats
  */
 public record MessageHeader(String name, Type type, int seqid) {
-    /** What a message is, in the order of the protocols' numbers, which begin with 1. */
+    /** Message types in the order of their numbers on the wire, which begin with 1. */
     public enum Type {
         CALL,
         REPLY,
@@ -21,7 +21,7 @@
 
         static Type of(int number) throws MalformedMessageException {
             if (number < 1 || number > values().length) {
-                throw new MalformedMessageException("message type " + number);
+                throw new MalformedMessageException("unknown message type " + number);
             }
             return values()[number - 1];
         }
--- a/src/main/java/gatefront/thrift/codec/MessageLimits.java
+++ b/src/main/java/gatefront/thrift/codec/MessageLimits.java
@@ -1,14 +1,13 @@
 package gatefront.thrift.codec;
 
 /**
- * What one message may take of the reader.
+ * Limits on one message.
  *
- * @param maxMessageBytes bytes at the most, the frame's length not counted
- * @param maxDepth structs and containers inside each other at the most; a generated reader recurses, and would run out
- *     of stack
- * @param maxNameBytes bytes of a method's name at the most
+ * @param maxMessageBytes maximum length, without the length field of a frame
+ * @param maxDepth maximum nesting of structs and containers; generated readers recurse, and could run out of stack
+ * @param maxNameBytes maximum length of a method name
  */
 public record MessageLimits(int maxMessageBytes, int maxDepth, int maxNameBytes) {
-    /** As a request over HTTP has them: 64 KiB; the depth is far above what people nest. */
+    /** The default: 64 KiB, as for requests over HTTP, and a depth well above that of practical messages. */
     public static final MessageLimits DEFAULT = new MessageLimits(64 << 10, 32, 128);
 }
--- a/src/main/java/gatefront/thrift/codec/MessageScanner.java
+++ b/src/main/java/gatefront/thrift/codec/MessageScanner.java
@@ -5,46 +5,58 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Finds where one message ends, and reads its head, while it is still coming in.
+ * Incrementally finds the end of one message and reads its header.
  *
- * <p>The place where it goes on always lies between two values, or within a run of bytes that it passes over, and what
- * is open there is on a stack of bounded depth. So each byte is looked at once, however small the pieces (but for the
- * few bytes of one value's length), no objects are built, and the work is in proportion to the bytes: each step takes
- * a byte, or closes what a byte has opened.
+ * <p>Scanning always resumes between two values or within a run of skipped bytes, and the open structs and containers
+ * are kept on a stack of bounded depth. Each byte is therefore examined once however small the chunks are (except for
+ * the few bytes of one length), no objects are created for values, and the work is proportional to the input: each step
+ * consumes a byte or closes what a byte opened.
+ *
+ * <p>Type numbers are those of the protocol specifications.
  */
 final class MessageScanner {
     private static final int STOP = 0;
+    /** Kinds of open values. */
     private static final int STRUCT = 100;
+
     private static final int LIST = 101;
     private static final int MAP = 102;
+    /** Result of a varint scan whose end has not been received. */
     private static final int INCOMPLETE = -1;
 
     private final ThriftEncoding encoding;
     private final MessageLimits limits;
-    /** The message has so many bytes at the most. */
+    /** Maximum length of the message; within a frame, the length of the frame. */
     private final int maxBytes;
-    /** What is open, the outermost first: what it is, values left, types of the values at odd and even places. */
+    /** The kinds of the open structs and containers, outermost first. */
     private final int[] openKinds;
-
+    /** Values that remain in each open container; keys and values of a map count separately. */
     private final int[] valuesLeft;
+    /** Type of the next value of each open container while an odd number of values remains. */
     private final int[] oddTypes;
+    /** Type of the next value of each open container while an even number of values remains. */
     private final int[] evenTypes;
+
     private int depth;
     private ByteBuf in;
+    /** Index of the message's first byte in the buffer. */
     private int messageStart;
+    /** Bytes of the message that can be examined. */
     private int available;
-    /** Bytes of the message passed, and bytes to be passed over next. */
+    /** Bytes of the message scanned so far. */
     private int position;
-
+    /** Bytes to skip next. */
     private long bytesToSkip;
-    /** The type of the value that is next, or STOP. */
+    /** The type of the next value, or STOP if it is not known yet. */
     private int nextType = STOP;
 
+    /** Whether the next value is an element of a container rather than a field. */
     private boolean inContainer;
+
     private MessageHeader header;
     private int bodyOffset;
 
-    /** One message in an encoding, of so many bytes at the most. */
+    /** Creates a scanner for one message of at most {@code maxBytes}. */
     MessageScanner(ThriftEncoding encoding, MessageLimits limits, int maxBytes) {
         this.encoding = encoding;
         this.limits = limits;
@@ -55,29 +67,29 @@
         evenTypes = new int[limits.maxDepth()];
     }
 
-    /** The head, once it has been read, or null. */
+    /** The header, or null if it has not been read yet. */
     MessageHeader header() {
         return header;
     }
 
-    /** Where the struct behind the head begins, in bytes from the message's first. */
+    /** Offset of the body struct from the first byte of the message. */
     int bodyOffset() {
         return bodyOffset;
     }
 
-    /** Bytes passed so far; the message's length, once it is whole. */
+    /** Bytes scanned so far; the length of the message once it is complete. */
     int scannedBytes() {
         return position;
     }
 
     /**
-     * Goes on.
+     * Continues with the input received so far.
      *
-     * @param bytes has the message from {@code from} on
-     * @param start index of the message's first byte
-     * @param end index behind the last byte that there is
-     * @return whether the message is whole
-     * @throws MalformedMessageException if it is none
+     * @param bytes the buffer that holds the message
+     * @param start index of the first byte of the message
+     * @param end index after the last byte received
+     * @return whether the message is complete
+     * @throws MalformedMessageException if the input is not a valid message
      */
     boolean scan(ByteBuf bytes, int start, int end) throws MalformedMessageException {
         in = bytes;
@@ -109,10 +121,10 @@
         return true;
     }
 
-    /** There are no bytes to go on with; within the bound there will never be, if it has been reached. */
+    /** Returns false, or throws if the limit has been reached, so that more input cannot complete the message. */
     private boolean awaitMoreInput() throws MalformedMessageException {
         if (available == maxBytes) {
-            throw new MalformedMessageException("longer than the " + maxBytes + " bytes that it may have");
+            throw new MalformedMessageException("message is longer than the " + maxBytes + " bytes allowed");
         }
         return false;
     }
@@ -125,7 +137,7 @@
         return in.getUnsignedByte(messageStart + position + offset);
     }
 
-    // ---- The head ----
+    // ---- Header ----
 
     private boolean readHeader() throws MalformedMessageException {
         return switch (encoding) {
@@ -141,7 +153,7 @@
         }
         int version = in.getInt(messageStart);
         if ((version & 0xffffff00) != 0x80010000) {
-            throw new MalformedMessageException(String.format("version %08x of the binary protocol", version));
+            throw new MalformedMessageException(String.format("unsupported binary protocol version %08x", version));
         }
         Type type = Type.of(version & 0xff);
         int length = checkNameLength(in.getInt(messageStart + 4));
@@ -175,7 +187,8 @@
         }
         if (in.getUnsignedByte(messageStart) != ThriftEncoding.COMPACT_FIRST_BYTE
                 || (in.getByte(messageStart + 1) & 0x1f) != 1) {
-            throw new MalformedMessageException("version of the compact protocol");
+            throw new MalformedMessageException(String.format(
+                    "unsupported compact protocol version: bytes %04x", in.getUnsignedShort(messageStart)));
         }
         Type type = Type.of(in.getUnsignedByte(messageStart + 1) >> 5);
         int seqidBytes = varintLength(2, 5);
@@ -195,7 +208,8 @@
 
     private int checkNameLength(int length) throws MalformedMessageException {
         if (length < 0 || length > limits.maxNameBytes()) {
-            throw new MalformedMessageException("a method's name of " + (length & 0xffffffffL) + " bytes");
+            throw new MalformedMessageException("method name of " + (length & 0xffffffffL) + " bytes; at most "
+                    + limits.maxNameBytes() + " are allowed");
         }
         return length;
     }
@@ -204,17 +218,18 @@
         String name = in.toString(from, length, StandardCharsets.ISO_8859_1);
         for (int i = 0; i < length; i++) {
             if (name.charAt(i) <= ' ' || name.charAt(i) > '~') {
-                throw new MalformedMessageException("a method's name with a character that none has");
+                throw new MalformedMessageException(
+                        String.format("method name contains the character 0x%02x", (int) name.charAt(i)));
             }
         }
         return name;
     }
 
-    // ---- The struct ----
+    // ---- Structs and containers ----
 
     private void open(int kind, int values, int oddType, int evenType) throws MalformedMessageException {
         if (depth == openKinds.length) {
-            throw new MalformedMessageException("nested more than " + openKinds.length + " deep");
+            throw new MalformedMessageException("nested more than " + openKinds.length + " levels deep");
         }
         openKinds[depth] = kind;
         valuesLeft[depth] = values;
@@ -223,7 +238,7 @@
         depth++;
     }
 
-    /** Goes to the next value of what is open, or closes it. */
+    /** Moves to the next value of the innermost open struct or container, or closes it. */
     private boolean advance() throws MalformedMessageException {
         int top = depth - 1;
         if (openKinds[top] == STRUCT) {
@@ -235,7 +250,8 @@
             nextType = (valuesLeft[top] & 1) == 0 ? evenTypes[top] : oddTypes[top];
             if (nextType == STOP) {
                 throw new MalformedMessageException(
-                        "values of type 0"); // they would take no bytes, and no end of steps
+                        "container elements of type 0"); // they take no bytes, so the number of steps would be
+                // unbounded
             }
             inContainer = true;
             valuesLeft[top]--;
@@ -246,17 +262,17 @@
     private void skipBytes(long bytes) throws MalformedMessageException {
         if (bytes < 0 || bytes > maxBytes - position) {
             throw new MalformedMessageException(
-                    "says " + bytes + " bytes where at most " + (maxBytes - position) + " are left");
+                    "declares " + bytes + " bytes where at most " + (maxBytes - position) + " are left");
         }
         bytesToSkip = bytes;
         nextType = STOP;
     }
 
-    /** Opens a list or map of so many values, each of a byte at the least. */
+    /** Opens a list or map; each of its values takes at least one byte. */
     private void openContainer(int kind, long values, int oddType, int evenType) throws MalformedMessageException {
         if (values < 0 || values > maxBytes - position) {
             throw new MalformedMessageException(
-                    "says " + values + " values where at most " + (maxBytes - position) + " bytes are left");
+                    "declares " + values + " values where at most " + (maxBytes - position) + " bytes are left");
         }
         nextType = STOP;
         open(kind, (int) values, oddType, evenType);
@@ -321,7 +337,7 @@
                 position += 5;
                 openContainer(LIST, size, elements, elements);
             }
-            default -> throw new MalformedMessageException("type " + type + " of the binary protocol");
+            default -> throw new MalformedMessageException("unknown type " + type + " of the binary protocol");
         }
         return true;
     }
@@ -348,7 +364,7 @@
         }
         int type = first & 0xf;
         if (type == STOP) {
-            throw new MalformedMessageException("type 0 of the compact protocol");
+            throw new MalformedMessageException("field of type 0 in the compact protocol");
         }
         position += bytes;
         nextType = type;
@@ -358,7 +374,7 @@
 
     private boolean compactValue(int type) throws MalformedMessageException {
         switch (type) {
-            case 1, 2 -> skipBytes(inContainer ? 1 : 0); // a field's type is its value
+            case 1, 2 -> skipBytes(inContainer ? 1 : 0); // the value of a boolean field is part of its type
             case 3 -> skipBytes(1);
             case 4, 5, 6 -> {
                 int bytes = varintLength(position, type == 4 ? 3 : type == 5 ? 5 : 10);
@@ -389,7 +405,7 @@
                 nextType = STOP;
                 open(STRUCT, 0, 0, 0);
             }
-            default -> throw new MalformedMessageException("type " + type + " of the compact protocol");
+            default -> throw new MalformedMessageException("unknown type " + type + " of the compact protocol");
         }
         return true;
     }
@@ -434,7 +450,7 @@
         return true;
     }
 
-    /** How many bytes the varint at an offset has, or MORE if its end is not there yet. */
+    /** Returns the length in bytes of the varint at an offset, or INCOMPLETE if its end has not been received. */
     private int varintLength(int offset, int maxLength) throws MalformedMessageException {
         for (int i = 0; i < maxLength; i++) {
             if (offset + i >= available) {
@@ -444,10 +460,10 @@
                 return i + 1;
             }
         }
-        throw new MalformedMessageException("a varint without an end");
+        throw new MalformedMessageException("varint longer than " + maxLength + " bytes");
     }
 
-    /** An unsigned varint of 32 bits, or the low 32 bits of a longer one. */
+    /** Reads an unsigned 32-bit varint, or the low 32 bits of a longer one. */
     private long readVarint(int offset, int bytes) {
         long value = 0;
         for (int i = 0; i < Math.min(bytes, 5); i++) {
--- a/src/main/java/gatefront/thrift/codec/StructReader.java
+++ b/src/main/java/gatefront/thrift/codec/StructReader.java
@@ -5,22 +5,22 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Goes through the fields of a struct that is known to be well-formed, as {@link MessageDecoder} has found: values are
- * read where they are wanted and passed over where not. What is asked of a field as another type than it has is null.
+ * Iterates over the fields of a struct that {@link MessageDecoder} has found to be well-formed. Values that are not
+ * read are skipped. Reading a field as a type that it does not have returns null.
  */
 public final class StructReader {
     private final ThriftEncoding encoding;
     private final ByteBuffer in;
     private int id;
     private int lastId;
-    /** By the binary protocol's numbers; 0 behind the last field. */
+    /** Type of the current field, numbered as in the binary protocol; 0 after the last field. */
     private int type;
-    /** A bool's value in the compact protocol, which is part of its field's head. */
+    /** Value of a boolean field in the compact protocol, where it is part of the field header. */
     private boolean compactBool;
-
+    /** Whether the value of the current field has been read. */
     private boolean valueRead = true;
 
-    /** Stands before the first field. */
+    /** Creates a reader positioned before the first field. */
     public StructReader(ThriftEncoding encoding, byte[] struct) {
         this(encoding, ByteBuffer.wrap(struct));
     }
@@ -30,7 +30,7 @@
         this.in = in.order(encoding == ThriftEncoding.COMPACT ? ByteOrder.LITTLE_ENDIAN : ByteOrder.BIG_ENDIAN);
     }
 
-    /** Goes to the next field; false if there is none. What the one before holds is passed over, if not read. */
+    /** Moves to the next field, skipping an unread value; returns false if there is none. */
     public boolean next() {
         if (!valueRead) {
             skip(type);
@@ -54,22 +54,22 @@
         return true;
     }
 
-    /** The field's id. */
+    /** Id of the current field. */
     public int id() {
         return id;
     }
 
-    /** Where the field's value begins, in bytes from the struct's first; behind the value once it has been read. */
+    /** Offset of the current field's value in the struct; the offset after the value once it has been read. */
     public int position() {
         return in.position();
     }
 
-    /** Whether the field is a struct. */
+    /** Whether the current field is a struct. */
     public boolean isStruct() {
         return type == 12;
     }
 
-    /** A field of type string, or null; what is no UTF-8 in it stands as U+FFFD. */
+    /** Reads a string field, or returns null; malformed UTF-8 is replaced with U+FFFD. */
     public String string() {
         if (type != 11) {
             return null;
@@ -80,7 +80,7 @@
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    /** A field of type byte, i16, i32 or i64, or null. */
+    /** Reads a field of type byte, i16, i32 or i64, or returns null. */
     public Long number() {
         if (type != 3 && type != 6 && type != 8 && type != 10) {
             return null;
@@ -95,7 +95,7 @@
         return type == 6 ? in.getShort() : type == 8 ? in.getInt() : in.getLong();
     }
 
-    /** A field of type bool, or null. */
+    /** Reads a boolean field, or returns null. */
     public Boolean bool() {
         if (type != 2) {
             return null;
@@ -104,7 +104,7 @@
         return encoding == ThriftEncoding.COMPACT ? compactBool : in.get() != 0;
     }
 
-    /** A field that is a struct, or null; to be read to its end before this goes on. */
+    /** Returns a reader for a struct field, or null; it must be read to its end before this reader continues. */
     public StructReader struct() {
         if (type != 12) {
             return null;
@@ -147,7 +147,7 @@
             case 12 -> {
                 StructReader inner = new StructReader(encoding, in);
                 while (inner.next()) {
-                    // what it holds is passed over by the next step
+                    // next() skips the value of the previous field
                 }
             }
             case 13 -> skipMap();
@@ -155,7 +155,7 @@
         }
     }
 
-    /** Values inside of containers: there a bool takes a byte in either protocol. */
+    /** Skips an element of a container, where a bool takes one byte in either protocol. */
     private void skipElement(int valueType) {
         if (valueType == 2) {
             skipBytes(1);
--- a/src/main/java/gatefront/thrift/codec/StructWriter.java
+++ b/src/main/java/gatefront/thrift/codec/StructWriter.java
@@ -5,7 +5,7 @@
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
 
-/** Writes one struct of a few simple fields, in the order of their ids. */
+/** Encodes a struct of simple fields, which are written in the order of their ids. */
 public final class StructWriter {
     private final ThriftEncoding encoding;
     private final ByteBuf out = Unpooled.buffer(64);
@@ -32,7 +32,7 @@
         return value << 1 ^ value >> 63;
     }
 
-    /** A field of type string or binary. */
+    /** Writes a field of type string or binary. */
     public StructWriter string(int id, String value) {
         writeFieldHeader(id, 11, 8);
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
@@ -45,7 +45,7 @@
         return this;
     }
 
-    /** A field of type i32. */
+    /** Writes a field of type i32. */
     public StructWriter i32(int id, int value) {
         writeFieldHeader(id, 8, 5);
         if (encoding == ThriftEncoding.COMPACT) {
@@ -56,7 +56,7 @@
         return this;
     }
 
-    /** A field of type i64. */
+    /** Writes a field of type i64. */
     public StructWriter i64(int id, long value) {
         writeFieldHeader(id, 10, 6);
         if (encoding == ThriftEncoding.COMPACT) {
@@ -67,7 +67,7 @@
         return this;
     }
 
-    /** A field of type bool. */
+    /** Writes a field of type bool. */
     public StructWriter bool(int id, boolean value) {
         writeFieldHeader(id, 2, value ? 1 : 2);
         if (encoding != ThriftEncoding.COMPACT) {
@@ -76,7 +76,7 @@
         return this;
     }
 
-    /** A field that is a struct, whose bytes are another writer's. */
+    /** Writes a struct field whose bytes were encoded by another writer. */
     public StructWriter struct(int id, byte[] struct) {
         writeFieldHeader(id, 12, 12);
         out.writeBytes(struct);
--- a/src/main/java/gatefront/thrift/codec/ThriftEncoding.java
+++ b/src/main/java/gatefront/thrift/codec/ThriftEncoding.java
@@ -1,20 +1,21 @@
 package gatefront.thrift.codec;
 
-/** How a message's values are written. */
+/** The protocol that encodes a message. */
 public enum ThriftEncoding {
-    /** TBinaryProtocol, its header with a version. */
+    /** TBinaryProtocol with the strict header, which has a version. */
     BINARY,
-    /** TBinaryProtocol as it was before: its header without a version. */
+    /** TBinaryProtocol with the old header, which has no version. */
     BINARY_OLD,
     /** TCompactProtocol. */
     COMPACT;
 
-    /** The first byte of a message with a version. */
+    /** First byte of a strict binary message. */
     static final int BINARY_FIRST_BYTE = 0x80;
 
+    /** First byte of a compact message. */
     static final int COMPACT_FIRST_BYTE = 0x82;
 
-    /** Whether two messages' bodies are read alike; the forms of the binary protocol differ in their headers alone. */
+    /** Whether bodies are encoded alike; the variants of the binary protocol differ only in their headers. */
     public boolean hasSameBodyFormat(ThriftEncoding other) {
         return (this == COMPACT) == (other == COMPACT);
     }
--- a/src/main/java/gatefront/thrift/codec/ThriftMessage.java
+++ b/src/main/java/gatefront/thrift/codec/ThriftMessage.java
@@ -1,11 +1,11 @@
 package gatefront.thrift.codec;
 
 /**
- * A whole message.
+ * A complete message.
  *
- * @param encoding how it is written
- * @param header its head
- * @param body the struct behind it, byte for byte: the arguments of a call, the result of a reply; well-formed where
- *     it comes from a {@link MessageDecoder}
+ * @param encoding the protocol that encodes it
+ * @param header the message header
+ * @param body the encoded struct after the header: the arguments of a call or the result of a reply; well-formed if it
+ *     comes from a {@link MessageDecoder}
  */
 public record ThriftMessage(ThriftEncoding encoding, MessageHeader header, byte[] body) {}
--- a/src/main/java/gatefront/thrift/codec/package-info.java
+++ b/src/main/java/gatefront/thrift/codec/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Messages of Apache Thrift as the agent reads and writes them: framed and unframed, the binary protocol in its strict
- * and its old form and the compact one, by the protocols' specifications (doc/specs/thrift-binary-protocol.md and
- * thrift-compact-protocol.md of Apache Thrift). Bytes in, values or reasons out; the one state kept is that of the
- * message that is coming in, and it is bounded by {@link gatefront.thrift.codec.MessageLimits}.
+ * Codec for Apache Thrift messages, framed and unframed, in the strict and old binary protocols and the compact
+ * protocol, following doc/specs/thrift-binary-protocol.md and thrift-compact-protocol.md of Apache Thrift. Input is
+ * decoded into messages or a reason why it is malformed; the only state is that of the message being received, which is
+ * bounded by {@link gatefront.thrift.codec.MessageLimits}.
  */
 package gatefront.thrift.codec;
--- a/src/main/java/gatefront/thrift/package-info.java
+++ b/src/main/java/gatefront/thrift/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Thrift on both sides of the agent: {@link gatefront.thrift.ThriftFrontend} takes calls and gives their answers,
- * {@link gatefront.thrift.ThriftUpstream} makes attempts and probes. Both hold nothing beyond their connections; what
- * is to be done with a call is the engine's and the decision module's. Conventions: docs/idl/gatefront.thrift.
+ * Thrift support: {@link gatefront.thrift.ThriftFrontend} accepts client requests and writes their responses,
+ * {@link gatefront.thrift.ThriftUpstream} sends attempts and probes to servers. Both hold no state beyond their
+ * connections; the engine and the decision module decide what happens to a request. The conventions are defined in
+ * docs/idl/gatefront.thrift.
  */
 package gatefront.thrift;
--- a/src/main/java/gatefront/transport/Transport.java
+++ b/src/main/java/gatefront/transport/Transport.java
@@ -41,8 +41,8 @@
     ChannelFactory<? extends Channel> clientChannels();
 
     /**
-     * Whether a channel of {@link #clientChannels()} is open and has no unread input. Detects what has arrived since the
-     * loop last polled the socket: a close, or bytes that would be taken as the next response.
+     * Whether a channel of {@link #clientChannels()} is open and has no unread input. Detects a close, or bytes that
+     * would be taken as the next response, that have arrived since the loop last polled the socket.
      */
     boolean hasNoUnreadInput(Channel channel);
 
--- a/src/test/java/gatefront/thrift/CallMetadataTest.java
+++ b/src/test/java/gatefront/thrift/CallMetadataTest.java
@@ -11,10 +11,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/**
- * What a caller says of its call: read where it is right, one reason where it is not, and the time put in its
- * place.
- */
+/** Tests that call metadata is parsed or rejected with a reason, and that the timeout is replaced in place. */
 class CallMetadataTest {
     private static CallMetadata.ParseResult parse(ThriftEncoding encoding, byte[] arguments) {
         return CallMetadata.parse(
@@ -56,7 +53,7 @@
         }
     }
 
-    /** Guards against a second copy that the server believes, and the agent does not. */
+    /** Guards against a duplicate of which the agent and the server use different copies. */
     @Test
     void duplicateMistypedOrMissingMetadataIsReported() {
         for (ThriftEncoding encoding : ThriftEncoding.values()) {
@@ -124,7 +121,7 @@
         }
     }
 
-    /** Guards against a time that does not fit, which would be read as another. */
+    /** Guards against a remaining time that exceeds the encoded length and would be read as another value. */
     @Test
     void timeoutThatDoesNotFitIsNotWritten() {
         byte[] arguments = new StructWriter(ThriftEncoding.COMPACT)
@@ -146,7 +143,7 @@
                         .timeoutMs);
     }
 
-    /** What is left of the time takes the place of what there was, and no other byte changes. */
+    /** The remaining time replaces the timeout, and no other byte changes. */
     @Test
     void remainingTimeReplacesTheTimeoutInPlace() {
         Random random = new Random(3);
--- a/src/test/java/gatefront/thrift/ThriftUpstreamTest.java
+++ b/src/test/java/gatefront/thrift/ThriftUpstreamTest.java
@@ -22,7 +22,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Nested;
 
-/** The contract over Thrift, in each form. */
+/** Runs the upstream contract over Thrift in each message format. */
 class ThriftUpstreamTest {
     private abstract static class WithFormat extends UpstreamContract {
         private final MessageFormat format;
--- a/src/test/java/gatefront/thrift/codec/MessageDecoderTest.java
+++ b/src/test/java/gatefront/thrift/codec/MessageDecoderTest.java
@@ -23,12 +23,12 @@
 import org.apache.thrift.transport.TMemoryInputTransport;
 import org.junit.jupiter.api.Test;
 
-/** The decoder against messages that the reference implementation writes and reads, and against bytes that lie. */
+/** Tests the codec against the reference implementation of Thrift and against malformed input. */
 class MessageDecoderTest {
     private static final MessageFormat FRAMED = new MessageFormat(true, ThriftEncoding.BINARY);
     private static final MessageFormat COMPACT = new MessageFormat(false, ThriftEncoding.COMPACT);
 
-    /** What comes of bytes that arrive in pieces that end before these places. */
+    /** Decodes bytes that arrive in chunks, each ending before one of the given positions. */
     private static List<Object> decode(byte[] bytes, int... cuts) {
         EmbeddedChannel channel = new EmbeddedChannel(new MessageDecoder(MessageLimits.DEFAULT));
         int start = 0;
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Each message of the reference is found whole, its struct passed on byte for byte, in any pieces. */
+    /** Each message of the reference is decoded with its exact body in any chunks and encoded to the same bytes. */
     @Test
     void referenceMessagesAreDecodedHoweverTheyAreSplit() throws Exception {
         Random random = new Random(5);
@@ -112,7 +112,7 @@
             MessageEncoder.write(message, format.framed(), encoded);
             byte[] written = new byte[encoded.readableBytes()];
             encoded.readBytes(written);
-            assertArrayEquals(first, written, "and the encoder writes what the reference wrote");
+            assertArrayEquals(first, written, "the encoder must write the bytes of the reference");
         }
     }
 
@@ -206,7 +206,7 @@
                         assertNull(reader.number());
                         assertTrue(bytes.length == 0 || !reader.string().isEmpty());
                     }
-                    default -> TProtocolUtil.skip(in, field.type); // and ours passes over it by itself
+                    default -> TProtocolUtil.skip(in, field.type); // StructReader skips it by itself
                 }
                 in.readFieldEnd();
             }
@@ -216,23 +216,26 @@
 
     @Test
     void invalidFrameLengthsAreRejected() throws Exception {
-        assertTrue(failureOf(concat(bytes(0, 0, 0, 0), bytes(0x80, 1, 0, 1))).contains("a frame of 0 bytes"));
-        assertTrue(failureOf(bytes(0xff, 0xff, 0xff, 0xff, 0x80)).contains("neither"));
-        assertTrue(failureOf(bytes(0x7f, 0xff, 0xff, 0xff, 0x80, 1)).contains("a frame of 2147483647 bytes"));
+        assertTrue(failureOf(concat(bytes(0, 0, 0, 0), bytes(0x80, 1, 0, 1)))
+                .contains("frame of 0 bytes; expected 1 to 65536"));
+        assertTrue(failureOf(bytes(0xff, 0xff, 0xff, 0xff, 0x80)).contains("0xff begins neither"));
+        assertTrue(failureOf(bytes(0x7f, 0xff, 0xff, 0xff, 0x80, 1))
+                .contains("frame of 2147483647 bytes; expected 1 to 65536"));
         EmbeddedChannel fixed = new EmbeddedChannel(new MessageDecoder(MessageLimits.DEFAULT, FRAMED));
         fixed.writeInbound(Unpooled.copiedBuffer(bytes(0x80, 0, 0, 0, 0x80)));
         assertTrue(((MalformedMessageException) fixed.readInbound())
                 .getMessage()
-                .contains("a frame of -2147483648 bytes"));
+                .contains("frame of -2147483648 bytes; expected 1 to 65536"));
     }
 
     @Test
     void framesWhoseLengthDiffersFromTheMessageAreRejected() throws Exception {
         byte[] message = call(new MessageFormat(false, ThriftEncoding.BINARY));
-        assertTrue(failureOf(frame(concat(message, bytes(1)))).contains("around a message of"));
+        assertTrue(failureOf(frame(concat(message, bytes(1)))).contains("bytes contains a message of"));
         assertTrue(failureOf(frame(Arrays.copyOf(message, message.length - 1))).contains("longer than"));
         assertTrue(
-                failureOf(frame(concat(message, message))).contains("around a message of"), "two calls in one frame");
+                failureOf(frame(concat(message, message))).contains("bytes contains a message of"),
+                "two calls in one frame");
     }
 
     @Test
@@ -249,7 +252,7 @@
                 concat(compact, bytes(0x18, 0xff, 0xff, 0xff, 0xff, 0x0f)),
                 concat(compact, bytes(0x19, 0xf3, 0xff, 0xff, 0xff, 0x7f)),
                 concat(compact, bytes(0x1b, 0xff, 0xff, 0xff, 0x7f, 0x33)))) {
-            assertTrue(failureOf(message).startsWith("says "), failureOf(message));
+            assertTrue(failureOf(message).startsWith("declares "), failureOf(message));
         }
     }
 
@@ -257,23 +260,28 @@
     void unterminatedVarintsAndUnknownTypesAndVersionsAreRejected() {
         byte[] compact = bytes(0x82, 0x21, 1, 1, 'm');
         byte[] unterminated = bytes(0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff);
-        for (int type : new int[] {0x14, 0x15, 0x16, 0x18, 0x1b}) {
-            assertEquals("a varint without an end", failureOf(concat(compact, bytes(type), unterminated)));
+        int[][] typesAndMaxLengths = {{0x14, 3}, {0x15, 5}, {0x16, 10}, {0x18, 5}, {0x1b, 5}};
+        for (int[] each : typesAndMaxLengths) {
+            assertEquals(
+                    "varint longer than " + each[1] + " bytes",
+                    failureOf(concat(compact, bytes(each[0]), unterminated)));
         }
-        assertEquals("a varint without an end", failureOf(concat(bytes(0x82, 0x21), unterminated)));
-        assertTrue(failureOf(concat(compact, bytes(0x1e))).contains("type 14"));
+        assertEquals("varint longer than 5 bytes", failureOf(concat(bytes(0x82, 0x21), unterminated)));
+        assertTrue(failureOf(concat(compact, bytes(0x1e))).contains("unknown type 14"));
         assertTrue(failureOf(concat(compact, bytes(0x10))).contains("type 0"));
-        assertTrue(failureOf(concat(compact, bytes(0x19, 0x10))).contains("type 0"), "values that would take no bytes");
+        assertTrue(
+                failureOf(concat(compact, bytes(0x19, 0x10))).contains("type 0"), "elements that would take no bytes");
         assertTrue(failureOf(bytes(0x82, 0x22, 1)).contains("version"));
         assertTrue(failureOf(bytes(0x80, 2, 0, 1, 0, 0, 0, 1)).contains("version"));
-        assertTrue(failureOf(bytes(0x80, 1, 0, 9, 0, 0, 0, 1)).contains("message type 9"));
+        assertTrue(failureOf(bytes(0x80, 1, 0, 9, 0, 0, 0, 1)).contains("unknown message type 9"));
         byte[] binary = bytes(0x80, 1, 0, 1, 0, 0, 0, 1, 'm', 0, 0, 0, 1);
-        assertTrue(failureOf(concat(binary, bytes(1, 0, 1))).contains("type 1"));
-        assertTrue(failureOf(concat(binary, bytes(99, 0, 1))).contains("type 99"));
-        assertTrue(failureOf(bytes(0x80, 1, 0, 1, 0x7f, 0, 0, 0)).contains("name of"));
-        assertTrue(failureOf(bytes(0x80, 1, 0, 1, 0, 0, 0, 1, '\n', 0, 0, 0, 1)).contains("character"));
+        assertTrue(failureOf(concat(binary, bytes(1, 0, 1))).contains("unknown type 1 "));
+        assertTrue(failureOf(concat(binary, bytes(99, 0, 1))).contains("unknown type 99"));
+        assertTrue(failureOf(bytes(0x80, 1, 0, 1, 0x7f, 0, 0, 0))
+                .contains("method name of 2130706432 bytes; at most 128"));
+        assertTrue(failureOf(bytes(0x80, 1, 0, 1, 0, 0, 0, 1, '\n', 0, 0, 0, 1)).contains("character 0x0a"));
         assertTrue(failureOf("GET / HTTP/1.1\r\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII))
-                .contains("form"));
+                .contains("unknown message format: length 1195725856 followed by byte 0x2f"));
     }
 
     @Test
@@ -282,9 +290,9 @@
         byte[] head = bytes(0x82, 0x21, 1, 1, 'm');
         System.arraycopy(head, 0, deep, 0, head.length);
         Arrays.fill(deep, head.length, deep.length, (byte) 0x1c);
-        assertEquals("nested more than 32 deep", failureOf(deep));
-        Arrays.fill(deep, head.length, deep.length, (byte) 0x19); // a list of one list of one list ...
-        assertEquals("nested more than 32 deep", failureOf(deep));
+        assertEquals("nested more than 32 levels deep", failureOf(deep));
+        Arrays.fill(deep, head.length, deep.length, (byte) 0x19); // nested lists of one element
+        assertEquals("nested more than 32 levels deep", failureOf(deep));
     }
 
     @Test
@@ -307,8 +315,8 @@
     }
 
     /**
-     * Several hundred thousand mutated messages: nothing but a message or a reason comes of them, in pieces the same
-     * as whole, and the reader goes through whatever the decoder lets pass.
+     * Each of 200,000 mutated messages yields a message or a {@link MalformedMessageException}, the same in chunks as
+     * in one piece, and {@link StructReader} can iterate over every body that the decoder accepts.
      */
     @Test
     void mutatedMessagesDecodeTheSameInPiecesAsWhole() throws Exception {
@@ -347,6 +355,6 @@
                 }
             }
         }
-        assertTrue(decoded > 20_000 && decoded < 190_000, decoded + " of them are still messages");
+        assertTrue(decoded > 20_000 && decoded < 190_000, decoded + " of the mutated messages are still valid");
     }
 }
--- a/src/test/java/gatefront/thrift/codec/MessageSamples.java
+++ b/src/test/java/gatefront/thrift/codec/MessageSamples.java
@@ -17,7 +17,7 @@
 import org.apache.thrift.transport.TTransport;
 import org.apache.thrift.transport.layered.TFramedTransport;
 
-/** Messages as the reference implementation writes them. */
+/** Messages written by the reference implementation. */
 final class MessageSamples {
     static final MessageFormat[] FORMATS = {
         new MessageFormat(true, ThriftEncoding.BINARY),
@@ -41,19 +41,19 @@
         TType.LIST,
         TType.UUID
     };
-    /** All but the last, which the reference writes and reads, but cannot pass over. */
+    /** Number of types without UUID, which the reference writes and reads but cannot skip. */
     private static final int WITHOUT_UUID = TYPES.length - 1;
 
     private static final byte[] MESSAGE_TYPES = {1, 2, 3, 4};
 
-    /** What writes a struct's fields. */
+    /** Writes the fields of a struct. */
     interface Body {
         void write(TProtocol to) throws TException;
     }
 
     private MessageSamples() {}
 
-    /** The reference's protocol on a transport. */
+    /** Creates the reference's protocol on a transport. */
     static TProtocol protocol(ThriftEncoding encoding, TTransport transport) {
         return switch (encoding) {
             case BINARY -> new TBinaryProtocol(transport, true, true);
@@ -62,7 +62,7 @@
         };
     }
 
-    /** A message as the reference writes it. */
+    /** Encodes a message with the reference implementation. */
     static byte[] message(MessageFormat format, String name, int type, int seqid, Body body) throws TException {
         TMemoryBuffer memory = new TMemoryBuffer(512);
         TTransport transport = format.framed() ? new TFramedTransport(memory) : memory;
@@ -77,12 +77,12 @@
         return java.util.Arrays.copyOf(memory.getArray(), memory.length());
     }
 
-    /** A message with any fields of any types. */
+    /** Encodes a message with random fields of any type. */
     static byte[] random(MessageFormat format, Random random) throws TException {
         return random(format, random, TYPES.length);
     }
 
-    /** The same with types alone that the reference can pass over. */
+    /** Encodes a message with random fields of the types that the reference can skip. */
     static byte[] withoutUuids(MessageFormat format, Random random) throws TException {
         return random(format, random, WITHOUT_UUID);
     }
