--- a/src/main/java/gatefront/config/Config.java
+++ b/src/main/java/gatefront/config/Config.java
@@ -29,25 +29,25 @@
 import java.util.UUID;
 
 /**
- * The configuration of one real agent, as read from its JSON file.
+ * The configuration of an agent, as read from its JSON file.
  *
- * @param listen where the application connects
- * @param discovery where the server list comes from
- * @param seed for random choices; new with each start
- * @param sockets how many file descriptors the process may hold
- * @param cachedServerList the server list as this agent last had it, in discovery's form
- * @param settings what the module is told
- * @param classes names of the request classes, in the settings' order
- * @param tenants names of the tenants, in the settings' order
- * @param zones names of the zones, in the settings' order
- * @param kinds names of the kinds of machine, in the settings' order
- * @param loadFields names of the values of a load report, in the settings' order
- * @param loadByProbe whether only probes bring load reports
- * @param connectTimeoutMicros a connection not up by then has failed
- * @param idleCloseMicros a server closes a connection that has been idle for this long
- * @param management where operators call; null if they have no door
- * @param removedClasses classes that keep their number and are no longer known by name
- * @param settingsJson the settings as they stood in the file
+ * @param listen address on which clients connect
+ * @param management address of the management endpoint; null if there is none
+ * @param discovery address of the discovery service
+ * @param seed seed for random choices; differs for each start
+ * @param sockets maximum number of open file descriptors
+ * @param cachedServerList the last server list known to this agent, in the format of discovery
+ * @param settings settings of the decision module
+ * @param classes names of the request classes, in the order of the settings
+ * @param tenants names of the tenants, in the order of the settings
+ * @param zones names of the zones, in the order of the settings
+ * @param kinds names of the machine types, in the order of the settings
+ * @param loadFields names of the values of a load report, in the order of the settings
+ * @param loadByProbe whether load reports come with probes only
+ * @param connectTimeoutMicros timeout for opening a connection
+ * @param idleCloseMicros idle time after which servers close a connection
+ * @param removedClasses request classes that were removed by a reload; they keep their index but not their name
+ * @param settingsJson the settings as written in the file
  */
 public record Config(
         InetSocketAddress listen,
@@ -69,7 +69,7 @@
         JsonNode settingsJson) {
 
     private static final int MAX_NESTING = 100;
-    /** Classes that there may be in the life of a process: each keeps what it has at every server. */
+    /** Maximum request classes over the lifetime of a process; each keeps its state at every server. */
     private static final int MAX_CLASSES = 128;
 
     private static final JsonFactory JSON = JsonFactory.builder()
@@ -77,7 +77,7 @@
                     StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING).build())
             .build();
 
-    /** Reads the file; an unusable one is an exception whose message is one plain line. */
+    /** Reads the file; throws an exception with a one-line message if it is unusable. */
     public static Config read(Path file) {
         JsonNode root;
         try {
@@ -89,7 +89,7 @@
         return fromJson(root);
     }
 
-    /** The same with a door for operators at this address; null changes nothing. */
+    /** Returns a copy with the management endpoint at this address; null or empty changes nothing. */
     public Config withManagementAddress(String address) {
         return address == null || address.isEmpty()
                 ? this
@@ -113,7 +113,7 @@
                         settingsJson);
     }
 
-    /** Takes the configuration from its JSON. */
+    /** Creates the configuration from its JSON. */
     public static Config fromJson(JsonNode root) {
         JsonNode settings = required(root, "settings");
         Map<String, String> pairs = new HashMap<>();
@@ -138,16 +138,17 @@
                 settings);
     }
 
-    /** The number of a class that is known by this name, or negative. */
+    /** Returns the index of the request class of this name, or a negative number. */
     public int classIndex(String name) {
         return removedClasses.contains(name) ? -1 : classes.indexOf(name);
     }
 
     /**
-     * What a newer file makes of this configuration: its classes and tenants, what is permitted, where discovery is.
-     * Names keep their numbers, new ones follow, and those that the file has no more are dropped.
+     * Returns this configuration with the reloadable parts of a newer file: classes, tenants, permits, obligations and
+     * the address of discovery. Existing classes keep their index, new ones are appended, and classes missing from the
+     * file are marked as removed.
      *
-     * @throws IllegalArgumentException if the file lacks what the one before had, or makes no sense; one plain line
+     * @throws IllegalArgumentException with a one-line message if the file is invalid or lacks a key of the current one
      */
     public Config reloadedWith(Config newer) {
         SettingsCompatibility.check(settingsJson, newer.settingsJson);
@@ -167,7 +168,7 @@
         }
         if (names.size() > MAX_CLASSES) {
             throw new IllegalArgumentException("config: classes: " + names.size() + " different names since the start, "
-                    + "more than the " + MAX_CLASSES + " that may be; it needs a restart");
+                    + "more than the maximum of " + MAX_CLASSES + "; restart to apply");
         }
         Balancer.Settings current = settings;
         Balancer.Settings updated = newer.settings;
@@ -216,8 +217,8 @@
     }
 
     /**
-     * Reads JSON. The library's mapper would do the same, but its making takes a quarter of a second on half
-     * a core (it sets up dates, locales and the reading of classes): nobody is served meanwhile.
+     * Parses JSON. Avoids Jackson's ObjectMapper, whose creation takes a quarter of a second on half a core (it sets up
+     * dates, locales and class introspection), during which no request is served.
      */
     public static JsonNode parseJson(InputStream input) throws IOException {
         try (JsonParser parser = JSON.createParser(input)) {
@@ -260,7 +261,7 @@
         }
     }
 
-    /** Nested JSON as the path=value pairs of the simulator's first message: one parser serves both. */
+    /** Flattens nested JSON to path=value pairs as in the simulator's first message, so that one parser serves both. */
     private static void flatten(String path, JsonNode node, Map<String, String> pairs) {
         if (node.isObject()) {
             node.properties()
@@ -274,21 +275,21 @@
         } else if (node.isArray()) {
             pairs.put(path, String.join(",", names(node)));
             if (node.isEmpty()) {
-                pairs.put(path + ".count", "0"); // it may have been meant as a list of objects
+                pairs.put(path + ".count", "0"); // it may be an empty list of objects
             }
         } else if (!node.isNull()) {
             pairs.put(path, node.asText());
         }
     }
 
-    /** The words of a list of words, or the names of a list of objects. */
+    /** Returns the strings of a list of strings, or the names of a list of objects. */
     private static List<String> names(JsonNode list) {
         List<String> names = new ArrayList<>();
         list.forEach(item -> names.add(item.isObject() ? item.path("name").asText() : item.asText()));
         return List.copyOf(names);
     }
 
-    /** A number for a name or key: the same at every agent, as the module's hashing needs, and never 0. */
+    /** Returns a non-zero id for a name or key; it is equal at every agent, as the module's hashing requires. */
     public static long id(String name) {
         long id = UUID.nameUUIDFromBytes(name.getBytes(StandardCharsets.UTF_8)).getMostSignificantBits();
         return id == 0 ? 1 : id;
@@ -309,7 +310,8 @@
     private static long numberAtLeast(long min, JsonNode node, String name) {
         JsonNode value = required(node, name);
         if (!value.isNumber() || value.asLong() < min) {
-            throw new IllegalArgumentException("config: " + name + " has an unusable value: " + value);
+            throw new IllegalArgumentException(
+                    "config: " + name + " has an unusable value: " + value + "; expected a number of at least " + min);
         }
         return value.asLong();
     }
@@ -322,7 +324,7 @@
         }
     }
 
-    /** An address as the configuration and discovery write it: a literal one, for there is no DNS. */
+    /** Parses an address of the configuration or of discovery; the host must be an IP address, as there is no DNS. */
     public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         byte[] host = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
--- a/src/main/java/gatefront/config/EndpointJson.java
+++ b/src/main/java/gatefront/config/EndpointJson.java
@@ -7,11 +7,11 @@
 import gatefront.policy.Balancer.Phase;
 import gatefront.policy.Balancer.Server;
 
-/** One server in the form of the platform's server list, which sources of our own use too. */
+/** JSON form of a server in the platform's server list, also used by the agent's other sources. */
 public final class EndpointJson {
     private EndpointJson() {}
 
-    /** Gives an entry, which {@link #decode} makes the same server of. */
+    /** Encodes a server; {@link #decode} restores an equal one. */
     public static ObjectNode encode(Endpoint endpoint, Config config) {
         Server server = endpoint.server();
         return JsonNodeFactory.instance
@@ -36,26 +36,26 @@
     }
 
     /**
-     * Takes an entry.
+     * Decodes a server.
      *
-     * @param entry its JSON
-     * @param name of the server; null if the entry has it
-     * @param config knows the zones and kinds
+     * @param entry the JSON
+     * @param name name of the server; null if it is part of the entry
+     * @param config configuration with the names of zones and machine types
      * @return the server
-     * @throws IllegalArgumentException if it makes no sense
+     * @throws IllegalArgumentException if the entry is invalid
      */
     public static Endpoint decode(JsonNode entry, String name, Config config) {
         String serverName = name == null ? entry.path("name").asText() : name;
         int zone = config.zones().indexOf(entry.path("zone").asText());
         if (serverName.isEmpty() || zone < 0) {
-            throw new IllegalArgumentException("name or zone of a server: " + entry);
+            throw new IllegalArgumentException("server without a name or with an unknown zone: " + entry);
         }
         Phase phase =
                 switch (entry.path("status").asText()) {
                     case "Ready" -> Phase.READY;
                     case "Terminating" -> Phase.DRAINING;
                     case "Gone" -> Phase.GONE;
-                    default -> throw new IllegalArgumentException("status of a server: " + entry);
+                    default -> throw new IllegalArgumentException("server with an unknown status: " + entry);
                 };
         return new Endpoint(
                 new Server(
--- a/src/main/java/gatefront/config/SettingsCompatibility.java
+++ b/src/main/java/gatefront/config/SettingsCompatibility.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Whether a newer file of settings is whole: what the one in force has, it has too, and of the same kind. */
+/** Checks that newer settings have every key of the current ones, with a value of the same type. */
 final class SettingsCompatibility {
     private static final String CLASSES = "classes";
     private static final String TENANTS = "realms";
 
     private SettingsCompatibility() {}
 
-    /** An IllegalArgumentException names the key that is missing or of another kind. */
+    /** Throws an IllegalArgumentException that names the key if one is missing or its value has another type. */
     static void check(JsonNode before, JsonNode after) {
         checkObject("settings", before, after);
         if (after.path(CLASSES).isEmpty()) {
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Each item has a name of its own and the keys that all items before had. */
+    /** Checks that each item has a unique name and the keys that all current items have in common. */
     private static void checkItems(String path, JsonNode before, JsonNode after) {
         Set<String> common = new HashSet<>();
         before.path(0).fieldNames().forEachRemaining(common::add);
@@ -47,7 +47,7 @@
             }
             if (item.path("name").asText("").isEmpty()
                     || !names.add(item.path("name").asText())) {
-                throw invalid(itemPath + ".name", "is missing, or there twice");
+                throw invalid(itemPath + ".name", "is missing or not unique");
             }
         }
     }
@@ -62,7 +62,7 @@
                         || found.isBoolean() != before.isBoolean()
                         || found.isArray() != before.isArray()
                         || found.isObject() != before.isObject())) {
-            throw invalid(key, "is of another kind than before: " + found);
+            throw invalid(key, "is of another type than before: " + found);
         }
     }
 
--- a/src/main/java/gatefront/config/package-info.java
+++ b/src/main/java/gatefront/config/package-info.java
@@ -1,4 +1,2 @@
-/**
- * The configuration of an agent, as read from its JSON file; immutable.
- */
+/** The immutable configuration of an agent, read from its JSON file. */
 package gatefront.config;
--- a/src/main/java/gatefront/drill/Drill.java
+++ b/src/main/java/gatefront/drill/Drill.java
@@ -14,10 +14,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Speaks the simulator's wire for many instances. It decides nothing. */
+/** Adapts the decision module to the simulator's protocol, for many instances. Makes no decisions of its own. */
 public final class Drill {
     private static final double[] NO_LOAD = new double[0];
+    /** Server lists that can be defined at a time, numbered from 0. */
     private static final int MAX_LISTS = 16;
+    /** Encoded length of one server of a list. */
     private static final int SERVER_ENTRY_BYTES = 22;
 
     private final FrameReader in;
@@ -26,7 +28,7 @@
     private final Map<Integer, Balancer> instances = new HashMap<>();
     private final List<List<Balancer.Server>> lists = new ArrayList<>();
 
-    /** Reads frames from one stream and writes replies to the other. */
+    /** Creates a drill that reads frames from one stream and writes replies to the other. */
     public Drill(InputStream in, OutputStream out) {
         this.in = new FrameReader(in);
         this.outStream = out;
@@ -61,7 +63,7 @@
         }
         Balancer instance = instances.get(id);
         if (instance == null) {
-            throw new WireException(in.where() + ": instance " + id + " was never started");
+            throw new WireException(in.where() + ": instance " + id + " has not been started");
         }
         if (code == 19) {
             instances.remove(id);
@@ -78,7 +80,7 @@
         }
     }
 
-    /** Runs a piece of the decision code; its failure is told as the instance's death. */
+    /** Runs decision code; an unexpected exception is reported as the failure of the instance. */
     private void runDecision(Runnable decision) {
         try {
             decision.run();
@@ -142,7 +144,7 @@
     private void defineList() {
         int number = in.u8();
         if (number >= MAX_LISTS) {
-            throw new WireException(in.where() + ": list number " + number + " is over " + (MAX_LISTS - 1));
+            throw new WireException(in.where() + ": list number " + number + "; expected 0 to " + (MAX_LISTS - 1));
         }
         int count = in.checkedCount(in.u32(), SERVER_ENTRY_BYTES);
         List<Balancer.Server> entries = new ArrayList<>(count);
@@ -160,22 +162,23 @@
 
     private void applyServerList(Balancer instance, long now) {
         int number = in.u8();
+        int kindCode = in.u8();
         ListKind kind =
-                switch (in.u8()) {
+                switch (kindCode) {
                     case 1 -> ListKind.DELTA;
                     case 2 -> ListKind.CACHED;
                     case 3 -> ListKind.FULL;
                     case 4 -> ListKind.FAILED;
-                    default -> throw new WireException(in.where() + ": unknown kind of list");
+                    default -> throw new WireException(in.where() + ": unknown list kind " + kindCode);
                 };
-        in.u32(); // the list's version: events are ordered and complete, so nothing hangs on it
+        in.u32(); // list version; unused, because events are ordered and complete
         if (kind == ListKind.FAILED) {
             instance.servers(now, kind, List.of());
             return;
         }
         List<Balancer.Server> entries = number < MAX_LISTS ? lists.get(number) : null;
         if (entries == null) {
-            throw new WireException(in.where() + ": list " + number + " was never defined");
+            throw new WireException(in.where() + ": list " + number + " has not been defined");
         }
         instance.servers(now, kind, entries);
     }
--- a/src/main/java/gatefront/drill/FrameReader.java
+++ b/src/main/java/gatefront/drill/FrameReader.java
@@ -5,11 +5,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Reads frames into one reused buffer and hands out the fields of their records. */
+/** Reads frames into a reused buffer and decodes the fields of their records. */
 final class FrameReader {
+    /** Frame header after the length: record count and clock. */
     private static final int HEADER_BYTES = 12;
+    /** Record header: code and size. */
     private static final int RECORD_HEADER_BYTES = 5;
-    /** Many times what a host sends, and well within the memory the adapter is given. */
+    /** Far above the frames that a host sends, and well within the memory of the adapter. */
     private static final int MAX_FRAME_BYTES = 128 << 20;
 
     private final InputStream in;
@@ -27,7 +29,7 @@
         this.in = in;
     }
 
-    /** Reads the next frame; false at the end of the input. */
+    /** Reads the next frame; returns false at the end of the input. */
     boolean nextFrame() throws IOException {
         int bytesRead = in.readNBytes(buffer, 0, 4);
         if (bytesRead == 0) {
@@ -42,8 +44,8 @@
         recordEnd = 4;
         int length = i32();
         if (length < HEADER_BYTES || length > MAX_FRAME_BYTES) {
-            throw new WireException(
-                    "frame " + frames + ": length " + Integer.toUnsignedString(length) + " is not possible");
+            throw new WireException("frame " + frames + ": length " + Integer.toUnsignedString(length)
+                    + " is not within " + HEADER_BYTES + " to " + MAX_FRAME_BYTES);
         }
         if (buffer.length < length) {
             buffer = new byte[Math.max(length, Math.min(2 * buffer.length, MAX_FRAME_BYTES))];
@@ -58,7 +60,8 @@
         clock = i64();
         recordIndex = 0;
         if (recordsLeft < 0) {
-            throw new WireException("frame " + frames + ": impossible number of records");
+            throw new WireException(
+                    "frame " + frames + ": record count " + Integer.toUnsignedString(recordsLeft) + " is too large");
         }
         return true;
     }
@@ -67,10 +70,10 @@
         return clock;
     }
 
-    /** Moves to the next record of the frame; false after the last. */
+    /** Moves to the next record of the frame; returns false after the last. */
     boolean nextRecord() {
         if (position != recordEnd) {
-            throw new WireException(where() + ": " + (recordEnd - position) + " bytes too many");
+            throw new WireException(where() + ": " + (recordEnd - position) + " bytes after the last field");
         }
         if (recordsLeft == 0) {
             if (position != end) {
@@ -87,7 +90,8 @@
         code = u8();
         int size = i32();
         if (size < 0 || size > end - position) {
-            throw new WireException(where() + ": size " + Integer.toUnsignedString(size) + " is over the frame");
+            throw new WireException(where() + ": size " + Integer.toUnsignedString(size) + " exceeds the "
+                    + (end - position) + " bytes left in the frame");
         }
         recordEnd = position + size;
         return true;
@@ -138,7 +142,7 @@
         return Float.intBitsToFloat(i32());
     }
 
-    /** Checks a count of items against what the record still holds. */
+    /** Returns a number of items after checking that the record has enough bytes left for them. */
     int checkedCount(long items, int itemSize) {
         if (items * itemSize > recordEnd - position) {
             throw new WireException(where() + ": too short for its fields");
--- a/src/main/java/gatefront/drill/FrameWriter.java
+++ b/src/main/java/gatefront/drill/FrameWriter.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Collects one reply in a reused buffer; the actions of the current instance become records. */
+/** Encodes the actions of the current instance as records of one reply, in a reused buffer. */
 final class FrameWriter implements Balancer.Actions {
     private static final int HEADER_BYTES = 8;
     private static final int MAX_TEXT_BYTES = 0xffff;
@@ -17,12 +17,12 @@
     private int records;
     private int instance;
 
-    /** The instance that the following actions belong to. */
+    /** Sets the instance that the following actions belong to. */
     void instance(int instance) {
         this.instance = instance;
     }
 
-    /** Writes the reply out and starts the next. */
+    /** Writes the reply and starts the next one. */
     void flush(OutputStream out) throws IOException {
         int end = position;
         position = 0;
@@ -105,7 +105,7 @@
         beginRecord(27, 2);
     }
 
-    /** Tells that the module has failed. */
+    /** Reports that the current instance has failed. */
     void instanceFailed(String reason) {
         text(25, reason);
     }
--- a/src/main/java/gatefront/drill/WireException.java
+++ b/src/main/java/gatefront/drill/WireException.java
@@ -1,6 +1,6 @@
 package gatefront.drill;
 
-/** Input that does not follow the wire; the message says what is wrong and where. */
+/** Input that violates the simulator's protocol; the message names the frame, the record and the problem. */
 public final class WireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/gatefront/status/MemoryWatch.java
+++ b/src/main/java/gatefront/status/MemoryWatch.java
@@ -4,7 +4,7 @@
 import gatefront.transport.Transport;
 import java.util.concurrent.TimeUnit;
 
-/** Says it when the process grows and neither heap nor buffers account for it. */
+/** Logs when the process grows by more than the heap and the buffers account for. */
 public final class MemoryWatch {
     private static final long MAX_UNACCOUNTED_BYTES = 32 << 20;
     private static final long CHECK_INTERVAL_SECONDS = 60;
@@ -12,12 +12,12 @@
     private final Transport transport;
     private final UnaccountedMemory unaccountedMemory = new UnaccountedMemory(MAX_UNACCOUNTED_BYTES);
 
-    /** Looks at nothing yet. */
+    /** Creates a watch that is not started. */
     public MemoryWatch(Transport transport) {
         this.transport = transport;
     }
 
-    /** Looks once a minute from now on, for as long as the loop runs. */
+    /** Checks once a minute from now on, for as long as the loop runs. */
     public void start() {
         transport
                 .loop()
@@ -30,7 +30,7 @@
         if (growthBytes > 0) {
             transport.log(
                     "memory: the process has grown by " + (growthBytes >> 20) + " MiB that neither heap nor buffers "
-                            + "account for; it has " + (now.resident() >> 20) + " MiB in all");
+                            + "account for; " + (now.resident() >> 20) + " MiB are resident");
         }
     }
 }
--- a/src/main/java/gatefront/status/OperatorHttpServer.java
+++ b/src/main/java/gatefront/status/OperatorHttpServer.java
@@ -26,13 +26,19 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** HTTP/1.1 for staff: one call a connection, a bound on connections, a time for a call that does not end. */
+/** HTTP/1.1 server for operators: one request a connection, with limits on connections and on the time of a request. */
 public abstract class OperatorHttpServer {
     private static final int MAX_BODY_BYTES = 1 << 10;
 
-    /** An answer: its status, the type of its text, the text. */
+    /**
+     * A response.
+     *
+     * @param status HTTP status code
+     * @param type content type
+     * @param text body
+     */
     public record Reply(int status, String type, String text) {
-        /** Plain text. */
+        /** Creates a plain-text response. */
         public static Reply plain(int status, String text) {
             return new Reply(status, "text/plain; charset=utf-8", text);
         }
@@ -42,18 +48,18 @@
     private final InetSocketAddress listen;
     private final int maxConnections;
     private final long requestTimeoutMs;
-    /** The oldest first. Each is removed when it closes: after its answer or its time, or for a newer one. */
+    /** Open connections, oldest first. Each is closed after its response, on timeout, or to admit a newer one. */
     private final Set<Channel> open = new LinkedHashSet<>();
 
     private Channel server;
 
     /**
-     * Listens to nobody yet.
+     * Creates a server that does not listen until {@link #listen()} is called.
      *
-     * @param transport its loop and network
-     * @param listen where
-     * @param maxConnections open at the most; the oldest then ends, for its caller has had the most time
-     * @param requestTimeoutMs a call not ended by then is cut off
+     * @param transport loop and network
+     * @param listen address to listen on
+     * @param maxConnections maximum open connections; beyond it the oldest is closed, as it has had the most time
+     * @param requestTimeoutMs time after which a connection is closed even without a response
      */
     protected OperatorHttpServer(
             Transport transport, InetSocketAddress listen, int maxConnections, long requestTimeoutMs) {
@@ -63,10 +69,10 @@
         this.requestTimeoutMs = requestTimeoutMs;
     }
 
-    /** Answers a call that could be read; on the loop, at once or later. */
+    /** Handles a well-formed request; the response may be given at once or later, on the loop. */
     protected abstract void handle(FullHttpRequest request, Consumer<Reply> answer);
 
-    /** Begins to listen; the future tells whether it could. */
+    /** Starts listening; the future reports success or failure. */
     public final ChannelFuture listen() {
         ChannelFuture bound = new ServerBootstrap()
                 .group(transport.loop())
@@ -82,12 +88,12 @@
         return bound;
     }
 
-    /** Where it listens. */
+    /** The address on which the server listens. */
     public final InetSocketAddress address() {
         return (InetSocketAddress) server.localAddress();
     }
 
-    /** Ends. */
+    /** Closes the listener and all connections. */
     public final void close() {
         server.close();
         List.copyOf(open).forEach(Channel::close);
@@ -112,7 +118,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             if (answered) {
-                return; // one call a connection
+                return; // one request a connection
             }
             answered = true;
             Throwable decodeFailure = request.decoderResult().cause();
--- a/src/main/java/gatefront/status/ProcessMetrics.java
+++ b/src/main/java/gatefront/status/ProcessMetrics.java
@@ -7,23 +7,24 @@
 import java.nio.file.Path;
 
 /**
- * What the process takes as a whole, to be held against what the accounts say. The management beans would tell the same
- * and take 2 MB to load; the kernel's files are read in some microseconds, and only where somebody asks.
+ * Memory and file descriptors of the whole process, for comparison with the resource accounts. The management beans
+ * report the same but take 2 MB to load; the files under /proc are read in a few microseconds, and only on demand.
  *
- * @param heapUsed bytes, garbage with it
- * @param heapCommitted bytes that the process has of the system for it
- * @param heapMax bytes
- * @param buffers bytes of buffers outside the heap, as the allocator has them
- * @param resident bytes of memory in use; -1 where the system does not tell
- * @param descriptors open ones; -1 where the system does not tell
+ * @param heapUsed heap in use, including garbage, in bytes
+ * @param heapCommitted heap committed by the JVM, in bytes
+ * @param heapMax maximum heap, in bytes
+ * @param buffers buffers outside the heap according to the allocator, in bytes
+ * @param resident resident memory in bytes; -1 if unknown
+ * @param descriptors open file descriptors; -1 if unknown
  */
 public record ProcessMetrics(
         long heapUsed, long heapCommitted, long heapMax, long buffers, long resident, long descriptors) {
     private static final Path MEMORY = Path.of("/proc/self/statm");
     private static final Path DESCRIPTORS = Path.of("/proc/self/fd");
+    /** Bytes of a memory page. */
     private static final long PAGE = 4_096;
 
-    /** As they are now. */
+    /** Reads the current values. */
     public static ProcessMetrics now() {
         Runtime jvm = Runtime.getRuntime();
         return new ProcessMetrics(
@@ -44,7 +45,7 @@
     }
 
     private static long descriptorsNow() {
-        long count = -1; // that of the folder itself
+        long count = -1; // does not count the descriptor of the directory being read
         try (DirectoryStream<Path> entries = Files.newDirectoryStream(DESCRIPTORS)) {
             for (Path entry : entries) {
                 count++;
--- a/src/main/java/gatefront/status/StatusEndpoint.java
+++ b/src/main/java/gatefront/status/StatusEndpoint.java
@@ -7,14 +7,14 @@
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
 
-/** Answers {@code GET /status} and {@code GET /status.json}, one request a connection. */
+/** Serves {@code GET /status} and {@code GET /status.json}, one request a connection. */
 public final class StatusEndpoint extends OperatorHttpServer {
     private static final int MAX_CONNECTIONS = 4;
     private static final long REQUEST_TIMEOUT_MS = 2_000;
 
     private final ResourceBudget budget;
 
-    /** Listens to nobody yet. */
+    /** Creates an endpoint that does not listen until {@link #listen()} is called. */
     public StatusEndpoint(Transport transport, InetSocketAddress listen, ResourceBudget budget) {
         super(transport, listen, MAX_CONNECTIONS, REQUEST_TIMEOUT_MS);
         this.budget = budget;
--- a/src/main/java/gatefront/status/StatusPage.java
+++ b/src/main/java/gatefront/status/StatusPage.java
@@ -7,11 +7,11 @@
 import gatefront.budget.ResourcePurpose;
 import java.util.Locale;
 
-/** What is held, by purpose, as text and as JSON. */
+/** Renders the resources in use, by purpose, as text and as JSON. */
 public final class StatusPage {
     private StatusPage() {}
 
-    /** A line for each purpose: entries and bytes now, the highest, the cap, and how often there was no room. */
+    /** Renders one line for each purpose: entries and bytes with their peak and cap, and the number of rejections. */
     public static String text(ResourceBudget budget, ProcessMetrics process) {
         StringBuilder out = new StringBuilder(String.format(
                 Locale.ROOT,
@@ -70,7 +70,7 @@
         return cap == Long.MAX_VALUE ? "-" : String.valueOf(cap);
     }
 
-    /** The same as JSON; a cap that there is not is left out, and so is what is not known. */
+    /** Renders the same as JSON; absent caps and unknown values are left out. */
     public static ObjectNode json(ResourceBudget budget, ProcessMetrics process) {
         ObjectNode root = JsonNodeFactory.instance.objectNode();
         ObjectNode purposes = root.putObject("purposes");
--- a/src/main/java/gatefront/status/package-info.java
+++ b/src/main/java/gatefront/status/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What an agent holds, shown on a loopback address of its own where an installation asks for it. Runs on the agent's
- * loop; owner of its few connections.
+ * Status page with the resources in use by an agent, served on a loopback address if configured. Runs on the agent's
+ * loop and owns its few connections.
  */
 package gatefront.status;
--- a/src/main/java/gatefront/toml/KeyLineIndex.java
+++ b/src/main/java/gatefront/toml/KeyLineIndex.java
@@ -7,9 +7,8 @@
 import java.util.regex.Pattern;
 
 /**
- * The line of each key of a TOML file, by its path: the library tells what a file says, and not where. Written
- * for the forms that these files use (tables, arrays of tables, a key a line); a key that it does not find has the line
- * of the table around it.
+ * Maps key paths of a TOML file to line numbers, which the TOML library does not report. Supports tables, arrays of
+ * tables and one key a line; a key that is not found has the line of its enclosing table.
  */
 final class KeyLineIndex {
     private static final Pattern TABLE = Pattern.compile("\\s*(\\[{1,2})\\s*([^\\]]+?)\\s*\\]{1,2}\\s*(#.*)?");
@@ -40,7 +39,7 @@
         }
     }
 
-    /** A table's path with the number of the element in each array of tables on the way. */
+    /** Returns a table's path with the index of the current element of each enclosing array of tables. */
     private static String resolve(String name, Map<String, Integer> counts) {
         StringBuilder path = new StringBuilder();
         StringBuilder plain = new StringBuilder();
@@ -55,7 +54,7 @@
         return path.toString();
     }
 
-    /** The line of a path, or of what is around it; at least 1. */
+    /** Returns the line of a path or of its nearest ancestor; 1 if neither is known. */
     int lineOf(String path) {
         for (String ancestor = path;
                 !ancestor.isEmpty();
--- a/src/main/java/gatefront/toml/NumberRange.java
+++ b/src/main/java/gatefront/toml/NumberRange.java
@@ -2,9 +2,9 @@
 
 import java.util.function.DoubleBinaryOperator;
 
-/** A range of figures; low and high may be the same. */
+/** A range of numbers, both bounds included; {@code low} may equal {@code high}. */
 public record NumberRange(double low, double high) {
-    /** One figure of the range, by what draws between two; where there is only one, nothing is drawn. */
+    /** Returns a number of the range; {@code sampler} is only called if the bounds differ. */
     public double sample(DoubleBinaryOperator sampler) {
         return low == high ? low : sampler.applyAsDouble(low, high);
     }
--- a/src/main/java/gatefront/toml/TomlException.java
+++ b/src/main/java/gatefront/toml/TomlException.java
@@ -1,10 +1,10 @@
 package gatefront.toml;
 
-/** A file that cannot be used; the message is one line with file, line, key and what was meant. */
+/** A TOML file that cannot be used. The message is one line with file, line, key and what was expected. */
 public final class TomlException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** With that line. */
+    /** Creates an exception with this one-line message. */
     public TomlException(String message) {
         super(message);
     }
--- a/src/main/java/gatefront/toml/TomlFile.java
+++ b/src/main/java/gatefront/toml/TomlFile.java
@@ -15,35 +15,35 @@
     private TomlFile() {}
 
     /**
-     * Reads a file.
+     * Reads a file as text.
      *
-     * @param path where it is
-     * @param hint what to say besides where there is none
-     * @return its text
-     * @throws TomlException if it cannot be read
+     * @param path the file
+     * @param hint text appended to the message if there is no such file
+     * @return the content
+     * @throws TomlException if the file cannot be read, is larger than 1 MiB or is not UTF-8
      */
     public static String read(Path path, String hint) throws TomlException {
         try {
             if (Files.exists(path) && Files.size(path) > MAX_BYTES) {
-                throw new TomlException(path + ":1: is larger than such a file may be, 1 MiB");
+                throw new TomlException(path + ":1: is larger than the limit of 1 MiB");
             }
             return Files.readString(path);
         } catch (NoSuchFileException e) {
             throw new TomlException(path + ": no such file" + hint);
         } catch (MalformedInputException e) {
-            throw new TomlException(path + ":1: is not text in UTF-8");
+            throw new TomlException(path + ":1: is not valid UTF-8");
         } catch (IOException e) {
             throw new TomlException(path + ": cannot be read: " + e.getMessage());
         }
     }
 
     /**
-     * The table at the top of a text.
+     * Parses TOML.
      *
-     * @param file its name in messages
-     * @param text the TOML
-     * @return the table
-     * @throws TomlException if it is not TOML
+     * @param file name of the file, for messages
+     * @param text the content
+     * @return the root table
+     * @throws TomlException if the content is not valid TOML
      */
     public static TomlTable parse(String file, String text) throws TomlException {
         try {
--- a/src/main/java/gatefront/toml/TomlTable.java
+++ b/src/main/java/gatefront/toml/TomlTable.java
@@ -9,7 +9,7 @@
 import java.util.TreeSet;
 import java.util.stream.Collectors;
 
-/** One table of a file, whose keys are taken one by one; what is left over in the end was not meant. */
+/** A table of a TOML file. Keys are read one by one; {@link #rejectUnknownKeys()} then rejects those that were not. */
 public final class TomlTable {
     private final String file;
     private final KeyLineIndex lines;
@@ -29,17 +29,17 @@
         return path.isEmpty() ? key : path + "." + key;
     }
 
-    /** What is wrong with a key, as one line; to be thrown. */
+    /** Creates an exception whose message is one line with file, line, key and problem. */
     public TomlException invalid(String key, String problem) {
         return new TomlException(file + ":" + lines.lineOf(pathOf(key)) + ": " + pathOf(key) + ": " + problem);
     }
 
-    /** A key is missing; where another looks as if it were meant, the message is about that one. */
+    /** Creates an exception for a missing key, or for an unread key with a similar name if there is one. */
     private TomlException missing(String key, String expected) {
         for (Iterator<String> names = node.fieldNames(); names.hasNext(); ) {
             String name = names.next();
             if (!readKeys.contains(name) && distance(name, key) <= Math.max(1, key.length() / 3)) {
-                return invalid(name, "is not known here; is \"" + key + "\" meant?");
+                return invalid(name, "unknown key; did you mean \"" + key + "\"?");
             }
         }
         return invalid(key, "is missing; " + expected);
@@ -50,32 +50,32 @@
         return node.path(key);
     }
 
-    /** Whether a key is there. */
+    /** Whether the table has a key. */
     public boolean has(String key) {
         return node.has(key);
     }
 
-    /** A table within; one that is missing is taken as empty. */
+    /** Returns a subtable; a missing one is empty. */
     public TomlTable table(String key) throws TomlException {
         JsonNode found = lookup(key);
         if (!found.isMissingNode() && !found.isObject()) {
-            throw invalid(key, "is to be a table, as in [" + pathOf(key) + "]");
+            throw invalid(key, "must be a table, as in [" + pathOf(key) + "]");
         }
         TomlTable table = new TomlTable(file, lines, pathOf(key), found);
         subtables.add(table);
         return table;
     }
 
-    /** The tables of an array of tables, perhaps none. */
+    /** Returns the tables of an array of tables; empty if it is missing. */
     public List<TomlTable> tables(String key) throws TomlException {
         JsonNode found = lookup(key);
         if (!found.isMissingNode() && !found.isArray()) {
-            throw invalid(key, "is to be a list of tables, as in [[" + pathOf(key) + "]]");
+            throw invalid(key, "must be a list of tables, as in [[" + pathOf(key) + "]]");
         }
         List<TomlTable> tables = new ArrayList<>();
         for (int i = 0; i < found.size(); i++) {
             if (!found.get(i).isObject()) {
-                throw invalid(key, "is to be a list of tables, as in [[" + pathOf(key) + "]]");
+                throw invalid(key, "must be a list of tables, as in [[" + pathOf(key) + "]]");
             }
             tables.add(new TomlTable(file, lines, pathOf(key) + "." + i, found.get(i)));
         }
@@ -83,7 +83,7 @@
         return tables;
     }
 
-    /** A text; null for {@code otherwise} if it must be there. */
+    /** Returns a string; the key is required if {@code defaultValue} is null. */
     public String text(String key, String defaultValue) throws TomlException {
         JsonNode found = lookup(key);
         if (found.isMissingNode() && defaultValue != null) {
@@ -91,38 +91,38 @@
         }
         if (!found.isTextual() || found.asText().isBlank()) {
             throw found.isMissingNode()
-                    ? missing(key, "it is a name in quotes")
-                    : invalid(key, "is to be a text in quotes");
+                    ? missing(key, "expected a name in quotes")
+                    : invalid(key, "must be a text in quotes");
         }
         return found.asText();
     }
 
-    /** A list of texts, perhaps none. */
+    /** Returns a list of strings; empty if it is missing. */
     public List<String> texts(String key) throws TomlException {
         JsonNode found = lookup(key);
         List<String> texts = new ArrayList<>();
         if (!found.isMissingNode() && !found.isArray()) {
-            throw invalid(key, "is to be a list of texts, as in [\"a\", \"b\"]");
+            throw invalid(key, "must be a list of texts, as in [\"a\", \"b\"]");
         }
         for (JsonNode element : found) {
             if (!element.isTextual()) {
-                throw invalid(key, "is to be a list of texts; " + element + " is none");
+                throw invalid(key, "must be a list of texts; " + element + " is not a text");
             }
             texts.add(element.asText());
         }
         return texts;
     }
 
-    /** True or false. */
+    /** Returns a boolean. */
     public boolean bool(String key, boolean defaultValue) throws TomlException {
         JsonNode found = lookup(key);
         if (!found.isMissingNode() && !found.isBoolean()) {
-            throw invalid(key, "is to be true or false");
+            throw invalid(key, "must be true or false");
         }
         return found.isMissingNode() ? defaultValue : found.asBoolean();
     }
 
-    /** One of some words. */
+    /** Returns a string that must be one of {@code words}. */
     public String word(String key, String defaultValue, List<String> words) throws TomlException {
         String word = text(key, defaultValue);
         if (!words.contains(word)) {
@@ -131,31 +131,31 @@
         return word;
     }
 
-    /** A whole number within bounds. */
+    /** Returns a whole number from {@code min} to {@code max}. */
     public int integer(String key, int defaultValue, int min, int max) throws TomlException {
         double value = number(key, (double) defaultValue, min, max);
         if (value != StrictMath.rint(value)) {
-            throw invalid(key, "is to be a whole number, not " + value);
+            throw invalid(key, "must be a whole number, not " + value);
         }
         return (int) value;
     }
 
-    /** A number within bounds; null for {@code otherwise} if it must be there. */
+    /** Returns a number from {@code min} to {@code max}; the key is required if {@code defaultValue} is null. */
     public double number(String key, Double defaultValue, double min, double max) throws TomlException {
         NumberRange range =
                 range(key, defaultValue == null ? null : new NumberRange(defaultValue, defaultValue), min, max);
         if (range.low() != range.high()) {
-            throw invalid(key, "is to be one number, not a range");
+            throw invalid(key, "must be one number, not a range");
         }
         return range.low();
     }
 
-    /** A number or a range of two, within bounds; null for {@code otherwise} if it must be there. */
+    /** Returns a number or a range within the bounds; the key is required if {@code defaultValue} is null. */
     public NumberRange range(String key, NumberRange defaultValue, double min, double max) throws TomlException {
         JsonNode found = lookup(key);
         if (found.isMissingNode()) {
             if (defaultValue == null) {
-                throw missing(key, "it is a number from " + format(min) + " to " + format(max));
+                throw missing(key, "expected a number from " + format(min) + " to " + format(max));
             }
             return defaultValue;
         }
@@ -166,14 +166,14 @@
         if (!pair && !found.isNumber()) {
             throw invalid(
                     key,
-                    "is to be a number, or a range of two as in [1, 2], not " + found
-                            + (found.isTextual() ? "; the unit stands in the key's name" : ""));
+                    "must be a number, or a range of two as in [1, 2], not " + found
+                            + (found.isTextual() ? "; the unit is part of the key's name" : ""));
         }
         NumberRange range = pair
                 ? new NumberRange(found.get(0).asDouble(), found.get(1).asDouble())
                 : new NumberRange(found.asDouble(), found.asDouble());
         if (range.low() > range.high()) {
-            throw invalid(key, "the range " + found + " runs backwards; the lower figure comes first");
+            throw invalid(key, "the range " + found + " is reversed; the lower bound comes first");
         }
         if (!(range.low() >= min && range.high() <= max)) {
             throw invalid(key, found + " is not within " + format(min) + " to " + format(max));
@@ -187,13 +187,13 @@
                 : String.valueOf(value);
     }
 
-    /** Refuses what nobody has taken: it was meant, and would not be heeded. */
+    /** Rejects keys that were never read, here and in subtables; they would otherwise be ignored silently. */
     public void rejectUnknownKeys() throws TomlException {
         List<String> names = new ArrayList<>();
         node.fieldNames().forEachRemaining(names::add);
         for (String name : names) {
             if (!readKeys.contains(name)) {
-                throw invalid(name, "is not known here" + suggestion(name, new TreeSet<>(readKeys)));
+                throw invalid(name, "unknown key" + suggestion(name, new TreeSet<>(readKeys)));
             }
         }
         for (TomlTable table : subtables) {
@@ -201,7 +201,7 @@
         }
     }
 
-    /** The nearest of some words, where one is near. */
+    /** Returns a message suffix with the most similar word, or with all words if none is similar. */
     static String suggestion(String word, Iterable<String> words) {
         String closest = null;
         int bestDistance = Math.max(1, word.length() / 3) + 1;
@@ -215,11 +215,11 @@
             }
         }
         return closest != null
-                ? "; is \"" + closest + "\" meant?"
-                : "; known are " + all.stream().sorted().collect(Collectors.joining(", "));
+                ? "; did you mean \"" + closest + "\"?"
+                : "; known: " + all.stream().sorted().collect(Collectors.joining(", "));
     }
 
-    /** Edits from one word to the other (Levenshtein). */
+    /** Levenshtein distance of two words. */
     private static int distance(String a, String b) {
         int[] row = new int[b.length() + 1];
         for (int j = 0; j < row.length; j++) {
--- a/src/main/java/gatefront/toml/package-info.java
+++ b/src/main/java/gatefront/toml/package-info.java
@@ -1,2 +1,2 @@
-/** TOML files whose every key is meant: what is wrong in one is a line with file, line, key and what was meant. */
+/** Strict reading of TOML files: unknown keys are errors, and each error names file, line, key and what is expected. */
 package gatefront.toml;
--- a/src/test/java/gatefront/agent/ExtensionsTest.java
+++ b/src/test/java/gatefront/agent/ExtensionsTest.java
@@ -69,17 +69,17 @@
         assertTrue(wrong("nodo_port = 9091\n", "").contains("nodo_port: is missing"));
         String unknown = wrong("class = \"pay\"", "class = \"pai\"");
         assertTrue(
-                unknown.startsWith("x.toml:6: thrift.methods.0.class: ") && unknown.contains("\"pay\" meant?"),
+                unknown.startsWith("x.toml:6: thrift.methods.0.class: ") && unknown.contains("did you mean \"pay\"?"),
                 unknown);
         assertTrue(wrong("Cuentas:saldo", "pagar").contains("is there twice"));
         assertTrue(wrong("nodo_port", "framing = \"framed\"\nnodo_port").contains("both"));
-        assertTrue(wrong("declares = true", "declare = true").contains("is \"declares\" meant?"));
+        assertTrue(wrong("declares = true", "declare = true").contains("did you mean \"declares\"?"));
         assertTrue(assertThrows(TomlException.class, () -> read("[thrift\n"))
                 .getMessage()
                 .startsWith("x.toml:1: "));
         assertTrue(assertThrows(TomlException.class, () -> read("[trift]\na = 1\n"))
                 .getMessage()
-                .contains("is \"thrift\" meant?"));
+                .contains("did you mean \"thrift\"?"));
     }
 
     @Test
--- a/src/test/java/gatefront/agent/RegistrySettingsReaderTest.java
+++ b/src/test/java/gatefront/agent/RegistrySettingsReaderTest.java
@@ -70,7 +70,7 @@
     @Test
     void whatIsWrongIsOneLine() {
         wrong(
-                "x.toml:2: registry.kind: \"etcdd\" is none of etcd, consul; is \"etcd\" meant?",
+                "x.toml:2: registry.kind: \"etcdd\" is none of etcd, consul; did you mean \"etcd\"?",
                 GOOD.replace("etcd", "etcdd"));
         wrong(
                 "x.toml:3: registry.endpoints: \"localhost:1\" is to be a literal address",
@@ -85,6 +85,6 @@
         wrong(
                 "x.toml:5: registry.state_file: its folder /no/such is not there",
                 GOOD + "state_file = \"/no/such/file\"");
-        wrong("x.toml:5: registry.keyz: is not known here; is \"keys\" meant?", GOOD + "keyz = 3");
+        wrong("x.toml:5: registry.keyz: unknown key; did you mean \"keys\"?", GOOD + "keyz = 3");
     }
 }
--- a/src/test/java/gatefront/cli/RehearseCommandTest.java
+++ b/src/test/java/gatefront/cli/RehearseCommandTest.java
@@ -70,7 +70,8 @@
     void anUnusablePlanEndsWithOneAndOneLine() throws Exception {
         assertEquals(1, run("rehearse", plan("c.toml", "[[faults]]\nkind = \"dye\"\n")));
         assertEquals(1, err.toString().lines().count(), err.toString());
-        assertTrue(err.toString().contains("c.toml:") && err.toString().contains("is \"die\" meant?"), err.toString());
+        assertTrue(
+                err.toString().contains("c.toml:") && err.toString().contains("did you mean \"die\"?"), err.toString());
         assertEquals(1, run("plan", "nothing"));
         assertEquals(1, run("plan", "--check", dir.resolve("c.toml").toString()));
     }
--- a/src/test/java/gatefront/drill/DrillTest.java
+++ b/src/test/java/gatefront/drill/DrillTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The adapter: frames in, replies out, and plain words for what is malformed. */
+/** Tests the simulator adapter: replies to frames, and error messages for malformed input. */
 class DrillTest {
     private static final int SEND = 16;
     private static final int LOG = 24;
@@ -134,15 +134,15 @@
     @Test
     void impossibleFrameLengthIsReported() {
         assertEquals(
-                "frame 1: length 4294967295 is not possible",
+                "frame 1: length 4294967295 is not within 12 to 134217728",
                 failure(new FrameBuilder().raw(new byte[] {-1, -1, -1, -1})));
     }
 
-    /** Failed before: two gigabytes were set aside for a frame that said it had them. */
+    /** Guards against allocating two gigabytes for a frame that merely declares this length. */
     @Test
     void oversizedFrameIsReportedAndNotAllocated() {
         assertEquals(
-                "frame 1: length 1879048192 is not possible",
+                "frame 1: length 1879048192 is not within 12 to 134217728",
                 failure(new FrameBuilder().raw(new byte[] {0x70, 0, 0, 0})));
     }
 
@@ -159,7 +159,7 @@
     @Test
     void recordLongerThanItsFieldsIsReported() {
         assertEquals(
-                "frame 1 record 2 (code 26): 1 bytes too many",
+                "frame 1 record 2 (code 26): 1 bytes after the last field",
                 failure(new FrameBuilder()
                         .spawn(1)
                         .record(26, out -> {
@@ -179,7 +179,7 @@
                     out.writeByte(19);
                     out.writeInt(100);
                 })))
-                .startsWith("frame 1 record 1 (code 19): size 100 is over the frame"));
+                .startsWith("frame 1 record 1 (code 19): size 100 exceeds the 0 bytes left in the frame"));
     }
 
     @Test
@@ -191,10 +191,10 @@
                         .record(99, out -> out.writeShort(1))
                         .frame(1)));
         assertEquals(
-                "frame 1 record 1 (code 20): instance 4 was never started",
+                "frame 1 record 1 (code 20): instance 4 has not been started",
                 failure(new FrameBuilder().submit(4, 1, 1).frame(1)));
         assertEquals(
-                "frame 1 record 2 (code 21): list 2 was never defined",
+                "frame 1 record 2 (code 21): list 2 has not been defined",
                 failure(new FrameBuilder().spawn(1).announce(1, 2, 3).frame(1)));
         assertEquals(
                 "frame 1 record 2 (code 22): unknown outcome 999",
@@ -224,7 +224,7 @@
                 failure(new FrameBuilder().spawn(1, letters).frame(1)));
     }
 
-    /** Failed before: these were taken, and showed only as a failed decision or a stack trace later. */
+    /** Guards against accepting these values, which would only show later as a failed decision or a stack trace. */
     @ParameterizedTest
     @ValueSource(
             strings = {
--- a/src/test/java/gatefront/drill/FrameBuilder.java
+++ b/src/test/java/gatefront/drill/FrameBuilder.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Builds frames for the drill and takes its replies apart. */
+/** Builds frames for {@link Drill} and decodes its replies. */
 final class FrameBuilder {
     static final String SETTINGS =
             """
@@ -39,7 +39,7 @@
         zones=north,south
         """;
 
-    /** A field writer that does not throw. */
+    /** Writes the fields of a record. */
     interface Fields {
         void write(DataOutputStream out) throws IOException;
     }
@@ -155,7 +155,7 @@
         });
     }
 
-    /** Runs the drill over all frames; one list of records for each reply. */
+    /** Runs the drill over all frames; returns the records of each reply. */
     List<List<Reply>> run() throws IOException {
         var out = new ByteArrayOutputStream();
         new Drill(new ByteArrayInputStream(all.toByteArray()), out).run();
@@ -172,7 +172,7 @@
                 reply.add(new Reply(code, fields.getShort(), fields));
             }
             if (in.position() != end) {
-                throw new AssertionError("a reply's length is wrong");
+                throw new AssertionError("reply ends at " + in.position() + ", expected " + end);
             }
             replies.add(reply);
         }
--- a/src/test/java/gatefront/rehearsal/plan/PlanReaderTest.java
+++ b/src/test/java/gatefront/rehearsal/plan/PlanReaderTest.java
@@ -45,34 +45,34 @@
             delimiter = '|',
             quoteCharacter = '`',
             value = {
-                "rate = 210 | rat = 210 | callers.rat: is not known here; is \"rate\" meant?",
-                "rate = 210 | # none | callers.rate: is missing; it is a number from 0.01 to 1000000",
-                "rate = 210 | rate = \"210/s\" | callers.rate: is to be a number, or a range of two as in [1, 2], not "
-                        + "\"210/s\"; the unit stands in the key's name",
-                "rate = 210 | rate = [200, 220] | callers.rate: is to be one number, not a range",
+                "rate = 210 | rat = 210 | callers.rat: unknown key; did you mean \"rate\"?",
+                "rate = 210 | # none | callers.rate: is missing; expected a number from 0.01 to 1000000",
+                "rate = 210 | rate = \"210/s\" | callers.rate: must be a number, or a range of two as in [1, 2], not "
+                        + "\"210/s\"; the unit is part of the key's name",
+                "rate = 210 | rate = [200, 220] | callers.rate: must be one number, not a range",
                 "rate = 210 | rate = -1 | callers.rate: -1 is not within 0.01 to 1000000",
-                "retries = 2 | retries = 2.5 | callers.retries: is to be a whole number, not 2.5",
+                "retries = 2 | retries = 2.5 | callers.retries: must be a whole number, not 2.5",
                 "count = 5 | count = 0 | agents.count: 0 is not within 1 to 10000",
                 "at_s = 45 | at_s = 100 | faults.5.at_s: 100 is not within 0 to 60",
-                "cross_ms = [1.4, 2.6] | cross_ms = [2.6, 1.4] | network.cross_ms: the range [2.6,1.4] runs backwards; the "
-                        + "lower figure comes first",
+                "cross_ms = [1.4, 2.6] | cross_ms = [2.6, 1.4] | network.cross_ms: the range [2.6,1.4] is reversed; the "
+                        + "lower bound comes first",
                 "names = [\"nodo-2\"] | names = [\"nodo-15\"] | faults.5.names: \"nodo-15\" is none of nodo-1 to nodo-14",
                 "names = [\"nodo-2\"] | names = [\"agent-2\"] | faults.5.names: \"agent-2\" is none of nodo-1 to nodo-14",
                 "kind = \"leave\" | kind = \"leaves\" | faults.5.kind: \"leaves\" is none of die, slow, fail, taken, drain, "
                         + "leave, vanish, cut-off, replace, succeed, break-off, jump, hurry, padron-silent, registry-down, registry-slow, "
                         + "registry-compact, agent-kill, agent-restart, "
-                        + "agent-reload; is \"leave\" meant?",
-                "window_ms = 4000 | # none | classes.2.window_ms: is missing; it is a number from 1 to 3600000",
+                        + "agent-reload; did you mean \"leave\"?",
+                "window_ms = 4000 | # none | classes.2.window_ms: is missing; expected a number from 1 to 3600000",
                 "aim_ms = 400 | aim_ms = 4000 | classes.1.aim_ms: is later than give_up_ms, when nobody waits any more",
                 "name = \"etla\" | name = \"zaachila\" | tenants: \"zaachila\" stands there twice",
                 "size = [0.4, 0.9] | size = [0.4, 9] | faults.3.size: is a part for fail, from 0 to 1",
                 "kind = \"jump\" | kind = \"jump\"~zone = \"sala-norte\" | zone: means nothing for jump: it meets all",
                 "names = [\"nodo-2\"] | zone = \"sala-nort\" | faults.5.zone: \"sala-nort\" is none of sala-centro, "
-                        + "sala-norte; is \"sala-norte\" meant?",
+                        + "sala-norte; did you mean \"sala-norte\"?",
                 "names = [\"nodo-2\"] | spread_s = -1 | faults.5.spread_s: -1 is not within 0 to 3600",
                 "[padron] | [padron]~calls_s = -1 | padron.calls_s: -1 is not within 0 to 1000000",
-                "marks = 1 | marks = 1 | name: is missing; it is a name in quotes",
-                "worth_by = \"work\" | worth_by = \"wrk\" | worth_by: \"wrk\" is none of request, work; is \"work\" meant?",
+                "marks = 1 | marks = 1 | name: is missing; expected a name in quotes",
+                "worth_by = \"work\" | worth_by = \"wrk\" | worth_by: \"wrk\" is none of request, work; did you mean \"work\"?",
                 "[padron] | [padrón] | is not TOML"
             })
     void aFaultyPlanGivesOneLine(String right, String wrong, String message) throws Exception {
@@ -107,11 +107,11 @@
         Files.write(binary, new byte[] {(byte) 0xff, (byte) 0xfe, 0, 1});
         assertTrue(assertThrows(TomlException.class, () -> PlanReader.read(binary))
                 .getMessage()
-                .contains("is not text in UTF-8"));
+                .contains("is not valid UTF-8"));
         Path large = dir.resolve("large");
         Files.write(large, new byte[2 << 20]);
         assertTrue(assertThrows(TomlException.class, () -> PlanReader.read(large))
                 .getMessage()
-                .contains("larger"));
+                .contains("is larger than the limit of 1 MiB"));
     }
 }
--- a/src/test/java/gatefront/rehearsal/processes/ProcessPartsTest.java
+++ b/src/test/java/gatefront/rehearsal/processes/ProcessPartsTest.java
@@ -145,7 +145,7 @@
                 wrong("kind = \"term\"\nat_s = 1\nstate = \"wiped\"\n"));
         assertEquals(
                 "p:4: faults.0.kind: \"kil\" is none of kill, term, stop, crash-loop, cut, delay, throttle, "
-                        + "reset, half-open, out, back; is \"kill\" meant?",
+                        + "reset, half-open, out, back; did you mean \"kill\"?",
                 wrong("kind = \"kil\"\nat_s = 1\n"));
         assertTrue(wrong("kind = \"out\"\nat_s = 1\n").contains("says who is taken out"));
         assertTrue(wrong("kind = \"kill\"\nat_s = 1\nnodos = [\"nodo-1\"]\n").contains("means nothing for kill"));
--- a/src/test/java/gatefront/transport/SharedListenerTest.java
+++ b/src/test/java/gatefront/transport/SharedListenerTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** A listener on an address that two processes share, and its end. */
+/** Tests listeners that share an address, and closing one of them. */
 class SharedListenerTest {
     private final List<SocketTransport> transports = new ArrayList<>();
     private final List<Channel> accepted = new ArrayList<>();
@@ -48,7 +48,7 @@
         assertEquals(first.localAddress(), second.localAddress());
     }
 
-    /** Guards against connections that were made and not yet seen being reset with their listener. */
+    /** Guards against connections in the accept queue being reset when their listener closes. */
     @Test
     void pendingConnectionsAreAcceptedBeforeTheListenerCloses() throws Exception {
         Channel listener = listen(0);
@@ -66,7 +66,7 @@
         });
         busy.await();
         List<Socket> clients = new ArrayList<>();
-        for (int i = 0; i < 60; i++) { // more than are accepted in one look
+        for (int i = 0; i < 60; i++) { // more than one read of the loop accepts
             clients.add(new Socket(
                     InetAddress.getLoopbackAddress(), ((InetSocketAddress) listener.localAddress()).getPort()));
         }
