--- a/src/main/java/gatefront/config/Config.java
+++ b/src/main/java/gatefront/config/Config.java
@@ -144,8 +144,8 @@
     }
 
     /**
-     * Returns this configuration with the reloadable parts of a newer file: classes, tenants, permits, obligations and
-     * the address of discovery. Existing classes keep their index, new ones are appended, and classes missing from the
+     * Returns this configuration with the reloadable parts of a newer file: classes, tenants, limits on
+     * attempts and retry-after, obligations, prices, goal and the address of discovery. Existing classes keep their index, new ones are appended, and classes missing from the
      * file are marked as removed.
      *
      * @throws IllegalArgumentException with a one-line message if the file is invalid or lacks a key of the current one
--- a/src/main/java/gatefront/status/OperatorHttpServer.java
+++ b/src/main/java/gatefront/status/OperatorHttpServer.java
@@ -70,7 +70,7 @@
     }
 
     /** Handles a well-formed request; the response may be given at once or later, on the loop. */
-    protected abstract void handle(FullHttpRequest request, Consumer<Reply> answer);
+    protected abstract void handle(FullHttpRequest request, Consumer<Reply> responder);
 
     /** Starts listening; the future reports success or failure. */
     public final ChannelFuture listen() {
@@ -124,15 +124,15 @@
             Throwable decodeFailure = request.decoderResult().cause();
             if (decodeFailure instanceof TooLongHttpHeaderException
                     || decodeFailure instanceof TooLongHttpLineException) {
-                answer(ctx, Reply.plain(431, "too long\n"));
+                respond(ctx, Reply.plain(431, "too long\n"));
             } else if (decodeFailure != null) {
-                answer(ctx, Reply.plain(400, "not to be read\n"));
+                respond(ctx, Reply.plain(400, "not to be read\n"));
             } else {
-                handle(request, reply -> answer(ctx, reply));
+                handle(request, reply -> respond(ctx, reply));
             }
         }
 
-        private void answer(ChannelHandlerContext ctx, Reply reply) {
+        private void respond(ChannelHandlerContext ctx, Reply reply) {
             byte[] body = reply.text().getBytes(StandardCharsets.UTF_8);
             var response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(body));
--- a/src/main/java/gatefront/status/StatusEndpoint.java
+++ b/src/main/java/gatefront/status/StatusEndpoint.java
@@ -21,8 +21,8 @@
     }
 
     @Override
-    protected void handle(FullHttpRequest request, Consumer<Reply> answer) {
-        answer.accept(reply(request));
+    protected void handle(FullHttpRequest request, Consumer<Reply> responder) {
+        responder.accept(reply(request));
     }
 
     private Reply reply(FullHttpRequest request) {
--- a/src/test/java/gatefront/thrift/CallMetadataTest.java
+++ b/src/test/java/gatefront/thrift/CallMetadataTest.java
@@ -150,7 +150,7 @@
         for (int i = 0; i < 20_000; i++) {
             ThriftEncoding encoding = ThriftEncoding.values()[i % 3];
             long timeout = 1 + random.nextInt(1 << 1 + random.nextInt(21));
-            long left = 1 + (long) (random.nextDouble() * timeout);
+            long remainingMillis = 1 + (long) (random.nextDouble() * timeout);
             byte[] arguments = new StructWriter(encoding)
                     .struct(1, defaultMetadata(encoding, timeout).end())
                     .i32(2, 5)
@@ -158,9 +158,10 @@
             ThriftMessage call =
                     new ThriftMessage(encoding, new MessageHeader("m", MessageHeader.Type.CALL, 1), arguments);
             CallMetadata before = CallMetadata.parse(call).metadata();
-            byte[] sent = new ThriftCall(call, before.timeoutOffset, before.timeoutBytes).bodyWithTimeout(left);
+            byte[] sent =
+                    new ThriftCall(call, before.timeoutOffset, before.timeoutBytes).bodyWithTimeout(remainingMillis);
             CallMetadata after = parse(encoding, sent).metadata();
-            assertEquals(left, after.timeoutMs, encoding + " " + timeout);
+            assertEquals(remainingMillis, after.timeoutMs, encoding + " " + timeout);
             assertEquals(arguments.length, sent.length);
             for (int at = 0; at < sent.length; at++) {
                 boolean inside = at >= before.timeoutOffset && at < before.timeoutOffset + before.timeoutBytes;
--- a/src/test/java/gatefront/thrift/codec/MessageDecoderTest.java
+++ b/src/test/java/gatefront/thrift/codec/MessageDecoderTest.java
@@ -98,13 +98,13 @@
             byte[] first = MessageSamples.random(format, random);
             byte[] second = MessageSamples.random(format, random);
             byte[] both = concat(first, second);
-            List<Object> whole = decode(both);
-            assertEquals(2, whole.size(), format + " " + whole);
+            List<Object> messages = decode(both);
+            assertEquals(2, messages.size(), format + " " + messages);
             int[] cuts =
                     random.ints(random.nextInt(6), 0, both.length + 1).sorted().toArray();
-            assertSameMessages(whole, decode(both, cuts));
-            assertSameMessages(whole.subList(0, 1), decode(first));
-            ThriftMessage message = (ThriftMessage) whole.get(0);
+            assertSameMessages(messages, decode(both, cuts));
+            assertSameMessages(messages.subList(0, 1), decode(first));
+            ThriftMessage message = (ThriftMessage) messages.get(0);
             assertTrue(first.length >= message.body().length);
             assertArrayEquals(
                     Arrays.copyOfRange(first, first.length - message.body().length, first.length), message.body());
@@ -158,9 +158,9 @@
                     new ThriftMessage(encoding, new MessageHeader("saldo", Type.CALL, -3), body), false, out);
             TProtocol in =
                     MessageSamples.protocol(encoding, new TMemoryInputTransport(out.array(), 0, out.readableBytes()));
-            TMessage head = in.readMessageBegin();
-            assertEquals("saldo", head.name);
-            assertEquals(-3, head.seqid);
+            TMessage header = in.readMessageBegin();
+            assertEquals("saldo", header.name);
+            assertEquals(-3, header.seqid);
             in.readStructBegin();
             assertEquals(1, in.readFieldBegin().id);
             in.readStructBegin();
@@ -261,10 +261,10 @@
         byte[] compact = bytes(0x82, 0x21, 1, 1, 'm');
         byte[] unterminated = bytes(0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff);
         int[][] typesAndMaxLengths = {{0x14, 3}, {0x15, 5}, {0x16, 10}, {0x18, 5}, {0x1b, 5}};
-        for (int[] each : typesAndMaxLengths) {
+        for (int[] typeAndMaxLength : typesAndMaxLengths) {
             assertEquals(
-                    "varint longer than " + each[1] + " bytes",
-                    failureOf(concat(compact, bytes(each[0]), unterminated)));
+                    "varint longer than " + typeAndMaxLength[1] + " bytes",
+                    failureOf(concat(compact, bytes(typeAndMaxLength[0]), unterminated)));
         }
         assertEquals("varint longer than 5 bytes", failureOf(concat(bytes(0x82, 0x21), unterminated)));
         assertTrue(failureOf(concat(compact, bytes(0x1e))).contains("unknown type 14"));
@@ -287,11 +287,11 @@
     @Test
     void deepNestingIsRejected() {
         byte[] deep = new byte[10_020];
-        byte[] head = bytes(0x82, 0x21, 1, 1, 'm');
-        System.arraycopy(head, 0, deep, 0, head.length);
-        Arrays.fill(deep, head.length, deep.length, (byte) 0x1c);
+        byte[] header = bytes(0x82, 0x21, 1, 1, 'm');
+        System.arraycopy(header, 0, deep, 0, header.length);
+        Arrays.fill(deep, header.length, deep.length, (byte) 0x1c);
         assertEquals("nested more than 32 levels deep", failureOf(deep));
-        Arrays.fill(deep, head.length, deep.length, (byte) 0x19); // nested lists of one element
+        Arrays.fill(deep, header.length, deep.length, (byte) 0x19); // nested lists of one element
         assertEquals("nested more than 32 levels deep", failureOf(deep));
     }
 
@@ -340,11 +340,11 @@
                     default -> Arrays.fill(bytes, at, Math.min(bytes.length, at + 4), (byte) random.nextInt());
                 }
             }
-            List<Object> whole = decode(bytes);
+            List<Object> messages = decode(bytes);
             int cut = random.nextInt(bytes.length + 1);
-            assertSameMessages(whole, decode(bytes, cut));
-            for (Object each : whole) {
-                if (each instanceof ThriftMessage message) {
+            assertSameMessages(messages, decode(bytes, cut));
+            for (Object decodedObject : messages) {
+                if (decodedObject instanceof ThriftMessage message) {
                     decoded++;
                     StructReader reader = new StructReader(message.encoding(), message.body());
                     while (reader.next()) {
--- a/src/test/java/gatefront/transport/SharedListenerTest.java
+++ b/src/test/java/gatefront/transport/SharedListenerTest.java
@@ -73,8 +73,8 @@
         close.countDown();
         listener.closeFuture().sync();
         assertEquals(60, transport.loop().submit(() -> accepted.size()).sync().getNow());
-        for (Socket each : clients) {
-            each.close();
+        for (Socket client : clients) {
+            client.close();
         }
     }
 }
