--- a/src/bench/java/gatefront/bench/StorageFigures.java
+++ b/src/bench/java/gatefront/bench/StorageFigures.java
@@ -50,7 +50,7 @@
     private static void policy(Path folder, GroupCommit.Policy policy, byte[] entry, SigningKeys keys)
             throws Exception {
         Store store = Store.open(
-                new DirectoryDisk(folder), new Store.Options(keys, 4 << 20, 1L << 34), RecordConsumer.NOBODY);
+                new DirectoryDisk(folder), new Store.Options(keys, 4 << 20, 1L << 34), RecordConsumer.IGNORE);
         Histogram micros = new Histogram(60_000_000L, 3);
         AtomicLong lost = new AtomicLong();
         GroupCommit commit = new GroupCommit(
@@ -59,14 +59,14 @@
         long turnedAway = 0;
         while (System.nanoTime() - began < 1_000_000_000L * SECONDS) {
             long handed = System.nanoTime();
-            boolean taken = commit.offer(entry, new GroupCommit.Told() {
+            boolean taken = commit.offer(entry, new GroupCommit.Listener() {
                 @Override
-                public void kept(long number) {
+                public void stored(long number) {
                     micros.recordValue((System.nanoTime() - handed) / 1_000); // all on the one thread
                 }
 
                 @Override
-                public void lost(IOException why) {
+                public void failed(IOException why) {
                     lost.incrementAndGet();
                 }
             });
@@ -89,7 +89,7 @@
 
     private static void start(Path folder, byte[] entry) throws IOException {
         Store.Options options = new Store.Options(SigningKeys.NONE, 4 << 20, 1L << 34);
-        Store store = Store.open(new DirectoryDisk(folder), options, RecordConsumer.NOBODY);
+        Store store = Store.open(new DirectoryDisk(folder), options, RecordConsumer.IGNORE);
         List<byte[]> group = new ArrayList<>();
         for (int i = 0; i < GROUP; i++) {
             group.add(entry);
@@ -113,7 +113,7 @@
                 Locale.ROOT,
                 "a start with %d records in %d bytes: %.1f s%n",
                 seen[0],
-                again.bytes(),
+                again.sizeBytes(),
                 (System.nanoTime() - began) / 1e9);
         again.close();
     }
--- a/src/main/java/gatefront/agent/LedgerSettings.java
+++ b/src/main/java/gatefront/agent/LedgerSettings.java
@@ -23,7 +23,7 @@
 
     static LedgerSettings read(TomlTable table) throws TomlException {
         String instance = table.text("instance", null);
-        if (!instance.matches(EntryId.NAME)) {
+        if (!instance.matches(EntryId.INSTANCE_PATTERN)) {
             throw table.bad("instance", "is to be letters, digits, dots and dashes, 64 at the most");
         }
         double period = table.number("period_s", DAY, 1, 366 * DAY);
--- a/src/main/java/gatefront/agent/RecoverySettings.java
+++ b/src/main/java/gatefront/agent/RecoverySettings.java
@@ -48,7 +48,7 @@
 
     static RecoverySettings read(TomlTable table, TomlTable rehearsal) throws TomlException {
         String instance = table.text("instance", null);
-        if (!instance.matches(EntryId.NAME)) {
+        if (!instance.matches(EntryId.INSTANCE_PATTERN)) {
             throw table.bad("instance", "is to be letters, digits, dots and dashes, 64 at the most");
         }
         double mark = table.number("mark_s", MARK, 0.05, 60);
--- a/src/main/java/gatefront/agent/UsageRecorder.java
+++ b/src/main/java/gatefront/agent/UsageRecorder.java
@@ -74,7 +74,7 @@
             last = each;
         }
         this.periods = new PeriodClock(table.periodMicros(), table.writeMicros(), last, transport.wallMicros());
-        this.closed = periods.closing();
+        this.closed = periods.firstUnclosed();
     }
 
     /**
@@ -85,11 +85,11 @@
      */
     static UsageRecorder open(Transport transport, LedgerSettings table, Supplier<Config> config) throws IOException {
         SigningKeys keys = table.keys() == null ? SigningKeys.NONE : SigningKeys.read(table.keys());
-        Store.Options options = new Store.Options(keys, Store.Options.USUAL.segmentBytes(), table.bytesMost());
+        Store.Options options = new Store.Options(keys, Store.Options.DEFAULTS.segmentBytes(), table.bytesMost());
         LedgerStore books = null;
         try {
             books = LedgerStore.open(new DirectoryDisk(table.folder()), options, table.instance());
-            if (books.begun()) {
+            if (books.isNew()) {
                 transport.log(
                         "ledger: " + table.folder() + " holds no books; they are begun now, or all of them are lost");
             }
@@ -120,12 +120,12 @@
         }
         // What was served since the last time counts in the period that was open then.
         take(periods.open());
-        periods.at(transport.wallMicros());
+        periods.advanceTo(transport.wallMicros());
         TreeMap<Ledger.Cell, UsageAmounts> cells = waiting;
         waiting = new TreeMap<>();
         handed = cells;
         out = true;
-        long closing = periods.closing();
+        long closing = periods.firstUnclosed();
         writer.execute(() -> write(cells, closing));
     }
 
@@ -148,7 +148,7 @@
         IOException fault = null;
         try {
             into(cells, closing);
-            books.compact();
+            books.compactIfLarge();
         } catch (IOException e) {
             fault = e;
         } catch (RuntimeException e) { // a fault of ours, or sums beyond a number: counting goes on, and staff hear
@@ -170,17 +170,17 @@
         while (!cells.isEmpty()) {
             long period = cells.firstKey().period();
             Map<Ledger.Cell, UsageAmounts> of = cells.headMap(new Ledger.Cell(period + 1, "", ""));
-            books.use(period, of);
+            books.recordUse(period, of);
             of.clear();
         }
         if (closing - closed > PASSED_MOST) { // the clock has jumped: what it passed was never open here
-            for (long period : books.unclosed()) {
-                books.close(period);
+            for (long period : books.unclosedPeriods()) {
+                books.closePeriod(period);
             }
             closed = closing - 1;
         }
         for (; closed < closing; closed++) { // what could not be written before has been, by now
-            books.close(closed);
+            books.closePeriod(closed);
         }
     }
 
--- a/src/main/java/gatefront/cli/LedgerCommand.java
+++ b/src/main/java/gatefront/cli/LedgerCommand.java
@@ -73,10 +73,10 @@
         }
 
         /** All that is in some books; none of it where a file is not what was written. */
-        LedgerStore.Look look(Path which) throws IOException {
-            LedgerStore.Look[] look = {new LedgerStore.Look(Ledger.EMPTY, null, -1, 0, 0)};
+        LedgerStore.Contents look(Path which) throws IOException {
+            LedgerStore.Contents[] look = {new LedgerStore.Contents(Ledger.EMPTY, null, -1, 0, 0)};
             StoreVerification verify = StoreVerification.of(
-                    DirectoryDisk.existing(which), keys(), LedgerStore.looking(at -> look[0] = at));
+                    DirectoryDisk.existing(which), keys(), LedgerStore.contentsReader(at -> look[0] = at));
             if (verify.damage() != null) {
                 throw verify.damage();
             }
@@ -104,13 +104,13 @@
 
         @Override
         public Integer call() throws IOException {
-            LedgerStore.Look look = look(folder);
+            LedgerStore.Contents look = look(folder);
             for (long each : look.ledger().periods()) {
                 if (period == null || period == each) {
                     show(look.ledger(), each);
                 }
             }
-            for (LedgerEntry each : look.ledger().waiting()) {
+            for (LedgerEntry each : look.ledger().unresolvedCorrections()) {
                 out().println(
                                 json
                                         ? EntryFormat.json(each)
@@ -124,8 +124,8 @@
                                 look.instance(),
                                 look.epoch(),
                                 look.ledger().size(),
-                                look.made(),
-                                look.taken());
+                                look.ownEntries(),
+                                look.acknowledged());
             }
             return 0;
         }
@@ -162,10 +162,10 @@
                                 its.work(),
                                 its.bytes());
             }
-            ledger.standing(of, expected).forEach((whose, part) -> {
-                if (!json && part != Ledger.Part.WHOLE) {
+            ledger.partStatuses(of, expected).forEach((whose, part) -> {
+                if (!json && part != Ledger.PartStatus.COMPLETE) {
                     out().println("  the part of " + whose + " is "
-                            + (part == Ledger.Part.UNKNOWN
+                            + (part == Ledger.PartStatus.UNKNOWN
                                     ? "not known: it has not closed the period"
                                     : "not all here"));
                 }
@@ -185,13 +185,13 @@
             StoreVerification verify = StoreVerification.of(
                     DirectoryDisk.existing(folder),
                     keys(),
-                    LedgerStore.looking(at -> entries[0] = at.ledger().size()));
+                    LedgerStore.contentsReader(at -> entries[0] = at.ledger().size()));
             verify.notes().forEach(each -> out().println("note: " + each));
             if (verify.damage() != null) {
                 out().println("DAMAGED " + verify.damage().getMessage());
                 return Commands.BROKEN;
             }
-            if (!verify.there()) {
+            if (!verify.exists()) {
                 out().println("MISSING " + folder + ": no store is here; it was never begun, or all of it is lost");
                 return Commands.BROKEN;
             }
@@ -212,9 +212,9 @@
 
         @Override
         public Integer call() throws IOException {
-            LedgerStore.Look look = look(folder);
+            LedgerStore.Contents look = look(folder);
             if (csv) {
-                out().println(EntryFormat.CSV_HEAD);
+                out().println(EntryFormat.CSV_HEADER);
             }
             for (LedgerEntry each : look.ledger().entries()) {
                 if (period == null || each.period() == period) {
@@ -236,21 +236,21 @@
 
         @Override
         public Integer call() throws IOException {
-            LedgerStore.Look here = look(folder);
-            LedgerStore.Look there = look(other);
+            LedgerStore.Contents here = look(folder);
+            LedgerStore.Contents there = look(other);
             Reconciliation.Result result = Reconciliation.run(
                     new DigestTree(here.ledger().entries()),
-                    Reconciliation.Other.of(new DigestTree(there.ledger().entries())));
+                    Reconciliation.Peer.of(new DigestTree(there.ledger().entries())));
             for (Reconciliation.Difference each : result.differences()) {
                 out().println(each.id()
-                        + (each.there() == null
+                        + (each.remote() == null
                                 ? " is in " + folder + " alone"
-                                : each.here() == null
+                                : each.local() == null
                                         ? " is in " + other + " alone"
-                                        : " is not the same in both: " + EntryFormat.json(each.here()) + " and "
-                                                + EntryFormat.json(each.there())));
+                                        : " is not the same in both: " + EntryFormat.json(each.local()) + " and "
+                                                + EntryFormat.json(each.remote())));
             }
-            out().println(result.differences().size() + " differences; " + result.steps() + " questions, "
+            out().println(result.differences().size() + " differences; " + result.queries() + " questions, "
                     + result.bytes() + " bytes");
             return result.differences().isEmpty() ? 0 : Commands.BROKEN;
         }
@@ -295,22 +295,22 @@
                 throw new ParameterException(spec.commandLine(), e.getMessage());
             }
             UsageAmounts by = new UsageAmounts(requests, worth, work, bytes);
-            if (by.none()) {
+            if (by.isZero()) {
                 throw new ParameterException(
                         spec.commandLine(),
                         "a correction is of something: --requests, --worth, " + "--work or --bytes");
             }
-            LedgerStore.Look look = look(folder);
+            LedgerStore.Contents look = look(folder);
             if (look.ledger().get(id) == null) {
                 throw new IOException("there is no entry " + id);
             }
-            Store.Options usual = Store.Options.USUAL;
+            Store.Options usual = Store.Options.DEFAULTS;
             try (LedgerStore books = LedgerStore.open(
                     new DirectoryDisk(folder),
-                    new Store.Options(keys(), usual.segmentBytes(), usual.bytesMost()),
+                    new Store.Options(keys(), usual.segmentBytes(), usual.maxBytes()),
                     look.instance())) {
                 out().println(EntryFormat.json(books.correct(id, period, by, why)));
-                books.close(period); // this life makes no more
+                books.closePeriod(period); // this life makes no more
             }
             return 0;
         }
--- a/src/main/java/gatefront/ledger/DigestTree.java
+++ b/src/main/java/gatefront/ledger/DigestTree.java
@@ -18,19 +18,19 @@
  */
 public final class DigestTree {
     /** Children of a range. */
-    static final int BRANCHES = 16;
+    static final int BRANCHING_FACTOR = 16;
 
-    private static final int BITS = 4;
+    private static final int BITS_PER_LEVEL = 4;
     /** Ranges with no more entries are told whole. */
-    private static final int FEW = 8;
+    private static final int MAX_LISTED_ENTRIES = 8;
 
     /** Places whose first {@code bits} bits are those of {@code from}. */
-    public record Range(long from, int bits) {
+    public record Range(long prefix, int bits) {
         /** All. */
         public static final Range ALL = new Range(0, 0);
 
-        Range child(int i) {
-            return new Range(from | (long) i << Long.SIZE - bits - BITS, bits + BITS);
+        Range child(int index) {
+            return new Range(prefix | (long) index << Long.SIZE - bits - BITS_PER_LEVEL, bits + BITS_PER_LEVEL);
         }
     }
 
@@ -40,47 +40,50 @@
         static final int BYTES = Integer.BYTES + 2 * Long.BYTES;
     }
 
-    private record Placed(long place, long high, long low, LedgerEntry entry) {}
+    private record HashedEntry(long position, long high, long low, LedgerEntry entry) {}
 
     private final LedgerEntry[] entries;
-    private final long[] places;
+    private final long[] positions;
     /** Sums of the digests of all before each. */
-    private final long[] high;
+    private final long[] highSums;
 
-    private final long[] low;
+    private final long[] lowSums;
 
     /** Of some entries, each id once. */
-    public DigestTree(Iterable<LedgerEntry> from) {
-        List<Placed> placed = new ArrayList<>();
-        MessageDigest sha;
+    public DigestTree(Iterable<LedgerEntry> source) {
+        List<HashedEntry> hashed = new ArrayList<>();
+        MessageDigest sha256;
         try {
-            sha = MessageDigest.getInstance("SHA-256");
+            sha256 = MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e); // every JDK has it
         }
-        for (LedgerEntry each : from) {
-            byte[] of = sha.digest(bytes(text(each)));
-            placed.add(new Placed(
-                    number(sha.digest(bytes(each.id().toString())), 0), number(of, 0), number(of, Long.BYTES), each));
+        for (LedgerEntry entry : source) {
+            byte[] digest = sha256.digest(utf16Bytes(canonicalText(entry)));
+            hashed.add(new HashedEntry(
+                    readLong(sha256.digest(utf16Bytes(entry.id().toString())), 0),
+                    readLong(digest, 0),
+                    readLong(digest, Long.BYTES),
+                    entry));
         }
-        placed.sort(Comparator.<Placed>comparingLong(each -> each.place ^ Long.MIN_VALUE)
-                .thenComparing(each -> each.entry.id()));
-        int n = placed.size();
+        hashed.sort(Comparator.<HashedEntry>comparingLong(entry -> entry.position ^ Long.MIN_VALUE)
+                .thenComparing(entry -> entry.entry.id()));
+        int n = hashed.size();
         entries = new LedgerEntry[n];
-        places = new long[n];
-        high = new long[n + 1];
-        low = new long[n + 1];
+        positions = new long[n];
+        highSums = new long[n + 1];
+        lowSums = new long[n + 1];
         for (int i = 0; i < n; i++) {
-            Placed each = placed.get(i);
-            entries[i] = each.entry;
-            places[i] = each.place ^ Long.MIN_VALUE; // so that signed order is theirs
-            low[i + 1] = low[i] + each.low;
-            high[i + 1] = high[i] + each.high + carry(low[i], each.low);
+            HashedEntry entry = hashed.get(i);
+            entries[i] = entry.entry;
+            positions[i] = entry.position ^ Long.MIN_VALUE; // so that signed order is theirs
+            lowSums[i + 1] = lowSums[i] + entry.low;
+            highSums[i + 1] = highSums[i] + entry.high + carry(lowSums[i], entry.low);
         }
     }
 
     /** Two for each character: an encoding would be a matter of I/O. */
-    private static byte[] bytes(String text) {
+    private static byte[] utf16Bytes(String text) {
         byte[] bytes = new byte[2 * text.length()];
         for (int i = 0; i < text.length(); i++) {
             bytes[2 * i] = (byte) (text.charAt(i) >> Byte.SIZE);
@@ -93,48 +96,48 @@
         return Long.compareUnsigned(a + b, a) < 0 ? 1 : 0;
     }
 
-    private static long number(byte[] bytes, int at) {
-        long n = 0;
+    private static long readLong(byte[] bytes, int offset) {
+        long value = 0;
         for (int i = 0; i < Long.BYTES; i++) {
-            n = n << Byte.SIZE | bytes[at + i] & 0xff;
+            value = value << Byte.SIZE | bytes[offset + i] & 0xff;
         }
-        return n;
+        return value;
     }
 
-    private static String text(LedgerEntry e) {
-        return e.id() + "\n" + e.kind() + "\n" + e.period() + "\n" + e.tenant() + "\n" + e.type() + "\n" + e.amounts()
-                + "\n" + e.corrects() + "\n" + e.why();
+    private static String canonicalText(LedgerEntry entry) {
+        return entry.id() + "\n" + entry.kind() + "\n" + entry.period() + "\n" + entry.tenant() + "\n" + entry.type()
+                + "\n" + entry.amounts() + "\n" + entry.corrects() + "\n" + entry.why();
     }
 
-    private int first(long place) {
-        int at = Arrays.binarySearch(places, place ^ Long.MIN_VALUE);
-        if (at < 0) {
-            return -at - 1;
+    private int firstIndex(long position) {
+        int index = Arrays.binarySearch(positions, position ^ Long.MIN_VALUE);
+        if (index < 0) {
+            return -index - 1;
         }
-        while (at > 0 && places[at - 1] == places[at]) {
-            at--;
+        while (index > 0 && positions[index - 1] == positions[index]) {
+            index--;
         }
-        return at;
+        return index;
     }
 
-    private int end(Range range) {
-        long last = range.bits == 0 ? -1 : range.from | -1L >>> range.bits;
-        return last == -1 ? places.length : first(last + 1);
+    private int endIndex(Range range) {
+        long last = range.bits == 0 ? -1 : range.prefix | -1L >>> range.bits;
+        return last == -1 ? positions.length : firstIndex(last + 1);
     }
 
     /** What is in a range. */
     public Sum sum(Range range) {
-        int from = first(range.from);
-        int end = end(range);
-        long lowSum = low[end] - low[from];
-        long borrow = Long.compareUnsigned(low[end], low[from]) < 0 ? 1 : 0;
-        return new Sum(end - from, high[end] - high[from] - borrow, lowSum);
+        int from = firstIndex(range.prefix);
+        int end = endIndex(range);
+        long lowSum = lowSums[end] - lowSums[from];
+        long borrow = Long.compareUnsigned(lowSums[end], lowSums[from]) < 0 ? 1 : 0;
+        return new Sum(end - from, highSums[end] - highSums[from] - borrow, lowSum);
     }
 
     /** What is in each child of a range. */
     public List<Sum> children(Range range) {
-        List<Sum> sums = new ArrayList<>(BRANCHES);
-        for (int i = 0; i < BRANCHES; i++) {
+        List<Sum> sums = new ArrayList<>(BRANCHING_FACTOR);
+        for (int i = 0; i < BRANCHING_FACTOR; i++) {
             sums.add(sum(range.child(i)));
         }
         return sums;
@@ -142,11 +145,11 @@
 
     /** The entries of a range. */
     public List<LedgerEntry> entries(Range range) {
-        return Arrays.asList(entries).subList(first(range.from), end(range));
+        return Arrays.asList(entries).subList(firstIndex(range.prefix), endIndex(range));
     }
 
     /** Whether a range is to be told whole, there being so few in it, or no smaller ranges. */
-    static boolean whole(Range range, int most) {
-        return most <= FEW || range.bits + BITS > Long.SIZE;
+    static boolean listsEntries(Range range, int maxCount) {
+        return maxCount <= MAX_LISTED_ENTRIES || range.bits + BITS_PER_LEVEL > Long.SIZE;
     }
 }
--- a/src/main/java/gatefront/ledger/EntryId.java
+++ b/src/main/java/gatefront/ledger/EntryId.java
@@ -9,11 +9,11 @@
  */
 public record EntryId(String instance, long epoch, long sequence) implements Comparable<EntryId> {
     /** What an instance may be called. */
-    public static final String NAME = "[a-zA-Z0-9][a-zA-Z0-9._-]{0,63}";
+    public static final String INSTANCE_PATTERN = "[a-zA-Z0-9][a-zA-Z0-9._-]{0,63}";
 
     /** Checks what came from outside. */
     public EntryId {
-        if (!instance.matches(NAME) || epoch < 0 || sequence < 0) {
+        if (!instance.matches(INSTANCE_PATTERN) || epoch < 0 || sequence < 0) {
             throw new IllegalArgumentException(
                     "an entry's id is a name, an epoch and a number, not " + instance + "/" + epoch + "/" + sequence);
         }
--- a/src/main/java/gatefront/ledger/Ledger.java
+++ b/src/main/java/gatefront/ledger/Ledger.java
@@ -14,8 +14,8 @@
  *
  * <p>An entry is taken once: the same again changes nothing, and another with the same id is a {@link Conflict}. A
  * correction may come before what it corrects, from another instance; until that comes it counts for nothing and is
- * among {@link #waiting()}. A correction corrects an entry of use, or another correction, and counts with the tenant
- * and class of the entry of use at the end of that chain.
+ * among {@link #unresolvedCorrections()}. A correction corrects an entry of use, or another correction, and counts with
+ * the tenant and class of the entry of use at the end of that chain.
  */
 public final class Ledger {
     /** Nothing. */
@@ -26,11 +26,11 @@
     public static final class Conflict extends Exception {
         private static final long serialVersionUID = 1;
 
-        Conflict(LedgerEntry one, LedgerEntry other) {
-            super("entry " + one.id() + " is there as " + line(one) + " and as " + line(other));
+        Conflict(LedgerEntry existing, LedgerEntry added) {
+            super("entry " + existing.id() + " is there as " + describe(existing) + " and as " + describe(added));
         }
 
-        private static String line(LedgerEntry entry) {
+        private static String describe(LedgerEntry entry) {
             return entry.kind() + " of period " + entry.period() + " " + entry.tenant() + " " + entry.type() + " "
                     + entry.amounts();
         }
@@ -47,9 +47,9 @@
     }
 
     /** How an instance's part of a period stands. */
-    public enum Part {
+    public enum PartStatus {
         /** It has said how many entries it made, and all are here. */
-        WHOLE,
+        COMPLETE,
         /** It has said so, and some are not here. */
         INCOMPLETE,
         /** It has not said so: it still counts, or died in mid-period. Its part is not known, and not nothing. */
@@ -59,22 +59,22 @@
     private final TreePMap<EntryId, LedgerEntry> entries;
     private final TreePMap<Cell, UsageAmounts> cells;
     /** By entry that is not here, the corrections that wait for it. */
-    private final PMap<EntryId, TreePMap<EntryId, LedgerEntry>> waiting;
+    private final PMap<EntryId, TreePMap<EntryId, LedgerEntry>> unresolved;
     /** By period, instance and epoch, what is here and what should be. */
-    private final TreePMap<Long, TreePMap<String, Count>> parts;
+    private final TreePMap<Long, TreePMap<String, EntryCount>> entryCounts;
 
     /** Entries of use and corrections of one epoch in a period; as many as were made, or -1 while not told. */
-    private record Count(long here, long made) {}
+    private record EntryCount(long present, long declared) {}
 
     private Ledger(
             TreePMap<EntryId, LedgerEntry> entries,
             TreePMap<Cell, UsageAmounts> cells,
-            PMap<EntryId, TreePMap<EntryId, LedgerEntry>> waiting,
-            TreePMap<Long, TreePMap<String, Count>> parts) {
+            PMap<EntryId, TreePMap<EntryId, LedgerEntry>> unresolved,
+            TreePMap<Long, TreePMap<String, EntryCount>> entryCounts) {
         this.entries = entries;
         this.cells = cells;
-        this.waiting = waiting;
-        this.parts = parts;
+        this.unresolved = unresolved;
+        this.entryCounts = entryCounts;
     }
 
     /**
@@ -84,73 +84,75 @@
      * @throws ArithmeticException if sums with it are more than a number holds; this ledger is as it was
      */
     public Ledger with(LedgerEntry entry) throws Conflict {
-        LedgerEntry here = entries.get(entry.id());
-        if (here != null) {
-            if (!here.equals(entry)) {
-                throw new Conflict(here, entry);
+        LedgerEntry existing = entries.get(entry.id());
+        if (existing != null) {
+            if (!existing.equals(entry)) {
+                throw new Conflict(existing, entry);
             }
             return this;
         }
-        Ledger with = new Ledger(entries.plus(entry.id(), entry), cells, waiting, counted(entry));
-        return entry.kind() == LedgerEntry.Kind.CLOSED ? with : with.settled(entry);
+        Ledger added = new Ledger(entries.plus(entry.id(), entry), cells, unresolved, countsWith(entry));
+        return entry.kind() == LedgerEntry.Kind.CLOSED ? added : added.withAmounts(entry);
     }
 
-    private TreePMap<Long, TreePMap<String, Count>> counted(LedgerEntry entry) {
-        TreePMap<String, Count> period = parts.getOrDefault(entry.period(), TreePMap.empty());
-        String whose = entry.id().instance() + "/" + entry.id().epoch();
-        Count before = period.getOrDefault(whose, new Count(0, -1));
-        Count now = entry.kind() == LedgerEntry.Kind.CLOSED
-                ? new Count(before.here, entry.amounts().requests())
-                : new Count(before.here + 1, before.made);
-        return parts.plus(entry.period(), period.plus(whose, now));
+    private TreePMap<Long, TreePMap<String, EntryCount>> countsWith(LedgerEntry entry) {
+        TreePMap<String, EntryCount> period = entryCounts.getOrDefault(entry.period(), TreePMap.empty());
+        String epochKey = entry.id().instance() + "/" + entry.id().epoch();
+        EntryCount before = period.getOrDefault(epochKey, new EntryCount(0, -1));
+        EntryCount updated = entry.kind() == LedgerEntry.Kind.CLOSED
+                ? new EntryCount(before.present, entry.amounts().requests())
+                : new EntryCount(before.present + 1, before.declared);
+        return entryCounts.plus(entry.period(), period.plus(epochKey, updated));
     }
 
     /** Counts an entry that is here, and the corrections that have waited for it. */
-    private Ledger settled(LedgerEntry entry) {
-        LedgerEntry use = origin(entry);
+    private Ledger withAmounts(LedgerEntry entry) {
+        LedgerEntry use = originalUse(entry);
         if (use == null) {
-            EntryId lacks = lacking(entry);
+            EntryId missing = missingEntry(entry);
             return new Ledger(
                     entries,
                     cells,
-                    waiting.plus(
-                            lacks,
-                            waiting.getOrDefault(lacks, TreePMap.<EntryId, LedgerEntry>empty())
+                    unresolved.plus(
+                            missing,
+                            unresolved
+                                    .getOrDefault(missing, TreePMap.<EntryId, LedgerEntry>empty())
                                     .plus(entry.id(), entry)),
-                    parts);
+                    entryCounts);
         }
         Cell cell = new Cell(entry.period(), use.tenant(), use.type());
-        Ledger now = new Ledger(
+        Ledger updated = new Ledger(
                 entries,
-                cells.plus(cell, cells.getOrDefault(cell, UsageAmounts.NONE).plus(entry.amounts())),
-                waiting.minus(entry.id()),
-                parts);
-        for (LedgerEntry each : waiting.getOrDefault(entry.id(), TreePMap.<EntryId, LedgerEntry>empty())
+                cells.plus(cell, cells.getOrDefault(cell, UsageAmounts.ZERO).plus(entry.amounts())),
+                unresolved.minus(entry.id()),
+                entryCounts);
+        for (LedgerEntry correction : unresolved
+                .getOrDefault(entry.id(), TreePMap.<EntryId, LedgerEntry>empty())
                 .values()) {
-            now = now.settled(each);
+            updated = updated.withAmounts(correction);
         }
-        return now;
+        return updated;
     }
 
     /** The entry of use at the end of a chain of corrections; null if a part of it is not here, or it has no end. */
-    private LedgerEntry origin(LedgerEntry entry) {
-        LedgerEntry at = entry;
-        for (int i = 0; at != null && at.corrects() != null; i++) {
-            at = i > entries.size() ? null : entries.get(at.corrects());
+    private LedgerEntry originalUse(LedgerEntry entry) {
+        LedgerEntry current = entry;
+        for (int i = 0; current != null && current.corrects() != null; i++) {
+            current = i > entries.size() ? null : entries.get(current.corrects());
         }
-        return at == null || at.kind() != LedgerEntry.Kind.USE ? null : at;
+        return current == null || current.kind() != LedgerEntry.Kind.USE ? null : current;
     }
 
-    private EntryId lacking(LedgerEntry entry) {
-        LedgerEntry at = entry;
+    private EntryId missingEntry(LedgerEntry entry) {
+        LedgerEntry current = entry;
         for (int i = 0; i <= entries.size(); i++) {
-            LedgerEntry next = entries.get(at.corrects());
+            LedgerEntry next = entries.get(current.corrects());
             if (next == null || next.corrects() == null) {
                 break;
             }
-            at = next;
+            current = next;
         }
-        return at.corrects();
+        return current.corrects();
     }
 
     /** An entry, or null. */
@@ -175,7 +177,7 @@
 
     /** What a tenant used in a period, over all classes. */
     public UsageAmounts total(long period, String tenant) {
-        UsageAmounts total = UsageAmounts.NONE;
+        UsageAmounts total = UsageAmounts.ZERO;
         for (Map.Entry<Cell, UsageAmounts> each : totals(period).entrySet()) {
             total = each.getKey().tenant().equals(tenant) ? total.plus(each.getValue()) : total;
         }
@@ -183,30 +185,32 @@
     }
 
     /** Corrections of entries that are not here; they count for nothing yet. */
-    public List<LedgerEntry> waiting() {
+    public List<LedgerEntry> unresolvedCorrections() {
         List<LedgerEntry> all = new ArrayList<>();
-        waiting.values().forEach(each -> all.addAll(each.values()));
+        unresolved.values().forEach(each -> all.addAll(each.values()));
         all.sort((a, b) -> a.id().compareTo(b.id()));
         return all;
     }
 
     /** The periods of which something is here. */
     public Iterable<Long> periods() {
-        return parts.keySet();
+        return entryCounts.keySet();
     }
 
     /**
      * How the part of each instance stands in a period; of one that is expected and has told nothing it is not known.
      * An instance that died in mid-period and came back has an epoch that never ended: its part stays unknown.
      */
-    public Map<String, Part> standing(long period, Iterable<String> expected) {
-        Map<String, Part> standing = new TreeMap<>();
-        expected.forEach(each -> standing.put(each, Part.UNKNOWN));
-        parts.getOrDefault(period, TreePMap.empty()).forEach((whose, count) -> {
-            Part part = count.made < 0 ? Part.UNKNOWN : count.here == count.made ? Part.WHOLE : Part.INCOMPLETE;
-            standing.put(whose, part);
-            standing.remove(whose.substring(0, whose.indexOf('/')));
+    public Map<String, PartStatus> partStatuses(long period, Iterable<String> expected) {
+        Map<String, PartStatus> statuses = new TreeMap<>();
+        expected.forEach(instance -> statuses.put(instance, PartStatus.UNKNOWN));
+        entryCounts.getOrDefault(period, TreePMap.empty()).forEach((epochKey, count) -> {
+            PartStatus status = count.declared < 0
+                    ? PartStatus.UNKNOWN
+                    : count.present == count.declared ? PartStatus.COMPLETE : PartStatus.INCOMPLETE;
+            statuses.put(epochKey, status);
+            statuses.remove(epochKey.substring(0, epochKey.indexOf('/')));
         });
-        return standing;
+        return statuses;
     }
 }
--- a/src/main/java/gatefront/ledger/LedgerEntry.java
+++ b/src/main/java/gatefront/ledger/LedgerEntry.java
@@ -32,13 +32,13 @@
     }
 
     /** Characters of a municipio's or a class's name, and of a reason, at the most. */
-    public static final int TEXT_MOST = 200;
+    public static final int MAX_TEXT_LENGTH = 200;
 
     /** Checks what came from outside. */
     public LedgerEntry {
-        String wrong = period < 0
+        String problem = period < 0
                 ? "its period is before time began"
-                : Math.max(tenant.length(), Math.max(type.length(), why.length())) > TEXT_MOST
+                : Math.max(tenant.length(), Math.max(type.length(), why.length())) > MAX_TEXT_LENGTH
                         ? "a text is too long"
                         : (kind == Kind.CORRECTION) != (corrects != null)
                                 ? "a correction names the entry corrected, no other does"
@@ -47,8 +47,8 @@
                                         : kind == Kind.CLOSED && (amounts.requests() < 0 || !tenant.isEmpty())
                                                 ? "a close tells how many entries"
                                                 : null;
-        if (wrong != null) {
-            throw new IllegalArgumentException("entry " + id + ": " + wrong);
+        if (problem != null) {
+            throw new IllegalArgumentException("entry " + id + ": " + problem);
         }
     }
 
--- a/src/main/java/gatefront/ledger/PeriodClock.java
+++ b/src/main/java/gatefront/ledger/PeriodClock.java
@@ -9,10 +9,10 @@
  * <p>Pure, one thread. State: two numbers.
  */
 public final class PeriodClock {
-    private final long length;
-    private final long grace;
+    private final long lengthMicros;
+    private final long graceMicros;
     private long open;
-    private long closing;
+    private long firstUnclosed;
 
     /**
      * Begins where an instance stands.
@@ -20,16 +20,16 @@
      * @param lengthMicros of a period
      * @param graceMicros how long after its end a period still takes entries of what ended in it
      * @param open the period that was open when its ledger was last written; 0 for a new one
-     * @param now the wall clock in microseconds since 1970
+     * @param nowMicros the wall clock in microseconds since 1970
      */
-    public PeriodClock(long lengthMicros, long graceMicros, long open, long now) {
+    public PeriodClock(long lengthMicros, long graceMicros, long open, long nowMicros) {
         if (lengthMicros <= 0 || graceMicros < 0 || graceMicros >= lengthMicros) {
             throw new IllegalArgumentException("a period has a length, and a grace shorter than that");
         }
-        this.length = lengthMicros;
-        this.grace = graceMicros;
-        this.open = Math.max(open, now / lengthMicros);
-        this.closing = this.open;
+        this.lengthMicros = lengthMicros;
+        this.graceMicros = graceMicros;
+        this.open = Math.max(open, nowMicros / lengthMicros);
+        this.firstUnclosed = this.open;
     }
 
     /** The period in which what ends now counts. */
@@ -38,22 +38,24 @@
     }
 
     /** The first period that may still take entries; all before it are closed. */
-    public long closing() {
-        return closing;
+    public long firstUnclosed() {
+        return firstUnclosed;
     }
 
     /** Time has gone on, or jumped; returns whether a period more is closed now. */
-    public boolean at(long now) {
-        open = Math.max(open, now / length);
-        long before = closing;
-        closing = Math.max(closing, now % length >= grace || now / length < open ? open : open - 1);
-        closing = Math.min(closing, open);
-        return closing > before;
+    public boolean advanceTo(long nowMicros) {
+        open = Math.max(open, nowMicros / lengthMicros);
+        long before = firstUnclosed;
+        firstUnclosed = Math.max(
+                firstUnclosed,
+                nowMicros % lengthMicros >= graceMicros || nowMicros / lengthMicros < open ? open : open - 1);
+        firstUnclosed = Math.min(firstUnclosed, open);
+        return firstUnclosed > before;
     }
 
     /** When to look again at the latest: the next end of a period, or of its grace. */
-    public long next(long now) {
-        long begun = now - now % length;
-        return now % length < grace ? begun + grace : begun + length;
+    public long nextBoundaryMicros(long nowMicros) {
+        long periodStart = nowMicros - nowMicros % lengthMicros;
+        return nowMicros % lengthMicros < graceMicros ? periodStart + graceMicros : periodStart + lengthMicros;
     }
 }
--- a/src/main/java/gatefront/ledger/Reconciliation.java
+++ b/src/main/java/gatefront/ledger/Reconciliation.java
@@ -13,7 +13,7 @@
  */
 public final class Reconciliation {
     /** The other instance, as far as this needs it. */
-    public interface Other {
+    public interface Peer {
         /** What it has in each child of a range. */
         List<DigestTree.Sum> children(DigestTree.Range range);
 
@@ -21,11 +21,11 @@
         List<LedgerEntry> entries(DigestTree.Range range);
 
         /** What it has altogether. */
-        DigestTree.Sum all();
+        DigestTree.Sum total();
 
         /** An instance that is asked without a wire. */
-        static Other of(DigestTree digests) {
-            return new Other() {
+        static Peer of(DigestTree digests) {
+            return new Peer() {
                 @Override
                 public List<DigestTree.Sum> children(DigestTree.Range range) {
                     return digests.children(range);
@@ -37,7 +37,7 @@
                 }
 
                 @Override
-                public DigestTree.Sum all() {
+                public DigestTree.Sum total() {
                     return digests.sum(DigestTree.Range.ALL);
                 }
             };
@@ -45,65 +45,66 @@
     }
 
     /** One entry that is not the same on both sides; null on the side that does not have it. */
-    public record Difference(EntryId id, LedgerEntry here, LedgerEntry there) {}
+    public record Difference(EntryId id, LedgerEntry local, LedgerEntry remote) {}
 
     /**
      * What came of it.
      *
      * @param differences in the order of their ids
-     * @param steps questions asked
+     * @param queries questions asked
      * @param bytes of sums told, and about those of the entries
      */
-    public record Result(List<Difference> differences, int steps, long bytes) {}
+    public record Result(List<Difference> differences, int queries, long bytes) {}
 
     /** Bytes of an entry on the wire, about. */
-    private static final int ENTRY_BYTES = 80;
+    private static final int APPROXIMATE_ENTRY_BYTES = 80;
 
     private Reconciliation() {}
 
     /** Compares. Whatever the other says, it ends: each question is of a smaller range than the one before. */
-    public static Result run(DigestTree own, Other other) {
-        List<Difference> found = new ArrayList<>();
-        int steps = 1;
+    public static Result run(DigestTree local, Peer peer) {
+        List<Difference> differences = new ArrayList<>();
+        int queries = 1;
         long bytes = DigestTree.Sum.BYTES;
-        Deque<DigestTree.Range> differ = new ArrayDeque<>();
-        if (!own.sum(DigestTree.Range.ALL).equals(other.all())) {
-            differ.add(DigestTree.Range.ALL);
+        Deque<DigestTree.Range> pending = new ArrayDeque<>();
+        if (!local.sum(DigestTree.Range.ALL).equals(peer.total())) {
+            pending.add(DigestTree.Range.ALL);
         }
-        while (!differ.isEmpty()) {
-            DigestTree.Range range = differ.poll();
-            List<DigestTree.Sum> theirs = other.children(range);
-            steps++;
-            bytes += (long) theirs.size() * DigestTree.Sum.BYTES;
-            for (int i = 0; i < DigestTree.BRANCHES; i++) {
+        while (!pending.isEmpty()) {
+            DigestTree.Range range = pending.poll();
+            List<DigestTree.Sum> remoteSums = peer.children(range);
+            queries++;
+            bytes += (long) remoteSums.size() * DigestTree.Sum.BYTES;
+            for (int i = 0; i < DigestTree.BRANCHING_FACTOR; i++) {
                 DigestTree.Range child = range.child(i);
-                DigestTree.Sum mine = own.sum(child);
-                if (mine.equals(theirs.get(i))) {
+                DigestTree.Sum localSum = local.sum(child);
+                if (localSum.equals(remoteSums.get(i))) {
                     continue;
                 }
-                if (DigestTree.whole(child, Math.max(mine.count(), theirs.get(i).count()))) {
-                    List<LedgerEntry> told = other.entries(child);
-                    steps++;
-                    bytes += (long) told.size() * ENTRY_BYTES;
-                    compare(own.entries(child), told, found);
+                if (DigestTree.listsEntries(
+                        child, Math.max(localSum.count(), remoteSums.get(i).count()))) {
+                    List<LedgerEntry> remoteEntries = peer.entries(child);
+                    queries++;
+                    bytes += (long) remoteEntries.size() * APPROXIMATE_ENTRY_BYTES;
+                    compare(local.entries(child), remoteEntries, differences);
                 } else {
-                    differ.add(child);
+                    pending.add(child);
                 }
             }
         }
-        found.sort((a, b) -> a.id.compareTo(b.id));
-        return new Result(found, steps, bytes);
+        differences.sort((a, b) -> a.id.compareTo(b.id));
+        return new Result(differences, queries, bytes);
     }
 
-    private static void compare(List<LedgerEntry> own, List<LedgerEntry> theirs, List<Difference> found) {
-        Map<EntryId, LedgerEntry> left = new TreeMap<>();
-        theirs.forEach(each -> left.put(each.id(), each));
-        for (LedgerEntry each : own) {
-            LedgerEntry there = left.remove(each.id());
-            if (!each.equals(there)) {
-                found.add(new Difference(each.id(), each, there));
+    private static void compare(List<LedgerEntry> local, List<LedgerEntry> remote, List<Difference> differences) {
+        Map<EntryId, LedgerEntry> unmatched = new TreeMap<>();
+        remote.forEach(each -> unmatched.put(each.id(), each));
+        for (LedgerEntry each : local) {
+            LedgerEntry match = unmatched.remove(each.id());
+            if (!each.equals(match)) {
+                differences.add(new Difference(each.id(), each, match));
             }
         }
-        left.forEach((id, there) -> found.add(new Difference(id, null, there)));
+        unmatched.forEach((id, match) -> differences.add(new Difference(id, null, match)));
     }
 }
--- a/src/main/java/gatefront/ledger/UsageAmounts.java
+++ b/src/main/java/gatefront/ledger/UsageAmounts.java
@@ -10,7 +10,7 @@
  */
 public record UsageAmounts(long requests, long worth, long work, long bytes) {
     /** Nothing. */
-    public static final UsageAmounts NONE = new UsageAmounts(0, 0, 0, 0);
+    public static final UsageAmounts ZERO = new UsageAmounts(0, 0, 0, 0);
 
     /** Both together; more than fits is a fault of who made them, and is told. */
     public UsageAmounts plus(UsageAmounts other) {
@@ -28,8 +28,8 @@
     }
 
     /** Whether nothing was used. */
-    public boolean none() {
-        return equals(NONE);
+    public boolean isZero() {
+        return equals(ZERO);
     }
 
     /** The text that digests are made of: it stays as it is, for another would not compare with digests made before. */
--- a/src/main/java/gatefront/ledgerstore/EntryFormat.java
+++ b/src/main/java/gatefront/ledgerstore/EntryFormat.java
@@ -11,7 +11,7 @@
 /** Entries on paper, a line each: JSON and CSV (RFC 4180). */
 public final class EntryFormat {
     /** The names of the columns. */
-    public static final String CSV_HEAD =
+    public static final String CSV_HEADER =
             "id,kind,period,tenant,class,requests," + "worth_millionths,work_us,bytes,corrects,why";
 
     private static final JsonFactory JSON = new JsonFactory();
@@ -24,7 +24,7 @@
         try (JsonGenerator out = JSON.createGenerator(text)) {
             out.writeStartObject();
             out.writeStringField("id", entry.id().toString());
-            out.writeStringField("kind", word(entry));
+            out.writeStringField("kind", kindName(entry));
             out.writeNumberField("period", entry.period());
             out.writeStringField("tenant", entry.tenant());
             out.writeStringField("class", entry.type());
@@ -43,13 +43,13 @@
         return text.toString();
     }
 
-    /** As a line of {@link #CSV_HEAD}. */
+    /** As a line of {@link #CSV_HEADER}. */
     public static String csv(LedgerEntry entry) {
-        return entry.id() + "," + word(entry) + "," + entry.period() + "," + quoted(entry.tenant()) + ","
-                + quoted(entry.type()) + "," + entry.amounts().requests() + ","
+        return entry.id() + "," + kindName(entry) + "," + entry.period() + "," + csvQuoted(entry.tenant()) + ","
+                + csvQuoted(entry.type()) + "," + entry.amounts().requests() + ","
                 + entry.amounts().worth() + ","
                 + entry.amounts().work() + "," + entry.amounts().bytes() + ","
-                + (entry.corrects() == null ? "" : entry.corrects()) + "," + quoted(entry.why());
+                + (entry.corrects() == null ? "" : entry.corrects()) + "," + csvQuoted(entry.why());
     }
 
     /** A string of JSON, with its quotes. */
@@ -58,11 +58,11 @@
     }
 
     /** What an entry is called. */
-    public static String word(LedgerEntry entry) {
+    public static String kindName(LedgerEntry entry) {
         return entry.kind().name().toLowerCase(Locale.ROOT);
     }
 
-    private static String quoted(String text) {
+    private static String csvQuoted(String text) {
         // A sheet takes a cell that begins so for a formula, and runs it.
         String harmless = !text.isEmpty() && "=+-@\t\r".indexOf(text.charAt(0)) >= 0 ? "'" + text : text;
         return harmless.matches("[^\",\r\n]*") ? harmless : "\"" + harmless.replace("\"", "\"\"") + "\"";
--- a/src/main/java/gatefront/ledgerstore/LedgerEntryCodec.java
+++ b/src/main/java/gatefront/ledgerstore/LedgerEntryCodec.java
@@ -22,9 +22,9 @@
     private static final int WORTH = 9;
     private static final int WORK = 10;
     private static final int BYTES = 11;
-    private static final int OF_INSTANCE = 12;
-    private static final int OF_EPOCH = 13;
-    private static final int OF_SEQUENCE = 14;
+    private static final int CORRECTS_INSTANCE = 12;
+    private static final int CORRECTS_EPOCH = 13;
+    private static final int CORRECTS_SEQUENCE = 14;
     private static final int WHY = 15;
 
     private LedgerEntryCodec() {}
@@ -46,9 +46,9 @@
             out.writeSInt64(WORK, entry.amounts().work());
             out.writeSInt64(BYTES, entry.amounts().bytes());
             if (entry.corrects() != null) {
-                out.writeString(OF_INSTANCE, entry.corrects().instance());
-                out.writeUInt64(OF_EPOCH, entry.corrects().epoch());
-                out.writeUInt64(OF_SEQUENCE, entry.corrects().sequence());
+                out.writeString(CORRECTS_INSTANCE, entry.corrects().instance());
+                out.writeUInt64(CORRECTS_EPOCH, entry.corrects().epoch());
+                out.writeUInt64(CORRECTS_SEQUENCE, entry.corrects().sequence());
             }
             out.writeString(WHY, entry.why());
             out.flush();
@@ -82,19 +82,20 @@
                     new EntryId(texts[INSTANCE], numbers[EPOCH], numbers[SEQUENCE]),
                     LedgerEntry.Kind.values()[(int) numbers[KIND]],
                     numbers[PERIOD],
-                    text(texts[TENANT]),
-                    text(texts[TYPE]),
+                    orEmpty(texts[TENANT]),
+                    orEmpty(texts[TYPE]),
                     new UsageAmounts(numbers[REQUESTS], numbers[WORTH], numbers[WORK], numbers[BYTES]),
-                    texts[OF_INSTANCE] == null
+                    texts[CORRECTS_INSTANCE] == null
                             ? null
-                            : new EntryId(texts[OF_INSTANCE], numbers[OF_EPOCH], numbers[OF_SEQUENCE]),
-                    text(texts[WHY]));
+                            : new EntryId(
+                                    texts[CORRECTS_INSTANCE], numbers[CORRECTS_EPOCH], numbers[CORRECTS_SEQUENCE]),
+                    orEmpty(texts[WHY]));
         } catch (IllegalArgumentException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
 
-    private static String text(String text) {
+    private static String orEmpty(String text) {
         return text == null ? "" : text;
     }
 }
--- a/src/main/java/gatefront/ledgerstore/LedgerStore.java
+++ b/src/main/java/gatefront/ledgerstore/LedgerStore.java
@@ -25,70 +25,71 @@
  * as many as those.
  */
 public final class LedgerStore implements Closeable {
-    private static final byte ENTRY = 'E';
-    private static final byte EPOCH = 'N';
-    private static final byte TAKEN = 'T';
+    private static final byte ENTRY_RECORD = 'E';
+    private static final byte EPOCH_RECORD = 'N';
+    private static final byte ACKNOWLEDGED_RECORD = 'T';
     /** Records in the log from which a snapshot takes their place. */
-    private static final long LOG_MOST = 100_000;
+    private static final long COMPACTION_RECORDS = 100_000;
 
     /** What was replayed. */
-    private static final class Held implements RecordConsumer {
+    private static final class State implements RecordConsumer {
         private Ledger ledger = Ledger.EMPTY;
-        private final List<EntryId> own = new ArrayList<>();
+        private final List<EntryId> ownIds = new ArrayList<>();
         private String instance;
         private long epoch = -1;
-        private long taken;
+        private long acknowledged;
 
         @Override
         public void snapshot(byte[] record) throws IOException {
-            take(record);
+            apply(record);
         }
 
         @Override
         public void record(long number, byte[] record) throws IOException {
-            take(record);
+            apply(record);
         }
 
-        private void take(byte[] record) throws IOException {
+        private void apply(byte[] record) throws IOException {
             switch (record.length == 0 ? 0 : record[0]) {
-                case ENTRY -> {
+                case ENTRY_RECORD -> {
                     LedgerEntry entry = LedgerEntryCodec.read(record, 1);
-                    Ledger with;
+                    Ledger updated;
                     try {
-                        with = ledger.with(entry);
+                        updated = ledger.with(entry);
                     } catch (Ledger.Conflict | ArithmeticException e) {
                         throw new IOException("the ledger does not hold together: " + e.getMessage(), e);
                     }
-                    if (with != ledger && entry.id().instance().equals(instance)) {
-                        own.add(entry.id());
+                    if (updated != ledger && entry.id().instance().equals(instance)) {
+                        ownIds.add(entry.id());
                     }
-                    ledger = with;
+                    ledger = updated;
                 }
-                case EPOCH -> {
+                case EPOCH_RECORD -> {
                     epoch = ByteBuffer.wrap(record).getLong(1);
                     instance = new String(record, 9, record.length - 9, StandardCharsets.US_ASCII);
                 }
-                case TAKEN -> taken = ByteBuffer.wrap(record).getLong(1);
+                case ACKNOWLEDGED_RECORD -> acknowledged =
+                        ByteBuffer.wrap(record).getLong(1);
                 default -> throw new IOException("a record is of no kind that is known here; a newer program wrote it");
             }
         }
     }
 
     /** What a folder of books holds, for one who only looks. */
-    public record Look(Ledger ledger, String instance, long epoch, long taken, long made) {}
+    public record Contents(Ledger ledger, String instance, long epoch, long acknowledged, long ownEntries) {}
 
     private final Store store;
-    private final Held held;
+    private final State state;
     private final long epoch;
     private long sequence;
-    private long logged;
+    private long loggedRecords;
     /** By period, how many entries this epoch has made; an entry goes when the period is closed. */
-    private final Map<Long, Long> made = new TreeMap<>();
+    private final Map<Long, Long> unclosedCounts = new TreeMap<>();
 
-    private LedgerStore(Store store, Held held) {
+    private LedgerStore(Store store, State state) {
         this.store = store;
-        this.held = held;
-        this.epoch = held.epoch + 1;
+        this.state = state;
+        this.epoch = state.epoch + 1;
     }
 
     /**
@@ -97,19 +98,19 @@
      * @throws IOException with one line, if they are another instance's, in use, damaged, or the disk would not do
      */
     public static LedgerStore open(Disk disk, Store.Options options, String instance) throws IOException {
-        if (!instance.matches(EntryId.NAME)) {
-            throw new IOException("an instance's name is to match " + EntryId.NAME + ", not " + instance);
+        if (!instance.matches(EntryId.INSTANCE_PATTERN)) {
+            throw new IOException("an instance's name is to match " + EntryId.INSTANCE_PATTERN + ", not " + instance);
         }
-        Held held = new Held();
-        Store store = Store.open(disk, options, held);
+        State state = new State();
+        Store store = Store.open(disk, options, state);
         try {
-            if (held.instance != null && !held.instance.equals(instance)) {
-                throw new IOException("these are the books of " + held.instance + ", not of " + instance);
+            if (state.instance != null && !state.instance.equals(instance)) {
+                throw new IOException("these are the books of " + state.instance + ", not of " + instance);
             }
-            LedgerStore books = new LedgerStore(store, held);
-            held.instance = instance;
-            store.append(List.of(books.life()), true);
-            return books;
+            LedgerStore ledgerStore = new LedgerStore(store, state);
+            state.instance = instance;
+            store.append(List.of(ledgerStore.epochRecord()), true);
+            return ledgerStore;
         } catch (IOException e) {
             store.close();
             throw e;
@@ -117,8 +118,8 @@
     }
 
     /** What replaying a store tells, without opening it. */
-    public static RecordConsumer looking(java.util.function.Consumer<Look> at) {
-        Held held = new Held();
+    public static RecordConsumer contentsReader(java.util.function.Consumer<Contents> listener) {
+        State state = new State();
         return new RecordConsumer() {
             @Override
             public void snapshot(byte[] record) throws IOException {
@@ -127,81 +128,86 @@
 
             @Override
             public void record(long number, byte[] record) throws IOException {
-                held.take(record);
-                at.accept(new Look(held.ledger, held.instance, held.epoch, held.taken, held.own.size()));
+                state.apply(record);
+                listener.accept(new Contents(
+                        state.ledger, state.instance, state.epoch, state.acknowledged, state.ownIds.size()));
             }
         };
     }
 
-    private byte[] life() {
-        byte[] name = held.instance.getBytes(StandardCharsets.US_ASCII);
+    private byte[] epochRecord() {
+        byte[] name = state.instance.getBytes(StandardCharsets.US_ASCII);
         return ByteBuffer.allocate(9 + name.length)
-                .put(EPOCH)
+                .put(EPOCH_RECORD)
                 .putLong(epoch)
                 .put(name)
                 .array();
     }
 
-    private static byte[] record(LedgerEntry entry) {
+    private static byte[] entryRecord(LedgerEntry entry) {
         byte[] message = LedgerEntryCodec.write(entry);
-        return ByteBuffer.allocate(1 + message.length).put(ENTRY).put(message).array();
+        return ByteBuffer.allocate(1 + message.length)
+                .put(ENTRY_RECORD)
+                .put(message)
+                .array();
     }
 
     /** The ledger as it is. */
     public Ledger ledger() {
-        return held.ledger;
+        return state.ledger;
     }
 
     /** Whether there were none before: this is the instance's first start, or they are lost. */
-    public boolean begun() {
+    public boolean isNew() {
         return epoch == 0;
     }
 
     /** How many entries of its own it has made, in all its lives. */
-    public long made() {
-        return held.own.size();
+    public long ownCount() {
+        return state.ownIds.size();
     }
 
     /** How many of them the receiver has taken, as was last written. */
-    public long taken() {
-        return held.taken;
+    public long acknowledged() {
+        return state.acknowledged;
     }
 
     /** Its own entries from a number on. */
-    public List<LedgerEntry> own(long from, int count) {
-        return held.own.subList((int) from, (int) from + count).stream()
-                .map(held.ledger::get)
+    public List<LedgerEntry> ownEntries(long from, int count) {
+        return state.ownIds.subList((int) from, (int) from + count).stream()
+                .map(state.ledger::get)
                 .toList();
     }
 
     /** Writes what was used in a period, all or nothing; cells without use make no entry. */
-    public void use(long period, Map<Ledger.Cell, UsageAmounts> cells) throws StoreFailedException {
+    public void recordUse(long period, Map<Ledger.Cell, UsageAmounts> cells) throws StoreFailedException {
         List<LedgerEntry> entries = new ArrayList<>();
-        for (Map.Entry<Ledger.Cell, UsageAmounts> each : cells.entrySet()) {
-            if (!each.getValue().none()) {
+        for (Map.Entry<Ledger.Cell, UsageAmounts> cell : cells.entrySet()) {
+            if (!cell.getValue().isZero()) {
                 entries.add(LedgerEntry.use(
-                        id(entries.size()),
+                        nextId(entries.size()),
                         period,
-                        each.getKey().tenant(),
-                        each.getKey().type(),
-                        each.getValue()));
+                        cell.getKey().tenant(),
+                        cell.getKey().type(),
+                        cell.getValue()));
             }
         }
         add(entries);
     }
 
     /** Writes that an entry was wrong by so much, in the period that is open. */
-    public LedgerEntry correct(EntryId wrong, long period, UsageAmounts by, String why) throws IOException {
-        LedgerEntry of = held.ledger.get(wrong);
-        if (of == null || of.kind() == LedgerEntry.Kind.CLOSED) {
+    public LedgerEntry correct(EntryId wrong, long period, UsageAmounts difference, String why) throws IOException {
+        LedgerEntry original = state.ledger.get(wrong);
+        if (original == null || original.kind() == LedgerEntry.Kind.CLOSED) {
             throw new IOException(
-                    of == null
+                    original == null
                             ? "there is no entry " + wrong
                             : wrong + " closes a period; it has no use " + "that could be corrected");
         }
         LedgerEntry correction;
         try {
-            correction = new LedgerEntry(id(0), LedgerEntry.Kind.CORRECTION, period, "", "", by, wrong, why);
+            correction =
+                    new LedgerEntry(nextId(0), LedgerEntry.Kind.CORRECTION, period, "", "", difference, wrong, why);
         } catch (IllegalArgumentException e) {
             throw new IOException(e.getMessage(), e);
         }
@@ -210,18 +216,18 @@
     }
 
     /** Writes that this epoch makes no more entries of a period. */
-    public void close(long period) throws StoreFailedException {
-        add(List.of(LedgerEntry.closed(id(0), period, made.getOrDefault(period, 0L))));
-        made.remove(period);
+    public void closePeriod(long period) throws StoreFailedException {
+        add(List.of(LedgerEntry.closed(nextId(0), period, unclosedCounts.getOrDefault(period, 0L))));
+        unclosedCounts.remove(period);
     }
 
     /** The periods of which this epoch has made entries and that it has not closed. */
-    public List<Long> unclosed() {
-        return List.copyOf(made.keySet());
+    public List<Long> unclosedPeriods() {
+        return List.copyOf(unclosedCounts.keySet());
     }
 
-    private EntryId id(int ahead) {
-        return new EntryId(held.instance, epoch, sequence + ahead);
+    private EntryId nextId(int offset) {
+        return new EntryId(state.instance, epoch, sequence + offset);
     }
 
     private void add(List<LedgerEntry> entries) throws StoreFailedException {
@@ -230,60 +236,65 @@
         }
         // A number is never given twice, also where its entry was told to be lost and came back after a crash.
         sequence += entries.size();
-        Ledger with = held.ledger;
+        Ledger updated = state.ledger;
         try {
-            for (LedgerEntry each : entries) {
-                with = with.with(each);
+            for (LedgerEntry entry : entries) {
+                updated = updated.with(entry);
             }
         } catch (Ledger.Conflict e) {
             throw new IllegalStateException(e); // its numbers are new
         }
-        store.append(entries.stream().map(LedgerStore::record).toList(), true);
-        held.ledger = with;
-        for (LedgerEntry each : entries) {
-            held.own.add(each.id());
-            if (each.kind() != LedgerEntry.Kind.CLOSED) {
-                made.merge(each.period(), 1L, Long::sum);
+        store.append(entries.stream().map(LedgerStore::entryRecord).toList(), true);
+        state.ledger = updated;
+        for (LedgerEntry entry : entries) {
+            state.ownIds.add(entry.id());
+            if (entry.kind() != LedgerEntry.Kind.CLOSED) {
+                unclosedCounts.merge(entry.period(), 1L, Long::sum);
             }
         }
-        logged += entries.size();
+        loggedRecords += entries.size();
     }
 
     /** Takes in another instance's entries, after a reconciliation; those that are here already change nothing. */
-    public void takeIn(List<LedgerEntry> entries) throws IOException {
-        Ledger with = held.ledger;
+    public void importEntries(List<LedgerEntry> entries) throws IOException {
+        Ledger updated = state.ledger;
         List<byte[]> records = new ArrayList<>();
-        for (LedgerEntry each : entries) {
-            if (each.id().instance().equals(held.instance)) {
-                throw new IOException("entry " + each.id() + " is this instance's own, and not from it");
+        for (LedgerEntry entry : entries) {
+            if (entry.id().instance().equals(state.instance)) {
+                throw new IOException("entry " + entry.id() + " is this instance's own, and not from it");
             }
-            Ledger before = with;
+            Ledger before = updated;
             try {
-                with = with.with(each);
+                updated = updated.with(entry);
             } catch (Ledger.Conflict | ArithmeticException e) {
                 throw new IOException(e.getMessage(), e);
             }
-            if (with != before) {
-                records.add(record(each));
+            if (updated != before) {
+                records.add(entryRecord(entry));
             }
         }
         if (!records.isEmpty()) {
             store.append(records, true);
-            held.ledger = with;
-            logged += records.size();
+            state.ledger = updated;
+            loggedRecords += records.size();
         }
     }
 
     /** Writes how many the receiver has taken. Where that is lost, some are sent again, which does no harm. */
-    public void taken(long taken) throws StoreFailedException {
-        store.append(List.of(ByteBuffer.allocate(9).put(TAKEN).putLong(taken).array()), true);
-        held.taken = taken;
-        logged++;
+    public void acknowledged(long acknowledged) throws StoreFailedException {
+        store.append(
+                List.of(ByteBuffer.allocate(9)
+                        .put(ACKNOWLEDGED_RECORD)
+                        .putLong(acknowledged)
+                        .array()),
+                true);
+        state.acknowledged = acknowledged;
+        loggedRecords++;
     }
 
     /** A snapshot takes the place of the log, where that has grown long. */
-    public void compact() throws StoreFailedException {
-        if (logged >= LOG_MOST) {
+    public void compactIfLarge() throws StoreFailedException {
+        if (loggedRecords >= COMPACTION_RECORDS) {
             compactNow();
         }
     }
@@ -291,18 +302,21 @@
     /** A snapshot takes the place of the log. */
     void compactNow() throws StoreFailedException {
         Store.Snapshot snapshot = store.snapshot();
-        snapshot.add(life());
-        snapshot.add(ByteBuffer.allocate(9).put(TAKEN).putLong(held.taken).array());
-        for (EntryId each : held.own) { // first, and in their order, which is that of their numbers
-            snapshot.add(record(held.ledger.get(each)));
+        snapshot.add(epochRecord());
+        snapshot.add(ByteBuffer.allocate(9)
+                .put(ACKNOWLEDGED_RECORD)
+                .putLong(state.acknowledged)
+                .array());
+        for (EntryId each : state.ownIds) { // first, and in their order, which is that of their numbers
+            snapshot.add(entryRecord(state.ledger.get(each)));
         }
-        for (LedgerEntry each : held.ledger.entries()) {
-            if (!each.id().instance().equals(held.instance)) {
-                snapshot.add(record(each));
+        for (LedgerEntry each : state.ledger.entries()) {
+            if (!each.id().instance().equals(state.instance)) {
+                snapshot.add(entryRecord(each));
             }
         }
         snapshot.finish();
-        logged = 0;
+        loggedRecords = 0;
     }
 
     @Override
--- a/src/main/java/gatefront/storage/CorruptStoreException.java
+++ b/src/main/java/gatefront/storage/CorruptStoreException.java
@@ -7,13 +7,13 @@
     private static final long serialVersionUID = 1;
 
     private final transient String file;
-    private final long at;
+    private final long offset;
 
     /** Damage in a file, seen at a place of it. */
-    CorruptStoreException(String file, long at, String what) {
-        super(file + " at " + at + ": " + what);
+    CorruptStoreException(String file, long offset, String problem) {
+        super(file + " at " + offset + ": " + problem);
         this.file = file;
-        this.at = at;
+        this.offset = offset;
     }
 
     /** Which file. */
@@ -22,7 +22,7 @@
     }
 
     /** Where in it, in bytes from its beginning. */
-    public long at() {
-        return at;
+    public long offset() {
+        return offset;
     }
 }
--- a/src/main/java/gatefront/storage/DirectoryDisk.java
+++ b/src/main/java/gatefront/storage/DirectoryDisk.java
@@ -15,7 +15,7 @@
 
 /** A folder of the file system. */
 public final class DirectoryDisk implements Disk {
-    private static final String LOCK = "lock";
+    private static final String LOCK_FILE = "lock";
 
     private final Path folder;
 
@@ -39,8 +39,8 @@
     @Override
     public List<String> names() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
-            return files.map(each -> each.getFileName().toString())
-                    .filter(each -> !each.equals(LOCK))
+            return files.map(name -> name.getFileName().toString())
+                    .filter(name -> !name.equals(LOCK_FILE))
                     .toList();
         }
     }
@@ -79,15 +79,16 @@
         syncFolder(folder);
     }
 
-    private static void syncFolder(Path which) throws IOException {
-        try (FileChannel names = FileChannel.open(which, StandardOpenOption.READ)) {
-            names.force(true);
+    private static void syncFolder(Path directory) throws IOException {
+        try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
+            channel.force(true);
         }
     }
 
     @Override
     public Closeable lock() throws IOException {
-        FileChannel file = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        FileChannel file =
+                FileChannel.open(folder.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock = null;
         try {
             lock = file.tryLock();
@@ -104,24 +105,24 @@
     /** A file by its channel. */
     private record Channel(FileChannel channel) implements File {
         @Override
-        public void write(long at, ByteBuffer bytes) throws IOException {
-            long next = at;
+        public void write(long offset, ByteBuffer bytes) throws IOException {
+            long position = offset;
             while (bytes.hasRemaining()) {
-                next += channel.write(bytes, next);
+                position += channel.write(bytes, position);
             }
         }
 
         @Override
-        public int read(long at, ByteBuffer into) throws IOException {
-            int all = 0;
+        public int read(long offset, ByteBuffer into) throws IOException {
+            int total = 0;
             while (into.hasRemaining()) {
-                int n = channel.read(into, at + all);
-                if (n < 0) {
+                int count = channel.read(into, offset + total);
+                if (count < 0) {
                     break;
                 }
-                all += n;
+                total += count;
             }
-            return all;
+            return total;
         }
 
         @Override
--- a/src/main/java/gatefront/storage/Disk.java
+++ b/src/main/java/gatefront/storage/Disk.java
@@ -13,10 +13,10 @@
     /** A file; its contents are bytes at places. */
     interface File extends Closeable {
         /** Writes all of the bytes from a place on. */
-        void write(long at, ByteBuffer bytes) throws IOException;
+        void write(long offset, ByteBuffer bytes) throws IOException;
 
         /** Reads into the buffer until it is full or the file ends; returns how many bytes came. */
-        int read(long at, ByteBuffer into) throws IOException;
+        int read(long offset, ByteBuffer into) throws IOException;
 
         /** How long it is. */
         long size() throws IOException;
--- a/src/main/java/gatefront/storage/GroupCommit.java
+++ b/src/main/java/gatefront/storage/GroupCommit.java
@@ -15,7 +15,7 @@
  * the thread takes all that is there, up to a number of records and bytes, adds them as one frame, forces it as the
  * policy says, and tells each what came of it, on its own thread.
  *
- * <p>State: the queue, bounded by {@link Settings#queueMost()}; what a full one turns away, the caller counts. No
+ * <p>State: the queue, bounded by {@link Settings#queueCapacity()}; what a full one turns away, the caller counts. No
  * record is in it longer than it takes to write and force two groups, and the time that a group waits for more.
  */
 public final class GroupCommit implements Closeable {
@@ -34,43 +34,43 @@
      *
      * @param policy when they are forced
      * @param waitMicros how long the first record of a group waits for more
-     * @param recordsMost records of a group
-     * @param queueMost records that wait, a power of two
+     * @param maxGroupRecords records of a group
+     * @param queueCapacity records that wait, a power of two
      */
-    public record Settings(Policy policy, long waitMicros, int recordsMost, int queueMost) {}
+    public record Settings(Policy policy, long waitMicros, int maxGroupRecords, int queueCapacity) {}
 
     /** Who is told. */
-    public interface Told {
+    public interface Listener {
         /** The record has this number, and is kept as the policy says. */
-        void kept(long number);
+        void stored(long number);
 
         /** It is not kept. */
-        void lost(IOException why);
+        void failed(IOException cause);
     }
 
     /** A record, or something to be done with the store. */
-    private record Item(byte[] record, Told told, Consumer<Store> task) {}
+    private record Item(byte[] record, Listener listener, Consumer<Store> task) {}
 
-    private static final int BYTES_MOST = 1 << 20;
-    private static final long IDLE_NANOS = 1_000_000_000L;
+    private static final int MAX_GROUP_BYTES = 1 << 20;
+    private static final long IDLE_WAIT_NANOS = 1_000_000_000L;
 
     private final Store store;
     private final Settings settings;
-    private final LongSupplier nanos;
+    private final LongSupplier nanoClock;
     private final MpscArrayQueue<Item> queue;
-    private final AtomicInteger offering = new AtomicInteger();
+    private final AtomicInteger activeOffers = new AtomicInteger();
     private final Thread thread;
     private volatile boolean sleeping;
-    private volatile boolean ended;
-    private Item kept; // taken from the queue, for the next group
+    private volatile boolean closed;
+    private Item deferred; // taken from the queue, for the next group
 
     /** A thread for a store, which is its own from now on. */
-    public GroupCommit(Store store, Settings settings, LongSupplier nanos, String name) {
+    public GroupCommit(Store store, Settings settings, LongSupplier nanoClock, String threadName) {
         this.store = store;
         this.settings = settings;
-        this.nanos = nanos;
-        this.queue = new MpscArrayQueue<>(settings.queueMost);
-        this.thread = new Thread(this::run, name);
+        this.nanoClock = nanoClock;
+        this.queue = new MpscArrayQueue<>(settings.queueCapacity);
+        this.thread = new Thread(this::run, threadName);
         thread.setDaemon(true);
         thread.start();
     }
@@ -80,11 +80,11 @@
      *
      * @throws IllegalArgumentException if no frame could hold it
      */
-    public boolean offer(byte[] record, Told told) {
-        if (Frame.room(record) > Frame.BODY_MOST) {
+    public boolean offer(byte[] record, Listener listener) {
+        if (Frame.encodedSize(record) > Frame.MAX_BODY_BYTES) {
             throw new IllegalArgumentException("a record of " + record.length + " bytes is too large");
         }
-        return offer(new Item(record, told, null));
+        return offer(new Item(record, listener, null));
     }
 
     /** Has something done with the store, in its turn. */
@@ -93,13 +93,13 @@
     }
 
     private boolean offer(Item item) {
-        offering.incrementAndGet(); // the thread ends only when nobody is between the look and the queue
+        activeOffers.incrementAndGet(); // the thread ends only when nobody is between the look and the queue
         try {
-            if (ended || !queue.offer(item)) {
+            if (closed || !queue.offer(item)) {
                 return false;
             }
         } finally {
-            offering.decrementAndGet();
+            activeOffers.decrementAndGet();
         }
         if (sleeping) {
             LockSupport.unpark(thread);
@@ -112,33 +112,33 @@
         while (true) {
             Item first = take(-1);
             if (first == null) {
-                if (ended && offering.get() == 0 && queue.isEmpty()) {
+                if (closed && activeOffers.get() == 0 && queue.isEmpty()) {
                     return;
                 }
                 continue;
             }
             if (first.task != null) {
-                guarded(() -> first.task.accept(store));
+                runGuarded(() -> first.task.accept(store));
                 continue;
             }
-            gather(group, first);
+            collectGroup(group, first);
             write(group);
             group.clear();
         }
     }
 
-    private void gather(List<Item> group, Item first) {
+    private void collectGroup(List<Item> group, Item first) {
         group.add(first);
-        long until = nanos.getAsLong() + 1000 * settings.waitMicros;
+        long deadlineNanos = nanoClock.getAsLong() + 1000 * settings.waitMicros;
         int bytes = first.record.length;
-        int most = settings.policy == Policy.EACH ? 1 : settings.recordsMost;
-        while (group.size() < most && bytes < BYTES_MOST) {
-            Item next = take(ended ? 0 : Math.max(0, until - nanos.getAsLong()));
+        int maxRecords = settings.policy == Policy.EACH ? 1 : settings.maxGroupRecords;
+        while (group.size() < maxRecords && bytes < MAX_GROUP_BYTES) {
+            Item next = take(closed ? 0 : Math.max(0, deadlineNanos - nanoClock.getAsLong()));
             if (next == null) {
                 return;
             }
-            if (next.task != null || bytes + next.record.length > BYTES_MOST) {
-                kept = next;
+            if (next.task != null || bytes + next.record.length > MAX_GROUP_BYTES) {
+                deferred = next;
                 return;
             }
             group.add(next);
@@ -148,19 +148,19 @@
 
     /** The next in the queue; waits so long for it, or until there is something to look at if negative. */
     private Item take(long waitNanos) {
-        if (kept != null) {
-            Item next = kept;
-            kept = null;
+        if (deferred != null) {
+            Item next = deferred;
+            deferred = null;
             return next;
         }
         Item next = queue.poll();
-        if (next != null || waitNanos == 0 || ended) {
+        if (next != null || waitNanos == 0 || closed) {
             return next;
         }
         sleeping = true; // who offers after this look sees it, and wakes the thread
         next = queue.poll();
         if (next == null) {
-            LockSupport.parkNanos(this, waitNanos < 0 ? IDLE_NANOS : Math.min(waitNanos, IDLE_NANOS));
+            LockSupport.parkNanos(this, waitNanos < 0 ? IDLE_WAIT_NANOS : Math.min(waitNanos, IDLE_WAIT_NANOS));
             next = queue.poll();
         }
         sleeping = false;
@@ -168,31 +168,31 @@
     }
 
     private void write(List<Item> group) {
-        long number = -1;
-        IOException why = null;
+        long recordNumber = -1;
+        IOException failure = null;
         try {
             store.append(group.stream().map(Item::record).toList(), settings.policy != Policy.NONE);
-            number = store.next() - group.size();
+            recordNumber = store.nextRecord() - group.size();
         } catch (IOException e) {
-            why = e;
+            failure = e;
         }
-        for (Item each : group) {
-            long its = number++;
-            IOException lost = why;
-            guarded(() -> {
-                if (lost == null) {
-                    each.told.kept(its);
+        for (Item item : group) {
+            long itemNumber = recordNumber++;
+            IOException cause = failure;
+            runGuarded(() -> {
+                if (cause == null) {
+                    item.listener.stored(itemNumber);
                 } else {
-                    each.told.lost(lost);
+                    item.listener.failed(cause);
                 }
             });
         }
     }
 
     /** Guards against a fault of one who is told, or asks, that would leave all others without an answer. */
-    private void guarded(Runnable what) {
+    private void runGuarded(Runnable action) {
         try {
-            what.run();
+            action.run();
         } catch (RuntimeException e) {
             thread.getUncaughtExceptionHandler().uncaughtException(thread, e);
         }
@@ -201,7 +201,7 @@
     /** Takes no more, writes what waits and closes the store. */
     @Override
     public void close() throws IOException {
-        ended = true;
+        closed = true;
         LockSupport.unpark(thread);
         boolean interrupted = false;
         while (thread.isAlive()) {
--- a/src/main/java/gatefront/storage/RecordConsumer.java
+++ b/src/main/java/gatefront/storage/RecordConsumer.java
@@ -5,7 +5,7 @@
 /** Who is told what a store holds, in order: first what the snapshot has, then each record since. */
 public interface RecordConsumer {
     /** One that wants nothing. */
-    RecordConsumer NOBODY = new RecordConsumer() {
+    RecordConsumer IGNORE = new RecordConsumer() {
         @Override
         public void snapshot(byte[] record) {}
 
--- a/src/main/java/gatefront/storage/SignatureChain.java
+++ b/src/main/java/gatefront/storage/SignatureChain.java
@@ -9,7 +9,7 @@
  */
 final class SignatureChain {
     private SigningKeys keys;
-    private byte[] last = new byte[SigningKeys.MAC];
+    private byte[] lastSignature = new byte[SigningKeys.SIGNATURE_BYTES];
     private boolean signed;
 
     SignatureChain(SigningKeys keys) {
@@ -18,78 +18,80 @@
 
     private SignatureChain(SigningKeys keys, SignatureChain from) {
         this.keys = keys;
-        this.last = from.last;
+        this.lastSignature = from.lastSignature;
         this.signed = from.signed;
     }
 
     /** One that goes on from here by itself. */
-    SignatureChain branch() {
+    SignatureChain copy() {
         return new SignatureChain(keys, this);
     }
 
     /** Goes on from where another stands. */
-    void follow(SignatureChain other) {
-        last = other.last;
+    void copyFrom(SignatureChain other) {
+        lastSignature = other.lastSignature;
         signed = other.signed;
     }
 
     /** Goes on from what a file says. */
-    void begin(byte[] from) {
-        last = from;
-        signed |= !blank(from);
+    void startFrom(byte[] signature) {
+        lastSignature = signature;
+        signed |= !isAllZeros(signature);
     }
 
     /** Signs with others from now on. */
-    void keys(SigningKeys others) {
-        keys = others;
+    void replaceKeys(SigningKeys newKeys) {
+        keys = newKeys;
     }
 
-    byte[] last() {
-        return last;
+    byte[] lastSignature() {
+        return lastSignature;
     }
 
-    int signing() {
-        return keys.signing();
+    int signingKeyId() {
+        return keys.signingKeyId();
     }
 
     /** The signature of a piece by a key; all zeros for key 0. */
-    byte[] sign(int key, byte[] head, byte[] body) {
-        return key == 0 ? new byte[SigningKeys.MAC] : keys.sign(key, last, head, body);
+    byte[] sign(int keyId, byte[] header, byte[] body) {
+        return keyId == 0 ? new byte[SigningKeys.SIGNATURE_BYTES] : keys.sign(keyId, lastSignature, header, body);
     }
 
     /** A piece has been written, with this signature. */
-    void wrote(int key, byte[] mac) {
-        if (key != 0) {
-            last = mac;
+    void advance(int keyId, byte[] signature) {
+        if (keyId != 0) {
+            lastSignature = signature;
             signed = true;
         }
     }
 
     /** A piece has been read; returns what is wrong with its signature, or null. */
-    String read(int key, byte[] mac, byte[] head, byte[] body) {
-        if (key == 0) {
-            return signed ? "is not signed, and what is before it is" : blank(mac) ? null : "has a signature of no key";
+    String verifyAndAdvance(int keyId, byte[] signature, byte[] header, byte[] body) {
+        if (keyId == 0) {
+            return signed
+                    ? "is not signed, and what is before it is"
+                    : isAllZeros(signature) ? null : "has a signature of no key";
         }
-        if (!keys.has(key)) {
-            return "is signed with key " + key + ", which is not among the keys";
+        if (!keys.has(keyId)) {
+            return "is signed with key " + keyId + ", which is not among the keys";
         }
-        if (!MessageDigest.isEqual(mac, keys.sign(key, last, head, body))) {
+        if (!MessageDigest.isEqual(signature, keys.sign(keyId, lastSignature, header, body))) {
             return "has another signature than its bytes";
         }
-        wrote(key, mac);
+        advance(keyId, signature);
         return null;
     }
 
-    private static boolean blank(byte[] bytes) {
-        int any = 0;
-        for (byte each : bytes) {
-            any |= each;
+    private static boolean isAllZeros(byte[] bytes) {
+        int combined = 0;
+        for (byte value : bytes) {
+            combined |= value;
         }
-        return any == 0;
+        return combined == 0;
     }
 
-    static byte[] bytes(ByteBuffer from, int n) {
-        byte[] bytes = new byte[n];
+    static byte[] readBytes(ByteBuffer from, int length) {
+        byte[] bytes = new byte[length];
         from.get(bytes);
         return bytes;
     }
--- a/src/main/java/gatefront/storage/SigningKeys.java
+++ b/src/main/java/gatefront/storage/SigningKeys.java
@@ -22,11 +22,11 @@
     /** No keys: nothing is signed, and what is signed cannot be read. */
     public static final SigningKeys NONE = new SigningKeys(new TreeMap<>());
     /** Bytes of a signature. */
-    static final int MAC = 32;
+    static final int SIGNATURE_BYTES = 32;
 
-    private static final int BYTES_LEAST = 16;
-    private static final int BYTES_MOST = 256;
-    private static final int LINES_MOST = 1_000;
+    private static final int MIN_KEY_BYTES = 16;
+    private static final int MAX_KEY_BYTES = 256;
+    private static final int MAX_LINES = 1_000;
     private static final String ALGORITHM = "HmacSHA256";
 
     private final TreeMap<Integer, SecretKeySpec> byId;
@@ -43,14 +43,14 @@
      * @throws IOException with one line that says what is wrong; never what a key is
      */
     public static SigningKeys read(Path file) throws IOException {
-        Set<PosixFilePermission> rights = Files.getPosixFilePermissions(file);
-        rights.remove(PosixFilePermission.OWNER_READ);
-        rights.remove(PosixFilePermission.OWNER_WRITE);
-        if (!rights.isEmpty()) {
+        Set<PosixFilePermission> permissions = Files.getPosixFilePermissions(file);
+        permissions.remove(PosixFilePermission.OWNER_READ);
+        permissions.remove(PosixFilePermission.OWNER_WRITE);
+        if (!permissions.isEmpty()) {
             throw new IOException(file + " may be read or written by others than its owner; its rights are to be 0600");
         }
         byte[] text = Files.readAllBytes(file);
-        if (text.length > LINES_MOST * (2 * BYTES_MOST + 16)) {
+        if (text.length > MAX_LINES * (2 * MAX_KEY_BYTES + 16)) {
             throw new IOException(file + " is larger than a key file may be");
         }
         return parse(file.toString(), new String(text, StandardCharsets.US_ASCII));
@@ -61,9 +61,9 @@
         if (!text.endsWith("\n")) {
             throw new IOException(file + ": its last line has no end; it may be half written");
         }
-        int n = 0;
+        int lineNumber = 0;
         for (String line : text.split("\n")) {
-            n++;
+            lineNumber++;
             if (line.isBlank() || line.startsWith("#")) {
                 continue;
             }
@@ -71,15 +71,15 @@
             try {
                 int id = Integer.parseInt(words[0]);
                 byte[] key = HexFormat.of().parseHex(words.length == 2 ? words[1] : "?");
-                if (id < 1 || key.length < BYTES_LEAST || key.length > BYTES_MOST) {
+                if (id < 1 || key.length < MIN_KEY_BYTES || key.length > MAX_KEY_BYTES) {
                     throw new IllegalArgumentException("out of range");
                 }
                 if (byId.put(id, new SecretKeySpec(key, ALGORITHM)) != null) {
-                    throw new IOException(file + ":" + n + ": key " + id + " is there twice");
+                    throw new IOException(file + ":" + lineNumber + ": key " + id + " is there twice");
                 }
             } catch (IllegalArgumentException e) {
-                throw new IOException(file + ":" + n + ": is to be a number from 1 and " + BYTES_LEAST + " to "
-                        + BYTES_MOST + " bytes in hex"); // the cause would show the key
+                throw new IOException(file + ":" + lineNumber + ": is to be a number from 1 and " + MIN_KEY_BYTES
+                        + " to " + MAX_KEY_BYTES + " bytes in hex"); // the cause would show the key
             }
         }
         if (byId.isEmpty()) {
@@ -89,7 +89,7 @@
     }
 
     /** The number of the key that signs; 0 if there is none. */
-    int signing() {
+    int signingKeyId() {
         return byId.isEmpty() ? 0 : byId.lastKey();
     }
 
@@ -99,18 +99,18 @@
     }
 
     /** The signature by a key of several stretches of bytes. */
-    byte[] sign(int id, byte[]... stretches) {
+    byte[] sign(int id, byte[]... parts) {
         Mac mac = macs.computeIfAbsent(id, key -> {
             try {
-                Mac made = Mac.getInstance(ALGORITHM);
-                made.init(byId.get(key));
-                return made;
+                Mac created = Mac.getInstance(ALGORITHM);
+                created.init(byId.get(key));
+                return created;
             } catch (GeneralSecurityException e) {
                 throw new IllegalStateException(e); // every JDK has it
             }
         });
-        for (byte[] each : stretches) {
-            mac.update(each);
+        for (byte[] part : parts) {
+            mac.update(part);
         }
         return mac.doFinal();
     }
--- a/src/main/java/gatefront/storage/Store.java
+++ b/src/main/java/gatefront/storage/Store.java
@@ -19,8 +19,9 @@
  * the pieces count, or neither. The same holds after a write or a force that failed: nothing from that file is believed
  * beyond the last force that did not.
  *
- * <p>State: open files are the current segment and a snapshot in the making. {@link #segments} has an entry for each
- * file of the log, added by {@link #begin} and removed by a snapshot; {@link Options#bytesMost()} bounds them.
+ * <p>State: open files are the current segment and a snapshot in the making. {@link #segmentSizes} has an entry for
+ * each file of the log, added by {@link #beginSegment} and removed by a snapshot; {@link Options#maxBytes()} bounds
+ * them.
  */
 public final class Store implements Closeable {
     /**
@@ -28,51 +29,51 @@
      *
      * @param keys by which it is signed
      * @param segmentBytes from which size on another segment is begun
-     * @param bytesMost what all files together may take; records beyond are refused
+     * @param maxBytes what all files together may take; records beyond are refused
      */
-    public record Options(SigningKeys keys, int segmentBytes, long bytesMost) {
+    public record Options(SigningKeys keys, int segmentBytes, long maxBytes) {
         /** Not signed, segments of 4 MiB, a gigabyte. */
-        public static final Options USUAL = new Options(SigningKeys.NONE, 4 << 20, 1 << 30);
+        public static final Options DEFAULTS = new Options(SigningKeys.NONE, 4 << 20, 1 << 30);
     }
 
     /** Room for heads and marks, without which a full store could neither be closed nor cut down. */
-    private static final int RESERVE = 3 * FileHeader.BYTES + 2 * Frame.HEAD;
+    private static final int RESERVED_BYTES = 3 * FileHeader.BYTES + 2 * Frame.HEADER_BYTES;
 
     private final Disk disk;
     private final Options options;
     private final Closeable lock;
     /** The size of each segment but the current one, by its number. */
-    private final TreeMap<Long, Long> segments = new TreeMap<>();
+    private final TreeMap<Long, Long> segmentSizes = new TreeMap<>();
     /** By number of segment, which record each begins with; the current one too. */
-    private final TreeMap<Long, Long> firsts = new TreeMap<>();
+    private final TreeMap<Long, Long> firstRecords = new TreeMap<>();
 
     private final SignatureChain chain;
-    private final SignatureChain certain;
+    private final SignatureChain durableChain;
     private Disk.File file;
-    private long number;
-    private long end;
-    private long next;
-    private long durable;
-    private long durableNext;
+    private long segmentNumber;
+    private long segmentEnd;
+    private long nextRecord;
+    private long durableEnd;
+    private long durableNextRecord;
     private String snapshotName;
     private long snapshotBytes;
-    private Snapshot making;
-    private IOException failed;
+    private Snapshot pendingSnapshot;
+    private IOException lastFailure;
 
-    private Store(Disk disk, Options options, Closeable lock, StoreReader scan) {
+    private Store(Disk disk, Options options, Closeable lock, StoreReader reader) {
         this.disk = disk;
         this.options = options;
         this.lock = lock;
-        this.chain = scan.certain();
-        this.certain = chain.branch();
-        this.snapshotName = scan.snapshotName;
-        this.snapshotBytes = scan.snapshotBytes;
-        this.next = scan.durableNext;
-        this.durableNext = scan.durableNext;
-        this.durable = scan.durable;
-        scan.segments.forEach(each -> {
-            segments.put(each.head().number(), each.bytes());
-            firsts.put(each.head().number(), each.head().first());
+        this.chain = reader.durableChain();
+        this.durableChain = chain.copy();
+        this.snapshotName = reader.snapshotName;
+        this.snapshotBytes = reader.snapshotBytes;
+        this.nextRecord = reader.durableNextRecord;
+        this.durableNextRecord = reader.durableNextRecord;
+        this.durableEnd = reader.durableEnd;
+        reader.segments.forEach(segment -> {
+            segmentSizes.put(segment.header().number(), segment.size());
+            firstRecords.put(segment.header().number(), segment.header().firstRecord());
         });
     }
 
@@ -89,100 +90,101 @@
         }
         Store store = null;
         try {
-            StoreReader scan = new StoreReader(disk, options.keys(), replay).run();
-            store = new Store(disk, options, lock, scan);
-            for (String each : scan.leftOver) {
-                disk.delete(each);
+            StoreReader reader = new StoreReader(disk, options.keys(), replay).run();
+            store = new Store(disk, options, lock, reader);
+            for (String name : reader.obsoleteFiles) {
+                disk.delete(name);
             }
-            store.start(scan);
+            store.beginFirstSegment(reader);
             return store;
         } catch (IOException | RuntimeException e) {
             if (store != null && store.file != null) {
-                quietly(store.file);
+                closeQuietly(store.file);
             }
-            quietly(lock);
+            closeQuietly(lock);
             throw e;
         }
     }
 
     /** What was read beyond what is certain goes into a new segment; one that holds nothing certain is replaced. */
-    private void start(StoreReader scan) throws IOException {
-        boolean empty = !segments.isEmpty() && durable == FileHeader.BYTES;
-        long last = segments.isEmpty() ? 0 : segments.lastKey();
-        List<List<byte[]>> again = scan.unsure.stream()
-                .map(each -> each.frame().records())
-                .filter(each -> !each.isEmpty())
+    private void beginFirstSegment(StoreReader reader) throws IOException {
+        boolean empty = !segmentSizes.isEmpty() && durableEnd == FileHeader.BYTES;
+        long lastNumber = segmentSizes.isEmpty() ? 0 : segmentSizes.lastKey();
+        List<List<byte[]>> unconfirmed = reader.unconfirmed.stream()
+                .map(records -> records.frame().records())
+                .filter(records -> !records.isEmpty())
                 .toList();
         if (empty) {
             // The replaced one's own head stands for what the one before it holds.
-            StoreReader.Segment same = scan.segments.get(scan.segments.size() - 1);
-            chain.begin(same.head().chain());
-            certain.follow(chain);
-            begin(last, same.head().before(), again);
+            StoreReader.Segment replaced = reader.segments.get(reader.segments.size() - 1);
+            chain.startFrom(replaced.header().previousSignature());
+            durableChain.copyFrom(chain);
+            beginSegment(lastNumber, replaced.header().previousEnd(), unconfirmed);
         } else {
-            begin(last + 1, durable, again);
+            beginSegment(lastNumber + 1, durableEnd, unconfirmed);
         }
     }
 
     /** Makes a segment that begins where what is certain ends, with some frames in it, and goes on there. */
-    private void begin(long as, long before, List<List<byte[]>> frames) throws IOException {
-        String name = StoreReader.segmentName(as);
-        SignatureChain trial = certain.branch();
-        long at = FileHeader.BYTES;
-        long comes = durableNext;
-        Disk.File made = disk.create(name + StoreReader.UNFINISHED);
+    private void beginSegment(long number, long previousEnd, List<List<byte[]>> frames) throws IOException {
+        String name = StoreReader.segmentName(number);
+        SignatureChain newChain = durableChain.copy();
+        long offset = FileHeader.BYTES;
+        long firstRecord = durableNextRecord;
+        Disk.File created = disk.create(name + StoreReader.UNFINISHED_SUFFIX);
         try {
-            made.write(0, FileHeader.write(FileHeader.Kind.SEGMENT, as, durableNext, before, trial));
-            for (List<byte[]> each : frames) {
-                ByteBuffer bytes = Frame.write(as, comes, at, each, trial);
+            created.write(
+                    0, FileHeader.write(FileHeader.Kind.SEGMENT, number, durableNextRecord, previousEnd, newChain));
+            for (List<byte[]> records : frames) {
+                ByteBuffer bytes = Frame.write(number, firstRecord, offset, records, newChain);
                 int length = bytes.remaining();
-                made.write(at, bytes);
-                at += length;
-                comes += each.size();
+                created.write(offset, bytes);
+                offset += length;
+                firstRecord += records.size();
             }
-            made.sync();
-            disk.move(name + StoreReader.UNFINISHED, name);
+            created.sync();
+            disk.move(name + StoreReader.UNFINISHED_SUFFIX, name);
             disk.syncNames();
         } catch (IOException e) {
-            quietly(made);
+            closeQuietly(created);
             throw e;
         }
         if (file != null) {
-            segments.put(number, end);
-            quietly(file); // forced already, or not believed
+            segmentSizes.put(segmentNumber, segmentEnd);
+            closeQuietly(file); // forced already, or not believed
         }
-        segments.remove(as);
-        firsts.put(as, durableNext);
-        file = made;
-        number = as;
-        end = at;
-        next = comes;
-        chain.follow(trial);
-        settled();
+        segmentSizes.remove(number);
+        firstRecords.put(number, durableNextRecord);
+        file = created;
+        segmentNumber = number;
+        segmentEnd = offset;
+        nextRecord = firstRecord;
+        chain.copyFrom(newChain);
+        markDurable();
     }
 
-    private void settled() {
-        durable = end;
-        durableNext = next;
-        certain.follow(chain);
+    private void markDurable() {
+        durableEnd = segmentEnd;
+        durableNextRecord = nextRecord;
+        durableChain.copyFrom(chain);
     }
 
     /** The number that the next record gets. After a failure it is that after the last record forced to the disk. */
-    public long next() {
-        return next;
+    public long nextRecord() {
+        return nextRecord;
     }
 
     /** The bytes of all files. */
-    public long bytes() {
-        return segments.values().stream().mapToLong(Long::longValue).sum()
-                + end
+    public long sizeBytes() {
+        return segmentSizes.values().stream().mapToLong(Long::longValue).sum()
+                + segmentEnd
                 + snapshotBytes
-                + (making == null ? 0 : making.at);
+                + (pendingSnapshot == null ? 0 : pendingSnapshot.snapshotEnd);
     }
 
     /** Whether the last write failed, and none since has gone well. */
     public boolean failed() {
-        return failed != null;
+        return lastFailure != null;
     }
 
     /**
@@ -194,26 +196,27 @@
      *     is, but one that had reached the disk may come back if the process ends before the store has written again
      */
     public void append(List<byte[]> records, boolean force) throws StoreFailedException {
-        int size = Frame.HEAD + records.stream().mapToInt(Frame::room).sum();
-        if (records.isEmpty() || size - Frame.HEAD > Frame.BODY_MOST) {
-            throw new IllegalArgumentException(
-                    "a frame holds one record or more, and " + Frame.BODY_MOST + " bytes at the most, not " + size);
+        int size = Frame.HEADER_BYTES
+                + records.stream().mapToInt(Frame::encodedSize).sum();
+        if (records.isEmpty() || size - Frame.HEADER_BYTES > Frame.MAX_BODY_BYTES) {
+            throw new IllegalArgumentException("a frame holds one record or more, and " + Frame.MAX_BODY_BYTES
+                    + " bytes at the most, not " + size);
         }
         recover();
-        if (bytes() + size + RESERVE > options.bytesMost()) {
+        if (sizeBytes() + size + RESERVED_BYTES > options.maxBytes()) {
             throw new StoreFailedException(
-                    StoreFailedException.Why.BOUND,
-                    "the store may take " + options.bytesMost() + " bytes, and has " + bytes(),
+                    StoreFailedException.Reason.SIZE_LIMIT,
+                    "the store may take " + options.maxBytes() + " bytes, and has " + sizeBytes(),
                     null);
         }
         try {
-            if (end > FileHeader.BYTES && end + size > options.segmentBytes()) {
+            if (segmentEnd > FileHeader.BYTES && segmentEnd + size > options.segmentBytes()) {
                 rotate();
             }
             write(records);
             if (force) {
                 file.sync();
-                settled();
+                markDurable();
             }
         } catch (IOException e) {
             throw fail(e);
@@ -221,13 +224,13 @@
     }
 
     private void write(List<byte[]> records) throws IOException {
-        SignatureChain trial = chain.branch();
-        ByteBuffer bytes = Frame.write(number, next, durable, records, trial);
+        SignatureChain newChain = chain.copy();
+        ByteBuffer bytes = Frame.write(segmentNumber, nextRecord, durableEnd, records, newChain);
         int length = bytes.remaining();
-        file.write(end, bytes);
-        chain.follow(trial);
-        end += length;
-        next += records.size();
+        file.write(segmentEnd, bytes);
+        chain.copyFrom(newChain);
+        segmentEnd += length;
+        nextRecord += records.size();
     }
 
     /**
@@ -236,21 +239,22 @@
      *
      * @throws IllegalArgumentException if the key that signs now is not among them
      */
-    public void keys(SigningKeys others) {
-        if (chain.signing() != 0 && !others.has(chain.signing())) {
-            throw new IllegalArgumentException("key " + chain.signing() + ", which signed what is there, is missing");
+    public void replaceKeys(SigningKeys newKeys) {
+        if (chain.signingKeyId() != 0 && !newKeys.has(chain.signingKeyId())) {
+            throw new IllegalArgumentException(
+                    "key " + chain.signingKeyId() + ", which signed what is there, is missing");
         }
-        chain.keys(others);
-        certain.keys(others);
+        chain.replaceKeys(newKeys);
+        durableChain.replaceKeys(newKeys);
     }
 
     /** Forces what was added to the disk. */
     public void force() throws StoreFailedException {
         recover();
         try {
-            if (durable < end) {
+            if (durableEnd < segmentEnd) {
                 file.sync();
-                settled();
+                markDurable();
             }
         } catch (IOException e) {
             throw fail(e);
@@ -258,30 +262,30 @@
     }
 
     private void rotate() throws IOException {
-        if (durable < end) {
+        if (durableEnd < segmentEnd) {
             file.sync();
-            settled();
+            markDurable();
         }
-        begin(number + 1, durable, List.of());
+        beginSegment(segmentNumber + 1, durableEnd, List.of());
     }
 
     private StoreFailedException fail(IOException e) {
-        failed = e;
-        next = durableNext;
+        lastFailure = e;
+        nextRecord = durableNextRecord;
         return new StoreFailedException(
-                StoreFailedException.Why.DISK, "the disk would not take it: " + e.getMessage(), e);
+                StoreFailedException.Reason.IO_ERROR, "the disk would not take it: " + e.getMessage(), e);
     }
 
     /** After a failure another segment is begun, which says that the old one ends with what was forced. */
     private void recover() throws StoreFailedException {
-        if (failed == null) {
+        if (lastFailure == null) {
             return;
         }
         try {
-            end = durable;
-            chain.follow(certain);
-            begin(number + 1, durable, List.of());
-            failed = null;
+            segmentEnd = durableEnd;
+            chain.copyFrom(durableChain);
+            beginSegment(segmentNumber + 1, durableEnd, List.of());
+            lastFailure = null;
         } catch (IOException e) {
             throw fail(e);
         }
@@ -294,131 +298,131 @@
      * @throws StoreFailedException if it could not be begun; the log is as it was
      */
     public Snapshot snapshot() throws StoreFailedException {
-        if (making != null) {
+        if (pendingSnapshot != null) {
             throw new IllegalStateException("a snapshot is being made");
         }
         force();
         try {
-            if (end > FileHeader.BYTES) {
+            if (segmentEnd > FileHeader.BYTES) {
                 rotate(); // the segments before it can go then
             }
         } catch (IOException e) {
             throw fail(e);
         }
-        making = new Snapshot();
+        pendingSnapshot = new Snapshot();
         try {
-            making.begin();
+            pendingSnapshot.writeHeader();
         } catch (IOException e) {
-            throw making.failed(e);
+            throw pendingSnapshot.abandonAfter(e);
         }
-        return making;
+        return pendingSnapshot;
     }
 
     /** A snapshot in the making. */
     public final class Snapshot {
-        private static final int BATCH = 1 << 18;
+        private static final int FLUSH_BYTES = 1 << 18;
 
-        private final long upTo = next;
-        private final SignatureChain own = chain.branch();
-        private final List<byte[]> waiting = new ArrayList<>();
-        private Disk.File into;
-        private int waits;
-        private long at;
-        private long count;
+        private final long endRecord = nextRecord;
+        private final SignatureChain snapshotChain = chain.copy();
+        private final List<byte[]> pendingRecords = new ArrayList<>();
+        private Disk.File snapshotFile;
+        private int pendingBytes;
+        private long snapshotEnd;
+        private long recordCount;
 
         private String name() {
-            return StoreReader.snapshotName(upTo);
+            return StoreReader.snapshotName(endRecord);
         }
 
-        private void begin() throws IOException {
-            into = disk.create(name() + StoreReader.UNFINISHED);
-            ByteBuffer head = FileHeader.write(FileHeader.Kind.SNAPSHOT, upTo, 0, 0, own);
-            into.write(0, head);
-            at = FileHeader.BYTES;
+        private void writeHeader() throws IOException {
+            snapshotFile = disk.create(name() + StoreReader.UNFINISHED_SUFFIX);
+            ByteBuffer header = FileHeader.write(FileHeader.Kind.SNAPSHOT, endRecord, 0, 0, snapshotChain);
+            snapshotFile.write(0, header);
+            snapshotEnd = FileHeader.BYTES;
         }
 
         /** Adds a piece of the state. */
         public void add(byte[] record) throws StoreFailedException {
-            waiting.add(record);
-            waits += Frame.room(record);
-            if (waits >= BATCH) {
+            pendingRecords.add(record);
+            pendingBytes += Frame.encodedSize(record);
+            if (pendingBytes >= FLUSH_BYTES) {
                 flush();
             }
         }
 
         private void flush() throws StoreFailedException {
-            if (bytes() + waits + 2 * Frame.HEAD > options.bytesMost()) {
+            if (sizeBytes() + pendingBytes + 2 * Frame.HEADER_BYTES > options.maxBytes()) {
                 abandon();
                 throw new StoreFailedException(
-                        StoreFailedException.Why.BOUND,
-                        "no snapshot was made: the store may take " + options.bytesMost() + " bytes",
+                        StoreFailedException.Reason.SIZE_LIMIT,
+                        "no snapshot was made: the store may take " + options.maxBytes() + " bytes",
                         null);
             }
             try {
-                ByteBuffer bytes = Frame.write(upTo, count, FileHeader.BYTES, waiting, own);
+                ByteBuffer bytes = Frame.write(endRecord, recordCount, FileHeader.BYTES, pendingRecords, snapshotChain);
                 int length = bytes.remaining();
-                into.write(at, bytes);
-                at += length;
-                count += waiting.size();
-                waiting.clear();
-                waits = 0;
+                snapshotFile.write(snapshotEnd, bytes);
+                snapshotEnd += length;
+                recordCount += pendingRecords.size();
+                pendingRecords.clear();
+                pendingBytes = 0;
             } catch (IOException e) {
-                throw failed(e);
+                throw abandonAfter(e);
             }
         }
 
         /** All of the state has been added: the snapshot counts from now on, and what it stands for goes. */
         public void finish() throws StoreFailedException {
-            if (!waiting.isEmpty()) {
+            if (!pendingRecords.isEmpty()) {
                 flush();
             }
             flush(); // a frame of nothing ends it
             try {
-                into.sync();
-                into.close();
-                disk.move(name() + StoreReader.UNFINISHED, name());
+                snapshotFile.sync();
+                snapshotFile.close();
+                disk.move(name() + StoreReader.UNFINISHED_SUFFIX, name());
                 disk.syncNames();
             } catch (IOException e) {
-                throw failed(e);
+                throw abandonAfter(e);
             }
-            String old = snapshotName;
+            String oldSnapshot = snapshotName;
             snapshotName = name();
-            snapshotBytes = at;
-            making = null;
-            prune(old);
+            snapshotBytes = snapshotEnd;
+            pendingSnapshot = null;
+            deleteObsolete(oldSnapshot);
         }
 
         /** It is given up; the log is as it was. */
         public void abandon() {
-            quietly(into);
+            closeQuietly(snapshotFile);
             try {
-                disk.delete(name() + StoreReader.UNFINISHED);
+                disk.delete(name() + StoreReader.UNFINISHED_SUFFIX);
             } catch (IOException e) {
                 // it stands for nothing, and goes at the next start
             }
-            making = null;
+            pendingSnapshot = null;
         }
 
-        private StoreFailedException failed(IOException e) {
+        private StoreFailedException abandonAfter(IOException e) {
             abandon();
             return new StoreFailedException(
-                    StoreFailedException.Why.DISK, "no snapshot was made: " + e.getMessage(), e);
+                    StoreFailedException.Reason.IO_ERROR, "no snapshot was made: " + e.getMessage(), e);
         }
 
-        private void prune(String old) {
+        private void deleteObsolete(String oldSnapshot) {
             try {
-                if (old != null && !old.equals(snapshotName)) {
-                    disk.delete(old);
+                if (oldSnapshot != null && !oldSnapshot.equals(snapshotName)) {
+                    disk.delete(oldSnapshot);
                 }
-                for (Iterator<Long> each = segments.keySet().iterator(); each.hasNext(); ) {
-                    long segment = each.next();
-                    Long following = firsts.get(segment + 1);
-                    if (following == null || following > upTo) {
+                for (Iterator<Long> numbers = segmentSizes.keySet().iterator(); numbers.hasNext(); ) {
+                    long segment = numbers.next();
+                    Long following = firstRecords.get(segment + 1);
+                    if (following == null || following > endRecord) {
                         break;
                     }
                     disk.delete(StoreReader.segmentName(segment));
-                    each.remove();
-                    firsts.remove(segment);
+                    numbers.remove();
+                    firstRecords.remove(segment);
                 }
                 disk.syncNames();
             } catch (IOException e) {
@@ -430,25 +434,25 @@
     /** Forces what is there, says so in the file, and lets others in. */
     @Override
     public void close() throws IOException {
-        if (making != null) {
-            making.abandon();
+        if (pendingSnapshot != null) {
+            pendingSnapshot.abandon();
         }
         try {
-            if (failed == null) {
+            if (lastFailure == null) {
                 force();
                 write(List.of());
                 file.sync();
             }
         } finally {
-            quietly(file);
+            closeQuietly(file);
             lock.close();
         }
     }
 
-    private static void quietly(Closeable which) {
+    private static void closeQuietly(Closeable resource) {
         try {
-            if (which != null) {
-                which.close();
+            if (resource != null) {
+                resource.close();
             }
         } catch (IOException e) {
             // nothing more is wanted of it
--- a/src/main/java/gatefront/storage/StoreFailedException.java
+++ b/src/main/java/gatefront/storage/StoreFailedException.java
@@ -7,22 +7,22 @@
     private static final long serialVersionUID = 1;
 
     /** Why that is so. */
-    public enum Why {
+    public enum Reason {
         /** The files would take more room than they may. */
-        BOUND,
+        SIZE_LIMIT,
         /** The disk would not take it: it is full, or broken. */
-        DISK
+        IO_ERROR
     }
 
-    private final Why why;
+    private final Reason reason;
 
-    StoreFailedException(Why why, String message, Throwable cause) {
+    StoreFailedException(Reason reason, String message, Throwable cause) {
         super(message, cause);
-        this.why = why;
+        this.reason = reason;
     }
 
     /** Why. */
-    public Why why() {
-        return why;
+    public Reason reason() {
+        return reason;
     }
 }
--- a/src/test/java/gatefront/agent/LedgerClockTest.java
+++ b/src/test/java/gatefront/agent/LedgerClockTest.java
@@ -29,12 +29,12 @@
     @TempDir
     private Path folder;
 
-    private LedgerStore.Look look() throws Exception {
-        LedgerStore.Look[] look = new LedgerStore.Look[1];
+    private LedgerStore.Contents look() throws Exception {
+        LedgerStore.Contents[] look = new LedgerStore.Contents[1];
         StoreVerification.of(
                 DirectoryDisk.existing(folder.resolve("books")),
                 SigningKeys.NONE,
-                LedgerStore.looking(at -> look[0] = at));
+                LedgerStore.contentsReader(at -> look[0] = at));
         return look[0];
     }
 
@@ -72,8 +72,8 @@
         assertTrue(ledger.size() < 10, ledger.size() + " entries");
         for (long period : ledger.periods()) {
             assertEquals(
-                    List.of(Ledger.Part.WHOLE),
-                    List.copyOf(ledger.standing(period, List.of()).values()));
+                    List.of(Ledger.PartStatus.COMPLETE),
+                    List.copyOf(ledger.partStatuses(period, List.of()).values()));
         }
         CountDownLatch gone = new CountDownLatch(1);
         sockets.close(gone::countDown);
--- a/src/test/java/gatefront/agent/UsageRecorderTest.java
+++ b/src/test/java/gatefront/agent/UsageRecorderTest.java
@@ -48,18 +48,18 @@
                 Config.of(stage.config));
     }
 
-    private LedgerStore.Look look() throws IOException {
-        LedgerStore.Look[] look = new LedgerStore.Look[1];
+    private LedgerStore.Contents look() throws IOException {
+        LedgerStore.Contents[] look = new LedgerStore.Contents[1];
         StoreVerification verify = StoreVerification.of(
                 DirectoryDisk.existing(folder.resolve("books")),
                 SigningKeys.NONE,
-                LedgerStore.looking(at -> look[0] = at));
+                LedgerStore.contentsReader(at -> look[0] = at));
         assertEquals(null, verify.damage());
         return look[0];
     }
 
     private static UsageAmounts all(Ledger ledger, String type) {
-        UsageAmounts sum = UsageAmounts.NONE;
+        UsageAmounts sum = UsageAmounts.ZERO;
         for (long period : ledger.periods()) {
             for (var each : ledger.totals(period).entrySet()) {
                 sum = each.getKey().type().equals(type) ? sum.plus(each.getValue()) : sum;
@@ -98,8 +98,8 @@
         assertEquals(3 * "served".length(), all(ledger, "lookup").bytes());
         for (long period : ledger.periods()) {
             assertEquals(
-                    List.of(Ledger.Part.WHOLE),
-                    List.copyOf(ledger.standing(period, List.of()).values()));
+                    List.of(Ledger.PartStatus.COMPLETE),
+                    List.copyOf(ledger.partStatuses(period, List.of()).values()));
         }
     }
 
@@ -117,11 +117,11 @@
     @Test
     void booksThatAnotherProcessHasAreWaitedForAndNothingIsMissing() throws Exception {
         LedgerStore other =
-                LedgerStore.open(new DirectoryDisk(folder.resolve("books")), Store.Options.USUAL, "agente-1");
+                LedgerStore.open(new DirectoryDisk(folder.resolve("books")), Store.Options.DEFAULTS, "agente-1");
         stage.start(ledger(""));
         ask(2, "lookup");
         Thread.sleep(400); // several tries to write
-        assertEquals(0, look().made());
+        assertEquals(0, look().ownEntries());
         other.close();
         AgentFixture.await(() -> {
             try {
@@ -134,7 +134,7 @@
 
     @Test
     void booksThatCannotBeUsedStopTheStartInOneLine() throws Exception {
-        LedgerStore.open(new DirectoryDisk(folder.resolve("books")), Store.Options.USUAL, "agente-2")
+        LedgerStore.open(new DirectoryDisk(folder.resolve("books")), Store.Options.DEFAULTS, "agente-2")
                 .close();
         IOException e = assertThrows(IOException.class, () -> stage.start(ledger("")));
         assertEquals(
--- a/src/test/java/gatefront/cli/LedgerCommandTest.java
+++ b/src/test/java/gatefront/cli/LedgerCommandTest.java
@@ -39,18 +39,19 @@
     void onlyTheFirstLifeFindsNoBooks() throws IOException {
         for (boolean first : new boolean[] {true, false, false}) {
             try (LedgerStore books =
-                    LedgerStore.open(new DirectoryDisk(dir.resolve("a")), Store.Options.USUAL, "agente-1")) {
-                assertEquals(first, books.begun());
+                    LedgerStore.open(new DirectoryDisk(dir.resolve("a")), Store.Options.DEFAULTS, "agente-1")) {
+                assertEquals(first, books.isNew());
             }
         }
     }
 
     private String books(String name, String instance, long requests) throws IOException {
         Path folder = dir.resolve(name);
-        try (LedgerStore books = LedgerStore.open(new DirectoryDisk(folder), Store.Options.USUAL, instance)) {
-            books.use(7, Map.of(new Ledger.Cell(7, "mitla", "pago"), new UsageAmounts(requests, 8_000_000, 5, 6)));
-            books.use(7, Map.of(new Ledger.Cell(7, "=1+1", "a,\"b\""), new UsageAmounts(1, 0, 0, 0)));
-            books.close(7);
+        try (LedgerStore books = LedgerStore.open(new DirectoryDisk(folder), Store.Options.DEFAULTS, instance)) {
+            books.recordUse(
+                    7, Map.of(new Ledger.Cell(7, "mitla", "pago"), new UsageAmounts(requests, 8_000_000, 5, 6)));
+            books.recordUse(7, Map.of(new Ledger.Cell(7, "=1+1", "a,\"b\""), new UsageAmounts(1, 0, 0, 0)));
+            books.closePeriod(7);
         }
         return folder.toString();
     }
@@ -113,7 +114,7 @@
         Files.writeString(lost.resolve("0000000000000000.log.new"), "a first start that ended at once");
         assertEquals(Commands.BROKEN, run("ledger", "verify", lost.toString()));
         Path empty = dir.resolve("empty");
-        Store.open(new DirectoryDisk(empty), Store.Options.USUAL, RecordConsumer.NOBODY)
+        Store.open(new DirectoryDisk(empty), Store.Options.DEFAULTS, RecordConsumer.IGNORE)
                 .close();
         assertEquals(0, run("ledger", "verify", empty.toString()));
         assertTrue(out.toString().startsWith("whole: 0 entries, 1 segments"), out.toString());
@@ -165,7 +166,8 @@
         assertEquals(
                 2, run("ledger", "correct", folder, "agente-1", "--period", "8", "--requests", "-1", "--why", "x"));
         assertEquals(2, run("ledger", "correct", folder, "agente-1/0/0", "--period", "8", "--why", "of nothing"));
-        try (LedgerStore held = LedgerStore.open(new DirectoryDisk(Path.of(folder)), Store.Options.USUAL, "agente-1")) {
+        try (LedgerStore held =
+                LedgerStore.open(new DirectoryDisk(Path.of(folder)), Store.Options.DEFAULTS, "agente-1")) {
             assertNotNull(held);
             assertEquals(
                     1,
--- a/src/test/java/gatefront/ledger/ExportScheduleTest.java
+++ b/src/test/java/gatefront/ledger/ExportScheduleTest.java
@@ -13,19 +13,19 @@
             new ExportSchedule(new ExportSchedule.Settings(5, 1_000, 100, 2_000, 500), 0, 1);
 
     @Test
-    void aReceiverThatTellsMoreThanWasMadeIsNotBelieved() {
-        assertEquals(new ExportSchedule.Batch(0, 3), export.due(0, 3));
-        assertFalse(export.answered(10, 4, 3));
-        assertEquals(0, export.taken());
+    void answerAboveTheNumberOfCreatedEntriesCountsAsFailure() {
+        assertEquals(new ExportSchedule.Batch(0, 3), export.nextBatch(0, 3));
+        assertFalse(export.onAnswer(10, 4, 3));
+        assertEquals(0, export.acknowledged());
         assertEquals(1, export.failures());
-        assertEquals(new ExportSchedule.Batch(0, 3), export.due(200, 3));
+        assertEquals(new ExportSchedule.Batch(0, 3), export.nextBatch(200, 3));
     }
 
     @Test
-    void aBatchWithoutAnAnswerIsSentAgainAfterItsTimeAndAWait() {
-        assertNotNull(export.due(0, 3));
-        assertNull(export.due(999, 3), "one at a time");
-        assertNull(export.due(1_000, 3), "its time is up: back off first");
-        assertEquals(new ExportSchedule.Batch(0, 3), export.due(1_100, 3));
+    void unansweredBatchIsResentAfterTimeoutAndBackoff() {
+        assertNotNull(export.nextBatch(0, 3));
+        assertNull(export.nextBatch(999, 3), "one at a time");
+        assertNull(export.nextBatch(1_000, 3), "its time is up: back off first");
+        assertEquals(new ExportSchedule.Batch(0, 3), export.nextBatch(1_100, 3));
     }
 }
--- a/src/test/java/gatefront/ledger/LedgerTest.java
+++ b/src/test/java/gatefront/ledger/LedgerTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void anEntryCountsOnceAndAnotherOfItsIdIsAConflict() throws Exception {
+    void entryCountsOnceAndADifferentEntryWithItsIdIsAConflict() throws Exception {
         Ledger ledger = of(List.of(use("a", 0, 7, "mitla", 5)));
         assertSame(ledger, ledger.with(use("a", 0, 7, "mitla", 5)));
         Ledger.Conflict e = assertThrows(Ledger.Conflict.class, () -> ledger.with(use("a", 0, 7, "mitla", 6)));
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void aCorrectionIsAnEntryOfItsOwnInTheOpenPeriodAndCountsWithWhatItCorrects() throws Exception {
+    void correctionCountsInItsOwnPeriodForTheCorrectedTenant() throws Exception {
         Ledger ledger = of(
                 List.of(use("a", 0, 7, "mitla", 5), use("a", 1, 8, "etla", 1), correction("b", 0, 8, id("a", 0), -2)));
         assertEquals(5, ledger.total(7, "mitla").requests(), "what is closed is not changed");
@@ -64,26 +64,26 @@
     }
 
     @Test
-    void aCorrectionThatComesFirstWaits() throws Exception {
+    void correctionReceivedBeforeItsEntryIsHeldBack() throws Exception {
         Ledger ledger = of(List.of(correction("b", 1, 9, id("b", 0), 1), correction("b", 0, 8, id("a", 0), -2)));
-        assertEquals(2, ledger.waiting().size());
+        assertEquals(2, ledger.unresolvedCorrections().size());
         assertEquals(Map.of(), ledger.totals(8));
         ledger = ledger.with(use("a", 0, 7, "mitla", 5));
-        assertEquals(List.of(), ledger.waiting());
+        assertEquals(List.of(), ledger.unresolvedCorrections());
         assertEquals(-2, ledger.total(8, "mitla").requests());
         assertEquals(1, ledger.total(9, "mitla").requests());
     }
 
     @Test
-    void correctionsThatCorrectEachOtherCountForNothingAndEnd() throws Exception {
+    void cyclicCorrectionsAreNotCounted() throws Exception {
         Ledger ledger = of(List.of(correction("b", 0, 8, id("b", 1), 1), correction("b", 1, 8, id("b", 0), 1)));
         assertEquals(Map.of(), ledger.totals(8));
-        assertFalse(ledger.waiting().isEmpty());
+        assertFalse(ledger.unresolvedCorrections().isEmpty());
     }
 
     /** 300 random lots of entries, some twice, in random orders: the same ledger, and sums as reckoned plainly. */
     @Test
-    void anyOrderOfTheSameEntriesMakesTheSameLedger() throws Exception {
+    void ledgerDoesNotDependOnTheOrderOfEntries() throws Exception {
         for (int seed = 0; seed < 300; seed++) {
             Random random = new Random(seed);
             List<LedgerEntry> entries = new ArrayList<>();
@@ -109,13 +109,13 @@
                                 .mapToLong(UsageAmounts::requests)
                                 .sum());
             }
-            assertEquals(List.of(), two.waiting());
+            assertEquals(List.of(), two.unresolvedCorrections());
             assertEquals(entries.size(), two.size());
         }
     }
 
     @Test
-    void thePartOfAnInstanceThatNeverClosedIsNotKnownAndNotNothing() throws Exception {
+    void partOfAnInstanceThatNeverClosedThePeriodIsUnknown() throws Exception {
         Ledger ledger = of(List.of(
                 use("a", 0, 7, "mitla", 5),
                 use("a", 1, 7, "etla", 1),
@@ -126,29 +126,30 @@
         assertEquals(
                 Map.of(
                         "a/1",
-                        Ledger.Part.WHOLE,
+                        Ledger.PartStatus.COMPLETE,
                         "b/1",
-                        Ledger.Part.UNKNOWN,
+                        Ledger.PartStatus.UNKNOWN,
                         "c/1",
-                        Ledger.Part.INCOMPLETE,
+                        Ledger.PartStatus.INCOMPLETE,
                         "d",
-                        Ledger.Part.UNKNOWN),
-                ledger.standing(7, List.of("a", "b", "c", "d")));
-        LedgerEntry again = LedgerEntry.use(new EntryId("b", 2, 0), 7, "mitla", "consulta", UsageAmounts.NONE);
+                        Ledger.PartStatus.UNKNOWN),
+                ledger.partStatuses(7, List.of("a", "b", "c", "d")));
+        LedgerEntry again = LedgerEntry.use(new EntryId("b", 2, 0), 7, "mitla", "consulta", UsageAmounts.ZERO);
         Ledger back = ledger.with(again).with(LedgerEntry.closed(new EntryId("b", 2, 1), 7, 1));
-        assertEquals(Ledger.Part.UNKNOWN, back.standing(7, List.of()).get("b/1"), "its first life never ended");
-        assertEquals(Ledger.Part.WHOLE, back.standing(7, List.of()).get("b/2"));
+        assertEquals(
+                Ledger.PartStatus.UNKNOWN, back.partStatuses(7, List.of()).get("b/1"), "its first life never ended");
+        assertEquals(Ledger.PartStatus.COMPLETE, back.partStatuses(7, List.of()).get("b/2"));
     }
 
     @Test
-    void sumsBeyondANumberAreToldAndChangeNothing() throws Exception {
+    void overflowingSumIsReportedAndLeavesTheLedgerUnchanged() throws Exception {
         Ledger ledger = of(List.of(use("a", 0, 7, "mitla", Long.MAX_VALUE)));
         assertThrows(ArithmeticException.class, () -> ledger.with(use("a", 1, 7, "mitla", 1)));
         assertEquals(1, ledger.size());
     }
 
     @Test
-    void entriesThatMakeNoSenseAreRefused() {
+    void invalidEntriesAreRefused() {
         assertThrows(IllegalArgumentException.class, () -> new EntryId("a b", 0, 0));
         assertThrows(IllegalArgumentException.class, () -> EntryId.parse("a/1"));
         assertThrows(IllegalArgumentException.class, () -> use("a", 0, -1, "mitla", 1));
@@ -158,21 +159,21 @@
     }
 
     @Test
-    void aClockThatGoesBackReopensNothingAndOneThatJumpsClosesWhatItPasses() {
+    void clockSetBackReopensNoPeriodAndClockSetAheadClosesPassedPeriods() {
         PeriodClock periods = new PeriodClock(100, 10, 0, 1_050);
         assertEquals(10, periods.open());
-        assertFalse(periods.at(1_099));
-        assertFalse(periods.at(1_105));
+        assertFalse(periods.advanceTo(1_099));
+        assertFalse(periods.advanceTo(1_105));
         assertEquals(11, periods.open());
-        assertEquals(10, periods.closing(), "what ended before the end may still be told");
-        assertEquals(1_110, periods.next(1_105));
-        assertTrue(periods.at(1_110));
-        assertEquals(11, periods.closing());
-        assertFalse(periods.at(1_020), "back over the end");
+        assertEquals(10, periods.firstUnclosed(), "what ended before the end may still be told");
+        assertEquals(1_110, periods.nextBoundaryMicros(1_105));
+        assertTrue(periods.advanceTo(1_110));
+        assertEquals(11, periods.firstUnclosed());
+        assertFalse(periods.advanceTo(1_020), "back over the end");
         assertEquals(11, periods.open());
-        assertEquals(11, periods.closing());
-        assertTrue(periods.at(1_620));
-        assertEquals(16, periods.closing(), "all that was passed is closed");
+        assertEquals(11, periods.firstUnclosed());
+        assertTrue(periods.advanceTo(1_620));
+        assertEquals(16, periods.firstUnclosed(), "all that was passed is closed");
         PeriodClock after = new PeriodClock(100, 10, 16, 1_300);
         assertEquals(16, after.open(), "a restart with the clock set back");
     }
--- a/src/test/java/gatefront/ledger/ReconciliationTest.java
+++ b/src/test/java/gatefront/ledger/ReconciliationTest.java
@@ -11,7 +11,7 @@
 
 /** Instances that differ find out where, at a cost that grows with the differences. */
 class ReconciliationTest {
-    private static final int MANY = 1_000_000;
+    private static final int ENTRY_COUNT = 1_000_000;
 
     private static LedgerEntry entry(int i, long requests) {
         return LedgerEntry.use(
@@ -31,7 +31,7 @@
     }
 
     /** Takes some out, changes some, adds some; returns their ids. */
-    private static TreeSet<EntryId> differ(List<LedgerEntry> of, int differences, Random random) {
+    private static TreeSet<EntryId> applyDifferences(List<LedgerEntry> of, int differences, Random random) {
         TreeSet<EntryId> ids = new TreeSet<>();
         while (ids.size() < differences) {
             int at = random.nextInt(of.size());
@@ -41,10 +41,10 @@
             }
             switch (ids.size() % 3) {
                 case 0 -> of.remove(at);
-                case 1 -> of.set(at, LedgerEntry.use(id, 7, "municipio-9", "consulta-saldo", UsageAmounts.NONE));
+                case 1 -> of.set(at, LedgerEntry.use(id, 7, "municipio-9", "consulta-saldo", UsageAmounts.ZERO));
                 default -> {
                     id = new EntryId("agente-9", 1, ids.size());
-                    of.add(LedgerEntry.use(id, 7, "mitla", "pago", UsageAmounts.NONE));
+                    of.add(LedgerEntry.use(id, 7, "mitla", "pago", UsageAmounts.ZERO));
                 }
             }
             ids.add(id);
@@ -53,15 +53,15 @@
     }
 
     @Test
-    void fiveInstancesWithAMillionEntriesFindEachDifferenceAndTellNoMoreThanThatTakes() {
-        List<LedgerEntry> all = entries(MANY);
+    void largeTreesFindEveryDifferenceWithBoundedTraffic() {
+        List<LedgerEntry> all = entries(ENTRY_COUNT);
         DigestTree own = new DigestTree(all);
         long[] bytes = new long[4];
         int[] differences = {0, 1, 10, 100};
         for (int i = 0; i < differences.length; i++) { // the other four
             List<LedgerEntry> theirs = new ArrayList<>(all);
-            TreeSet<EntryId> ids = differ(theirs, differences[i], new Random(i));
-            Reconciliation.Result result = Reconciliation.run(own, Reconciliation.Other.of(new DigestTree(theirs)));
+            TreeSet<EntryId> ids = applyDifferences(theirs, differences[i], new Random(i));
+            Reconciliation.Result result = Reconciliation.run(own, Reconciliation.Peer.of(new DigestTree(theirs)));
             assertEquals(
                     List.copyOf(ids),
                     result.differences().stream()
@@ -72,18 +72,18 @@
         assertEquals(DigestTree.Sum.BYTES, bytes[0]);
         assertTrue(bytes[1] < 4_000, bytes[1] + " bytes for one");
         assertTrue(bytes[3] < 100 * bytes[1], bytes[3] + " bytes for a hundred, " + bytes[1] + " for one");
-        assertTrue(bytes[3] < MANY / 2, bytes[3] + " bytes, of a million entries");
+        assertTrue(bytes[3] < ENTRY_COUNT / 2, bytes[3] + " bytes, of a million entries");
     }
 
     @Test
-    void smallAndEmptyOnesDifferAsAPlainComparisonSays() {
+    void smallAndEmptyTreesMatchAPlainComparison() {
         for (int seed = 0; seed < 400; seed++) {
             Random random = new Random(seed);
             List<LedgerEntry> one = entries(random.nextInt(60));
             List<LedgerEntry> two = new ArrayList<>(one);
-            TreeSet<EntryId> ids = differ(two, Math.min(one.size() / 3, random.nextInt(12)), random);
+            TreeSet<EntryId> ids = applyDifferences(two, Math.min(one.size() / 3, random.nextInt(12)), random);
             Reconciliation.Result result =
-                    Reconciliation.run(new DigestTree(one), Reconciliation.Other.of(new DigestTree(two)));
+                    Reconciliation.run(new DigestTree(one), Reconciliation.Peer.of(new DigestTree(two)));
             assertEquals(
                     List.copyOf(ids),
                     result.differences().stream()
@@ -95,30 +95,30 @@
                                 .filter(its -> its.id().equals(each.id()))
                                 .findAny()
                                 .orElse(null),
-                        each.here());
+                        each.local());
                 assertEquals(
                         two.stream()
                                 .filter(its -> its.id().equals(each.id()))
                                 .findAny()
                                 .orElse(null),
-                        each.there());
+                        each.remote());
             }
         }
         assertEquals(
                 List.of(),
-                Reconciliation.run(new DigestTree(List.of()), Reconciliation.Other.of(new DigestTree(List.of())))
+                Reconciliation.run(new DigestTree(List.of()), Reconciliation.Peer.of(new DigestTree(List.of())))
                         .differences());
     }
 
     /** One that tells other sums each time makes no endless work. */
     @Test
-    void whoLiesMakesNoEndlessWork() {
+    void peerWithChangingSumsCausesBoundedWork() {
         Random random = new Random(1);
-        Reconciliation.Other liar = new Reconciliation.Other() {
+        Reconciliation.Peer liar = new Reconciliation.Peer() {
             @Override
             public List<DigestTree.Sum> children(DigestTree.Range range) {
                 List<DigestTree.Sum> sums = new ArrayList<>();
-                for (int i = 0; i < DigestTree.BRANCHES; i++) {
+                for (int i = 0; i < DigestTree.BRANCHING_FACTOR; i++) {
                     sums.add(new DigestTree.Sum(i == 3 ? 1_000_000 : 0, i == 3 ? random.nextLong() : 0, 0));
                 }
                 return sums;
@@ -130,12 +130,50 @@
             }
 
             @Override
-            public DigestTree.Sum all() {
+            public DigestTree.Sum total() {
                 return new DigestTree.Sum(5, 5, 5);
             }
         };
         Reconciliation.Result result = Reconciliation.run(new DigestTree(List.of()), liar);
         assertEquals(List.of(), result.differences());
-        assertTrue(result.steps() < 50, result.steps() + " questions");
+        assertTrue(result.queries() < 50, result.queries() + " questions");
+    }
+
+    /** The digests that instances compare: a renamed constant or another text would make every entry differ. */
+    @Test
+    void digestsOfEntriesStayTheSameAcrossVersions() {
+        assertDigest(
+                LedgerEntry.use(
+                        new EntryId("agente-1", 3, 8), 7, "mitla", "pago", new UsageAmounts(5, 8_000_000, 20, 30)),
+                0xc2f06b085807b137L,
+                0x8ad530b26e7c7293L,
+                0xba710ec860b0a3b6L);
+        assertDigest(
+                new LedgerEntry(
+                        new EntryId("agente-1", 3, 9),
+                        LedgerEntry.Kind.CORRECTION,
+                        7,
+                        "",
+                        "",
+                        new UsageAmounts(-1, 2, -3, 4),
+                        new EntryId("b", 0, 1),
+                        "counted twice"),
+                0x4a1e02c0971b1bfaL,
+                0x9e3d03ce88a4f620L,
+                0x4c80ba9c6620abe0L);
+        assertDigest(
+                LedgerEntry.closed(new EntryId("agente-1", 3, 10), 7, 2),
+                0xbb47ae91b3d0fe75L,
+                0xf8e20bbdb46ecad5L,
+                0xe73d32f9f42bb6c7L);
+    }
+
+    private static void assertDigest(LedgerEntry entry, long position, long high, long low) {
+        DigestTree tree = new DigestTree(List.of(entry));
+        DigestTree.Sum expected = new DigestTree.Sum(1, high, low);
+        assertEquals(expected, tree.sum(DigestTree.Range.ALL), () -> "digest of " + entry);
+        int bits = Long.SIZE - 4;
+        DigestTree.Range narrow = new DigestTree.Range(position & -1L << Long.SIZE - bits, bits);
+        assertEquals(expected, tree.sum(narrow), () -> "position of " + entry);
     }
 }
--- a/src/test/java/gatefront/ledgerstore/ExportReceiver.java
+++ b/src/test/java/gatefront/ledgerstore/ExportReceiver.java
@@ -13,12 +13,12 @@
  */
 final class ExportReceiver {
     private final Random random;
-    private final List<LedgerEntry> has = new ArrayList<>();
-    private long last;
+    private final List<LedgerEntry> received = new ArrayList<>();
+    private long lastAnswer;
     /** How many it will never forget: those of its last copy. */
-    private int copied;
+    private int backedUp;
 
-    int forgot;
+    int forgotten;
     int refused;
 
     ExportReceiver(long seed) {
@@ -26,17 +26,17 @@
     }
 
     /** What it has. */
-    List<LedgerEntry> has() {
-        return has;
+    List<LedgerEntry> received() {
+        return received;
     }
 
     /** How many of them stand in its copy. */
-    int copied() {
-        return copied;
+    int backedUp() {
+        return backedUp;
     }
 
     /** It takes a batch; returns what answer comes, or none. */
-    Long take(ExportSchedule.Batch batch, List<LedgerEntry> entries, boolean faults) {
+    Long receive(ExportSchedule.Batch batch, List<LedgerEntry> entries, boolean faults) {
         int fault = faults ? random.nextInt(12) : 99;
         if (fault == 0) {
             return null; // the request is lost
@@ -46,24 +46,24 @@
             return null;
         }
         if (fault == 2) {
-            return last; // an answer of before
+            return lastAnswer; // an answer of before
         }
-        if (batch.from() <= has.size()) {
-            for (int i = (int) (has.size() - batch.from()); i < entries.size(); i++) {
-                has.add(entries.get(i));
+        if (batch.from() <= received.size()) {
+            for (int i = (int) (received.size() - batch.from()); i < entries.size(); i++) {
+                received.add(entries.get(i));
             }
         }
-        last = has.size();
+        lastAnswer = received.size();
         if (fault == 3) {
             return null; // the answer is lost
         }
-        if (fault == 4 && has.size() > copied) {
-            forgot += has.size() - copied;
-            has.subList(copied, has.size()).clear(); // it confirms and forgets
+        if (fault == 4 && received.size() > backedUp) {
+            forgotten += received.size() - backedUp;
+            received.subList(backedUp, received.size()).clear(); // it confirms and forgets
         }
         if (random.nextInt(8) == 0) {
-            copied = has.size();
+            backedUp = received.size();
         }
-        return last;
+        return lastAnswer;
     }
 }
--- a/src/test/java/gatefront/ledgerstore/LedgerStoreTest.java
+++ b/src/test/java/gatefront/ledgerstore/LedgerStoreTest.java
@@ -26,88 +26,88 @@
 /** An instance's books through crashes, and what comes to the receiver. */
 class LedgerStoreTest {
     private static final ExportSchedule.Settings EXPORT = new ExportSchedule.Settings(5, 1_000, 100, 2_000, 500);
-    private static final int KILLS = 10_000;
+    private static final int POWER_LOSSES = 10_000;
 
     private static Map<Ledger.Cell, UsageAmounts> cell(long period, String tenant, long requests) {
         return Map.of(new Ledger.Cell(period, tenant, "consulta"), new UsageAmounts(requests, 1, 2, 3));
     }
 
     /** What should come to the receiver in the end: all that was told to be kept, and what came through a crash. */
-    private static final class World {
+    private static final class Simulation {
         final Random random;
         final CrashingDisk disk;
         final ExportReceiver receiver;
-        final Set<EntryId> kept = new HashSet<>();
+        final Set<EntryId> stored = new HashSet<>();
         long now;
         int kills;
 
-        World(long seed) {
+        Simulation(long seed) {
             random = new Random(seed);
             disk = new CrashingDisk(seed);
             receiver = new ExportReceiver(seed);
         }
 
         /** A life of the instance and its exporter, until the power goes at some step of the disk. */
-        void live(boolean faults) throws IOException {
+        void runSession(boolean faults) throws IOException {
             if (faults) {
-                disk.powerLostAfter(random.nextInt(60));
+                disk.losePowerAfter(random.nextInt(60));
             }
-            LedgerStore books = LedgerStore.open(disk, Store.Options.USUAL, "agente-1");
-            kept.forEach(id -> assertTrue(books.ledger().get(id) != null, "lost: " + id));
-            ExportSchedule export = new ExportSchedule(EXPORT, books.taken(), random.nextLong());
+            LedgerStore store = LedgerStore.open(disk, Store.Options.DEFAULTS, "agente-1");
+            stored.forEach(id -> assertTrue(store.ledger().get(id) != null, "lost: " + id));
+            ExportSchedule export = new ExportSchedule(EXPORT, store.acknowledged(), random.nextLong());
             Long answer = null;
             long answerAt = 0;
             for (int i = 0; i < (faults ? 200 : 20_000); i++) {
                 now += 20;
                 if (faults && random.nextInt(4) == 0) {
-                    books.use(1, cell(1, "t" + random.nextInt(3), 1 + random.nextInt(9)));
-                    kept.add(books.own(books.made() - 1, 1).get(0).id());
+                    store.recordUse(1, cell(1, "t" + random.nextInt(3), 1 + random.nextInt(9)));
+                    stored.add(store.ownEntries(store.ownCount() - 1, 1).get(0).id());
                 }
                 if (faults && random.nextInt(60) == 0) {
-                    books.compactNow();
+                    store.compactNow();
                 }
-                ExportSchedule.Batch batch = export.due(now, books.made());
+                ExportSchedule.Batch batch = export.nextBatch(now, store.ownCount());
                 if (batch != null) {
-                    answer = receiver.take(batch, books.own(batch.from(), batch.count()), faults);
+                    answer = receiver.receive(batch, store.ownEntries(batch.from(), batch.count()), faults);
                     answerAt = now + 20L * random.nextInt(faults ? 60 : 5); // at times too late
                 }
                 if (answer != null && now >= answerAt) {
-                    boolean news = export.answered(now, answer, books.made());
+                    boolean changed = export.onAnswer(now, answer, store.ownCount());
                     answer = faults && random.nextInt(10) == 0 ? answer : null; // it may come twice
                     answerAt = now + 20;
-                    if (news) {
-                        books.taken(export.taken());
+                    if (changed) {
+                        store.acknowledged(export.acknowledged());
                     }
                 }
             }
-            books.close();
+            store.close();
         }
     }
 
     @Test
-    void exportersKilledAtRandomLeaveTheReceiverWithEachEntryOnce() throws IOException {
-        int kills = 0;
+    void powerLossesLeaveTheReceiverWithEachEntryOnce() throws IOException {
+        int powerLosses = 0;
         int forgot = 0;
         int refused = 0;
-        for (long seed = 0; kills < KILLS; seed++) {
-            World world = new World(seed);
-            for (int life = 0; life < 50; life++) {
+        for (long seed = 0; powerLosses < POWER_LOSSES; seed++) {
+            Simulation simulation = new Simulation(seed);
+            for (int session = 0; session < 50; session++) {
                 try {
-                    world.live(true);
+                    simulation.runSession(true);
                 } catch (IOException e) {
-                    assertTrue(world.disk.isOff(), e.toString());
-                    kills++;
+                    assertTrue(simulation.disk.isOff(), e.toString());
+                    powerLosses++;
                 }
-                world.disk.restart();
+                simulation.disk.restart();
             }
-            world.live(false); // a day on which nothing goes wrong
+            simulation.runSession(false); // a day on which nothing goes wrong
             Ledger[] ledger = {Ledger.EMPTY};
-            LedgerStore.Look[] look = new LedgerStore.Look[1];
-            StoreVerification.of(world.disk, SigningKeys.NONE, LedgerStore.looking(at -> look[0] = at));
+            LedgerStore.Contents[] contents = new LedgerStore.Contents[1];
+            StoreVerification.of(simulation.disk, SigningKeys.NONE, LedgerStore.contentsReader(at -> contents[0] = at));
             List<LedgerEntry> own = new ArrayList<>();
-            look[0].ledger().entries().forEach(own::add);
+            contents[0].ledger().entries().forEach(own::add);
             Set<EntryId> ids = new HashSet<>();
-            for (LedgerEntry each : world.receiver.has()) {
+            for (LedgerEntry each : simulation.receiver.received()) {
                 assertTrue(ids.add(each.id()), "twice: " + each.id());
                 try {
                     ledger[0] = ledger[0].with(each);
@@ -115,69 +115,69 @@
                     throw new AssertionError(e);
                 }
             }
-            assertTrue(ids.containsAll(world.kept));
-            assertEquals(own.size(), world.receiver.has().size());
-            assertEquals(look[0].ledger().totals(1), ledger[0].totals(1), "exact to the unit");
-            forgot += world.receiver.forgot;
-            refused += world.receiver.refused;
+            assertTrue(ids.containsAll(simulation.stored));
+            assertEquals(own.size(), simulation.receiver.received().size());
+            assertEquals(contents[0].ledger().totals(1), ledger[0].totals(1), "exact to the unit");
+            forgot += simulation.receiver.forgotten;
+            refused += simulation.receiver.refused;
         }
         assertTrue(forgot > 100 && refused > 100, forgot + " forgotten, " + refused + " refused");
     }
 
     @Test
-    void booksAreOfOneInstanceAndEachOpeningIsAnotherEpoch() throws IOException {
+    void ledgerStoreBelongsToOneInstanceAndEachOpeningStartsAnEpoch() throws IOException {
         CrashingDisk disk = new CrashingDisk(1);
-        LedgerStore first = LedgerStore.open(disk, Store.Options.USUAL, "a");
-        first.use(1, cell(1, "mitla", 5));
-        assertThrows(IOException.class, () -> LedgerStore.open(disk, Store.Options.USUAL, "a"), "started twice");
+        LedgerStore first = LedgerStore.open(disk, Store.Options.DEFAULTS, "a");
+        first.recordUse(1, cell(1, "mitla", 5));
+        assertThrows(IOException.class, () -> LedgerStore.open(disk, Store.Options.DEFAULTS, "a"), "started twice");
         first.close();
         assertEquals(
                 "these are the books of a, not of b",
-                assertThrows(IOException.class, () -> LedgerStore.open(disk, Store.Options.USUAL, "b"))
+                assertThrows(IOException.class, () -> LedgerStore.open(disk, Store.Options.DEFAULTS, "b"))
                         .getMessage());
-        LedgerStore second = LedgerStore.open(disk, Store.Options.USUAL, "a");
-        second.use(1, cell(1, "mitla", 2));
-        second.close(1);
-        assertEquals(new EntryId("a", 1, 0), second.own(1, 1).get(0).id());
+        LedgerStore second = LedgerStore.open(disk, Store.Options.DEFAULTS, "a");
+        second.recordUse(1, cell(1, "mitla", 2));
+        second.closePeriod(1);
+        assertEquals(new EntryId("a", 1, 0), second.ownEntries(1, 1).get(0).id());
         assertEquals(7, second.ledger().total(1, "mitla").requests());
         assertEquals(
-                Map.of("a/0", Ledger.Part.UNKNOWN, "a/1", Ledger.Part.WHOLE),
-                second.ledger().standing(1, List.of("a")));
+                Map.of("a/0", Ledger.PartStatus.UNKNOWN, "a/1", Ledger.PartStatus.COMPLETE),
+                second.ledger().partStatuses(1, List.of("a")));
         second.close();
     }
 
     @Test
-    void anEntryThatWasExportedIsCorrectedByAnother() throws IOException {
-        LedgerStore books = LedgerStore.open(new CrashingDisk(1), Store.Options.USUAL, "a");
-        books.use(1, cell(1, "mitla", 5));
-        EntryId wrong = books.own(0, 1).get(0).id();
-        LedgerEntry correction = books.correct(wrong, 2, new UsageAmounts(-5, 0, 0, 0), "a test terminal");
-        books.correct(correction.id(), 2, new UsageAmounts(1, 0, 0, 0), "one was real");
-        assertEquals(5, books.ledger().total(1, "mitla").requests());
-        assertEquals(-4, books.ledger().total(2, "mitla").requests());
-        assertThrows(IOException.class, () -> books.correct(new EntryId("x", 0, 0), 2, UsageAmounts.NONE, "why"));
-        assertThrows(IOException.class, () -> books.correct(wrong, 2, UsageAmounts.NONE, " "));
-        assertThrows(IOException.class, () -> books.takeIn(List.of(correction)));
-        books.close();
+    void exportedEntryIsCorrectedByASeparateEntry() throws IOException {
+        LedgerStore store = LedgerStore.open(new CrashingDisk(1), Store.Options.DEFAULTS, "a");
+        store.recordUse(1, cell(1, "mitla", 5));
+        EntryId wrong = store.ownEntries(0, 1).get(0).id();
+        LedgerEntry correction = store.correct(wrong, 2, new UsageAmounts(-5, 0, 0, 0), "a test terminal");
+        store.correct(correction.id(), 2, new UsageAmounts(1, 0, 0, 0), "one was real");
+        assertEquals(5, store.ledger().total(1, "mitla").requests());
+        assertEquals(-4, store.ledger().total(2, "mitla").requests());
+        assertThrows(IOException.class, () -> store.correct(new EntryId("x", 0, 0), 2, UsageAmounts.ZERO, "why"));
+        assertThrows(IOException.class, () -> store.correct(wrong, 2, UsageAmounts.ZERO, " "));
+        assertThrows(IOException.class, () -> store.importEntries(List.of(correction)));
+        store.close();
     }
 
     @Test
-    void whatAnotherInstanceToldIsTakenInOnceAndNotExported() throws IOException {
-        LedgerStore books = LedgerStore.open(new CrashingDisk(1), Store.Options.USUAL, "a");
+    void entriesOfOtherInstancesAreImportedOnceAndNotExported() throws IOException {
+        LedgerStore store = LedgerStore.open(new CrashingDisk(1), Store.Options.DEFAULTS, "a");
         LedgerEntry other =
                 LedgerEntry.use(new EntryId("b", 0, 0), 1, "mitla", "consulta", new UsageAmounts(3, 0, 0, 0));
-        books.takeIn(List.of(other, other));
-        books.takeIn(List.of(other));
-        assertEquals(3, books.ledger().total(1, "mitla").requests());
-        assertEquals(0, books.made());
-        LedgerEntry lie = LedgerEntry.use(other.id(), 1, "mitla", "consulta", UsageAmounts.NONE);
-        assertThrows(IOException.class, () -> books.takeIn(List.of(lie)));
-        books.close();
+        store.importEntries(List.of(other, other));
+        store.importEntries(List.of(other));
+        assertEquals(3, store.ledger().total(1, "mitla").requests());
+        assertEquals(0, store.ownCount());
+        LedgerEntry conflicting = LedgerEntry.use(other.id(), 1, "mitla", "consulta", UsageAmounts.ZERO);
+        assertThrows(IOException.class, () -> store.importEntries(List.of(conflicting)));
+        store.close();
     }
 
     /** Messages with bytes changed, cut or added: an entry or one exception, never another. */
     @Test
-    void messagesFromAnywhereAreReadOrRefused() {
+    void damagedMessagesAreReadOrRefusedWithAnIOException() {
         Random random = new Random(1);
         LedgerEntry entry = new LedgerEntry(
                 new EntryId("agente-1", 3, 9),
--- a/src/test/java/gatefront/storage/CrashingDisk.java
+++ b/src/test/java/gatefront/storage/CrashingDisk.java
@@ -14,9 +14,9 @@
     }
 
     /** The power goes at this step from now on. */
-    public void powerLostAfter(int steps) {
+    public void losePowerAfter(int steps) {
         disk.fault = MemoryDisk.Fault.POWER;
-        disk.faultAt = disk.steps + steps;
+        disk.faultStep = disk.steps + steps;
     }
 
     /** Whether it has gone. */
--- a/src/test/java/gatefront/storage/MemoryDisk.java
+++ b/src/test/java/gatefront/storage/MemoryDisk.java
@@ -38,46 +38,46 @@
 
     /** Contents as programs see them, and as the disk has them. */
     private static final class Data {
-        byte[] seen = {};
-        byte[] forced = {};
+        byte[] visible = {};
+        byte[] durable = {};
         /** Pages that were written since, and are to be forced. */
-        final TreeMap<Integer, Boolean> dirty = new TreeMap<>();
+        final TreeMap<Integer, Boolean> dirtyPages = new TreeMap<>();
 
-        void write(long at, byte[] bytes, int n) {
-            if (n == 0) {
+        void write(long offset, byte[] bytes, int length) {
+            if (length == 0) {
                 return;
             }
-            int until = (int) at + n;
-            seen = seen.length < until ? Arrays.copyOf(seen, until) : seen;
-            System.arraycopy(bytes, 0, seen, (int) at, n);
-            for (int page = (int) at / PAGE; page <= (until - 1) / PAGE; page++) {
-                dirty.put(page, true);
+            int end = (int) offset + length;
+            visible = visible.length < end ? Arrays.copyOf(visible, end) : visible;
+            System.arraycopy(bytes, 0, visible, (int) offset, length);
+            for (int page = (int) offset / PAGE; page <= (end - 1) / PAGE; page++) {
+                dirtyPages.put(page, true);
             }
         }
 
-        void persist(int page, int n) {
-            int from = page * PAGE;
-            int until = Math.min(seen.length, from + n);
-            forced = forced.length < until ? Arrays.copyOf(forced, until) : forced;
-            if (until > from) {
-                System.arraycopy(seen, from, forced, from, until - from);
+        void persist(int page, int length) {
+            int start = page * PAGE;
+            int end = Math.min(visible.length, start + length);
+            durable = durable.length < end ? Arrays.copyOf(durable, end) : durable;
+            if (end > start) {
+                System.arraycopy(visible, start, durable, start, end - start);
             }
         }
     }
 
     /** Something done to names since they were forced. */
-    private record Deed(String from, String to, Data data) {}
+    private record NameChange(String from, String to, Data data) {}
 
     private Map<String, Data> names = new HashMap<>();
-    private Map<String, Data> forcedNames = new HashMap<>();
-    private final List<Deed> deeds = new ArrayList<>();
+    private Map<String, Data> durableNames = new HashMap<>();
+    private final List<NameChange> unsyncedNameChanges = new ArrayList<>();
     private final Random random;
     private boolean locked;
-    private boolean off;
+    private boolean poweredOff;
     /** Steps taken: writes, forces, moves, removals and new files. */
     int steps;
     /** The step at which something goes wrong, and what. */
-    int faultAt = -1;
+    int faultStep = -1;
 
     Fault fault = Fault.NONE;
     /** While set, nothing that takes room goes well. */
@@ -88,22 +88,22 @@
     }
 
     private Fault step() throws IOException {
-        if (off) {
+        if (poweredOff) {
             throw new PowerException();
         }
-        Fault now = steps++ == faultAt ? fault : Fault.NONE;
-        if (now == Fault.POWER) {
-            off = true;
+        Fault stepFault = steps++ == faultStep ? fault : Fault.NONE;
+        if (stepFault == Fault.POWER) {
+            poweredOff = true;
             throw new PowerException();
         }
-        full |= now == Fault.FULL;
-        return now;
+        full |= stepFault == Fault.FULL;
+        return stepFault;
     }
 
     /** The machine is started again: what has survived is there, by chance where it was not forced. */
     void restart() {
-        Map<String, Data> survived = new HashMap<>(forcedNames);
-        for (Deed each : deeds) {
+        Map<String, Data> survived = new HashMap<>(durableNames);
+        for (NameChange each : unsyncedNameChanges) {
             if (random.nextBoolean()) {
                 survived.remove(each.from);
                 if (each.to != null) {
@@ -112,41 +112,41 @@
             }
         }
         for (Data each : survived.values()) {
-            for (int page : each.dirty.keySet()) {
-                int kept = random.nextInt(4);
-                if (kept != 0) {
-                    each.persist(page, kept == 1 ? PAGE / 2 : PAGE);
+            for (int page : each.dirtyPages.keySet()) {
+                int outcome = random.nextInt(4);
+                if (outcome != 0) {
+                    each.persist(page, outcome == 1 ? PAGE / 2 : PAGE);
                 }
             }
-            each.dirty.clear();
-            each.seen = each.forced.clone();
+            each.dirtyPages.clear();
+            each.visible = each.durable.clone();
         }
         names = survived;
-        forcedNames = new HashMap<>(survived);
-        deeds.clear();
+        durableNames = new HashMap<>(survived);
+        unsyncedNameChanges.clear();
         locked = false;
-        off = false;
+        poweredOff = false;
         full = false;
-        faultAt = -1;
+        faultStep = -1;
     }
 
     boolean isOff() {
-        return off;
+        return poweredOff;
     }
 
     /** Changes one bit of a file. */
-    void flip(String name, int at, int bit) {
-        names.get(name).seen[at] ^= 1 << bit;
-        names.get(name).forced[at] ^= 1 << bit;
+    void flipBit(String name, int offset, int bit) {
+        names.get(name).visible[offset] ^= 1 << bit;
+        names.get(name).durable[offset] ^= 1 << bit;
     }
 
     int size(String name) {
-        return names.get(name).seen.length;
+        return names.get(name).visible.length;
     }
 
     @Override
     public List<String> names() throws IOException {
-        if (off) {
+        if (poweredOff) {
             throw new PowerException();
         }
         return List.copyOf(names.keySet());
@@ -160,7 +160,7 @@
         }
         Data data = new Data();
         names.put(name, data);
-        deeds.add(new Deed(name, name, data));
+        unsyncedNameChanges.add(new NameChange(name, name, data));
         return new Handle(data);
     }
 
@@ -177,14 +177,14 @@
         step();
         Data data = names.remove(from);
         names.put(to, data);
-        deeds.add(new Deed(from, to, data));
+        unsyncedNameChanges.add(new NameChange(from, to, data));
     }
 
     @Override
     public void delete(String name) throws IOException {
         step();
         if (names.remove(name) != null) {
-            deeds.add(new Deed(name, null, null));
+            unsyncedNameChanges.add(new NameChange(name, null, null));
         }
     }
 
@@ -193,8 +193,8 @@
         if (step() == Fault.SYNC_FAILS) {
             throw new IOException("Input/output error");
         }
-        forcedNames = new HashMap<>(names);
-        deeds.clear();
+        durableNames = new HashMap<>(names);
+        unsyncedNameChanges.clear();
     }
 
     @Override
@@ -214,54 +214,54 @@
         }
 
         @Override
-        public void write(long at, ByteBuffer bytes) throws IOException {
-            byte[] all = new byte[bytes.remaining()];
-            bytes.get(all);
-            Fault now;
+        public void write(long offset, ByteBuffer bytes) throws IOException {
+            byte[] contents = new byte[bytes.remaining()];
+            bytes.get(contents);
+            Fault stepFault;
             try {
-                now = step();
+                stepFault = step();
             } catch (PowerException e) {
-                data.write(at, all, random.nextInt(all.length + 1)); // as far as it came
+                data.write(offset, contents, random.nextInt(contents.length + 1)); // as far as it came
                 throw e;
             }
-            if (full || now == Fault.WRITE_FAILS) {
+            if (full || stepFault == Fault.WRITE_FAILS) {
                 throw new IOException(full ? "No space left on device" : "Input/output error");
             }
-            if (now == Fault.HALF_WRITTEN) {
-                data.write(at, all, all.length / 2);
+            if (stepFault == Fault.HALF_WRITTEN) {
+                data.write(offset, contents, contents.length / 2);
                 throw new IOException("Input/output error");
             }
-            data.write(at, all, all.length);
+            data.write(offset, contents, contents.length);
         }
 
         @Override
-        public int read(long at, ByteBuffer into) throws IOException {
-            if (off) {
+        public int read(long offset, ByteBuffer into) throws IOException {
+            if (poweredOff) {
                 throw new PowerException();
             }
-            int n = (int) Math.max(0, Math.min(into.remaining(), data.seen.length - at));
-            into.put(data.seen, (int) Math.min(at, data.seen.length), n);
-            return n;
+            int length = (int) Math.max(0, Math.min(into.remaining(), data.visible.length - offset));
+            into.put(data.visible, (int) Math.min(offset, data.visible.length), length);
+            return length;
         }
 
         @Override
         public long size() {
-            return data.seen.length;
+            return data.visible.length;
         }
 
         @Override
         public void sync() throws IOException {
             if (step() == Fault.SYNC_FAILS) {
-                for (int page : data.dirty.keySet()) { // some came there, and none is tried again
+                for (int page : data.dirtyPages.keySet()) { // some came there, and none is tried again
                     if (random.nextBoolean()) {
                         data.persist(page, PAGE);
                     }
                 }
-                data.dirty.clear();
+                data.dirtyPages.clear();
                 throw new IOException("Input/output error");
             }
-            data.dirty.keySet().forEach(page -> data.persist(page, PAGE));
-            data.dirty.clear();
+            data.dirtyPages.keySet().forEach(page -> data.persist(page, PAGE));
+            data.dirtyPages.clear();
         }
 
         @Override
--- a/src/test/java/gatefront/storage/StoreCrashTest.java
+++ b/src/test/java/gatefront/storage/StoreCrashTest.java
@@ -21,29 +21,29 @@
     private static final int HISTORIES = 1_000;
 
     /** What a store holds, by number: the snapshot's records are told with theirs. */
-    private static final class Held implements RecordConsumer {
-        final TreeMap<Long, String> all = new TreeMap<>();
+    private static final class ReplayedRecords implements RecordConsumer {
+        final TreeMap<Long, String> byNumber = new TreeMap<>();
 
         @Override
         public void snapshot(byte[] record) {
             String[] words = text(record).split(" ", 2);
-            assertTrue(all.put(Long.parseLong(words[0]), words[1]) == null, "twice: " + words[0]);
+            assertTrue(byNumber.put(Long.parseLong(words[0]), words[1]) == null, "twice: " + words[0]);
         }
 
         @Override
         public void record(long number, byte[] record) {
-            assertTrue(all.put(number, text(record)) == null, "twice: " + number);
+            assertTrue(byNumber.put(number, text(record)) == null, "twice: " + number);
         }
     }
 
     /** What must be there, and what may be. */
     private static final class Model {
-        final TreeMap<Long, String> kept = new TreeMap<>();
-        final TreeMap<Long, String> unsure = new TreeMap<>();
+        final TreeMap<Long, String> durable = new TreeMap<>();
+        final TreeMap<Long, String> unconfirmed = new TreeMap<>();
         /** Told to be lost; a crash before the store has written again may bring them back. */
-        final TreeMap<Long, String> doubted = new TreeMap<>();
+        final TreeMap<Long, String> possiblyRecovered = new TreeMap<>();
 
-        int made;
+        int created;
     }
 
     private static SigningKeys keys() {
@@ -67,94 +67,96 @@
     }
 
     /** Opens what is there, holds it against the model, and does some more; ends by its own choice or by a fault. */
-    private static void live(MemoryDisk disk, Model model, long seed, int round) throws IOException {
+    private static void runSession(MemoryDisk disk, Model model, long seed, int round) throws IOException {
         Random random = new Random(seed * 31 + round);
-        Held held = new Held();
-        Store store = Store.open(disk, options(seed), held);
-        check(model, held);
-        assertEquals(held.all.isEmpty() ? 0 : held.all.lastKey() + 1, store.next());
+        ReplayedRecords replayed = new ReplayedRecords();
+        Store store = Store.open(disk, options(seed), replayed);
+        check(model, replayed);
+        assertEquals(replayed.byNumber.isEmpty() ? 0 : replayed.byNumber.lastKey() + 1, store.nextRecord());
         for (int i = 0; i < 6 + random.nextInt(8); i++) {
-            int what = random.nextInt(10);
+            int operation = random.nextInt(10);
             try {
-                if (what < 7) {
+                if (operation < 7) {
                     append(store, model, random);
-                } else if (what < 9) {
+                } else if (operation < 9) {
                     store.force();
-                    model.kept.putAll(model.unsure);
-                    model.unsure.clear();
+                    model.durable.putAll(model.unconfirmed);
+                    model.unconfirmed.clear();
                 } else {
                     snapshot(store, model);
                 }
             } catch (StoreFailedException e) {
-                assertEquals(StoreFailedException.Why.DISK, e.why());
+                assertEquals(StoreFailedException.Reason.IO_ERROR, e.reason());
                 disk.full = false;
                 if (e.getCause() instanceof MemoryDisk.PowerException) {
                     throw e;
                 }
                 if (store.failed()) {
-                    model.kept.putAll(model.unsure.headMap(store.next())); // it may have been forced before it failed
-                    model.doubted.putAll(model.unsure.tailMap(store.next()));
-                    model.unsure.clear(); // nothing since the last force is believed
+                    model.durable.putAll(
+                            model.unconfirmed.headMap(store.nextRecord())); // it may have been forced before it failed
+                    model.possiblyRecovered.putAll(model.unconfirmed.tailMap(store.nextRecord()));
+                    model.unconfirmed.clear(); // nothing since the last force is believed
                 }
             }
         }
         if (random.nextBoolean()) {
             store.close();
-            model.kept.putAll(model.unsure);
-            model.unsure.clear();
+            model.durable.putAll(model.unconfirmed);
+            model.unconfirmed.clear();
         }
     }
 
     private static void append(Store store, Model model, Random random) throws StoreFailedException {
         List<byte[]> group = new ArrayList<>();
         boolean force = random.nextInt(3) > 0;
-        TreeMap<Long, String> mine = new TreeMap<>();
+        TreeMap<Long, String> added = new TreeMap<>();
         for (int i = 0; i < 1 + random.nextInt(3); i++) {
-            String record = "r" + model.made++ + "x".repeat(random.nextInt(90));
+            String record = "r" + model.created++ + "x".repeat(random.nextInt(90));
             group.add(bytes(record));
-            mine.put(store.next() + i, record);
+            added.put(store.nextRecord() + i, record);
         }
-        TreeMap<Long, String> before = new TreeMap<>(model.unsure);
-        model.unsure.putAll(mine);
+        TreeMap<Long, String> before = new TreeMap<>(model.unconfirmed);
+        model.unconfirmed.putAll(added);
         store.append(group, force);
-        model.doubted.clear();
-        assertTrue(before.isEmpty() || store.next() > before.lastKey());
+        model.possiblyRecovered.clear();
+        assertTrue(before.isEmpty() || store.nextRecord() > before.lastKey());
         if (force) {
-            model.kept.putAll(model.unsure);
-            model.unsure.clear();
+            model.durable.putAll(model.unconfirmed);
+            model.unconfirmed.clear();
         }
     }
 
     private static void snapshot(Store store, Model model) throws StoreFailedException {
         Store.Snapshot snapshot = store.snapshot();
-        model.kept.putAll(model.unsure);
-        model.unsure.clear();
-        for (var each : model.kept.entrySet()) {
+        model.durable.putAll(model.unconfirmed);
+        model.unconfirmed.clear();
+        for (var each : model.durable.entrySet()) {
             snapshot.add(bytes(each.getKey() + " " + each.getValue()));
         }
         snapshot.finish();
     }
 
-    private static void check(Model model, Held held) {
-        model.kept.forEach((number, record) -> assertEquals(record, held.all.get(number), "number " + number));
-        held.all.forEach((number, record) -> {
-            if (!model.kept.containsKey(number) && !record.equals(model.doubted.get(number))) {
-                assertEquals(record, model.unsure.get(number), "number " + number);
+    private static void check(Model model, ReplayedRecords replayed) {
+        model.durable.forEach(
+                (number, record) -> assertEquals(record, replayed.byNumber.get(number), "number " + number));
+        replayed.byNumber.forEach((number, record) -> {
+            if (!model.durable.containsKey(number) && !record.equals(model.possiblyRecovered.get(number))) {
+                assertEquals(record, model.unconfirmed.get(number), "number " + number);
             }
         });
-        model.kept.putAll(held.all); // what came through the crash is written again, and certain
-        model.unsure.clear();
-        model.doubted.clear();
+        model.durable.putAll(replayed.byNumber); // what came through the crash is written again, and certain
+        model.unconfirmed.clear();
+        model.possiblyRecovered.clear();
     }
 
-    private static void play(long seed, int faultAt, Fault fault) throws IOException {
+    private static void runHistory(long seed, int faultAt, Fault fault) throws IOException {
         MemoryDisk disk = new MemoryDisk(seed * 1_000 + faultAt);
         Model model = new Model();
-        disk.faultAt = faultAt;
+        disk.faultStep = faultAt;
         disk.fault = fault;
         for (int round = 0; round < 3; round++) {
             try {
-                live(disk, model, seed, round);
+                runSession(disk, model, seed, round);
             } catch (MemoryDisk.PowerException e) {
                 // goes on below
             } catch (StoreFailedException e) {
@@ -166,27 +168,29 @@
             }
             disk.restart();
         }
-        Held held = new Held();
-        Store.open(disk, options(seed), held).close();
-        check(model, held);
-        StoreVerification verify = StoreVerification.of(disk, options(seed).keys(), RecordConsumer.NOBODY);
+        ReplayedRecords replayed = new ReplayedRecords();
+        Store.open(disk, options(seed), replayed).close();
+        check(model, replayed);
+        StoreVerification verify = StoreVerification.of(disk, options(seed).keys(), RecordConsumer.IGNORE);
         assertEquals(null, verify.damage());
         assertEquals(
-                held.all.size(),
+                replayed.byNumber.size(),
                 verify.records()
-                        + (verify.snapshot() == 0
+                        + (verify.snapshotNextRecord() == 0
                                 ? 0
-                                : held.all.headMap(verify.snapshot()).size()));
+                                : replayed.byNumber
+                                        .headMap(verify.snapshotNextRecord())
+                                        .size()));
     }
 
     @Test
-    void whateverTheStepAtWhichThePowerGoesNothingKeptIsLostOrTwiceOrHalf() throws IOException {
+    void powerLossAtAnyStepNeitherLosesNorDuplicatesNorTruncatesStoredRecords() throws IOException {
         for (long seed = 0; seed < HISTORIES; seed++) {
             MemoryDisk dry = new MemoryDisk(seed);
-            live(dry, new Model(), seed, 0);
+            runSession(dry, new Model(), seed, 0);
             for (int step = 0; step < dry.steps; step++) {
                 try {
-                    play(seed, step, Fault.POWER);
+                    runHistory(seed, step, Fault.POWER);
                 } catch (IOException | AssertionError e) {
                     throw new AssertionError("history " + seed + ", power lost at step " + step + ": " + e, e);
                 }
@@ -195,14 +199,14 @@
     }
 
     @Test
-    void whateverTheStepAtWhichTheDiskFailsWhatWasKeptIsThere() throws IOException {
+    void diskFailureAtAnyStepLosesNoStoredRecord() throws IOException {
         for (Fault fault : List.of(Fault.WRITE_FAILS, Fault.HALF_WRITTEN, Fault.SYNC_FAILS, Fault.FULL)) {
             for (long seed = 0; seed < HISTORIES / 4; seed++) {
                 MemoryDisk dry = new MemoryDisk(seed);
-                live(dry, new Model(), seed, 0);
+                runSession(dry, new Model(), seed, 0);
                 for (int step = 0; step < dry.steps; step++) {
                     try {
-                        play(seed, step, fault);
+                        runHistory(seed, step, fault);
                     } catch (IOException | AssertionError e) {
                         throw new AssertionError("history " + seed + ", " + fault + " at step " + step + ": " + e, e);
                     }
