--- a/src/test/java/gatefront/storage/StoreTest.java
+++ b/src/test/java/gatefront/storage/StoreTest.java
@@ -24,23 +24,23 @@
 
 /** A store's bounds, its signatures, what it says of damage, and the thread that writes it. */
 class StoreTest {
-    private static final String FIRST = "1 " + "0a".repeat(32) + "\n";
-    private static final String BOTH = FIRST + "# newer\n2 " + "0b".repeat(32) + "\n";
+    private static final String FIRST_KEY = "1 " + "0a".repeat(32) + "\n";
+    private static final String BOTH_KEYS = FIRST_KEY + "# newer\n2 " + "0b".repeat(32) + "\n";
 
     @TempDir
     private Path folder;
 
     private final MemoryDisk disk = new MemoryDisk(1);
-    private final List<String> held = new ArrayList<>();
+    private final List<String> replayed = new ArrayList<>();
     private final RecordConsumer replay = new RecordConsumer() {
         @Override
         public void snapshot(byte[] record) {
-            held.add("s" + text(record));
+            replayed.add("s" + text(record));
         }
 
         @Override
         public void record(long number, byte[] record) {
-            held.add(number + text(record));
+            replayed.add(number + text(record));
         }
     };
 
@@ -56,13 +56,14 @@
         return group;
     }
 
-    private static Store.Options options(String keys, int segment, long most) throws IOException {
-        return new Store.Options(keys == null ? SigningKeys.NONE : SigningKeys.parse("keys", keys), segment, most);
+    private static Store.Options options(String keys, int segmentBytes, long maxBytes) throws IOException {
+        return new Store.Options(
+                keys == null ? SigningKeys.NONE : SigningKeys.parse("keys", keys), segmentBytes, maxBytes);
     }
 
     /** Several segments, a snapshot in the middle, closed in order. */
-    private void fill(String keys) throws IOException {
-        Store store = Store.open(disk, options(keys, 300, 1 << 20), RecordConsumer.NOBODY);
+    private void writeSampleStore(String keys) throws IOException {
+        Store store = Store.open(disk, options(keys, 300, 1 << 20), RecordConsumer.IGNORE);
         store.append(group("a", "b"), true);
         store.append(group("c".repeat(120)), false);
         Store.Snapshot snapshot = store.snapshot();
@@ -75,31 +76,31 @@
     }
 
     @Test
-    void aSnapshotStandsForWhatWasBeforeIt() throws IOException {
-        fill(null);
+    void snapshotReplacesTheLogBeforeIt() throws IOException {
+        writeSampleStore(null);
         Store.open(disk, options(null, 300, 1 << 20), replay).close();
-        assertEquals(List.of("sabc", "3d", "4" + "e".repeat(100), "5" + "f".repeat(100)), held);
+        assertEquals(List.of("sabc", "3d", "4" + "e".repeat(100), "5" + "f".repeat(100)), replayed);
         assertFalse(disk.names().contains(StoreReader.segmentName(1)), "what it stands for is gone");
     }
 
     @Test
-    void eachBitThatChangesIsFound() throws IOException {
-        for (String keys : new String[] {null, FIRST}) {
-            fill(keys);
+    void everySingleBitChangeIsDetected() throws IOException {
+        for (String keys : new String[] {null, FIRST_KEY}) {
+            writeSampleStore(keys);
             for (String name : disk.names()) {
                 for (int at = 0; at < disk.size(name); at++) {
                     int bit = at % 8;
-                    disk.flip(name, at, bit);
+                    disk.flipBit(name, at, bit);
                     StoreVerification verify =
-                            StoreVerification.of(disk, options(keys, 1, 1).keys(), RecordConsumer.NOBODY);
+                            StoreVerification.of(disk, options(keys, 1, 1).keys(), RecordConsumer.IGNORE);
                     assertFalse(verify.clean(), name + " at " + at);
                     assertTrue(
                             verify.damage() == null || verify.damage().file().equals(name) || at < FileHeader.BYTES,
                             () -> name + ": " + verify.damage());
-                    disk.flip(name, at, bit);
+                    disk.flipBit(name, at, bit);
                 }
             }
-            assertTrue(StoreVerification.of(disk, options(keys, 1, 1).keys(), RecordConsumer.NOBODY)
+            assertTrue(StoreVerification.of(disk, options(keys, 1, 1).keys(), RecordConsumer.IGNORE)
                     .clean());
             for (String name : disk.names()) {
                 disk.delete(name);
@@ -108,26 +109,26 @@
     }
 
     @Test
-    void aStoreWithDamageIsNotOpenedAndNotChanged() throws IOException {
-        fill(null);
+    void damagedStoreIsNeitherOpenedNorChanged() throws IOException {
+        writeSampleStore(null);
         String last = StoreReader.segmentName(disk.names().stream()
                 .filter(each -> each.endsWith(".log"))
                 .mapToLong(each -> Long.parseLong(each.substring(0, 16), 16))
                 .max()
                 .orElseThrow());
-        disk.flip(last, FileHeader.BYTES + 70, 1);
+        disk.flipBit(last, FileHeader.BYTES + 70, 1);
         int before = disk.steps;
         CorruptStoreException e =
-                assertThrows(CorruptStoreException.class, () -> Store.open(disk, Store.Options.USUAL, replay));
+                assertThrows(CorruptStoreException.class, () -> Store.open(disk, Store.Options.DEFAULTS, replay));
         assertEquals(last + " at 104: is not what was forced to the disk there", e.getMessage());
         assertEquals(before, disk.steps);
-        disk.flip(last, FileHeader.BYTES + 70, 1);
-        Store.open(disk, Store.Options.USUAL, replay).close(); // and the lock was given back
+        disk.flipBit(last, FileHeader.BYTES + 70, 1);
+        Store.open(disk, Store.Options.DEFAULTS, replay).close(); // and the lock was given back
     }
 
     @Test
-    void filesThatAreMissingAreNamed() throws IOException {
-        fill(null);
+    void missingSegmentsAreReportedByName() throws IOException {
+        writeSampleStore(null);
         List<String> logs = disk.names().stream()
                 .filter(each -> each.endsWith(".log"))
                 .sorted()
@@ -136,24 +137,24 @@
         for (int i = 0; i < logs.size(); i++) {
             Disk.File file = disk.open(logs.get(i));
             disk.delete(logs.get(i));
-            StoreVerification verify = StoreVerification.of(disk, SigningKeys.NONE, RecordConsumer.NOBODY);
+            StoreVerification verify = StoreVerification.of(disk, SigningKeys.NONE, RecordConsumer.IGNORE);
             // Of a log whose end is gone nothing on the disk can tell; a signature by count would need another place.
             assertEquals(i < logs.size() - 1, verify.damage() != null, logs.get(i) + ": " + verify);
             if (i > 0 && i < logs.size() - 1) {
                 assertEquals(logs.get(i) + " at 0: is missing", verify.damage().getMessage());
             }
-            Disk.File again = disk.create(logs.get(i));
+            Disk.File restored = disk.create(logs.get(i));
             ByteBuffer bytes = ByteBuffer.allocate((int) file.size());
             file.read(0, bytes);
-            again.write(0, bytes.flip());
+            restored.write(0, bytes.flip());
         }
-        assertTrue(StoreVerification.of(disk, SigningKeys.NONE, RecordConsumer.NOBODY)
+        assertTrue(StoreVerification.of(disk, SigningKeys.NONE, RecordConsumer.IGNORE)
                 .clean());
     }
 
     @Test
-    void aNewerFormatIsRefusedAndNotTakenForDamageOfTheBytes() throws IOException {
-        Store.open(disk, Store.Options.USUAL, replay).close();
+    void newerFormatIsRefusedAndNotReportedAsCorruption() throws IOException {
+        Store.open(disk, Store.Options.DEFAULTS, replay).close();
         String name = disk.names().get(0);
         ByteBuffer head = ByteBuffer.allocate(FileHeader.BYTES);
         disk.open(name).read(0, head);
@@ -162,35 +163,35 @@
         sum.update(head.duplicate().position(0).limit(36));
         sum.update(head.duplicate().position(40).limit(FileHeader.BYTES));
         disk.create(name).write(0, head.putInt(36, (int) sum.getValue()).rewind());
-        IOException e = assertThrows(IOException.class, () -> Store.open(disk, Store.Options.USUAL, replay));
+        IOException e = assertThrows(IOException.class, () -> Store.open(disk, Store.Options.DEFAULTS, replay));
         assertTrue(e.getMessage().contains("a newer program wrote it"), e.getMessage());
     }
 
     @Test
-    void onlyOneHasAStoreOpen() throws IOException {
-        Store one = Store.open(disk, Store.Options.USUAL, replay);
-        IOException e = assertThrows(IOException.class, () -> Store.open(disk, Store.Options.USUAL, replay));
+    void storeCanBeOpenedOnlyOnceAtATime() throws IOException {
+        Store one = Store.open(disk, Store.Options.DEFAULTS, replay);
+        IOException e = assertThrows(IOException.class, () -> Store.open(disk, Store.Options.DEFAULTS, replay));
         assertEquals("somebody else has this store open", e.getMessage());
         one.close();
-        Store.open(disk, Store.Options.USUAL, replay).close();
+        Store.open(disk, Store.Options.DEFAULTS, replay).close();
         DirectoryDisk real = new DirectoryDisk(folder.resolve("s"));
-        Store held = Store.open(real, Store.Options.USUAL, replay);
+        Store open = Store.open(real, Store.Options.DEFAULTS, replay);
         assertThrows(
                 IOException.class,
-                () -> Store.open(new DirectoryDisk(folder.resolve("s")), Store.Options.USUAL, replay));
-        held.close();
+                () -> Store.open(new DirectoryDisk(folder.resolve("s")), Store.Options.DEFAULTS, replay));
+        open.close();
     }
 
     @Test
-    void startsLeaveNoFilesBehind() throws IOException {
+    void restartsLeaveNoFilesBehind() throws IOException {
         for (int i = 0; i < 20; i++) {
-            Store.open(disk, Store.Options.USUAL, replay).close();
+            Store.open(disk, Store.Options.DEFAULTS, replay).close();
         }
         assertEquals(1, disk.names().size());
     }
 
     @Test
-    void aFullStoreRefusesAndTakesAgainOnceASnapshotHasMadeRoom() throws IOException {
+    void fullStoreRefusesRecordsUntilASnapshotFreesSpace() throws IOException {
         Store store = Store.open(disk, options(null, 1_000, 4_000), replay);
         int n = 0;
         while (true) {
@@ -198,106 +199,109 @@
                 store.append(group("x".repeat(100)), true);
                 n++;
             } catch (StoreFailedException e) {
-                assertEquals(StoreFailedException.Why.BOUND, e.why());
+                assertEquals(StoreFailedException.Reason.SIZE_LIMIT, e.reason());
                 break;
             }
         }
         assertTrue(n > 15 && n < 25, n + " records");
-        assertTrue(store.bytes() <= 4_000);
+        assertTrue(store.sizeBytes() <= 4_000);
         Store.Snapshot tooLarge = store.snapshot();
         StoreFailedException bound = assertThrows(StoreFailedException.class, () -> {
             tooLarge.add(new byte[3_000]);
             tooLarge.finish();
         });
-        assertEquals(StoreFailedException.Why.BOUND, bound.why());
+        assertEquals(StoreFailedException.Reason.SIZE_LIMIT, bound.reason());
         Store.Snapshot snapshot = store.snapshot();
         snapshot.add("sum".getBytes(StandardCharsets.US_ASCII));
         snapshot.finish();
         store.append(group("y"), true);
         store.close();
-        Store.open(disk, Store.Options.USUAL, replay).close();
-        assertEquals(List.of("ssum", n + "y"), held);
+        Store.open(disk, Store.Options.DEFAULTS, replay).close();
+        assertEquals(List.of("ssum", n + "y"), replayed);
     }
 
     @Test
-    void aDiskThatIsFullForAWhileCostsWhatCameMeanwhileAlone() throws IOException {
-        Store store = Store.open(disk, Store.Options.USUAL, replay);
+    void fullDiskLosesOnlyTheRecordsAppendedMeanwhile() throws IOException {
+        Store store = Store.open(disk, Store.Options.DEFAULTS, replay);
         store.append(group("before"), true);
         disk.full = true;
         for (int i = 0; i < 3; i++) {
             assertThrows(StoreFailedException.class, () -> store.append(group("lost"), true));
             assertTrue(store.failed());
-            assertEquals(1, store.next());
+            assertEquals(1, store.nextRecord());
         }
         disk.full = false;
         store.append(group("after"), true);
         assertFalse(store.failed());
         store.close();
-        Store.open(disk, Store.Options.USUAL, replay).close();
-        assertEquals(List.of("0before", "1after"), held);
+        Store.open(disk, Store.Options.DEFAULTS, replay).close();
+        assertEquals(List.of("0before", "1after"), replayed);
     }
 
     @Test
-    void whatAnotherKeySignedOrNoneIsNotRead() throws IOException {
-        fill(FIRST);
+    void storeSignedWithAnUnknownKeyIsNotRead() throws IOException {
+        writeSampleStore(FIRST_KEY);
         assertNotNull(StoreVerification.of(disk, SigningKeys.NONE, replay).damage());
         assertNotNull(StoreVerification.of(disk, SigningKeys.parse("k", "1 " + "0c".repeat(32) + "\n"), replay)
                 .damage());
-        assertNull(
-                StoreVerification.of(disk, SigningKeys.parse("k", BOTH), replay).damage());
+        assertNull(StoreVerification.of(disk, SigningKeys.parse("k", BOTH_KEYS), replay)
+                .damage());
     }
 
     /** Somebody without the key adds a segment that is right in all else. */
     @Test
-    void whatFollowsSignedFilesWithoutASignatureIsNotRead() throws IOException {
-        Store store = Store.open(disk, options(FIRST, 1_000, 1 << 20), replay);
+    void unsignedSegmentAfterSignedOnesIsNotRead() throws IOException {
+        Store store = Store.open(disk, options(FIRST_KEY, 1_000, 1 << 20), replay);
         store.append(group("a"), true);
         store.close();
-        StoreReader scan = new StoreReader(disk, SigningKeys.parse("keys", FIRST), replay).run();
+        StoreReader scan = new StoreReader(disk, SigningKeys.parse("keys", FIRST_KEY), replay).run();
         SignatureChain forged = new SignatureChain(SigningKeys.NONE);
-        forged.begin(scan.certain().last());
+        forged.startFrom(scan.durableChain().lastSignature());
         disk.create(StoreReader.segmentName(2))
-                .write(0, FileHeader.write(FileHeader.Kind.SEGMENT, 2, scan.durableNext, scan.durable, forged));
-        IOException e = assertThrows(IOException.class, () -> Store.open(disk, options(FIRST, 1_000, 1 << 20), replay));
+                .write(
+                        0,
+                        FileHeader.write(FileHeader.Kind.SEGMENT, 2, scan.durableNextRecord, scan.durableEnd, forged));
+        IOException e =
+                assertThrows(IOException.class, () -> Store.open(disk, options(FIRST_KEY, 1_000, 1 << 20), replay));
         assertEquals(
                 StoreReader.segmentName(2) + " at 72: its head is not signed, and what is before it is",
                 e.getMessage());
     }
 
     @Test
-    void aFrameOfAnotherFileIsNone() {
+    void frameOfAnotherFileIsNotAccepted() {
         ByteBuffer bytes = Frame.write(1, 5, FileHeader.BYTES, group("a"), new SignatureChain(SigningKeys.NONE));
         assertNotNull(Frame.read(bytes, 0, 1));
         assertNull(Frame.read(bytes, 0, 2), "a disk may show an old file's blocks in a new one");
     }
 
     @Test
-    void keysChangeWithoutAGapAndTheOldOneIsNeededUntilASnapshot() throws IOException {
-        Store store = Store.open(disk, options(FIRST, 1_000, 1 << 20), replay);
+    void keysCanBeReplacedAndTheOldKeyIsNeededUntilASnapshot() throws IOException {
+        Store store = Store.open(disk, options(FIRST_KEY, 1_000, 1 << 20), replay);
         store.append(group("old"), true);
         assertThrows(
                 IllegalArgumentException.class,
-                () -> store.keys(SigningKeys.parse("k", "2 " + "0b".repeat(32) + "\n")));
-        store.keys(SigningKeys.parse("k", BOTH));
+                () -> store.replaceKeys(SigningKeys.parse("k", "2 " + "0b".repeat(32) + "\n")));
+        store.replaceKeys(SigningKeys.parse("k", BOTH_KEYS));
         store.append(group("new"), true);
         SigningKeys onlyNew = SigningKeys.parse("k", "2 " + "0b".repeat(32) + "\n");
-        assertNotNull(StoreVerification.of(disk, onlyNew, RecordConsumer.NOBODY).damage());
+        assertNotNull(StoreVerification.of(disk, onlyNew, RecordConsumer.IGNORE).damage());
         Store.Snapshot snapshot = store.snapshot();
         snapshot.add(new byte[] {1});
         snapshot.finish();
         store.close();
-        assertNull(StoreVerification.of(disk, onlyNew, RecordConsumer.NOBODY).damage());
+        assertNull(StoreVerification.of(disk, onlyNew, RecordConsumer.IGNORE).damage());
     }
 
     @Test
-    void aKeyFileIsRefusedInOneLineThatShowsNoKey() throws IOException {
+    void invalidKeyFileIsRefusedInOneLineWithoutShowingAKey() throws IOException {
         for (String wrong : List.of(
                 "",
                 "1 0a0b\n",
                 "0 " + "0a".repeat(32) + "\n",
-                FIRST + FIRST,
-                FIRST + "2 zz\n",
-                FIRST + "2 0a",
+                FIRST_KEY + FIRST_KEY,
+                FIRST_KEY + "2 zz\n",
+                FIRST_KEY + "2 0a",
                 "# nothing\n",
                 "1\n",
                 "1 " + "0a".repeat(300) + "\n")) {
@@ -305,86 +309,86 @@
             assertFalse(e.getMessage().contains("0a") || e.getMessage().contains("\n"), e.getMessage());
         }
         Path file = folder.resolve("keys");
-        Files.writeString(file, FIRST);
+        Files.writeString(file, FIRST_KEY);
         Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-r-----"));
         assertThrows(IOException.class, () -> SigningKeys.read(file));
         Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-------"));
-        assertEquals(1, SigningKeys.read(file).signing());
+        assertEquals(1, SigningKeys.read(file).signingKeyId());
     }
 
     @Test
-    void oneWhoFailsWhenToldLeavesTheOthersTheirAnswer() throws Exception {
+    void failingListenerDoesNotAffectOtherListeners() throws Exception {
         GroupCommit commit = new GroupCommit(
-                Store.open(disk, Store.Options.USUAL, replay),
+                Store.open(disk, Store.Options.DEFAULTS, replay),
                 new GroupCommit.Settings(GroupCommit.Policy.GROUP, 500, 64, 16),
                 System::nanoTime,
                 "writer");
-        assertThrows(IllegalArgumentException.class, () -> commit.offer(new byte[Frame.BODY_MOST], null));
-        AtomicInteger kept = new AtomicInteger();
+        assertThrows(IllegalArgumentException.class, () -> commit.offer(new byte[Frame.MAX_BODY_BYTES], null));
+        AtomicInteger stored = new AtomicInteger();
         commit.run(its -> {
             throw new IllegalStateException("one who asks");
         });
         for (int i = 0; i < 3; i++) {
-            commit.offer(new byte[1], new GroupCommit.Told() {
+            commit.offer(new byte[1], new GroupCommit.Listener() {
                 @Override
-                public void kept(long number) {
-                    kept.incrementAndGet();
+                public void stored(long number) {
+                    stored.incrementAndGet();
                     throw new IllegalStateException("one who is told");
                 }
 
                 @Override
-                public void lost(IOException why) {
+                public void failed(IOException why) {
                     throw new AssertionError(why);
                 }
             });
         }
         commit.close();
-        assertEquals(3, kept.get());
+        assertEquals(3, stored.get());
     }
 
     @Test
-    void aThreadWritesForThoseWhoMayNotWaitAndAFullQueueTurnsAway() throws Exception {
-        Store store = Store.open(new DirectoryDisk(folder.resolve("g")), Store.Options.USUAL, replay);
+    void groupCommitWritesQueuedRecordsAndRefusesWhenTheQueueIsFull() throws Exception {
+        Store store = Store.open(new DirectoryDisk(folder.resolve("g")), Store.Options.DEFAULTS, replay);
         GroupCommit commit = new GroupCommit(
                 store, new GroupCommit.Settings(GroupCommit.Policy.GROUP, 500, 64, 16), System::nanoTime, "writer");
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch begun = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
         assertTrue(commit.run(its -> {
-            begun.countDown();
+            blocked.countDown();
             try {
-                held.await();
+                release.await();
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
             }
         }));
-        assertTrue(begun.await(10, TimeUnit.SECONDS));
-        AtomicInteger kept = new AtomicInteger();
-        AtomicInteger turnedAway = new AtomicInteger();
+        assertTrue(blocked.await(10, TimeUnit.SECONDS));
+        AtomicInteger stored = new AtomicInteger();
+        AtomicInteger refused = new AtomicInteger();
         List<Long> numbers = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            boolean taken = commit.offer(("r" + i).getBytes(StandardCharsets.US_ASCII), new GroupCommit.Told() {
+            boolean accepted = commit.offer(("r" + i).getBytes(StandardCharsets.US_ASCII), new GroupCommit.Listener() {
                 @Override
-                public void kept(long number) {
+                public void stored(long number) {
                     numbers.add(number);
-                    kept.incrementAndGet();
+                    stored.incrementAndGet();
                 }
 
                 @Override
-                public void lost(IOException why) {
+                public void failed(IOException why) {
                     throw new AssertionError(why);
                 }
             });
-            turnedAway.addAndGet(taken ? 0 : 1);
+            refused.addAndGet(accepted ? 0 : 1);
         }
-        assertEquals(24, turnedAway.get());
-        held.countDown();
+        assertEquals(24, refused.get());
+        release.countDown();
         commit.close();
-        assertEquals(16, kept.get());
+        assertEquals(16, stored.get());
         assertEquals(List.of(0L, 1L, 2L, 3L), numbers.subList(0, 4));
         assertFalse(commit.offer(new byte[1], null), "it has ended");
-        Store.open(new DirectoryDisk(folder.resolve("g")), Store.Options.USUAL, replay)
+        Store.open(new DirectoryDisk(folder.resolve("g")), Store.Options.DEFAULTS, replay)
                 .close();
-        assertEquals(16, this.held.size());
-        assertEquals("15r15", this.held.get(15));
+        assertEquals(16, this.replayed.size());
+        assertEquals("15r15", this.replayed.get(15));
     }
 }
