--- a/src/main/java/gatefront/storage/DirectoryDisk.java
+++ b/src/main/java/gatefront/storage/DirectoryDisk.java
@@ -13,13 +13,13 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the file system. */
+/** A {@link Disk} backed by a directory of the file system. */
 public final class DirectoryDisk implements Disk {
     private static final String LOCK_FILE = "lock";
 
     private final Path folder;
 
-    /** A folder, made if it is not there; the one above it must be. */
+    /** Opens a directory, creating it if it does not exist; its parent must exist. */
     public DirectoryDisk(Path folder) throws IOException {
         this.folder = folder;
         if (!Files.isDirectory(folder)) {
@@ -28,10 +28,10 @@
         }
     }
 
-    /** A folder that must be there, for one who only looks. */
+    /** Opens a directory that must already exist, for read-only use. */
     public static DirectoryDisk existing(Path folder) throws IOException {
         if (!Files.isDirectory(folder)) {
-            throw new IOException(folder + " is no folder");
+            throw new IOException(folder + " is not a directory");
         }
         return new DirectoryDisk(folder);
     }
@@ -93,7 +93,7 @@
         try {
             lock = file.tryLock();
         } catch (OverlappingFileLockException e) {
-            // held within this process
+            // Another owner in this process holds the lock; lock stays null.
         } finally {
             if (lock == null) {
                 file.close();
@@ -102,7 +102,7 @@
         return lock == null ? null : file;
     }
 
-    /** A file by its channel. */
+    /** A file accessed through its channel. */
     private record Channel(FileChannel channel) implements File {
         @Override
         public void write(long offset, ByteBuffer bytes) throws IOException {
--- a/src/main/java/gatefront/storage/Disk.java
+++ b/src/main/java/gatefront/storage/Disk.java
@@ -6,46 +6,49 @@
 import java.util.List;
 
 /**
- * One folder of files, as far as storage needs one. What is written is certain to survive a crash only once
- * {@link File#sync()} has returned, and a name (new, moved or gone) only once {@link #syncNames()} has.
+ * The file operations of one directory that the store needs. Written data is guaranteed to survive a crash only once
+ * {@link File#sync()} has returned, and a created, renamed or deleted name only once {@link #syncNames()} has.
  */
 public interface Disk {
-    /** A file; its contents are bytes at places. */
+    /** A file with random access by byte offset. */
     interface File extends Closeable {
-        /** Writes all of the bytes from a place on. */
+        /** Writes all remaining bytes of the buffer, starting at an offset of the file. */
         void write(long offset, ByteBuffer bytes) throws IOException;
 
-        /** Reads into the buffer until it is full or the file ends; returns how many bytes came. */
+        /** Reads into the buffer until it is full or the file ends; returns the number of bytes read. */
         int read(long offset, ByteBuffer into) throws IOException;
 
-        /** How long it is. */
+        /** Returns the length in bytes. */
         long size() throws IOException;
 
-        /** Forces what was written to the disk. After it has failed once, nothing is known of what was not forced. */
+        /**
+         * Forces written data to the disk. After a failure, the state of all data not forced before is undefined, and
+         * a later successful call does not make it durable.
+         */
         void sync() throws IOException;
 
         @Override
         void close() throws IOException;
     }
 
-    /** The names of all files, in any order. */
+    /** Returns the names of all files, in any order. */
     List<String> names() throws IOException;
 
-    /** A new, empty file; one of that name is replaced. */
+    /** Creates an empty file, replacing an existing one of that name. */
     File create(String name) throws IOException;
 
-    /** A file that is there, for reading. */
+    /** Opens an existing file for reading. */
     File open(String name) throws IOException;
 
-    /** Gives a file another name, in one step; one of that name is replaced. */
+    /** Renames a file atomically, replacing an existing one of the new name. */
     void move(String from, String to) throws IOException;
 
-    /** Removes a file; none of that name is no fault. */
+    /** Deletes a file if it exists. */
     void delete(String name) throws IOException;
 
-    /** Forces all names to the disk. */
+    /** Forces created, renamed and deleted names to the disk. */
     void syncNames() throws IOException;
 
-    /** Keeps others out until it is closed; null if somebody else has it. */
+    /** Acquires the exclusive lock, which is held until closed; returns null if it is already held. */
     Closeable lock() throws IOException;
 }
--- a/src/main/java/gatefront/storage/FileHeader.java
+++ b/src/main/java/gatefront/storage/FileHeader.java
@@ -4,15 +4,15 @@
 import java.util.zip.CRC32C;
 
 /**
- * The beginning of each file of a store.
+ * The header at the start of each file of a store.
  *
  * @param kind segment or snapshot
- * @param number of a segment, its place among all; of a snapshot, the number of the first record that it does not hold
- * @param firstRecord the number of the first record that follows it
- * @param previousEnd of a segment, the place in the one before it beyond which nothing counts
- * @param previousSignature the last signature before it
- * @param keyId the number of the key that signed the head; 0 for none
- * @param signature its signature
+ * @param number for a segment, its sequence number; for a snapshot, the number of the first record it does not contain
+ * @param firstRecord the number of the first record that follows the header
+ * @param previousEnd for a segment, the offset in the previous segment at which its valid data ends
+ * @param previousSignature the last signature of the chain before this file
+ * @param keyId the number of the key that signed the header; 0 if unsigned
+ * @param signature the signature of the header
  */
 record FileHeader(
         Kind kind,
@@ -22,7 +22,7 @@
         byte[] previousSignature,
         int keyId,
         byte[] signature) {
-    /** What a file is. */
+    /** The kinds of files, with the magic word each begins with. */
     enum Kind {
         SEGMENT("GFLOG"),
         SNAPSHOT("GFSNAP");
@@ -35,14 +35,14 @@
     }
 
     static final int BYTES = 8 + 3 * Long.BYTES + 2 * Integer.BYTES + 2 * SigningKeys.SIGNATURE_BYTES;
-    /** The format that is written. A reader has a branch for each that was ever written; so far there is this one. */
+    /** The format version written. Readers must support every version ever released; so far this is the only one. */
     static final byte VERSION = 1;
 
     private static final int VERSION_OFFSET = 7;
     private static final int SIGNATURE_OFFSET = BYTES - SigningKeys.SIGNATURE_BYTES;
     private static final int CHECKSUM_OFFSET = SIGNATURE_OFFSET - SigningKeys.SIGNATURE_BYTES - Integer.BYTES;
 
-    /** The bytes of a new head; the chain goes on to it. */
+    /** Encodes and signs a new header, and advances the chain over it. */
     static ByteBuffer write(Kind kind, long number, long firstRecord, long previousEnd, SignatureChain chain) {
         ByteBuffer bytes = ByteBuffer.allocate(BYTES);
         for (int i = 0; i < kind.magic.length(); i++) {
@@ -63,26 +63,35 @@
         return bytes.putInt(CHECKSUM_OFFSET, checksum(bytes)).rewind();
     }
 
-    /** Reads a head and follows its chain from what it says; without a chain its signature is not looked at. */
+    /**
+     * Decodes and checks a header, and restarts the chain from the previous signature that it states. The signature is
+     * not verified if {@code chain} is null.
+     */
     static FileHeader read(String file, ByteBuffer bytes, Kind kind, SignatureChain chain)
             throws CorruptStoreException {
         if (bytes.limit() < BYTES) {
-            throw new CorruptStoreException(file, bytes.limit(), "ends within its head");
+            throw new CorruptStoreException(
+                    file, bytes.limit(), "file header truncated: got " + bytes.limit() + " of " + BYTES + " bytes");
         }
         for (int i = 0; i < VERSION_OFFSET; i++) {
             if (bytes.get(i) != (i < kind.magic.length() ? (byte) kind.magic.charAt(i) : 0)) {
-                throw new CorruptStoreException(file, i, "does not begin as such a file does");
+                throw new CorruptStoreException(file, i, "not a " + kind + " file: expected magic " + kind.magic);
             }
         }
         if (bytes.getInt(CHECKSUM_OFFSET) != checksum(bytes)) {
-            throw new CorruptStoreException(file, 0, "its head has another checksum than its bytes");
+            throw new CorruptStoreException(
+                    file,
+                    0,
+                    "file header checksum mismatch: stored "
+                            + Integer.toHexString(bytes.getInt(CHECKSUM_OFFSET))
+                            + ", computed " + Integer.toHexString(checksum(bytes)));
         }
         if (bytes.get(VERSION_OFFSET) != VERSION) {
             throw new CorruptStoreException(
                     file,
                     VERSION_OFFSET,
-                    "has format " + bytes.get(VERSION_OFFSET) + ", and formats up to " + VERSION
-                            + " are known here; a newer program wrote it");
+                    "file format " + bytes.get(VERSION_OFFSET) + " is not supported (latest supported: " + VERSION
+                            + "); the file was written by a newer version");
         }
         byte[] previousSignature = new byte[SigningKeys.SIGNATURE_BYTES];
         bytes.get(CHECKSUM_OFFSET + Integer.BYTES, previousSignature);
@@ -100,7 +109,7 @@
             chain.startFrom(previousSignature);
             String problem = chain.verifyAndAdvance(header.keyId, signature, signedBytes(bytes), new byte[0]);
             if (problem != null) {
-                throw new CorruptStoreException(file, SIGNATURE_OFFSET, "its head " + problem);
+                throw new CorruptStoreException(file, SIGNATURE_OFFSET, "file header " + problem);
             }
         }
         return header;
--- a/src/main/java/gatefront/storage/Frame.java
+++ b/src/main/java/gatefront/storage/Frame.java
@@ -6,34 +6,35 @@
 import java.util.zip.CRC32C;
 
 /**
- * What is written at once: some records, or none, which is a mark. Its checksum covers all of it and the number of its
- * file, so that bytes of another file, or of another place, are no frame.
+ * A group of records that is written at once. A frame without records is an end marker. The checksum covers the whole
+ * frame and the number of its file, so that stale blocks of another file are not accepted as a frame.
  *
- * @param firstRecord the number of its first record; of a mark, of the next
- * @param durableEnd the place in its file up to which everything had been forced to the disk when it was written
- * @param keyId the number of the key that signed it; 0 for none
+ * @param firstRecord the number of its first record; for an end marker, the number of the next record
+ * @param durableEnd the offset in its file up to which all data had been forced to the disk when it was written
+ * @param keyId the number of the key that signed it; 0 if unsigned
  * @param signature its signature
- * @param records what it holds
- * @param length its bytes, with the head
+ * @param records its records
+ * @param length its size in bytes, including the header
  */
 record Frame(long firstRecord, long durableEnd, int keyId, byte[] signature, List<byte[]> records, int length) {
     static final int HEADER_BYTES = 32 + SigningKeys.SIGNATURE_BYTES;
-    /** Bytes of a frame's body at the most. */
+    /** The largest body of a frame, in bytes. */
     static final int MAX_BODY_BYTES = 16 << 20;
 
     private static final int CHECKSUM_OFFSET = 4;
 
-    /** Bytes that a record takes in a frame's body. */
+    /** Returns the number of bytes that a record takes in a frame's body. */
     static int encodedSize(byte[] record) {
         return Integer.BYTES + record.length;
     }
 
-    /** The bytes of a new frame; the chain goes on to it. */
+    /** Encodes and signs a new frame, and advances the chain over it. */
     static ByteBuffer write(
             long fileNumber, long firstRecord, long durableEnd, List<byte[]> records, SignatureChain chain) {
         int bodyLength = records.stream().mapToInt(Frame::encodedSize).sum();
         if (bodyLength > MAX_BODY_BYTES) {
-            throw new IllegalArgumentException(bodyLength + " bytes are too much for a frame");
+            throw new IllegalArgumentException(
+                    "frame body of " + bodyLength + " bytes exceeds the limit of " + MAX_BODY_BYTES);
         }
         ByteBuffer bytes = ByteBuffer.allocate(HEADER_BYTES + bodyLength);
         int keyId = chain.signingKeyId();
@@ -52,7 +53,7 @@
         return bytes.rewind();
     }
 
-    /** The frame that begins at a place of a file's bytes; null if none does. Its signature is not looked at. */
+    /** Decodes the frame at an offset; returns null if there is no valid one. Does not verify its signature. */
     static Frame read(ByteBuffer bytes, int offset, long fileNumber) {
         if (bytes.limit() - offset < HEADER_BYTES) {
             return null;
@@ -76,7 +77,8 @@
             records.add(SignatureChain.readBytes(remaining, length));
         }
         if (remaining.hasRemaining() || records.size() != count) {
-            return null; // a writer of ours never made it, whatever its checksum says
+            // The checksum is right, but no writer produces a body whose size and record count disagree.
+            return null;
         }
         byte[] signature = new byte[SigningKeys.SIGNATURE_BYTES];
         bytes.get(offset + HEADER_BYTES - SigningKeys.SIGNATURE_BYTES, signature);
@@ -89,15 +91,16 @@
                 HEADER_BYTES + bodyLength);
     }
 
-    /** What is wrong with the signature of the frame that begins there, or null; the chain goes on to it. */
+    /** Verifies the signature of this frame and advances the chain over it; returns what is wrong, or null. */
     String verifySignature(ByteBuffer bytes, int offset, long fileNumber, SignatureChain chain) {
         ByteBuffer frame =
                 bytes.duplicate().position(offset).limit(offset + length).slice();
-        return chain.verifyAndAdvance(
+        String problem = chain.verifyAndAdvance(
                 keyId, signature, signedHeader(frame, fileNumber), bodyBytes(frame, length - HEADER_BYTES));
+        return problem == null ? null : "frame " + problem;
     }
 
-    /** What of the head is signed: all but checksum and signature, and the number of the file. */
+    /** Returns the signed header data: all fields but checksum and signature, and the number of the file. */
     private static byte[] signedHeader(ByteBuffer frame, long fileNumber) {
         ByteBuffer header =
                 ByteBuffer.allocate(HEADER_BYTES - SigningKeys.SIGNATURE_BYTES - Integer.BYTES + Long.BYTES);
--- a/src/main/java/gatefront/storage/GroupCommit.java
+++ b/src/main/java/gatefront/storage/GroupCommit.java
@@ -11,44 +11,45 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * The thread that a store belongs to, for those who may not wait for a disk. They hand records over by a bounded queue;
- * the thread takes all that is there, up to a number of records and bytes, adds them as one frame, forces it as the
- * policy says, and tells each what came of it, on its own thread.
+ * A writer thread that owns a store, for threads that must not block on the disk. They submit records through a bounded
+ * queue; the writer collects the waiting records, up to a number of records and bytes, appends them as one frame,
+ * forces it as the policy says, and reports the result to each record's listener on the writer thread.
  *
- * <p>State: the queue, bounded by {@link Settings#queueCapacity()}; what a full one turns away, the caller counts. No
- * record is in it longer than it takes to write and force two groups, and the time that a group waits for more.
+ * <p>State: the queue, bounded by {@link Settings#queueCapacity()}; the submitter counts the records that a full queue
+ * refuses. A record is queued for at most the time to write and force two groups plus the time that a group waits for
+ * more records.
  */
 public final class GroupCommit implements Closeable {
-    /** When what was added is forced to the disk. */
+    /** When appended records are forced to the disk. */
     public enum Policy {
-        /** Before anybody is told, each record by itself. */
+        /** Each record is forced by itself before its listener is called. */
         EACH,
-        /** Before anybody is told, all of a group at once. */
+        /** All records of a group are forced together before their listeners are called. */
         GROUP,
-        /** When the system likes; who is told that a record is kept may lose it with the power. */
+        /** The operating system decides; records reported as stored may be lost on a power failure. */
         NONE
     }
 
     /**
-     * How groups are made.
+     * How groups are formed.
      *
-     * @param policy when they are forced
-     * @param waitMicros how long the first record of a group waits for more
-     * @param maxGroupRecords records of a group
-     * @param queueCapacity records that wait, a power of two
+     * @param policy when they are forced to the disk
+     * @param waitMicros how long the first record of a group waits for more, in microseconds
+     * @param maxGroupRecords the largest number of records in a group
+     * @param queueCapacity the largest number of queued records, a power of two
      */
     public record Settings(Policy policy, long waitMicros, int maxGroupRecords, int queueCapacity) {}
 
-    /** Who is told. */
+    /** Receives the result for one record, on the writer thread. */
     public interface Listener {
-        /** The record has this number, and is kept as the policy says. */
+        /** The record was stored under this number, with the durability of the policy. */
         void stored(long number);
 
-        /** It is not kept. */
+        /** The record was not stored. */
         void failed(IOException cause);
     }
 
-    /** A record, or something to be done with the store. */
+    /** A queued record with its listener, or a task to run on the store. */
     private record Item(byte[] record, Listener listener, Consumer<Store> task) {}
 
     private static final int MAX_GROUP_BYTES = 1 << 20;
@@ -62,9 +63,10 @@
     private final Thread thread;
     private volatile boolean sleeping;
     private volatile boolean closed;
-    private Item deferred; // taken from the queue, for the next group
+    /** An item that was taken from the queue but did not fit into the current group. */
+    private Item deferred;
 
-    /** A thread for a store, which is its own from now on. */
+    /** Starts a writer thread, which owns the store from now on. */
     public GroupCommit(Store store, Settings settings, LongSupplier nanoClock, String threadName) {
         this.store = store;
         this.settings = settings;
@@ -76,24 +78,27 @@
     }
 
     /**
-     * Hands a record over, from any thread; false if too many wait, or it has ended, and nobody is told then.
+     * Submits a record, from any thread. Returns false if the queue is full or this writer is closed; the listener is
+     * not called then.
      *
-     * @throws IllegalArgumentException if no frame could hold it
+     * @throws IllegalArgumentException if the record is too large for a frame
      */
     public boolean offer(byte[] record, Listener listener) {
         if (Frame.encodedSize(record) > Frame.MAX_BODY_BYTES) {
-            throw new IllegalArgumentException("a record of " + record.length + " bytes is too large");
+            throw new IllegalArgumentException(
+                    "record of " + record.length + " bytes exceeds the frame limit of " + Frame.MAX_BODY_BYTES);
         }
         return offer(new Item(record, listener, null));
     }
 
-    /** Has something done with the store, in its turn. */
+    /** Queues a task that runs on the store, on the writer thread; returns false like {@link #offer}. */
     public boolean run(Consumer<Store> task) {
         return offer(new Item(null, null, task));
     }
 
     private boolean offer(Item item) {
-        activeOffers.incrementAndGet(); // the thread ends only when nobody is between the look and the queue
+        // The writer ends only while no thread is between the check of closed and the insertion into the queue.
+        activeOffers.incrementAndGet();
         try {
             if (closed || !queue.offer(item)) {
                 return false;
@@ -146,7 +151,7 @@
         }
     }
 
-    /** The next in the queue; waits so long for it, or until there is something to look at if negative. */
+    /** Takes the next item, waiting up to this time; with a negative time, until woken or idle for a second. */
     private Item take(long waitNanos) {
         if (deferred != null) {
             Item next = deferred;
@@ -157,7 +162,8 @@
         if (next != null || waitNanos == 0 || closed) {
             return next;
         }
-        sleeping = true; // who offers after this look sees it, and wakes the thread
+        // A thread that offers an item after the second poll sees the flag and unparks the writer.
+        sleeping = true;
         next = queue.poll();
         if (next == null) {
             LockSupport.parkNanos(this, waitNanos < 0 ? IDLE_WAIT_NANOS : Math.min(waitNanos, IDLE_WAIT_NANOS));
@@ -189,7 +195,7 @@
         }
     }
 
-    /** Guards against a fault of one who is told, or asks, that would leave all others without an answer. */
+    /** Guards against an exception of one listener or task that would leave all others without a result. */
     private void runGuarded(Runnable action) {
         try {
             action.run();
@@ -198,7 +204,7 @@
         }
     }
 
-    /** Takes no more, writes what waits and closes the store. */
+    /** Refuses further items, writes the queued ones and closes the store. */
     @Override
     public void close() throws IOException {
         closed = true;
--- a/src/main/java/gatefront/storage/RecordConsumer.java
+++ b/src/main/java/gatefront/storage/RecordConsumer.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 
-/** Who is told what a store holds, in order: first what the snapshot has, then each record since. */
+/** Receives the contents of a store in order: first the records of the snapshot, then the log records after it. */
 public interface RecordConsumer {
-    /** One that wants nothing. */
+    /** Ignores all records. */
     RecordConsumer IGNORE = new RecordConsumer() {
         @Override
         public void snapshot(byte[] record) {}
@@ -13,9 +13,9 @@
         public void record(long number, byte[] record) {}
     };
 
-    /** A record of the snapshot. */
+    /** Receives a record of the snapshot. */
     void snapshot(byte[] record) throws IOException;
 
-    /** A record of the log, with its number. */
+    /** Receives a record of the log with its number. */
     void record(long number, byte[] record) throws IOException;
 }
--- a/src/main/java/gatefront/storage/SignatureChain.java
+++ b/src/main/java/gatefront/storage/SignatureChain.java
@@ -4,8 +4,8 @@
 import java.security.MessageDigest;
 
 /**
- * What ties each piece of a store to all before it: the last signature, which the next one is made over. Where nothing
- * has been signed yet it is all zeros, and stays so. Once something was signed, nothing without a signature follows.
+ * Chains the signatures of a store: each signature also covers the one before it. Until something is signed, the last
+ * signature is all zeros. Once something has been signed, unsigned data is rejected.
  */
 final class SignatureChain {
     private SigningKeys keys;
@@ -22,24 +22,24 @@
         this.signed = from.signed;
     }
 
-    /** One that goes on from here by itself. */
+    /** Returns an independent copy. */
     SignatureChain copy() {
         return new SignatureChain(keys, this);
     }
 
-    /** Goes on from where another stands. */
+    /** Takes over the position of another chain. */
     void copyFrom(SignatureChain other) {
         lastSignature = other.lastSignature;
         signed = other.signed;
     }
 
-    /** Goes on from what a file says. */
+    /** Restarts from the previous signature stated by a file's header. */
     void startFrom(byte[] signature) {
         lastSignature = signature;
         signed |= !isAllZeros(signature);
     }
 
-    /** Signs with others from now on. */
+    /** Signs with other keys from now on. */
     void replaceKeys(SigningKeys newKeys) {
         keys = newKeys;
     }
@@ -52,12 +52,12 @@
         return keys.signingKeyId();
     }
 
-    /** The signature of a piece by a key; all zeros for key 0. */
+    /** Returns the signature of a header and body by a key; all zeros for key 0. */
     byte[] sign(int keyId, byte[] header, byte[] body) {
         return keyId == 0 ? new byte[SigningKeys.SIGNATURE_BYTES] : keys.sign(keyId, lastSignature, header, body);
     }
 
-    /** A piece has been written, with this signature. */
+    /** Advances over data that was written with this signature. */
     void advance(int keyId, byte[] signature) {
         if (keyId != 0) {
             lastSignature = signature;
@@ -65,18 +65,18 @@
         }
     }
 
-    /** A piece has been read; returns what is wrong with its signature, or null. */
+    /** Verifies the signature of data that was read and advances over it; returns what is wrong, or null. */
     String verifyAndAdvance(int keyId, byte[] signature, byte[] header, byte[] body) {
         if (keyId == 0) {
             return signed
-                    ? "is not signed, and what is before it is"
-                    : isAllZeros(signature) ? null : "has a signature of no key";
+                    ? "is not signed, but the data before it is"
+                    : isAllZeros(signature) ? null : "has a signature but no key number";
         }
         if (!keys.has(keyId)) {
             return "is signed with key " + keyId + ", which is not among the keys";
         }
         if (!MessageDigest.isEqual(signature, keys.sign(keyId, lastSignature, header, body))) {
-            return "has another signature than its bytes";
+            return "has a signature that does not match its contents";
         }
         advance(keyId, signature);
         return null;
--- a/src/main/java/gatefront/storage/SigningKeys.java
+++ b/src/main/java/gatefront/storage/SigningKeys.java
@@ -15,22 +15,23 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * The keys by which what is stored is known to be ours. The one with the highest number signs; all others are for
- * reading what was signed before. Immutable: a key file that changes is read again into another.
+ * The HMAC keys that authenticate stored data. The key with the highest number signs; the others verify data signed
+ * earlier. The set of keys is immutable: a changed key file is read into a new instance.
  */
 public final class SigningKeys {
-    /** No keys: nothing is signed, and what is signed cannot be read. */
+    /** No keys: nothing is signed, and signed data cannot be read. */
     public static final SigningKeys NONE = new SigningKeys(new TreeMap<>());
-    /** Bytes of a signature. */
+    /** The size of a signature in bytes. */
     static final int SIGNATURE_BYTES = 32;
 
     private static final int MIN_KEY_BYTES = 16;
     private static final int MAX_KEY_BYTES = 256;
     private static final int MAX_LINES = 1_000;
+    private static final int MAX_FILE_BYTES = MAX_LINES * (2 * MAX_KEY_BYTES + 16);
     private static final String ALGORITHM = "HmacSHA256";
 
     private final TreeMap<Integer, SecretKeySpec> byId;
-    /** One for each key, made when first used; as many as there are keys. One thread. */
+    /** One instance per key, created on first use; not safe for use by several threads. */
     private final Map<Integer, Mac> macs = new HashMap<>();
 
     private SigningKeys(TreeMap<Integer, SecretKeySpec> byId) {
@@ -38,20 +39,21 @@
     }
 
     /**
-     * Reads a key file: a line for each, its number and its bytes in hex; a line that begins with # says nothing.
+     * Reads a key file. Each line holds a key's number and its bytes in hex; lines that begin with # are comments.
      *
-     * @throws IOException with one line that says what is wrong; never what a key is
+     * @throws IOException with a message of one line, which never contains key material
      */
     public static SigningKeys read(Path file) throws IOException {
         Set<PosixFilePermission> permissions = Files.getPosixFilePermissions(file);
         permissions.remove(PosixFilePermission.OWNER_READ);
         permissions.remove(PosixFilePermission.OWNER_WRITE);
         if (!permissions.isEmpty()) {
-            throw new IOException(file + " may be read or written by others than its owner; its rights are to be 0600");
+            throw new IOException(file + " is accessible to others than its owner; its permissions must be 0600");
         }
         byte[] text = Files.readAllBytes(file);
-        if (text.length > MAX_LINES * (2 * MAX_KEY_BYTES + 16)) {
-            throw new IOException(file + " is larger than a key file may be");
+        if (text.length > MAX_FILE_BYTES) {
+            throw new IOException(
+                    file + " is too large for a key file: " + text.length + " bytes, limit " + MAX_FILE_BYTES);
         }
         return parse(file.toString(), new String(text, StandardCharsets.US_ASCII));
     }
@@ -59,7 +61,7 @@
     static SigningKeys parse(String file, String text) throws IOException {
         TreeMap<Integer, SecretKeySpec> byId = new TreeMap<>();
         if (!text.endsWith("\n")) {
-            throw new IOException(file + ": its last line has no end; it may be half written");
+            throw new IOException(file + ": the last line does not end with a newline; the file may be truncated");
         }
         int lineNumber = 0;
         for (String line : text.split("\n")) {
@@ -75,30 +77,31 @@
                     throw new IllegalArgumentException("out of range");
                 }
                 if (byId.put(id, new SecretKeySpec(key, ALGORITHM)) != null) {
-                    throw new IOException(file + ":" + lineNumber + ": key " + id + " is there twice");
+                    throw new IOException(file + ":" + lineNumber + ": key " + id + " is defined twice");
                 }
             } catch (IllegalArgumentException e) {
-                throw new IOException(file + ":" + lineNumber + ": is to be a number from 1 and " + MIN_KEY_BYTES
-                        + " to " + MAX_KEY_BYTES + " bytes in hex"); // the cause would show the key
+                // The cause is left out: its message would contain the key.
+                throw new IOException(file + ":" + lineNumber + ": expected a key number of at least 1 and "
+                        + MIN_KEY_BYTES + " to " + MAX_KEY_BYTES + " bytes in hex");
             }
         }
         if (byId.isEmpty()) {
-            throw new IOException(file + " holds no key");
+            throw new IOException(file + " contains no key");
         }
         return new SigningKeys(byId);
     }
 
-    /** The number of the key that signs; 0 if there is none. */
+    /** Returns the number of the key that signs; 0 if there is none. */
     int signingKeyId() {
         return byId.isEmpty() ? 0 : byId.lastKey();
     }
 
-    /** Whether a key is there. */
+    /** Returns whether a key of this number exists. */
     boolean has(int id) {
         return byId.containsKey(id);
     }
 
-    /** The signature by a key of several stretches of bytes. */
+    /** Returns the signature by a key over the concatenation of the parts. */
     byte[] sign(int id, byte[]... parts) {
         Mac mac = macs.computeIfAbsent(id, key -> {
             try {
@@ -106,7 +109,7 @@
                 created.init(byId.get(key));
                 return created;
             } catch (GeneralSecurityException e) {
-                throw new IllegalStateException(e); // every JDK has it
+                throw new IllegalStateException(e); // HmacSHA256 is required of every Java platform
             }
         });
         for (byte[] part : parts) {
--- a/src/main/java/gatefront/storage/Store.java
+++ b/src/main/java/gatefront/storage/Store.java
@@ -9,42 +9,42 @@
 import java.util.TreeMap;
 
 /**
- * A log of records and the snapshot that stands for its beginning. One thread.
+ * A log of records with a snapshot that replaces its beginning. Not safe for use by several threads.
  *
- * <p>Why nothing that was forced to the disk is lost or comes twice: a frame is at one place, and the next frame, or
- * the head of the next segment, says up to where all was certain when it was written. A crash can only leave a part of
- * what comes after that, and reading ends before the first piece of it that is not whole. What was read beyond the
- * certain place may not be on the disk yet, so each start writes it again into a new segment, whose head says that the
- * old one ends before it; the segment gets its name only once all of it has been forced, so either both the head and
- * the pieces count, or neither. The same holds after a write or a force that failed: nothing from that file is believed
- * beyond the last force that did not.
+ * <p>Records that were forced to the disk are neither lost nor duplicated, for these reasons. Each frame and each
+ * segment's header state up to which offset all data before it was durable when it was written. A crash can only leave
+ * data after that offset incomplete, and reading ends before the first incomplete frame. Frames read beyond the durable
+ * offset may not be on the disk yet, so each start writes them again into a new segment, whose header states that the
+ * old one ends before them. The segment gets its final name only after all of it has been forced, so its header and the
+ * rewritten frames become valid together or not at all. The same applies after a failed write or force: data of that
+ * file after the last successful force is discarded.
  *
- * <p>State: open files are the current segment and a snapshot in the making. {@link #segmentSizes} has an entry for
- * each file of the log, added by {@link #beginSegment} and removed by a snapshot; {@link Options#maxBytes()} bounds
- * them.
+ * <p>State: the open files are the current segment and a snapshot that is being written. {@link #segmentSizes} has an
+ * entry for each earlier segment, added by {@link #beginSegment} and removed when a snapshot replaces it;
+ * {@link Options#maxBytes()} bounds them.
  */
 public final class Store implements Closeable {
     /**
-     * How a store is kept.
+     * The settings of a store.
      *
-     * @param keys by which it is signed
-     * @param segmentBytes from which size on another segment is begun
-     * @param maxBytes what all files together may take; records beyond are refused
+     * @param keys the keys that sign it
+     * @param segmentBytes the size at which a new segment is started, in bytes
+     * @param maxBytes the limit on the size of all files together, in bytes; records beyond it are refused
      */
     public record Options(SigningKeys keys, int segmentBytes, long maxBytes) {
-        /** Not signed, segments of 4 MiB, a gigabyte. */
+        /** Unsigned, segments of 4 MiB, at most 1 GiB. */
         public static final Options DEFAULTS = new Options(SigningKeys.NONE, 4 << 20, 1 << 30);
     }
 
-    /** Room for heads and marks, without which a full store could neither be closed nor cut down. */
+    /** Space reserved for headers and end markers, so that a full store can still be closed and compacted. */
     private static final int RESERVED_BYTES = 3 * FileHeader.BYTES + 2 * Frame.HEADER_BYTES;
 
     private final Disk disk;
     private final Options options;
     private final Closeable lock;
-    /** The size of each segment but the current one, by its number. */
+    /** The size in bytes of each segment except the current one, by segment number. */
     private final TreeMap<Long, Long> segmentSizes = new TreeMap<>();
-    /** By number of segment, which record each begins with; the current one too. */
+    /** The number of the first record of each segment, including the current one, by segment number. */
     private final TreeMap<Long, Long> firstRecords = new TreeMap<>();
 
     private final SignatureChain chain;
@@ -78,10 +78,11 @@
     }
 
     /**
-     * Opens a store, or makes one in an empty folder, and tells what it holds.
+     * Opens a store, or creates one in an empty directory, and passes its records to {@code replay}.
      *
-     * @throws CorruptStoreException if a file is not what was written; nothing has been changed then
-     * @throws IOException if somebody else has it open, or the disk would not do
+     * @throws CorruptStoreException if a file is damaged; no file has been changed then
+     * @throws StoreInUseException if it is already open
+     * @throws IOException if a disk operation fails
      */
     public static Store open(Disk disk, Options options, RecordConsumer replay) throws IOException {
         Closeable lock = disk.lock();
@@ -106,16 +107,19 @@
         }
     }
 
-    /** What was read beyond what is certain goes into a new segment; one that holds nothing certain is replaced. */
+    /**
+     * Rewrites the frames read beyond the durable offset into a new segment. A last segment without durable frames is
+     * replaced.
+     */
     private void beginFirstSegment(StoreReader reader) throws IOException {
         boolean empty = !segmentSizes.isEmpty() && durableEnd == FileHeader.BYTES;
         long lastNumber = segmentSizes.isEmpty() ? 0 : segmentSizes.lastKey();
         List<List<byte[]>> unconfirmed = reader.unconfirmed.stream()
-                .map(records -> records.frame().records())
+                .map(unconfirmedFrame -> unconfirmedFrame.frame().records())
                 .filter(records -> !records.isEmpty())
                 .toList();
         if (empty) {
-            // The replaced one's own head stands for what the one before it holds.
+            // The header of the replaced segment states where the segment before it ends, so its values are kept.
             StoreReader.Segment replaced = reader.segments.get(reader.segments.size() - 1);
             chain.startFrom(replaced.header().previousSignature());
             durableChain.copyFrom(chain);
@@ -125,7 +129,7 @@
         }
     }
 
-    /** Makes a segment that begins where what is certain ends, with some frames in it, and goes on there. */
+    /** Creates a segment that starts after the last durable record and contains these frames, and switches to it. */
     private void beginSegment(long number, long previousEnd, List<List<byte[]>> frames) throws IOException {
         String name = StoreReader.segmentName(number);
         SignatureChain newChain = durableChain.copy();
@@ -151,7 +155,7 @@
         }
         if (file != null) {
             segmentSizes.put(segmentNumber, segmentEnd);
-            closeQuietly(file); // forced already, or not believed
+            closeQuietly(file); // already forced, or its undurable data is discarded
         }
         segmentSizes.remove(number);
         firstRecords.put(number, durableNextRecord);
@@ -169,12 +173,12 @@
         durableChain.copyFrom(chain);
     }
 
-    /** The number that the next record gets. After a failure it is that after the last record forced to the disk. */
+    /** Returns the number of the next record; after a failure, the one after the last record forced to the disk. */
     public long nextRecord() {
         return nextRecord;
     }
 
-    /** The bytes of all files. */
+    /** Returns the total size of all files in bytes. */
     public long sizeBytes() {
         return segmentSizes.values().stream().mapToLong(Long::longValue).sum()
                 + segmentEnd
@@ -182,31 +186,33 @@
                 + (pendingSnapshot == null ? 0 : pendingSnapshot.snapshotEnd);
     }
 
-    /** Whether the last write failed, and none since has gone well. */
+    /** Returns whether the last write failed; a later successful write clears this. */
     public boolean failed() {
         return lastFailure != null;
     }
 
     /**
-     * Adds records, all or none. They are certain once this returns if they are forced, else after the next force.
+     * Appends records, all or none. They are durable once this returns if {@code force} is set, otherwise after the
+     * next force.
      *
-     * @param records one or more; a frame's bytes at the most
-     * @param force whether they are to be on the disk when this returns
-     * @throws StoreFailedException if none of them is kept; after a fault of the disk, no record since the last force
-     *     is, but one that had reached the disk may come back if the process ends before the store has written again
+     * @param records one or more records that fit into one frame
+     * @param force whether to force them to the disk before returning
+     * @throws StoreFailedException if none of them was stored. After a disk error, all records since the last force are
+     *     discarded; one that had reached the disk may reappear if the process ends before the store has written again
      */
     public void append(List<byte[]> records, boolean force) throws StoreFailedException {
         int size = Frame.HEADER_BYTES
                 + records.stream().mapToInt(Frame::encodedSize).sum();
         if (records.isEmpty() || size - Frame.HEADER_BYTES > Frame.MAX_BODY_BYTES) {
-            throw new IllegalArgumentException("a frame holds one record or more, and " + Frame.MAX_BODY_BYTES
-                    + " bytes at the most, not " + size);
+            throw new IllegalArgumentException("a frame takes at least one record and at most " + Frame.MAX_BODY_BYTES
+                    + " bytes; got " + records.size() + " records, " + (size - Frame.HEADER_BYTES) + " bytes");
         }
         recover();
         if (sizeBytes() + size + RESERVED_BYTES > options.maxBytes()) {
             throw new StoreFailedException(
                     StoreFailedException.Reason.SIZE_LIMIT,
-                    "the store may take " + options.maxBytes() + " bytes, and has " + sizeBytes(),
+                    "store size limit reached: " + size + " more bytes requested, " + sizeBytes() + " of "
+                            + options.maxBytes() + " used",
                     null);
         }
         try {
@@ -234,21 +240,21 @@
     }
 
     /**
-     * Signs with other keys from now on. What is there stays signed as it was, so the old keys are to be kept until a
-     * snapshot has taken the place of all that they signed.
+     * Signs with other keys from now on. Existing data keeps its signatures, so the old keys must be kept until a
+     * snapshot has replaced all data that they signed.
      *
-     * @throws IllegalArgumentException if the key that signs now is not among them
+     * @throws IllegalArgumentException if the current signing key is not among the new keys
      */
     public void replaceKeys(SigningKeys newKeys) {
         if (chain.signingKeyId() != 0 && !newKeys.has(chain.signingKeyId())) {
             throw new IllegalArgumentException(
-                    "key " + chain.signingKeyId() + ", which signed what is there, is missing");
+                    "the new keys lack key " + chain.signingKeyId() + ", which signed the existing data");
         }
         chain.replaceKeys(newKeys);
         durableChain.replaceKeys(newKeys);
     }
 
-    /** Forces what was added to the disk. */
+    /** Forces appended records to the disk. */
     public void force() throws StoreFailedException {
         recover();
         try {
@@ -273,10 +279,10 @@
         lastFailure = e;
         nextRecord = durableNextRecord;
         return new StoreFailedException(
-                StoreFailedException.Reason.IO_ERROR, "the disk would not take it: " + e.getMessage(), e);
+                StoreFailedException.Reason.IO_ERROR, "disk operation failed: " + e.getMessage(), e);
     }
 
-    /** After a failure another segment is begun, which says that the old one ends with what was forced. */
+    /** After a failure, starts a new segment whose header states that the old one ends with its last forced data. */
     private void recover() throws StoreFailedException {
         if (lastFailure == null) {
             return;
@@ -292,19 +298,19 @@
     }
 
     /**
-     * Begins a snapshot that stands for all records before the next. The owner hands over its state as it is now; the
-     * log may grow meanwhile.
+     * Starts a snapshot that replaces all records appended so far. The owner adds its state as of now; more records may
+     * be appended meanwhile.
      *
-     * @throws StoreFailedException if it could not be begun; the log is as it was
+     * @throws StoreFailedException if it could not be started; the log is unchanged
      */
     public Snapshot snapshot() throws StoreFailedException {
         if (pendingSnapshot != null) {
-            throw new IllegalStateException("a snapshot is being made");
+            throw new IllegalStateException("a snapshot is already in progress");
         }
         force();
         try {
             if (segmentEnd > FileHeader.BYTES) {
-                rotate(); // the segments before it can go then
+                rotate(); // so that all earlier segments can be deleted when the snapshot is finished
             }
         } catch (IOException e) {
             throw fail(e);
@@ -318,7 +324,7 @@
         return pendingSnapshot;
     }
 
-    /** A snapshot in the making. */
+    /** A snapshot that is being written. */
     public final class Snapshot {
         private static final int FLUSH_BYTES = 1 << 18;
 
@@ -341,7 +347,7 @@
             snapshotEnd = FileHeader.BYTES;
         }
 
-        /** Adds a piece of the state. */
+        /** Adds a record of the state. */
         public void add(byte[] record) throws StoreFailedException {
             pendingRecords.add(record);
             pendingBytes += Frame.encodedSize(record);
@@ -351,11 +357,12 @@
         }
 
         private void flush() throws StoreFailedException {
-            if (sizeBytes() + pendingBytes + 2 * Frame.HEADER_BYTES > options.maxBytes()) {
+            long needed = sizeBytes() + pendingBytes + 2 * Frame.HEADER_BYTES;
+            if (needed > options.maxBytes()) {
                 abandon();
                 throw new StoreFailedException(
                         StoreFailedException.Reason.SIZE_LIMIT,
-                        "no snapshot was made: the store may take " + options.maxBytes() + " bytes",
+                        "snapshot failed: it needs " + needed + " bytes in total, limit " + options.maxBytes(),
                         null);
             }
             try {
@@ -371,12 +378,12 @@
             }
         }
 
-        /** All of the state has been added: the snapshot counts from now on, and what it stands for goes. */
+        /** Completes the snapshot, makes it durable, and deletes the files that it replaces. */
         public void finish() throws StoreFailedException {
             if (!pendingRecords.isEmpty()) {
                 flush();
             }
-            flush(); // a frame of nothing ends it
+            flush(); // writes an empty frame, the end marker
             try {
                 snapshotFile.sync();
                 snapshotFile.close();
@@ -392,13 +399,13 @@
             deleteObsolete(oldSnapshot);
         }
 
-        /** It is given up; the log is as it was. */
+        /** Discards the snapshot; the log is unchanged. */
         public void abandon() {
             closeQuietly(snapshotFile);
             try {
                 disk.delete(name() + StoreReader.UNFINISHED_SUFFIX);
             } catch (IOException e) {
-                // it stands for nothing, and goes at the next start
+                // An unfinished file is ignored, and is deleted at the next start.
             }
             pendingSnapshot = null;
         }
@@ -406,7 +413,7 @@
         private StoreFailedException abandonAfter(IOException e) {
             abandon();
             return new StoreFailedException(
-                    StoreFailedException.Reason.IO_ERROR, "no snapshot was made: " + e.getMessage(), e);
+                    StoreFailedException.Reason.IO_ERROR, "snapshot failed: " + e.getMessage(), e);
         }
 
         private void deleteObsolete(String oldSnapshot) {
@@ -426,12 +433,12 @@
                 }
                 disk.syncNames();
             } catch (IOException e) {
-                // they stand for nothing, and go at the next start
+                // Replaced files are ignored, and are deleted at the next start.
             }
         }
     }
 
-    /** Forces what is there, says so in the file, and lets others in. */
+    /** Forces all records, writes an end marker that states this, and releases the lock. */
     @Override
     public void close() throws IOException {
         if (pendingSnapshot != null) {
@@ -455,7 +462,7 @@
                 resource.close();
             }
         } catch (IOException e) {
-            // nothing more is wanted of it
+            // The resource is no longer used, so a failure to close it has no effect.
         }
     }
 }
--- a/src/main/java/gatefront/storage/StoreFailedException.java
+++ b/src/main/java/gatefront/storage/StoreFailedException.java
@@ -2,15 +2,15 @@
 
 import java.io.IOException;
 
-/** Nothing of what was handed over is kept. */
+/** Signals that none of the records passed to a store operation were stored. */
 public final class StoreFailedException extends IOException {
     private static final long serialVersionUID = 1;
 
-    /** Why that is so. */
+    /** The cause of the failure. */
     public enum Reason {
-        /** The files would take more room than they may. */
+        /** The files would exceed the store's size limit. */
         SIZE_LIMIT,
-        /** The disk would not take it: it is full, or broken. */
+        /** A disk operation failed, for example because the disk is full. */
         IO_ERROR
     }
 
@@ -21,7 +21,7 @@
         this.reason = reason;
     }
 
-    /** Why. */
+    /** Returns the cause of the failure. */
     public Reason reason() {
         return reason;
     }
--- a/src/main/java/gatefront/storage/StoreInUseException.java
+++ b/src/main/java/gatefront/storage/StoreInUseException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** Somebody else has a store open. */
+/** Signals that a store is already open, in this process or another. */
 public final class StoreInUseException extends IOException {
     private static final long serialVersionUID = 1;
 
     StoreInUseException() {
-        super("somebody else has this store open");
+        super("the store is locked: it is already open in this or another process");
     }
 }
--- a/src/main/java/gatefront/storage/StoreReader.java
+++ b/src/main/java/gatefront/storage/StoreReader.java
@@ -12,50 +12,53 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads what the files of a store hold. What was certain to be on the disk must be there, whole and in order, or a
- * {@link CorruptStoreException} names the place. What was not may be there in any part after a crash: reading ends
- * before the first of it that is not whole. A frame says up to where all before it was certain, so a bad place is
- * damage where a later frame, or the next file's head, says that it had been forced to the disk.
+ * Reads and checks the files of a store. Durable data must be complete and in order; otherwise a
+ * {@link CorruptStoreException} names the file and offset. Data that was not yet durable may be present in any part
+ * after a crash: reading ends before its first invalid frame. Each frame states up to which offset the data before it
+ * was durable, so an invalid frame is damage if a later frame, or the header of the next segment, states that its
+ * offset had been forced to the disk.
  */
 final class StoreReader {
     static final String SEGMENT_SUFFIX = ".log";
     static final String SNAPSHOT_SUFFIX = ".snap";
     static final String UNFINISHED_SUFFIX = ".new";
     private static final Pattern FILE_NAME = Pattern.compile("([0-9a-f]{16})\\.(log|snap)");
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
+    /** The largest segment that is read, in bytes; the margin below the largest int keeps it a valid array size. */
+    private static final int MAX_SEGMENT_BYTES = Integer.MAX_VALUE - 16;
 
-    /** A frame that no other says was forced to the disk. */
+    /** A frame that no later frame or header has confirmed to be durable. */
     record UnconfirmedFrame(long offset, Frame frame) {}
 
-    /** A segment: its file's name, its head and its bytes. */
+    /** A log segment: its file name, its header and its size in bytes. */
     record Segment(String name, FileHeader header, long size) {}
 
     private final Disk disk;
     private final RecordConsumer replay;
-    /** The signatures as far as they are known to be certain, and as far as they were read. */
+    /** The chain up to the last durable frame. */
     private final SignatureChain durableChain;
-
+    /** The chain up to the last frame read. */
     private final SignatureChain chain;
-    /** Files that stand for nothing: unfinished ones, and those that a snapshot has taken the place of. */
+    /** Files that can be deleted: unfinished ones, and those that a snapshot has replaced. */
     final List<String> obsoleteFiles = new ArrayList<>();
-    /** Names that no store gives. They are left alone. */
+    /** Files whose names are not those of a store's files; they are left alone. */
     final List<String> unknownFiles = new ArrayList<>();
 
     final List<Segment> segments = new ArrayList<>();
-    /** Of the last segment, what no later frame speaks of. As much as was written at once and forced with it. */
+    /** The unconfirmed frames of the last segment; at most those written since the last force. */
     final List<UnconfirmedFrame> unconfirmed = new ArrayList<>();
-    /** What was found beside the records, a line each. */
+    /** Findings that are not damage, one line each. */
     final List<String> notes = new ArrayList<>();
 
     String snapshotName;
     long snapshotBytes;
-    /** The number of the first record that the snapshot does not hold. */
+    /** The number of the first record that the snapshot does not contain. */
     long snapshotNextRecord;
 
     long nextRecord;
-    /** The end of what is certain in the last segment, and the number of the record that comes there. */
+    /** The offset at which the durable data of the last segment ends. */
     long durableEnd;
-
+    /** The number of the record after the last durable one. */
     long durableNextRecord;
 
     StoreReader(Disk disk, SigningKeys keys, RecordConsumer replay) {
@@ -73,12 +76,12 @@
         return String.format(Locale.ROOT, "%016x%s", number, SNAPSHOT_SUFFIX);
     }
 
-    /** Whether no store was ever begun here, or all of it is gone. */
+    /** Returns whether there are no files of a store: none was created, or all of them are lost. */
     boolean isEmpty() {
         return segments.isEmpty() && snapshotName == null;
     }
 
-    /** The chain at the end of what is certain. */
+    /** Returns the chain up to the last durable frame. */
     SignatureChain durableChain() {
         return durableChain;
     }
@@ -89,13 +92,13 @@
         for (String name : disk.names().stream().sorted().toList()) {
             Matcher matcher = FILE_NAME.matcher(name);
             if (matcher.matches()) {
-                (matcher.group(2).equals("log") ? numbers : snapshots).add(Long.parseLong(matcher.group(1), HEX));
+                (matcher.group(2).equals("log") ? numbers : snapshots).add(Long.parseLong(matcher.group(1), HEX_RADIX));
             } else if (name.endsWith(UNFINISHED_SUFFIX)) {
                 obsoleteFiles.add(name);
-                notes.add(name + " was not finished; it stands for nothing");
+                notes.add(name + " is an unfinished file; it is ignored");
             } else {
                 unknownFiles.add(name);
-                notes.add(name + " is no file of a store");
+                notes.add(name + " is not a file of a store; it is ignored");
             }
         }
         if (!snapshots.isEmpty()) {
@@ -117,7 +120,7 @@
             throw new CorruptStoreException(
                     segments.get(segments.size() - 1).name,
                     durableEnd,
-                    "the log ends at record " + nextRecord + ", and the snapshot holds all before "
+                    "the log ends before record " + nextRecord + ", but the snapshot covers all records before "
                             + snapshotNextRecord);
         }
         return this;
@@ -130,7 +133,8 @@
             FileHeader header =
                     FileHeader.read(snapshotName, read(file, 0, FileHeader.BYTES), FileHeader.Kind.SNAPSHOT, chain);
             if (header.number() != number) {
-                throw new CorruptStoreException(snapshotName, 0, "says that it is " + snapshotName(header.number()));
+                throw new CorruptStoreException(
+                        snapshotName, 0, "the header names another file: " + snapshotName(header.number()));
             }
             snapshotNextRecord = number;
             long offset = FileHeader.BYTES;
@@ -144,9 +148,10 @@
                         : read(file, offset, Frame.HEADER_BYTES + bodyLength);
                 frame = Frame.read(bytes, 0, number);
                 String problem = frame == null
-                        ? "is not whole"
+                        ? "snapshot frame truncated or its checksum is wrong; " + (snapshotBytes - offset)
+                                + " bytes are left in the file"
                         : frame.firstRecord() != count
-                                ? "is not what comes next"
+                                ? "snapshot frame begins with record " + frame.firstRecord() + ", expected " + count
                                 : frame.verifySignature(bytes, 0, number, chain);
                 if (problem != null) {
                     throw new CorruptStoreException(snapshotName, offset, problem);
@@ -158,24 +163,26 @@
                 offset += frame.length();
             }
             if (offset != snapshotBytes) {
-                throw new CorruptStoreException(snapshotName, offset, "goes on beyond its end");
+                throw new CorruptStoreException(
+                        snapshotName, offset, (snapshotBytes - offset) + " bytes follow the end of the snapshot");
             }
         }
     }
 
-    /** Reads the heads of all segments that count. */
+    /** Reads the headers of all segments, and keeps those that the snapshot does not replace. */
     private void readSegmentHeaders(List<Long> numbers) throws IOException {
         Set<String> covered = new HashSet<>();
         for (long number : numbers) {
             String name = segmentName(number);
             try (Disk.File file = disk.open(name)) {
-                // Signatures follow each other, so they are looked at when all before has been read.
+                // The signature can be verified only after all data before it has been read, in readSegment.
                 ByteBuffer bytes = read(file, 0, FileHeader.BYTES);
                 FileHeader header = FileHeader.read(name, bytes, FileHeader.Kind.SEGMENT, null);
                 if (header.number() != number) {
-                    throw new CorruptStoreException(name, 0, "says that it is " + segmentName(header.number()));
+                    throw new CorruptStoreException(
+                            name, 0, "the header names another file: " + segmentName(header.number()));
                 }
-                if (header.firstRecord() <= snapshotNextRecord) { // the snapshot holds what is in those before it
+                if (header.firstRecord() <= snapshotNextRecord) { // the snapshot covers all earlier segments
                     segments.stream().map(Segment::name).forEach(covered::add);
                     segments.clear();
                 }
@@ -185,7 +192,8 @@
         obsoleteFiles.addAll(covered);
         if (segments.isEmpty()) {
             if (snapshotName != null) {
-                throw new CorruptStoreException(snapshotName, 0, "is there, and the log that follows it is missing");
+                throw new CorruptStoreException(
+                        snapshotName, 0, "the log segments that follow this snapshot are missing");
             }
             return;
         }
@@ -193,13 +201,13 @@
             throw new CorruptStoreException(
                     segments.get(0).name,
                     0,
-                    "begins with record " + segments.get(0).header.firstRecord() + "; those from " + snapshotNextRecord
-                            + " on are missing");
+                    "the log begins with record " + segments.get(0).header.firstRecord() + "; records from "
+                            + snapshotNextRecord + " on are missing");
         }
         for (int i = 1; i < segments.size(); i++) {
             long expected = segments.get(i - 1).header.number() + 1;
             if (segments.get(i).header.number() != expected) {
-                throw new CorruptStoreException(segmentName(expected), 0, "is missing");
+                throw new CorruptStoreException(segmentName(expected), 0, "segment is missing");
             }
         }
     }
@@ -207,10 +215,11 @@
     private void readSegment(Segment segment, FileHeader following) throws IOException {
         ByteBuffer bytes;
         try (Disk.File file = disk.open(segment.name)) {
-            bytes = read(file, 0, (int) Math.min(Integer.MAX_VALUE - HEX, file.size()));
+            bytes = read(file, 0, (int) Math.min(MAX_SEGMENT_BYTES, file.size()));
         }
         if (segment != segments.get(0) && !Arrays.equals(chain.lastSignature(), segment.header.previousSignature())) {
-            throw new CorruptStoreException(segment.name, 0, "does not follow the signatures of the one before it");
+            throw new CorruptStoreException(
+                    segment.name, 0, "the signature chain does not continue that of the previous segment");
         }
         FileHeader.read(segment.name, bytes, FileHeader.Kind.SEGMENT, chain);
         durableChain.copyFrom(chain);
@@ -218,7 +227,7 @@
             throw new CorruptStoreException(
                     segment.name,
                     0,
-                    "begins with record " + segment.header.firstRecord() + ", and " + nextRecord + " comes next");
+                    "segment begins with record " + segment.header.firstRecord() + ", expected " + nextRecord);
         }
         long number = segment.header.number();
         long end = following == null ? bytes.limit() : following.previousEnd();
@@ -230,14 +239,16 @@
             Frame frame = Frame.read(bytes, offset, number);
             if (frame == null || following != null && offset + frame.length() > end) {
                 if (following != null || isConfirmedByLaterFrame(bytes, offset, number)) {
-                    throw new CorruptStoreException(segment.name, offset, "is not what was forced to the disk there");
+                    throw new CorruptStoreException(
+                            segment.name, offset, "a frame that was forced to the disk is damaged");
                 }
                 break;
             }
             String problem = frame.firstRecord() != nextRecord
-                    ? "holds record " + frame.firstRecord() + ", and " + nextRecord + " comes next"
+                    ? "frame begins with record " + frame.firstRecord() + ", expected " + nextRecord
                     : frame.durableEnd() > offset || frame.durableEnd() < durableEnd
-                            ? "speaks of what cannot be"
+                            ? "frame states durable end " + frame.durableEnd() + ", expected " + durableEnd + " to "
+                                    + offset
                             : frame.verifySignature(bytes, offset, number, chain);
             if (problem != null) {
                 throw new CorruptStoreException(segment.name, offset, problem);
@@ -258,7 +269,7 @@
         noteIgnoredBytes(segment, bytes, offset, following != null);
     }
 
-    /** All before a place is certain. */
+    /** Marks all frames before an offset as durable. */
     private void markDurableUpTo(long offset) {
         while (!unconfirmed.isEmpty() && unconfirmed.get(0).offset < offset) {
             UnconfirmedFrame confirmed = unconfirmed.remove(0);
@@ -269,7 +280,7 @@
         }
     }
 
-    /** Whether a whole frame beyond a bad place says that the place had been forced to the disk. */
+    /** Returns whether a valid frame after a bad offset states that the offset had been forced to the disk. */
     private static boolean isConfirmedByLaterFrame(ByteBuffer bytes, int badOffset, long fileNumber) {
         for (int offset = badOffset + 1; offset <= bytes.limit() - Frame.HEADER_BYTES; offset++) {
             long statedEnd = bytes.getLong(offset + 16);
@@ -283,7 +294,7 @@
         return false;
     }
 
-    /** Tells of bytes that do not count, where they are no whole frames either. */
+    /** Notes ignored bytes at the end of a segment unless they are valid frames. */
     private void noteIgnoredBytes(Segment segment, ByteBuffer bytes, int from, boolean closedByNext) {
         int offset = from;
         for (Frame frame; (frame = Frame.read(bytes, offset, segment.header.number())) != null; ) {
@@ -291,7 +302,7 @@
         }
         if (offset < bytes.limit()) {
             notes.add(segment.name + " at " + offset + ": " + (bytes.limit() - offset) + " bytes "
-                    + (closedByNext ? "beyond its end were never kept" : "of an unfinished write are cut off"));
+                    + (closedByNext ? "after its end were never stored" : "of an unfinished write are cut off"));
         }
     }
 
--- a/src/main/java/gatefront/storage/StoreVerification.java
+++ b/src/main/java/gatefront/storage/StoreVerification.java
@@ -4,14 +4,15 @@
 import java.util.List;
 
 /**
- * What the files of a store are worth, without changing any. A store in use may have an unfinished write at its end.
+ * The result of checking the files of a store without changing them. A store that is in use may have an unfinished
+ * write at its end.
  *
- * @param exists whether there is a store at all: an empty folder is not an empty store, which has a log
- * @param segments files of the log
- * @param records records that the log holds beyond the snapshot
- * @param snapshotNextRecord the number of the first record that the snapshot does not hold; 0 without one
- * @param notes what was found that is no damage: a line each
- * @param damage the first damage, or null
+ * @param exists whether there is a store at all; an empty directory is not an empty store, which has a log
+ * @param segments the number of log segments
+ * @param records the number of log records after the snapshot
+ * @param snapshotNextRecord the number of the first record that the snapshot does not contain; 0 without a snapshot
+ * @param notes findings that are not damage, one line each
+ * @param damage the first damage found, or null
  */
 public record StoreVerification(
         boolean exists,
@@ -20,7 +21,7 @@
         long snapshotNextRecord,
         List<String> notes,
         CorruptStoreException damage) {
-    /** Reads all of a store. */
+    /** Reads and checks a whole store, and passes its records to {@code replay}. */
     public static StoreVerification of(Disk disk, SigningKeys keys, RecordConsumer replay) throws IOException {
         StoreReader reader = new StoreReader(disk, keys, replay);
         CorruptStoreException damage = null;
@@ -38,7 +39,7 @@
                 damage);
     }
 
-    /** Whether nothing is amiss: a store without damage, and nothing beside it. */
+    /** Returns whether a store exists, is undamaged and has no notes. */
     public boolean clean() {
         return exists && damage == null && notes.isEmpty();
     }
--- a/src/test/java/gatefront/cli/LedgerCommandTest.java
+++ b/src/test/java/gatefront/cli/LedgerCommandTest.java
@@ -96,7 +96,7 @@
         Files.write(file, bytes);
         assertEquals(Commands.BROKEN, run("ledger", "verify", folder));
         assertEquals(
-                "DAMAGED " + file.getFileName() + " at 189: is not what was forced to the disk there",
+                "DAMAGED " + file.getFileName() + " at 189: a frame that was forced to the disk is damaged",
                 out.toString().strip());
         assertEquals(1, run("ledger", "show", folder), "nothing is shown of books that are damaged");
         assertEquals(1, run("ledger", "verify", dir.resolve("nowhere").toString()));
@@ -110,7 +110,7 @@
         assertTrue(out.toString().startsWith("MISSING " + lost + ": no store is here"), out.toString());
         Files.writeString(lost.resolve("notes.txt"), "none of ours");
         assertEquals(Commands.BROKEN, run("ledger", "verify", lost.toString()));
-        assertTrue(out.toString().contains("note: notes.txt is no file of a store"), out.toString());
+        assertTrue(out.toString().contains("note: notes.txt is not a file of a store"), out.toString());
         Files.writeString(lost.resolve("0000000000000000.log.new"), "a first start that ended at once");
         assertEquals(Commands.BROKEN, run("ledger", "verify", lost.toString()));
         Path empty = dir.resolve("empty");
@@ -182,7 +182,9 @@
                             "-1",
                             "--why",
                             "while the agent runs"));
-            assertTrue(err.toString().contains("somebody else has this store open"), err.toString());
+            assertTrue(
+                    err.toString().contains("the store is locked: it is already open in this or another process"),
+                    err.toString());
         }
     }
 }
--- a/src/test/java/gatefront/storage/CrashingDisk.java
+++ b/src/test/java/gatefront/storage/CrashingDisk.java
@@ -4,27 +4,27 @@
 import java.io.IOException;
 import java.util.List;
 
-/** The disk in memory that can lose its power, for tests of what is built on storage. */
+/** Gives tests of other packages access to the in-memory disk and its simulated power losses. */
 public final class CrashingDisk implements Disk {
     private final MemoryDisk disk;
 
-    /** An empty one. */
+    /** Creates an empty disk. */
     public CrashingDisk(long seed) {
         disk = new MemoryDisk(seed);
     }
 
-    /** The power goes at this step from now on. */
+    /** Makes the power fail after this number of further steps. */
     public void losePowerAfter(int steps) {
         disk.fault = MemoryDisk.Fault.POWER;
         disk.faultStep = disk.steps + steps;
     }
 
-    /** Whether it has gone. */
+    /** Returns whether the power has failed. */
     public boolean isOff() {
         return disk.isOff();
     }
 
-    /** The machine is started again. */
+    /** Restarts the machine. */
     public void restart() {
         disk.restart();
     }
--- a/src/test/java/gatefront/storage/MemoryDisk.java
+++ b/src/test/java/gatefront/storage/MemoryDisk.java
@@ -13,15 +13,15 @@
 import java.util.TreeMap;
 
 /**
- * A disk in memory that can lose its power at any step. What survives then: of each file what was forced, and of each
- * page written since either what it was, what it is, or its first half new and the rest old; of names, what was forced
- * and any of what was done since, a move in one step. A force that fails leaves its pages clean in memory: reading
- * shows them, no later force writes them.
+ * An in-memory disk that can lose power at any step. Forced file contents and names survive a power loss. Of each page
+ * written since the last force, the old content, the new content, or the first half new and the rest old survives; of
+ * each name change since then, all or nothing. A failed force marks its pages clean: reads return their new content,
+ * but no later force writes them.
  */
 final class MemoryDisk implements Disk {
     private static final int PAGE = 64;
 
-    /** What a step is asked to do instead of what it should. */
+    /** The faults that can be injected at a step. */
     enum Fault {
         NONE,
         POWER,
@@ -31,16 +31,16 @@
         FULL
     }
 
-    /** The machine has lost its power. */
+    /** Signals that the machine has lost power. */
     static final class PowerException extends IOException {
         private static final long serialVersionUID = 1;
     }
 
-    /** Contents as programs see them, and as the disk has them. */
+    /** The contents of a file as programs see them, and as they are on the disk. */
     private static final class Data {
         byte[] visible = {};
         byte[] durable = {};
-        /** Pages that were written since, and are to be forced. */
+        /** Pages written since the last force. */
         final TreeMap<Integer, Boolean> dirtyPages = new TreeMap<>();
 
         void write(long offset, byte[] bytes, int length) {
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Something done to names since they were forced. */
+    /** A change of names that has not been forced. */
     private record NameChange(String from, String to, Data data) {}
 
     private Map<String, Data> names = new HashMap<>();
@@ -74,13 +74,13 @@
     private final Random random;
     private boolean locked;
     private boolean poweredOff;
-    /** Steps taken: writes, forces, moves, removals and new files. */
+    /** The number of steps so far: writes, forces, moves, deletions and new files. */
     int steps;
-    /** The step at which something goes wrong, and what. */
+    /** The step at which {@link #fault} occurs; -1 for none. */
     int faultStep = -1;
 
     Fault fault = Fault.NONE;
-    /** While set, nothing that takes room goes well. */
+    /** While set, every operation that needs disk space fails. */
     boolean full;
 
     MemoryDisk(long seed) {
@@ -100,26 +100,26 @@
         return stepFault;
     }
 
-    /** The machine is started again: what has survived is there, by chance where it was not forced. */
+    /** Restarts the machine; of data and names that were not forced, a random part survives. */
     void restart() {
         Map<String, Data> survived = new HashMap<>(durableNames);
-        for (NameChange each : unsyncedNameChanges) {
+        for (NameChange change : unsyncedNameChanges) {
             if (random.nextBoolean()) {
-                survived.remove(each.from);
-                if (each.to != null) {
-                    survived.put(each.to, each.data);
+                survived.remove(change.from);
+                if (change.to != null) {
+                    survived.put(change.to, change.data);
                 }
             }
         }
-        for (Data each : survived.values()) {
-            for (int page : each.dirtyPages.keySet()) {
+        for (Data data : survived.values()) {
+            for (int page : data.dirtyPages.keySet()) {
                 int outcome = random.nextInt(4);
                 if (outcome != 0) {
-                    each.persist(page, outcome == 1 ? PAGE / 2 : PAGE);
+                    data.persist(page, outcome == 1 ? PAGE / 2 : PAGE);
                 }
             }
-            each.dirtyPages.clear();
-            each.visible = each.durable.clone();
+            data.dirtyPages.clear();
+            data.visible = data.durable.clone();
         }
         names = survived;
         durableNames = new HashMap<>(survived);
@@ -134,7 +134,7 @@
         return poweredOff;
     }
 
-    /** Changes one bit of a file. */
+    /** Inverts one bit of a file. */
     void flipBit(String name, int offset, int bit) {
         names.get(name).visible[offset] ^= 1 << bit;
         names.get(name).durable[offset] ^= 1 << bit;
@@ -221,7 +221,10 @@
             try {
                 stepFault = step();
             } catch (PowerException e) {
-                data.write(offset, contents, random.nextInt(contents.length + 1)); // as far as it came
+                data.write(
+                        offset,
+                        contents,
+                        random.nextInt(contents.length + 1)); // a random part was written before the power failed
                 throw e;
             }
             if (full || stepFault == Fault.WRITE_FAILS) {
@@ -252,7 +255,7 @@
         @Override
         public void sync() throws IOException {
             if (step() == Fault.SYNC_FAILS) {
-                for (int page : data.dirtyPages.keySet()) { // some came there, and none is tried again
+                for (int page : data.dirtyPages.keySet()) { // a random part is written, and the rest is never retried
                     if (random.nextBoolean()) {
                         data.persist(page, PAGE);
                     }
--- a/src/test/java/gatefront/storage/StoreCrashTest.java
+++ b/src/test/java/gatefront/storage/StoreCrashTest.java
@@ -13,14 +13,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random histories of a store with a fault at each step of each, against a plain map: what was told to be kept is there
- * once and whole after every start, and nothing is there that was not handed over.
+ * Runs random histories of a store with a fault injected at each step, and compares the store with a map: after every
+ * start, each record reported as stored must be present once and complete, and no record that was never appended may be
+ * present.
  */
 class StoreCrashTest {
     private static final SigningKeys KEYS = keys();
     private static final int HISTORIES = 1_000;
 
-    /** What a store holds, by number: the snapshot's records are told with theirs. */
+    /** The contents of a store by record number; the records of a snapshot contain their number. */
     private static final class ReplayedRecords implements RecordConsumer {
         final TreeMap<Long, String> byNumber = new TreeMap<>();
 
@@ -36,11 +37,11 @@
         }
     }
 
-    /** What must be there, and what may be. */
+    /** The records that must be present and those that may be. */
     private static final class Model {
         final TreeMap<Long, String> durable = new TreeMap<>();
         final TreeMap<Long, String> unconfirmed = new TreeMap<>();
-        /** Told to be lost; a crash before the store has written again may bring them back. */
+        /** Records reported as lost; they may reappear after a crash before the store has written again. */
         final TreeMap<Long, String> possiblyRecovered = new TreeMap<>();
 
         int created;
@@ -66,14 +67,14 @@
         return new Store.Options(seed % 3 == 0 ? KEYS : SigningKeys.NONE, 500, 1 << 20);
     }
 
-    /** Opens what is there, holds it against the model, and does some more; ends by its own choice or by a fault. */
+    /** Opens the store, compares it with the model and runs random operations, until done or until a fault ends it. */
     private static void runSession(MemoryDisk disk, Model model, long seed, int round) throws IOException {
         Random random = new Random(seed * 31 + round);
         ReplayedRecords replayed = new ReplayedRecords();
         Store store = Store.open(disk, options(seed), replayed);
         check(model, replayed);
         assertEquals(replayed.byNumber.isEmpty() ? 0 : replayed.byNumber.lastKey() + 1, store.nextRecord());
-        for (int i = 0; i < 6 + random.nextInt(8); i++) {
+        for (int operationIndex = 0; operationIndex < 6 + random.nextInt(8); operationIndex++) {
             int operation = random.nextInt(10);
             try {
                 if (operation < 7) {
@@ -93,9 +94,9 @@
                 }
                 if (store.failed()) {
                     model.durable.putAll(
-                            model.unconfirmed.headMap(store.nextRecord())); // it may have been forced before it failed
+                            model.unconfirmed.headMap(store.nextRecord())); // these were forced before the failure
                     model.possiblyRecovered.putAll(model.unconfirmed.tailMap(store.nextRecord()));
-                    model.unconfirmed.clear(); // nothing since the last force is believed
+                    model.unconfirmed.clear(); // records after the last force are discarded
                 }
             }
         }
@@ -130,8 +131,8 @@
         Store.Snapshot snapshot = store.snapshot();
         model.durable.putAll(model.unconfirmed);
         model.unconfirmed.clear();
-        for (var each : model.durable.entrySet()) {
-            snapshot.add(bytes(each.getKey() + " " + each.getValue()));
+        for (var entry : model.durable.entrySet()) {
+            snapshot.add(bytes(entry.getKey() + " " + entry.getValue()));
         }
         snapshot.finish();
     }
@@ -144,7 +145,7 @@
                 assertEquals(record, model.unconfirmed.get(number), "number " + number);
             }
         });
-        model.durable.putAll(replayed.byNumber); // what came through the crash is written again, and certain
+        model.durable.putAll(replayed.byNumber); // records that survived the crash were rewritten and are durable
         model.unconfirmed.clear();
         model.possiblyRecovered.clear();
     }
@@ -158,7 +159,7 @@
             try {
                 runSession(disk, model, seed, round);
             } catch (MemoryDisk.PowerException e) {
-                // goes on below
+                // the history continues after the restart below
             } catch (StoreFailedException e) {
                 assertTrue(e.getCause() instanceof MemoryDisk.PowerException || fault != Fault.POWER, e.toString());
             } catch (CorruptStoreException e) {
@@ -186,9 +187,9 @@
     @Test
     void powerLossAtAnyStepNeitherLosesNorDuplicatesNorTruncatesStoredRecords() throws IOException {
         for (long seed = 0; seed < HISTORIES; seed++) {
-            MemoryDisk dry = new MemoryDisk(seed);
-            runSession(dry, new Model(), seed, 0);
-            for (int step = 0; step < dry.steps; step++) {
+            MemoryDisk dryRun = new MemoryDisk(seed);
+            runSession(dryRun, new Model(), seed, 0);
+            for (int step = 0; step < dryRun.steps; step++) {
                 try {
                     runHistory(seed, step, Fault.POWER);
                 } catch (IOException | AssertionError e) {
@@ -202,9 +203,9 @@
     void diskFailureAtAnyStepLosesNoStoredRecord() throws IOException {
         for (Fault fault : List.of(Fault.WRITE_FAILS, Fault.HALF_WRITTEN, Fault.SYNC_FAILS, Fault.FULL)) {
             for (long seed = 0; seed < HISTORIES / 4; seed++) {
-                MemoryDisk dry = new MemoryDisk(seed);
-                runSession(dry, new Model(), seed, 0);
-                for (int step = 0; step < dry.steps; step++) {
+                MemoryDisk dryRun = new MemoryDisk(seed);
+                runSession(dryRun, new Model(), seed, 0);
+                for (int step = 0; step < dryRun.steps; step++) {
                     try {
                         runHistory(seed, step, fault);
                     } catch (IOException | AssertionError e) {
--- a/src/test/java/gatefront/storage/StoreTest.java
+++ b/src/test/java/gatefront/storage/StoreTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A store's bounds, its signatures, what it says of damage, and the thread that writes it. */
+/** Tests size limits, signatures, damage reports and the group commit thread of a store. */
 class StoreTest {
     private static final String FIRST_KEY = "1 " + "0a".repeat(32) + "\n";
     private static final String BOTH_KEYS = FIRST_KEY + "# newer\n2 " + "0b".repeat(32) + "\n";
@@ -50,8 +50,8 @@
 
     private static List<byte[]> group(String... records) {
         List<byte[]> group = new ArrayList<>();
-        for (String each : records) {
-            group.add(each.getBytes(StandardCharsets.US_ASCII));
+        for (String record : records) {
+            group.add(record.getBytes(StandardCharsets.US_ASCII));
         }
         return group;
     }
@@ -61,13 +61,13 @@
                 keys == null ? SigningKeys.NONE : SigningKeys.parse("keys", keys), segmentBytes, maxBytes);
     }
 
-    /** Several segments, a snapshot in the middle, closed in order. */
+    /** Writes a store with several segments and a snapshot in the middle, and closes it. */
     private void writeSampleStore(String keys) throws IOException {
         Store store = Store.open(disk, options(keys, 300, 1 << 20), RecordConsumer.IGNORE);
         store.append(group("a", "b"), true);
         store.append(group("c".repeat(120)), false);
         Store.Snapshot snapshot = store.snapshot();
-        store.append(group("d"), true); // the log grows while the snapshot is made
+        store.append(group("d"), true); // the log grows while the snapshot is written
         snapshot.add("abc".getBytes(StandardCharsets.US_ASCII));
         snapshot.finish();
         store.append(group("e".repeat(100)), true);
@@ -80,7 +80,7 @@
         writeSampleStore(null);
         Store.open(disk, options(null, 300, 1 << 20), replay).close();
         assertEquals(List.of("sabc", "3d", "4" + "e".repeat(100), "5" + "f".repeat(100)), replayed);
-        assertFalse(disk.names().contains(StoreReader.segmentName(1)), "what it stands for is gone");
+        assertFalse(disk.names().contains(StoreReader.segmentName(1)), "the replaced segment is deleted");
     }
 
     @Test
@@ -112,25 +112,25 @@
     void damagedStoreIsNeitherOpenedNorChanged() throws IOException {
         writeSampleStore(null);
         String last = StoreReader.segmentName(disk.names().stream()
-                .filter(each -> each.endsWith(".log"))
-                .mapToLong(each -> Long.parseLong(each.substring(0, 16), 16))
+                .filter(name -> name.endsWith(".log"))
+                .mapToLong(name -> Long.parseLong(name.substring(0, 16), 16))
                 .max()
                 .orElseThrow());
         disk.flipBit(last, FileHeader.BYTES + 70, 1);
         int before = disk.steps;
         CorruptStoreException e =
                 assertThrows(CorruptStoreException.class, () -> Store.open(disk, Store.Options.DEFAULTS, replay));
-        assertEquals(last + " at 104: is not what was forced to the disk there", e.getMessage());
+        assertEquals(last + " at 104: a frame that was forced to the disk is damaged", e.getMessage());
         assertEquals(before, disk.steps);
         disk.flipBit(last, FileHeader.BYTES + 70, 1);
-        Store.open(disk, Store.Options.DEFAULTS, replay).close(); // and the lock was given back
+        Store.open(disk, Store.Options.DEFAULTS, replay).close(); // the failed open released the lock
     }
 
     @Test
     void missingSegmentsAreReportedByName() throws IOException {
         writeSampleStore(null);
         List<String> logs = disk.names().stream()
-                .filter(each -> each.endsWith(".log"))
+                .filter(name -> name.endsWith(".log"))
                 .sorted()
                 .toList();
         assertTrue(logs.size() >= 3);
@@ -138,10 +138,12 @@
             Disk.File file = disk.open(logs.get(i));
             disk.delete(logs.get(i));
             StoreVerification verify = StoreVerification.of(disk, SigningKeys.NONE, RecordConsumer.IGNORE);
-            // Of a log whose end is gone nothing on the disk can tell; a signature by count would need another place.
+            // A missing last segment cannot be detected from the remaining files; that would need a count elsewhere.
             assertEquals(i < logs.size() - 1, verify.damage() != null, logs.get(i) + ": " + verify);
             if (i > 0 && i < logs.size() - 1) {
-                assertEquals(logs.get(i) + " at 0: is missing", verify.damage().getMessage());
+                assertEquals(
+                        logs.get(i) + " at 0: segment is missing",
+                        verify.damage().getMessage());
             }
             Disk.File restored = disk.create(logs.get(i));
             ByteBuffer bytes = ByteBuffer.allocate((int) file.size());
@@ -164,14 +166,15 @@
         sum.update(head.duplicate().position(40).limit(FileHeader.BYTES));
         disk.create(name).write(0, head.putInt(36, (int) sum.getValue()).rewind());
         IOException e = assertThrows(IOException.class, () -> Store.open(disk, Store.Options.DEFAULTS, replay));
-        assertTrue(e.getMessage().contains("a newer program wrote it"), e.getMessage());
+        assertTrue(e.getMessage().contains("file format 2 is not supported"), e.getMessage());
+        assertTrue(e.getMessage().contains("written by a newer version"), e.getMessage());
     }
 
     @Test
     void storeCanBeOpenedOnlyOnceAtATime() throws IOException {
         Store one = Store.open(disk, Store.Options.DEFAULTS, replay);
         IOException e = assertThrows(IOException.class, () -> Store.open(disk, Store.Options.DEFAULTS, replay));
-        assertEquals("somebody else has this store open", e.getMessage());
+        assertEquals("the store is locked: it is already open in this or another process", e.getMessage());
         one.close();
         Store.open(disk, Store.Options.DEFAULTS, replay).close();
         DirectoryDisk real = new DirectoryDisk(folder.resolve("s"));
@@ -248,7 +251,7 @@
                 .damage());
     }
 
-    /** Somebody without the key adds a segment that is right in all else. */
+    /** An attacker without the key adds a segment that is valid except for its missing signature. */
     @Test
     void unsignedSegmentAfterSignedOnesIsNotRead() throws IOException {
         Store store = Store.open(disk, options(FIRST_KEY, 1_000, 1 << 20), replay);
@@ -264,7 +267,7 @@
         IOException e =
                 assertThrows(IOException.class, () -> Store.open(disk, options(FIRST_KEY, 1_000, 1 << 20), replay));
         assertEquals(
-                StoreReader.segmentName(2) + " at 72: its head is not signed, and what is before it is",
+                StoreReader.segmentName(2) + " at 72: file header is not signed, but the data before it is",
                 e.getMessage());
     }
 
@@ -272,7 +275,7 @@
     void frameOfAnotherFileIsNotAccepted() {
         ByteBuffer bytes = Frame.write(1, 5, FileHeader.BYTES, group("a"), new SignatureChain(SigningKeys.NONE));
         assertNotNull(Frame.read(bytes, 0, 1));
-        assertNull(Frame.read(bytes, 0, 2), "a disk may show an old file's blocks in a new one");
+        assertNull(Frame.read(bytes, 0, 2), "a disk may return blocks of an old file in a new one");
     }
 
     @Test
@@ -326,14 +329,14 @@
         assertThrows(IllegalArgumentException.class, () -> commit.offer(new byte[Frame.MAX_BODY_BYTES], null));
         AtomicInteger stored = new AtomicInteger();
         commit.run(its -> {
-            throw new IllegalStateException("one who asks");
+            throw new IllegalStateException("failing task");
         });
         for (int i = 0; i < 3; i++) {
             commit.offer(new byte[1], new GroupCommit.Listener() {
                 @Override
                 public void stored(long number) {
                     stored.incrementAndGet();
-                    throw new IllegalStateException("one who is told");
+                    throw new IllegalStateException("failing listener");
                 }
 
                 @Override
@@ -385,7 +388,7 @@
         commit.close();
         assertEquals(16, stored.get());
         assertEquals(List.of(0L, 1L, 2L, 3L), numbers.subList(0, 4));
-        assertFalse(commit.offer(new byte[1], null), "it has ended");
+        assertFalse(commit.offer(new byte[1], null), "the writer is closed");
         Store.open(new DirectoryDisk(folder.resolve("g")), Store.Options.DEFAULTS, replay)
                 .close();
         assertEquals(16, this.replayed.size());
