--- a/src/main/java/gatefront/ledger/DigestTree.java
+++ b/src/main/java/gatefront/ledger/DigestTree.java
@@ -8,25 +8,26 @@
 import java.util.List;
 
 /**
- * What one instance knows of a period, as a tree of digests: each entry has a place by a hash of its id, each range of
- * places the sum of the digests of what is in it. Two instances that differ in {@code d} of {@code n} entries find
- * them by some {@code d log n} digests. The tree is never built: sums over the entries in the order of their places
- * give the digest of any range as a difference.
+ * The entries of one instance as a tree of digests. Each entry has a position, the hash of its id, and each range of
+ * positions has the sum of the digests of its entries. Two instances that differ in {@code d} of {@code n} entries find
+ * the differences by comparing about {@code d log n} digests. The tree is never built: prefix sums over the entries in
+ * the order of their positions give the digest of any range as a difference.
  *
- * <p>A digest is the first 128 bits of SHA-256, a range's the sum modulo 2^128. It tells an accident, not an enemy who
- * may choose entries; what comes from outside is signed on its way.
+ * <p>An entry's digest is the first 128 bits of SHA-256; a range's digest is the sum modulo 2^128. It detects
+ * accidental differences, but not entries chosen by an attacker; data from other instances must be authenticated in
+ * transit.
  */
 public final class DigestTree {
-    /** Children of a range. */
+    /** The number of children of a range. */
     static final int BRANCHING_FACTOR = 16;
 
     private static final int BITS_PER_LEVEL = 4;
-    /** Ranges with no more entries are told whole. */
+    /** Ranges with at most this many entries are compared entry by entry. */
     private static final int MAX_LISTED_ENTRIES = 8;
 
-    /** Places whose first {@code bits} bits are those of {@code from}. */
+    /** The positions whose first {@code bits} bits equal those of {@code prefix}. */
     public record Range(long prefix, int bits) {
-        /** All. */
+        /** All positions. */
         public static final Range ALL = new Range(0, 0);
 
         Range child(int index) {
@@ -34,9 +35,9 @@
         }
     }
 
-    /** What is in a range: how many entries, and the sum of their digests. */
+    /** The number of entries in a range and the sum of their digests, as the two halves of a 128-bit number. */
     public record Sum(int count, long high, long low) {
-        /** Bytes that it takes on the wire. */
+        /** The size on the wire, in bytes. */
         static final int BYTES = Integer.BYTES + 2 * Long.BYTES;
     }
 
@@ -44,19 +45,19 @@
 
     private final LedgerEntry[] entries;
     private final long[] positions;
-    /** Sums of the digests of all before each. */
+    /** High halves of the sums of the digests of all entries before each index. */
     private final long[] highSums;
-
+    /** Low halves of the same sums. */
     private final long[] lowSums;
 
-    /** Of some entries, each id once. */
+    /** Creates the tree of these entries, whose ids must be distinct. */
     public DigestTree(Iterable<LedgerEntry> source) {
         List<HashedEntry> hashed = new ArrayList<>();
         MessageDigest sha256;
         try {
             sha256 = MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // every JDK has it
+            throw new IllegalStateException(e); // SHA-256 is required of every Java platform
         }
         for (LedgerEntry entry : source) {
             byte[] digest = sha256.digest(utf16Bytes(canonicalText(entry)));
@@ -76,13 +77,13 @@
         for (int i = 0; i < n; i++) {
             HashedEntry entry = hashed.get(i);
             entries[i] = entry.entry;
-            positions[i] = entry.position ^ Long.MIN_VALUE; // so that signed order is theirs
+            positions[i] = entry.position ^ Long.MIN_VALUE; // makes the signed order of positions their unsigned order
             lowSums[i + 1] = lowSums[i] + entry.low;
             highSums[i + 1] = highSums[i] + entry.high + carry(lowSums[i], entry.low);
         }
     }
 
-    /** Two for each character: an encoding would be a matter of I/O. */
+    /** Encodes a text as UTF-16BE; done by hand, because this package must not use classes for I/O. */
     private static byte[] utf16Bytes(String text) {
         byte[] bytes = new byte[2 * text.length()];
         for (int i = 0; i < text.length(); i++) {
@@ -104,6 +105,7 @@
         return value;
     }
 
+    /** The text that digests are made of. It must not change: instances of different versions compare digests. */
     private static String canonicalText(LedgerEntry entry) {
         return entry.id() + "\n" + entry.kind() + "\n" + entry.period() + "\n" + entry.tenant() + "\n" + entry.type()
                 + "\n" + entry.amounts() + "\n" + entry.corrects() + "\n" + entry.why();
@@ -125,7 +127,7 @@
         return last == -1 ? positions.length : firstIndex(last + 1);
     }
 
-    /** What is in a range. */
+    /** Returns the number of entries of a range and the sum of their digests. */
     public Sum sum(Range range) {
         int from = firstIndex(range.prefix);
         int end = endIndex(range);
@@ -134,7 +136,7 @@
         return new Sum(end - from, highSums[end] - highSums[from] - borrow, lowSum);
     }
 
-    /** What is in each child of a range. */
+    /** Returns the sums of all children of a range. */
     public List<Sum> children(Range range) {
         List<Sum> sums = new ArrayList<>(BRANCHING_FACTOR);
         for (int i = 0; i < BRANCHING_FACTOR; i++) {
@@ -143,12 +145,12 @@
         return sums;
     }
 
-    /** The entries of a range. */
+    /** Returns the entries of a range. */
     public List<LedgerEntry> entries(Range range) {
         return Arrays.asList(entries).subList(firstIndex(range.prefix), endIndex(range));
     }
 
-    /** Whether a range is to be told whole, there being so few in it, or no smaller ranges. */
+    /** Returns whether a range is compared entry by entry: it has few entries, or cannot be divided further. */
     static boolean listsEntries(Range range, int maxCount) {
         return maxCount <= MAX_LISTED_ENTRIES || range.bits + BITS_PER_LEVEL > Long.SIZE;
     }
--- a/src/main/java/gatefront/ledger/EntryId.java
+++ b/src/main/java/gatefront/ledger/EntryId.java
@@ -1,25 +1,26 @@
 package gatefront.ledger;
 
 /**
- * Who made an entry, and which one: no two entries have the same.
+ * The unique id of an entry: the instance that made it, the instance's epoch and a sequence number.
  *
- * @param instance the agent's name, as the installation has it
- * @param epoch counts its starts; an instance that lost its disk begins with another, drawn at random above the last
- * @param sequence counts its entries of that epoch, from 0
+ * @param instance the configured name of the agent
+ * @param epoch counts the starts of the instance; an instance that lost its disk continues with an epoch drawn at
+ *     random above its last one
+ * @param sequence counts the entries of that epoch, from 0
  */
 public record EntryId(String instance, long epoch, long sequence) implements Comparable<EntryId> {
-    /** What an instance may be called. */
+    /** The regular expression that instance names must match. */
     public static final String INSTANCE_PATTERN = "[a-zA-Z0-9][a-zA-Z0-9._-]{0,63}";
 
-    /** Checks what came from outside. */
+    /** Checks the parts, which may come from outside the process. */
     public EntryId {
         if (!instance.matches(INSTANCE_PATTERN) || epoch < 0 || sequence < 0) {
             throw new IllegalArgumentException(
-                    "an entry's id is a name, an epoch and a number, not " + instance + "/" + epoch + "/" + sequence);
+                    "an entry id is INSTANCE/EPOCH/NUMBER, not " + instance + "/" + epoch + "/" + sequence);
         }
     }
 
-    /** Reads what {@link #toString()} writes. */
+    /** Parses the text form written by {@link #toString()}. */
     public static EntryId parse(String text) {
         String[] parts = text.split("/");
         try {
@@ -27,9 +28,9 @@
                 return new EntryId(parts[0], Long.parseLong(parts[1]), Long.parseLong(parts[2]));
             }
         } catch (NumberFormatException e) {
-            // told below
+            // Reported by the exception below.
         }
-        throw new IllegalArgumentException("an entry's id is INSTANCE/EPOCH/NUMBER, not " + text);
+        throw new IllegalArgumentException("an entry id is INSTANCE/EPOCH/NUMBER, not " + text);
     }
 
     @Override
--- a/src/main/java/gatefront/ledger/ExportSchedule.java
+++ b/src/main/java/gatefront/ledger/ExportSchedule.java
@@ -3,26 +3,26 @@
 import java.util.SplittableRandom;
 
 /**
- * When to send which of an instance's entries to the receiver, and from where on after an answer. Entries are
- * numbered from 0 in the order in which they were made. The receiver answers how many it has taken, the first ones
- * without a gap; it takes each number once, whoever sends it and however often. So each entry is sent at least once,
- * and has its effect exactly once.
+ * Schedules the export of an instance's entries to the receiver. Entries are numbered from 0 in the order of their
+ * creation. The receiver answers with the number of entries it has, counted from the first without a gap, and accepts
+ * each number once, however often it is sent. So each entry is sent at least once and takes effect exactly once.
  *
- * <p>Whatever the receiver says, nothing is left out: if it tells fewer than before, it has forgotten some, and they
- * are sent again; if it tells more than were ever made, that is no answer.
+ * <p>No answer can make the schedule skip an entry. If the receiver reports fewer entries than before, it has lost some
+ * and they are sent again; if it reports more than were ever created, the answer counts as a failure.
  *
- * <p>Pure, one thread. State: a few numbers. One batch is outstanding at a time, for at most
+ * <p>Pure; not safe for use by several threads. State: a few numbers. One batch is outstanding at a time, for at most
  * {@link Settings#timeoutMicros()}.
  */
 public final class ExportSchedule {
     /**
-     * How it goes about it; times in microseconds.
+     * The settings of a schedule; times in microseconds.
      *
-     * @param maxBatchEntries entries sent at once
-     * @param timeoutMicros how long an answer is waited for
-     * @param minBackoffMicros the first wait after a failure, doubled with each in a row and drawn from that range
-     * @param maxBackoffMicros the longest
-     * @param pollIntervalMicros how often the receiver is asked what it has, where there is nothing to send
+     * @param maxBatchEntries the largest number of entries in a batch
+     * @param timeoutMicros how long to wait for an answer
+     * @param minBackoffMicros the upper bound of the first wait after a failure, doubled with each consecutive failure;
+     *     the wait is drawn from the upper half of that range
+     * @param maxBackoffMicros the upper bound of all waits
+     * @param pollIntervalMicros how often to ask the receiver for its count while there is nothing to send
      */
     public record Settings(
             int maxBatchEntries,
@@ -31,7 +31,7 @@
             long maxBackoffMicros,
             long pollIntervalMicros) {}
 
-    /** Entries to be sent: from this number on, so many; none, to ask what the receiver has. */
+    /** A range of entries to send; an empty one asks the receiver how many entries it has. */
     public record Batch(long from, int count) {}
 
     private static final int MAX_DOUBLINGS = 20;
@@ -39,29 +39,31 @@
     private final Settings settings;
     private final SplittableRandom random;
     private long acknowledged;
-    private long nextSendMicros; // when something may be sent
+    /** The time before which nothing is sent after a failure, or polled after an answer. */
+    private long nextSendMicros;
+
     private Batch pendingBatch;
     private long pendingDeadlineMicros;
     private int failures;
 
-    /** Goes on from what the receiver was last known to have taken. */
+    /** Creates a schedule that continues after the last known number of acknowledged entries. */
     public ExportSchedule(Settings settings, long acknowledged, long seed) {
         this.settings = settings;
         this.acknowledged = acknowledged;
         this.random = new SplittableRandom(seed);
     }
 
-    /** How many the receiver has taken, as far as is known. */
+    /** Returns the number of entries that the receiver has acknowledged, as far as is known. */
     public long acknowledged() {
         return acknowledged;
     }
 
-    /** How many failures there were in a row. */
+    /** Returns the number of consecutive failures. */
     public int failures() {
         return failures;
     }
 
-    /** What is to be sent now, so many entries having been made; null if nothing is. */
+    /** Returns the batch to send now, given the number of entries created so far; null if none. */
     public Batch nextBatch(long nowMicros, long created) {
         if (pendingBatch != null && nowMicros >= pendingDeadlineMicros) {
             onFailure(nowMicros);
@@ -75,14 +77,14 @@
         return pendingBatch;
     }
 
-    /** When to look again at the latest. */
+    /** Returns the latest time at which {@link #nextBatch} must be called again. */
     public long nextWakeMicros(long nowMicros, long created) {
         return pendingBatch != null
                 ? pendingDeadlineMicros
                 : failures == 0 && acknowledged < created ? nowMicros : Math.max(nowMicros, nextSendMicros);
     }
 
-    /** The receiver tells how many it has; returns whether that is more, or less, than was known. */
+    /** Handles an answer with the receiver's number of entries; returns whether it differs from the known number. */
     public boolean onAnswer(long nowMicros, long received, long created) {
         if (received < 0 || received > created) {
             onFailure(nowMicros);
@@ -91,7 +93,7 @@
         boolean changed = received != acknowledged;
         boolean refused = pendingBatch != null
                 && pendingBatch.count > 0
-                && received <= pendingBatch.from; // it took none of what was sent
+                && received <= pendingBatch.from; // it accepted no entry of the batch
         acknowledged = received;
         pendingBatch = null;
         if (refused) {
@@ -103,7 +105,7 @@
         return changed;
     }
 
-    /** No answer came, or one that makes no sense, or it takes nothing for now. */
+    /** Handles a missing or invalid answer, or a refusal by the receiver. */
     public void onFailure(long nowMicros) {
         pendingBatch = null;
         backOff(nowMicros);
--- a/src/main/java/gatefront/ledger/Ledger.java
+++ b/src/main/java/gatefront/ledger/Ledger.java
@@ -9,25 +9,26 @@
 import org.pcollections.TreePMap;
 
 /**
- * All that is known of what was used: a value. Adding an entry makes another ledger that shares nearly all with this
- * one, so a snapshot is the ledger that one has, at no cost and without a pause.
+ * An immutable set of usage entries with their totals. Adding an entry returns a new ledger that shares nearly all of
+ * its structure with this one, so every ledger is also a snapshot, without copying or pausing.
  *
- * <p>An entry is taken once: the same again changes nothing, and another with the same id is a {@link Conflict}. A
- * correction may come before what it corrects, from another instance; until that comes it counts for nothing and is
- * among {@link #unresolvedCorrections()}. A correction corrects an entry of use, or another correction, and counts with
- * the tenant and class of the entry of use at the end of that chain.
+ * <p>Each entry counts once: adding an equal entry again changes nothing, and a different entry with the same id is a
+ * {@link Conflict}. A correction from another instance may arrive before the entry that it corrects; until then it is
+ * not counted and is listed by {@link #unresolvedCorrections()}. A correction refers to an entry of use or to another
+ * correction, and counts for the tenant and class of the entry of use at the end of that chain.
  */
 public final class Ledger {
-    /** Nothing. */
+    /** The ledger without entries. */
     public static final Ledger EMPTY =
             new Ledger(TreePMap.empty(), TreePMap.empty(), HashTreePMap.empty(), TreePMap.empty());
 
-    /** Two entries with one id: an instance was started twice, or a store has lied. */
+    /** Signals two different entries with one id: an instance was started twice, or stored data is wrong. */
     public static final class Conflict extends Exception {
         private static final long serialVersionUID = 1;
 
         Conflict(LedgerEntry existing, LedgerEntry added) {
-            super("entry " + existing.id() + " is there as " + describe(existing) + " and as " + describe(added));
+            super("entry " + existing.id() + " exists with different contents: " + describe(existing) + "; and "
+                    + describe(added));
         }
 
         private static String describe(LedgerEntry entry) {
@@ -36,7 +37,7 @@
         }
     }
 
-    /** Whose use: a tenant's of a class in a period. */
+    /** The key of a total: a tenant's use of a class of requests in a period. */
     public record Cell(long period, String tenant, String type) implements Comparable<Cell> {
         @Override
         public int compareTo(Cell other) {
@@ -46,24 +47,24 @@
         }
     }
 
-    /** How an instance's part of a period stands. */
+    /** Whether the entries of an instance's epoch in a period are complete. */
     public enum PartStatus {
-        /** It has said how many entries it made, and all are here. */
+        /** The epoch has closed the period, and all its entries are present. */
         COMPLETE,
-        /** It has said so, and some are not here. */
+        /** The epoch has closed the period, and some of its entries are missing. */
         INCOMPLETE,
-        /** It has not said so: it still counts, or died in mid-period. Its part is not known, and not nothing. */
+        /** The epoch has not closed the period: it is still counting, or ended early. Its use is unknown, not zero. */
         UNKNOWN
     }
 
     private final TreePMap<EntryId, LedgerEntry> entries;
     private final TreePMap<Cell, UsageAmounts> cells;
-    /** By entry that is not here, the corrections that wait for it. */
+    /** The corrections that are not counted yet, by the id of the missing entry. */
     private final PMap<EntryId, TreePMap<EntryId, LedgerEntry>> unresolved;
-    /** By period, instance and epoch, what is here and what should be. */
+    /** The numbers of entries by period and {@code instance/epoch}. */
     private final TreePMap<Long, TreePMap<String, EntryCount>> entryCounts;
 
-    /** Entries of use and corrections of one epoch in a period; as many as were made, or -1 while not told. */
+    /** The present and the declared number of an epoch's entries in a period; -1 until it has closed the period. */
     private record EntryCount(long present, long declared) {}
 
     private Ledger(
@@ -78,10 +79,10 @@
     }
 
     /**
-     * With one entry more; this one, if it is here already.
+     * Returns a ledger with one more entry; returns this ledger if it already contains the entry.
      *
-     * @throws Conflict if another entry with its id is here
-     * @throws ArithmeticException if sums with it are more than a number holds; this ledger is as it was
+     * @throws Conflict if this ledger contains a different entry with its id
+     * @throws ArithmeticException if a total overflows; this ledger is unchanged
      */
     public Ledger with(LedgerEntry entry) throws Conflict {
         LedgerEntry existing = entries.get(entry.id());
@@ -105,7 +106,7 @@
         return entryCounts.plus(entry.period(), period.plus(epochKey, updated));
     }
 
-    /** Counts an entry that is here, and the corrections that have waited for it. */
+    /** Counts an entry that has been added, and the corrections that were waiting for it. */
     private Ledger withAmounts(LedgerEntry entry) {
         LedgerEntry use = originalUse(entry);
         if (use == null) {
@@ -134,7 +135,7 @@
         return updated;
     }
 
-    /** The entry of use at the end of a chain of corrections; null if a part of it is not here, or it has no end. */
+    /** Returns the entry of use at the end of a chain of corrections; null if the chain is incomplete or cyclic. */
     private LedgerEntry originalUse(LedgerEntry entry) {
         LedgerEntry current = entry;
         for (int i = 0; current != null && current.corrects() != null; i++) {
@@ -143,6 +144,7 @@
         return current == null || current.kind() != LedgerEntry.Kind.USE ? null : current;
     }
 
+    /** Returns the id of the entry that an unresolved chain of corrections waits for. */
     private EntryId missingEntry(LedgerEntry entry) {
         LedgerEntry current = entry;
         for (int i = 0; i <= entries.size(); i++) {
@@ -155,51 +157,52 @@
         return current.corrects();
     }
 
-    /** An entry, or null. */
+    /** Returns the entry with this id, or null. */
     public LedgerEntry get(EntryId id) {
         return entries.get(id);
     }
 
-    /** All entries, in the order of their ids. */
+    /** Returns all entries in the order of their ids. */
     public Iterable<LedgerEntry> entries() {
         return entries.values();
     }
 
-    /** How many entries there are. */
+    /** Returns the number of entries. */
     public int size() {
         return entries.size();
     }
 
-    /** What was used in a period, corrections made in it included, by tenant and class. */
+    /** Returns the totals of a period by tenant and class, including the corrections made in it. */
     public Map<Cell, UsageAmounts> totals(long period) {
         return cells.subMap(new Cell(period, "", ""), true, new Cell(period + 1, "", ""), false);
     }
 
-    /** What a tenant used in a period, over all classes. */
+    /** Returns a tenant's total of a period over all classes. */
     public UsageAmounts total(long period, String tenant) {
         UsageAmounts total = UsageAmounts.ZERO;
-        for (Map.Entry<Cell, UsageAmounts> each : totals(period).entrySet()) {
-            total = each.getKey().tenant().equals(tenant) ? total.plus(each.getValue()) : total;
+        for (Map.Entry<Cell, UsageAmounts> cell : totals(period).entrySet()) {
+            total = cell.getKey().tenant().equals(tenant) ? total.plus(cell.getValue()) : total;
         }
         return total;
     }
 
-    /** Corrections of entries that are not here; they count for nothing yet. */
+    /** Returns the corrections that are not counted because an entry that they refer to is missing. */
     public List<LedgerEntry> unresolvedCorrections() {
         List<LedgerEntry> all = new ArrayList<>();
-        unresolved.values().forEach(each -> all.addAll(each.values()));
+        unresolved.values().forEach(corrections -> all.addAll(corrections.values()));
         all.sort((a, b) -> a.id().compareTo(b.id()));
         return all;
     }
 
-    /** The periods of which something is here. */
+    /** Returns the periods that have entries. */
     public Iterable<Long> periods() {
         return entryCounts.keySet();
     }
 
     /**
-     * How the part of each instance stands in a period; of one that is expected and has told nothing it is not known.
-     * An instance that died in mid-period and came back has an epoch that never ended: its part stays unknown.
+     * Returns the status of each {@code instance/epoch} in a period. An expected instance without entries is listed by
+     * its name as unknown. An instance that died during a period and restarted has an epoch that never closed the
+     * period; the status of that epoch stays unknown.
      */
     public Map<String, PartStatus> partStatuses(long period, Iterable<String> expected) {
         Map<String, PartStatus> statuses = new TreeMap<>();
--- a/src/main/java/gatefront/ledger/LedgerEntry.java
+++ b/src/main/java/gatefront/ledger/LedgerEntry.java
@@ -1,16 +1,16 @@
 package gatefront.ledger;
 
 /**
- * One line of the ledger. It is never changed; what is wrong in it is put right by another.
+ * An entry of the ledger. Entries are never changed; errors are fixed by adding corrections.
  *
- * @param id whose, and which
- * @param kind what it says
- * @param period the period that it counts in; of a correction, the open one in which it was made
- * @param tenant the municipio, or empty where that says nothing
- * @param type the class of requests, or empty
- * @param amounts how much; of {@link Kind#CLOSED}, {@code requests} is how many entries of that period it has made
- * @param corrects of a correction, the entry that was wrong; else null
- * @param why of a correction, a sentence; else empty
+ * @param id its unique id
+ * @param kind its kind
+ * @param period the period that it counts in; for a correction, the open period in which it was made
+ * @param tenant the municipio; empty for corrections and closing entries
+ * @param type the class of requests; empty for corrections and closing entries
+ * @param amounts the amounts; for {@link Kind#CLOSED}, {@code requests} is the number of entries made in that period
+ * @param corrects for a correction, the id of the corrected entry; otherwise null
+ * @param why for a correction, its reason; otherwise empty
  */
 public record LedgerEntry(
         EntryId id,
@@ -21,43 +21,43 @@
         UsageAmounts amounts,
         EntryId corrects,
         String why) {
-    /** What an entry says. */
+    /** The kinds of entries. Their names are part of digests and their ordinals are stored, so both must stay. */
     public enum Kind {
-        /** So much was used. */
+        /** Records use. */
         USE,
-        /** So much more, or less, than another entry says. */
+        /** Changes the amounts of another entry by a difference. */
         CORRECTION,
-        /** Its instance makes no more entries of this period in this epoch. */
+        /** States that the instance makes no more entries for the period in this epoch. */
         CLOSED
     }
 
-    /** Characters of a municipio's or a class's name, and of a reason, at the most. */
+    /** The largest length of tenant, class and reason, in characters. */
     public static final int MAX_TEXT_LENGTH = 200;
 
-    /** Checks what came from outside. */
+    /** Checks the parts, which may come from outside the process. */
     public LedgerEntry {
         String problem = period < 0
-                ? "its period is before time began"
+                ? "the period must not be negative, but is " + period
                 : Math.max(tenant.length(), Math.max(type.length(), why.length())) > MAX_TEXT_LENGTH
-                        ? "a text is too long"
+                        ? "tenant, class or reason is longer than " + MAX_TEXT_LENGTH + " characters"
                         : (kind == Kind.CORRECTION) != (corrects != null)
-                                ? "a correction names the entry corrected, no other does"
+                                ? "corrections, and only corrections, must name a corrected entry"
                                 : kind == Kind.CORRECTION && why.isBlank()
-                                        ? "a correction says why"
+                                        ? "a correction needs a reason"
                                         : kind == Kind.CLOSED && (amounts.requests() < 0 || !tenant.isEmpty())
-                                                ? "a close tells how many entries"
+                                                ? "a closing entry needs a count of at least 0 and no tenant"
                                                 : null;
         if (problem != null) {
             throw new IllegalArgumentException("entry " + id + ": " + problem);
         }
     }
 
-    /** So much was used. */
+    /** Creates an entry of use. */
     public static LedgerEntry use(EntryId id, long period, String tenant, String type, UsageAmounts amounts) {
         return new LedgerEntry(id, Kind.USE, period, tenant, type, amounts, null, "");
     }
 
-    /** Its instance has made so many entries of a period, and makes no more. */
+    /** Creates an entry that closes a period in which this number of entries were made. */
     public static LedgerEntry closed(EntryId id, long period, long entries) {
         return new LedgerEntry(id, Kind.CLOSED, period, "", "", new UsageAmounts(entries, 0, 0, 0), null, "");
     }
--- a/src/main/java/gatefront/ledger/PeriodClock.java
+++ b/src/main/java/gatefront/ledger/PeriodClock.java
@@ -1,12 +1,12 @@
 package gatefront.ledger;
 
 /**
- * Which period it is, by the wall clock, which may jump. A period is a number: the time since 1970 divided by its
- * length. What is open never goes back: a clock set back over a period's end leaves what was open open, until it has
- * come there again. A clock that jumps ahead closes what it passes; those periods hold what was used up to the jump,
- * and nothing is spread over them.
+ * Determines the current accounting period from the wall clock, which may jump. A period is numbered by the time since
+ * 1970 divided by the period's length. The open period never goes back: if the clock is set back over a period's end,
+ * the period that was open stays open until the clock reaches it again. If the clock jumps ahead, the periods that it
+ * passes are closed; use up to the jump counts in the period that was open, and is not spread over the others.
  *
- * <p>Pure, one thread. State: two numbers.
+ * <p>Pure; not safe for use by several threads. State: two numbers.
  */
 public final class PeriodClock {
     private final long lengthMicros;
@@ -15,16 +15,17 @@
     private long firstUnclosed;
 
     /**
-     * Begins where an instance stands.
+     * Creates a clock that continues from the last open period.
      *
-     * @param lengthMicros of a period
-     * @param graceMicros how long after its end a period still takes entries of what ended in it
-     * @param open the period that was open when its ledger was last written; 0 for a new one
+     * @param lengthMicros the length of a period, in microseconds
+     * @param graceMicros how long after its end a period still accepts entries, in microseconds
+     * @param open the period that was open when the ledger was last written; 0 for a new ledger
      * @param nowMicros the wall clock in microseconds since 1970
      */
     public PeriodClock(long lengthMicros, long graceMicros, long open, long nowMicros) {
         if (lengthMicros <= 0 || graceMicros < 0 || graceMicros >= lengthMicros) {
-            throw new IllegalArgumentException("a period has a length, and a grace shorter than that");
+            throw new IllegalArgumentException("the period must be positive and longer than its grace time; got period "
+                    + lengthMicros + " us, grace " + graceMicros + " us");
         }
         this.lengthMicros = lengthMicros;
         this.graceMicros = graceMicros;
@@ -32,28 +33,28 @@
         this.firstUnclosed = this.open;
     }
 
-    /** The period in which what ends now counts. */
+    /** Returns the open period, in which a request that ends now counts. */
     public long open() {
         return open;
     }
 
-    /** The first period that may still take entries; all before it are closed. */
+    /** Returns the first period that still accepts entries; all earlier periods are closed. */
     public long firstUnclosed() {
         return firstUnclosed;
     }
 
-    /** Time has gone on, or jumped; returns whether a period more is closed now. */
+    /** Updates the clock to a wall clock time, in microseconds since 1970; returns whether more periods are closed. */
     public boolean advanceTo(long nowMicros) {
         open = Math.max(open, nowMicros / lengthMicros);
-        long before = firstUnclosed;
+        long previous = firstUnclosed;
         firstUnclosed = Math.max(
                 firstUnclosed,
                 nowMicros % lengthMicros >= graceMicros || nowMicros / lengthMicros < open ? open : open - 1);
         firstUnclosed = Math.min(firstUnclosed, open);
-        return firstUnclosed > before;
+        return firstUnclosed > previous;
     }
 
-    /** When to look again at the latest: the next end of a period, or of its grace. */
+    /** Returns the time of the next end of a period or of its grace time, in microseconds since 1970. */
     public long nextBoundaryMicros(long nowMicros) {
         long periodStart = nowMicros - nowMicros % lengthMicros;
         return nowMicros % lengthMicros < graceMicros ? periodStart + graceMicros : periodStart + lengthMicros;
--- a/src/main/java/gatefront/ledger/Reconciliation.java
+++ b/src/main/java/gatefront/ledger/Reconciliation.java
@@ -8,22 +8,22 @@
 import java.util.TreeMap;
 
 /**
- * Finds what two instances know differently, by asking the other for sums where they differ and for entries where few
- * are left. What is asked and told grows with the differences, not with what both have.
+ * Finds the entries in which two instances differ. It asks the peer for the sums of ranges that differ, and for entries
+ * once a range has few of them. The traffic grows with the number of differences, not with the number of entries.
  */
 public final class Reconciliation {
-    /** The other instance, as far as this needs it. */
+    /** The queries that the other instance must answer. */
     public interface Peer {
-        /** What it has in each child of a range. */
+        /** Returns its sums of all children of a range. */
         List<DigestTree.Sum> children(DigestTree.Range range);
 
-        /** What it has in a range. */
+        /** Returns its entries of a range. */
         List<LedgerEntry> entries(DigestTree.Range range);
 
-        /** What it has altogether. */
+        /** Returns its sum of all entries. */
         DigestTree.Sum total();
 
-        /** An instance that is asked without a wire. */
+        /** Returns a peer in the same process. */
         static Peer of(DigestTree digests) {
             return new Peer() {
                 @Override
@@ -44,24 +44,24 @@
         }
     }
 
-    /** One entry that is not the same on both sides; null on the side that does not have it. */
+    /** An entry that differs between the two sides; null on a side that lacks it. */
     public record Difference(EntryId id, LedgerEntry local, LedgerEntry remote) {}
 
     /**
-     * What came of it.
+     * The result of a reconciliation.
      *
-     * @param differences in the order of their ids
-     * @param queries questions asked
-     * @param bytes of sums told, and about those of the entries
+     * @param differences the differing entries, in the order of their ids
+     * @param queries the number of queries sent to the peer
+     * @param bytes the bytes received: exact for sums, approximate for entries
      */
     public record Result(List<Difference> differences, int queries, long bytes) {}
 
-    /** Bytes of an entry on the wire, about. */
+    /** The approximate size of an entry on the wire, in bytes. */
     private static final int APPROXIMATE_ENTRY_BYTES = 80;
 
     private Reconciliation() {}
 
-    /** Compares. Whatever the other says, it ends: each question is of a smaller range than the one before. */
+    /** Compares two instances. It ends whatever the peer answers, because each query narrows the range before it. */
     public static Result run(DigestTree local, Peer peer) {
         List<Difference> differences = new ArrayList<>();
         int queries = 1;
@@ -98,11 +98,11 @@
 
     private static void compare(List<LedgerEntry> local, List<LedgerEntry> remote, List<Difference> differences) {
         Map<EntryId, LedgerEntry> unmatched = new TreeMap<>();
-        remote.forEach(each -> unmatched.put(each.id(), each));
-        for (LedgerEntry each : local) {
-            LedgerEntry match = unmatched.remove(each.id());
-            if (!each.equals(match)) {
-                differences.add(new Difference(each.id(), each, match));
+        remote.forEach(entry -> unmatched.put(entry.id(), entry));
+        for (LedgerEntry entry : local) {
+            LedgerEntry match = unmatched.remove(entry.id());
+            if (!entry.equals(match)) {
+                differences.add(new Difference(entry.id(), entry, match));
             }
         }
         unmatched.forEach((id, match) -> differences.add(new Difference(id, null, match)));
--- a/src/main/java/gatefront/ledger/UsageAmounts.java
+++ b/src/main/java/gatefront/ledger/UsageAmounts.java
@@ -1,18 +1,23 @@
 package gatefront.ledger;
 
 /**
- * How much was used. Whole numbers, so that sums are exact in any order; negative in corrections.
+ * The amounts of an entry or a total. They are integers, so that sums are exact in any order, and may be negative in
+ * corrections.
  *
- * @param requests served
- * @param worth of them in millionths
- * @param work of the servers in microseconds
- * @param bytes of requests and answers
+ * @param requests the number of requests served
+ * @param worth the worth of those requests, in millionths
+ * @param work the work of the servers, in microseconds
+ * @param bytes the size of requests and responses, in bytes
  */
 public record UsageAmounts(long requests, long worth, long work, long bytes) {
-    /** Nothing. */
+    /** All amounts zero. */
     public static final UsageAmounts ZERO = new UsageAmounts(0, 0, 0, 0);
 
-    /** Both together; more than fits is a fault of who made them, and is told. */
+    /**
+     * Returns the sum of both.
+     *
+     * @throws ArithmeticException if an amount overflows, which only wrong entries can cause
+     */
     public UsageAmounts plus(UsageAmounts other) {
         return new UsageAmounts(
                 Math.addExact(requests, other.requests),
@@ -21,18 +26,18 @@
                 Math.addExact(bytes, other.bytes));
     }
 
-    /** What takes it back. */
+    /** Returns the amounts that cancel these. */
     public UsageAmounts negated() {
         return new UsageAmounts(
                 Math.negateExact(requests), Math.negateExact(worth), Math.negateExact(work), Math.negateExact(bytes));
     }
 
-    /** Whether nothing was used. */
+    /** Returns whether all amounts are zero. */
     public boolean isZero() {
         return equals(ZERO);
     }
 
-    /** The text that digests are made of: it stays as it is, for another would not compare with digests made before. */
+    /** Returns the text that digests include. It must not change: digests are compared with those of other versions. */
     @Override
     public String toString() {
         return "Amounts[requests=" + requests + ", worth=" + worth + ", work=" + work + ", bytes=" + bytes + "]";
--- a/src/main/java/gatefront/ledger/package-info.java
+++ b/src/main/java/gatefront/ledger/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Use by municipio: entries in closed periods, corrections as entries of their own, and how several instances find
- * where they differ. Pure: time is an argument, nothing is read or written. One {@link gatefront.ledger.Ledger} is a
- * value; who has it may go on with it while another is made of it.
+ * Accounting of use by municipio: entries by period, corrections as separate entries, and reconciliation between
+ * instances. The package is pure: time is an argument, and no I/O is done. A {@link gatefront.ledger.Ledger} is
+ * immutable, so its holders can use it while new ledgers are derived from it.
  */
 package gatefront.ledger;
--- a/src/main/java/gatefront/ledgerstore/EntryFormat.java
+++ b/src/main/java/gatefront/ledgerstore/EntryFormat.java
@@ -8,9 +8,9 @@
 import java.io.StringWriter;
 import java.util.Locale;
 
-/** Entries on paper, a line each: JSON and CSV (RFC 4180). */
+/** Formats entries as lines of JSON or CSV (RFC 4180). */
 public final class EntryFormat {
-    /** The names of the columns. */
+    /** The header line of CSV output. */
     public static final String CSV_HEADER =
             "id,kind,period,tenant,class,requests," + "worth_millionths,work_us,bytes,corrects,why";
 
@@ -18,7 +18,7 @@
 
     private EntryFormat() {}
 
-    /** As an object of JSON. */
+    /** Formats an entry as a JSON object. */
     public static String json(LedgerEntry entry) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = JSON.createGenerator(text)) {
@@ -38,12 +38,12 @@
             }
             out.writeEndObject();
         } catch (IOException e) {
-            throw new IllegalStateException(e); // a string takes all
+            throw new IllegalStateException(e); // a StringWriter never fails
         }
         return text.toString();
     }
 
-    /** As a line of {@link #CSV_HEADER}. */
+    /** Formats an entry as a CSV line with the columns of {@link #CSV_HEADER}. */
     public static String csv(LedgerEntry entry) {
         return entry.id() + "," + kindName(entry) + "," + entry.period() + "," + csvQuoted(entry.tenant()) + ","
                 + csvQuoted(entry.type()) + "," + entry.amounts().requests() + ","
@@ -52,19 +52,19 @@
                 + (entry.corrects() == null ? "" : entry.corrects()) + "," + csvQuoted(entry.why());
     }
 
-    /** A string of JSON, with its quotes. */
+    /** Returns a text as a JSON string, including the quotes. */
     public static String quotedJson(String text) {
         return "\"" + new String(JsonStringEncoder.getInstance().quoteAsString(text)) + "\"";
     }
 
-    /** What an entry is called. */
+    /** Returns the word for an entry's kind in JSON and CSV. */
     public static String kindName(LedgerEntry entry) {
         return entry.kind().name().toLowerCase(Locale.ROOT);
     }
 
     private static String csvQuoted(String text) {
-        // A sheet takes a cell that begins so for a formula, and runs it.
-        String harmless = !text.isEmpty() && "=+-@\t\r".indexOf(text.charAt(0)) >= 0 ? "'" + text : text;
-        return harmless.matches("[^\",\r\n]*") ? harmless : "\"" + harmless.replace("\"", "\"\"") + "\"";
+        // Spreadsheets evaluate cells that begin with these characters as formulas; a leading quote prevents that.
+        String escaped = !text.isEmpty() && "=+-@\t\r".indexOf(text.charAt(0)) >= 0 ? "'" + text : text;
+        return escaped.matches("[^\",\r\n]*") ? escaped : "\"" + escaped.replace("\"", "\"\"") + "\"";
     }
 }
--- a/src/main/java/gatefront/ledgerstore/LedgerEntryCodec.java
+++ b/src/main/java/gatefront/ledgerstore/LedgerEntryCodec.java
@@ -9,7 +9,10 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 
-/** An entry as a protobuf message; its fields are in {@code docs/design/ledger.md}. Unknown fields are skipped. */
+/**
+ * Encodes entries as protobuf messages, whose fields are documented in {@code docs/design/ledger.md}. Unknown fields
+ * are skipped.
+ */
 public final class LedgerEntryCodec {
     private static final int INSTANCE = 1;
     private static final int EPOCH = 2;
@@ -29,7 +32,7 @@
 
     private LedgerEntryCodec() {}
 
-    /** The message. */
+    /** Encodes an entry. */
     public static byte[] write(LedgerEntry entry) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
         CodedOutputStream out = CodedOutputStream.newInstance(bytes);
@@ -53,12 +56,16 @@
             out.writeString(WHY, entry.why());
             out.flush();
         } catch (IOException e) {
-            throw new IllegalStateException(e); // an array takes all
+            throw new IllegalStateException(e); // a ByteArrayOutputStream never fails
         }
         return bytes.toByteArray();
     }
 
-    /** The entry of a message, which may come from anywhere. */
+    /**
+     * Decodes the entry that starts at an offset. The message may come from an untrusted source.
+     *
+     * @throws IOException if the message is malformed or the entry is invalid
+     */
     public static LedgerEntry read(byte[] bytes, int from) throws IOException {
         CodedInputStream in = CodedInputStream.newInstance(bytes, from, bytes.length - from);
         String[] texts = new String[WHY + 1];
@@ -71,11 +78,11 @@
             } else if (known && WireFormat.getTagWireType(tag) == WireFormat.WIRETYPE_VARINT) {
                 numbers[field] = field >= REQUESTS && field <= BYTES ? in.readSInt64() : in.readUInt64();
             } else if (!in.skipField(tag)) {
-                throw new IOException("an entry ends in the middle of a group");
+                throw new IOException("entry message ends inside a group, field " + field);
             }
         }
         if (numbers[KIND] < 0 || numbers[KIND] >= LedgerEntry.Kind.values().length || texts[INSTANCE] == null) {
-            throw new IOException("an entry has no id, or is of no kind that is known here");
+            throw new IOException("entry message has no instance, or its kind " + numbers[KIND] + " is unknown");
         }
         try {
             return new LedgerEntry(
--- a/src/main/java/gatefront/ledgerstore/LedgerStore.java
+++ b/src/main/java/gatefront/ledgerstore/LedgerStore.java
@@ -18,20 +18,20 @@
 import java.util.TreeMap;
 
 /**
- * The ledger of one instance in a store. Each opening is another epoch, so that no number is given twice even where
- * something told to be lost has come back. One thread.
+ * The ledger of one instance in a {@link Store}. Each opening starts a new epoch, so that no entry id is used twice
+ * even if an entry that was reported as lost reappears after a crash. Not safe for use by several threads.
  *
- * <p>State: the ledger, bounded by the store's bytes; the ids of its own entries in the order in which they were made,
- * as many as those.
+ * <p>State: the ledger, bounded by the store's size limit, and the ids of the instance's own entries in the order of
+ * their creation.
  */
 public final class LedgerStore implements Closeable {
     private static final byte ENTRY_RECORD = 'E';
     private static final byte EPOCH_RECORD = 'N';
     private static final byte ACKNOWLEDGED_RECORD = 'T';
-    /** Records in the log from which a snapshot takes their place. */
+    /** The number of log records at which a snapshot replaces them. */
     private static final long COMPACTION_RECORDS = 100_000;
 
-    /** What was replayed. */
+    /** The state rebuilt from the store's records. */
     private static final class State implements RecordConsumer {
         private Ledger ledger = Ledger.EMPTY;
         private final List<EntryId> ownIds = new ArrayList<>();
@@ -57,7 +57,7 @@
                     try {
                         updated = ledger.with(entry);
                     } catch (Ledger.Conflict | ArithmeticException e) {
-                        throw new IOException("the ledger does not hold together: " + e.getMessage(), e);
+                        throw new IOException("stored ledger is inconsistent: " + e.getMessage(), e);
                     }
                     if (updated != ledger && entry.id().instance().equals(instance)) {
                         ownIds.add(entry.id());
@@ -70,12 +70,14 @@
                 }
                 case ACKNOWLEDGED_RECORD -> acknowledged =
                         ByteBuffer.wrap(record).getLong(1);
-                default -> throw new IOException("a record is of no kind that is known here; a newer program wrote it");
+                default -> throw new IOException("unknown kind of ledger record: "
+                        + (record.length == 0 ? "empty record" : record[0])
+                        + "; the store was written by a newer version");
             }
         }
     }
 
-    /** What a folder of books holds, for one who only looks. */
+    /** The contents of a ledger store, read without opening it. */
     public record Contents(Ledger ledger, String instance, long epoch, long acknowledged, long ownEntries) {}
 
     private final Store store;
@@ -83,7 +85,7 @@
     private final long epoch;
     private long sequence;
     private long loggedRecords;
-    /** By period, how many entries this epoch has made; an entry goes when the period is closed. */
+    /** The number of entries that this epoch has made in each period not yet closed. */
     private final Map<Long, Long> unclosedCounts = new TreeMap<>();
 
     private LedgerStore(Store store, State state) {
@@ -93,19 +95,20 @@
     }
 
     /**
-     * Opens an instance's books, or begins them.
+     * Opens or creates the ledger store of an instance.
      *
-     * @throws IOException with one line, if they are another instance's, in use, damaged, or the disk would not do
+     * @throws IOException with a message of one line, if the store belongs to another instance, is in use or damaged,
+     *     or a disk operation fails
      */
     public static LedgerStore open(Disk disk, Store.Options options, String instance) throws IOException {
         if (!instance.matches(EntryId.INSTANCE_PATTERN)) {
-            throw new IOException("an instance's name is to match " + EntryId.INSTANCE_PATTERN + ", not " + instance);
+            throw new IOException("instance name must match " + EntryId.INSTANCE_PATTERN + ", got " + instance);
         }
         State state = new State();
         Store store = Store.open(disk, options, state);
         try {
             if (state.instance != null && !state.instance.equals(instance)) {
-                throw new IOException("these are the books of " + state.instance + ", not of " + instance);
+                throw new IOException("ledger store belongs to instance " + state.instance + ", not to " + instance);
             }
             LedgerStore ledgerStore = new LedgerStore(store, state);
             state.instance = instance;
@@ -117,7 +120,7 @@
         }
     }
 
-    /** What replaying a store tells, without opening it. */
+    /** Returns a consumer for reading a store without opening it; the listener gets the contents after each record. */
     public static RecordConsumer contentsReader(java.util.function.Consumer<Contents> listener) {
         State state = new State();
         return new RecordConsumer() {
@@ -152,34 +155,34 @@
                 .array();
     }
 
-    /** The ledger as it is. */
+    /** Returns the current ledger. */
     public Ledger ledger() {
         return state.ledger;
     }
 
-    /** Whether there were none before: this is the instance's first start, or they are lost. */
+    /** Returns whether the store was empty when opened: a first start of the instance, or its data is lost. */
     public boolean isNew() {
         return epoch == 0;
     }
 
-    /** How many entries of its own it has made, in all its lives. */
+    /** Returns the number of entries that this instance has made in all its epochs. */
     public long ownCount() {
         return state.ownIds.size();
     }
 
-    /** How many of them the receiver has taken, as was last written. */
+    /** Returns the number of own entries acknowledged by the receiver, as last stored. */
     public long acknowledged() {
         return state.acknowledged;
     }
 
-    /** Its own entries from a number on. */
+    /** Returns own entries in the order of their creation, from a number on. */
     public List<LedgerEntry> ownEntries(long from, int count) {
         return state.ownIds.subList((int) from, (int) from + count).stream()
                 .map(state.ledger::get)
                 .toList();
     }
 
-    /** Writes what was used in a period, all or nothing; cells without use make no entry. */
+    /** Stores the use of a period, all or nothing; cells without use are skipped. */
     public void recordUse(long period, Map<Ledger.Cell, UsageAmounts> cells) throws StoreFailedException {
         List<LedgerEntry> entries = new ArrayList<>();
         for (Map.Entry<Ledger.Cell, UsageAmounts> cell : cells.entrySet()) {
@@ -195,19 +198,20 @@
         add(entries);
     }
 
-    /** Writes that an entry was wrong by so much, in the period that is open. */
-    public LedgerEntry correct(EntryId wrong, long period, UsageAmounts difference, String why) throws IOException {
-        LedgerEntry original = state.ledger.get(wrong);
+    /** Stores a correction of an entry by a difference, in the open period. */
+    public LedgerEntry correct(EntryId correctedId, long period, UsageAmounts difference, String why)
+            throws IOException {
+        LedgerEntry original = state.ledger.get(correctedId);
         if (original == null || original.kind() == LedgerEntry.Kind.CLOSED) {
             throw new IOException(
                     original == null
-                            ? "there is no entry " + wrong
-                            : wrong + " closes a period; it has no use " + "that could be corrected");
+                            ? "there is no entry " + correctedId
+                            : correctedId + " closes a period and has no use to correct");
         }
         LedgerEntry correction;
         try {
-            correction =
-                    new LedgerEntry(nextId(0), LedgerEntry.Kind.CORRECTION, period, "", "", difference, wrong, why);
+            correction = new LedgerEntry(
+                    nextId(0), LedgerEntry.Kind.CORRECTION, period, "", "", difference, correctedId, why);
         } catch (IllegalArgumentException e) {
             throw new IOException(e.getMessage(), e);
         }
@@ -215,13 +219,13 @@
         return correction;
     }
 
-    /** Writes that this epoch makes no more entries of a period. */
+    /** Stores that this epoch makes no more entries in a period. */
     public void closePeriod(long period) throws StoreFailedException {
         add(List.of(LedgerEntry.closed(nextId(0), period, unclosedCounts.getOrDefault(period, 0L))));
         unclosedCounts.remove(period);
     }
 
-    /** The periods of which this epoch has made entries and that it has not closed. */
+    /** Returns the periods in which this epoch has made entries and that it has not closed. */
     public List<Long> unclosedPeriods() {
         return List.copyOf(unclosedCounts.keySet());
     }
@@ -234,7 +238,7 @@
         if (entries.isEmpty()) {
             return;
         }
-        // A number is never given twice, also where its entry was told to be lost and came back after a crash.
+        // Numbers are consumed even if the write fails, because an entry reported as lost may reappear after a crash.
         sequence += entries.size();
         Ledger updated = state.ledger;
         try {
@@ -242,7 +246,7 @@
                 updated = updated.with(entry);
             }
         } catch (Ledger.Conflict e) {
-            throw new IllegalStateException(e); // its numbers are new
+            throw new IllegalStateException(e); // the ids are new, so there is no conflict
         }
         store.append(entries.stream().map(LedgerStore::entryRecord).toList(), true);
         state.ledger = updated;
@@ -255,13 +259,13 @@
         loggedRecords += entries.size();
     }
 
-    /** Takes in another instance's entries, after a reconciliation; those that are here already change nothing. */
+    /** Stores entries of other instances, found by reconciliation; entries that are already present are skipped. */
     public void importEntries(List<LedgerEntry> entries) throws IOException {
         Ledger updated = state.ledger;
         List<byte[]> records = new ArrayList<>();
         for (LedgerEntry entry : entries) {
             if (entry.id().instance().equals(state.instance)) {
-                throw new IOException("entry " + entry.id() + " is this instance's own, and not from it");
+                throw new IOException("entry " + entry.id() + " cannot be imported: it belongs to this instance");
             }
             Ledger before = updated;
             try {
@@ -280,8 +284,8 @@
         }
     }
 
-    /** Writes how many the receiver has taken. Where that is lost, some are sent again, which does no harm. */
-    public void acknowledged(long acknowledged) throws StoreFailedException {
+    /** Stores the number of acknowledged entries. If this is lost, entries are sent again, which has no effect. */
+    public void storeAcknowledged(long acknowledged) throws StoreFailedException {
         store.append(
                 List.of(ByteBuffer.allocate(9)
                         .put(ACKNOWLEDGED_RECORD)
@@ -292,14 +296,14 @@
         loggedRecords++;
     }
 
-    /** A snapshot takes the place of the log, where that has grown long. */
+    /** Replaces the log by a snapshot if the log has become long. */
     public void compactIfLarge() throws StoreFailedException {
         if (loggedRecords >= COMPACTION_RECORDS) {
             compactNow();
         }
     }
 
-    /** A snapshot takes the place of the log. */
+    /** Replaces the log by a snapshot. */
     void compactNow() throws StoreFailedException {
         Store.Snapshot snapshot = store.snapshot();
         snapshot.add(epochRecord());
@@ -307,12 +311,13 @@
                 .put(ACKNOWLEDGED_RECORD)
                 .putLong(state.acknowledged)
                 .array());
-        for (EntryId each : state.ownIds) { // first, and in their order, which is that of their numbers
-            snapshot.add(entryRecord(state.ledger.get(each)));
+        // Own entries come first and in the order of their creation, because ownIds is rebuilt from that order.
+        for (EntryId id : state.ownIds) {
+            snapshot.add(entryRecord(state.ledger.get(id)));
         }
-        for (LedgerEntry each : state.ledger.entries()) {
-            if (!each.id().instance().equals(state.instance)) {
-                snapshot.add(entryRecord(each));
+        for (LedgerEntry entry : state.ledger.entries()) {
+            if (!entry.id().instance().equals(state.instance)) {
+                snapshot.add(entryRecord(entry));
             }
         }
         snapshot.finish();
--- a/src/main/java/gatefront/ledgerstore/package-info.java
+++ b/src/main/java/gatefront/ledgerstore/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The ledger on disk: its records, its forms on paper, and what of it has been told to the receiver. Decisions are in
- * {@link gatefront.ledger}, files in {@link gatefront.storage}.
+ * Persistence of the ledger: its stored records, its JSON and CSV forms, and the number of entries acknowledged by the
+ * receiver. The accounting logic is in {@link gatefront.ledger}, the file handling in {@link gatefront.storage}.
  */
 package gatefront.ledgerstore;
--- a/src/test/java/gatefront/ledger/ExportScheduleTest.java
+++ b/src/test/java/gatefront/ledger/ExportScheduleTest.java
@@ -7,7 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What is sent after an answer that makes no sense, and after none. */
+/** Tests what is sent after an invalid answer and after a timeout. */
 class ExportScheduleTest {
     private final ExportSchedule export =
             new ExportSchedule(new ExportSchedule.Settings(5, 1_000, 100, 2_000, 500), 0, 1);
@@ -24,8 +24,8 @@
     @Test
     void unansweredBatchIsResentAfterTimeoutAndBackoff() {
         assertNotNull(export.nextBatch(0, 3));
-        assertNull(export.nextBatch(999, 3), "one at a time");
-        assertNull(export.nextBatch(1_000, 3), "its time is up: back off first");
+        assertNull(export.nextBatch(999, 3), "one batch at a time");
+        assertNull(export.nextBatch(1_000, 3), "timed out: back off first");
         assertEquals(new ExportSchedule.Batch(0, 3), export.nextBatch(1_100, 3));
     }
 }
--- a/src/test/java/gatefront/ledger/LedgerTest.java
+++ b/src/test/java/gatefront/ledger/LedgerTest.java
@@ -13,7 +13,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** What a ledger counts, whatever the order in which it hears of it. */
+/** Tests the totals and statuses of a ledger, which must not depend on the order of its entries. */
 class LedgerTest {
     private static EntryId id(String instance, long sequence) {
         return new EntryId(instance, 1, sequence);
@@ -24,7 +24,8 @@
                 id(instance, sequence), period, tenant, "consulta", new UsageAmounts(requests, 10, 20, 30));
     }
 
-    private static LedgerEntry correction(String instance, long sequence, long period, EntryId of, long requests) {
+    private static LedgerEntry correction(
+            String instance, long sequence, long period, EntryId corrected, long requests) {
         return new LedgerEntry(
                 id(instance, sequence),
                 LedgerEntry.Kind.CORRECTION,
@@ -32,40 +33,42 @@
                 "",
                 "",
                 new UsageAmounts(requests, 0, 0, 0),
-                of,
+                corrected,
                 "counted twice");
     }
 
-    private static Ledger of(List<LedgerEntry> entries) throws Ledger.Conflict {
+    private static Ledger ledgerOf(List<LedgerEntry> entries) throws Ledger.Conflict {
         Ledger ledger = Ledger.EMPTY;
-        for (LedgerEntry each : entries) {
-            ledger = ledger.with(each);
+        for (LedgerEntry entry : entries) {
+            ledger = ledger.with(entry);
         }
         return ledger;
     }
 
     @Test
     void entryCountsOnceAndADifferentEntryWithItsIdIsAConflict() throws Exception {
-        Ledger ledger = of(List.of(use("a", 0, 7, "mitla", 5)));
+        Ledger ledger = ledgerOf(List.of(use("a", 0, 7, "mitla", 5)));
         assertSame(ledger, ledger.with(use("a", 0, 7, "mitla", 5)));
         Ledger.Conflict e = assertThrows(Ledger.Conflict.class, () -> ledger.with(use("a", 0, 7, "mitla", 6)));
-        assertTrue(e.getMessage().startsWith("entry a/1/0 is there as USE of period 7 mitla"), e.getMessage());
+        assertTrue(
+                e.getMessage().startsWith("entry a/1/0 exists with different contents: USE of period 7 mitla"),
+                e.getMessage());
         assertEquals(5, ledger.total(7, "mitla").requests());
     }
 
     @Test
     void correctionCountsInItsOwnPeriodForTheCorrectedTenant() throws Exception {
-        Ledger ledger = of(
+        Ledger ledger = ledgerOf(
                 List.of(use("a", 0, 7, "mitla", 5), use("a", 1, 8, "etla", 1), correction("b", 0, 8, id("a", 0), -2)));
-        assertEquals(5, ledger.total(7, "mitla").requests(), "what is closed is not changed");
+        assertEquals(5, ledger.total(7, "mitla").requests(), "the closed period is unchanged");
         assertEquals(-2, ledger.total(8, "mitla").requests());
         ledger = ledger.with(correction("b", 1, 9, id("b", 0), 1));
-        assertEquals(1, ledger.total(9, "mitla").requests(), "a correction of a correction, of the same tenant");
+        assertEquals(1, ledger.total(9, "mitla").requests(), "a correction of a correction counts for the same tenant");
     }
 
     @Test
     void correctionReceivedBeforeItsEntryIsHeldBack() throws Exception {
-        Ledger ledger = of(List.of(correction("b", 1, 9, id("b", 0), 1), correction("b", 0, 8, id("a", 0), -2)));
+        Ledger ledger = ledgerOf(List.of(correction("b", 1, 9, id("b", 0), 1), correction("b", 0, 8, id("a", 0), -2)));
         assertEquals(2, ledger.unresolvedCorrections().size());
         assertEquals(Map.of(), ledger.totals(8));
         ledger = ledger.with(use("a", 0, 7, "mitla", 5));
@@ -76,12 +79,12 @@
 
     @Test
     void cyclicCorrectionsAreNotCounted() throws Exception {
-        Ledger ledger = of(List.of(correction("b", 0, 8, id("b", 1), 1), correction("b", 1, 8, id("b", 0), 1)));
+        Ledger ledger = ledgerOf(List.of(correction("b", 0, 8, id("b", 1), 1), correction("b", 1, 8, id("b", 0), 1)));
         assertEquals(Map.of(), ledger.totals(8));
         assertFalse(ledger.unresolvedCorrections().isEmpty());
     }
 
-    /** 300 random lots of entries, some twice, in random orders: the same ledger, and sums as reckoned plainly. */
+    /** Adds 300 random sets of entries, some entries twice, in random orders, and compares with plainly added sums. */
     @Test
     void ledgerDoesNotDependOnTheOrderOfEntries() throws Exception {
         for (int seed = 0; seed < 300; seed++) {
@@ -89,34 +92,39 @@
             List<LedgerEntry> entries = new ArrayList<>();
             long[] sums = new long[3];
             for (int i = 0; i < 30; i++) {
-                int of = entries.isEmpty() || random.nextInt(3) > 0 ? -1 : random.nextInt(entries.size());
-                LedgerEntry made = of < 0
+                int correctedIndex = entries.isEmpty() || random.nextInt(3) > 0 ? -1 : random.nextInt(entries.size());
+                LedgerEntry entry = correctedIndex < 0
                         ? use("a", i, random.nextInt(3), "t" + random.nextInt(3), random.nextInt(100))
-                        : correction("a", i, random.nextInt(3), entries.get(of).id(), random.nextInt(21) - 10);
-                entries.add(made);
-                sums[(int) made.period()] += made.amounts().requests();
+                        : correction(
+                                "a",
+                                i,
+                                random.nextInt(3),
+                                entries.get(correctedIndex).id(),
+                                random.nextInt(21) - 10);
+                entries.add(entry);
+                sums[(int) entry.period()] += entry.amounts().requests();
             }
-            Ledger one = of(entries);
-            List<LedgerEntry> other = new ArrayList<>(entries);
-            other.addAll(entries.subList(0, 10));
-            Collections.shuffle(other, random);
-            Ledger two = of(other);
+            Ledger ordered = ledgerOf(entries);
+            List<LedgerEntry> shuffledEntries = new ArrayList<>(entries);
+            shuffledEntries.addAll(entries.subList(0, 10));
+            Collections.shuffle(shuffledEntries, random);
+            Ledger shuffled = ledgerOf(shuffledEntries);
             for (long period = 0; period < 3; period++) {
-                assertEquals(one.totals(period), two.totals(period));
+                assertEquals(ordered.totals(period), shuffled.totals(period));
                 assertEquals(
                         sums[(int) period],
-                        one.totals(period).values().stream()
+                        ordered.totals(period).values().stream()
                                 .mapToLong(UsageAmounts::requests)
                                 .sum());
             }
-            assertEquals(List.of(), two.unresolvedCorrections());
-            assertEquals(entries.size(), two.size());
+            assertEquals(List.of(), shuffled.unresolvedCorrections());
+            assertEquals(entries.size(), shuffled.size());
         }
     }
 
     @Test
     void partOfAnInstanceThatNeverClosedThePeriodIsUnknown() throws Exception {
-        Ledger ledger = of(List.of(
+        Ledger ledger = ledgerOf(List.of(
                 use("a", 0, 7, "mitla", 5),
                 use("a", 1, 7, "etla", 1),
                 LedgerEntry.closed(id("a", 2), 7, 2),
@@ -134,16 +142,19 @@
                         "d",
                         Ledger.PartStatus.UNKNOWN),
                 ledger.partStatuses(7, List.of("a", "b", "c", "d")));
-        LedgerEntry again = LedgerEntry.use(new EntryId("b", 2, 0), 7, "mitla", "consulta", UsageAmounts.ZERO);
-        Ledger back = ledger.with(again).with(LedgerEntry.closed(new EntryId("b", 2, 1), 7, 1));
+        LedgerEntry afterRestart = LedgerEntry.use(new EntryId("b", 2, 0), 7, "mitla", "consulta", UsageAmounts.ZERO);
+        Ledger updated = ledger.with(afterRestart).with(LedgerEntry.closed(new EntryId("b", 2, 1), 7, 1));
         assertEquals(
-                Ledger.PartStatus.UNKNOWN, back.partStatuses(7, List.of()).get("b/1"), "its first life never ended");
-        assertEquals(Ledger.PartStatus.COMPLETE, back.partStatuses(7, List.of()).get("b/2"));
+                Ledger.PartStatus.UNKNOWN,
+                updated.partStatuses(7, List.of()).get("b/1"),
+                "its first epoch never closed the period");
+        assertEquals(
+                Ledger.PartStatus.COMPLETE, updated.partStatuses(7, List.of()).get("b/2"));
     }
 
     @Test
     void overflowingSumIsReportedAndLeavesTheLedgerUnchanged() throws Exception {
-        Ledger ledger = of(List.of(use("a", 0, 7, "mitla", Long.MAX_VALUE)));
+        Ledger ledger = ledgerOf(List.of(use("a", 0, 7, "mitla", Long.MAX_VALUE)));
         assertThrows(ArithmeticException.class, () -> ledger.with(use("a", 1, 7, "mitla", 1)));
         assertEquals(1, ledger.size());
     }
@@ -165,15 +176,15 @@
         assertFalse(periods.advanceTo(1_099));
         assertFalse(periods.advanceTo(1_105));
         assertEquals(11, periods.open());
-        assertEquals(10, periods.firstUnclosed(), "what ended before the end may still be told");
+        assertEquals(10, periods.firstUnclosed(), "the previous period is in its grace time");
         assertEquals(1_110, periods.nextBoundaryMicros(1_105));
         assertTrue(periods.advanceTo(1_110));
         assertEquals(11, periods.firstUnclosed());
-        assertFalse(periods.advanceTo(1_020), "back over the end");
+        assertFalse(periods.advanceTo(1_020), "set back over the end of the period");
         assertEquals(11, periods.open());
         assertEquals(11, periods.firstUnclosed());
         assertTrue(periods.advanceTo(1_620));
-        assertEquals(16, periods.firstUnclosed(), "all that was passed is closed");
+        assertEquals(16, periods.firstUnclosed(), "all passed periods are closed");
         PeriodClock after = new PeriodClock(100, 10, 16, 1_300);
         assertEquals(16, after.open(), "a restart with the clock set back");
     }
--- a/src/test/java/gatefront/ledger/ReconciliationTest.java
+++ b/src/test/java/gatefront/ledger/ReconciliationTest.java
@@ -9,7 +9,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Instances that differ find out where, at a cost that grows with the differences. */
+/** Tests that reconciliation finds all differences with traffic that grows with their number. */
 class ReconciliationTest {
     private static final int ENTRY_COUNT = 1_000_000;
 
@@ -30,21 +30,22 @@
         return all;
     }
 
-    /** Takes some out, changes some, adds some; returns their ids. */
-    private static TreeSet<EntryId> applyDifferences(List<LedgerEntry> of, int differences, Random random) {
+    /** Removes, changes and adds entries in turn; returns their ids. */
+    private static TreeSet<EntryId> applyDifferences(List<LedgerEntry> entries, int differences, Random random) {
         TreeSet<EntryId> ids = new TreeSet<>();
         while (ids.size() < differences) {
-            int at = random.nextInt(of.size());
-            EntryId id = of.get(at).id();
+            int index = random.nextInt(entries.size());
+            EntryId id = entries.get(index).id();
             if (ids.contains(id)) {
                 continue;
             }
             switch (ids.size() % 3) {
-                case 0 -> of.remove(at);
-                case 1 -> of.set(at, LedgerEntry.use(id, 7, "municipio-9", "consulta-saldo", UsageAmounts.ZERO));
+                case 0 -> entries.remove(index);
+                case 1 -> entries.set(
+                        index, LedgerEntry.use(id, 7, "municipio-9", "consulta-saldo", UsageAmounts.ZERO));
                 default -> {
                     id = new EntryId("agente-9", 1, ids.size());
-                    of.add(LedgerEntry.use(id, 7, "mitla", "pago", UsageAmounts.ZERO));
+                    entries.add(LedgerEntry.use(id, 7, "mitla", "pago", UsageAmounts.ZERO));
                 }
             }
             ids.add(id);
@@ -55,13 +56,13 @@
     @Test
     void largeTreesFindEveryDifferenceWithBoundedTraffic() {
         List<LedgerEntry> all = entries(ENTRY_COUNT);
-        DigestTree own = new DigestTree(all);
+        DigestTree local = new DigestTree(all);
         long[] bytes = new long[4];
         int[] differences = {0, 1, 10, 100};
-        for (int i = 0; i < differences.length; i++) { // the other four
-            List<LedgerEntry> theirs = new ArrayList<>(all);
-            TreeSet<EntryId> ids = applyDifferences(theirs, differences[i], new Random(i));
-            Reconciliation.Result result = Reconciliation.run(own, Reconciliation.Peer.of(new DigestTree(theirs)));
+        for (int i = 0; i < differences.length; i++) {
+            List<LedgerEntry> remote = new ArrayList<>(all);
+            TreeSet<EntryId> ids = applyDifferences(remote, differences[i], new Random(i));
+            Reconciliation.Result result = Reconciliation.run(local, Reconciliation.Peer.of(new DigestTree(remote)));
             assertEquals(
                     List.copyOf(ids),
                     result.differences().stream()
@@ -79,29 +80,29 @@
     void smallAndEmptyTreesMatchAPlainComparison() {
         for (int seed = 0; seed < 400; seed++) {
             Random random = new Random(seed);
-            List<LedgerEntry> one = entries(random.nextInt(60));
-            List<LedgerEntry> two = new ArrayList<>(one);
-            TreeSet<EntryId> ids = applyDifferences(two, Math.min(one.size() / 3, random.nextInt(12)), random);
+            List<LedgerEntry> local = entries(random.nextInt(60));
+            List<LedgerEntry> remote = new ArrayList<>(local);
+            TreeSet<EntryId> ids = applyDifferences(remote, Math.min(local.size() / 3, random.nextInt(12)), random);
             Reconciliation.Result result =
-                    Reconciliation.run(new DigestTree(one), Reconciliation.Peer.of(new DigestTree(two)));
+                    Reconciliation.run(new DigestTree(local), Reconciliation.Peer.of(new DigestTree(remote)));
             assertEquals(
                     List.copyOf(ids),
                     result.differences().stream()
                             .map(Reconciliation.Difference::id)
                             .toList());
-            for (Reconciliation.Difference each : result.differences()) {
+            for (Reconciliation.Difference difference : result.differences()) {
                 assertEquals(
-                        one.stream()
-                                .filter(its -> its.id().equals(each.id()))
+                        local.stream()
+                                .filter(entry -> entry.id().equals(difference.id()))
                                 .findAny()
                                 .orElse(null),
-                        each.local());
+                        difference.local());
                 assertEquals(
-                        two.stream()
-                                .filter(its -> its.id().equals(each.id()))
+                        remote.stream()
+                                .filter(entry -> entry.id().equals(difference.id()))
                                 .findAny()
                                 .orElse(null),
-                        each.remote());
+                        difference.remote());
             }
         }
         assertEquals(
@@ -110,11 +111,11 @@
                         .differences());
     }
 
-    /** One that tells other sums each time makes no endless work. */
+    /** Guards against endless work caused by a peer that answers with different sums each time. */
     @Test
     void peerWithChangingSumsCausesBoundedWork() {
         Random random = new Random(1);
-        Reconciliation.Peer liar = new Reconciliation.Peer() {
+        Reconciliation.Peer peer = new Reconciliation.Peer() {
             @Override
             public List<DigestTree.Sum> children(DigestTree.Range range) {
                 List<DigestTree.Sum> sums = new ArrayList<>();
@@ -134,12 +135,15 @@
                 return new DigestTree.Sum(5, 5, 5);
             }
         };
-        Reconciliation.Result result = Reconciliation.run(new DigestTree(List.of()), liar);
+        Reconciliation.Result result = Reconciliation.run(new DigestTree(List.of()), peer);
         assertEquals(List.of(), result.differences());
-        assertTrue(result.queries() < 50, result.queries() + " questions");
+        assertTrue(result.queries() < 50, result.queries() + " queries");
     }
 
-    /** The digests that instances compare: a renamed constant or another text would make every entry differ. */
+    /**
+     * Guards against a changed text of digests, for example by a renamed enum constant: instances of different versions
+     * would then see every entry as different.
+     */
     @Test
     void digestsOfEntriesStayTheSameAcrossVersions() {
         assertDigest(
--- a/src/test/java/gatefront/ledgerstore/ExportReceiver.java
+++ b/src/test/java/gatefront/ledgerstore/ExportReceiver.java
@@ -7,15 +7,15 @@
 import java.util.Random;
 
 /**
- * The stand-in that entries are exported to, as its contract says: it keeps the entries of an instance in the order of
- * their numbers, takes each number once, and answers how many it has. What it may do besides: lose a request or an
- * answer, answer twice or with an old answer, refuse, and go back to an older copy of itself.
+ * A stand-in for the receiver of exported entries. As its contract requires, it stores the entries of an instance in
+ * the order of their numbers, accepts each number once, and answers how many it has. With faults, it may lose a request
+ * or an answer, repeat an old answer, refuse, or fall back to its last backup.
  */
 final class ExportReceiver {
     private final Random random;
     private final List<LedgerEntry> received = new ArrayList<>();
     private long lastAnswer;
-    /** How many it will never forget: those of its last copy. */
+    /** The number of entries in its last backup, which it never loses. */
     private int backedUp;
 
     int forgotten;
@@ -25,17 +25,17 @@
         random = new Random(seed);
     }
 
-    /** What it has. */
+    /** Returns the entries that it has. */
     List<LedgerEntry> received() {
         return received;
     }
 
-    /** How many of them stand in its copy. */
+    /** Returns the number of entries in its last backup. */
     int backedUp() {
         return backedUp;
     }
 
-    /** It takes a batch; returns what answer comes, or none. */
+    /** Receives a batch; returns its answer, or null if there is none. */
     Long receive(ExportSchedule.Batch batch, List<LedgerEntry> entries, boolean faults) {
         int fault = faults ? random.nextInt(12) : 99;
         if (fault == 0) {
@@ -46,7 +46,7 @@
             return null;
         }
         if (fault == 2) {
-            return lastAnswer; // an answer of before
+            return lastAnswer; // an old answer
         }
         if (batch.from() <= received.size()) {
             for (int i = (int) (received.size() - batch.from()); i < entries.size(); i++) {
@@ -59,7 +59,7 @@
         }
         if (fault == 4 && received.size() > backedUp) {
             forgotten += received.size() - backedUp;
-            received.subList(backedUp, received.size()).clear(); // it confirms and forgets
+            received.subList(backedUp, received.size()).clear(); // it acknowledges the entries and loses them
         }
         if (random.nextInt(8) == 0) {
             backedUp = received.size();
--- a/src/test/java/gatefront/ledgerstore/LedgerStoreTest.java
+++ b/src/test/java/gatefront/ledgerstore/LedgerStoreTest.java
@@ -23,7 +23,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** An instance's books through crashes, and what comes to the receiver. */
+/** Tests the ledger store through power losses, and the export of its entries to the receiver. */
 class LedgerStoreTest {
     private static final ExportSchedule.Settings EXPORT = new ExportSchedule.Settings(5, 1_000, 100, 2_000, 500);
     private static final int POWER_LOSSES = 10_000;
@@ -32,14 +32,13 @@
         return Map.of(new Ledger.Cell(period, tenant, "consulta"), new UsageAmounts(requests, 1, 2, 3));
     }
 
-    /** What should come to the receiver in the end: all that was told to be kept, and what came through a crash. */
+    /** An instance with its disk and receiver; every entry reported as stored must reach the receiver in the end. */
     private static final class Simulation {
         final Random random;
         final CrashingDisk disk;
         final ExportReceiver receiver;
         final Set<EntryId> stored = new HashSet<>();
         long now;
-        int kills;
 
         Simulation(long seed) {
             random = new Random(seed);
@@ -47,7 +46,7 @@
             receiver = new ExportReceiver(seed);
         }
 
-        /** A life of the instance and its exporter, until the power goes at some step of the disk. */
+        /** Runs the instance and its exporter; with faults, until the power fails at a random step of the disk. */
         void runSession(boolean faults) throws IOException {
             if (faults) {
                 disk.losePowerAfter(random.nextInt(60));
@@ -69,14 +68,16 @@
                 ExportSchedule.Batch batch = export.nextBatch(now, store.ownCount());
                 if (batch != null) {
                     answer = receiver.receive(batch, store.ownEntries(batch.from(), batch.count()), faults);
-                    answerAt = now + 20L * random.nextInt(faults ? 60 : 5); // at times too late
+                    answerAt = now + 20L * random.nextInt(faults ? 60 : 5); // sometimes after the timeout
                 }
                 if (answer != null && now >= answerAt) {
                     boolean changed = export.onAnswer(now, answer, store.ownCount());
-                    answer = faults && random.nextInt(10) == 0 ? answer : null; // it may come twice
+                    answer = faults && random.nextInt(10) == 0
+                            ? answer
+                            : null; // with faults, the answer may be delivered again
                     answerAt = now + 20;
                     if (changed) {
-                        store.acknowledged(export.acknowledged());
+                        store.storeAcknowledged(export.acknowledged());
                     }
                 }
             }
@@ -87,7 +88,7 @@
     @Test
     void powerLossesLeaveTheReceiverWithEachEntryOnce() throws IOException {
         int powerLosses = 0;
-        int forgot = 0;
+        int forgotten = 0;
         int refused = 0;
         for (long seed = 0; powerLosses < POWER_LOSSES; seed++) {
             Simulation simulation = new Simulation(seed);
@@ -100,17 +101,17 @@
                 }
                 simulation.disk.restart();
             }
-            simulation.runSession(false); // a day on which nothing goes wrong
+            simulation.runSession(false); // without faults, the export completes
             Ledger[] ledger = {Ledger.EMPTY};
             LedgerStore.Contents[] contents = new LedgerStore.Contents[1];
             StoreVerification.of(simulation.disk, SigningKeys.NONE, LedgerStore.contentsReader(at -> contents[0] = at));
             List<LedgerEntry> own = new ArrayList<>();
             contents[0].ledger().entries().forEach(own::add);
             Set<EntryId> ids = new HashSet<>();
-            for (LedgerEntry each : simulation.receiver.received()) {
-                assertTrue(ids.add(each.id()), "twice: " + each.id());
+            for (LedgerEntry entry : simulation.receiver.received()) {
+                assertTrue(ids.add(entry.id()), "twice: " + entry.id());
                 try {
-                    ledger[0] = ledger[0].with(each);
+                    ledger[0] = ledger[0].with(entry);
                 } catch (Ledger.Conflict e) {
                     throw new AssertionError(e);
                 }
@@ -118,10 +119,10 @@
             assertTrue(ids.containsAll(simulation.stored));
             assertEquals(own.size(), simulation.receiver.received().size());
             assertEquals(contents[0].ledger().totals(1), ledger[0].totals(1), "exact to the unit");
-            forgot += simulation.receiver.forgotten;
+            forgotten += simulation.receiver.forgotten;
             refused += simulation.receiver.refused;
         }
-        assertTrue(forgot > 100 && refused > 100, forgot + " forgotten, " + refused + " refused");
+        assertTrue(forgotten > 100 && refused > 100, forgotten + " forgotten, " + refused + " refused");
     }
 
     @Test
@@ -129,10 +130,10 @@
         CrashingDisk disk = new CrashingDisk(1);
         LedgerStore first = LedgerStore.open(disk, Store.Options.DEFAULTS, "a");
         first.recordUse(1, cell(1, "mitla", 5));
-        assertThrows(IOException.class, () -> LedgerStore.open(disk, Store.Options.DEFAULTS, "a"), "started twice");
+        assertThrows(IOException.class, () -> LedgerStore.open(disk, Store.Options.DEFAULTS, "a"), "already open");
         first.close();
         assertEquals(
-                "these are the books of a, not of b",
+                "ledger store belongs to instance a, not to b",
                 assertThrows(IOException.class, () -> LedgerStore.open(disk, Store.Options.DEFAULTS, "b"))
                         .getMessage());
         LedgerStore second = LedgerStore.open(disk, Store.Options.DEFAULTS, "a");
@@ -150,13 +151,13 @@
     void exportedEntryIsCorrectedByASeparateEntry() throws IOException {
         LedgerStore store = LedgerStore.open(new CrashingDisk(1), Store.Options.DEFAULTS, "a");
         store.recordUse(1, cell(1, "mitla", 5));
-        EntryId wrong = store.ownEntries(0, 1).get(0).id();
-        LedgerEntry correction = store.correct(wrong, 2, new UsageAmounts(-5, 0, 0, 0), "a test terminal");
+        EntryId correctedId = store.ownEntries(0, 1).get(0).id();
+        LedgerEntry correction = store.correct(correctedId, 2, new UsageAmounts(-5, 0, 0, 0), "a test terminal");
         store.correct(correction.id(), 2, new UsageAmounts(1, 0, 0, 0), "one was real");
         assertEquals(5, store.ledger().total(1, "mitla").requests());
         assertEquals(-4, store.ledger().total(2, "mitla").requests());
         assertThrows(IOException.class, () -> store.correct(new EntryId("x", 0, 0), 2, UsageAmounts.ZERO, "why"));
-        assertThrows(IOException.class, () -> store.correct(wrong, 2, UsageAmounts.ZERO, " "));
+        assertThrows(IOException.class, () -> store.correct(correctedId, 2, UsageAmounts.ZERO, " "));
         assertThrows(IOException.class, () -> store.importEntries(List.of(correction)));
         store.close();
     }
@@ -175,7 +176,7 @@
         store.close();
     }
 
-    /** Messages with bytes changed, cut or added: an entry or one exception, never another. */
+    /** Decoding a message with changed, missing or added bytes yields an entry or an IOException, nothing else. */
     @Test
     void damagedMessagesAreReadOrRefusedWithAnIOException() {
         Random random = new Random(1);
