--- a/src/test/java/gatefront/ledgerstore/LedgerStoreTest.java
+++ b/src/test/java/gatefront/ledgerstore/LedgerStoreTest.java
@@ -109,7 +109,7 @@
             contents[0].ledger().entries().forEach(own::add);
             Set<EntryId> ids = new HashSet<>();
             for (LedgerEntry entry : simulation.receiver.received()) {
-                assertTrue(ids.add(entry.id()), "twice: " + entry.id());
+                assertTrue(ids.add(entry.id()), "received twice: " + entry.id());
                 try {
                     ledger[0] = ledger[0].with(entry);
                 } catch (Ledger.Conflict e) {
--- a/src/test/java/gatefront/storage/StoreCrashTest.java
+++ b/src/test/java/gatefront/storage/StoreCrashTest.java
@@ -28,12 +28,12 @@
         @Override
         public void snapshot(byte[] record) {
             String[] words = text(record).split(" ", 2);
-            assertTrue(byNumber.put(Long.parseLong(words[0]), words[1]) == null, "twice: " + words[0]);
+            assertTrue(byNumber.put(Long.parseLong(words[0]), words[1]) == null, "replayed twice: " + words[0]);
         }
 
         @Override
         public void record(long number, byte[] record) {
-            assertTrue(byNumber.put(number, text(record)) == null, "twice: " + number);
+            assertTrue(byNumber.put(number, text(record)) == null, "replayed twice: " + number);
         }
     }
 
@@ -68,8 +68,8 @@
     }
 
     /** Opens the store, compares it with the model and runs random operations, until done or until a fault ends it. */
-    private static void runSession(MemoryDisk disk, Model model, long seed, int round) throws IOException {
-        Random random = new Random(seed * 31 + round);
+    private static void runSession(MemoryDisk disk, Model model, long seed, int session) throws IOException {
+        Random random = new Random(seed * 31 + session);
         ReplayedRecords replayed = new ReplayedRecords();
         Store store = Store.open(disk, options(seed), replayed);
         check(model, replayed);
@@ -155,9 +155,9 @@
         Model model = new Model();
         disk.faultStep = faultAt;
         disk.fault = fault;
-        for (int round = 0; round < 3; round++) {
+        for (int session = 0; session < 3; session++) {
             try {
-                runSession(disk, model, seed, round);
+                runSession(disk, model, seed, session);
             } catch (MemoryDisk.PowerException e) {
                 // the history continues after the restart below
             } catch (StoreFailedException e) {
@@ -172,15 +172,16 @@
         ReplayedRecords replayed = new ReplayedRecords();
         Store.open(disk, options(seed), replayed).close();
         check(model, replayed);
-        StoreVerification verify = StoreVerification.of(disk, options(seed).keys(), RecordConsumer.IGNORE);
-        assertEquals(null, verify.damage());
+        StoreVerification verification =
+                StoreVerification.of(disk, options(seed).keys(), RecordConsumer.IGNORE);
+        assertEquals(null, verification.damage());
         assertEquals(
                 replayed.byNumber.size(),
-                verify.records()
-                        + (verify.snapshotNextRecord() == 0
+                verification.records()
+                        + (verification.snapshotNextRecord() == 0
                                 ? 0
                                 : replayed.byNumber
-                                        .headMap(verify.snapshotNextRecord())
+                                        .headMap(verification.snapshotNextRecord())
                                         .size()));
     }
 
--- a/src/test/java/gatefront/storage/StoreTest.java
+++ b/src/test/java/gatefront/storage/StoreTest.java
@@ -88,16 +88,18 @@
         for (String keys : new String[] {null, FIRST_KEY}) {
             writeSampleStore(keys);
             for (String name : disk.names()) {
-                for (int at = 0; at < disk.size(name); at++) {
-                    int bit = at % 8;
-                    disk.flipBit(name, at, bit);
-                    StoreVerification verify =
+                for (int offset = 0; offset < disk.size(name); offset++) {
+                    int bit = offset % 8;
+                    disk.flipBit(name, offset, bit);
+                    StoreVerification verification =
                             StoreVerification.of(disk, options(keys, 1, 1).keys(), RecordConsumer.IGNORE);
-                    assertFalse(verify.clean(), name + " at " + at);
+                    assertFalse(verification.clean(), name + " at " + offset);
                     assertTrue(
-                            verify.damage() == null || verify.damage().file().equals(name) || at < FileHeader.BYTES,
-                            () -> name + ": " + verify.damage());
-                    disk.flipBit(name, at, bit);
+                            verification.damage() == null
+                                    || verification.damage().file().equals(name)
+                                    || offset < FileHeader.BYTES,
+                            () -> name + ": " + verification.damage());
+                    disk.flipBit(name, offset, bit);
                 }
             }
             assertTrue(StoreVerification.of(disk, options(keys, 1, 1).keys(), RecordConsumer.IGNORE)
@@ -117,11 +119,11 @@
                 .max()
                 .orElseThrow());
         disk.flipBit(last, FileHeader.BYTES + 70, 1);
-        int before = disk.steps;
+        int stepsBefore = disk.steps;
         CorruptStoreException e =
                 assertThrows(CorruptStoreException.class, () -> Store.open(disk, Store.Options.DEFAULTS, replay));
         assertEquals(last + " at 104: a frame that was forced to the disk is damaged", e.getMessage());
-        assertEquals(before, disk.steps);
+        assertEquals(stepsBefore, disk.steps);
         disk.flipBit(last, FileHeader.BYTES + 70, 1);
         Store.open(disk, Store.Options.DEFAULTS, replay).close(); // the failed open released the lock
     }
@@ -137,13 +139,13 @@
         for (int i = 0; i < logs.size(); i++) {
             Disk.File file = disk.open(logs.get(i));
             disk.delete(logs.get(i));
-            StoreVerification verify = StoreVerification.of(disk, SigningKeys.NONE, RecordConsumer.IGNORE);
+            StoreVerification verification = StoreVerification.of(disk, SigningKeys.NONE, RecordConsumer.IGNORE);
             // A missing last segment cannot be detected from the remaining files; that would need a count elsewhere.
-            assertEquals(i < logs.size() - 1, verify.damage() != null, logs.get(i) + ": " + verify);
+            assertEquals(i < logs.size() - 1, verification.damage() != null, logs.get(i) + ": " + verification);
             if (i > 0 && i < logs.size() - 1) {
                 assertEquals(
                         logs.get(i) + " at 0: segment is missing",
-                        verify.damage().getMessage());
+                        verification.damage().getMessage());
             }
             Disk.File restored = disk.create(logs.get(i));
             ByteBuffer bytes = ByteBuffer.allocate((int) file.size());
@@ -298,7 +300,7 @@
 
     @Test
     void invalidKeyFileIsRefusedInOneLineWithoutShowingAKey() throws IOException {
-        for (String wrong : List.of(
+        for (String invalid : List.of(
                 "",
                 "1 0a0b\n",
                 "0 " + "0a".repeat(32) + "\n",
@@ -308,7 +310,7 @@
                 "# nothing\n",
                 "1\n",
                 "1 " + "0a".repeat(300) + "\n")) {
-            IOException e = assertThrows(IOException.class, () -> SigningKeys.parse("file", wrong), wrong);
+            IOException e = assertThrows(IOException.class, () -> SigningKeys.parse("file", invalid), invalid);
             assertFalse(e.getMessage().contains("0a") || e.getMessage().contains("\n"), e.getMessage());
         }
         Path file = folder.resolve("keys");
@@ -328,7 +330,7 @@
                 "writer");
         assertThrows(IllegalArgumentException.class, () -> commit.offer(new byte[Frame.MAX_BODY_BYTES], null));
         AtomicInteger stored = new AtomicInteger();
-        commit.run(its -> {
+        commit.run(unused -> {
             throw new IllegalStateException("failing task");
         });
         for (int i = 0; i < 3; i++) {
@@ -356,7 +358,7 @@
                 store, new GroupCommit.Settings(GroupCommit.Policy.GROUP, 500, 64, 16), System::nanoTime, "writer");
         CountDownLatch release = new CountDownLatch(1);
         CountDownLatch blocked = new CountDownLatch(1);
-        assertTrue(commit.run(its -> {
+        assertTrue(commit.run(unused -> {
             blocked.countDown();
             try {
                 release.await();
