--- a/src/main/java/gatefront/agent/Agent.java
+++ b/src/main/java/gatefront/agent/Agent.java
@@ -38,122 +38,138 @@
 import java.util.function.Supplier;
 
 /**
- * One agent from its start to its end: puts the engine, its fronts, upstreams and sources together on one event loop,
- * whose thread owns the sockets, the timers and the module.
+ * An agent process. Wires the engine, the frontends, the upstreams and the sources of the server list together on one
+ * event loop, whose thread owns the sockets, the timers and the decision module.
  */
 public final class Agent {
-    /** Descriptors kept back for the program's own files, discovery and the listener. */
-    private static final int SOCKETS_RESERVED = 40;
-    /** How long new connections come at the most after the end was asked for. */
-    private static final long LINGER_MS = 500;
-    /** By so much longer than the longest deadline an agent has until it is killed. */
+    /** File descriptors reserved for the program's own files, discovery and the listeners. */
+    private static final int RESERVED_SOCKETS = 40;
+    /**
+     * Delay after a stop was requested before an idle agent drains, in milliseconds; new connections may arrive for at
+     * most that long.
+     */
+    private static final long IDLE_STOP_DELAY_MS = 500;
+    /** An agent is killed this long after the longest deadline of a request has passed, in milliseconds. */
     private static final long KILL_AFTER_MS = 700;
-    /** So long before that the last answers are given, and so long before those connections begin to end. */
-    private static final long LAST_MS = 200;
+    /** Time between the last responses and the moment when the agent is killed, in milliseconds. */
+    private static final long FINAL_RESPONSE_MARGIN_MS = 200;
 
-    private static final long CLOSING_MS = 300;
-    /** However long the deadlines are, connections begin to end after this. */
-    private static final long SERVE_ON_MOST_MS = 2_000;
-    /** How long the first list is waited for before the known one has to do. */
-    private static final long FIRST_LIST_MS = 1_000;
+    /** Time between the start of closing connections and the last responses, in milliseconds. */
+    private static final long CONNECTION_CLOSE_MS = 300;
+    /**
+     * Maximum time after a stop was requested until connections begin to close, whatever the deadlines, in
+     * milliseconds.
+     */
+    private static final long MAX_SERVE_AFTER_STOP_MS = 2_000;
+    /** Maximum wait for the first server list before the known one is used, in milliseconds. */
+    private static final long FIRST_LIST_TIMEOUT_MS = 1_000;
 
-    /** The part of the heap that bodies of requests may take, and that answers in part may. */
-    private static final int BODIES_PART = 6;
-    /** Calls held at the most: several of a connection wait where a protocol lets them. */
-    private static final int CALLS_A_CONNECTION = 8;
+    /** Request bodies, and partial responses, may each take the memory budget divided by this. */
+    private static final int BODY_HEAP_DIVISOR = 6;
+    /**
+     * Default cap on requests held, per connection: a protocol with pipelining lets several of one connection wait.
+     */
+    private static final int CALLS_PER_CONNECTION = 8;
 
-    private static final int CALLS_LEAST = 1_024;
-    private static final long TREND_SECONDS = 1;
-    /** How often it looks at the clock where nothing else happens, and how long it waits to hear after a standstill. */
-    private static final long BEAT_MS = 100;
+    /** Lower bound of the default cap on requests held. */
+    private static final int MIN_CALLS_CAP = 1_024;
+    /** Interval between two samples of the memory trend, in seconds. */
+    private static final long TREND_INTERVAL_SECONDS = 1;
+    /** Interval of the check for a stalled process, in milliseconds. */
+    private static final long STALL_CHECK_MS = 100;
 
-    private static final long HEAR_MICROS = 300_000;
+    /** Maximum wait for a fresh server list after a stall, in microseconds. */
+    private static final long LIST_REFRESH_TIMEOUT_MICROS = 300_000;
 
-    /** As it is now: a reload may change it. */
+    /** The current configuration; a reload replaces it. */
     private Config config;
 
     private final Transport transport;
     private final ResourceBudget budget;
-    private final Map<ResourcePurpose, ResourceBudget.Cap> usual;
-    /** Shows what is held; null where nobody asked for it. */
+    private final Map<ResourcePurpose, ResourceBudget.Cap> defaultCaps;
+    /** The status page; null if it is not configured. */
     private final StatusEndpoint status;
 
     private final EventLoop loop;
     private final Engine engine;
-    private final HttpUpstream backends;
+    private final HttpUpstream httpUpstream;
     private final Discovery discovery;
-    /** Makes one list of several sources; null where the padrón is the only one. */
-    private final MembershipSources sources;
-
-    private final HttpFrontend clients;
-    /** What operators do with it; null where they have no door. */
-    private final OperatorControls operations;
-    /** Writes what municipios use; null where nobody wants it. */
-    private UsageRecorder keeper;
-    /** What it knows over its death; null where nothing is kept. */
-    private StateRecovery recovering;
-    /** All of them, that over HTTP first. */
-    private final List<Frontend> fronts = new ArrayList<>();
-
-    private final CountDownLatch ended = new CountDownLatch(1);
+    /** Merges the sources of the server list; null if the padrón is the only one. */
+    private final MembershipSources membershipSources;
+
+    private final HttpFrontend httpFrontend;
+    /** Serves the management endpoint; null if it is not configured. */
+    private final OperatorControls operatorControls;
+    /** Writes the usage of each municipio to the ledger; null if there is no ledger. */
+    private UsageRecorder usageRecorder;
+    /** State that survives a restart of the process; null if none is stored. */
+    private StateRecovery stateRecovery;
+    /** All frontends, HTTP first. */
+    private final List<Frontend> frontends = new ArrayList<>();
+
+    private final CountDownLatch terminated = new CountDownLatch(1);
     private final AtomicBoolean stopping = new AtomicBoolean();
-    private volatile Runnable whenEnded = () -> {};
+    private volatile Runnable terminationCallback = () -> {};
     private volatile boolean failed;
-    private boolean ending;
-    /** Whether a list has come, or has been waited for long enough; and whether the path has been run. */
-    private boolean listed;
-
-    private boolean warm;
-    /** Whether it has been ready, and looks out for standstills since. */
-    private boolean wakes;
-    /** Whether it listens for callers. */
-    private boolean serves;
-
+    private boolean drainStarted;
+    /** Whether a server list has arrived, or the wait for it is over. */
+    private boolean serverListReady;
+
+    /** Whether the warm-up is complete. */
+    private boolean warmedUp;
+    /** Whether the agent has become ready at least once. */
+    private boolean becameReady;
+    /** Whether the agent listens for clients. */
+    private boolean listening;
+
+    /** Whether the frontends are being bound beside the process that serves. */
     private boolean binding;
-    private int warmedBy;
+
+    private int warmupResponses;
 
     private Agent(
             Config config,
             Extensions extensions,
             Transport transport,
-            ProcessHandover neighbour,
+            ProcessHandover handover,
             Function<Engine, Balancer> module) {
         ThriftSettings thrift = extensions.thrift();
         this.config = config;
         this.transport = transport;
         loop = transport.loop();
-        int each = (config.sockets() - SOCKETS_RESERVED) / (thrift == null ? 2 : 4);
-        usual = caps(transport.memory(), each * (thrift == null ? 1 : 2));
-        budget = new ResourceBudget(transport.memory(), usual);
-        cap(extensions);
+        int connectionLimit = (config.sockets() - RESERVED_SOCKETS) / (thrift == null ? 2 : 4);
+        defaultCaps = defaultCaps(transport.memory(), connectionLimit * (thrift == null ? 1 : 2));
+        budget = new ResourceBudget(transport.memory(), defaultCaps);
+        applyCaps(extensions);
         status = extensions.memory() == null || extensions.memory().status() == null
                 ? null
                 : new StatusEndpoint(transport, extensions.memory().status(), budget);
-        backends = new HttpUpstream(transport, config, each, budget);
-        ThriftUpstream overThrift = thrift == null ? null : new ThriftUpstream(transport, config, thrift, each, budget);
-        List<Upstream> upstreams = overThrift == null
-                ? List.of(backends)
-                : thrift.probes() ? List.of(overThrift, backends) : List.of(backends, overThrift);
+        httpUpstream = new HttpUpstream(transport, config, connectionLimit, budget);
+        ThriftUpstream thriftUpstream =
+                thrift == null ? null : new ThriftUpstream(transport, config, thrift, connectionLimit, budget);
+        List<Upstream> upstreams = thriftUpstream == null
+                ? List.of(httpUpstream)
+                : thrift.probes() ? List.of(thriftUpstream, httpUpstream) : List.of(httpUpstream, thriftUpstream);
         discovery = new Discovery(transport, config, new Discovery.Listener() {
             @Override
             public void list(Balancer.ListKind kind, List<Endpoint> endpoints) {
-                if (sources != null) {
-                    sources.padron(kind, endpoints);
+                if (membershipSources != null) {
+                    membershipSources.onPadronList(kind, endpoints);
                 } else {
-                    listed = true;
-                    servers(kind, endpoints);
+                    serverListReady = true;
+                    onServerList(kind, endpoints);
                 }
             }
 
             @Override
-            public void failed(String why) {
-                say("discovery: " + why);
+            public void failed(String reason) {
+                log("discovery: " + reason);
                 if (config.settings().askDiscovery()) {
                     engine.servers(Balancer.ListKind.FAILED, List.of());
                 }
             }
         });
-        // After discovery: the module may ask for the list at once, on the loop, and would find none to ask.
+        // Must follow the creation of discovery: the module may request the list at once, on the loop.
         engine = new Engine(
                 transport,
                 config.settings(),
@@ -162,21 +178,21 @@
                 new Engine.Source() {
                     @Override
                     public void watch() {
-                        if (asksPadron()) {
+                        if (usesPadron()) {
                             discovery.watch();
                         }
                     }
 
                     @Override
                     public void fetch() {
-                        if (asksPadron()) {
+                        if (usesPadron()) {
                             discovery.fetch();
                         }
                     }
                 },
                 budget,
                 module);
-        sources = extensions.registry() == null
+        membershipSources = extensions.registry() == null
                 ? null
                 : new MembershipSources(
                         transport,
@@ -184,20 +200,25 @@
                         extensions.registry(),
                         budget.of(ResourcePurpose.REGISTRY),
                         engine,
-                        this::servers,
-                        () -> listed = true);
-        clients = new HttpFrontend(transport, config, each, this::ready, budget, engine.through(backends));
-        fronts.add(clients);
+                        this::onServerList,
+                        () -> serverListReady = true);
+        httpFrontend =
+                new HttpFrontend(transport, config, connectionLimit, this::ready, budget, engine.through(httpUpstream));
+        frontends.add(httpFrontend);
         if (thrift != null) {
-            fronts.add(new ThriftFrontend(
-                    transport, config, thrift, each, this::ready, budget, engine.through(overThrift)));
+            frontends.add(new ThriftFrontend(
+                    transport, config, thrift, connectionLimit, this::ready, budget, engine.through(thriftUpstream)));
         }
-        operations = config.management() == null ? null : operations(this, neighbour);
+        operatorControls = config.management() == null ? null : createOperatorControls(this, handover);
     }
 
-    private static OperatorControls operations(Agent agent, ProcessHandover neighbour) {
+    private static OperatorControls createOperatorControls(Agent agent, ProcessHandover handover) {
         return new OperatorControls(
-                agent.transport, agent.config.management(), neighbour, agent.engine, new OperatorControls.Host() {
+                agent.transport,
+                agent.config.management(),
+                handover,
+                agent.engine,
+                new OperatorControls.AgentControl() {
                     @Override
                     public boolean ready() {
                         return agent.ready() && !agent.stopping.get();
@@ -209,30 +230,31 @@
                     }
 
                     @Override
-                    public void alone() {
+                    public void onPredecessorEnded() {
                         agent.takeOver();
                     }
                 });
     }
 
-    /** What each purpose may hold where nothing else is said; the connections' own limits hold them besides. */
-    static Map<ResourcePurpose, ResourceBudget.Cap> caps(long memory, int connections) {
+    /** Default caps per purpose. The connections' own limits apply in addition. */
+    static Map<ResourcePurpose, ResourceBudget.Cap> defaultCaps(long memory, int connections) {
         Map<ResourcePurpose, ResourceBudget.Cap> caps = new EnumMap<>(ResourcePurpose.class);
-        // None for callers' connections: a front's own limit leaves out those that end, and an account counts them.
+        // No cap on client connections: the limit of a frontend excludes connections that are closing, whereas the
+        // account counts them.
         caps.put(ResourcePurpose.SERVER_CONNECTIONS, new ResourceBudget.Cap(connections, -1));
-        caps.put(ResourcePurpose.REQUESTS, new ResourceBudget.Cap(-1, memory / BODIES_PART));
-        caps.put(ResourcePurpose.SERVER_ANSWERS, new ResourceBudget.Cap(-1, memory / BODIES_PART));
+        caps.put(ResourcePurpose.REQUESTS, new ResourceBudget.Cap(-1, memory / BODY_HEAP_DIVISOR));
+        caps.put(ResourcePurpose.SERVER_ANSWERS, new ResourceBudget.Cap(-1, memory / BODY_HEAP_DIVISOR));
         caps.put(
                 ResourcePurpose.CALLS,
-                new ResourceBudget.Cap(Math.max(CALLS_LEAST, CALLS_A_CONNECTION * connections), -1));
+                new ResourceBudget.Cap(Math.max(MIN_CALLS_CAP, CALLS_PER_CONNECTION * connections), -1));
         return caps;
     }
 
-    /** The caps of a file of our own over the usual ones; what the file does not name has the usual one again. */
-    private void cap(Extensions extensions) {
+    /** Applies the caps of the extensions file; purposes that it does not name return to the default. */
+    private void applyCaps(Extensions extensions) {
         Map<ResourcePurpose, ResourceBudget.Cap> caps = new EnumMap<>(ResourcePurpose.class);
-        for (ResourcePurpose each : ResourcePurpose.values()) {
-            caps.put(each, usual.getOrDefault(each, new ResourceBudget.Cap(-1, -1)));
+        for (ResourcePurpose purpose : ResourcePurpose.values()) {
+            caps.put(purpose, defaultCaps.getOrDefault(purpose, new ResourceBudget.Cap(-1, -1)));
         }
         if (extensions.memory() != null) {
             caps.putAll(extensions.memory().caps());
@@ -240,79 +262,82 @@
         budget.caps(caps);
     }
 
-    /** What it holds, by purpose; to be asked on its loop. */
+    /** Returns the accounts of held resources by purpose; to be called on the event loop. */
     public ResourceBudget budget() {
         return budget;
     }
 
     /**
-     * Starts an agent; its doors are open when this returns.
+     * Starts an agent. Its listeners are open when this returns.
      *
-     * @param config its configuration file
-     * @param extensions the file of our own beside it, or null
-     * @param management where operators call, if the configuration does not say so; or null
-     * @param shared the folder common to two processes of the agent, or null
+     * @param config the configuration file
+     * @param extensions the extensions file, or null
+     * @param management the address of the management endpoint if the configuration has none, or null
+     * @param shared the directory shared by the processes of one agent during a handover, or null
      * @return the running agent
-     * @throws IllegalArgumentException if a file is unusable; the message is one plain line
+     * @throws IllegalArgumentException if a file cannot be used; the message is a single line
      * @throws IOException if an address cannot be listened on
      */
     public static Agent start(Path config, Path extensions, String management, Path shared) throws IOException {
-        Config read = Config.read(config).managedAt(management);
+        Config parsed = Config.read(config).managedAt(management);
         return serve(
-                read, extensions == null ? Extensions.NONE : Extensions.read(extensions, read), shared, Engine::usual);
+                parsed,
+                extensions == null ? Extensions.NONE : Extensions.read(extensions, parsed),
+                shared,
+                Engine::usual);
     }
 
     static Agent start(Config config) throws IOException {
         return start(config, Engine::usual);
     }
 
-    /** With another module than the usual one. */
+    /** Starts an agent with the given decision module. */
     static Agent start(Config config, Function<Engine, Balancer> module) throws IOException {
         return serve(config, Extensions.NONE, null, module);
     }
 
-    /** With what an installation has besides. */
+    /** Starts an agent with extensions. */
     static Agent start(Config config, Extensions extensions) throws IOException {
         return serve(config, extensions, null, Engine::usual);
     }
 
-    /** With a folder that it shares with other processes of the same agent. */
+    /** Starts an agent with a directory shared with other processes of the same agent. */
     static Agent start(Config config, Path shared) throws IOException {
         return serve(config, Extensions.NONE, shared, Engine::usual);
     }
 
     private static Agent serve(Config config, Extensions extensions, Path shared, Function<Engine, Balancer> module)
             throws IOException {
-        SocketTransport sockets = new SocketTransport(
-                extensions.recovery() == null ? 0 : extensions.recovery().clockOff());
-        ProcessHandover neighbour = shared == null || config.management() == null
+        SocketTransport transport = new SocketTransport(
+                extensions.recovery() == null ? 0 : extensions.recovery().clockOffsetMicros());
+        ProcessHandover handover = shared == null || config.management() == null
                 ? null
                 : new ProcessHandover(
                         shared,
-                        Long.toHexString(config.seed()) + "-" + Long.toHexString(sockets.wallMicros()),
-                        sockets::log);
-        Agent agent = new Agent(config, extensions, sockets, neighbour, module);
+                        Long.toHexString(config.seed()) + "-" + Long.toHexString(transport.wallMicros()),
+                        transport::log);
+        Agent agent = new Agent(config, extensions, transport, handover, module);
         if (extensions.ledger() != null) {
             try {
-                agent.keeper = UsageRecorder.open(sockets, extensions.ledger(), () -> agent.config);
+                agent.usageRecorder = UsageRecorder.open(transport, extensions.ledger(), () -> agent.config);
             } catch (IOException e) {
-                throw agent.unable(e.getMessage());
+                throw agent.abortStart(e.getMessage());
             }
-            agent.engine.usage(agent.keeper.usage());
+            agent.engine.usage(agent.usageRecorder.meter());
         }
         if (extensions.recovery() != null) {
-            agent.recovering = StateRecovery.open(sockets, extensions.recovery(), config);
+            agent.stateRecovery = StateRecovery.open(transport, extensions.recovery(), config);
         }
-        if (agent.operations != null
-                && !agent.operations.listen().awaitUninterruptibly().isSuccess()) {
-            throw agent.unable("cannot listen on " + config.management() + " for the operators");
+        if (agent.operatorControls != null
+                && !agent.operatorControls.listen().awaitUninterruptibly().isSuccess()) {
+            throw agent.abortStart("cannot listen on " + config.management() + " for the management endpoint");
         }
-        agent.serves = !agent.follows();
-        for (Frontend each : agent.serves ? agent.fronts : List.<Frontend>of()) {
-            ChannelFuture bound = each.listen().awaitUninterruptibly();
+        agent.listening = !agent.isSuccessor();
+        for (Frontend frontend : agent.listening ? agent.frontends : List.<Frontend>of()) {
+            ChannelFuture bound = frontend.listen().awaitUninterruptibly();
             if (!bound.isSuccess()) {
-                throw agent.unable("cannot listen on "
-                        + (each == agent.clients
+                throw agent.abortStart("cannot listen on "
+                        + (frontend == agent.httpFrontend
                                 ? config.listen()
                                 : extensions.thrift().listen()) + ": "
                         + bound.cause().getMessage());
@@ -320,46 +345,46 @@
         }
         if (agent.status != null
                 && !agent.status.listen().awaitUninterruptibly().isSuccess()) {
-            throw agent.unable("cannot listen on " + extensions.memory().status() + " for the status page");
+            throw agent.abortStart("cannot listen on " + extensions.memory().status() + " for the status page");
         }
         if (agent.status != null) {
-            new MemoryWatch(sockets).start();
+            new MemoryWatch(transport).start();
         }
         agent.loop.execute(agent::begin);
         return agent;
     }
 
-    /** It cannot start: nothing of it is left, and another process is not to think that it is there. */
-    private IOException unable(String why) {
-        if (keeper != null) {
-            keeper.abandon();
+    /** Releases everything after a failed start, so that no other process takes this one for running. */
+    private IOException abortStart(String reason) {
+        if (usageRecorder != null) {
+            usageRecorder.abandon();
         }
-        if (recovering != null) {
-            recovering.abandon();
+        if (stateRecovery != null) {
+            stateRecovery.abandon();
         }
-        if (operations != null) {
-            operations.close();
+        if (operatorControls != null) {
+            operatorControls.close();
         }
         transport.close(() -> {});
-        return new IOException(why);
+        return new IOException(reason);
     }
 
     /**
-     * Starts an agent on a given loop and network and returns at once; called on that loop.
+     * Starts an agent on the given loop and network and returns at once; must be called on that loop.
      *
-     * @param config its configuration
-     * @param extensions what it does besides
-     * @param transport its loop, clock and network
-     * @param module makes its decision module
-     * @return the agent, about to listen
+     * @param config the configuration
+     * @param extensions the optional features
+     * @param transport the event loop, clock and network
+     * @param module creates the decision module
+     * @return the agent, whose listeners are about to open
      */
     public static Agent start(
             Config config, Extensions extensions, Transport transport, Function<Engine, Balancer> module) {
         Agent agent = new Agent(config, extensions, transport, null, module);
-        agent.serves = true;
-        int[] waiting = {agent.fronts.size()};
-        agent.fronts.forEach(each -> each.listen().addListener(done -> {
-            if (done.isSuccess() && --waiting[0] == 0) {
+        agent.listening = true;
+        int[] unbound = {agent.frontends.size()};
+        agent.frontends.forEach(frontend -> frontend.listen().addListener(done -> {
+            if (done.isSuccess() && --unbound[0] == 0) {
                 agent.begin();
             }
         }));
@@ -368,140 +393,154 @@
 
     private void begin() {
         loop.scheduleWithFixedDelay(
-                () -> budget.rising(engine.now()).forEach(this::say), TREND_SECONDS, TREND_SECONDS, TimeUnit.SECONDS);
-        if (serves) {
-            sayWhere();
-        }
-        if (recovering != null) {
-            recovering.start();
-        }
-        if (operations != null) {
-            operations.start(recovering);
-        }
-        if (keeper != null) {
-            keeper.start();
-        }
-        // Guards against sending to what the list before had and this one has not: a new process is told from its first
-        // moment, and the list it starts with may be old. Harm: with nobody to tell, calls wait for so long.
-        long grace = Math.min(FIRST_LIST_MS, config.settings().obligations().drainGrace() / 1_000);
+                () -> budget.rising(engine.now()).forEach(this::log),
+                TREND_INTERVAL_SECONDS,
+                TREND_INTERVAL_SECONDS,
+                TimeUnit.SECONDS);
+        if (listening) {
+            logListenAddress();
+        }
+        if (stateRecovery != null) {
+            stateRecovery.start();
+        }
+        if (operatorControls != null) {
+            operatorControls.start(stateRecovery);
+        }
+        if (usageRecorder != null) {
+            usageRecorder.start();
+        }
+        // Guards against sending to servers that are in the known list but no longer in the current one: the known
+        // list may be old, while drains count as announced to this process from its first moment. Drawback: if
+        // discovery does not answer, requests wait for the whole grace.
+        long grace =
+                Math.min(FIRST_LIST_TIMEOUT_MS, config.settings().obligations().drainGrace() / 1_000);
         engine.wakes(StallDetector.starting(transport.nanos() / 1_000, grace * 1_000), grace, () -> {});
-        Discovery.Listing known;
+        Discovery.Listing knownList;
         try {
-            known = Discovery.decode(recovering == null ? config.known() : recovering.known(config.known()), config);
+            knownList = Discovery.decode(
+                    stateRecovery == null ? config.known() : stateRecovery.initialList(config.known()), config);
         } catch (IllegalArgumentException e) {
-            say("known list: " + e.getMessage());
-            known = new Discovery.Listing(0, true, List.of());
+            log("known list: " + e.getMessage());
+            knownList = new Discovery.Listing(0, true, List.of());
         }
-        if (sources == null) {
-            servers(Balancer.ListKind.CACHED, known.endpoints());
+        if (membershipSources == null) {
+            onServerList(Balancer.ListKind.CACHED, knownList.endpoints());
         } else {
-            sources.padron(Balancer.ListKind.CACHED, known.endpoints());
-            sources.start();
+            membershipSources.onPadronList(Balancer.ListKind.CACHED, knownList.endpoints());
+            membershipSources.start();
         }
-        if (!config.settings().askDiscovery() && asksPadron()) {
+        if (!config.settings().askDiscovery() && usesPadron()) {
             discovery.watch();
         }
         loop.schedule(
                 () -> {
-                    listed = true;
+                    serverListReady = true;
                     takeOver();
                 },
-                FIRST_LIST_MS,
+                FIRST_LIST_TIMEOUT_MS,
                 TimeUnit.MILLISECONDS);
         Warmup.run(
                 transport,
                 config,
-                backends,
-                clients,
-                serves ? address() : operations.address(),
-                serves ? "/healthz" : "/healthcheck",
-                answered -> {
-                    warm = true;
-                    warmedBy = answered;
+                httpUpstream,
+                httpFrontend,
+                listening ? address() : operatorControls.address(),
+                listening ? "/healthz" : "/healthcheck",
+                responses -> {
+                    warmedUp = true;
+                    warmupResponses = responses;
                     takeOver();
                 });
     }
 
-    /** It may have become ready; what recovers is told once. */
-    private void serves() {
-        if (!ready() || wakes) {
+    /** Notifies the state recovery and starts stall detection the first time that the agent is ready. */
+    private void checkBecameReady() {
+        if (!ready() || becameReady) {
             return;
         }
-        wakes = true; // before that its loop is busy with its own start
-        if (recovering != null) {
-            recovering.serves();
+        // Not earlier: during start-up the loop is busy, which would look like a stall.
+        becameReady = true;
+        if (stateRecovery != null) {
+            stateRecovery.onReady();
         }
-        if (recovering == null || recovering.guards(RecoverySettings.Guard.WAKING)) {
-            wakes();
+        if (stateRecovery == null || stateRecovery.isEnabled(RecoverySettings.Guard.WAKING)) {
+            startStallDetection();
         }
     }
 
-    /** Guards against sending to a server that drained while this process stood still and was told nothing. */
-    private void wakes() {
+    /**
+     * Holds back requests after a stall until the server list is refreshed. Guards against sending to a server that
+     * began to drain while this process was stalled and received no updates.
+     */
+    private void startStallDetection() {
         long grace = config.settings().obligations().drainGrace();
-        StallDetector waking = new StallDetector(Math.max(BEAT_MS * 2_000, grace - BEAT_MS * 1_000), HEAR_MICROS);
-        engine.wakes(waking, HEAR_MICROS / 1000, () -> {
-            say(String.format(
+        StallDetector detector = new StallDetector(
+                Math.max(STALL_CHECK_MS * 2_000, grace - STALL_CHECK_MS * 1_000), LIST_REFRESH_TIMEOUT_MICROS);
+        engine.wakes(detector, LIST_REFRESH_TIMEOUT_MICROS / 1000, () -> {
+            log(String.format(
                     Locale.ROOT,
-                    "recovery: it stood still for %.1f s; nothing is sent on before the list "
-                            + "has been heard, for %d ms at the most",
-                    waking.gap() / 1e6,
-                    HEAR_MICROS / 1000));
-            if (asksPadron()) {
+                    "recovery: process was stalled for %.1f s; requests are held until the server list "
+                            + "is refreshed, for at most %d ms",
+                    detector.gap() / 1e6,
+                    LIST_REFRESH_TIMEOUT_MICROS / 1000));
+            if (usesPadron()) {
                 discovery.fetch();
             }
         });
-        loop.scheduleWithFixedDelay(engine::beat, BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(engine::beat, STALL_CHECK_MS, STALL_CHECK_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void sayWhere() {
-        InetSocketAddress at = address();
-        say("listening on " + at.getAddress().getHostAddress() + ":" + at.getPort());
+    private void logListenAddress() {
+        InetSocketAddress address = address();
+        log("listening on " + address.getAddress().getHostAddress() + ":" + address.getPort());
     }
 
-    private boolean follows() {
-        return operations != null && operations.follows();
+    private boolean isSuccessor() {
+        return operatorControls != null && operatorControls.isSuccessor();
     }
 
-    /** The one list, from whatever sources; what is out by hand is laid over it. */
-    private void servers(Balancer.ListKind kind, List<Endpoint> endpoints) {
-        if (recovering != null) {
-            recovering.told(kind, endpoints);
+    /** Receives the merged server list; bans set by operators are applied to it. */
+    private void onServerList(Balancer.ListKind kind, List<Endpoint> endpoints) {
+        if (stateRecovery != null) {
+            stateRecovery.onServerList(kind, endpoints);
         }
-        engine.servers(kind, operations == null ? endpoints : operations.told(kind, endpoints));
+        engine.servers(kind, operatorControls == null ? endpoints : operatorControls.applyOverrides(kind, endpoints));
         if (kind == Balancer.ListKind.FULL) {
             engine.heard();
-            serves();
+            checkBecameReady();
         }
     }
 
-    /** Listens beside the process that serves, once this one can serve, or alone if that has ended. */
+    /**
+     * Opens the listeners of a process that follows another one: as soon as it can serve, or when the other has
+     * ended.
+     */
     private void takeOver() {
-        serves();
-        if (serves || binding || follows() && !(listed && warm)) {
+        checkBecameReady();
+        if (listening || binding || isSuccessor() && !(serverListReady && warmedUp)) {
             return;
         }
         binding = true;
-        int[] waiting = {fronts.size()};
-        fronts.forEach(each -> each.listen().addListener(done -> {
+        int[] unbound = {frontends.size()};
+        frontends.forEach(frontend -> frontend.listen().addListener(done -> {
             if (!done.isSuccess()) {
-                say("cannot listen beside the process that serves: "
+                log("takeover failed, cannot listen beside the serving process: "
                         + done.cause().getMessage());
                 failed = true;
                 stopping.set(true);
-                close(); // that one serves on, as if this had never been
-            } else if (--waiting[0] == 0) {
-                serves = true;
-                sayWhere();
+                close(); // the other process continues to serve
+            } else if (--unbound[0] == 0) {
+                listening = true;
+                logListenAddress();
             }
         }));
     }
 
-    private boolean asksPadron() {
-        return sources == null || sources.padron();
+    private boolean usesPadron() {
+        return membershipSources == null || membershipSources.usesPadron();
     }
 
-    /** {@link #ready()} from any thread. */
+    /** Returns {@link #ready()}; may be called from any thread. */
     boolean isReady() {
         try {
             return loop.submit(() -> ready()).sync().getNow();
@@ -510,206 +549,217 @@
         }
     }
 
-    /** Where it listens for Thrift. */
+    /** Returns the address of the Thrift listener. */
     InetSocketAddress thriftAddress() {
-        return (InetSocketAddress) fronts.get(1).channel().localAddress();
+        return (InetSocketAddress) frontends.get(1).channel().localAddress();
     }
 
-    /** Where its status page is. */
+    /** Returns the address of the status page. */
     InetSocketAddress statusAddress() {
         return status.address();
     }
 
-    /** Where operators call. */
-    InetSocketAddress management() {
-        return operations.address();
+    /** Returns the address of the management endpoint. */
+    InetSocketAddress managementAddress() {
+        return operatorControls.address();
     }
 
-    /** Where it listens. */
+    /** Returns the address of the HTTP listener. */
     InetSocketAddress address() {
-        return (InetSocketAddress) clients.channel().localAddress();
+        return (InetSocketAddress) httpFrontend.channel().localAddress();
     }
 
     /**
-     * Takes over from the files what may change under way: where discovery is, and the caps of what is held. The rest
-     * needs a restart. Requests go on undisturbed, and a file that cannot be used changes nothing of either.
+     * Reloads the files and applies what may change at run time: the address of discovery, the settings and the
+     * resource caps. Everything else needs a restart. Requests are not disturbed. If either file cannot be used,
+     * neither is applied.
      *
      * @param file the configuration file
-     * @param ofOurOwn the file of our own beside it, or null
+     * @param extensionsFile the extensions file, or null
      */
-    public void reload(Path file, Path ofOurOwn) {
-        reload(() -> Config.read(file), read -> ofOurOwn == null ? Extensions.NONE : Extensions.read(ofOurOwn, read));
+    public void reload(Path file, Path extensionsFile) {
+        reload(
+                () -> Config.read(file),
+                parsed -> extensionsFile == null ? Extensions.NONE : Extensions.read(extensionsFile, parsed));
     }
 
     /**
-     * The same from elsewhere than files.
+     * Reloads a configuration that does not come from a file.
      *
-     * @param from gets the configuration, on the loop; an IllegalArgumentException says why there is none
+     * @param source supplies the configuration, on the loop; throws IllegalArgumentException if there is none
      */
-    public void reload(Supplier<Config> from) {
-        reload(from, read -> null);
+    public void reload(Supplier<Config> source) {
+        reload(source, parsed -> null);
     }
 
-    private void reload(Supplier<Config> from, Function<Config, Extensions> besides) {
+    private void reload(Supplier<Config> source, Function<Config, Extensions> extensionsReader) {
         try {
             loop.execute(() -> {
-                boolean taken = false;
+                boolean applied = false;
                 try {
-                    Config changed = config.changedBy(from.get());
-                    Extensions extensions = besides.apply(changed);
-                    // All is read and checked; from here on nothing fails.
+                    Config changed = config.changedBy(source.get());
+                    Extensions extensions = extensionsReader.apply(changed);
+                    // Both files are read and validated; nothing fails from here on.
                     if (extensions != null) {
-                        cap(extensions);
+                        applyCaps(extensions);
                     }
                     if (!changed.source().equals(config.source())) {
                         engine.settings(changed.settings());
-                        clients.changed(changed);
+                        httpFrontend.changed(changed);
                     }
                     config = changed;
-                    if (recovering != null) {
-                        recovering.changed(changed);
+                    if (stateRecovery != null) {
+                        stateRecovery.configChanged(changed);
                     }
-                    if (asksPadron()) {
+                    if (usesPadron()) {
                         discovery.moveTo(changed.discovery());
                     }
-                    taken = true;
+                    applied = true;
                 } catch (IllegalArgumentException e) {
-                    say("reload: the old settings stay: " + e.getMessage());
+                    log("reload: rejected, the previous settings stay in effect: " + e.getMessage());
                 }
-                if (operations != null) {
-                    operations.reloaded(taken);
+                if (operatorControls != null) {
+                    operatorControls.recordReload(applied);
                 }
             });
         } catch (RejectedExecutionException e) {
-            say("reload: not taken, the agent has ended"); // a signal may come at any time of the end
+            // A signal may arrive at any time during shutdown.
+            log("reload: ignored, the agent has stopped");
         }
     }
 
-    /** Ends in order and returns when all is done; see {@link #leave()}. */
+    /** Shuts down gracefully and returns when the agent has terminated; see {@link #startShutdown()}. */
     public void stop() {
-        leave();
-        awaitEnd();
+        startShutdown();
+        awaitTermination();
     }
 
     /**
-     * Begins to end: serves on for as long as its time allows, then finishes what it holds. Guards against
-     * nobody being there while agents are restarted in turn and one takes longer than
-     * planned until it is ready: clients go on using the connections that they have. Harm: where the end is
-     * forced sooner than the protocol has it, requests are open then; and a restart may take 2 s longer.
+     * Begins a graceful shutdown: continues to serve for as long as the time until the kill allows, then completes the
+     * open requests. Guards against an outage when agents are restarted in turn and one takes longer than planned to
+     * become ready: clients keep using their existing connections. Drawbacks: if the process is killed sooner than the
+     * protocol promises, requests are still open; and a restart may take 2 s longer.
      */
-    public void leave() {
+    public void startShutdown() {
         if (stopping.getAndSet(true)) {
             return;
         }
-        long longest = config.settings().classes().stream()
+        long longestDeadlineMs = config.settings().classes().stream()
                         .mapToLong(Balancer.RequestClass::giveUp)
                         .max()
                         .orElse(0)
                 / 1000;
-        long last = longest + KILL_AFTER_MS - LAST_MS;
+        long lastResponseMs = longestDeadlineMs + KILL_AFTER_MS - FINAL_RESPONSE_MARGIN_MS;
         loop.execute(() -> {
-            boolean handsOver = operations != null && serves && operations.followed();
-            fronts.forEach(handsOver ? Frontend::handOver : Frontend::leave);
-            loop.schedule(this::endIfUnused, handsOver ? 0 : LINGER_MS, TimeUnit.MILLISECONDS);
-            loop.schedule(this::end, Math.min(SERVE_ON_MOST_MS, last - CLOSING_MS), TimeUnit.MILLISECONDS);
-            loop.schedule(engine::giveUpAll, last, TimeUnit.MILLISECONDS);
+            boolean handsOver = operatorControls != null && listening && operatorControls.hasSuccessor();
+            frontends.forEach(handsOver ? Frontend::handOver : Frontend::leave);
+            loop.schedule(this::drainIfIdle, handsOver ? 0 : IDLE_STOP_DELAY_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    this::beginDrain,
+                    Math.min(MAX_SERVE_AFTER_STOP_MS, lastResponseMs - CONNECTION_CLOSE_MS),
+                    TimeUnit.MILLISECONDS);
+            loop.schedule(engine::giveUpAll, lastResponseMs, TimeUnit.MILLISECONDS);
         });
     }
 
-    private void endIfUnused() {
-        if (fronts.stream().allMatch(Frontend::isEmpty)) {
-            end();
+    private void drainIfIdle() {
+        if (frontends.stream().allMatch(Frontend::isEmpty)) {
+            beginDrain();
         } else {
-            loop.schedule(this::endIfUnused, 10, TimeUnit.MILLISECONDS);
+            loop.schedule(this::drainIfIdle, 10, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void end() {
-        if (!ending) {
-            ending = true;
-            fronts.forEach(Frontend::drain);
-            loop.schedule(() -> fronts.forEach(Frontend::stopListening), CLOSING_MS / 2, TimeUnit.MILLISECONDS);
-            draining();
+    private void beginDrain() {
+        if (!drainStarted) {
+            drainStarted = true;
+            frontends.forEach(Frontend::drain);
+            loop.schedule(
+                    () -> frontends.forEach(Frontend::stopListening), CONNECTION_CLOSE_MS / 2, TimeUnit.MILLISECONDS);
+            closeWhenDrained();
         }
     }
 
-    private void draining() {
-        // Answers still being written hold their connections open.
-        if (fronts.stream().allMatch(Frontend::isEmpty)) {
-            fronts.forEach(Frontend::stopListening);
+    private void closeWhenDrained() {
+        // Responses that are still being written keep their connections open.
+        if (frontends.stream().allMatch(Frontend::isEmpty)) {
+            frontends.forEach(Frontend::stopListening);
             close();
         } else {
-            loop.schedule(this::draining, 10, TimeUnit.MILLISECONDS);
+            loop.schedule(this::closeWhenDrained, 10, TimeUnit.MILLISECONDS);
         }
     }
 
     private void close() {
         discovery.close();
-        if (sources != null) {
-            sources.close();
+        if (membershipSources != null) {
+            membershipSources.close();
         }
         if (status != null) {
             status.close();
         }
-        if (operations != null) {
-            operations.close();
+        if (operatorControls != null) {
+            operatorControls.close();
         }
-        Runnable closes = () -> transport.close(() -> {
-            ended.countDown();
-            whenEnded.run();
+        Runnable closeTransport = () -> transport.close(() -> {
+            terminated.countDown();
+            terminationCallback.run();
         });
-        Runnable last = recovering == null ? closes : () -> recovering.close(() -> loop.execute(closes));
-        if (keeper == null) {
-            last.run();
+        Runnable closeState =
+                stateRecovery == null ? closeTransport : () -> stateRecovery.close(() -> loop.execute(closeTransport));
+        if (usageRecorder == null) {
+            closeState.run();
         } else {
-            keeper.close(() -> loop.execute(last));
+            usageRecorder.close(() -> loop.execute(closeState));
         }
     }
 
-    /** Whether it has ended since it could not take over from another process. */
+    /** Returns whether the agent stopped because it could not take over from another process. */
     public boolean failed() {
         return failed;
     }
 
-    /** Waits until the agent has ended. */
-    public void awaitEnd() {
+    /** Waits until the agent has terminated. */
+    public void awaitTermination() {
         try {
-            ended.await();
+            terminated.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /**
-     * Has something done when the agent has ended.
+     * Sets the action to run when the agent has terminated.
      *
-     * @param then runs on any thread
+     * @param action the action; runs on any thread
      */
-    public void whenEnded(Runnable then) {
-        whenEnded = then;
+    public void onTermination(Runnable action) {
+        terminationCallback = action;
     }
 
-    /** Whether it says that it is ready; to be asked on its loop. */
+    /** Returns whether the agent reports that it is ready; to be called on the event loop. */
     public boolean ready() {
-        return listed && warm && serves;
+        return serverListReady && warmedUp && listening;
     }
 
-    /** What it holds now; to be asked on its loop. */
-    public Engine.Held held() {
+    /** Returns the outstanding requests and attempts, and the tracked servers; to be called on the event loop. */
+    public Engine.Held outstanding() {
         return engine.held();
     }
 
-    /** How many servers something is kept for: what leaves the list must leave nothing behind. */
-    int kept() throws InterruptedException {
+    /**
+     * Returns the number of servers that state is held for; a server that leaves the list must leave no state behind.
+     */
+    int trackedServers() throws InterruptedException {
         return loop.submit(() -> engine.servers()).sync().getNow();
     }
 
-    /** How many requests of its own it has answered before it said that it was ready. */
-    int warmedBy() throws InterruptedException {
-        return loop.submit(() -> warmedBy).sync().getNow();
+    /** Returns the number of warm-up requests that were answered before the agent became ready. */
+    int warmupResponses() throws InterruptedException {
+        return loop.submit(() -> warmupResponses).sync().getNow();
     }
 
-    private void say(String line) {
+    private void log(String line) {
         transport.log(line);
     }
 }
--- a/src/main/java/gatefront/agent/Extensions.java
+++ b/src/main/java/gatefront/agent/Extensions.java
@@ -16,14 +16,14 @@
 import java.util.Map;
 
 /**
- * What an installation has beside the platform's configuration, from a TOML file of our own. It is read, and its
- * reader loaded, only where one is named.
+ * Optional features of an installation beyond the platform's configuration, read from a TOML file. The file is read,
+ * and its reader loaded, only if the agent is started with one.
  *
- * @param thrift how the agent speaks Thrift, or null if it does not
- * @param registry which registry it follows, or null if none
- * @param memory where what it holds is shown, and other caps; or null
- * @param ledger where use by municipio is written, or null if it is not
- * @param recovery what is kept over the agent's death, or null if nothing is
+ * @param thrift the Thrift listener and upstream, or null if Thrift is not used
+ * @param registry the registry to follow, or null if there is none
+ * @param memory the status page and resource caps, or null if all are at their defaults
+ * @param ledger the ledger of usage by municipio, or null if there is none
+ * @param recovery the state that survives a restart, or null if none is stored
  */
 public record Extensions(
         ThriftSettings thrift,
@@ -31,15 +31,15 @@
         MemorySettings memory,
         LedgerSettings ledger,
         RecoverySettings recovery) {
-    /** Without anything that is kept. */
+    /** Creates extensions that store no state for recovery. */
     public Extensions(ThriftSettings thrift, RegistrySettings registry, MemorySettings memory, LedgerSettings ledger) {
         this(thrift, registry, memory, ledger, null);
     }
 
-    /** None. */
+    /** No extensions. */
     public static final Extensions NONE = new Extensions(null, null, null, null);
 
-    private static final int PORT_MOST = 65_535;
+    private static final int MAX_PORT = 65_535;
     private static final Map<String, ThriftEncoding> ENCODINGS = Map.of(
             "binary",
             ThriftEncoding.BINARY,
@@ -49,12 +49,12 @@
             ThriftEncoding.COMPACT);
 
     /**
-     * Reads the file.
+     * Reads the extensions file.
      *
-     * @param path where it is
-     * @param config the platform's configuration, whose classes it names
-     * @return what it says
-     * @throws IllegalArgumentException if it cannot be used; the message is one line with file, line and key
+     * @param path the file
+     * @param config the platform's configuration; the file refers to its classes
+     * @return the extensions
+     * @throws IllegalArgumentException if the file cannot be used; the message is one line with file, line and key
      */
     public static Extensions read(Path path, Config config) {
         try {
@@ -65,15 +65,15 @@
     }
 
     static Extensions parse(String file, String text, Config config) throws TomlException {
-        TomlTable top = TomlFile.parse(file, text);
-        TomlTable table = top.table("thrift");
-        ThriftSettings thrift = top.has("thrift") ? thrift(table, config) : null;
-        RegistrySettings registry = top.has("registry") ? RegistrySettingsReader.read(top.table("registry")) : null;
-        MemorySettings memory = top.has("memory") ? MemorySettings.read(top.table("memory")) : null;
-        LedgerSettings ledger = top.has("ledger") ? LedgerSettings.read(top.table("ledger")) : null;
+        TomlTable root = TomlFile.parse(file, text);
+        TomlTable table = root.table("thrift");
+        ThriftSettings thrift = root.has("thrift") ? thrift(table, config) : null;
+        RegistrySettings registry = root.has("registry") ? RegistrySettingsReader.read(root.table("registry")) : null;
+        MemorySettings memory = root.has("memory") ? MemorySettings.read(root.table("memory")) : null;
+        LedgerSettings ledger = root.has("ledger") ? LedgerSettings.read(root.table("ledger")) : null;
         RecoverySettings recovery =
-                top.has("recovery") ? RecoverySettings.read(top.table("recovery"), top.table("rehearsal")) : null;
-        top.finish();
+                root.has("recovery") ? RecoverySettings.read(root.table("recovery"), root.table("rehearsal")) : null;
+        root.finish();
         return new Extensions(thrift, registry, memory, ledger, recovery);
     }
 
@@ -82,34 +82,36 @@
         try {
             listen = Config.address(table.text("listen", null));
         } catch (IllegalArgumentException e) {
-            throw table.bad("listen", "is to be a literal address and a port, as in \"127.0.0.1:9090\"");
+            throw table.bad("listen", "must be a literal address and a port, as in \"127.0.0.1:9090\"");
         }
         String framing = table.word("framing", "any", List.of("any", "framed", "unframed"));
         String protocol = table.word("protocol", "any", List.of("any", "binary", "binary-old", "compact"));
         if (framing.equals("any") != protocol.equals("any")) {
             throw table.bad(
                     framing.equals("any") ? "protocol" : "framing",
-                    "framing and protocol are both told from the first bytes, or both fixed");
+                    "must be \"any\" for both framing and protocol, or for neither: "
+                            + "both are detected from the first bytes, or both are fixed");
         }
-        MessageFormat form =
+        MessageFormat format =
                 framing.equals("any") ? null : new MessageFormat(framing.equals("framed"), ENCODINGS.get(protocol));
-        int port = table.whole("nodo_port", -1, 1, PORT_MOST);
+        int port = table.whole("nodo_port", -1, 1, MAX_PORT);
         if (!table.has("nodo_port")) {
-            throw table.bad("nodo_port", "is missing; it is the port where nodos speak Thrift");
+            throw table.bad("nodo_port", "is missing; it is the port on which nodos accept Thrift");
         }
-        boolean framed = table.flag("nodo_framed", true);
-        boolean probes = table.word("probes", "http", List.of("http", "thrift")).equals("thrift");
+        boolean nodoFramed = table.flag("nodo_framed", true);
+        boolean thriftProbes =
+                table.word("probes", "http", List.of("http", "thrift")).equals("thrift");
         Map<String, Method> methods = new LinkedHashMap<>();
-        for (TomlTable each : table.tables("methods")) {
-            String name = each.text("name", null);
-            int kind = config.classes().indexOf(each.word("class", null, config.classes()));
-            if (methods.put(name, new Method(kind, each.flag("declares", false))) != null) {
-                throw each.bad("name", "\"" + name + "\" is there twice");
+        for (TomlTable methodTable : table.tables("methods")) {
+            String name = methodTable.text("name", null);
+            int classNumber = config.classes().indexOf(methodTable.word("class", null, config.classes()));
+            if (methods.put(name, new Method(classNumber, methodTable.flag("declares", false))) != null) {
+                throw methodTable.bad("name", "\"" + name + "\" appears more than once");
             }
         }
         if (methods.isEmpty()) {
-            throw table.bad("methods", "is missing; a [[thrift.methods]] for each method that is carried");
+            throw table.bad("methods", "is missing; add a [[thrift.methods]] table for each method to forward");
         }
-        return new ThriftSettings(listen, form, port, framed, probes, Map.copyOf(methods));
+        return new ThriftSettings(listen, format, port, nodoFramed, thriftProbes, Map.copyOf(methods));
     }
 }
--- a/src/main/java/gatefront/agent/LedgerSettings.java
+++ b/src/main/java/gatefront/agent/LedgerSettings.java
@@ -6,38 +6,38 @@
 import java.nio.file.Path;
 
 /**
- * The table {@code [ledger]}: where use by municipio is written, and how often.
+ * The settings of the table {@code [ledger]}: where and how often usage by municipio is written.
  *
- * @param folder of the books
- * @param instance whose they are
- * @param keys the file of keys that sign them, or null
- * @param periodMicros how long a period is
- * @param writeMicros how often use is written; what a crash may lose of it
- * @param bytesMost what the books may take
+ * @param directory the directory of the ledger
+ * @param instance the agent instance that owns the ledger
+ * @param keys the file of signing keys, or null
+ * @param periodMicros the length of a period, in microseconds
+ * @param writeMicros the interval between writes, in microseconds; a crash loses at most the usage of one interval
+ * @param maxBytes the maximum size of the ledger on disk
  */
-record LedgerSettings(Path folder, String instance, Path keys, long periodMicros, long writeMicros, long bytesMost) {
-    private static final double DAY = 86_400;
-    private static final double WRITE = 10;
-    private static final double MEGABYTES = 1_024;
-    private static final double MEGABYTES_MOST = 1 << 20;
+record LedgerSettings(Path directory, String instance, Path keys, long periodMicros, long writeMicros, long maxBytes) {
+    private static final double DAY_SECONDS = 86_400;
+    private static final double DEFAULT_WRITE_SECONDS = 10;
+    private static final double DEFAULT_DISK_MB = 1_024;
+    private static final double MAX_DISK_MB = 1 << 20;
 
     static LedgerSettings read(TomlTable table) throws TomlException {
         String instance = table.text("instance", null);
         if (!instance.matches(EntryId.NAME)) {
-            throw table.bad("instance", "is to be letters, digits, dots and dashes, 64 at the most");
+            throw table.bad("instance", "must be letters, digits, dots and dashes, at most 64");
         }
-        double period = table.number("period_s", DAY, 1, 366 * DAY);
-        double write = table.number("write_s", WRITE, 0.1, DAY);
-        if (2 * write > period) {
-            throw table.bad("write_s", "is to be half of period_s at the most, for a period to be written in time");
+        double periodSeconds = table.number("period_s", DAY_SECONDS, 1, 366 * DAY_SECONDS);
+        double writeSeconds = table.number("write_s", DEFAULT_WRITE_SECONDS, 0.1, DAY_SECONDS);
+        if (2 * writeSeconds > periodSeconds) {
+            throw table.bad("write_s", "must be at most half of period_s, so that a period is written in time");
         }
         String keys = table.text("keys", "");
         return new LedgerSettings(
                 Path.of(table.text("folder", null)),
                 instance,
                 keys.isEmpty() ? null : Path.of(keys),
-                (long) (1e6 * period),
-                (long) (1e6 * write),
-                (long) (table.number("disk_mb", MEGABYTES, 1, MEGABYTES_MOST) * (1 << 20)));
+                (long) (1e6 * periodSeconds),
+                (long) (1e6 * writeSeconds),
+                (long) (table.number("disk_mb", DEFAULT_DISK_MB, 1, MAX_DISK_MB) * (1 << 20)));
     }
 }
--- a/src/main/java/gatefront/agent/MembershipSources.java
+++ b/src/main/java/gatefront/agent/MembershipSources.java
@@ -15,53 +15,55 @@
 import java.util.function.BiConsumer;
 import java.util.stream.Collectors;
 
-/** Makes one list for the engine where there are more sources than the padrón; not loaded where there are none. */
+/** Merges the padrón and a registry into one server list for the engine. Loaded only if a registry is configured. */
 final class MembershipSources {
+    /** Index of the padrón among the sources of {@link Membership}. */
     private static final int PADRON = 0;
 
-    private final BiConsumer<ListKind, List<Endpoint>> servers;
+    private final BiConsumer<ListKind, List<Endpoint>> listListener;
     private final Membership membership;
     private final RegistrySource registry;
-    private final boolean padron;
-    private final Runnable listed;
+    private final boolean usesPadron;
+    private final Runnable onCurrentList;
 
     /**
-     * Sources that are not yet followed.
+     * Creates the sources without following them yet.
      *
-     * @param held what the registry's keys count as
-     * @param servers is told of the one list
-     * @param listed told when one of them has said what there is
+     * @param account the account that the registry's keys are charged to
+     * @param listListener receives the merged list
+     * @param onCurrentList runs when a source has delivered a current list
      */
     MembershipSources(
             Transport transport,
             Config config,
             RegistrySettings settings,
-            ResourceAccount held,
+            ResourceAccount account,
             Engine engine,
-            BiConsumer<ListKind, List<Endpoint>> servers,
-            Runnable listed) {
-        this.servers = servers;
-        this.listed = listed;
-        this.padron = !settings.instead();
-        this.membership = new Membership(padron ? List.of("padrón", "registry") : List.of("registry"), transport::log);
-        int place = padron ? PADRON + 1 : 0;
-        this.registry = new RegistrySource(transport, config, settings, held, new RegistrySource.Listener() {
+            BiConsumer<ListKind, List<Endpoint>> listListener,
+            Runnable onCurrentList) {
+        this.listListener = listListener;
+        this.onCurrentList = onCurrentList;
+        this.usesPadron = !settings.instead();
+        this.membership =
+                new Membership(usesPadron ? List.of("padrón", "registry") : List.of("registry"), transport::log);
+        int registryIndex = usesPadron ? PADRON + 1 : 0;
+        this.registry = new RegistrySource(transport, config, settings, account, new RegistrySource.Listener() {
             @Override
             public void list(ListKind kind, List<Endpoint> endpoints) {
-                told(place, kind, endpoints);
+                onList(registryIndex, kind, endpoints);
             }
 
             @Override
             public void policies(Map<String, ServerOverride> servers, Map<Integer, ServerOverride> zones) {
-                changed(membership.policies(servers, zones));
+                applyChanges(membership.policies(servers, zones));
             }
 
             @Override
             public void limits(Map<Integer, Integer> classes) {
                 engine.limits(classes);
-                transport.log("limits: in progress at once at most "
+                transport.log("limits: maximum requests in flight: "
                         + (classes.isEmpty()
-                                ? "any"
+                                ? "unlimited"
                                 : classes.entrySet().stream()
                                         .map(each -> each.getValue() + " of "
                                                 + config.classes().get(each.getKey()))
@@ -71,12 +73,12 @@
         });
     }
 
-    /** Whether the padrón is one of them. */
-    boolean padron() {
-        return padron;
+    /** Returns whether the padrón is one of the sources. */
+    boolean usesPadron() {
+        return usesPadron;
     }
 
-    /** Begins to follow the registry; what is known from elsewhere has been told before. */
+    /** Begins to follow the registry. The known list must have been passed to {@link #onPadronList} before. */
     void start() {
         registry.start();
     }
@@ -86,32 +88,32 @@
     }
 
     /**
-     * The padrón has told something, or the configuration has what it told once. Where the registry stands instead of
-     * it, that is what the registry's first list replaces.
+     * Receives a list from the padrón, or the known list of the configuration. If the registry is used instead of the
+     * padrón, its first list replaces this one.
      */
-    void padron(ListKind kind, List<Endpoint> endpoints) {
+    void onPadronList(ListKind kind, List<Endpoint> endpoints) {
         if (kind == ListKind.FAILED) {
-            servers.accept(kind, endpoints);
+            listListener.accept(kind, endpoints);
         } else {
-            told(PADRON, kind, endpoints);
+            onList(PADRON, kind, endpoints);
         }
     }
 
-    private void told(int source, ListKind kind, List<Endpoint> endpoints) {
-        List<Endpoint> changed = membership.told(source, kind, endpoints);
+    private void onList(int source, ListKind kind, List<Endpoint> endpoints) {
+        List<Endpoint> changes = membership.told(source, kind, endpoints);
         if (kind == ListKind.DELTA) {
-            changed(changed);
+            applyChanges(changes);
         } else {
-            servers.accept(kind, membership.all());
+            listListener.accept(kind, membership.all());
         }
         if (kind != ListKind.CACHED) {
-            listed.run();
+            onCurrentList.run();
         }
     }
 
-    private void changed(List<Endpoint> endpoints) {
-        if (!endpoints.isEmpty()) {
-            servers.accept(ListKind.DELTA, endpoints);
+    private void applyChanges(List<Endpoint> changes) {
+        if (!changes.isEmpty()) {
+            listListener.accept(ListKind.DELTA, changes);
         }
     }
 }
--- a/src/main/java/gatefront/agent/MemorySettings.java
+++ b/src/main/java/gatefront/agent/MemorySettings.java
@@ -12,14 +12,14 @@
 import java.util.Map;
 
 /**
- * The table {@code [memory]}: where the status page listens, and other caps than the usual.
+ * The settings of the table {@code [memory]}: the address of the status page and resource caps.
  *
- * @param status where the page is, or null if there is none
- * @param caps by purpose, those that are not the usual
+ * @param status the address of the status page, or null if there is none
+ * @param caps the caps that differ from the defaults, by purpose
  */
 record MemorySettings(InetSocketAddress status, Map<ResourcePurpose, ResourceBudget.Cap> caps) {
-    private static final int ENTRIES_MOST = 10_000_000;
-    private static final double KIB_MOST = 1 << 24;
+    private static final int MAX_ENTRIES = 10_000_000;
+    private static final double MAX_KIB = 1 << 24;
 
     static MemorySettings read(TomlTable table) throws TomlException {
         InetSocketAddress status = null;
@@ -27,34 +27,34 @@
             try {
                 status = Config.address(table.text("status", null));
             } catch (IllegalArgumentException e) {
-                throw table.bad("status", "is to be a literal address and a port, as in \"127.0.0.1:9191\"");
+                throw table.bad("status", "must be a literal address and a port, as in \"127.0.0.1:9191\"");
             }
             if (!status.getAddress().isLoopbackAddress()) {
-                throw table.bad("status", "is to be a loopback address: the page tells everything to whoever asks");
+                throw table.bad("status", "must be a loopback address: the page has no access control");
             }
         }
         Map<ResourcePurpose, ResourceBudget.Cap> caps = new EnumMap<>(ResourcePurpose.class);
         List<String> words = Arrays.stream(ResourcePurpose.values())
                 .map(ResourcePurpose::word)
                 .toList();
-        for (TomlTable each : table.tables("caps")) {
-            ResourcePurpose purpose = ResourcePurpose.values()[words.indexOf(each.word("purpose", null, words))];
-            int entries = each.whole("entries", -1, 1, ENTRIES_MOST);
-            double kib = each.number("kib", -1.0, 1, KIB_MOST);
+        for (TomlTable capTable : table.tables("caps")) {
+            ResourcePurpose purpose = ResourcePurpose.values()[words.indexOf(capTable.word("purpose", null, words))];
+            int entries = capTable.whole("entries", -1, 1, MAX_ENTRIES);
+            double kib = capTable.number("kib", -1.0, 1, MAX_KIB);
             if (purpose == ResourcePurpose.REGISTRY) {
-                throw each.bad("purpose", "registry has its cap in keys of [registry]");
+                throw capTable.bad("purpose", "the cap of registry is set by keys in [registry]");
             }
             if (entries >= 0 && !purpose.byEntries()) {
-                throw each.bad("entries", "means nothing for " + purpose.word() + ", which is held to kib");
+                throw capTable.bad("entries", "does not apply to " + purpose.word() + ", which is capped by kib");
             }
             if (kib >= 0 && !purpose.byBytes()) {
-                throw each.bad("kib", "means nothing for " + purpose.word() + ", which is held to entries");
+                throw capTable.bad("kib", "does not apply to " + purpose.word() + ", which is capped by entries");
             }
             if (entries < 0 && kib < 0) {
-                throw each.bad("entries", "is missing; a cap is of entries, of kib, or of both");
+                throw capTable.bad("entries", "is missing; a cap needs entries, kib or both");
             }
             if (caps.put(purpose, new ResourceBudget.Cap(entries, kib < 0 ? -1 : (long) (1024 * kib))) != null) {
-                throw each.bad("purpose", "\"" + purpose.word() + "\" is there twice");
+                throw capTable.bad("purpose", "\"" + purpose.word() + "\" appears more than once");
             }
         }
         return new MemorySettings(status, caps);
--- a/src/main/java/gatefront/agent/OperatorControls.java
+++ b/src/main/java/gatefront/agent/OperatorControls.java
@@ -20,201 +20,210 @@
 import java.util.function.Consumer;
 
 /**
- * What operators do with an agent, put together: the door, bans laid over the list, and what another process of the
- * same agent is told of them. Not loaded where there is no door. All of it runs on the agent's loop.
+ * Operators' control of an agent: the management endpoint, the bans applied to the server list, and their exchange with
+ * another process of the same agent. Loaded only if a management endpoint is configured. Runs on the agent's loop.
  */
 final class OperatorControls implements ManagementEndpoint.Agent {
-    /** How often the other process is looked for: a ban at its door is to hold here within the grace of a drain. */
-    private static final long LOOK_MS = 100;
-    /** A server is back so long after the yes has been written: time for that to arrive. */
-    private static final long RETURN_MS = 50;
-
-    /** What it asks of the agent. */
-    interface Host {
-        /** Whether the process is ready to serve. */
+    /**
+     * Interval at which the other process is polled, in milliseconds. A ban received by its endpoint must take effect
+     * here within the drain grace.
+     */
+    private static final long POLL_MS = 100;
+    /**
+     * Delay between the confirmation of a return and the first request to the server, in milliseconds, so that the
+     * confirmation arrives first.
+     */
+    private static final long RETURN_DELAY_MS = 50;
+
+    /** The agent as seen by its operator controls. */
+    interface AgentControl {
+        /** Returns whether the process is ready to serve. */
         boolean ready();
 
-        /** Names of the classes by their numbers, dropped ones too. */
+        /** Returns the names of the classes by number, including dropped ones. */
         List<String> classes();
 
-        /** The process that served has ended. */
-        void alone();
+        /** Called when the process that served before this one has ended. */
+        void onPredecessorEnded();
     }
 
     private final Transport transport;
-    private final Host host;
+    private final AgentControl agent;
     private final Engine engine;
-    private final ManagementEndpoint door;
+    private final ManagementEndpoint endpoint;
     private final ServerBans bans = new ServerBans();
-    /** Null where nothing is shared. */
-    private final ProcessHandover neighbour;
-    /** Servers that are about to be put back; each goes after {@link #RETURN_MS}. */
-    private final Map<String, Future<?>> returning = new HashMap<>();
+    /** The other process of the agent; null if no directory is shared. */
+    private final ProcessHandover peer;
+    /** Scheduled returns of banned servers, by name; each runs after {@link #RETURN_DELAY_MS}. */
+    private final Map<String, Future<?>> pendingReturns = new HashMap<>();
+
+    private Future<?> polling;
+    /** State that survives a restart; null if none is stored. */
+    private StateRecovery stateRecovery;
 
-    private Future<?> looking;
-    /** What is known over a death; null where nothing is kept. */
-    private StateRecovery recovering;
+    /** Whether another process serves and this one is to take over from it. */
+    private boolean successor;
 
-    private boolean follows;
     private long applied;
     private long rejected;
 
     OperatorControls(
-            Transport transport, InetSocketAddress listen, ProcessHandover neighbour, Engine engine, Host host) {
+            Transport transport, InetSocketAddress listen, ProcessHandover peer, Engine engine, AgentControl agent) {
         this.transport = transport;
-        this.host = host;
+        this.agent = agent;
         this.engine = engine;
-        this.neighbour = neighbour;
-        this.follows = neighbour != null && neighbour.follows();
-        this.door = new ManagementEndpoint(transport, listen, this);
+        this.peer = peer;
+        this.successor = peer != null && peer.follows();
+        this.endpoint = new ManagementEndpoint(transport, listen, this);
     }
 
     ChannelFuture listen() {
-        return door.listen();
+        return endpoint.listen();
     }
 
     InetSocketAddress address() {
-        return door.address();
+        return endpoint.address();
     }
 
-    /** Whether another process serves, and this one is to take over from it. */
-    boolean follows() {
-        return follows;
+    /** Returns whether another process serves and this one is to take over from it. */
+    boolean isSuccessor() {
+        return successor;
     }
 
-    /** Whether another process is there to take over from this one. */
-    boolean followed() {
-        return neighbour != null && neighbour.followed();
+    /** Returns whether another process is about to take over from this one. */
+    boolean hasSuccessor() {
+        return peer != null && peer.followed();
     }
 
     /**
-     * Hears of what the other process has told so far, and from now on of the rest; before the first list.
+     * Reads the bans of the other process and begins to poll it; must be called before the first server list.
      *
-     * @param before what this instance knows over its death; null where it keeps nothing
+     * @param restored the state restored from before the restart, or null if none is stored
      */
-    void start(StateRecovery before) {
-        recovering = before;
-        if (before != null) {
-            bans.merge(before.bans());
+    void start(StateRecovery restored) {
+        stateRecovery = restored;
+        if (restored != null) {
+            bans.merge(restored.restoredBans());
             bans.changed();
-            if (neighbour != null && !before.guards(RecoverySettings.Guard.KEPT_BANS)) {
-                neighbour.look();
+            if (peer != null && !restored.isEnabled(RecoverySettings.Guard.KEPT_BANS)) {
+                peer.look();
             }
-            if (neighbour != null && !bans.entries().isEmpty()) {
-                neighbour.tell(bans.entries());
+            if (peer != null && !bans.entries().isEmpty()) {
+                peer.tell(bans.entries());
             }
         }
-        if (neighbour != null) {
-            look();
-            looking = transport.loop().scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        if (peer != null) {
+            pollPeer();
+            polling = transport.loop().scheduleWithFixedDelay(this::pollPeer, POLL_MS, POLL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     void close() {
-        door.close();
-        if (looking != null) {
-            looking.cancel(false);
+        endpoint.close();
+        if (polling != null) {
+            polling.cancel(false);
         }
-        if (neighbour != null) {
-            neighbour.close();
+        if (peer != null) {
+            peer.close();
         }
     }
 
-    /** The list with what is out by hand. */
-    List<Endpoint> told(ListKind kind, List<Endpoint> endpoints) {
+    /** Returns the list with the bans applied. */
+    List<Endpoint> applyOverrides(ListKind kind, List<Endpoint> endpoints) {
         return bans.told(kind, endpoints);
     }
 
-    /** A file of settings was taken, or turned down. */
-    void reloaded(boolean taken) {
-        applied += taken ? 1 : 0;
-        rejected += taken ? 0 : 1;
+    /** Counts a reload that was applied or rejected. */
+    void recordReload(boolean success) {
+        applied += success ? 1 : 0;
+        rejected += success ? 0 : 1;
     }
 
-    private void look() {
-        List<Endpoint> lines = bans.merge(neighbour.look());
-        boolean news = bans.changed();
-        if (news) {
-            neighbour.tell(bans.entries());
-            keep(bans.entries(), kept -> {});
+    private void pollPeer() {
+        List<Endpoint> changes = bans.merge(peer.look());
+        boolean changed = bans.changed();
+        if (changed) {
+            peer.tell(bans.entries());
+            persist(bans.entries(), stored -> {});
         }
-        if (!lines.isEmpty()) {
-            engine.servers(ListKind.DELTA, lines);
+        if (!changes.isEmpty()) {
+            engine.servers(ListKind.DELTA, changes);
         }
-        if (!neighbour.follows() && neighbour.others() && !neighbour.followed()) {
-            neighbour.tidy();
+        if (!peer.follows() && peer.others() && !peer.followed()) {
+            peer.tidy();
         }
-        if (follows && !neighbour.follows()) {
-            follows = false;
-            host.alone();
+        if (successor && !peer.follows()) {
+            successor = false;
+            agent.onPredecessorEnded();
         }
     }
 
     @Override
     public boolean ready() {
-        return host.ready();
+        return agent.ready();
     }
 
     @Override
-    public void hand(String backend, boolean out, BiConsumer<ServerBans.Answer, Boolean> then) {
-        if (neighbour != null) {
-            look(); // a call at the other door may have come just before
+    public void hand(String server, boolean banned, BiConsumer<ServerBans.Answer, Boolean> callback) {
+        if (peer != null) {
+            pollPeer(); // the other endpoint may have received a call just before
         }
-        Future<?> earlier = returning.remove(backend);
+        Future<?> earlier = pendingReturns.remove(server);
         if (earlier != null) {
             earlier.cancel(false);
         }
-        if (!out && bans.isOut(backend)) {
-            // Guards against a request that is there before the operator has the yes: what is held goes out at once.
-            Map<String, ServerBans.Entry> soon = new HashMap<>(bans.entries());
-            soon.put(
-                    backend,
+        if (!banned && bans.isOut(server)) {
+            // Guards against a request reaching the server before the operator has the confirmation: once the server is
+            // back, requests that wait are sent to it at once. So the return is stored and confirmed first.
+            Map<String, ServerBans.Entry> entries = new HashMap<>(bans.entries());
+            entries.put(
+                    server,
                     new ServerBans.Entry(
                             false,
-                            Math.max(transport.wallMicros(), soon.get(backend).at() + 1)));
-            keep(soon, kept -> {
-                then.accept(ServerBans.Answer.YES, kept);
-                // A call that came meanwhile has the last word.
-                if (bans.isOut(backend) && !returning.containsKey(backend)) {
-                    returning.put(
-                            backend,
+                            Math.max(transport.wallMicros(), entries.get(server).at() + 1)));
+            persist(entries, stored -> {
+                callback.accept(ServerBans.Answer.YES, stored);
+                // A call that arrived in the meantime takes precedence.
+                if (bans.isOut(server) && !pendingReturns.containsKey(server)) {
+                    pendingReturns.put(
+                            server,
                             transport
                                     .loop()
                                     .schedule(
                                             () -> {
-                                                returning.remove(backend);
-                                                apply(backend, false);
-                                                keep(bans.entries(), again -> {});
+                                                pendingReturns.remove(server);
+                                                apply(server, false);
+                                                persist(bans.entries(), ignored -> {});
                                             },
-                                            RETURN_MS,
+                                            RETURN_DELAY_MS,
                                             TimeUnit.MILLISECONDS));
                 }
             });
             return;
         }
-        ServerBans.Answer answer = apply(backend, out);
-        keep(bans.entries(), kept -> then.accept(answer, kept));
+        ServerBans.Answer answer = apply(server, banned);
+        persist(bans.entries(), stored -> callback.accept(answer, stored));
     }
 
-    /** Keeps calls by hand where anything is kept; where nothing is, nobody expects it. */
-    private void keep(Map<String, ServerBans.Entry> entries, Consumer<Boolean> then) {
-        if (recovering == null) {
-            then.accept(true);
+    /** Stores the bans if state is stored at all; otherwise reports success. */
+    private void persist(Map<String, ServerBans.Entry> entries, Consumer<Boolean> callback) {
+        if (stateRecovery == null) {
+            callback.accept(true);
         } else {
-            recovering.keep(entries, then);
+            stateRecovery.persistBans(entries, callback);
         }
     }
 
-    private ServerBans.Answer apply(String backend, boolean out) {
-        ServerBans.Answer answer = bans.call(backend, out, transport.wallMicros());
+    private ServerBans.Answer apply(String server, boolean banned) {
+        ServerBans.Answer answer = bans.call(server, banned, transport.wallMicros());
         if (bans.changed()) {
-            transport.log("server " + backend + (out ? " taken out by hand" : " put back by hand"));
-            if (neighbour != null) {
-                neighbour.tell(bans.entries());
+            transport.log("server " + server + (banned ? " taken out by hand" : " put back by hand"));
+            if (peer != null) {
+                peer.tell(bans.entries());
             }
-            List<Endpoint> line = bans.line(backend);
-            if (!line.isEmpty()) {
-                engine.servers(ListKind.DELTA, line);
+            List<Endpoint> change = bans.line(server);
+            if (!change.isEmpty()) {
+                engine.servers(ListKind.DELTA, change);
             }
         }
         return answer;
@@ -222,21 +231,21 @@
 
     @Override
     public Map<String, String> words() {
-        return recovering == null ? Map.of() : recovering.words();
+        return stateRecovery == null ? Map.of() : stateRecovery.statusFields();
     }
 
     @Override
     public Map<String, Long> figures() {
         Map<String, Long> figures = new LinkedHashMap<>();
-        RequestCounters tally = engine.tally();
-        List<String> classes = host.classes();
+        RequestCounters counters = engine.tally();
+        List<String> classes = agent.classes();
         for (int i = 0; i < classes.size(); i++) {
-            figures.put("ok." + classes.get(i), tally.ok(i));
-            figures.put("shed." + classes.get(i), tally.shed(i));
-            figures.put("errors." + classes.get(i), tally.errors(i));
+            figures.put("ok." + classes.get(i), counters.ok(i));
+            figures.put("shed." + classes.get(i), counters.shed(i));
+            figures.put("errors." + classes.get(i), counters.errors(i));
         }
-        figures.put("tries", tally.tries());
-        figures.put("active", tally.active());
+        figures.put("tries", counters.tries());
+        figures.put("active", counters.active());
         figures.put("pool_size", (long) engine.listed());
         figures.put("pool_ejected", (long) bans.out() + engine.avoided());
         figures.put("config_applied", applied);
--- a/src/main/java/gatefront/agent/RecoverySettings.java
+++ b/src/main/java/gatefront/agent/RecoverySettings.java
@@ -10,38 +10,39 @@
 import java.util.Set;
 
 /**
- * The table {@code [recovery]}: what an agent keeps over its death, and when it is believed again.
+ * The settings of the table {@code [recovery]}: what an agent stores across restarts, and when it is trusted again.
  *
- * @param folder of the store
- * @param instance whose it is
- * @param bounds how old what is kept may be
- * @param markMicros how often it is written that the instance is there
- * @param without guards that a rehearsal has switched off
- * @param clockOff by how much a rehearsal has set the time of day off, in microseconds
+ * @param directory the directory of the store
+ * @param instance the agent instance that owns the store
+ * @param bounds the maximum age of stored state
+ * @param heartbeatMicros the interval at which the store records that the instance is alive, in microseconds
+ * @param disabledGuards the guards that a rehearsal has switched off
+ * @param clockOffsetMicros the offset that a rehearsal adds to the time of day, in microseconds
  */
 record RecoverySettings(
-        Path folder,
+        Path directory,
         String instance,
         StateValidator.Bounds bounds,
-        long markMicros,
-        Set<Guard> without,
-        long clockOff) {
-    private static final double DOUBT = 30;
-    private static final double LIST = 600;
-    private static final double AHEAD = 5;
-    private static final double MARK = 1;
-    private static final double DAY = 86_400;
+        long heartbeatMicros,
+        Set<Guard> disabledGuards,
+        long clockOffsetMicros) {
+    private static final double DEFAULT_DOUBT_SECONDS = 30;
+    private static final double DEFAULT_LIST_SECONDS = 600;
+    private static final double MAX_AHEAD_SECONDS = 5;
+    private static final double DEFAULT_MARK_SECONDS = 1;
+    private static final double DAY_SECONDS = 86_400;
 
-    /** What a rehearsal can switch off, to see that its judge finds it. */
+    /** Guards that a rehearsal can switch off to verify that its checker detects the fault. */
     enum Guard {
-        /** Calls by hand are known again after a restart. */
+        /** Bans set by operators are restored after a restart. */
         KEPT_BANS,
-        /** That they are lost is told. */
+        /** The loss of stored bans is reported. */
         NAMED_LOSS,
-        /** Nothing is sent on after a standstill before the list has been heard. */
+        /** After a stall, requests are held until the server list is refreshed. */
         WAKING;
 
-        String word() {
+        /** Returns the word that names this guard in the settings. */
+        String settingWord() {
             return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
         }
     }
@@ -49,29 +50,31 @@
     static RecoverySettings read(TomlTable table, TomlTable rehearsal) throws TomlException {
         String instance = table.text("instance", null);
         if (!instance.matches(EntryId.NAME)) {
-            throw table.bad("instance", "is to be letters, digits, dots and dashes, 64 at the most");
+            throw table.bad("instance", "must be letters, digits, dots and dashes, at most 64");
         }
-        double mark = table.number("mark_s", MARK, 0.05, 60);
-        double doubt = table.number("doubt_s", DOUBT, 0.1, DAY);
-        if (2 * mark > doubt) {
-            throw table.bad("doubt_s", "is to be twice mark_s at least, else every start is doubted");
+        double markSeconds = table.number("mark_s", DEFAULT_MARK_SECONDS, 0.05, 60);
+        double doubtSeconds = table.number("doubt_s", DEFAULT_DOUBT_SECONDS, 0.1, DAY_SECONDS);
+        if (2 * markSeconds > doubtSeconds) {
+            throw table.bad("doubt_s", "must be at least twice mark_s, otherwise every start is treated as doubtful");
         }
-        Set<Guard> without = new HashSet<>();
-        List<String> words = List.of(Guard.values()).stream().map(Guard::word).toList();
-        for (String each : rehearsal.texts("without")) {
-            if (!words.contains(each)) {
-                throw rehearsal.bad("without", "\"" + each + "\" is none of " + String.join(", ", words));
+        Set<Guard> disabledGuards = new HashSet<>();
+        List<String> words =
+                List.of(Guard.values()).stream().map(Guard::settingWord).toList();
+        for (String word : rehearsal.texts("without")) {
+            if (!words.contains(word)) {
+                throw rehearsal.bad("without", "\"" + word + "\" is none of " + String.join(", ", words));
             }
-            without.add(Guard.values()[words.indexOf(each)]);
+            disabledGuards.add(Guard.values()[words.indexOf(word)]);
         }
         return new RecoverySettings(
                 Path.of(table.text("folder", null)),
                 instance,
                 new StateValidator.Bounds(
-                        (long) (1e6 * doubt), (long) (1e6 * table.number("list_s", LIST, 0, 30 * DAY)), (long)
-                                (1e6 * AHEAD)),
-                (long) (1e6 * mark),
-                Set.copyOf(without),
-                (long) (1e6 * rehearsal.number("clock_s", 0.0, -30 * DAY, 30 * DAY)));
+                        (long) (1e6 * doubtSeconds),
+                        (long) (1e6 * table.number("list_s", DEFAULT_LIST_SECONDS, 0, 30 * DAY_SECONDS)),
+                        (long) (1e6 * MAX_AHEAD_SECONDS)),
+                (long) (1e6 * markSeconds),
+                Set.copyOf(disabledGuards),
+                (long) (1e6 * rehearsal.number("clock_s", 0.0, -30 * DAY_SECONDS, 30 * DAY_SECONDS)));
     }
 }
--- a/src/main/java/gatefront/agent/RegistrySettingsReader.java
+++ b/src/main/java/gatefront/agent/RegistrySettingsReader.java
@@ -17,28 +17,28 @@
 
 /** Reads the table {@code [registry]}: which registry an agent follows, and how. */
 public final class RegistrySettingsReader {
-    private static final double SECOND = 1e6;
+    private static final double MICROS_PER_SECOND = 1e6;
 
     private RegistrySettingsReader() {}
 
     /**
-     * Takes the table.
+     * Reads the table.
      *
-     * @param table with the keys of it
-     * @return what it says
-     * @throws TomlException if it cannot be used
+     * @param table the table {@code [registry]}
+     * @return the settings
+     * @throws TomlException if a value is missing or invalid
      */
     public static RegistrySettings read(TomlTable table) throws TomlException {
         Kind kind =
                 Kind.valueOf(table.word("kind", null, List.of("etcd", "consul")).toUpperCase(Locale.ROOT));
         List<InetSocketAddress> endpoints = new ArrayList<>();
-        for (String each : table.texts("endpoints")) {
+        for (String text : table.texts("endpoints")) {
             try {
-                endpoints.add(Config.address(each));
+                endpoints.add(Config.address(text));
             } catch (IllegalArgumentException e) {
                 throw table.bad(
                         "endpoints",
-                        "\"" + each + "\" is to be a literal address and a port, as in " + "\"127.0.0.1:"
+                        "\"" + text + "\" must be a literal address and a port, as in " + "\"127.0.0.1:"
                                 + (kind == Kind.ETCD ? 2379 : 8500) + "\"");
             }
         }
@@ -47,69 +47,74 @@
         }
         String prefix = table.text("prefix", null);
         if (!prefix.matches("[A-Za-z0-9._~-]+(/[A-Za-z0-9._~-]+)*/")) {
-            throw table.bad("prefix", "is to be words with a slash behind each, as in \"oaxaca/\"");
+            throw table.bad("prefix", "must be words that each end with a slash, as in \"oaxaca/\"");
         }
-        boolean instead =
+        boolean replacesPadron =
                 table.word("padron", "beside", List.of("beside", "instead")).equals("instead");
         boolean etcd = kind == Kind.ETCD;
         for (String key : etcd ? List.of("token_file", "service") : List.of("user", "password_file")) {
             if (table.has(key)) {
-                throw table.bad(key, "means nothing for " + (etcd ? "etcd" : "Consul, which has token_file"));
+                throw table.bad(key, "does not apply to " + (etcd ? "etcd" : "Consul, which has token_file"));
             }
         }
         if (table.has("user") != table.has("password_file")) {
             throw table.bad(
-                    table.has("user") ? "password_file" : "user", "is missing; user and password_file go together");
+                    table.has("user") ? "password_file" : "user",
+                    "is missing; user and password_file must be set together");
         }
         String user = table.has("user") ? table.text("user", null) : null;
         String service = table.has("service") ? table.text("service", null) : null;
         if (service != null && !service.matches("[A-Za-z0-9._~-]+")) {
-            throw table.bad("service", "is to be the name of one service, as in \"cuentas\"");
+            throw table.bad("service", "must be the name of one service, as in \"cuentas\"");
         }
         Reads reads = Reads.valueOf(table.word("reads", "usual", List.of("usual", "consistent", "stale"))
                 .toUpperCase(Locale.ROOT));
         if (etcd && reads == Reads.CONSISTENT) {
-            throw table.bad("reads", "\"consistent\" is what etcd does by itself: \"usual\"");
+            throw table.bad(
+                    "reads", "\"consistent\" is for Consul only; for etcd, \"usual\" reads are already consistent");
         }
-        double ask = table.number("ask_s", 2.0, 0.1, 600);
-        double silence = table.number("silence_s", 8.0, 0.5, 600);
-        double stale = table.number("stale_s", 30.0, 1, 86_400);
-        double reread = table.number("reread_s", 600.0, 0, 86_400);
-        double most = table.number("backoff_s", 1.0, 0.05, 60);
-        if (etcd && silence < 2 * ask) {
-            throw table.bad("silence_s", "is to be at least twice ask_s, " + ask + ": an answer needs time to come");
+        double askSeconds = table.number("ask_s", 2.0, 0.1, 600);
+        double silenceSeconds = table.number("silence_s", 8.0, 0.5, 600);
+        double staleSeconds = table.number("stale_s", 30.0, 1, 86_400);
+        double rereadSeconds = table.number("reread_s", 600.0, 0, 86_400);
+        double backoffSeconds = table.number("backoff_s", 1.0, 0.05, 60);
+        if (etcd && silenceSeconds < 2 * askSeconds) {
+            throw table.bad(
+                    "silence_s",
+                    "must be at least twice ask_s, " + askSeconds + ", so that a response can arrive in time");
         }
-        if (stale < silence) {
-            throw table.bad("stale_s", "is to be at least silence_s, " + silence);
+        if (staleSeconds < silenceSeconds) {
+            throw table.bad("stale_s", "must be at least silence_s, " + silenceSeconds);
         }
-        FollowerLimits bounds = new FollowerLimits(
+        FollowerLimits limits = new FollowerLimits(
                 50_000,
-                (long) (most * SECOND),
+                (long) (backoffSeconds * MICROS_PER_SECOND),
                 etcd ? 0 : 60_000,
-                etcd ? (long) (ask * SECOND) : 0,
-                (long) (silence * SECOND),
-                (long) (stale * SECOND),
-                (long) (reread * SECOND),
+                etcd ? (long) (askSeconds * MICROS_PER_SECOND) : 0,
+                (long) (silenceSeconds * MICROS_PER_SECOND),
+                (long) (staleSeconds * MICROS_PER_SECOND),
+                (long) (rereadSeconds * MICROS_PER_SECOND),
                 table.whole("keys", 20_000, 1, 1_000_000));
-        Path state = table.has("state_file") ? Path.of(table.text("state_file", null)) : null;
-        if (state != null && !Files.isDirectory(state.toAbsolutePath().getParent())) {
-            throw table.bad("state_file", "its folder " + state.toAbsolutePath().getParent() + " is not there");
+        Path stateFile = table.has("state_file") ? Path.of(table.text("state_file", null)) : null;
+        if (stateFile != null && !Files.isDirectory(stateFile.toAbsolutePath().getParent())) {
+            throw table.bad(
+                    "state_file", "its folder " + stateFile.toAbsolutePath().getParent() + " does not exist");
         }
         return new RegistrySettings(
                 kind,
                 List.copyOf(endpoints),
                 prefix,
-                instead,
+                replacesPadron,
                 user,
                 secret(table, "password_file"),
                 secret(table, "token_file"),
                 service,
                 reads,
-                bounds,
-                state);
+                limits,
+                stateFile);
     }
 
-    /** Secrets stand in files of their own, which can have rights of their own. */
+    /** Reads a secret from its own file, which can have its own permissions. */
     private static String secret(TomlTable table, String key) throws TomlException {
         if (!table.has(key)) {
             return null;
@@ -117,7 +122,7 @@
         String secret = TomlFile.text(Path.of(table.text(key, null)), " (" + key + " of the registry)")
                 .strip();
         if (secret.isEmpty() || !secret.matches("[\\x21-\\x7e]+")) {
-            throw table.bad(key, "the file is to hold one word of plain letters, and nothing else");
+            throw table.bad(key, "the file must hold one word of printable ASCII characters and nothing else");
         }
         return secret;
     }
--- a/src/main/java/gatefront/agent/StateRecovery.java
+++ b/src/main/java/gatefront/agent/StateRecovery.java
@@ -29,123 +29,136 @@
 import java.util.function.Consumer;
 
 /**
- * What an agent knows again after its death: judges what was kept, lays it over what it starts with, and keeps what
- * comes. Runs on the agent's loop, but for {@link #open}; state: the list as last told, bounded as that is, and the
- * calls by hand as last handed over.
+ * Restores an agent's state after a restart: validates the stored state, combines it with the configuration and stores
+ * changes from then on. Runs on the agent's loop, except {@link #open}. Holds the latest server list, which bounds its
+ * size, and the bans as last passed to the store.
  */
 final class StateRecovery {
-    /** The list is kept no more often than this. */
-    private static final long LIST_MS = 2_000;
+    /** Minimum interval between two writes of the server list, in milliseconds. */
+    private static final long LIST_WRITE_INTERVAL_MS = 2_000;
 
     private final Transport transport;
-    private final RecoverySettings table;
+    private final RecoverySettings settings;
     private final Recovery recovery;
-    private final RecoveryStore keeper;
-    private final StoredState kept;
-    private final Map<String, Endpoint> listed = new LinkedHashMap<>();
-    private final Map<String, ServerBans.Entry> handedOver = new HashMap<>();
+    private final RecoveryStore store;
+    private final StoredState storedState;
+    private final Map<String, Endpoint> servers = new LinkedHashMap<>();
+    private final Map<String, ServerBans.Entry> persistedBans = new HashMap<>();
     private Config config;
-    private ValidationResult bans;
+    private ValidationResult bansValidation;
     private boolean listChanged;
-    private boolean writesFail;
+    private boolean writesFailing;
 
-    private StateRecovery(Transport transport, RecoverySettings table, Config config) {
+    private StateRecovery(Transport transport, RecoverySettings settings, Config config) {
         this.transport = transport;
-        this.table = table;
+        this.settings = settings;
         this.config = config;
-        this.recovery = new Recovery(table.instance(), table.bounds(), transport.wallMicros());
+        this.recovery = new Recovery(settings.instance(), settings.bounds(), transport.wallMicros());
         RecoveryStore.Opened opened =
-                RecoveryStore.open(table.folder(), table.instance(), transport.loop(), transport::wallMicros);
-        keeper = opened.keeper();
-        kept = opened.kept();
+                RecoveryStore.open(settings.directory(), settings.instance(), transport.loop(), transport::wallMicros);
+        store = opened.keeper();
+        storedState = opened.kept();
         recovery.store(opened.state(), opened.why(), transport.wallMicros());
-        if (kept.instance() != null) {
-            bans = recovery.claim(
+        if (storedState.instance() != null) {
+            bansValidation = recovery.claim(
                     new RestoredState(
                             StateKind.BANS,
                             StateSource.STORE,
-                            kept.instance(),
-                            kept.upTo(),
+                            storedState.instance(),
+                            storedState.upTo(),
                             opened.state() == Recovery.Store.DAMAGED),
                     transport.wallMicros());
         }
-        say();
+        logRecovery();
     }
 
-    /** Looks at what was kept; blocks for a moment. */
-    static StateRecovery open(Transport transport, RecoverySettings table, Config config) {
-        return new StateRecovery(transport, table, config);
+    /** Opens the store and reads the stored state; blocks on the disk. */
+    static StateRecovery open(Transport transport, RecoverySettings settings, Config config) {
+        return new StateRecovery(transport, settings, config);
     }
 
-    /** Whether a rehearsal has left a guard on. */
-    boolean guards(RecoverySettings.Guard guard) {
-        return !table.without().contains(guard);
+    /** Returns whether a guard is on, that is, not switched off by a rehearsal. */
+    boolean isEnabled(RecoverySettings.Guard guard) {
+        return !settings.disabledGuards().contains(guard);
     }
 
     void start() {
         transport
                 .loop()
-                .scheduleWithFixedDelay(keeper::mark, table.markMicros(), table.markMicros(), TimeUnit.MICROSECONDS);
-        transport.loop().scheduleWithFixedDelay(this::keepList, LIST_MS, LIST_MS, TimeUnit.MILLISECONDS);
+                .scheduleWithFixedDelay(
+                        store::mark, settings.heartbeatMicros(), settings.heartbeatMicros(), TimeUnit.MICROSECONDS);
+        transport
+                .loop()
+                .scheduleWithFixedDelay(
+                        this::persistList, LIST_WRITE_INTERVAL_MS, LIST_WRITE_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** What staff did by hand before, as far as it may be believed; what is doubted stays out. */
-    Map<String, ServerBans.Entry> bans() {
-        if (bans == null || bans.verdict() == TrustLevel.DROPPED || !guards(RecoverySettings.Guard.KEPT_BANS)) {
+    /**
+     * Returns the bans from before the restart, unless their validation dropped them. Doubtful bans stay in force.
+     */
+    Map<String, ServerBans.Entry> restoredBans() {
+        if (bansValidation == null
+                || bansValidation.verdict() == TrustLevel.DROPPED
+                || !isEnabled(RecoverySettings.Guard.KEPT_BANS)) {
             return Map.of();
         }
-        handedOver.putAll(kept.bans());
-        return kept.bans();
+        persistedBans.putAll(storedState.bans());
+        return storedState.bans();
     }
 
-    /** The list to start with: the platform's, or the one that was kept, where that is newer and may be believed. */
-    JsonNode known(JsonNode configured) {
+    /**
+     * Returns the server list to start with: the stored one unless its validation dropped it, otherwise the one from
+     * the configuration.
+     */
+    JsonNode initialList(JsonNode configured) {
         long now = transport.wallMicros();
-        JsonNode own = null;
-        if (kept.list() != null) {
-            boolean read = true;
+        JsonNode stored = null;
+        if (storedState.list() != null) {
+            boolean readable = true;
             try {
-                own = Config.json(new ByteArrayInputStream(kept.list()));
+                stored = Config.json(new ByteArrayInputStream(storedState.list()));
             } catch (IOException e) {
-                read = false;
+                readable = false;
             }
-            ValidationResult finding = recovery.claim(
-                    new RestoredState(StateKind.LIST, StateSource.STORE, kept.instance(), kept.listAt(), !read), now);
-            own = finding.verdict() == TrustLevel.DROPPED ? null : own;
+            ValidationResult validation = recovery.claim(
+                    new RestoredState(
+                            StateKind.LIST, StateSource.STORE, storedState.instance(), storedState.listAt(), !readable),
+                    now);
+            stored = validation.verdict() == TrustLevel.DROPPED ? null : stored;
         }
-        if (own == null && configured.path("endpoints").size() > 0) {
+        if (stored == null && configured.path("endpoints").size() > 0) {
             recovery.claim(new RestoredState(StateKind.LIST, StateSource.CONFIGURATION, null, -1, false), now);
         }
-        say();
-        return own == null ? configured : own;
+        logRecovery();
+        return stored == null ? configured : stored;
     }
 
-    /** The list has changed. */
-    void told(ListKind kind, List<Endpoint> endpoints) {
+    /** Receives a change of the server list. */
+    void onServerList(ListKind kind, List<Endpoint> endpoints) {
         if (kind == ListKind.CACHED || kind == ListKind.FAILED) {
             return;
         }
         if (kind == ListKind.FULL) {
-            listed.clear();
+            servers.clear();
             recovery.listed(transport.wallMicros());
-            say();
+            logRecovery();
         }
-        for (Endpoint each : endpoints) {
-            if (each.server().phase() == Phase.GONE) {
-                listed.remove(each.name());
+        for (Endpoint endpoint : endpoints) {
+            if (endpoint.server().phase() == Phase.GONE) {
+                servers.remove(endpoint.name());
             } else {
-                listed.put(each.name(), each);
+                servers.put(endpoint.name(), endpoint);
             }
         }
         listChanged = true;
     }
 
-    private void keepList() {
+    private void persistList() {
         if (listChanged) {
             listChanged = false;
             ArrayNode endpoints = JsonNodeFactory.instance.arrayNode();
-            listed.values().forEach(each -> endpoints.add(EndpointJson.encode(each, config)));
-            keeper.list(
+            servers.values().forEach(endpoint -> endpoints.add(EndpointJson.encode(endpoint, config)));
+            store.list(
                     transport.wallMicros(),
                     JsonNodeFactory.instance
                             .objectNode()
@@ -157,80 +170,81 @@
         }
     }
 
-    /** A file of settings has been taken. */
-    void changed(Config to) {
-        config = to;
+    /** Receives the configuration after a reload. */
+    void configChanged(Config changed) {
+        config = changed;
     }
 
-    /** The agent takes callers. */
-    void serves() {
+    /** Called when the agent has become ready to serve clients. */
+    void onReady() {
         recovery.serves(transport.wallMicros());
-        say();
+        logRecovery();
     }
 
     /**
-     * Keeps calls by hand as they are now.
+     * Stores the current bans.
      *
-     * @param then is told whether all of them are kept, once that is known
+     * @param callback receives whether all of them are stored, once that is known
      */
-    void keep(Map<String, ServerBans.Entry> entries, Consumer<Boolean> then) {
-        int[] out = {1};
-        boolean[] all = {true};
-        Consumer<IOException> told = fault -> {
-            all[0] &= fault == null;
-            fault(fault);
-            if (--out[0] == 0) {
-                then.accept(all[0]);
+    void persistBans(Map<String, ServerBans.Entry> entries, Consumer<Boolean> callback) {
+        int[] pendingWrites = {1};
+        boolean[] allStored = {true};
+        Consumer<IOException> onWritten = failure -> {
+            allStored[0] &= failure == null;
+            recordWriteResult(failure);
+            if (--pendingWrites[0] == 0) {
+                callback.accept(allStored[0]);
             }
         };
-        handedOver.keySet().stream()
-                .filter(each -> !entries.containsKey(each))
+        persistedBans.keySet().stream()
+                .filter(name -> !entries.containsKey(name))
                 .toList()
-                .forEach(each -> {
-                    handedOver.remove(each);
-                    keeper.ban(each, null, fault -> {});
+                .forEach(name -> {
+                    persistedBans.remove(name);
+                    store.ban(name, null, failure -> {});
                 });
         entries.forEach((name, entry) -> {
-            if (!entry.equals(handedOver.put(name, entry))) {
-                out[0]++;
-                keeper.ban(name, entry, told);
+            if (!entry.equals(persistedBans.put(name, entry))) {
+                pendingWrites[0]++;
+                store.ban(name, entry, onWritten);
             }
         });
-        told.accept(null);
+        onWritten.accept(null);
     }
 
-    private void fault(IOException fault) {
-        if (fault != null && !writesFail) {
-            transport.log("recovery: not kept, a restart would forget it: " + fault.getMessage());
+    private void recordWriteResult(IOException failure) {
+        if (failure != null && !writesFailing) {
+            transport.log("recovery: state not stored, it would be lost on a restart: " + failure.getMessage());
         }
-        writesFail = fault != null;
+        writesFailing = failure != null;
     }
 
-    /** What staff see of it. */
-    Map<String, String> words() {
-        Map<String, String> words = new LinkedHashMap<>();
-        boolean lost = recovery.lost() && guards(RecoverySettings.Guard.NAMED_LOSS);
-        words.put("recovery", lost || !recovery.lost() ? recovery.stage().words() : Recovery.Stage.WHOLE.words());
-        words.put("recovery_lost", lost ? "1" : "0");
-        words.put("recovery_for_ms", String.valueOf((transport.wallMicros() - recovery.since()) / 1000));
-        words.put("recovery_reason", lost || !recovery.lost() ? recovery.reason() : "");
-        words.put("recovery_kept", writesFail ? "0" : "1");
-        return words;
+    /** Returns the state of the recovery for the statistics of the management endpoint. */
+    Map<String, String> statusFields() {
+        Map<String, String> fields = new LinkedHashMap<>();
+        boolean lossReported = recovery.lost() && isEnabled(RecoverySettings.Guard.NAMED_LOSS);
+        fields.put(
+                "recovery", lossReported || !recovery.lost() ? recovery.stage().words() : Recovery.Stage.WHOLE.words());
+        fields.put("recovery_lost", lossReported ? "1" : "0");
+        fields.put("recovery_for_ms", String.valueOf((transport.wallMicros() - recovery.since()) / 1000));
+        fields.put("recovery_reason", lossReported || !recovery.lost() ? recovery.reason() : "");
+        fields.put("recovery_kept", writesFailing ? "0" : "1");
+        return fields;
     }
 
-    private void say() {
+    private void logRecovery() {
         List<String> lines = recovery.lines();
-        if (guards(RecoverySettings.Guard.NAMED_LOSS) || !recovery.lost()) {
+        if (isEnabled(RecoverySettings.Guard.NAMED_LOSS) || !recovery.lost()) {
             lines.forEach(transport::log);
         }
     }
 
     void close(Runnable then) {
-        keepList();
-        keeper.close(then);
+        persistList();
+        store.close(then);
     }
 
     void abandon() {
-        keeper.abandon();
+        store.abandon();
     }
 }
--- a/src/main/java/gatefront/agent/UsageRecorder.java
+++ b/src/main/java/gatefront/agent/UsageRecorder.java
@@ -22,199 +22,214 @@
 import java.util.function.Supplier;
 
 /**
- * Fills an instance's books with what its engine has served. The loop counts, and hands over now and then what has
- * come together; a thread of its own writes, so that the loop waits for no disk. One hand-over is out at a time: while
- * it is, counts go on adding up where they are, so what waits is bounded by the cells there are, however slow the disk
- * is. What could not be written is added to the next.
+ * Writes the usage served by the engine to the ledger of an instance. The event loop counts and periodically hands the
+ * collected amounts to a writer thread, so that the loop never waits for the disk. Only one batch is in progress at a
+ * time; meanwhile amounts keep accumulating per cell, so that the backlog is bounded by the number of cells, however
+ * slow the disk is. Amounts that could not be written are added to the next batch.
  *
- * <p>A process that takes over from another finds the books open there, and counts until they are not.
+ * <p>A process that takes over from another finds the ledger open in that process, and counts until it is released.
  */
 final class UsageRecorder {
-    private static final double MILLIONTHS = 1e6;
-    /** Periods without use that are closed one by one; a clock may jump over millions. */
-    private static final long PASSED_MOST = 100;
+    private static final double MILLIONTHS_PER_UNIT = 1e6;
+    /**
+     * Maximum number of periods without usage that are closed one by one; a clock may jump over millions of them.
+     */
+    private static final long MAX_CLOSED_SINGLY = 100;
 
     private final Transport transport;
-    private final LedgerSettings table;
+    private final LedgerSettings settings;
     private final Supplier<Config> config;
     private final Store.Options options;
-    private final UsageMeter usage = new UsageMeter();
+    private final UsageMeter meter = new UsageMeter();
     private final ExecutorService writer = Executors.newSingleThreadExecutor(task -> {
         Thread thread = new Thread(task, "ledger");
         thread.setDaemon(true);
         return thread;
     });
     private final PeriodClock periods;
-    /** Of the loop: whether a hand-over is out, and what is handed over next. */
-    private boolean out;
+    /** Whether the writer has a batch in progress. Confined to the loop. */
+    private boolean writePending;
 
-    private boolean ended;
+    private boolean closing;
+    /** Whether the last write failed. */
     private boolean failing;
-    private TreeMap<Ledger.Cell, UsageAmounts> waiting = new TreeMap<>();
-    /** What was handed over last; the writer takes out what it has written. */
-    private TreeMap<Ledger.Cell, UsageAmounts> handed = new TreeMap<>();
-    /** Of the writer: null while another process has them; and the first period that it has not closed. */
-    private LedgerStore books;
+    /** Amounts for the next batch. Confined to the loop. */
+    private TreeMap<Ledger.Cell, UsageAmounts> pending = new TreeMap<>();
+    /** The latest batch; the writer removes what it has written. */
+    private TreeMap<Ledger.Cell, UsageAmounts> inProgress = new TreeMap<>();
+    /** The ledger; null while another process holds it. Confined to the writer. */
+    private LedgerStore ledgerStore;
 
-    private long closed;
+    /** The first period that has not been closed. Confined to the writer. */
+    private long firstUnclosed;
 
     private UsageRecorder(
             Transport transport,
-            LedgerSettings table,
+            LedgerSettings settings,
             Supplier<Config> config,
             Store.Options options,
-            LedgerStore books) {
+            LedgerStore ledgerStore) {
         this.transport = transport;
-        this.table = table;
+        this.settings = settings;
         this.config = config;
         this.options = options;
-        this.books = books;
-        long last = 0;
-        for (long each : books == null ? List.<Long>of() : books.ledger().periods()) {
-            last = each;
+        this.ledgerStore = ledgerStore;
+        long lastPeriod = 0;
+        for (long period :
+                ledgerStore == null ? List.<Long>of() : ledgerStore.ledger().periods()) {
+            lastPeriod = period;
         }
-        this.periods = new PeriodClock(table.periodMicros(), table.writeMicros(), last, transport.wallMicros());
-        this.closed = periods.closing();
+        this.periods =
+                new PeriodClock(settings.periodMicros(), settings.writeMicros(), lastPeriod, transport.wallMicros());
+        this.firstUnclosed = periods.closing();
     }
 
     /**
-     * Opens the books; those that another process has are waited for.
+     * Opens the ledger. If another process holds it, it is opened later by the writer.
      *
-     * @param config the configuration as it is now; asked on the loop
-     * @throws IOException with one line, if they cannot be used
+     * @param config supplies the current configuration; called on the loop
+     * @throws IOException with a one-line message, if the ledger cannot be used
      */
-    static UsageRecorder open(Transport transport, LedgerSettings table, Supplier<Config> config) throws IOException {
-        SigningKeys keys = table.keys() == null ? SigningKeys.NONE : SigningKeys.read(table.keys());
-        Store.Options options = new Store.Options(keys, Store.Options.USUAL.segmentBytes(), table.bytesMost());
-        LedgerStore books = null;
+    static UsageRecorder open(Transport transport, LedgerSettings settings, Supplier<Config> config)
+            throws IOException {
+        SigningKeys keys = settings.keys() == null ? SigningKeys.NONE : SigningKeys.read(settings.keys());
+        Store.Options options = new Store.Options(keys, Store.Options.USUAL.segmentBytes(), settings.maxBytes());
+        LedgerStore ledgerStore = null;
         try {
-            books = LedgerStore.open(new DirectoryDisk(table.folder()), options, table.instance());
-            if (books.begun()) {
-                transport.log(
-                        "ledger: " + table.folder() + " holds no books; they are begun now, or all of them are lost");
+            ledgerStore = LedgerStore.open(new DirectoryDisk(settings.directory()), options, settings.instance());
+            if (ledgerStore.begun()) {
+                transport.log("ledger: " + settings.directory()
+                        + " holds no ledger: starting a new one; if there was one before, it is lost");
             }
         } catch (StoreInUseException e) {
-            transport.log("ledger: another process writes the books; counting until it has ended");
+            transport.log("ledger: held by another process; counting in memory until that has ended");
         } catch (IOException e) {
-            throw new IOException("ledger " + table.folder() + ": " + e.getMessage(), e);
+            throw new IOException("ledger " + settings.directory() + ": " + e.getMessage(), e);
         }
-        return new UsageRecorder(transport, table, config, options, books);
+        return new UsageRecorder(transport, settings, config, options, ledgerStore);
     }
 
-    /** Where the engine counts. */
-    UsageMeter usage() {
-        return usage;
+    /** Returns the meter that the engine counts on. */
+    UsageMeter meter() {
+        return meter;
     }
 
-    /** Writes from now on. */
+    /** Starts the periodic writes. */
     void start() {
         transport
                 .loop()
                 .scheduleWithFixedDelay(
-                        this::handOver, table.writeMicros(), table.writeMicros(), TimeUnit.MICROSECONDS);
+                        this::handOver, settings.writeMicros(), settings.writeMicros(), TimeUnit.MICROSECONDS);
     }
 
     private void handOver() {
-        if (out || ended) {
+        if (writePending || closing) {
             return;
         }
-        // What was served since the last time counts in the period that was open then.
-        take(periods.open());
+        // Usage since the previous batch belongs to the period that was open then.
+        collect(periods.open());
         periods.at(transport.wallMicros());
-        TreeMap<Ledger.Cell, UsageAmounts> cells = waiting;
-        waiting = new TreeMap<>();
-        handed = cells;
-        out = true;
-        long closing = periods.closing();
-        writer.execute(() -> write(cells, closing));
+        TreeMap<Ledger.Cell, UsageAmounts> batch = pending;
+        pending = new TreeMap<>();
+        inProgress = batch;
+        writePending = true;
+        long closeBefore = periods.closing();
+        writer.execute(() -> write(batch, closeBefore));
     }
 
-    private void take(long period) {
-        Config now = config.get();
-        usage.take((tenant, type, requests, work, bytes) -> {
-            double worth = now.settings().classes().get(type).worth();
-            waiting.merge(
+    private void collect(long period) {
+        Config current = config.get();
+        meter.take((tenant, classNumber, requests, work, bytes) -> {
+            double worth = current.settings().classes().get(classNumber).worth();
+            pending.merge(
                     new Ledger.Cell(
                             period,
-                            now.tenants().isEmpty() ? "" : now.tenants().get(tenant),
-                            now.classes().get(type)),
-                    new UsageAmounts(requests, (long) (MILLIONTHS * worth * requests), work, bytes),
+                            current.tenants().isEmpty() ? "" : current.tenants().get(tenant),
+                            current.classes().get(classNumber)),
+                    new UsageAmounts(requests, (long) (MILLIONTHS_PER_UNIT * worth * requests), work, bytes),
                     UsageAmounts::plus);
         });
     }
 
-    /** On the writer: all that is handed over, or what is left of it goes back. */
-    private void write(TreeMap<Ledger.Cell, UsageAmounts> cells, long closing) {
-        IOException fault = null;
+    /** Writes a batch, on the writer thread; what could not be written goes back to the loop. */
+    private void write(TreeMap<Ledger.Cell, UsageAmounts> batch, long closeBefore) {
+        IOException failure = null;
         try {
-            into(cells, closing);
-            books.compact();
+            writeTo(batch, closeBefore);
+            ledgerStore.compact();
         } catch (IOException e) {
-            fault = e;
-        } catch (RuntimeException e) { // a fault of ours, or sums beyond a number: counting goes on, and staff hear
-            fault = new IOException(e.toString(), e);
+            failure = e;
+        } catch (RuntimeException e) {
+            // A defect, or an overflow of the sums: counting continues, and the failure is logged for the operators.
+            failure = new IOException(e.toString(), e);
         }
-        IOException told = fault;
+        IOException result = failure;
         try {
-            transport.loop().execute(() -> written(cells, told));
+            transport.loop().execute(() -> onWritten(batch, result));
         } catch (RejectedExecutionException e) {
-            transport.log("ledger: the agent has ended"); // its close wrote what is left, or told that it is lost
+            // close() has written what was left, or logged its loss.
+            transport.log("ledger: result of the last write dropped, the agent has stopped");
         }
     }
 
-    /** Writes cells, period by period, and closes all before one; what was written is no longer among the cells. */
-    private void into(TreeMap<Ledger.Cell, UsageAmounts> cells, long closing) throws IOException {
-        if (books == null) {
-            books = LedgerStore.open(new DirectoryDisk(table.folder()), options, table.instance());
+    /**
+     * Writes the cells period by period, removing those written, and then closes all periods before
+     * {@code closeBefore}.
+     */
+    private void writeTo(TreeMap<Ledger.Cell, UsageAmounts> batch, long closeBefore) throws IOException {
+        if (ledgerStore == null) {
+            ledgerStore = LedgerStore.open(new DirectoryDisk(settings.directory()), options, settings.instance());
         }
-        while (!cells.isEmpty()) {
-            long period = cells.firstKey().period();
-            Map<Ledger.Cell, UsageAmounts> of = cells.headMap(new Ledger.Cell(period + 1, "", ""));
-            books.use(period, of);
-            of.clear();
+        while (!batch.isEmpty()) {
+            long period = batch.firstKey().period();
+            Map<Ledger.Cell, UsageAmounts> periodCells = batch.headMap(new Ledger.Cell(period + 1, "", ""));
+            ledgerStore.use(period, periodCells);
+            periodCells.clear();
         }
-        if (closing - closed > PASSED_MOST) { // the clock has jumped: what it passed was never open here
-            for (long period : books.unclosed()) {
-                books.close(period);
+        if (closeBefore - firstUnclosed > MAX_CLOSED_SINGLY) {
+            // The clock has jumped: the periods in between were never open here.
+            for (long period : ledgerStore.unclosed()) {
+                ledgerStore.close(period);
             }
-            closed = closing - 1;
+            firstUnclosed = closeBefore - 1;
         }
-        for (; closed < closing; closed++) { // what could not be written before has been, by now
-            books.close(closed);
+        for (; firstUnclosed < closeBefore; firstUnclosed++) {
+            // Amounts that could not be written earlier have been written above.
+            ledgerStore.close(firstUnclosed);
         }
     }
 
-    private void written(TreeMap<Ledger.Cell, UsageAmounts> left, IOException fault) {
-        if (ended) {
-            return; // the close has what is left
+    private void onWritten(TreeMap<Ledger.Cell, UsageAmounts> unwritten, IOException failure) {
+        if (closing) {
+            return; // close() writes what is left
         }
-        out = false;
-        left.forEach((cell, amounts) -> waiting.merge(cell, amounts, UsageAmounts::plus));
-        left.clear();
-        if (fault != null && !failing && !(fault instanceof StoreInUseException)) {
-            transport.log("ledger: not written, and tried again: " + fault.getMessage());
-        } else if (fault == null && failing) {
-            transport.log("ledger: written again, nothing is missing");
+        writePending = false;
+        unwritten.forEach((cell, amounts) -> pending.merge(cell, amounts, UsageAmounts::plus));
+        unwritten.clear();
+        if (failure != null && !failing && !(failure instanceof StoreInUseException)) {
+            transport.log("ledger: write failed, will be retried: " + failure.getMessage());
+        } else if (failure == null && failing) {
+            transport.log("ledger: writes succeed again, no usage was lost");
         }
-        failing = fault != null && !(fault instanceof StoreInUseException);
+        failing = failure != null && !(failure instanceof StoreInUseException);
     }
 
-    /** Writes what is left and closes the books; called on the loop, done on the writer. */
+    /** Writes what is left and closes the ledger. Called on the loop; runs on the writer, as does {@code then}. */
     void close(Runnable then) {
-        ended = true;
-        take(periods.open());
-        TreeMap<Ledger.Cell, UsageAmounts> cells = waiting;
-        TreeMap<Ledger.Cell, UsageAmounts> before = handed;
-        long end = periods.open() + 1;
+        closing = true;
+        collect(periods.open());
+        TreeMap<Ledger.Cell, UsageAmounts> batch = pending;
+        TreeMap<Ledger.Cell, UsageAmounts> inProgressBatch = inProgress;
+        long closeBefore = periods.open() + 1;
         writer.execute(() -> {
             try {
-                before.forEach((cell, amounts) -> cells.merge(cell, amounts, UsageAmounts::plus));
-                if (books != null || !cells.isEmpty()) {
-                    into(cells, end); // this life makes no more entries: its part of what is open is whole, too
-                    books.close();
+                inProgressBatch.forEach((cell, amounts) -> batch.merge(cell, amounts, UsageAmounts::plus));
+                if (ledgerStore != null || !batch.isEmpty()) {
+                    writeTo(batch, closeBefore); // the part of this process in the open period is complete, too
+                    ledgerStore.close();
                 }
             } catch (IOException | RuntimeException e) {
-                transport.log("ledger: what was served since it was last written is lost: " + e.getMessage());
+                transport.log("ledger: usage since the last successful write is lost: " + e.getMessage());
             } finally {
                 then.run();
             }
@@ -222,11 +237,11 @@
         writer.shutdown();
     }
 
-    /** Closes the books of an agent that never came up. */
+    /** Closes the ledger of an agent that failed to start. */
     void abandon() {
         try {
-            if (books != null) {
-                books.close();
+            if (ledgerStore != null) {
+                ledgerStore.close();
             }
         } catch (IOException e) {
             transport.log("ledger: " + e.getMessage());
--- a/src/main/java/gatefront/agent/Warmup.java
+++ b/src/main/java/gatefront/agent/Warmup.java
@@ -18,118 +18,124 @@
 import java.util.function.IntConsumer;
 
 /**
- * Runs what a request runs through before the agent says that it is ready: a module of its own decides, and
- * what it sends goes over sockets to the agent's own health check. Guards against serving the first seconds
- * with code neither loaded nor compiled, which on a part of a core takes longer than clients wait.
+ * Exercises the request path before the agent reports that it is ready. A separate decision module routes warm-up
+ * requests, which go over sockets to the agent's own health check. Guards against serving the first seconds with code
+ * that is neither loaded nor compiled, which on a fraction of a core takes longer than clients wait.
  */
 final class Warmup implements Balancer.Actions {
     /**
-     * Enough for the compiler to take up what each request passes: the run's line has it do so after a fifth
-     * of the usual calls. Danger: with fewer the agent is ready sooner and loses its first seconds.
+     * Number of warm-up requests: enough for the JIT compiler to compile the request path, given that the command line
+     * lowers its thresholds to a fifth of the default. Danger: with fewer, the agent is ready sooner but fails requests
+     * in its first seconds.
      */
     private static final int REQUESTS = 150;
 
-    private static final int AT_ONCE = 4;
-    /** Every so many a request ends its connection: what dials and accepts is to be compiled, too. */
-    private static final int ENDS_EVERY = 4;
-    /** However slow the machine is, it begins to serve after this. */
-    private static final long MOST_MS = 1_500;
-    /** No listed server has this id. */
-    private static final long SELF = 0;
+    /** Maximum number of warm-up requests in flight. */
+    private static final int MAX_IN_FLIGHT = 4;
+    /** Every n-th request closes its connection, so that connecting and accepting are compiled, too. */
+    private static final int CLOSE_EVERY = 4;
+    /** Maximum duration of the warm-up, however slow the machine is, in milliseconds. */
+    private static final long TIMEOUT_MS = 1_500;
+    /** Id of the agent itself as a server; no listed server has it. */
+    private static final long SELF_ID = 0;
 
     private final Transport transport;
     private final EventLoop loop;
     private final Config config;
-    private final HttpUpstream backends;
-    private final HttpFrontend clients;
-    private final InetSocketAddress own;
-    private final IntConsumer then;
-    private final Balancer module;
-    private final HttpUpstream.Outgoing outgoing;
-    private final HttpUpstream.Outgoing ends;
-    private int begun;
-    private int out;
-    private int answered;
-    private boolean over;
+    private final HttpUpstream httpUpstream;
+    private final HttpFrontend httpFrontend;
+    private final InetSocketAddress ownAddress;
+    private final IntConsumer onFinished;
+    private final Balancer balancer;
+    private final HttpUpstream.Outgoing keepAliveRequest;
+    private final HttpUpstream.Outgoing closingRequest;
+    private int started;
+    private int inFlight;
+    private int responses;
+    private boolean finished;
 
     private Warmup(
             Transport transport,
             Config config,
-            HttpUpstream backends,
-            HttpFrontend clients,
-            InetSocketAddress own,
+            HttpUpstream httpUpstream,
+            HttpFrontend httpFrontend,
+            InetSocketAddress ownAddress,
             String path,
-            IntConsumer then) {
+            IntConsumer onFinished) {
         this.transport = transport;
         this.loop = transport.loop();
         this.config = config;
-        this.backends = backends;
-        this.clients = clients;
-        this.own = own;
-        this.then = then;
-        this.module = new AdaptiveBalancer(config.settings(), config.seed(), micros(), this);
-        this.outgoing = new HttpUpstream.Outgoing(
-                HttpMethod.GET, path, example().headers().remove("Request-Id"), HttpUpstream.NO_BODY);
-        this.ends = new HttpUpstream.Outgoing(
-                HttpMethod.GET, path, outgoing.headers().copy().set("Connection", "close"), HttpUpstream.NO_BODY);
+        this.httpUpstream = httpUpstream;
+        this.httpFrontend = httpFrontend;
+        this.ownAddress = ownAddress;
+        this.onFinished = onFinished;
+        this.balancer = new AdaptiveBalancer(config.settings(), config.seed(), nowMicros(), this);
+        this.keepAliveRequest = new HttpUpstream.Outgoing(
+                HttpMethod.GET, path, exampleRequest().headers().remove("Request-Id"), HttpUpstream.NO_BODY);
+        this.closingRequest = new HttpUpstream.Outgoing(
+                HttpMethod.GET,
+                path,
+                keepAliveRequest.headers().copy().set("Connection", "close"),
+                HttpUpstream.NO_BODY);
     }
 
     /**
-     * Warms up on the loop and tells there, when that is over, how many requests were answered.
+     * Runs the warm-up on the loop and calls back there with the number of answered requests.
      *
-     * @param own an address where this agent listens
-     * @param path where it says there whether it is ready
+     * @param ownAddress an address on which this agent listens
+     * @param path the path of the health check at that address
      */
     static void run(
             Transport transport,
             Config config,
-            HttpUpstream backends,
-            HttpFrontend clients,
-            InetSocketAddress own,
+            HttpUpstream httpUpstream,
+            HttpFrontend httpFrontend,
+            InetSocketAddress ownAddress,
             String path,
-            IntConsumer then) {
-        new Warmup(transport, config, backends, clients, own, path, then).start();
+            IntConsumer onFinished) {
+        new Warmup(transport, config, httpUpstream, httpFrontend, ownAddress, path, onFinished).start();
     }
 
     private void start() {
-        loop.schedule(this::end, MOST_MS, TimeUnit.MILLISECONDS);
-        Balancer.Server self = new Balancer.Server(SELF, config.settings().zone(), 0, 0, Balancer.Phase.READY, 1, 0);
-        backends.self(SELF, own);
-        module.servers(micros(), Balancer.ListKind.FULL, List.of(self));
-        next();
+        loop.schedule(this::finish, TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        Balancer.Server self = new Balancer.Server(SELF_ID, config.settings().zone(), 0, 0, Balancer.Phase.READY, 1, 0);
+        httpUpstream.self(SELF_ID, ownAddress);
+        balancer.servers(nowMicros(), Balancer.ListKind.FULL, List.of(self));
+        sendNext();
     }
 
-    private void next() {
-        while (!over && out < AT_ONCE && begun < REQUESTS) {
-            begun++;
-            out++;
-            clients.parse(example());
-            long now = micros();
-            module.request(
+    private void sendNext() {
+        while (!finished && inFlight < MAX_IN_FLIGHT && started < REQUESTS) {
+            started++;
+            inFlight++;
+            httpFrontend.parse(exampleRequest());
+            long now = nowMicros();
+            balancer.request(
                     now,
                     new Balancer.Request(
-                            begun, begun % config.classes().size(), 0, 0, 1, now + 1_000_000, false, false));
+                            started, started % config.classes().size(), 0, 0, 1, now + 1_000_000, false, false));
         }
-        if (out == 0) {
-            end();
+        if (inFlight == 0) {
+            finish();
         }
     }
 
-    private void end() {
-        if (!over) {
-            over = true;
-            backends.gone(SELF);
-            then.accept(answered);
+    private void finish() {
+        if (!finished) {
+            finished = true;
+            httpUpstream.gone(SELF_ID);
+            onFinished.accept(responses);
         }
     }
 
-    private void done() {
-        out--;
-        loop.execute(this::next); // not from within the module
+    private void requestDone() {
+        inFlight--;
+        // Scheduled, since the module must not be called from within one of its own calls.
+        loop.execute(this::sendNext);
     }
 
-    /** A request of the first class, as clients send it. */
-    private HttpRequest example() {
+    /** Creates a request of the first class, as a client sends it. */
+    private HttpRequest exampleRequest() {
         boolean safe = config.settings().classes().get(0).semantics() == Balancer.Semantics.SAFE;
         HttpRequest request = new DefaultHttpRequest(
                 HttpVersion.HTTP_1_1,
@@ -147,37 +153,38 @@
         return request;
     }
 
-    private long micros() {
+    private long nowMicros() {
         return transport.nanos() / 1000;
     }
 
     @Override
     public void send(long request, long server, long timeout) {
-        long sentAt = micros();
-        backends.send(server, request % ENDS_EVERY == 0 ? ends : outgoing, timeout, result -> {
-            answered += result.outcome() == Balancer.Outcome.ERROR ? 1 : 0; // it says that it is not ready
-            long now = micros();
-            module.outcome(now, request, 0, server, Balancer.Outcome.OK, now - sentAt, true, result.load());
-            done();
+        long sentAt = nowMicros();
+        httpUpstream.send(server, request % CLOSE_EVERY == 0 ? closingRequest : keepAliveRequest, timeout, result -> {
+            // The health check of an agent that is not ready answers with an error.
+            responses += result.outcome() == Balancer.Outcome.ERROR ? 1 : 0;
+            long now = nowMicros();
+            balancer.outcome(now, request, 0, server, Balancer.Outcome.OK, now - sentAt, true, result.load());
+            requestDone();
         });
     }
 
     @Override
     public void refuse(long request, long retryAfter) {
-        done();
+        requestDone();
     }
 
     @Override
     public void fail(long request) {
-        done();
+        requestDone();
     }
 
     @Override
     public void timer(long token, long delay) {
         loop.schedule(
                 () -> {
-                    if (!over) {
-                        module.timer(micros(), token);
+                    if (!finished) {
+                        balancer.timer(nowMicros(), token);
                     }
                 },
                 delay,
--- a/src/main/java/gatefront/agent/package-info.java
+++ b/src/main/java/gatefront/agent/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The engine: hosts the decision module on one loop. The one place where events enter it and where its
- * actions become bytes; owner of the requests taken.
+ * The agent: wires the engine, frontends, upstreams, discovery and optional features into one process, and controls its
+ * start, reload, handover and shutdown.
  */
 package gatefront.agent;
--- a/src/main/java/gatefront/cli/Main.java
+++ b/src/main/java/gatefront/cli/Main.java
@@ -99,7 +99,7 @@
             agent.stop();
             Runtime.getRuntime().halt(agent.failed() ? 1 : 0);
         }));
-        agent.awaitEnd();
+        agent.awaitTermination();
         return agent.failed() ? 1 : 0;
     }
 }
--- a/src/main/java/gatefront/rehearsal/VirtualAgent.java
+++ b/src/main/java/gatefront/rehearsal/VirtualAgent.java
@@ -42,7 +42,7 @@
         }
         Agent mine = Agent.start(Config.of(config()), besides(), outside.apply(machine.transport()), module);
         agent = mine;
-        mine.whenEnded(() -> {
+        mine.onTermination(() -> {
             if (agent == mine) {
                 agent = null;
                 Runnable then = ended;
@@ -74,7 +74,7 @@
             return;
         }
         ended = then;
-        agent.leave();
+        agent.startShutdown();
     }
 
     @Override
@@ -91,6 +91,6 @@
 
     /** What it holds, or null if it does not run. */
     Engine.Held held() {
-        return agent == null ? null : agent.held();
+        return agent == null ? null : agent.outstanding();
     }
 }
--- a/src/test/java/gatefront/agent/AgentFixture.java
+++ b/src/test/java/gatefront/agent/AgentFixture.java
@@ -24,17 +24,17 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** An agent on a loopback port with a scripted discovery and scripted servers. */
+/** An agent on a loopback port with scripted discovery and scripted servers. */
 final class AgentFixture implements Closeable {
-    static final long GENEROUS_MS = 20_000;
+    static final long TIMEOUT_MS = 20_000;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     final ObjectNode config;
     final List<ScriptedPeer> servers = new ArrayList<>();
-    /** Others that close with the stage. */
+    /** Further peers that are closed with the fixture. */
     final List<ScriptedPeer> peers = new ArrayList<>();
-    /** What discovery answers to the calls after the first, one each; it waits while there is none. */
-    final BlockingQueue<ScriptedPeer.Script> news = new LinkedBlockingQueue<>();
+    /** Responses of discovery to the calls after the first, one each; a call waits while there is none. */
+    final BlockingQueue<ScriptedPeer.Script> discoveryUpdates = new LinkedBlockingQueue<>();
 
     final ScriptedPeer discovery;
     Agent agent;
@@ -45,15 +45,15 @@
         config = (ObjectNode) JSON.readTree(Files.readAllBytes(Path.of("src/test/resources/config.json")));
         discovery = new ScriptedPeer((message, socket) -> {
             if (message.target().contains("since")) {
-                news.take().handle(message, socket);
+                discoveryUpdates.take().handle(message, socket);
             } else {
-                ScriptedPeer.answer(socket, 200, "", config.get("known").toString());
+                ScriptedPeer.respond(socket, 200, "", config.get("known").toString());
             }
         });
         config.put("discovery", discovery.address());
     }
 
-    /** Adds a server to the known list, which is also discovery's first answer. */
+    /** Adds a server to the known list, which is also the first response of discovery. */
     ScriptedPeer server(ScriptedPeer.Script script) throws IOException {
         ScriptedPeer peer = new ScriptedPeer(script);
         servers.add(peer);
@@ -61,7 +61,7 @@
         return peer;
     }
 
-    /** A server that is not listed. */
+    /** Creates a server that is not listed. */
     ScriptedPeer peer(ScriptedPeer.Script script) throws IOException {
         ScriptedPeer peer = new ScriptedPeer(script);
         peers.add(peer);
@@ -80,11 +80,11 @@
                 .put("since_ms", 0);
     }
 
-    /** Discovery's answer with changes. */
+    /** Returns a response of discovery with changes. */
     static ScriptedPeer.Script delta(int index, ObjectNode... entries) {
         ObjectNode list = JSON.createObjectNode().put("index", index).put("snapshot", false);
         list.putArray("endpoints").addAll(List.of(entries));
-        return (message, socket) -> ScriptedPeer.answer(socket, 200, "", list.toString());
+        return (message, socket) -> ScriptedPeer.respond(socket, 200, "", list.toString());
     }
 
     AgentFixture settings(String group, Consumer<ObjectNode> change) {
@@ -110,14 +110,17 @@
         return this;
     }
 
-    /** The usual module behind one that is told of each event before it, and may fail. */
-    Function<Engine, Balancer> overheard(BiConsumer<String, Object[]> before) {
+    /**
+     * Returns a factory of the standard balancer behind a proxy that first passes each event to a callback, which may
+     * throw.
+     */
+    Function<Engine, Balancer> interceptedBalancer(BiConsumer<String, Object[]> interceptor) {
         return agent -> {
-            Balancer rules = new AdaptiveBalancer(Config.of(config).settings(), 1, 0, agent);
+            Balancer balancer = new AdaptiveBalancer(Config.of(config).settings(), 1, 0, agent);
             return (Balancer) Proxy.newProxyInstance(
                     Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, details) -> {
-                        before.accept(method.getName(), details);
-                        return method.invoke(rules, details);
+                        interceptor.accept(method.getName(), details);
+                        return method.invoke(balancer, details);
                     });
         };
     }
@@ -133,27 +136,27 @@
         });
     }
 
-    /** A connection of the application's. */
+    /** Opens a client connection to the agent. */
     Socket dial() throws IOException {
         Socket socket =
                 new Socket(InetAddress.getLoopbackAddress(), agent.address().getPort());
-        socket.setSoTimeout((int) GENEROUS_MS);
+        socket.setSoTimeout((int) TIMEOUT_MS);
         clients.add(socket);
         return socket;
     }
 
-    /** A request as a client sends it; the classes are safe, keyed and unsafe: lookup, pay, order. */
-    String request(String type, long timeoutMs, String body) {
-        String method = type.equals("lookup") ? "GET" : "POST";
-        return method + " /" + type + "?q=1 HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: id" + ++requests
-                + "\r\nRequest-Class: " + type + "\r\nRequest-Timeout-Ms: " + timeoutMs + "\r\n"
-                + (type.equals("pay") ? "Idempotency-Key: k" + requests + "\r\n" : "")
+    /** Returns a request as a client sends it. The classes are lookup (safe), pay (keyed) and order (unsafe). */
+    String request(String requestClass, long timeoutMs, String body) {
+        String method = requestClass.equals("lookup") ? "GET" : "POST";
+        return method + " /" + requestClass + "?q=1 HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: id" + ++requests
+                + "\r\nRequest-Class: " + requestClass + "\r\nRequest-Timeout-Ms: " + timeoutMs + "\r\n"
+                + (requestClass.equals("pay") ? "Idempotency-Key: k" + requests + "\r\n" : "")
                 + (method.equals("POST") ? "Content-Length: " + body.length() + "\r\n" : "") + "\r\n" + body;
     }
 
-    /** Sends a request on a new connection and returns its answer. */
-    ScriptedPeer.Message call(String type) throws IOException {
-        return exchange(dial(), request(type, 8000, "body"));
+    /** Sends a request on a new connection and returns its response. */
+    ScriptedPeer.Message call(String requestClass) throws IOException {
+        return exchange(dial(), request(requestClass, 8000, "body"));
     }
 
     static ScriptedPeer.Message exchange(Socket socket, String request) throws IOException {
@@ -161,16 +164,16 @@
         return ScriptedPeer.read(socket.getInputStream());
     }
 
-    /** How many requests have reached the servers. */
-    int arrived() {
+    /** Returns the number of requests that have reached the servers. */
+    int requestsReceived() {
         return servers.stream().mapToInt(each -> each.requests.size()).sum();
     }
 
     static void await(BooleanSupplier condition) {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(GENEROUS_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("did not come about");
+                throw new AssertionError("condition not met within " + TIMEOUT_MS + " ms");
             }
             try {
                 Thread.sleep(5);
@@ -180,8 +183,8 @@
         }
     }
 
-    /** Closes the application's connections. */
-    void hangUp() throws IOException {
+    /** Closes the client connections. */
+    void closeClients() throws IOException {
         for (Socket socket : clients) {
             socket.close();
         }
@@ -189,9 +192,9 @@
 
     @Override
     public void close() throws IOException {
-        hangUp();
+        closeClients();
         if (agent != null) {
-            ScriptedPeer.daemon(agent::stop); // it lingers; the next test need not wait for that
+            ScriptedPeer.daemon(agent::stop); // runs in the background, so that the next test need not wait for it
         }
         discovery.close();
         for (ScriptedPeer server : servers) {
