--- a/src/test/java/gatefront/agent/AgentTest.java
+++ b/src/test/java/gatefront/agent/AgentTest.java
@@ -33,63 +33,63 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The agent over loopback sockets, against scripted peers. */
+/** An agent over loopback sockets, against scripted peers. */
 class AgentTest {
-    private static final ScriptedPeer.Script SERVES =
-            (message, socket) -> ScriptedPeer.answer(socket, 200, "", "served");
+    private static final ScriptedPeer.Script SERVE =
+            (message, socket) -> ScriptedPeer.respond(socket, 200, "", "served");
     private static final ScriptedPeer.Script SILENT = (message, socket) -> {};
-    private static final ScriptedPeer.Script RESETS = (message, socket) -> ScriptedPeer.reset(socket);
-    private static final ScriptedPeer.Script CUTS_OFF = (message, socket) -> {
+    private static final ScriptedPeer.Script RESET = (message, socket) -> ScriptedPeer.reset(socket);
+    private static final ScriptedPeer.Script TRUNCATE = (message, socket) -> {
         ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
         socket.close();
     };
 
-    private AgentFixture stage;
+    private AgentFixture fixture;
 
     @BeforeEach
-    void set() throws IOException {
-        stage = new AgentFixture();
+    void setUp() throws IOException {
+        fixture = new AgentFixture();
     }
 
     @AfterEach
-    void strike() throws IOException {
-        stage.close();
+    void tearDown() throws IOException {
+        fixture.close();
     }
 
-    /** A server that does the one thing with its first request and serves the others; two of them alike. */
-    private void twoServersThatFirst(ScriptedPeer.Script script) throws IOException {
+    /** Starts two servers; the first request to either is handled by the script, all others are served. */
+    private void twoServersWithFirstResponse(ScriptedPeer.Script script) throws IOException {
         AtomicBoolean first = new AtomicBoolean(true);
         for (int i = 0; i < 2; i++) {
-            stage.server((message, socket) -> (first.getAndSet(false) ? script : SERVES).handle(message, socket));
+            fixture.server((message, socket) -> (first.getAndSet(false) ? script : SERVE).handle(message, socket));
         }
-        stage.start();
+        fixture.start();
     }
 
-    // ---- Passing on ----
+    // ---- Forwarding ----
 
     @Test
-    void aRequestGoesOnUnchangedAndItsAnswerComesBackUnchanged() throws IOException {
+    void requestAndResponsePassUnchanged() throws IOException {
         String body = "b\u0000\u00ff".repeat(20_000);
         ScriptedPeer server =
-                stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "Content-Type: x/y\r\n", body));
-        stage.start();
-        ScriptedPeer.Message answer = AgentFixture.exchange(stage.dial(), stage.request("pay", 5000, body));
-        assertEquals(200, answer.status());
-        assertEquals(body, answer.text());
-        assertEquals("x/y", answer.header("Content-Type"));
+                fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "Content-Type: x/y\r\n", body));
+        fixture.start();
+        ScriptedPeer.Message response = AgentFixture.exchange(fixture.dial(), fixture.request("pay", 5000, body));
+        assertEquals(200, response.status());
+        assertEquals(body, response.text());
+        assertEquals("x/y", response.header("Content-Type"));
         ScriptedPeer.Message sent = server.requests.get(0);
-        assertEquals("POST /pay?q=1 HTTP/1.1", sent.first());
+        assertEquals("POST /pay?q=1 HTTP/1.1", sent.startLine());
         assertEquals(body, sent.text());
         assertEquals("id1", sent.header("Request-Id"));
         assertEquals("k1", sent.header("Idempotency-Key"));
-        int told = Integer.parseInt(sent.header("Request-Timeout-Ms"));
-        assertTrue(told > 0 && told <= 3000, "it waits no longer than the aim: " + told);
+        int timeoutMs = Integer.parseInt(sent.header("Request-Timeout-Ms"));
+        assertTrue(timeoutMs > 0 && timeoutMs <= 3000, "at most the target latency of the class: " + timeoutMs);
     }
 
     @Test
     void splitAndChunkedMessagesAndBodiesOf64KiBPass() throws Exception {
         String chunk = "c".repeat(32 << 10);
-        ScriptedPeer server = stage.server((message, socket) -> {
+        ScriptedPeer server = fixture.server((message, socket) -> {
             for (String part : List.of(
                     "HTTP/1.1 200 O",
                     "K\r\nTransfer-Enco",
@@ -103,8 +103,8 @@
                 Thread.sleep(2);
             }
         });
-        stage.start();
-        Socket client = stage.dial();
+        fixture.start();
+        Socket client = fixture.dial();
         String head = "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Id: x\r\nRequest-Class: order\r\n"
                 + "Request-Timeout-Ms: 8000\r\n";
         for (String part : List.of(
@@ -120,228 +120,233 @@
     }
 
     @Test
-    void connectionsAreKeptOnBothSides() throws Exception {
-        ScriptedPeer server = stage.server(SERVES);
-        stage.start();
-        Socket client = stage.dial();
+    void connectionsAreReusedOnBothSides() throws Exception {
+        ScriptedPeer server = fixture.server(SERVE);
+        fixture.start();
+        Socket client = fixture.dial();
         for (int i = 0; i < 5; i++) {
             assertEquals(
                     200,
-                    AgentFixture.exchange(client, stage.request("lookup", 8000, ""))
+                    AgentFixture.exchange(client, fixture.request("lookup", 8000, ""))
                             .status());
-            Thread.sleep(100); // a connection rests a moment before it is used again
+            Thread.sleep(100); // a connection is reused only after a short delay
         }
         assertEquals(5, server.requests.size());
         assertTrue(server.sockets.size() <= 2, "one for requests, and perhaps one for probes");
     }
 
     @Test
-    void requestsSentInAdvanceAreAnsweredInTheirOrder() throws IOException {
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", message.header("Request-Id")));
-        stage.start();
-        Socket client = stage.dial();
-        StringBuilder all = new StringBuilder();
+    void pipelinedRequestsAreAnsweredInOrder() throws IOException {
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", message.header("Request-Id")));
+        fixture.start();
+        Socket client = fixture.dial();
+        StringBuilder pipelined = new StringBuilder();
         for (int i = 0; i < 12; i++) {
-            all.append(stage.request("lookup", 8000, ""));
+            pipelined.append(fixture.request("lookup", 8000, ""));
         }
-        ScriptedPeer.write(client, all.toString());
+        ScriptedPeer.write(client, pipelined.toString());
         for (int i = 1; i <= 12; i++) {
             assertEquals("id" + i, ScriptedPeer.read(client.getInputStream()).text());
         }
     }
 
-    /** Guards against the first requests meeting code that is not even loaded. */
+    /** Guards against serving the first requests with code that is not loaded yet. */
     @Test
-    void thePathIsRunOverSocketsBeforeTheAgentIsReadyAndLeavesNothingBehind() throws Exception {
-        stage.start();
-        assertTrue(stage.agent.warmedBy() > 0);
-        assertEquals(0, stage.agent.kept());
-        assertEquals(503, stage.call("lookup").status(), "it is no server of its own");
+    void warmupRunsBeforeTheAgentIsReadyAndLeavesNothingBehind() throws Exception {
+        fixture.start();
+        assertTrue(fixture.agent.warmupResponses() > 0);
+        assertEquals(0, fixture.agent.trackedServers());
+        assertEquals(503, fixture.call("lookup").status(), "the agent must not stay listed as a server");
     }
 
     // ---- Outcomes ----
 
     @ParameterizedTest
     @ValueSource(strings = {"lookup", "pay", "order"})
-    void whatWasTurnedAwayUnseenIsSentAgain(String type) throws IOException {
-        twoServersThatFirst((message, socket) -> ScriptedPeer.answer(socket, 503, "Not-Started: 1\r\n", ""));
-        assertEquals(200, stage.call(type).status());
-        assertEquals(2, stage.arrived());
+    void requestsRefusedWithNotStartedAreRetried(String type) throws IOException {
+        twoServersWithFirstResponse((message, socket) -> ScriptedPeer.respond(socket, 503, "Not-Started: 1\r\n", ""));
+        assertEquals(200, fixture.call(type).status());
+        assertEquals(2, fixture.requestsReceived());
     }
 
-    /** Guards against an effect twice: only Not-Started proves that a 503 has not run. */
+    /**
+     * Guards against executing a request twice: only Not-Started proves that a request answered with 503 has not run.
+     */
     @Test
-    void aBare503MayHaveRun() throws IOException {
-        twoServersThatFirst((message, socket) -> ScriptedPeer.answer(socket, 503, "", ""));
-        assertEquals(502, stage.call("order").status());
-        assertEquals(1, stage.arrived());
+    void a503WithoutNotStartedIsNotRetriedForUnsafeRequests() throws IOException {
+        twoServersWithFirstResponse((message, socket) -> ScriptedPeer.respond(socket, 503, "", ""));
+        assertEquals(502, fixture.call("order").status());
+        assertEquals(1, fixture.requestsReceived());
     }
 
-    /** Guards against an effect twice: a request written whole may have run, however its connection ends. */
+    /**
+     * Guards against executing a request twice: a request that was written completely may have run, however its
+     * connection ends.
+     */
     @Test
-    void anUnsafeRequestIsNotSentAgainAfterAReset() throws IOException {
-        twoServersThatFirst(RESETS);
-        assertEquals(502, stage.call("order").status());
-        assertEquals(1, stage.arrived());
+    void unsafeRequestIsNotRetriedAfterAReset() throws IOException {
+        twoServersWithFirstResponse(RESET);
+        assertEquals(502, fixture.call("order").status());
+        assertEquals(1, fixture.requestsReceived());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"lookup", "pay"})
-    void aSafeOrKeyedRequestIsSentAgainAfterAReset(String type) throws IOException {
-        twoServersThatFirst(RESETS);
-        assertEquals(200, stage.call(type).status());
-        assertEquals(2, stage.arrived());
+    void safeOrKeyedRequestIsRetriedAfterAReset(String type) throws IOException {
+        twoServersWithFirstResponse(RESET);
+        assertEquals(200, fixture.call(type).status());
+        assertEquals(2, fixture.requestsReceived());
     }
 
-    /** Guards against half an answer being served as a whole one. */
+    /** Guards against serving part of a response as a complete one. */
     @Test
-    void anAnswerCutOffIsNotServed() throws IOException {
-        twoServersThatFirst(CUTS_OFF);
-        ScriptedPeer.Message answer = stage.call("lookup");
-        assertEquals(200, answer.status());
-        assertEquals("served", answer.text());
+    void truncatedResponseIsNotServed() throws IOException {
+        twoServersWithFirstResponse(TRUNCATE);
+        ScriptedPeer.Message response = fixture.call("lookup");
+        assertEquals(200, response.status());
+        assertEquals("served", response.text());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"ff\r\nhalf", "4\r\nhalf\r\nno size\r\n"})
-    void anAnswerCutOffOrSpoiltInsideItsChunksIsNotServed(String chunks) throws IOException {
-        twoServersThatFirst((message, socket) -> {
+    void truncatedOrMalformedChunkedResponseIsNotServed(String chunks) throws IOException {
+        twoServersWithFirstResponse((message, socket) -> {
             ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks);
             socket.close();
         });
-        assertEquals(502, stage.call("order").status());
-        assertEquals(1, stage.arrived());
+        assertEquals(502, fixture.call("order").status());
+        assertEquals(1, fixture.requestsReceived());
     }
 
     @Test
-    void anAnswerThatIsNotHttpOrTooLargeFailsItsAttemptOnly() throws IOException {
-        AtomicInteger turn = new AtomicInteger();
+    void responseThatIsNotHttpOrTooLargeFailsOnlyItsAttempt() throws IOException {
+        AtomicInteger requestCount = new AtomicInteger();
         for (int i = 0; i < 3; i++) {
-            stage.server((message, socket) -> {
-                switch (turn.getAndIncrement()) {
+            fixture.server((message, socket) -> {
+                switch (requestCount.getAndIncrement()) {
                     case 0 -> ScriptedPeer.write(socket, "I am not HTTP\r\n\r\n");
                     case 1 -> ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 40000000\r\n\r\nx");
-                    default -> ScriptedPeer.answer(socket, 200, "", "served");
+                    default -> ScriptedPeer.respond(socket, 200, "", "served");
                 }
             });
         }
-        stage.start();
-        assertEquals("served", stage.call("lookup").text());
-        assertEquals(3, turn.get());
+        fixture.start();
+        assertEquals("served", fixture.call("lookup").text());
+        assertEquals(3, requestCount.get());
     }
 
     @Test
-    void aServerThatRefusesConnectionsCostsAnUnsafeRequestNothing() throws IOException {
-        stage.server(SERVES).listener.close();
-        stage.server(SERVES);
-        stage.start();
+    void unsafeRequestIsRetriedWhenAServerRefusesTheConnection() throws IOException {
+        fixture.server(SERVE).listener.close();
+        fixture.server(SERVE);
+        fixture.start();
         for (int i = 0; i < 6; i++) {
-            assertEquals(200, stage.call("order").status());
+            assertEquals(200, fixture.call("order").status());
         }
-        assertEquals(6, stage.arrived());
+        assertEquals(6, fixture.requestsReceived());
     }
 
     @Test
-    void aRequestWithNowhereToGoIsRefusedWithAdvice() throws IOException {
-        stage.start();
-        ScriptedPeer.Message answer = stage.call("order");
-        assertEquals(503, answer.status());
-        assertEquals("1.0", answer.header("Retry-After"));
+    void requestWithoutAnAvailableServerIsRefusedWithRetryAfter() throws IOException {
+        fixture.start();
+        ScriptedPeer.Message response = fixture.call("order");
+        assertEquals(503, response.status());
+        assertEquals("1.0", response.header("Retry-After"));
     }
 
     @Test
-    void aSilentServerIsGivenUpInTimeAndItsConnectionClosed() throws IOException {
-        stage.settings("caps", caps -> caps.put("probes", false));
-        ScriptedPeer server = stage.server(SILENT);
-        stage.start();
+    void attemptAtASilentServerTimesOutAndItsConnectionIsClosed() throws IOException {
+        fixture.settings("caps", caps -> caps.put("probes", false));
+        ScriptedPeer server = fixture.server(SILENT);
+        fixture.start();
         assertEquals(
                 502,
-                AgentFixture.exchange(stage.dial(), stage.request("order", 1000, "body"))
+                AgentFixture.exchange(fixture.dial(), fixture.request("order", 1000, "body"))
                         .status());
-        AgentFixture.await(() -> server.ended.size() == server.sockets.size());
+        AgentFixture.await(() -> server.closedByPeer.size() == server.sockets.size());
         assertEquals(1, server.requests.size());
     }
 
-    /** Guards against work and sockets spent on a client that has gone. */
+    /** Guards against spending work and sockets on a client that has disconnected. */
     @Test
-    void theAttemptOfAClientThatLeavesIsGivenUp() throws Exception {
-        stage.settings("caps", caps -> caps.put("probes", false).put("cancel", false));
-        ScriptedPeer server = stage.server(SILENT);
+    void attemptIsCancelledWhenItsClientDisconnects() throws Exception {
+        fixture.settings("caps", caps -> caps.put("probes", false).put("cancel", false));
+        ScriptedPeer server = fixture.server(SILENT);
         CompletableFuture<Object> outcome = new CompletableFuture<>();
-        stage.start(stage.overheard((event, details) -> {
+        fixture.start(fixture.interceptedBalancer((event, details) -> {
             if (event.equals("outcome")) {
                 outcome.complete(details[4]);
             }
         }));
-        Socket client = stage.dial();
-        ScriptedPeer.write(client, stage.request("lookup", 8000, ""));
+        Socket client = fixture.dial();
+        ScriptedPeer.write(client, fixture.request("lookup", 8000, ""));
         AgentFixture.await(() -> server.requests.size() == 1);
         client.close();
-        assertEquals(Balancer.Outcome.CANCELLED, outcome.get(20, TimeUnit.SECONDS), "and not its time-out");
-        AgentFixture.await(() -> server.ended.size() == 1);
+        assertEquals(Balancer.Outcome.CANCELLED, outcome.get(20, TimeUnit.SECONDS), "cancelled, not timed out");
+        AgentFixture.await(() -> server.closedByPeer.size() == 1);
     }
 
     /** Guards against writing to a connection that the server is about to close as idle. */
     @Test
-    void connectionsAreClosedBeforeTheServerWouldCloseThem() throws IOException {
-        stage.settings("caps", caps -> caps.put("idle-close-us", 400_000).put("probes", false));
-        ScriptedPeer server = stage.server(SERVES);
-        stage.start();
-        assertEquals(200, stage.call("lookup").status());
-        AgentFixture.await(() -> server.ended.size() == 1);
-        assertEquals(200, stage.call("lookup").status());
+    void idleConnectionsAreClosedBeforeTheServerClosesThem() throws IOException {
+        fixture.settings("caps", caps -> caps.put("idle-close-us", 400_000).put("probes", false));
+        ScriptedPeer server = fixture.server(SERVE);
+        fixture.start();
+        assertEquals(200, fixture.call("lookup").status());
+        AgentFixture.await(() -> server.closedByPeer.size() == 1);
+        assertEquals(200, fixture.call("lookup").status());
     }
 
     // ---- Discovery and drains ----
 
     @Test
-    void changesAreAppliedAndADrainedServerGetsNothingNew() throws Exception {
-        ScriptedPeer first = stage.server(SERVES);
-        ScriptedPeer second = new ScriptedPeer(SERVES);
-        stage.servers.add(second);
-        stage.start();
-        assertEquals(200, stage.call("lookup").status());
-        stage.news.add(AgentFixture.delta(
+    void deltasAreAppliedAndADrainingServerGetsNoNewRequests() throws Exception {
+        ScriptedPeer first = fixture.server(SERVE);
+        ScriptedPeer second = new ScriptedPeer(SERVE);
+        fixture.servers.add(second);
+        fixture.start();
+        assertEquals(200, fixture.call("lookup").status());
+        fixture.discoveryUpdates.add(AgentFixture.delta(
                 1,
                 AgentFixture.endpoint(2, second.address(), "Ready"),
                 AgentFixture.endpoint(1, first.address(), "Terminating")));
-        AgentFixture.await(() ->
-                stage.discovery.requests.stream().anyMatch(each -> each.target().contains("since=1&")));
+        AgentFixture.await(() -> fixture.discovery.requests.stream()
+                .anyMatch(each -> each.target().contains("since=1&")));
         int before = first.requests.size();
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, stage.call("lookup").status());
+            assertEquals(200, fixture.call("lookup").status());
         }
         assertEquals(before, first.requests.size());
         assertEquals(5, second.requests.size());
     }
 
-    /** Guards against a request written, after a drain was told, to a connection that was still being made. */
+    /** Guards against writing a request to a connection that was still being opened when the drain was announced. */
     @Test
-    void aDrainToldWhileConnectingStopsTheRequest() throws Exception {
-        stage.settings("caps", caps -> caps.put("dial-timeout-us", 6_000_000).put("probes", false));
-        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            String address = "127.0.0.1:" + full.getLocalPort();
-            ((ObjectNode) stage.config.get("known"))
+    void drainAnnouncedWhileConnectingStopsTheRequest() throws Exception {
+        fixture.settings("caps", caps -> caps.put("dial-timeout-us", 6_000_000).put("probes", false));
+        try (ServerSocket fullListener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            String address = "127.0.0.1:" + fullListener.getLocalPort();
+            ((ObjectNode) fixture.config.get("known"))
                     .putArray("endpoints")
                     .add(AgentFixture.endpoint(1, address, "Ready"));
-            stage.start();
+            fixture.start();
             List<Socket> filling = new ArrayList<>();
-            for (int i = 0; i < 4; i++) { // the kernel holds back further connections until some are accepted
+            for (int i = 0; i < 4; i++) { // with a full backlog, further connections stay pending
                 Socket socket = new Socket();
                 filling.add(socket);
-                ScriptedPeer.daemon(() -> socket.connect(full.getLocalSocketAddress()));
+                ScriptedPeer.daemon(() -> socket.connect(fullListener.getLocalSocketAddress()));
             }
             Thread.sleep(200);
-            Socket client = stage.dial();
-            ScriptedPeer.write(client, stage.request("order", 8000, "body"));
+            Socket client = fixture.dial();
+            ScriptedPeer.write(client, fixture.request("order", 8000, "body"));
             Thread.sleep(100);
-            stage.news.add(AgentFixture.delta(1, AgentFixture.endpoint(1, address, "Terminating")));
-            AgentFixture.await(() -> stage.discovery.requests.stream()
+            fixture.discoveryUpdates.add(AgentFixture.delta(1, AgentFixture.endpoint(1, address, "Terminating")));
+            AgentFixture.await(() -> fixture.discovery.requests.stream()
                     .anyMatch(each -> each.target().contains("since=1&")));
             AtomicInteger written = new AtomicInteger();
             ScriptedPeer.daemon(() -> {
                 while (true) {
-                    Socket accepted = full.accept();
+                    Socket accepted = fullListener.accept();
                     ScriptedPeer.daemon(
                             () -> written.addAndGet(accepted.getInputStream().readNBytes(1).length));
                 }
@@ -354,7 +359,7 @@
         }
     }
 
-    /** Guards against a list that cannot be read taking the servers away, or ending the agent. */
+    /** Guards against an unreadable list removing the servers or stopping the agent. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -363,25 +368,26 @@
                 "{\"index\":9,\"snapshot\":true,\"endpoints\":[{\"name\":\"s\"}]}",
                 "{\"index\":9,\"snapshot\":true,\"endpoints\":[7]}"
             })
-    void anUnusableListLeavesTheOldOneAndTheWholeIsAskedForAgain(String body) throws Exception {
-        stage.server(SERVES);
-        stage.start();
-        int before = stage.discovery.requests.size();
-        stage.news.add((message, socket) -> ScriptedPeer.answer(socket, 200, "", body));
-        AgentFixture.await(() -> stage.discovery.requests.stream().skip(before).anyMatch(each -> each.target()
-                .equals("/v1/servers")));
-        assertEquals(200, stage.call("lookup").status());
+    void unusableListKeepsTheOldOneAndTheFullListIsFetchedAgain(String body) throws Exception {
+        fixture.server(SERVE);
+        fixture.start();
+        int before = fixture.discovery.requests.size();
+        fixture.discoveryUpdates.add((message, socket) -> ScriptedPeer.respond(socket, 200, "", body));
+        AgentFixture.await(
+                () -> fixture.discovery.requests.stream().skip(before).anyMatch(each -> each.target()
+                        .equals("/v1/servers")));
+        assertEquals(200, fixture.call("lookup").status());
     }
 
-    /** The known list is older than the last replacement: what the padrón's own list has no more leaves nothing. */
+    /** The known list is outdated: no state is kept for servers that are missing from the padrón's list. */
     @Test
-    void whatOnlyTheKnownListHasIsForgottenWithTheFirstWholeList() throws Exception {
-        ScriptedPeer replaced = stage.server(SERVES);
-        ScriptedPeer server = new ScriptedPeer(SERVES);
-        stage.servers.add(server);
-        ScriptedPeer padron = stage.peer((message, socket) -> {
+    void serversOnlyInTheKnownListAreDroppedWithTheFirstFullList() throws Exception {
+        ScriptedPeer replaced = fixture.server(SERVE);
+        ScriptedPeer server = new ScriptedPeer(SERVE);
+        fixture.servers.add(server);
+        ScriptedPeer padron = fixture.peer((message, socket) -> {
             if (!message.target().contains("since")) {
-                ScriptedPeer.answer(
+                ScriptedPeer.respond(
                         socket,
                         200,
                         "",
@@ -389,60 +395,60 @@
                                 + AgentFixture.endpoint(2, server.address(), "Ready") + "]}");
             }
         });
-        stage.config.put("discovery", padron.address());
-        stage.start();
+        fixture.config.put("discovery", padron.address());
+        fixture.start();
         AgentFixture.await(
                 () -> padron.requests.stream().anyMatch(each -> each.target().contains("since=7&")));
-        assertEquals(200, stage.call("order").status());
+        assertEquals(200, fixture.call("order").status());
         assertEquals(List.of(0, 1), List.of(replaced.requests.size(), server.requests.size()));
-        assertEquals(1, stage.agent.kept());
+        assertEquals(1, fixture.agent.trackedServers());
     }
 
     @Test
-    void afterAFailedOrBrokenCallTheListIsFollowedOn() throws Exception {
-        ScriptedPeer server = new ScriptedPeer(SERVES);
-        stage.servers.add(server);
-        stage.start();
-        stage.news.add((message, socket) -> ScriptedPeer.answer(socket, 503, "", ""));
-        stage.news.add(RESETS);
-        stage.news.add((message, socket) -> socket.close());
-        stage.news.add((message, socket) -> ScriptedPeer.answer(
+    void discoveryContinuesAfterAFailedOrBrokenCall() throws Exception {
+        ScriptedPeer server = new ScriptedPeer(SERVE);
+        fixture.servers.add(server);
+        fixture.start();
+        fixture.discoveryUpdates.add((message, socket) -> ScriptedPeer.respond(socket, 503, "", ""));
+        fixture.discoveryUpdates.add(RESET);
+        fixture.discoveryUpdates.add((message, socket) -> socket.close());
+        fixture.discoveryUpdates.add((message, socket) -> ScriptedPeer.respond(
                 socket, 200, "Connection: close\r\n", "{\"index\":3,\"snapshot\":false,\"endpoints\":[]}"));
-        stage.news.add(AgentFixture.delta(4, AgentFixture.endpoint(1, server.address(), "Ready")));
-        assertEquals(200, stage.call("lookup").status());
+        fixture.discoveryUpdates.add(AgentFixture.delta(4, AgentFixture.endpoint(1, server.address(), "Ready")));
+        assertEquals(200, fixture.call("lookup").status());
     }
 
     @Test
-    void whereDiscoveryIsAskedTheModuleSaysWhenAfterAFailure() throws Exception {
-        ((ObjectNode) stage.config.get("settings")).put("discovery", "subscribe");
-        ScriptedPeer server = new ScriptedPeer(SERVES);
-        stage.servers.add(server);
-        stage.start();
-        stage.news.add((message, socket) -> ScriptedPeer.answer(socket, 503, "", ""));
-        stage.news.add(AgentFixture.delta(4, AgentFixture.endpoint(1, server.address(), "Ready")));
-        AgentFixture.await(() ->
-                stage.discovery.requests.stream().anyMatch(each -> each.target().contains("since=4&")));
-        assertEquals(200, stage.call("lookup").status());
+    void balancerDecidesWhenToFetchAgainAfterAFailure() throws Exception {
+        ((ObjectNode) fixture.config.get("settings")).put("discovery", "subscribe");
+        ScriptedPeer server = new ScriptedPeer(SERVE);
+        fixture.servers.add(server);
+        fixture.start();
+        fixture.discoveryUpdates.add((message, socket) -> ScriptedPeer.respond(socket, 503, "", ""));
+        fixture.discoveryUpdates.add(AgentFixture.delta(4, AgentFixture.endpoint(1, server.address(), "Ready")));
+        AgentFixture.await(() -> fixture.discovery.requests.stream()
+                .anyMatch(each -> each.target().contains("since=4&")));
+        assertEquals(200, fixture.call("lookup").status());
     }
 
     @Test
-    void whileDiscoveryIsDownTheKnownListHasToDo() throws Exception {
-        stage.server(SERVES);
-        stage.discovery.close();
-        stage.start();
-        assertEquals(200, stage.call("order").status());
+    void knownListIsUsedWhileDiscoveryIsDown() throws Exception {
+        fixture.server(SERVE);
+        fixture.discovery.close();
+        fixture.start();
+        assertEquals(200, fixture.call("order").status());
     }
 
     @Test
-    void theListGivesTimesAndNamesAsTheModuleNeedsThem() throws Exception {
+    void serverListIsConvertedToTheBalancersTimesAndNumbers() throws Exception {
         ObjectNode entry = AgentFixture.endpoint(1, "127.0.0.1:9", "Ready");
-        ((ObjectNode) stage.config.get("known"))
+        ((ObjectNode) fixture.config.get("known"))
                 .putArray("endpoints")
                 .add(entry)
                 .add(AgentFixture.endpoint(2, "127.0.0.1:9", "Gone"));
         entry.put("since_ms", 1_700_000_000_123L);
         List<gatefront.membership.Endpoint> list = gatefront.padron.Discovery.decode(
-                        stage.config.get("known"), Config.of(stage.config))
+                        fixture.config.get("known"), Config.of(fixture.config))
                 .endpoints();
         assertEquals(1_700_000_000_123_000L, list.get(0).server().startedAt());
         assertEquals(0, list.get(1).server().startedAt());
@@ -450,172 +456,177 @@
         assertEquals(Config.id("s-1"), list.get(0).server().id());
     }
 
-    /** Guards against a request that is answered for another's fault, or never. */
+    /** Guards against a request that fails because of an exception in another one, or is never answered. */
     @ParameterizedTest
     @ValueSource(strings = {"request", "outcome"})
-    void aFaultOfTheModuleStillGivesOneFinalAnswer(String where) throws IOException {
-        stage.server(SERVES);
+    void exceptionInTheBalancerStillGivesExactlyOneResponse(String where) throws IOException {
+        fixture.server(SERVE);
         AtomicBoolean faulty = new AtomicBoolean(true);
-        stage.start(stage.overheard((event, details) -> {
+        fixture.start(fixture.interceptedBalancer((event, details) -> {
             if (event.equals(where) && faulty.getAndSet(false)) {
-                throw new IllegalStateException("a test's fault");
+                throw new IllegalStateException("thrown by the test");
             }
         }));
-        assertEquals(where.equals("request") ? 500 : 200, stage.call("lookup").status());
-        assertEquals(200, stage.call("lookup").status());
+        assertEquals(where.equals("request") ? 500 : 200, fixture.call("lookup").status());
+        assertEquals(200, fixture.call("lookup").status());
     }
 
-    // ---- Limits and the end ----
+    // ---- Limits and shutdown ----
 
-    /** Guards against running out of descriptors, on either side. */
+    /** Guards against running out of file descriptors on either side. */
     @Test
-    void atTheLimitOnSocketsNothingIsLost() throws Exception {
-        ((ObjectNode) stage.config.get("limits")).put("sockets", 40 + 2 * 12);
-        CountDownLatch open = new CountDownLatch(1);
-        stage.server((message, socket) -> {
-            open.await();
-            ScriptedPeer.answer(socket, 200, "", "served");
+    void noRequestIsLostAtTheSocketLimit() throws Exception {
+        ((ObjectNode) fixture.config.get("limits")).put("sockets", 40 + 2 * 12);
+        CountDownLatch release = new CountDownLatch(1);
+        fixture.server((message, socket) -> {
+            release.await();
+            ScriptedPeer.respond(socket, 200, "", "served");
         });
-        stage.start();
-        List<CompletableFuture<Integer>> answers = new ArrayList<>();
+        fixture.start();
+        List<CompletableFuture<Integer>> responses = new ArrayList<>();
         for (int i = 0; i < 36; i++) {
-            Socket client = stage.dial();
-            String request = stage.request("order", 8000, "body");
-            CompletableFuture<Integer> answer = new CompletableFuture<>();
-            answers.add(answer);
-            ScriptedPeer.daemon(
-                    () -> answer.complete(AgentFixture.exchange(client, request).status()));
+            Socket client = fixture.dial();
+            String request = fixture.request("order", 8000, "body");
+            CompletableFuture<Integer> response = new CompletableFuture<>();
+            responses.add(response);
+            ScriptedPeer.daemon(() ->
+                    response.complete(AgentFixture.exchange(client, request).status()));
         }
-        AgentFixture.await(() -> stage.arrived() > 0);
-        open.countDown();
-        for (CompletableFuture<Integer> answer : answers) {
-            assertTrue(List.of(200, 503).contains(answer.get(20, TimeUnit.SECONDS)));
+        AgentFixture.await(() -> fixture.requestsReceived() > 0);
+        release.countDown();
+        for (CompletableFuture<Integer> response : responses) {
+            assertTrue(List.of(200, 503).contains(response.get(20, TimeUnit.SECONDS)));
         }
-        assertEquals(200, stage.call("order").status());
+        assertEquals(200, fixture.call("order").status());
     }
 
     /**
-     * Guards against a request lost on a kept connection that is closed for room while it is on its way; one
-     * that has to go is told so with its answer.
+     * Guards against losing a request on an idle connection that is closed to make room while the request is on its
+     * way: such a closure is announced with the previous response.
      */
     @Test
-    void atTheLimitOnSocketsKeptConnectionsAreNotClosedUnannounced() throws Exception {
-        ((ObjectNode) stage.config.get("limits")).put("sockets", 40 + 2 * 12);
-        stage.server(SERVES);
-        stage.start();
-        Map<Socket, Long> kept = new LinkedHashMap<>(); // and when each had its answer
+    void keptConnectionsAreNotClosedUnannouncedAtTheSocketLimit() throws Exception {
+        ((ObjectNode) fixture.config.get("limits")).put("sockets", 40 + 2 * 12);
+        fixture.server(SERVE);
+        fixture.start();
+        Map<Socket, Long> idleClients = new LinkedHashMap<>(); // to the time of its response
         for (int i = 0; i < 11; i++) {
-            Socket client = stage.dial();
-            if (AgentFixture.exchange(client, stage.request("lookup", 8000, "")).header("Connection") == null) {
-                kept.put(client, System.nanoTime());
+            Socket client = fixture.dial();
+            if (AgentFixture.exchange(client, fixture.request("lookup", 8000, ""))
+                            .header("Connection")
+                    == null) {
+                idleClients.put(client, System.nanoTime());
             }
         }
-        List<CompletableFuture<Integer>> more = new ArrayList<>();
+        List<CompletableFuture<Integer>> moreResponses = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            Socket client = stage.dial();
-            String request = stage.request("lookup", 8000, "");
-            CompletableFuture<Integer> answer = new CompletableFuture<>();
-            more.add(answer);
-            ScriptedPeer.daemon(
-                    () -> answer.complete(AgentFixture.exchange(client, request).status()));
+            Socket client = fixture.dial();
+            String request = fixture.request("lookup", 8000, "");
+            CompletableFuture<Integer> response = new CompletableFuture<>();
+            moreResponses.add(response);
+            ScriptedPeer.daemon(() ->
+                    response.complete(AgentFixture.exchange(client, request).status()));
         }
-        int told = 0;
-        for (Socket client : kept.keySet()) {
-            ScriptedPeer.Message answer;
+        int announced = 0;
+        for (Socket client : idleClients.keySet()) {
+            ScriptedPeer.Message response;
             try {
-                answer = AgentFixture.exchange(client, stage.request("lookup", 8000, ""));
+                response = AgentFixture.exchange(client, fixture.request("lookup", 8000, ""));
             } catch (EOFException e) {
-                // While room is scarce what has asked nothing for 2 s may go, and on a slow machine some get there.
-                assertTrue(System.nanoTime() - kept.get(client) > TimeUnit.MILLISECONDS.toNanos(1_500), "unannounced");
-                told++;
+                // Near the limit, connections idle for 2 s may be closed; on a slow machine some are idle for that
+                // long.
+                assertTrue(
+                        System.nanoTime() - idleClients.get(client) > TimeUnit.MILLISECONDS.toNanos(1_500),
+                        "unannounced");
+                announced++;
                 continue;
             }
-            assertTrue(List.of(200, 503).contains(answer.status()));
-            told += "close".equals(answer.header("Connection")) ? 1 : 0;
+            assertTrue(List.of(200, 503).contains(response.status()));
+            announced += "close".equals(response.header("Connection")) ? 1 : 0;
         }
-        assertTrue(told > 0, "some made room");
-        for (CompletableFuture<Integer> answer : more) {
-            assertTrue(List.of(200, 503).contains(answer.get(20, TimeUnit.SECONDS)));
+        assertTrue(announced > 0, "some connections must be closed to make room");
+        for (CompletableFuture<Integer> response : moreResponses) {
+            assertTrue(List.of(200, 503).contains(response.get(20, TimeUnit.SECONDS)));
         }
     }
 
     @Test
-    void anAgentToldToEndServesOnForAMomentAndFinishesWhatItHolds() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        stage.server((message, socket) -> {
+    void stoppingAgentServesBrieflyAndFinishesItsRequests() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        fixture.server((message, socket) -> {
             if (message.target().startsWith("/order")) {
-                go.await();
+                release.await();
             }
-            ScriptedPeer.answer(socket, 200, "", "served");
+            ScriptedPeer.respond(socket, 200, "", "served");
         });
-        stage.start();
-        Socket held = stage.dial();
-        Socket idle = stage.dial();
+        fixture.start();
+        Socket pending = fixture.dial();
+        Socket idle = fixture.dial();
         assertEquals(
                 200,
-                AgentFixture.exchange(idle, stage.request("lookup", 8000, "")).status());
-        ScriptedPeer.write(held, stage.request("order", 8000, "body"));
-        AgentFixture.await(() -> stage.arrived() == 2);
-        Thread ending = ScriptedPeer.daemon(stage.agent::stop);
-        // It says so, and serves on, on connections old and new, without ending them.
-        AgentFixture.await(() -> health() == 503);
-        for (Socket each : List.of(idle, stage.dial())) {
-            ScriptedPeer.Message answer = AgentFixture.exchange(each, stage.request("lookup", 8000, ""));
-            assertEquals(200, answer.status());
-            assertNull(answer.header("Connection"));
+                AgentFixture.exchange(idle, fixture.request("lookup", 8000, "")).status());
+        ScriptedPeer.write(pending, fixture.request("order", 8000, "body"));
+        AgentFixture.await(() -> fixture.requestsReceived() == 2);
+        Thread stopping = ScriptedPeer.daemon(fixture.agent::stop);
+        // The health check reports it, while old and new connections are still served and stay open.
+        AgentFixture.await(() -> healthStatus() == 503);
+        for (Socket each : List.of(idle, fixture.dial())) {
+            ScriptedPeer.Message response = AgentFixture.exchange(each, fixture.request("lookup", 8000, ""));
+            assertEquals(200, response.status());
+            assertNull(response.header("Connection"));
         }
         assertThrows(EOFException.class, () -> ScriptedPeer.read(idle.getInputStream()));
         AgentFixture.await(
-                () -> { // it no longer listens, but still owes an answer
+                () -> { // it no longer listens, but a request is still open
                     try {
-                        return !stage.dial().isBound();
+                        return !fixture.dial().isBound();
                     } catch (IOException e) {
                         return true;
                     }
                 });
-        assertTrue(ending.isAlive());
-        go.countDown();
-        ScriptedPeer.Message answer = ScriptedPeer.read(held.getInputStream());
-        assertEquals(200, answer.status());
-        assertEquals("close", answer.header("Connection"));
-        ending.join(AgentFixture.GENEROUS_MS);
-        assertFalse(ending.isAlive());
+        assertTrue(stopping.isAlive());
+        release.countDown();
+        ScriptedPeer.Message response = ScriptedPeer.read(pending.getInputStream());
+        assertEquals(200, response.status());
+        assertEquals("close", response.header("Connection"));
+        stopping.join(AgentFixture.TIMEOUT_MS);
+        assertFalse(stopping.isAlive());
     }
 
     @Test
-    void anAgentToldToEndThatNobodyUsesEndsBeforeOneInUse() throws Exception {
-        try (AgentFixture used = new AgentFixture()) {
-            used.start();
-            stage.start();
-            stage.hangUp();
-            used.dial();
-            Thread unusedEnds = ScriptedPeer.daemon(stage.agent::stop);
-            Thread usedEnds = ScriptedPeer.daemon(used.agent::stop);
-            unusedEnds.join(AgentFixture.GENEROUS_MS);
-            assertFalse(unusedEnds.isAlive());
-            assertTrue(usedEnds.isAlive());
+    void idleAgentStopsSoonerThanOneInUse() throws Exception {
+        try (AgentFixture usedFixture = new AgentFixture()) {
+            usedFixture.start();
+            fixture.start();
+            fixture.closeClients();
+            usedFixture.dial();
+            Thread unusedStops = ScriptedPeer.daemon(fixture.agent::stop);
+            Thread usedStops = ScriptedPeer.daemon(usedFixture.agent::stop);
+            unusedStops.join(AgentFixture.TIMEOUT_MS);
+            assertFalse(unusedStops.isAlive());
+            assertTrue(usedStops.isAlive());
         }
     }
 
-    /** Guards against what is still open when the agent is killed, 0.7 s after the longest deadline. */
+    /** Guards against requests that are still open when the agent is killed, 0.7 s after the longest deadline. */
     @Test
-    void anAgentToldToEndGivesItsLastAnswersBeforeItIsKilled() throws Exception {
-        for (JsonNode each : stage.config.get("settings").get("classes")) {
+    void stoppingAgentAnswersOpenRequestsBeforeItIsKilled() throws Exception {
+        for (JsonNode each : fixture.config.get("settings").get("classes")) {
             ((ObjectNode) each).put("aim-us", 300_000).put("give-up-us", 300_000);
         }
-        // A module that leaves its requests open, and a client that waits for longer than the test.
-        stage.start(agent -> (Balancer) Proxy.newProxyInstance(
+        // The balancer never completes its requests, and the client waits for longer than the test.
+        fixture.start(agent -> (Balancer) Proxy.newProxyInstance(
                 Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, details) -> null));
-        Socket client = stage.dial();
-        ScriptedPeer.write(client, stage.request("order", 2 * AgentFixture.GENEROUS_MS, "body"));
+        Socket client = fixture.dial();
+        ScriptedPeer.write(client, fixture.request("order", 2 * AgentFixture.TIMEOUT_MS, "body"));
         Thread.sleep(100);
-        ScriptedPeer.daemon(stage.agent::stop);
+        ScriptedPeer.daemon(fixture.agent::stop);
         assertEquals(504, ScriptedPeer.read(client.getInputStream()).status());
         assertThrows(EOFException.class, () -> ScriptedPeer.read(client.getInputStream()));
     }
 
-    private int health() {
-        try (Socket socket = stage.dial()) {
+    private int healthStatus() {
+        try (Socket socket = fixture.dial()) {
             return AgentFixture.exchange(socket, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
                     .status();
         } catch (IOException e) {
@@ -624,71 +635,74 @@
     }
 
     @Test
-    void reportsAreReadInTheSettingsOrder() throws Exception {
-        stage.server((message, socket) ->
-                ScriptedPeer.answer(socket, 200, "Server-Load: inflight=7,queue=2,util=0.61\r\n", "served"));
+    void loadReportsAreReadInTheOrderOfTheSettings() throws Exception {
+        fixture.server((message, socket) ->
+                ScriptedPeer.respond(socket, 200, "Server-Load: inflight=7,queue=2,util=0.61\r\n", "served"));
         CompletableFuture<double[]> load = new CompletableFuture<>();
-        stage.start(stage.overheard((event, details) -> {
+        fixture.start(fixture.interceptedBalancer((event, details) -> {
             if (event.equals("outcome")) {
                 load.complete((double[]) details[7]);
             }
         }));
-        stage.call("lookup");
+        fixture.call("lookup");
         assertEquals(List.of(2.0, 7.0), Arrays.stream(load.get()).boxed().toList());
     }
 
     @Test
-    void anUnusableConfigurationIsSaidInOneLine() {
-        stage.config.put("seed", "not hex");
+    void unusableConfigurationIsReportedInOneLine() {
+        fixture.config.put("seed", "not hex");
         assertEquals(
                 "config: seed has an unusable value: not hex",
-                assertThrows(IllegalArgumentException.class, () -> Config.of(stage.config))
+                assertThrows(IllegalArgumentException.class, () -> Config.of(fixture.config))
                         .getMessage());
-        stage.config.put("seed", "1").put("listen", "somewhere");
+        fixture.config.put("seed", "1").put("listen", "somewhere");
         assertEquals(
                 "unusable address: somewhere",
-                assertThrows(IllegalArgumentException.class, () -> Config.of(stage.config))
+                assertThrows(IllegalArgumentException.class, () -> Config.of(fixture.config))
                         .getMessage());
-        stage.config.remove("settings");
-        assertThrows(IllegalArgumentException.class, () -> Config.of(stage.config));
+        fixture.config.remove("settings");
+        assertThrows(IllegalArgumentException.class, () -> Config.of(fixture.config));
     }
 
-    /** What the list at the start had and the first one has not gets nothing: this process counts as told of that. */
+    /**
+     * A server that is in the known list but not in the first list gets no request: its drain counts as announced to
+     * this process.
+     */
     @Test
-    void nothingIsSentByTheListOfBeforeWhileTheFirstOneIsOnItsWay() throws Exception {
+    void nothingIsSentByTheKnownListWhileTheFirstListIsAwaited() throws Exception {
         CountDownLatch called = new CountDownLatch(1);
-        ScriptedPeer gone = stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
-        ScriptedPeer stays = stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
-        ObjectNode list = stage.config.get("known").deepCopy();
-        ((ArrayNode) list.get("endpoints")).removeAll().add(AgentFixture.endpoint(2, stays.address(), "Ready"));
-        ScriptedPeer slow = stage.peer((message, socket) -> {
+        ScriptedPeer removedServer = fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "old"));
+        ScriptedPeer listedServer = fixture.peer((message, socket) -> ScriptedPeer.respond(socket, 200, "", "new"));
+        ObjectNode list = fixture.config.get("known").deepCopy();
+        ((ArrayNode) list.get("endpoints")).removeAll().add(AgentFixture.endpoint(2, listedServer.address(), "Ready"));
+        ScriptedPeer slow = fixture.peer((message, socket) -> {
             called.await();
-            ScriptedPeer.answer(socket, 200, "", list.toString());
+            ScriptedPeer.respond(socket, 200, "", list.toString());
         });
-        stage.config.put("discovery", slow.address());
-        stage.settings("obligations", o -> o.put("stop-sending-within-us", 900_000));
-        stage.agent = Agent.start(Config.of(stage.config));
-        Socket socket = stage.dial();
-        ScriptedPeer.write(socket, stage.request("lookup", 8_000, ""));
+        fixture.config.put("discovery", slow.address());
+        fixture.settings("obligations", o -> o.put("stop-sending-within-us", 900_000));
+        fixture.agent = Agent.start(Config.of(fixture.config));
+        Socket socket = fixture.dial();
+        ScriptedPeer.write(socket, fixture.request("lookup", 8_000, ""));
         called.countDown();
         assertEquals(
                 "new", new String(ScriptedPeer.read(socket.getInputStream()).body()));
-        assertEquals(0, gone.requests.size());
+        assertEquals(0, removedServer.requests.size());
     }
 
-    /** With nobody to tell, the list of before has to do. */
+    /** While discovery does not answer, the known list is used. */
     @Test
-    void whereNobodyTellsTheListOfBeforeServesAfterTheGrace() throws Exception {
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
-        ScriptedPeer silent = stage.peer((message, socket) -> new CountDownLatch(1).await());
-        stage.config.put("discovery", silent.address());
-        stage.agent = Agent.start(Config.of(stage.config));
-        long at = System.nanoTime();
-        Socket socket = stage.dial();
+    void knownListServesAfterTheGraceWhenDiscoveryIsSilent() throws Exception {
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "old"));
+        ScriptedPeer silent = fixture.peer((message, socket) -> new CountDownLatch(1).await());
+        fixture.config.put("discovery", silent.address());
+        fixture.agent = Agent.start(Config.of(fixture.config));
+        long startNanos = System.nanoTime();
+        Socket socket = fixture.dial();
         assertEquals(
                 "old",
-                new String(AgentFixture.exchange(socket, stage.request("lookup", 8_000, ""))
+                new String(AgentFixture.exchange(socket, fixture.request("lookup", 8_000, ""))
                         .body()));
-        assertTrue(System.nanoTime() - at < 3_000_000_000L);
+        assertTrue(System.nanoTime() - startNanos < 3_000_000_000L);
     }
 }
--- a/src/test/java/gatefront/agent/BadClientsTest.java
+++ b/src/test/java/gatefront/agent/BadClientsTest.java
@@ -17,32 +17,35 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What clients may not send: it ends in an error or a close, reaches no server and harms no other client. */
+/**
+ * Invalid input of clients: it ends in an error or a closed connection, reaches no server and affects no other
+ * client.
+ */
 class BadClientsTest {
     private static final String GET = "GET /lookup HTTP/1.1\r\nHost: a\r\nRequest-Class: lookup\r\n";
-    private static final ScriptedPeer.Script SERVES =
-            (message, socket) -> ScriptedPeer.answer(socket, 200, "", "served");
+    private static final ScriptedPeer.Script SERVE =
+            (message, socket) -> ScriptedPeer.respond(socket, 200, "", "served");
 
-    private AgentFixture stage;
+    private AgentFixture fixture;
 
     @BeforeEach
-    void set() throws IOException {
-        stage = new AgentFixture();
+    void setUp() throws IOException {
+        fixture = new AgentFixture();
     }
 
     @AfterEach
-    void strike() throws IOException {
-        stage.close();
+    void tearDown() throws IOException {
+        fixture.close();
     }
 
-    private void assertTurnedAway(int status, String bytes) throws IOException {
-        Socket client = stage.dial();
-        ScriptedPeer.Message answer = AgentFixture.exchange(client, bytes);
-        assertEquals(status, answer.status());
-        assertEquals("close", answer.header("Connection"));
+    private void assertRejected(int status, String bytes) throws IOException {
+        Socket client = fixture.dial();
+        ScriptedPeer.Message response = AgentFixture.exchange(client, bytes);
+        assertEquals(status, response.status());
+        assertEquals("close", response.header("Connection"));
         assertEquals(-1, client.getInputStream().read());
-        assertEquals(200, stage.call("lookup").status(), "the agent lives on");
-        assertEquals(1, stage.arrived(), "and the server has only that one");
+        assertEquals(200, fixture.call("lookup").status(), "the agent still serves");
+        assertEquals(1, fixture.requestsReceived(), "the server gets only the valid request");
     }
 
     @ParameterizedTest
@@ -75,13 +78,16 @@
                 "\u0016\u0003\u0001\r\n",
                 "{\"not\": \"http\"}\r\n"
             })
-    void whatIsNoRequestIsAnswered400(String head) throws IOException {
-        stage.server(SERVES);
-        stage.start();
-        assertTurnedAway(400, head + "\r\n");
+    void invalidRequestIsAnswered400(String head) throws IOException {
+        fixture.server(SERVE);
+        fixture.start();
+        assertRejected(400, head + "\r\n");
     }
 
-    /** Guards against a request hidden in what another reader takes for the body of the one before. */
+    /**
+     * Guards against request smuggling: a request hidden in what another parser takes for the body of the previous
+     * one.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -97,23 +103,23 @@
                 "Content-Length: ten",
                 "Content-Length: 4\nX: y"
             })
-    void aBodyWhoseEndIsUnclearIsAnswered400(String framing) throws IOException {
-        stage.server(SERVES);
-        stage.start();
-        assertTurnedAway(
+    void bodyWithAmbiguousLengthIsAnswered400(String framing) throws IOException {
+        fixture.server(SERVE);
+        fixture.start();
+        assertRejected(
                 400,
                 "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Class: order\r\nRequest-Id: 1\r\n"
                         + "Request-Timeout-Ms: 8000\r\n" + framing + "\r\n\r\n0\r\n\r\n"
-                        + stage.request("order", 8000, "b"));
+                        + fixture.request("order", 8000, "b"));
     }
 
     @Test
-    void aBodyThatIsTooLongIsNotReadOn() throws Exception {
-        stage.server(SERVES);
-        stage.start();
-        assertTurnedAway(
-                413, stage.request("order", 500, "x").replace("Content-Length: 1", "Content-Length: 33554433"));
-        Socket client = stage.dial(); // one that goes on sending for ever, in chunks
+    void bodyThatIsTooLongIsNotReadFurther() throws Exception {
+        fixture.server(SERVE);
+        fixture.start();
+        assertRejected(
+                413, fixture.request("order", 500, "x").replace("Content-Length: 1", "Content-Length: 33554433"));
+        Socket client = fixture.dial(); // sends chunks without end
         ScriptedPeer.write(
                 client,
                 "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Class: order\r\nRequest-Id: 1\r\n"
@@ -134,51 +140,52 @@
         });
     }
 
-    /** Guards against an error being taken for the answer to what was asked before on the connection. */
+    /** Guards against an error being taken for the response to an earlier request on the connection. */
     @Test
-    void anErrorWaitsItsTurn() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        stage.server((message, socket) -> {
-            go.await();
-            ScriptedPeer.answer(socket, 200, "", "served");
+    void errorIsSentAfterTheResponsesBeforeIt() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        fixture.server((message, socket) -> {
+            release.await();
+            ScriptedPeer.respond(socket, 200, "", "served");
         });
-        stage.start();
-        Socket client = stage.dial();
+        fixture.start();
+        Socket client = fixture.dial();
         ScriptedPeer.write(
                 client,
-                stage.request("order", 8000, "b")
-                        + stage.request("order", 8000, "x").replace("Content-Length: 1", "Content-Length: 60000000"));
-        AgentFixture.await(() -> stage.arrived() == 1);
+                fixture.request("order", 8000, "b")
+                        + fixture.request("order", 8000, "x").replace("Content-Length: 1", "Content-Length: 60000000"));
+        AgentFixture.await(() -> fixture.requestsReceived() == 1);
         Thread.sleep(100);
-        go.countDown();
+        release.countDown();
         assertEquals(200, ScriptedPeer.read(client.getInputStream()).status());
         assertEquals(413, ScriptedPeer.read(client.getInputStream()).status());
         assertEquals(-1, client.getInputStream().read());
     }
 
-    /** Guards against an effect twice, and against one client getting another's answer. */
+    /** Guards against executing a request twice, and against a client receiving another client's response. */
     @Test
-    void theIdOfAnOpenRequestIsRefusedAndThatRequestUnharmed() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        stage.server((message, socket) -> {
-            go.await();
-            ScriptedPeer.answer(socket, 200, "", "served");
+    void duplicateIdOfAnOpenRequestIsRefusedAndThatRequestServed() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        fixture.server((message, socket) -> {
+            release.await();
+            ScriptedPeer.respond(socket, 200, "", "served");
         });
-        stage.start();
-        Socket first = stage.dial();
-        String request = stage.request("pay", 8000, "body");
+        fixture.start();
+        Socket first = fixture.dial();
+        String request = fixture.request("pay", 8000, "body");
         ScriptedPeer.write(first, request);
-        AgentFixture.await(() -> stage.arrived() == 1);
-        assertEquals(409, AgentFixture.exchange(stage.dial(), request).status());
-        go.countDown();
+        AgentFixture.await(() -> fixture.requestsReceived() == 1);
+        assertEquals(409, AgentFixture.exchange(fixture.dial(), request).status());
+        release.countDown();
         assertEquals(200, ScriptedPeer.read(first.getInputStream()).status());
-        assertEquals(1, stage.arrived());
+        assertEquals(1, fixture.requestsReceived());
         assertEquals(
                 200,
-                AgentFixture.exchange(first, stage.request("pay", 8000, "body")).status());
+                AgentFixture.exchange(first, fixture.request("pay", 8000, "body"))
+                        .status());
     }
 
-    /** Guards against descriptors held for those who say nothing, or never come to the end. */
+    /** Guards against descriptors being held by clients that send nothing or never complete a request. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -187,55 +194,57 @@
                 "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Class: order\r\n"
                         + "Request-Id: 1\r\nRequest-Timeout-Ms: 8000\r\nContent-Length: 100\r\n\r\nhalf"
             })
-    void halfARequestIsNotWaitedForForEver(String half) throws IOException {
-        stage.start();
-        Socket client = stage.dial();
-        ScriptedPeer.write(client, half);
-        if (half.isEmpty()) {
+    void incompleteRequestTimesOut(String incomplete) throws IOException {
+        fixture.start();
+        Socket client = fixture.dial();
+        ScriptedPeer.write(client, incomplete);
+        if (incomplete.isEmpty()) {
             assertEquals(-1, client.getInputStream().read());
         } else {
             assertEquals(408, ScriptedPeer.read(client.getInputStream()).status());
         }
     }
 
-    /** Guards against silent connections by the hundred shutting out those who have something to ask. */
+    /** Guards against hundreds of silent connections shutting out clients that send requests. */
     @Test
-    void silentConnectionsMakeRoom() throws Exception {
-        ((ObjectNode) stage.config.get("limits")).put("sockets", 40 + 2 * 12);
-        stage.server(SERVES);
-        stage.start();
+    void silentConnectionsAreClosedToAdmitNewOnes() throws Exception {
+        ((ObjectNode) fixture.config.get("limits")).put("sockets", 40 + 2 * 12);
+        fixture.server(SERVE);
+        fixture.start();
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            silent.add(stage.dial());
+            silent.add(fixture.dial());
         }
-        long begun = System.nanoTime();
-        assertEquals(200, stage.call("lookup").status());
-        assertTrue(System.nanoTime() - begun < TimeUnit.SECONDS.toNanos(8), "60 of them by twelve, each for 2 s");
+        long startNanos = System.nanoTime();
+        assertEquals(200, fixture.call("lookup").status());
+        assertTrue(
+                System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(8),
+                "60 connections, twelve at a time, 2 s each");
         for (Socket each : silent) {
             assertEquals(-1, each.getInputStream().read());
         }
     }
 
-    /** Guards against the end being delayed by those who say nothing or stop half-way. */
+    /** Guards against a shutdown being delayed by clients that send nothing or stop in the middle of a request. */
     @Test
-    void theEndDoesNotWaitForSilentOrHalfSentRequests() throws Exception {
-        stage.start();
-        Socket half = stage.dial();
-        ScriptedPeer.write(half, "POST /order HTTP/1.1\r\nHost: a\r\n");
-        Socket silent = stage.dial();
+    void shutdownDoesNotWaitForSilentOrIncompleteRequests() throws Exception {
+        fixture.start();
+        Socket incomplete = fixture.dial();
+        ScriptedPeer.write(incomplete, "POST /order HTTP/1.1\r\nHost: a\r\n");
+        Socket silent = fixture.dial();
         Thread.sleep(100);
-        CompletableFuture<Void> ended = CompletableFuture.runAsync(stage.agent::stop);
-        ended.get(AgentFixture.GENEROUS_MS, TimeUnit.MILLISECONDS);
+        CompletableFuture<Void> ended = CompletableFuture.runAsync(fixture.agent::stop);
+        ended.get(AgentFixture.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         assertEquals(-1, silent.getInputStream().read());
-        half.getInputStream().readAllBytes(); // an error perhaps, and the end
+        incomplete.getInputStream().readAllBytes(); // possibly an error, then the end of the stream
     }
 
     @Test
-    void aClientThatAsksFirstWhetherToSendItsBodyIsToldToGoOn() throws IOException {
-        stage.server(SERVES);
-        stage.start();
-        Socket client = stage.dial();
-        String[] parts = stage.request("order", 8000, "body").split("\r\n\r\n");
+    void expectContinueIsAnsweredWith100() throws IOException {
+        fixture.server(SERVE);
+        fixture.start();
+        Socket client = fixture.dial();
+        String[] parts = fixture.request("order", 8000, "body").split("\r\n\r\n");
         assertEquals(
                 100,
                 AgentFixture.exchange(client, parts[0] + "\r\nExpect: 100-continue\r\n\r\n")
--- a/src/test/java/gatefront/agent/BadServersTest.java
+++ b/src/test/java/gatefront/agent/BadServersTest.java
@@ -16,34 +16,39 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What servers may answer: nothing but the whole answer to a request is served, and what is spoilt has run. */
+/**
+ * Invalid output of servers: only a complete response is served, and a request with a malformed response counts as
+ * started.
+ */
 class BadServersTest {
-    private AgentFixture stage;
-    private final AtomicInteger turn = new AtomicInteger();
+    private AgentFixture fixture;
+    private final AtomicInteger requestCount = new AtomicInteger();
 
     @BeforeEach
-    void set() throws IOException {
-        stage = new AgentFixture();
-        stage.settings("caps", caps -> caps.put("probes", false));
+    void setUp() throws IOException {
+        fixture = new AgentFixture();
+        fixture.settings("caps", caps -> caps.put("probes", false));
     }
 
     @AfterEach
-    void strike() throws IOException {
-        stage.close();
+    void tearDown() throws IOException {
+        fixture.close();
     }
 
-    /** Two servers; the first request gets this, with its connection left open, the others are served. */
-    private void firstAnswer(String bytes) throws IOException {
+    /**
+     * Starts two servers; the first request gets these bytes and its connection stays open, all others are served.
+     */
+    private void serveFirstResponse(String bytes) throws IOException {
         for (int i = 0; i < 2; i++) {
-            stage.server((message, socket) -> {
-                if (turn.getAndIncrement() == 0) {
+            fixture.server((message, socket) -> {
+                if (requestCount.getAndIncrement() == 0) {
                     ScriptedPeer.write(socket, bytes);
                 } else {
-                    ScriptedPeer.answer(socket, 200, "", "served");
+                    ScriptedPeer.respond(socket, 200, "", "served");
                 }
             });
         }
-        stage.start();
+        fixture.start();
     }
 
     @ParameterizedTest
@@ -63,26 +68,26 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbad",
                 "HTTP/1.1 101 Switching Protocols\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad"
             })
-    void aSpoiltAnswerIsNotServedAndMayHaveRun(String bytes) throws IOException {
-        firstAnswer(bytes);
-        assertEquals(502, stage.call("order").status());
-        assertEquals(1, turn.get(), "it may have run");
-        assertEquals("served", stage.call("order").text());
+    void malformedResponseIsNotServedAndCountsAsStarted(String bytes) throws IOException {
+        serveFirstResponse(bytes);
+        assertEquals(502, fixture.call("order").status());
+        assertEquals(1, requestCount.get(), "it may have run");
+        assertEquals("served", fixture.call("order").text());
     }
 
     @Test
-    void aSafeRequestIsSentAgainAfterASpoiltAnswer() throws IOException {
-        firstAnswer("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbad");
-        assertEquals("served", stage.call("lookup").text());
-        assertEquals(2, turn.get());
+    void safeRequestIsRetriedAfterAMalformedResponse() throws IOException {
+        serveFirstResponse("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbad");
+        assertEquals("served", fixture.call("lookup").text());
+        assertEquals(2, requestCount.get());
     }
 
     @Test
-    void anAnswerInChunksThatNeverEndIsGivenUp() throws IOException {
-        firstAnswer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8000\r\n" + "x".repeat(0x8000)
+    void endlessChunkedResponseIsAborted() throws IOException {
+        serveFirstResponse("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8000\r\n" + "x".repeat(0x8000)
                 + "\r\n8001\r\n" + "x".repeat(0x8001));
-        // What is longer than any answer held has begun to pass on; the caller can tell that it is not whole.
-        assertThrows(IOException.class, () -> stage.call("order"));
+        // Too long to be buffered, so forwarding has begun; the client can tell that the response is truncated.
+        assertThrows(IOException.class, () -> fixture.call("order"));
     }
 
     @ParameterizedTest
@@ -92,39 +97,39 @@
                 "HTTP/1.1 102 Processing\r\n\r\n",
                 "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n"
             })
-    void whatGoesAheadOfAnAnswerIsPassedOver(String ahead) throws IOException {
-        firstAnswer(ahead + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood");
-        assertEquals("good", stage.call("order").text());
-        assertEquals(1, turn.get());
+    void interimResponsesAreSkipped(String interim) throws IOException {
+        serveFirstResponse(interim + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood");
+        assertEquals("good", fixture.call("order").text());
+        assertEquals(1, requestCount.get());
     }
 
-    /** Guards against what comes right behind an answer being served as the next answer. */
+    /** Guards against bytes that follow a response being served as the next response. */
     @Test
-    void whatComesBehindAnAnswerIsNotTheNextOne() throws Exception {
-        stage.server((message, socket) -> {
+    void bytesAfterAResponseAreNotServedAsTheNextOne() throws Exception {
+        fixture.server((message, socket) -> {
             String id = message.header("Request-Id");
             ScriptedPeer.write(
                     socket, ("HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id).repeat(2));
         });
-        stage.start();
-        Socket client = stage.dial();
+        fixture.start();
+        Socket client = fixture.dial();
         for (int i = 1; i <= 20; i++) {
             assertEquals(
                     "id" + i,
-                    AgentFixture.exchange(client, stage.request("order", 8000, "b"))
+                    AgentFixture.exchange(client, fixture.request("order", 8000, "b"))
                             .text());
         }
     }
 
-    /** Guards against a request that every server is asked because one has found it no good. */
+    /** Guards against sending a request to every server because one has rejected it as bad. */
     @Test
-    void aRequestThatAServerFindsBadIsNotSentAgain() throws IOException {
-        firstAnswer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
-        assertEquals(404, stage.call("lookup").status());
-        assertEquals(1, turn.get());
+    void requestRejectedAsBadIsNotRetried() throws IOException {
+        serveFirstResponse("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
+        assertEquals(404, fixture.call("lookup").status());
+        assertEquals(1, requestCount.get());
     }
 
-    /** Guards against one figure that is none getting into the module's means. */
+    /** Guards against an invalid number entering the averages of the balancer. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -138,72 +143,76 @@
                 "\"",
                 "queue=1"
             })
-    void aReportThatMakesNoSenseIsPassedOverAndItsAnswerServed(String report) throws Exception {
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "Server-Load: " + report + "\r\n", "good"));
+    void invalidLoadReportIsIgnoredAndItsResponseServed(String report) throws Exception {
+        fixture.server(
+                (message, socket) -> ScriptedPeer.respond(socket, 200, "Server-Load: " + report + "\r\n", "good"));
         CompletableFuture<double[]> load = new CompletableFuture<>();
-        stage.start(stage.overheard((event, details) -> {
+        fixture.start(fixture.interceptedBalancer((event, details) -> {
             if (event.equals("outcome")) {
                 load.complete((double[]) details[7]);
             }
         }));
-        assertEquals("good", stage.call("order").text());
+        assertEquals("good", fixture.call("order").text());
         assertEquals(0, load.get(20, TimeUnit.SECONDS).length);
     }
 
-    /** Guards against memory and connections kept for servers that are gone, as new ones come for ever. */
+    /** Guards against memory and connections being kept for servers that are gone while new ones keep arriving. */
     @Test
-    void nothingIsKeptForServersThatAreGone() throws Exception {
-        ScriptedPeer first = stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
-        stage.start();
-        assertEquals(200, stage.call("order").status());
-        for (int i = 2; i <= 40; i++) { // each at the same address, under a new id
-            stage.news.add(AgentFixture.delta(
+    void noStateIsKeptForServersThatAreGone() throws Exception {
+        ScriptedPeer first = fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "served"));
+        fixture.start();
+        assertEquals(200, fixture.call("order").status());
+        for (int i = 2; i <= 40; i++) { // all at the same address, each under a new id
+            fixture.discoveryUpdates.add(AgentFixture.delta(
                     i,
                     AgentFixture.endpoint(i - 1, first.address(), "Gone"),
                     AgentFixture.endpoint(1000 + i, first.address(), "Gone"),
                     AgentFixture.endpoint(i, first.address(), "Ready")));
         }
-        AgentFixture.await(() ->
-                stage.discovery.requests.stream().anyMatch(each -> each.target().contains("since=40&")));
-        assertEquals(200, stage.call("order").status());
-        assertEquals(1, stage.agent.kept(), "of the last one alone");
-        AgentFixture.await(() -> first.ended.size() >= 1);
+        AgentFixture.await(() -> fixture.discovery.requests.stream()
+                .anyMatch(each -> each.target().contains("since=40&")));
+        assertEquals(200, fixture.call("order").status());
+        assertEquals(1, fixture.agent.trackedServers(), "only the last server");
+        AgentFixture.await(() -> first.closedByPeer.size() >= 1);
     }
 
-    /** Guards against connections that break now and then passing for restarts, each of which costs room. */
+    /**
+     * Guards against treating occasional connection breaks as restarts of the server, each of which reduces its
+     * limit.
+     */
     @Test
-    void connectionsThatBreakNowAndThenCostNoRoom() throws Exception {
+    void occasionalConnectionBreaksDoNotReduceTheLimit() throws Exception {
         AtomicInteger resets = new AtomicInteger();
-        stage.server((message, socket) -> {
+        fixture.server((message, socket) -> {
             if (resets.getAndDecrement() > 0) {
                 ScriptedPeer.reset(socket);
             } else {
-                ScriptedPeer.answer(socket, 200, "", "served");
+                ScriptedPeer.respond(socket, 200, "", "served");
             }
         });
-        stage.start();
+        fixture.start();
         for (int i = 0; i < 20; i++) {
-            long begun = System.nanoTime();
+            long startNanos = System.nanoTime();
             resets.set(2);
-            assertEquals(502, stage.call("order").status());
-            assertEquals(502, stage.call("order").status());
-            assertEquals(200, stage.call("order").status());
-            if (System.nanoTime() - begun < TimeUnit.MILLISECONDS.toNanos(300)) {
-                break; // else this machine was held up for so long that it may have been a restart: once more
+            assertEquals(502, fixture.call("order").status());
+            assertEquals(502, fixture.call("order").status());
+            assertEquals(200, fixture.call("order").status());
+            if (System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(300)) {
+                break; // otherwise the delay may look like a restart of the server: repeat
             }
             Thread.sleep(6_000);
         }
-        List<CompletableFuture<Integer>> answers = new ArrayList<>();
+        List<CompletableFuture<Integer>> responses = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            Socket client = stage.dial();
-            String request = stage.request("order", 8000, "body");
-            CompletableFuture<Integer> answer = new CompletableFuture<>();
-            answers.add(answer);
-            ScriptedPeer.daemon(
-                    () -> answer.complete(AgentFixture.exchange(client, request).status()));
+            Socket client = fixture.dial();
+            String request = fixture.request("order", 8000, "body");
+            CompletableFuture<Integer> response = new CompletableFuture<>();
+            responses.add(response);
+            ScriptedPeer.daemon(() ->
+                    response.complete(AgentFixture.exchange(client, request).status()));
         }
-        for (CompletableFuture<Integer> answer : answers) {
-            assertEquals(200, answer.get(20, TimeUnit.SECONDS));
+        for (CompletableFuture<Integer> response : responses) {
+            assertEquals(200, response.get(20, TimeUnit.SECONDS));
         }
     }
 }
--- a/src/test/java/gatefront/agent/ExtensionsTest.java
+++ b/src/test/java/gatefront/agent/ExtensionsTest.java
@@ -15,7 +15,7 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** The file of our own: what is right is taken, and what is wrong is one line with file, line and key. */
+/** Reading of the extensions file; errors are one line with file, line and key. */
 class ExtensionsTest {
     private static final String GOOD =
             """
@@ -36,17 +36,17 @@
                 .thrift();
     }
 
-    private static String wrong(String from, String to) {
+    private static String errorFor(String from, String to) {
         assertTrue(GOOD.contains(from));
         return assertThrows(TomlException.class, () -> read(GOOD.replace(from, to)))
                 .getMessage();
     }
 
     @Test
-    void whatIsSaidIsTakenAndTheRestIsUsual() throws Exception {
+    void givenValuesAreReadAndTheRestDefaulted() throws Exception {
         ThriftSettings settings = read(GOOD);
         assertEquals(9090, settings.listen().getPort());
-        assertNull(settings.form(), "any form is taken");
+        assertNull(settings.form(), "any message format is accepted");
         assertEquals(9091, settings.serverPort());
         assertTrue(settings.framedServers());
         assertFalse(settings.probes());
@@ -56,24 +56,25 @@
                 new MessageFormat(false, ThriftEncoding.COMPACT),
                 read(GOOD.replace("nodo_port", "framing = \"unframed\"\nprotocol = \"compact\"\nnodo_port"))
                         .form());
-        assertNull(read(""), "no Thrift where there is no table");
+        assertNull(read(""), "no Thrift without the table");
     }
 
     @Test
-    void whatIsWrongIsOneLineWithFileLineAndKey() {
+    void errorsAreOneLineWithFileLineAndKey() {
         assertEquals(
-                "x.toml:2: thrift.listen: is to be a literal address and a port, as in \"127.0.0.1:9090\"",
-                wrong("127.0.0.1:9090", "localhost"));
-        assertTrue(wrong("nodo_port = 9091", "nodo_prt = 9091").startsWith("x.toml:"));
-        assertTrue(wrong("nodo_port = 9091", "nodo_port = 70000").startsWith("x.toml:3: thrift.nodo_port: "));
-        assertTrue(wrong("nodo_port = 9091\n", "").contains("nodo_port: is missing"));
-        String unknown = wrong("class = \"pay\"", "class = \"pai\"");
+                "x.toml:2: thrift.listen: must be a literal address and a port, as in \"127.0.0.1:9090\"",
+                errorFor("127.0.0.1:9090", "localhost"));
+        assertTrue(errorFor("nodo_port = 9091", "nodo_prt = 9091").startsWith("x.toml:"));
+        assertTrue(errorFor("nodo_port = 9091", "nodo_port = 70000").startsWith("x.toml:3: thrift.nodo_port: "));
+        assertTrue(errorFor("nodo_port = 9091\n", "").contains("nodo_port: is missing"));
+        String unknownClass = errorFor("class = \"pay\"", "class = \"pai\"");
         assertTrue(
-                unknown.startsWith("x.toml:6: thrift.methods.0.class: ") && unknown.contains("\"pay\" meant?"),
-                unknown);
-        assertTrue(wrong("Cuentas:saldo", "pagar").contains("is there twice"));
-        assertTrue(wrong("nodo_port", "framing = \"framed\"\nnodo_port").contains("both"));
-        assertTrue(wrong("declares = true", "declare = true").contains("is \"declares\" meant?"));
+                unknownClass.startsWith("x.toml:6: thrift.methods.0.class: ")
+                        && unknownClass.contains("\"pay\" meant?"),
+                unknownClass);
+        assertTrue(errorFor("Cuentas:saldo", "pagar").contains("appears more than once"));
+        assertTrue(errorFor("nodo_port", "framing = \"framed\"\nnodo_port").contains("both"));
+        assertTrue(errorFor("declares = true", "declare = true").contains("is \"declares\" meant?"));
         assertTrue(assertThrows(TomlException.class, () -> read("[thrift\n"))
                 .getMessage()
                 .startsWith("x.toml:1: "));
@@ -83,12 +84,12 @@
     }
 
     @Test
-    void aFileThatIsMissingStopsTheStart() {
-        String said = assertThrows(
+    void missingFileStopsTheStart() {
+        String message = assertThrows(
                         IllegalArgumentException.class,
                         () -> Extensions.read(
                                 Path.of("no/such.toml"), Config.read(Path.of("src/test/resources/config.json"))))
                 .getMessage();
-        assertEquals("no/such.toml: no such file", said);
+        assertEquals("no/such.toml: no such file", message);
     }
 }
--- a/src/test/java/gatefront/agent/LargeBodiesTest.java
+++ b/src/test/java/gatefront/agent/LargeBodiesTest.java
@@ -22,23 +22,25 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bodies that are never held whole, over loopback sockets: read and written slowly, broken off, cut anywhere. */
+/**
+ * Bodies that are streamed, not buffered as a whole, over loopback sockets: slow, interrupted and split at any byte.
+ */
 @Timeout(60)
 class LargeBodiesTest {
     private static final int MIB = 1 << 20;
-    private AgentFixture stage;
+    private AgentFixture fixture;
 
     @BeforeEach
-    void set() throws IOException {
-        stage = new AgentFixture();
+    void setUp() throws IOException {
+        fixture = new AgentFixture();
     }
 
     @AfterEach
-    void strike() throws IOException {
-        stage.close();
+    void tearDown() throws IOException {
+        fixture.close();
     }
 
-    private static byte[] bytes(int size) {
+    private static byte[] randomBytes(int size) {
         byte[] bytes = new byte[size];
         new Random(size).nextBytes(bytes);
         return bytes;
@@ -49,24 +51,25 @@
         socket.getOutputStream().flush();
     }
 
-    private static void chunked(Socket socket, byte[] bytes, int each) throws IOException {
-        for (int at = 0; at < bytes.length; at += each) {
-            int size = Math.min(each, bytes.length - at);
+    private static void writeChunked(Socket socket, byte[] bytes, int chunkSize) throws IOException {
+        for (int offset = 0; offset < bytes.length; offset += chunkSize) {
+            int size = Math.min(chunkSize, bytes.length - offset);
             ScriptedPeer.write(socket, Integer.toHexString(size) + ";some=\"extension\"\r\n");
-            socket.getOutputStream().write(bytes, at, size);
+            socket.getOutputStream().write(bytes, offset, size);
             ScriptedPeer.write(socket, "\r\n");
         }
         ScriptedPeer.write(socket, "0\r\nTrailer: value\r\n\r\n");
     }
 
-    private void idle() {
-        AgentFixture.await(() -> stage.agent.budget().of(ResourcePurpose.CALLS).entries() == 0);
+    private void awaitIdle() {
+        AgentFixture.await(
+                () -> fixture.agent.budget().of(ResourcePurpose.CALLS).entries() == 0);
     }
 
     @Test
-    void answersOfAnyLengthAndFormPassWhole() throws Exception {
-        byte[] body = bytes(5 * MIB + 7);
-        stage.server((message, socket) -> {
+    void responsesOfAnyLengthAndFramingPassWhole() throws Exception {
+        byte[] body = randomBytes(5 * MIB + 7);
+        fixture.server((message, socket) -> {
             if (message.target().startsWith("/lookup")) {
                 ScriptedPeer.write(
                         socket,
@@ -74,45 +77,45 @@
                 write(socket, body);
             } else if (message.target().startsWith("/pay")) {
                 ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                chunked(socket, body, 70_001);
+                writeChunked(socket, body, 70_001);
             } else {
                 ScriptedPeer.write(socket, "HTTP/1.0 200 OK\r\n\r\n");
                 write(socket, body);
                 socket.close();
             }
         });
-        stage.start();
+        fixture.start();
         for (String type : List.of("lookup", "pay", "order", "lookup")) {
-            ScriptedPeer.Message answer = stage.call(type);
-            assertEquals(200, answer.status());
-            assertArrayEquals(body, answer.body(), type);
+            ScriptedPeer.Message response = fixture.call(type);
+            assertEquals(200, response.status());
+            assertArrayEquals(body, response.body(), type);
         }
-        idle();
+        awaitIdle();
     }
 
-    /** The first bytes do not wait for the rest, and the rest may take longer than the deadline. */
+    /** The first bytes are forwarded without waiting for the rest, which may take longer than the deadline. */
     @Test
-    void anAnswerThatHasBegunPassesAtOnceAndIsNotCutByItsDeadline() throws Exception {
-        stage.server((message, socket) -> {
+    void startedResponseIsForwardedAtOnceAndNotCutByItsDeadline() throws Exception {
+        fixture.server((message, socket) -> {
             ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n");
             for (int i = 0; i < 10; i++) {
                 write(socket, new byte[10_000]);
                 Thread.sleep(150);
             }
         });
-        stage.start();
-        Socket socket = stage.dial();
-        long begin = System.nanoTime();
-        ScriptedPeer.write(socket, stage.request("lookup", 600, ""));
+        fixture.start();
+        Socket socket = fixture.dial();
+        long startNanos = System.nanoTime();
+        ScriptedPeer.write(socket, fixture.request("lookup", 600, ""));
         InputStream in = socket.getInputStream();
         in.read();
-        assertTrue(System.nanoTime() - begin < 500_000_000L, "the first bytes");
+        assertTrue(System.nanoTime() - startNanos < 500_000_000L, "the first bytes");
         assertTrue(in.readNBytes(100_000).length == 100_000, "the rest");
     }
 
     @Test
-    void aServerThatBreaksOffEndsInAnAnswerThatIsVisiblyNotWhole() throws Exception {
-        stage.server((message, socket) -> {
+    void serverDisconnectMidBodyGivesAVisiblyTruncatedResponse() throws Exception {
+        fixture.server((message, socket) -> {
             ScriptedPeer.write(
                     socket,
                     message.target().startsWith("/lookup")
@@ -121,83 +124,86 @@
             write(socket, new byte[200_000]);
             socket.close();
         });
-        stage.start();
-        assertThrows(IOException.class, () -> stage.call("lookup"));
-        assertThrows(IOException.class, () -> stage.call("order"));
-        idle();
+        fixture.start();
+        assertThrows(IOException.class, () -> fixture.call("lookup"));
+        assertThrows(IOException.class, () -> fixture.call("order"));
+        awaitIdle();
     }
 
-    /** Twenty callers that read nothing of 32 MB each: what is held does not follow the bodies. */
+    /**
+     * Twenty clients that do not read their responses of 32 MB: the memory held is independent of the size of the
+     * bodies.
+     */
     @Test
     void slowReadersHoldOnlyTheirOwnBuffers() throws Exception {
-        int callers = 20;
-        byte[] piece = new byte[64 << 10];
-        stage.server((message, socket) -> {
+        int clients = 20;
+        byte[] chunk = new byte[64 << 10];
+        fixture.server((message, socket) -> {
             ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + 32 * MIB + "\r\n\r\n");
             for (int i = 0; i < 512; i++) {
-                socket.getOutputStream().write(piece);
+                socket.getOutputStream().write(chunk);
             }
         });
-        stage.start();
+        fixture.start();
         List<Socket> sockets = new ArrayList<>();
-        for (int i = 0; i < callers; i++) {
-            Socket each = stage.dial();
-            ScriptedPeer.write(each, stage.request("lookup", 8000, ""));
+        for (int i = 0; i < clients; i++) {
+            Socket each = fixture.dial();
+            ScriptedPeer.write(each, fixture.request("lookup", 8000, ""));
             sockets.add(each);
         }
         Thread.sleep(1500);
-        ResourceBudget budget = stage.agent.budget();
+        ResourceBudget budget = fixture.agent.budget();
         assertTrue(
-                budget.of(ResourcePurpose.ANSWERS).bytesHigh() < callers * 100 << 10,
+                budget.of(ResourcePurpose.ANSWERS).bytesHigh() < clients * 100 << 10,
                 budget.of(ResourcePurpose.ANSWERS).bytesHigh() + " bytes of answers");
         assertTrue(budget.of(ResourcePurpose.ANSWERS).bytesHigh() > 0);
-        ScriptedPeer.Message one = ScriptedPeer.read(sockets.get(3).getInputStream());
-        assertEquals(32 * MIB, one.body().length);
+        ScriptedPeer.Message response = ScriptedPeer.read(sockets.get(3).getInputStream());
+        assertEquals(32 * MIB, response.body().length);
         for (Socket each : sockets) {
             each.close();
         }
         AgentFixture.await(() -> budget.of(ResourcePurpose.ANSWERS).bytes() == 0);
-        idle();
+        awaitIdle();
     }
 
     @Test
-    void uploadsOfAnyFormArriveWhole() throws Exception {
-        byte[] body = bytes(3 * MIB + 11);
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "got " + message.body().length));
-        stage.start();
-        Socket socket = stage.dial();
-        String head = stage.request("order", 8000, "");
+    void uploadsOfAnyFramingArriveWhole() throws Exception {
+        byte[] body = randomBytes(3 * MIB + 11);
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "got " + message.body().length));
+        fixture.start();
+        Socket socket = fixture.dial();
+        String head = fixture.request("order", 8000, "");
         ScriptedPeer.write(socket, head.replace("Content-Length: 0", "Content-Length: " + body.length));
         write(socket, body);
         assertEquals(
                 "got " + body.length, ScriptedPeer.read(socket.getInputStream()).text());
-        head = stage.request("pay", 8000, "");
+        head = fixture.request("pay", 8000, "");
         ScriptedPeer.write(socket, head.replace("Content-Length: 0", "Transfer-Encoding: chunked"));
-        chunked(socket, body, 9_999);
+        writeChunked(socket, body, 9_999);
         assertEquals(
                 "got " + body.length, ScriptedPeer.read(socket.getInputStream()).text());
         assertEquals(
                 "got 4",
-                AgentFixture.exchange(socket, stage.request("order", 8000, "body"))
+                AgentFixture.exchange(socket, fixture.request("order", 8000, "body"))
                         .text());
-        for (ScriptedPeer.Message each : stage.servers.get(0).requests) {
+        for (ScriptedPeer.Message each : fixture.servers.get(0).requests) {
             if (each.body().length > 4) {
                 assertArrayEquals(body, each.body());
             }
         }
         AgentFixture.await(
-                () -> stage.agent.budget().of(ResourcePurpose.REQUESTS).bytes() == 0);
+                () -> fixture.agent.budget().of(ResourcePurpose.REQUESTS).bytes() == 0);
     }
 
-    /** It never ran, for its last byte never left: the caller hears that trying again is harmless. */
+    /** The request never ran, since its last byte was never sent: the client is told that it may retry safely. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void anUploadWhoseServerDiesInTheMiddleIsRefused(boolean chunked) throws Exception {
-        ScriptedPeer.Script dead = (message, socket) -> {};
-        ScriptedPeer server = stage.server(dead);
-        stage.start();
-        Socket socket = stage.dial();
-        String head = stage.request("order", 8000, "");
+    void uploadIsRefusedWhenItsServerDiesMidBody(boolean chunked) throws Exception {
+        ScriptedPeer.Script silent = (message, socket) -> {};
+        ScriptedPeer server = fixture.server(silent);
+        fixture.start();
+        Socket socket = fixture.dial();
+        String head = fixture.request("order", 8000, "");
         ScriptedPeer.write(
                 socket,
                 head.replace("Content-Length: 0", chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + 4 * MIB)
@@ -208,65 +214,67 @@
         for (Socket each : server.sockets) {
             ScriptedPeer.reset(each);
         }
-        ScriptedPeer.Message answer = ScriptedPeer.read(socket.getInputStream());
-        assertEquals(503, answer.status());
-        assertNotNull(answer.header("Retry-After"));
-        idle();
+        ScriptedPeer.Message response = ScriptedPeer.read(socket.getInputStream());
+        assertEquals(503, response.status());
+        assertNotNull(response.header("Retry-After"));
+        awaitIdle();
     }
 
-    /** Nobody gets a body that cannot be read to its end, and its caller hears at once. */
+    /** A body that cannot be parsed to its end is not passed on, and the client gets an error at once. */
     @Test
-    void anUploadThatTurnsToNoiseEndsWithAnError() throws Exception {
-        ScriptedPeer server = stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
-        stage.start();
-        Socket socket = stage.dial();
+    void malformedUploadEndsWithAnError() throws Exception {
+        ScriptedPeer server = fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "served"));
+        fixture.start();
+        Socket socket = fixture.dial();
         ScriptedPeer.write(
                 socket,
-                stage.request("order", 8000, "").replace("Content-Length: 0", "Transfer-Encoding: chunked")
+                fixture.request("order", 8000, "").replace("Content-Length: 0", "Transfer-Encoding: chunked")
                         + "30d40\r\n");
         write(socket, new byte[200_000]);
         ScriptedPeer.write(socket, "\r\nnoise\r\n");
-        long begin = System.nanoTime();
+        long startNanos = System.nanoTime();
         assertEquals(400, ScriptedPeer.read(socket.getInputStream()).status());
-        assertTrue(System.nanoTime() - begin < 1_000_000_000L);
-        idle();
+        assertTrue(System.nanoTime() - startNanos < 1_000_000_000L);
+        awaitIdle();
         assertEquals(0, server.requests.size());
     }
 
-    /** The module hears of the time to the answer's head: what goes ahead of it does not count, nor its writing. */
+    /**
+     * The balancer gets the time to the response head: interim responses and the transfer of the body do not count.
+     */
     @Test
-    void theTimeToldIsThatToTheAnswersHead() throws Exception {
-        stage.server((message, socket) -> {
+    void reportedLatencyIsTheTimeToTheResponseHead() throws Exception {
+        fixture.server((message, socket) -> {
             ScriptedPeer.write(socket, "HTTP/1.1 100 Continue\r\n\r\n");
             Thread.sleep(message.target().startsWith("/order") ? 400 : 0);
             ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbo");
             Thread.sleep(message.target().startsWith("/order") ? 0 : 400);
             ScriptedPeer.write(socket, "dy");
         });
-        List<Long> spent = new CopyOnWriteArrayList<>();
-        stage.start(stage.overheard((event, details) -> {
+        List<Long> latencies = new CopyOnWriteArrayList<>();
+        fixture.start(fixture.interceptedBalancer((event, details) -> {
             if (event.equals("outcome")) {
-                spent.add((Long) details[5]);
+                latencies.add((Long) details[5]);
             }
         }));
-        assertEquals("body", stage.call("order").text());
-        assertEquals("body", stage.call("lookup").text());
-        AgentFixture.await(() -> spent.size() == 2);
-        assertTrue(spent.get(0) >= 350_000, spent + " us");
-        assertTrue(spent.get(1) < 350_000, spent + " us");
+        assertEquals("body", fixture.call("order").text());
+        assertEquals("body", fixture.call("lookup").text());
+        AgentFixture.await(() -> latencies.size() == 2);
+        assertTrue(latencies.get(0) >= 350_000, latencies + " us");
+        assertTrue(latencies.get(1) < 350_000, latencies + " us");
     }
 
     @Test
-    void whatIsLongerThanAnyBodyIsTurnedAway() throws Exception {
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", ""));
-        stage.start();
-        Socket socket = stage.dial();
+    void bodyOverTheMaximumIsRejected() throws Exception {
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", ""));
+        fixture.start();
+        Socket socket = fixture.dial();
         ScriptedPeer.write(
-                socket, stage.request("order", 8000, "").replace("Content-Length: 0", "Content-Length: 60000000"));
+                socket, fixture.request("order", 8000, "").replace("Content-Length: 0", "Content-Length: 60000000"));
         assertEquals(413, ScriptedPeer.read(socket.getInputStream()).status());
-        Socket unknown = stage.dial();
+        Socket unknown = fixture.dial();
         ScriptedPeer.write(
-                unknown, stage.request("order", 8000, "").replace("Content-Length: 0", "Transfer-Encoding: chunked"));
+                unknown, fixture.request("order", 8000, "").replace("Content-Length: 0", "Transfer-Encoding: chunked"));
         byte[] chunk = new byte[MIB];
         ScriptedPeer.daemon(() -> {
             for (int i = 0; i < 60; i++) {
@@ -276,15 +284,15 @@
             }
         });
         assertEquals(413, ScriptedPeer.read(unknown.getInputStream()).status());
-        idle();
+        awaitIdle();
     }
 
     @Test
     void slowHeadsAndSlowBodiesAreServed() throws Exception {
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", message.text()));
-        stage.start();
-        Socket socket = stage.dial();
-        String request = stage.request("order", 8000, "slow body of a slow caller");
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", message.text()));
+        fixture.start();
+        Socket socket = fixture.dial();
+        String request = fixture.request("order", 8000, "slow body of a slow caller");
         int end = request.indexOf("\r\n\r\n");
         for (int i = 0; i < 19; i++) {
             ScriptedPeer.write(socket, request.substring(i, i + 1));
--- a/src/test/java/gatefront/agent/LedgerClockTest.java
+++ b/src/test/java/gatefront/agent/LedgerClockTest.java
@@ -22,25 +22,28 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A keeper whose wall clock jumps. */
+/** A usage recorder whose wall clock jumps. */
 class LedgerClockTest {
     private static final long SECOND = 1_000_000;
 
     @TempDir
     private Path folder;
 
-    private LedgerStore.Look look() throws Exception {
-        LedgerStore.Look[] look = new LedgerStore.Look[1];
+    private LedgerStore.Look readLedger() throws Exception {
+        LedgerStore.Look[] state = new LedgerStore.Look[1];
         StoreVerification.of(
                 DirectoryDisk.existing(folder.resolve("books")),
                 SigningKeys.NONE,
-                LedgerStore.looking(at -> look[0] = at));
-        return look[0];
+                LedgerStore.looking(at -> state[0] = at));
+        return state[0];
     }
 
-    /** Periods of a second, and a clock that jumps by a thousand years and back: a few entries, not 30,000,000,000. */
+    /**
+     * With periods of one second, a clock that jumps by a thousand years and back gives a few entries, not
+     * 30,000,000,000.
+     */
     @Test
-    void aClockThatJumpsOverMillionsOfPeriodsClosesWhatHadUseAndNoMore() throws Exception {
+    void clockJumpOverMillionsOfPeriodsClosesOnlyThoseWithUsage() throws Exception {
         SocketTransport sockets = new SocketTransport();
         AtomicLong wall = new AtomicLong(1_000 * SECOND);
         Transport transport = (Transport) Proxy.newProxyInstance(
@@ -50,33 +53,33 @@
                         method.getName().equals("wallMicros") ? wall.get() : method.invoke(sockets, args));
         Config config =
                 Config.of(new ObjectMapper().readTree(Files.readAllBytes(Path.of("src/test/resources/config.json"))));
-        UsageRecorder keeper = UsageRecorder.open(
+        UsageRecorder recorder = UsageRecorder.open(
                 transport,
                 new LedgerSettings(folder.resolve("books"), "a", null, SECOND, SECOND / 10, 1 << 20),
                 () -> config);
-        keeper.start();
+        recorder.start();
         Thread.sleep(300);
         wall.addAndGet(1_000L * 365 * 86_400 * SECOND);
         AgentFixture.await(() -> {
             try {
-                return look().ledger().size() > 0;
+                return readLedger().ledger().size() > 0;
             } catch (Exception e) {
                 throw new AssertionError(e);
             }
         });
         wall.set(1_001 * SECOND);
         CountDownLatch closed = new CountDownLatch(1);
-        sockets.loop().execute(() -> keeper.close(closed::countDown));
+        sockets.loop().execute(() -> recorder.close(closed::countDown));
         assertTrue(closed.await(10, TimeUnit.SECONDS));
-        Ledger ledger = look().ledger();
+        Ledger ledger = readLedger().ledger();
         assertTrue(ledger.size() < 10, ledger.size() + " entries");
         for (long period : ledger.periods()) {
             assertEquals(
                     List.of(Ledger.Part.WHOLE),
                     List.copyOf(ledger.standing(period, List.of()).values()));
         }
-        CountDownLatch gone = new CountDownLatch(1);
-        sockets.close(gone::countDown);
-        assertTrue(gone.await(10, TimeUnit.SECONDS));
+        CountDownLatch transportClosed = new CountDownLatch(1);
+        sockets.close(transportClosed::countDown);
+        assertTrue(transportClosed.await(10, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/gatefront/agent/MemoryTest.java
+++ b/src/test/java/gatefront/agent/MemoryTest.java
@@ -25,41 +25,44 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Each purpose is driven to its cap on sockets: the stated behaviour, and the account at its base afterwards. */
+/**
+ * Drives each purpose to its cap, over sockets: the documented behaviour applies, and the account is empty
+ * afterwards.
+ */
 class MemoryTest {
     @TempDir
     private Path folder;
 
-    private AgentFixture stage;
+    private AgentFixture fixture;
     private final CountDownLatch release = new CountDownLatch(1);
 
     @BeforeEach
-    void set() throws IOException {
-        stage = new AgentFixture();
+    void setUp() throws IOException {
+        fixture = new AgentFixture();
     }
 
     @AfterEach
-    void end() throws IOException {
+    void tearDown() throws IOException {
         release.countDown();
-        stage.close();
+        fixture.close();
     }
 
     private AgentFixture start(String caps) throws IOException, TomlException {
-        return stage.start(
-                Extensions.parse("x.toml", "[memory]\nstatus = \"127.0.0.1:0\"\n" + caps, Config.of(stage.config)));
+        return fixture.start(
+                Extensions.parse("x.toml", "[memory]\nstatus = \"127.0.0.1:0\"\n" + caps, Config.of(fixture.config)));
     }
 
-    private static String cap(ResourcePurpose purpose, String figures) {
+    private static String capTable(ResourcePurpose purpose, String figures) {
         return "[[memory.caps]]\npurpose = \"" + purpose.word() + "\"\n" + figures + "\n";
     }
 
-    private JsonNode held(ResourcePurpose purpose) {
-        return page().get("purposes").get(purpose.word());
+    private JsonNode account(ResourcePurpose purpose) {
+        return statusPage().get("purposes").get(purpose.word());
     }
 
-    private JsonNode page() {
+    private JsonNode statusPage() {
         try (Socket socket = new Socket(
-                InetAddress.getLoopbackAddress(), stage.agent.statusAddress().getPort())) {
+                InetAddress.getLoopbackAddress(), fixture.agent.statusAddress().getPort())) {
             ScriptedPeer.write(socket, "GET /status.json HTTP/1.1\r\nHost: a\r\n\r\n");
             return new ObjectMapper()
                     .readTree(ScriptedPeer.read(socket.getInputStream()).text());
@@ -68,215 +71,228 @@
         }
     }
 
-    private void empties(ResourcePurpose purpose) {
-        AgentFixture.await(() -> held(purpose).get("entries").asLong() == 0
-                && held(purpose).get("bytes").asLong() == 0);
+    private void awaitEmpty(ResourcePurpose purpose) {
+        AgentFixture.await(() -> account(purpose).get("entries").asLong() == 0
+                && account(purpose).get("bytes").asLong() == 0);
     }
 
-    private List<CompletableFuture<ScriptedPeer.Message>> together(int n, String kind, String body) {
-        List<CompletableFuture<ScriptedPeer.Message>> answers = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
-            CompletableFuture<ScriptedPeer.Message> answer = new CompletableFuture<>();
-            answers.add(answer);
-            String request = stage.request(kind, 8_000, body);
-            ScriptedPeer.daemon(() -> answer.complete(AgentFixture.exchange(stage.dial(), request)));
+    private List<CompletableFuture<ScriptedPeer.Message>> callConcurrently(
+            int count, String requestClass, String body) {
+        List<CompletableFuture<ScriptedPeer.Message>> responses = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            CompletableFuture<ScriptedPeer.Message> response = new CompletableFuture<>();
+            responses.add(response);
+            String request = fixture.request(requestClass, 8_000, body);
+            ScriptedPeer.daemon(() -> response.complete(AgentFixture.exchange(fixture.dial(), request)));
         }
-        return answers;
+        return responses;
     }
 
-    private ScriptedPeer slow() throws IOException {
-        return stage.server((message, socket) -> {
+    private ScriptedPeer serverWaitingForRelease() throws IOException {
+        return fixture.server((message, socket) -> {
             release.await();
-            ScriptedPeer.answer(socket, 200, "", "served");
+            ScriptedPeer.respond(socket, 200, "", "served");
         });
     }
 
     @Test
     void callsOverTheirCapAreRefusedAtOnceAndTheRestAreServed() throws Exception {
-        slow();
-        start(cap(ResourcePurpose.CALLS, "entries = 1"));
+        serverWaitingForRelease();
+        start(capTable(ResourcePurpose.CALLS, "entries = 1"));
         CompletableFuture<ScriptedPeer.Message> first =
-                together(1, "lookup", "").get(0);
-        AgentFixture.await(() -> held(ResourcePurpose.CALLS).get("entries").asLong() == 1);
-        ScriptedPeer.Message refused = stage.call("lookup");
+                callConcurrently(1, "lookup", "").get(0);
+        AgentFixture.await(() -> account(ResourcePurpose.CALLS).get("entries").asLong() == 1);
+        ScriptedPeer.Message refused = fixture.call("lookup");
         assertEquals(503, refused.status());
         assertNotNull(refused.header("Retry-After"));
         release.countDown();
         assertEquals(200, first.get().status());
-        empties(ResourcePurpose.CALLS);
-        assertEquals(1, held(ResourcePurpose.CALLS).get("turned_away").asLong());
-        assertEquals(200, stage.call("lookup").status());
+        awaitEmpty(ResourcePurpose.CALLS);
+        assertEquals(1, account(ResourcePurpose.CALLS).get("turned_away").asLong());
+        assertEquals(200, fixture.call("lookup").status());
     }
 
     @Test
-    void bodiesOverTheirCapAreRefusedAndGivenBack() throws Exception {
-        slow();
-        start(cap(ResourcePurpose.REQUESTS, "kib = 4"));
+    void bodiesOverTheirCapAreRefusedAndReleased() throws Exception {
+        serverWaitingForRelease();
+        start(capTable(ResourcePurpose.REQUESTS, "kib = 4"));
         CompletableFuture<ScriptedPeer.Message> first =
-                together(1, "pay", "x".repeat(3_000)).get(0);
-        AgentFixture.await(() -> held(ResourcePurpose.REQUESTS).get("bytes").asLong() == 3_000);
+                callConcurrently(1, "pay", "x".repeat(3_000)).get(0);
+        AgentFixture.await(() -> account(ResourcePurpose.REQUESTS).get("bytes").asLong() == 3_000);
         ScriptedPeer.Message refused =
-                AgentFixture.exchange(stage.dial(), stage.request("pay", 8_000, "x".repeat(2_000)));
+                AgentFixture.exchange(fixture.dial(), fixture.request("pay", 8_000, "x".repeat(2_000)));
         assertEquals(503, refused.status());
         assertNotNull(refused.header("Retry-After"));
         release.countDown();
         assertEquals(200, first.get().status());
-        empties(ResourcePurpose.REQUESTS);
-        assertEquals(3_000, held(ResourcePurpose.REQUESTS).get("bytes_highest").asLong());
+        awaitEmpty(ResourcePurpose.REQUESTS);
+        assertEquals(
+                3_000, account(ResourcePurpose.REQUESTS).get("bytes_highest").asLong());
     }
 
     @Test
-    void aCallerThatLeavesInTheMiddleOfItsBodyGivesBackWhatHasCome() throws Exception {
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
+    void clientDisconnectMidBodyReleasesWhatWasReceived() throws Exception {
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "served"));
         start("");
-        Socket caller = stage.dial();
-        String request = stage.request("pay", 8_000, "x".repeat(6_000));
-        ScriptedPeer.write(caller, request.substring(0, request.length() - 3_000));
-        AgentFixture.await(() -> held(ResourcePurpose.REQUESTS).get("bytes").asLong() == 3_000);
-        caller.close();
-        empties(ResourcePurpose.REQUESTS);
+        Socket client = fixture.dial();
+        String request = fixture.request("pay", 8_000, "x".repeat(6_000));
+        ScriptedPeer.write(client, request.substring(0, request.length() - 3_000));
+        AgentFixture.await(() -> account(ResourcePurpose.REQUESTS).get("bytes").asLong() == 3_000);
+        client.close();
+        awaitEmpty(ResourcePurpose.REQUESTS);
     }
 
     @Test
-    void anAnswerOverTheCapEndsItsAttemptAndIsGivenBack() throws Exception {
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "x".repeat(8_000)));
-        start(cap(ResourcePurpose.SERVER_ANSWERS, "kib = 4"));
+    void responseOverTheCapEndsItsAttemptAndIsReleased() throws Exception {
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "x".repeat(8_000)));
+        start(capTable(ResourcePurpose.SERVER_ANSWERS, "kib = 4"));
         assertEquals(
                 502,
-                AgentFixture.exchange(stage.dial(), stage.request("order", 2_000, ""))
+                AgentFixture.exchange(fixture.dial(), fixture.request("order", 2_000, ""))
                         .status());
-        empties(ResourcePurpose.SERVER_ANSWERS);
-        assertTrue(held(ResourcePurpose.SERVER_ANSWERS).get("turned_away").asLong() > 0);
+        awaitEmpty(ResourcePurpose.SERVER_ANSWERS);
+        assertTrue(account(ResourcePurpose.SERVER_ANSWERS).get("turned_away").asLong() > 0);
     }
 
-    /** A caller that never reads its answers: what it leaves counts, and new calls are refused while it is too much. */
+    /** Responses that a client never reads are counted, and new calls are refused while they exceed the cap. */
     @Test
-    void answersThatNobodyReadsTurnNewCallsAway() throws Exception {
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "x".repeat(60_000)));
-        start(cap(ResourcePurpose.ANSWERS, "kib = 200"));
-        List<Socket> deaf = new ArrayList<>();
-        for (int i = 0; i < 40 && held(ResourcePurpose.ANSWERS).get("bytes").asLong() < 200 << 10; i++) {
+    void unreadResponsesCauseNewCallsToBeRefused() throws Exception {
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "x".repeat(60_000)));
+        start(capTable(ResourcePurpose.ANSWERS, "kib = 200"));
+        List<Socket> nonReadingClients = new ArrayList<>();
+        for (int i = 0; i < 40 && account(ResourcePurpose.ANSWERS).get("bytes").asLong() < 200 << 10; i++) {
             Socket socket = new Socket();
             socket.setReceiveBufferSize(4_096);
-            socket.connect(stage.agent.address());
-            deaf.add(socket);
-            StringBuilder many = new StringBuilder();
+            socket.connect(fixture.agent.address());
+            nonReadingClients.add(socket);
+            StringBuilder requests = new StringBuilder();
             for (int j = 0; j < 60; j++) {
-                many.append(stage.request("lookup", 8_000, ""));
+                requests.append(fixture.request("lookup", 8_000, ""));
             }
-            ScriptedPeer.write(socket, many.toString());
+            ScriptedPeer.write(socket, requests.toString());
             Thread.sleep(20);
         }
-        AgentFixture.await(() -> held(ResourcePurpose.ANSWERS).get("bytes").asLong() >= 200 << 10);
-        ScriptedPeer.Message refused = stage.call("lookup");
+        AgentFixture.await(() -> account(ResourcePurpose.ANSWERS).get("bytes").asLong() >= 200 << 10);
+        ScriptedPeer.Message refused = fixture.call("lookup");
         assertEquals(503, refused.status());
         assertNotNull(refused.header("Retry-After"));
-        for (Socket each : deaf) {
+        for (Socket each : nonReadingClients) {
             each.close();
         }
-        empties(ResourcePurpose.ANSWERS);
-        assertEquals(200, stage.call("lookup").status());
+        awaitEmpty(ResourcePurpose.ANSWERS);
+        assertEquals(200, fixture.call("lookup").status());
     }
 
     @Test
-    void callersOverTheirCapWaitUntilOneGoes() throws Exception {
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
-        start(cap(ResourcePurpose.CALLER_CONNECTIONS, "entries = 3"));
+    void clientsOverTheirCapWaitUntilOneDisconnects() throws Exception {
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "served"));
+        start(capTable(ResourcePurpose.CALLER_CONNECTIONS, "entries = 3"));
         for (int i = 0; i < 12; i++) {
-            assertEquals(200, stage.call("lookup").status(), "those kept without need make room");
+            assertEquals(200, fixture.call("lookup").status(), "idle connections are closed to make room");
         }
-        assertTrue(
-                held(ResourcePurpose.CALLER_CONNECTIONS).get("entries_highest").asLong() <= 5);
-        stage.hangUp();
+        assertTrue(account(ResourcePurpose.CALLER_CONNECTIONS)
+                        .get("entries_highest")
+                        .asLong()
+                <= 5);
+        fixture.closeClients();
         AgentFixture.await(
-                () -> held(ResourcePurpose.CALLER_CONNECTIONS).get("entries").asLong() == 0);
+                () -> account(ResourcePurpose.CALLER_CONNECTIONS).get("entries").asLong() == 0);
     }
 
-    /** Those in the middle of a request must not be closed for others: they are not accepted until there is room. */
+    /**
+     * Connections in the middle of a request must not be closed for new ones, which are not accepted until there is
+     * room.
+     */
     @Test
-    void callersOverTheirCapAreNotAcceptedWhileNoneCanGo() throws Exception {
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
-        start(cap(ResourcePurpose.CALLER_CONNECTIONS, "entries = 3"));
-        List<Socket> begun = new ArrayList<>();
+    void clientsOverTheirCapAreNotAcceptedWhileNoneCanBeClosed() throws Exception {
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "served"));
+        start(capTable(ResourcePurpose.CALLER_CONNECTIONS, "entries = 3"));
+        List<Socket> incompleteRequests = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            Socket caller = stage.dial();
-            ScriptedPeer.write(caller, "GET /lookup");
-            begun.add(caller);
+            Socket client = fixture.dial();
+            ScriptedPeer.write(client, "GET /lookup");
+            incompleteRequests.add(client);
             if (i < 3) {
                 int all = i + 1;
-                AgentFixture.await(() ->
-                        held(ResourcePurpose.CALLER_CONNECTIONS).get("entries").asLong() == all);
+                AgentFixture.await(() -> account(ResourcePurpose.CALLER_CONNECTIONS)
+                                .get("entries")
+                                .asLong()
+                        == all);
             }
         }
         Thread.sleep(300);
-        assertEquals(3, held(ResourcePurpose.CALLER_CONNECTIONS).get("entries").asLong());
-        for (Socket each : begun) {
+        assertEquals(
+                3, account(ResourcePurpose.CALLER_CONNECTIONS).get("entries").asLong());
+        for (Socket each : incompleteRequests) {
             each.close();
         }
         AgentFixture.await(
-                () -> held(ResourcePurpose.CALLER_CONNECTIONS).get("entries").asLong() == 0);
-        assertEquals(200, stage.call("lookup").status());
+                () -> account(ResourcePurpose.CALLER_CONNECTIONS).get("entries").asLong() == 0);
+        assertEquals(200, fixture.call("lookup").status());
     }
 
-    /** No purpose is at a cap of its own: together they are tight, then full; and there is room again afterwards. */
+    /** No purpose is at its own cap: their sum first nears the budget, then exhausts it, and is released again. */
     @Test
-    void twoPurposesTogetherEndConnectionsAndThenTurnNewCallsAway() throws Exception {
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
+    void twoPurposesTogetherCloseConnectionsAndThenRefuseNewCalls() throws Exception {
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "served"));
         start("");
-        ResourceBudget budget = stage.agent.budget();
-        assertEquals(null, stage.call("lookup").header("Connection"));
+        ResourceBudget budget = fixture.agent.budget();
+        assertEquals(null, fixture.call("lookup").header("Connection"));
         budget.of(ResourcePurpose.SERVERS).add(0, (long) (0.45 * budget.total()));
         budget.of(ResourcePurpose.CALLS).add(0, (long) (0.3 * budget.total()));
-        ScriptedPeer.Message tight = stage.call("lookup");
-        assertEquals(200, tight.status());
-        assertEquals("close", tight.header("Connection"));
+        ScriptedPeer.Message nearLimit = fixture.call("lookup");
+        assertEquals(200, nearLimit.status());
+        assertEquals("close", nearLimit.header("Connection"));
         budget.of(ResourcePurpose.CALLS).add(0, (long) (0.2 * budget.total()));
-        ScriptedPeer.Message refused = stage.call("lookup");
+        ScriptedPeer.Message refused = fixture.call("lookup");
         assertEquals(503, refused.status());
         assertNotNull(refused.header("Retry-After"));
         budget.of(ResourcePurpose.SERVERS).add(0, -(long) (0.45 * budget.total()));
-        ScriptedPeer.Message again = stage.call("lookup");
-        assertEquals(200, again.status());
-        assertEquals(null, again.header("Connection"));
+        ScriptedPeer.Message released = fixture.call("lookup");
+        assertEquals(200, released.status());
+        assertEquals(null, released.header("Connection"));
     }
 
     @Test
-    void connectionsToServersOverTheirCapAreNotMade() throws Exception {
-        slow();
-        start(cap(ResourcePurpose.SERVER_CONNECTIONS, "entries = 2"));
-        List<CompletableFuture<ScriptedPeer.Message>> answers = together(6, "lookup", "");
+    void serverConnectionsOverTheirCapAreNotOpened() throws Exception {
+        serverWaitingForRelease();
+        start(capTable(ResourcePurpose.SERVER_CONNECTIONS, "entries = 2"));
+        List<CompletableFuture<ScriptedPeer.Message>> responses = callConcurrently(6, "lookup", "");
         AgentFixture.await(
-                () -> held(ResourcePurpose.SERVER_CONNECTIONS).get("entries").asLong() == 2);
+                () -> account(ResourcePurpose.SERVER_CONNECTIONS).get("entries").asLong() == 2);
         release.countDown();
-        for (CompletableFuture<ScriptedPeer.Message> each : answers) {
-            assertTrue(List.of(200, 502, 503, 504).contains(each.get().status()), "each gets one final answer");
+        for (CompletableFuture<ScriptedPeer.Message> each : responses) {
+            assertTrue(
+                    List.of(200, 502, 503, 504).contains(each.get().status()), "each gets exactly one final response");
         }
         assertEquals(
                 2,
-                held(ResourcePurpose.SERVER_CONNECTIONS).get("entries_highest").asLong());
+                account(ResourcePurpose.SERVER_CONNECTIONS)
+                        .get("entries_highest")
+                        .asLong());
     }
 
     @Test
-    void serversOverTheirCapAreNotTakenAndKnownOnesStayWhatTheyAre() throws Exception {
-        ScriptedPeer first = stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
-        ScriptedPeer second = stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
-        start(cap(ResourcePurpose.SERVERS, "entries = 1"));
-        stage.news.add(AgentFixture.delta(1, AgentFixture.endpoint(2, second.address(), "Ready")));
+    void serversOverTheirCapAreNotAddedAndKnownOnesAreUnchanged() throws Exception {
+        ScriptedPeer first = fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "served"));
+        ScriptedPeer second = fixture.peer((message, socket) -> ScriptedPeer.respond(socket, 200, "", "served"));
+        start(capTable(ResourcePurpose.SERVERS, "entries = 1"));
+        fixture.discoveryUpdates.add(AgentFixture.delta(1, AgentFixture.endpoint(2, second.address(), "Ready")));
         for (int i = 0; i < 20; i++) {
-            assertEquals(200, stage.call("lookup").status());
+            assertEquals(200, fixture.call("lookup").status());
         }
         assertEquals(0, second.requests.size());
-        assertEquals(1, held(ResourcePurpose.SERVERS).get("entries").asLong());
-        stage.news.add(AgentFixture.delta(2, AgentFixture.endpoint(1, first.address(), "Gone")));
-        empties(ResourcePurpose.SERVERS);
+        assertEquals(1, account(ResourcePurpose.SERVERS).get("entries").asLong());
+        fixture.discoveryUpdates.add(AgentFixture.delta(2, AgentFixture.endpoint(1, first.address(), "Gone")));
+        awaitEmpty(ResourcePurpose.SERVERS);
     }
 
     @Test
-    void thePageIsForPeopleTooAndSaysWhatElseThereIs() throws Exception {
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
+    void statusPageIsReadableAndListsTheRest() throws Exception {
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "served"));
         start("");
         try (Socket socket = new Socket(
-                InetAddress.getLoopbackAddress(), stage.agent.statusAddress().getPort())) {
+                InetAddress.getLoopbackAddress(), fixture.agent.statusAddress().getPort())) {
             ScriptedPeer.write(socket, "GET /status HTTP/1.1\r\nHost: a\r\n\r\n");
             String text = ScriptedPeer.read(socket.getInputStream()).text();
             for (ResourcePurpose each : ResourcePurpose.values()) {
@@ -284,85 +300,88 @@
             }
         }
         try (Socket socket = new Socket(
-                InetAddress.getLoopbackAddress(), stage.agent.statusAddress().getPort())) {
+                InetAddress.getLoopbackAddress(), fixture.agent.statusAddress().getPort())) {
             ScriptedPeer.write(socket, "GET /other HTTP/1.1\r\nHost: a\r\n\r\n");
             assertEquals(404, ScriptedPeer.read(socket.getInputStream()).status());
         }
     }
 
     /**
-     * Below what is held: nothing is ended, and nothing new is taken until it is. A file that is wrong changes
-     * nothing.
+     * A cap below what is held ends nothing, but nothing new is accepted until enough is released. An invalid file
+     * changes nothing.
      */
     @Test
-    void capsAreReloadedAndWhatTheFileNoLongerNamesHasTheUsualOneAgain() throws Exception {
-        slow();
-        Path config = Files.writeString(folder.resolve("config.json"), stage.config.toString());
-        Path ours = folder.resolve("ours.toml");
+    void capsAreReloadedAndRemovedOnesReturnToTheDefault() throws Exception {
+        serverWaitingForRelease();
+        Path config = Files.writeString(folder.resolve("config.json"), fixture.config.toString());
+        Path extensionsFile = folder.resolve("ours.toml");
         start("");
-        List<CompletableFuture<ScriptedPeer.Message>> taken = together(3, "lookup", "");
-        AgentFixture.await(() -> held(ResourcePurpose.CALLS).get("entries").asLong() == 3);
-        long usual = held(ResourcePurpose.CALLS).get("entries_cap").asLong();
-        Files.writeString(ours, "[memory]\n" + cap(ResourcePurpose.CALLS, "entries = 2"));
-        stage.agent.reload(config, ours);
-        AgentFixture.await(() -> held(ResourcePurpose.CALLS).get("entries_cap").asLong() == 2);
-        assertEquals(503, stage.call("lookup").status());
-        Files.writeString(ours, "[memory]\n" + cap(ResourcePurpose.CALLS, "entries = 0"));
-        stage.agent.reload(config, ours);
-        Files.writeString(folder.resolve("next.toml"), "[memory]\n" + cap(ResourcePurpose.ANSWERS, "entries = 77"));
-        assertEquals(2, held(ResourcePurpose.CALLS).get("entries_cap").asLong());
+        List<CompletableFuture<ScriptedPeer.Message>> pendingCalls = callConcurrently(3, "lookup", "");
+        AgentFixture.await(() -> account(ResourcePurpose.CALLS).get("entries").asLong() == 3);
+        long defaultCap = account(ResourcePurpose.CALLS).get("entries_cap").asLong();
+        Files.writeString(extensionsFile, "[memory]\n" + capTable(ResourcePurpose.CALLS, "entries = 2"));
+        fixture.agent.reload(config, extensionsFile);
+        AgentFixture.await(
+                () -> account(ResourcePurpose.CALLS).get("entries_cap").asLong() == 2);
+        assertEquals(503, fixture.call("lookup").status());
+        Files.writeString(extensionsFile, "[memory]\n" + capTable(ResourcePurpose.CALLS, "entries = 0"));
+        fixture.agent.reload(config, extensionsFile);
+        Files.writeString(
+                folder.resolve("next.toml"), "[memory]\n" + capTable(ResourcePurpose.ANSWERS, "entries = 77"));
+        assertEquals(2, account(ResourcePurpose.CALLS).get("entries_cap").asLong());
         release.countDown();
-        for (CompletableFuture<ScriptedPeer.Message> each : taken) {
+        for (CompletableFuture<ScriptedPeer.Message> each : pendingCalls) {
             assertEquals(200, each.get().status());
         }
-        assertEquals(200, stage.call("lookup").status());
-        stage.agent.reload(config, folder.resolve("next.toml"));
+        assertEquals(200, fixture.call("lookup").status());
+        fixture.agent.reload(config, folder.resolve("next.toml"));
         AgentFixture.await(
-                () -> held(ResourcePurpose.ANSWERS).path("entries_cap").asLong() == 77);
-        assertEquals(usual, held(ResourcePurpose.CALLS).get("entries_cap").asLong());
+                () -> account(ResourcePurpose.ANSWERS).path("entries_cap").asLong() == 77);
+        assertEquals(
+                defaultCap, account(ResourcePurpose.CALLS).get("entries_cap").asLong());
     }
 
     @Test
-    void thePageSaysWhatTheProcessTakes() throws Exception {
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
+    void statusPageShowsTheProcessSize() throws Exception {
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "served"));
         start("");
-        assertEquals(200, stage.call("lookup").status());
-        JsonNode before = page();
+        assertEquals(200, fixture.call("lookup").status());
+        JsonNode before = statusPage();
         assertTrue(before.get("resident").asLong() > before.get("heap_used").asLong() / 2, before.toString());
         long open = before.get("descriptors").asLong();
-        List<Socket> more = new ArrayList<>();
+        List<Socket> connections = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            more.add(stage.dial());
+            connections.add(fixture.dial());
         }
-        AgentFixture.await(() -> page().get("descriptors").asLong() >= open + 20);
-        for (Socket each : more) {
+        AgentFixture.await(() -> statusPage().get("descriptors").asLong() >= open + 20);
+        for (Socket each : connections) {
             each.close();
         }
     }
 
     @Test
-    void whatIsWrongInTheTableIsOneLine() {
+    void errorsInTheTableAreOneLine() {
         for (List<String> each : List.of(
-                List.of("status = \"10.0.0.1:1\"", "x.toml:2: memory.status: is to be a loopback address"),
-                List.of("status = \"here\"", "x.toml:2: memory.status: is to be a literal address"),
+                List.of("status = \"10.0.0.1:1\"", "x.toml:2: memory.status: must be a loopback address"),
+                List.of("status = \"here\"", "x.toml:2: memory.status: must be a literal address"),
                 List.of(
                         "[[memory.caps]]\npurpose = \"cals\"\nentries = 3",
                         "x.toml:3: memory.caps.0.purpose: \"cals\" is none of"),
                 List.of("[[memory.caps]]\npurpose = \"calls\"", "memory.caps.0.entries: is missing"),
-                List.of("[[memory.caps]]\npurpose = \"calls\"\nkib = 3", "memory.caps.0.kib: means nothing for calls"),
+                List.of("[[memory.caps]]\npurpose = \"calls\"\nkib = 3", "memory.caps.0.kib: does not apply to calls"),
                 List.of(
                         "[[memory.caps]]\npurpose = \"requests\"\nentries = 3",
-                        "memory.caps.0.entries: means nothing for requests"),
+                        "memory.caps.0.entries: does not apply to requests"),
                 List.of(
                         "[[memory.caps]]\npurpose = \"registry\"\nentries = 3",
-                        "memory.caps.0.purpose: registry has its cap in keys of [registry]"),
+                        "memory.caps.0.purpose: the cap of registry is set by keys in [registry]"),
                 List.of(
                         "[[memory.caps]]\npurpose = \"calls\"\nentries = 0",
                         "memory.caps.0.entries: 0 is not within 1"))) {
             String message = assertThrows(
                             TomlException.class,
                             () -> Extensions.parse(
-                                    "x.toml", "[memory]\n" + each.get(0) + "\n", Config.of(stage.config)))
+                                    "x.toml", "[memory]\n" + each.get(0) + "\n", Config.of(fixture.config)))
                     .getMessage();
             assertTrue(message.contains(each.get(1)) && message.lines().count() == 1, message);
         }
--- a/src/test/java/gatefront/agent/OperatorControlsTest.java
+++ b/src/test/java/gatefront/agent/OperatorControlsTest.java
@@ -27,46 +27,48 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Daily operation over loopback sockets: the door, its figures, servers out by hand, one process after the other. */
+/**
+ * Operation over loopback sockets: the management endpoint, its statistics, bans, and handover between processes.
+ */
 @Timeout(60)
 class OperatorControlsTest {
     @TempDir
     private Path shared;
 
-    private AgentFixture stage;
+    private AgentFixture fixture;
     private final List<Agent> agents = new ArrayList<>();
     private final List<Socket> waiting = new ArrayList<>();
 
     @BeforeEach
-    void set() throws IOException {
-        stage = new AgentFixture();
-        stage.config.put("management", "127.0.0.1:0");
+    void setUp() throws IOException {
+        fixture = new AgentFixture();
+        fixture.config.put("management", "127.0.0.1:0");
     }
 
     @AfterEach
-    void strike() throws IOException {
-        stage.close();
+    void tearDown() throws IOException {
+        fixture.close();
         agents.forEach(each -> ScriptedPeer.daemon(each::stop));
     }
 
     private void start() throws IOException {
-        stage.agent = Agent.start(Config.of(stage.config), shared);
-        agents.add(stage.agent);
-        AgentFixture.await(() -> door("GET", "/healthcheck").status() == 200);
+        fixture.agent = Agent.start(Config.of(fixture.config), shared);
+        agents.add(fixture.agent);
+        AgentFixture.await(() -> request("GET", "/healthcheck").status() == 200);
     }
 
-    private ScriptedPeer.Message door(String method, String path) {
-        return door(stage.agent, method, path);
+    private ScriptedPeer.Message request(String method, String path) {
+        return request(fixture.agent, method, path);
     }
 
-    private static ScriptedPeer.Message door(Agent agent, String method, String path) {
-        return raw(agent, method + " " + path + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
+    private static ScriptedPeer.Message request(Agent agent, String method, String path) {
+        return exchange(agent, method + " " + path + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
     }
 
-    private static ScriptedPeer.Message raw(Agent agent, String text) {
-        try (Socket socket =
-                new Socket(InetAddress.getLoopbackAddress(), agent.management().getPort())) {
-            socket.setSoTimeout((int) AgentFixture.GENEROUS_MS);
+    private static ScriptedPeer.Message exchange(Agent agent, String text) {
+        try (Socket socket = new Socket(
+                InetAddress.getLoopbackAddress(), agent.managementAddress().getPort())) {
+            socket.setSoTimeout((int) AgentFixture.TIMEOUT_MS);
             ScriptedPeer.write(socket, text);
             return ScriptedPeer.read(socket.getInputStream());
         } catch (IOException e) {
@@ -76,7 +78,7 @@
 
     private Map<String, Long> stats() {
         Map<String, Long> figures = new HashMap<>();
-        door("GET", "/stats")
+        request("GET", "/stats")
                 .text()
                 .lines()
                 .forEach(line -> figures.put(
@@ -84,44 +86,45 @@
         return figures;
     }
 
-    private static ScriptedPeer.Script answers(String text) {
-        return (message, socket) -> ScriptedPeer.answer(socket, 200, "", text);
+    private static ScriptedPeer.Script respondWith(String text) {
+        return (message, socket) -> ScriptedPeer.respond(socket, 200, "", text);
     }
 
     @Test
-    void whatIsNoCallOfTheDoorsIsTurnedAwayAndChangesNothing() throws Exception {
-        stage.server(answers("a"));
+    void unknownRequestsAreRejectedAndChangeNothing() throws Exception {
+        fixture.server(respondWith("a"));
         start();
-        assertEquals(404, door("GET", "/").status());
-        assertEquals(404, door("POST", "/backends/s-1/away").status());
-        assertEquals(404, door("POST", "/backends/maint").status());
-        assertEquals(404, door("POST", "/backends/nobody/maint").status());
-        assertEquals(405, door("GET", "/backends/s-1/maint").status());
-        assertEquals(405, door("POST", "/stats").status());
-        assertEquals(400, raw(stage.agent, "nonsense\r\n\r\n").status());
-        assertEquals(400, door("POST", "/backends/%zz/maint").status());
+        assertEquals(404, request("GET", "/").status());
+        assertEquals(404, request("POST", "/backends/s-1/away").status());
+        assertEquals(404, request("POST", "/backends/maint").status());
+        assertEquals(404, request("POST", "/backends/nobody/maint").status());
+        assertEquals(405, request("GET", "/backends/s-1/maint").status());
+        assertEquals(405, request("POST", "/stats").status());
+        assertEquals(400, exchange(fixture.agent, "nonsense\r\n\r\n").status());
+        assertEquals(400, request("POST", "/backends/%zz/maint").status());
         assertEquals(
                 431,
-                raw(stage.agent, "GET /" + "a".repeat(9000) + " HTTP/1.1\r\n\r\n")
+                exchange(fixture.agent, "GET /" + "a".repeat(9000) + " HTTP/1.1\r\n\r\n")
                         .status());
         assertEquals(0, stats().get("pool_ejected"));
-        assertEquals("a", stage.call("lookup").text());
+        assertEquals("a", fixture.call("lookup").text());
     }
 
-    /** Callers that say nothing, more than there is room for, never keep out one that has a call to make. */
+    /** Silent connections, more than the endpoint admits, must not shut out a client that sends a request. */
     @Test
-    void silentCallersKeepNobodyOut() throws Exception {
+    void silentClientsDoNotBlockOthers() throws Exception {
         start();
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             Socket each = new Socket(
-                    InetAddress.getLoopbackAddress(), stage.agent.management().getPort());
+                    InetAddress.getLoopbackAddress(),
+                    fixture.agent.managementAddress().getPort());
             ScriptedPeer.write(each, "GET /st");
             silent.add(each);
         }
-        long begin = System.nanoTime();
-        assertEquals(200, door("GET", "/healthcheck").status());
-        assertTrue(System.nanoTime() - begin < 1_000_000_000L);
+        long startNanos = System.nanoTime();
+        assertEquals(200, request("GET", "/healthcheck").status());
+        assertTrue(System.nanoTime() - startNanos < 1_000_000_000L);
         Socket inTime = silent.get(99);
         ScriptedPeer.write(inTime, "ats HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals(200, ScriptedPeer.read(inTime.getInputStream()).status());
@@ -131,21 +134,21 @@
     }
 
     @Test
-    void theFiguresAreWhatThePeersSaw() throws Exception {
-        stage.server((message, socket) -> {
+    void statisticsMatchWhatThePeersSaw() throws Exception {
+        fixture.server((message, socket) -> {
             String path = message.target();
             if (path.startsWith("/order")) {
-                ScriptedPeer.answer(socket, 500, "", "");
+                ScriptedPeer.respond(socket, 500, "", "");
             } else {
-                ScriptedPeer.answer(socket, 200, "", "a");
+                ScriptedPeer.respond(socket, 200, "", "a");
             }
         });
         start();
-        int tried = stage.arrived();
+        int requestsBefore = fixture.requestsReceived();
         for (int i = 0; i < 7; i++) {
-            assertEquals(200, stage.call("lookup").status());
+            assertEquals(200, fixture.call("lookup").status());
         }
-        assertEquals(502, stage.call("order").status());
+        assertEquals(502, fixture.call("order").status());
         Map<String, Long> figures = stats();
         assertEquals(7, figures.get("ok.lookup"));
         assertEquals(0, figures.get("shed.lookup"));
@@ -154,42 +157,42 @@
         assertEquals(0, figures.get("active"));
         assertEquals(1, figures.get("pool_size"));
         assertEquals(
-                stage.servers.get(0).requests.stream()
+                fixture.servers.get(0).requests.stream()
                                 .filter(each -> !each.target().equals("/healthz"))
                                 .count()
-                        - tried,
+                        - requestsBefore,
                 figures.get("tries"));
     }
 
     @Test
-    void aServerOutByHandGetsNothingUntilItIsPutBack() throws Exception {
-        ScriptedPeer first = stage.server(answers("a"));
-        ScriptedPeer second = stage.server(answers("b"));
+    void bannedServerGetsNoRequestsUntilItIsPutBack() throws Exception {
+        ScriptedPeer first = fixture.server(respondWith("a"));
+        ScriptedPeer second = fixture.server(respondWith("b"));
         start();
-        assertEquals(200, door("POST", "/backends/s-1/maint").status());
-        assertEquals(200, door("POST", "/backends/s-1/maint").status());
-        long before = calls(first);
-        stage.news.add(AgentFixture.delta(1, AgentFixture.endpoint(1, first.address(), "Ready")));
+        assertEquals(200, request("POST", "/backends/s-1/maint").status());
+        assertEquals(200, request("POST", "/backends/s-1/maint").status());
+        long before = countCalls(first);
+        fixture.discoveryUpdates.add(AgentFixture.delta(1, AgentFixture.endpoint(1, first.address(), "Ready")));
         for (int i = 0; i < 10; i++) {
-            assertEquals("b", stage.call("lookup").text());
+            assertEquals("b", fixture.call("lookup").text());
         }
-        assertEquals(before, calls(first));
+        assertEquals(before, countCalls(first));
         assertEquals(1, stats().get("pool_ejected"));
-        assertEquals(200, door("POST", "/backends/s-1/ready").status());
+        assertEquals(200, request("POST", "/backends/s-1/ready").status());
         AgentFixture.await(() -> stats().get("pool_ejected") == 0);
-        assertEquals(200, door("POST", "/backends/s-2/maint").status());
+        assertEquals(200, request("POST", "/backends/s-2/maint").status());
         AgentFixture.await(() -> {
             try {
-                return "a".equals(stage.call("lookup").text());
+                return "a".equals(fixture.call("lookup").text());
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
         });
-        assertTrue(calls(second) > 0);
+        assertTrue(countCalls(second) > 0);
     }
 
-    /** The system takes on two connections for a server that accepts none; those after them wait to come up. */
-    private ServerSocket takesNone() throws IOException {
+    /** Returns a listener with a full backlog: the kernel completes two connections, and later ones stay pending. */
+    private ServerSocket listenerThatNeverAccepts() throws IOException {
         ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         for (int i = 0; i < 2; i++) {
             waiting.add(new Socket(InetAddress.getLoopbackAddress(), server.getLocalPort()));
@@ -198,31 +201,31 @@
     }
 
     @Test
-    void anAttemptThatWaitsForItsConnectionIsNotSentAfterABan() throws Exception {
-        stage.settings("caps", caps -> caps.put("dial-timeout-us", 5_000_000));
-        ServerSocket first = takesNone();
-        ((ArrayNode) stage.config.get("known").get("endpoints"))
+    void attemptWaitingForItsConnectionIsNotSentAfterABan() throws Exception {
+        fixture.settings("caps", caps -> caps.put("dial-timeout-us", 5_000_000));
+        ServerSocket first = listenerThatNeverAccepts();
+        ((ArrayNode) fixture.config.get("known").get("endpoints"))
                 .add(AgentFixture.endpoint(1, "127.0.0.1:" + first.getLocalPort(), "Ready"));
-        ScriptedPeer second = stage.peer(answers("b"));
+        ScriptedPeer second = fixture.peer(respondWith("b"));
         start();
-        Socket caller = stage.dial();
-        long begin = System.nanoTime();
-        ScriptedPeer.write(caller, stage.request("order", 8000, "body"));
+        Socket client = fixture.dial();
+        long startNanos = System.nanoTime();
+        ScriptedPeer.write(client, fixture.request("order", 8000, "body"));
         AgentFixture.await(() -> stats().get("active") == 1);
-        stage.news.add(AgentFixture.delta(1, AgentFixture.endpoint(2, second.address(), "Ready")));
+        fixture.discoveryUpdates.add(AgentFixture.delta(1, AgentFixture.endpoint(2, second.address(), "Ready")));
         AgentFixture.await(() -> stats().get("pool_size") == 2);
-        assertEquals(200, door("POST", "/backends/s-1/maint").status());
-        assertEquals("b", ScriptedPeer.read(caller.getInputStream()).text());
-        assertTrue(System.nanoTime() - begin < 4_000_000_000L, "it did not wait for its time to connect");
+        assertEquals(200, request("POST", "/backends/s-1/maint").status());
+        assertEquals("b", ScriptedPeer.read(client.getInputStream()).text());
+        assertTrue(System.nanoTime() - startNanos < 4_000_000_000L, "must not wait for the connect timeout");
         for (Socket each : waiting) {
             each.close();
         }
-        first.setSoTimeout(1500); // a connection attempt that was left would come up when there is room
+        first.setSoTimeout(1500); // an abandoned attempt would connect now that there is room
         try {
             for (int i = 0; i < 3; i++) {
-                Socket came = first.accept();
-                came.setSoTimeout(300);
-                assertEquals(-1, came.getInputStream().read(), "nothing is written there");
+                Socket accepted = first.accept();
+                accepted.setSoTimeout(300);
+                assertEquals(-1, accepted.getInputStream().read(), "no request is written to it");
             }
         } catch (SocketTimeoutException e) {
             assertTrue(true);
@@ -231,68 +234,69 @@
     }
 
     @Test
-    void aRepeatThatFallsDueAfterABanDoesNotGoThere() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        ScriptedPeer.Script fails = (message, socket) -> {
-            go.await();
-            ScriptedPeer.answer(socket, 500, "", "");
+    void retryDueAfterABanAvoidsTheBannedServer() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        ScriptedPeer.Script failWhenReleased = (message, socket) -> {
+            release.await();
+            ScriptedPeer.respond(socket, 500, "", "");
         };
-        stage.server(fails);
-        stage.server(fails);
+        fixture.server(failWhenReleased);
+        fixture.server(failWhenReleased);
         start();
-        Socket caller = stage.dial();
-        ScriptedPeer.write(caller, stage.request("lookup", 3000, ""));
-        AgentFixture.await(() -> calls(stage.servers.get(0)) + calls(stage.servers.get(1)) == 1);
-        int other = calls(stage.servers.get(0)) == 1 ? 1 : 0;
-        assertEquals(200, door("POST", "/backends/s-" + (other + 1) + "/maint").status());
-        go.countDown();
-        assertTrue(ScriptedPeer.read(caller.getInputStream()).status() >= 500);
-        assertEquals(0, calls(stage.servers.get(other)), "the repeat");
+        Socket client = fixture.dial();
+        ScriptedPeer.write(client, fixture.request("lookup", 3000, ""));
+        AgentFixture.await(() -> countCalls(fixture.servers.get(0)) + countCalls(fixture.servers.get(1)) == 1);
+        int other = countCalls(fixture.servers.get(0)) == 1 ? 1 : 0;
+        assertEquals(
+                200, request("POST", "/backends/s-" + (other + 1) + "/maint").status());
+        release.countDown();
+        assertTrue(ScriptedPeer.read(client.getInputStream()).status() >= 500);
+        assertEquals(0, countCalls(fixture.servers.get(other)), "the retry must not go to the banned server");
     }
 
-    /** A ban, and a file that is not whole, while two processes are there. */
+    /** A ban and a truncated configuration file while two processes run. */
     @Test
-    void aBanAndABrokenFileDuringAnUpgradeBindBothProcesses(@TempDir Path files) throws Exception {
-        stage.server(answers("a"));
-        stage.server(answers("b"));
-        stage.config.put("listen", "127.0.0.1:" + freePort());
+    void banAndBrokenFileDuringAnUpgradeApplyToBothProcesses(@TempDir Path files) throws Exception {
+        fixture.server(respondWith("a"));
+        fixture.server(respondWith("b"));
+        fixture.config.put("listen", "127.0.0.1:" + freePort());
         start();
-        Agent old = stage.agent;
+        Agent oldAgent = fixture.agent;
         start();
-        door(old, "POST", "/backends/s-2/maint");
+        request(oldAgent, "POST", "/backends/s-2/maint");
         Path file = files.resolve("config.json");
-        String whole = stage.config.toString();
+        String whole = fixture.config.toString();
         Files.writeString(file, whole.substring(0, whole.length() / 2));
         for (Agent each : agents) {
             each.reload(file, null);
-            AgentFixture.await(() -> door(each, "GET", "/stats").text().contains("config_rejected=1\n"));
-            AgentFixture.await(() -> door(each, "GET", "/stats").text().contains("pool_ejected=1\n"));
-            assertTrue(door(each, "GET", "/stats").text().contains("config_applied=0\n"));
+            AgentFixture.await(() -> request(each, "GET", "/stats").text().contains("config_rejected=1\n"));
+            AgentFixture.await(() -> request(each, "GET", "/stats").text().contains("pool_ejected=1\n"));
+            assertTrue(request(each, "GET", "/stats").text().contains("config_applied=0\n"));
         }
-        ScriptedPeer.daemon(old::stop);
-        old.awaitEnd();
+        ScriptedPeer.daemon(oldAgent::stop);
+        oldAgent.awaitTermination();
         for (int i = 0; i < 10; i++) {
-            assertEquals("a", stage.call("lookup").text());
+            assertEquals("a", fixture.call("lookup").text());
         }
         assertEquals(1, stats().get("pool_ejected"));
     }
 
-    /** It was told to end, and is killed before it has answered what it holds. */
+    /** The old process is stopping, and is killed before it has answered its open requests. */
     @Test
-    void theNewProcessServesOnWhenTheOldOneIsKilledInMidHandover(@TempDir Path files) throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        stage.server((message, socket) -> {
+    void newProcessKeepsServingWhenTheOldOneIsKilledDuringHandover(@TempDir Path files) throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        fixture.server((message, socket) -> {
             if (message.target().startsWith("/order")) {
-                go.await();
+                release.await();
             }
-            ScriptedPeer.answer(socket, 200, "", "a");
+            ScriptedPeer.respond(socket, 200, "", "a");
         });
-        stage.server(answers("b"));
+        fixture.server(respondWith("b"));
         int port = freePort();
         int management = freePort();
-        stage.config.put("listen", "127.0.0.1:" + port);
+        fixture.config.put("listen", "127.0.0.1:" + port);
         Path file = files.resolve("config.json");
-        Files.writeString(file, stage.config.toString());
+        Files.writeString(file, fixture.config.toString());
         ProcessBuilder program = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-Xmx48m",
@@ -305,75 +309,75 @@
         program.environment().put("RELAY_CONFIG", file.toString());
         program.environment().put("RELAY_MANAGEMENT", "127.0.0.1:" + management);
         program.environment().put("TMPDIR", shared.toString());
-        Process old = program.start();
+        Process oldAgent = program.start();
         try {
-            AgentFixture.await(() -> health(management) == 200);
-            try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), management)) {
-                ScriptedPeer.write(caller, "POST /backends/s-2/maint HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
-                assertEquals(200, ScriptedPeer.read(caller.getInputStream()).status());
+            AgentFixture.await(() -> healthStatus(management) == 200);
+            try (Socket client = new Socket(InetAddress.getLoopbackAddress(), management)) {
+                ScriptedPeer.write(client, "POST /backends/s-2/maint HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
+                assertEquals(200, ScriptedPeer.read(client.getInputStream()).status());
             }
             start();
             assertEquals(1, stats().get("pool_ejected"));
-            old.destroy();
-            AgentFixture.await(() -> health(management) != 200);
-            old.destroyForcibly().waitFor();
+            oldAgent.destroy();
+            AgentFixture.await(() -> healthStatus(management) != 200);
+            oldAgent.destroyForcibly().waitFor();
             for (int i = 0; i < 10; i++) {
-                assertEquals("a", stage.call("lookup").text());
+                assertEquals("a", fixture.call("lookup").text());
             }
-            // And it is the one to be taken over from now.
-            Agent second = stage.agent;
+            // A further process takes over from this one.
+            Agent second = fixture.agent;
             start();
             ScriptedPeer.daemon(second::stop);
-            second.awaitEnd();
-            assertEquals("a", stage.call("lookup").text());
+            second.awaitTermination();
+            assertEquals("a", fixture.call("lookup").text());
             assertEquals(1, stats().get("pool_ejected"));
         } finally {
-            go.countDown();
-            old.destroyForcibly();
+            release.countDown();
+            oldAgent.destroyForcibly();
         }
     }
 
-    private static int health(int management) {
-        try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), management)) {
-            ScriptedPeer.write(caller, "GET /healthcheck HTTP/1.1\r\nHost: a\r\n\r\n");
-            return ScriptedPeer.read(caller.getInputStream()).status();
+    private static int healthStatus(int management) {
+        try (Socket client = new Socket(InetAddress.getLoopbackAddress(), management)) {
+            ScriptedPeer.write(client, "GET /healthcheck HTTP/1.1\r\nHost: a\r\n\r\n");
+            return ScriptedPeer.read(client.getInputStream()).status();
         } catch (IOException e) {
             return -1;
         }
     }
 
-    /** The address is held by something that does not share it. */
+    /** The listen address is occupied by a socket that does not share it. */
     @Test
-    void aNewProcessThatCannotTakeOverEndsAndLeavesTheOldOneAlone() throws Exception {
-        stage.server(answers("a"));
-        try (ServerSocket held = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            ProcessHandover old = new ProcessHandover(shared, "old", line -> {});
-            stage.config.put("listen", "127.0.0.1:" + held.getLocalPort());
-            Agent fresh = Agent.start(Config.of(stage.config), shared);
-            fresh.awaitEnd();
-            assertTrue(fresh.failed());
-            fresh.stop(); // as the program's end does
-            assertFalse(old.followed());
-            old.close();
+    void newProcessThatCannotTakeOverEndsWithoutAffectingTheOldOne() throws Exception {
+        fixture.server(respondWith("a"));
+        try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            ProcessHandover oldAgent = new ProcessHandover(shared, "old", line -> {});
+            fixture.config.put("listen", "127.0.0.1:" + occupied.getLocalPort());
+            Agent newAgent = Agent.start(Config.of(fixture.config), shared);
+            newAgent.awaitTermination();
+            assertTrue(newAgent.failed());
+            newAgent.stop(); // as the program does on exit
+            assertFalse(oldAgent.followed());
+            oldAgent.close();
         }
     }
 
-    /** Callers at full speed on many connections, old and new ones; staff wait a second at the most. */
+    /** While clients send at full speed over many old and new connections, operators wait for at most a second. */
     @Test
-    void theDoorAnswersWhileTheLoopIsFlooded() throws Exception {
-        stage.server(answers("a"));
+    void managementEndpointAnswersUnderFullLoad() throws Exception {
+        fixture.server(respondWith("a"));
         start();
-        AtomicBoolean over = new AtomicBoolean();
+        AtomicBoolean finished = new AtomicBoolean();
         AtomicInteger served = new AtomicInteger();
         for (int i = 0; i < 24; i++) {
-            boolean keeps = i % 2 == 0;
+            boolean keepAlive = i % 2 == 0;
             ScriptedPeer.daemon(() -> {
                 Socket socket = null;
-                for (int n = 0; !over.get(); n++) {
-                    if (socket == null || !keeps) {
+                for (int n = 0; !finished.get(); n++) {
+                    if (socket == null || !keepAlive) {
                         socket = new Socket(
                                 InetAddress.getLoopbackAddress(),
-                                stage.agent.address().getPort());
+                                fixture.agent.address().getPort());
                     }
                     ScriptedPeer.write(
                             socket,
@@ -383,7 +387,7 @@
                     String connection =
                             ScriptedPeer.read(socket.getInputStream()).header("Connection");
                     served.incrementAndGet();
-                    if (!keeps || "close".equals(connection)) {
+                    if (!keepAlive || "close".equals(connection)) {
                         socket.close();
                         socket = null;
                     }
@@ -391,141 +395,144 @@
             });
         }
         AgentFixture.await(() -> served.get() > 1000);
-        long worst = 0;
+        long maxNanos = 0;
         for (int i = 0; i < 60; i++) {
-            long begin = System.nanoTime();
+            long startNanos = System.nanoTime();
             assertEquals(
-                    200, door("GET", i % 2 == 0 ? "/stats" : "/healthcheck").status());
-            worst = Math.max(worst, System.nanoTime() - begin);
+                    200, request("GET", i % 2 == 0 ? "/stats" : "/healthcheck").status());
+            maxNanos = Math.max(maxNanos, System.nanoTime() - startNanos);
         }
-        over.set(true);
-        assertTrue(worst < 1_000_000_000L, worst / 1_000_000 + " ms");
+        finished.set(true);
+        assertTrue(maxNanos < 1_000_000_000L, maxNanos / 1_000_000 + " ms");
     }
 
-    private static long calls(ScriptedPeer server) {
+    private static long countCalls(ScriptedPeer server) {
         return server.requests.stream()
                 .filter(each -> each.target().startsWith("/lookup"))
                 .count();
     }
 
-    /** A port that both processes are told, with something else on neither. */
+    /** Returns a port that is free for both processes. */
     private static int freePort() throws IOException {
-        try (ServerSocket some = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return some.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
         }
     }
 
     @Test
-    void aSecondProcessTakesOverWithItsBansAndEveryRequestIsAnswered() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        ScriptedPeer.Script holds = (message, socket) -> {
+    void secondProcessTakesOverWithTheBansAndEveryRequestIsAnswered() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        ScriptedPeer.Script serveWhenReleased = (message, socket) -> {
             if (message.target().startsWith("/order")) {
-                go.await();
+                release.await();
             }
-            ScriptedPeer.answer(socket, 200, "", "a");
+            ScriptedPeer.respond(socket, 200, "", "a");
         };
-        stage.server(holds);
-        stage.server(answers("b"));
-        stage.server(holds);
-        stage.config.put("listen", "127.0.0.1:" + freePort());
+        fixture.server(serveWhenReleased);
+        fixture.server(respondWith("b"));
+        fixture.server(serveWhenReleased);
+        fixture.config.put("listen", "127.0.0.1:" + freePort());
         start();
-        Agent old = stage.agent;
-        assertEquals(200, door("POST", "/backends/s-2/maint").status());
-        Socket held = stage.dial();
-        ScriptedPeer.write(held, stage.request("order", 8000, "body"));
-        AgentFixture.await(() -> stage.servers.stream().anyMatch(each -> each.requests.stream()
+        Agent oldAgent = fixture.agent;
+        assertEquals(200, request("POST", "/backends/s-2/maint").status());
+        Socket pending = fixture.dial();
+        ScriptedPeer.write(pending, fixture.request("order", 8000, "body"));
+        AgentFixture.await(() -> fixture.servers.stream().anyMatch(each -> each.requests.stream()
                 .anyMatch(m -> m.target().startsWith("/order"))));
-        Socket kept = stage.dial();
+        Socket idleClient = fixture.dial();
         assertEquals(
                 "a",
-                AgentFixture.exchange(kept, stage.request("lookup", 8000, "")).text());
+                AgentFixture.exchange(idleClient, fixture.request("lookup", 8000, ""))
+                        .text());
         start();
-        assertEquals(1, stats().get("pool_ejected"), "the ban holds in the new process");
-        // A ban at either door binds both.
-        door(old, "POST", "/backends/s-3/maint");
+        assertEquals(1, stats().get("pool_ejected"), "the ban applies in the new process");
+        // A ban received by either endpoint applies to both processes.
+        request(oldAgent, "POST", "/backends/s-3/maint");
         AgentFixture.await(() -> stats().get("pool_ejected") == 2);
-        door("POST", "/backends/s-3/ready");
-        AgentFixture.await(() -> door(old, "GET", "/stats").text().contains("pool_ejected=1\n"));
-        ScriptedPeer.daemon(old::stop);
-        AgentFixture.await(() -> door(old, "GET", "/healthcheck").status() == 503);
-        ScriptedPeer.Message last = AgentFixture.exchange(kept, stage.request("lookup", 8000, ""));
-        assertEquals("a", last.text());
-        assertEquals("close", last.header("Connection"), "a kept connection ends with its next answer");
+        request("POST", "/backends/s-3/ready");
+        AgentFixture.await(() -> request(oldAgent, "GET", "/stats").text().contains("pool_ejected=1\n"));
+        ScriptedPeer.daemon(oldAgent::stop);
+        AgentFixture.await(() -> request(oldAgent, "GET", "/healthcheck").status() == 503);
+        ScriptedPeer.Message lastResponse = AgentFixture.exchange(idleClient, fixture.request("lookup", 8000, ""));
+        assertEquals("a", lastResponse.text());
+        assertEquals("close", lastResponse.header("Connection"), "a kept connection is closed with its next response");
         for (int i = 0; i < 20; i++) {
-            assertEquals("a", stage.call("lookup").text());
+            assertEquals("a", fixture.call("lookup").text());
         }
-        go.countDown();
-        assertEquals("a", ScriptedPeer.read(held.getInputStream()).text());
-        old.awaitEnd();
-        assertEquals("a", stage.call("lookup").text());
-        assertEquals(1, stats().get("pool_ejected"), "and after the old process has ended");
+        release.countDown();
+        assertEquals("a", ScriptedPeer.read(pending.getInputStream()).text());
+        oldAgent.awaitTermination();
+        assertEquals("a", fixture.call("lookup").text());
+        assertEquals(1, stats().get("pool_ejected"), "the ban still applies after the old process has ended");
     }
 
-    /** A large answer goes on through the handover, and the process that took over is itself taken over from. */
+    /** A large response continues through a handover, and a third process takes over from the second. */
     @Test
-    void twoUpgradesInARowDuringALargeSlowAnswer() throws Exception {
-        byte[] piece = new byte[30_000];
-        stage.server((message, socket) -> {
+    void twoUpgradesInARowDuringALargeSlowResponse() throws Exception {
+        byte[] chunk = new byte[30_000];
+        fixture.server((message, socket) -> {
             if (message.target().startsWith("/order")) {
                 ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 1500000\r\n\r\n");
                 for (int i = 0; i < 50; i++) {
-                    socket.getOutputStream().write(piece);
+                    socket.getOutputStream().write(chunk);
                     Thread.sleep(100);
                 }
             } else {
-                ScriptedPeer.answer(socket, 200, "", "a");
+                ScriptedPeer.respond(socket, 200, "", "a");
             }
         });
-        stage.config.put("listen", "127.0.0.1:" + freePort());
+        fixture.config.put("listen", "127.0.0.1:" + freePort());
         start();
-        Agent first = stage.agent;
-        assertEquals(200, door("POST", "/backends/s-1/maint").status());
-        assertEquals(200, door("POST", "/backends/s-1/ready").status());
+        Agent first = fixture.agent;
+        assertEquals(200, request("POST", "/backends/s-1/maint").status());
+        assertEquals(200, request("POST", "/backends/s-1/ready").status());
         AgentFixture.await(() -> stats().get("pool_ejected") == 0);
-        Socket slow = stage.dial();
-        ScriptedPeer.write(slow, stage.request("order", 8000, "body"));
-        AgentFixture.await(() -> stage.arrived() > 0
+        Socket slow = fixture.dial();
+        ScriptedPeer.write(slow, fixture.request("order", 8000, "body"));
+        AgentFixture.await(() -> fixture.requestsReceived() > 0
                 && first.budget().of(gatefront.budget.ResourcePurpose.CALLS).entries() > 0);
         start();
-        Agent second = stage.agent;
+        Agent second = fixture.agent;
         ScriptedPeer.daemon(first::stop);
-        assertEquals("a", stage.call("lookup").text());
+        assertEquals("a", fixture.call("lookup").text());
         start();
         ScriptedPeer.daemon(second::stop);
-        assertEquals("a", stage.call("lookup").text());
+        assertEquals("a", fixture.call("lookup").text());
         assertEquals(1_500_000, ScriptedPeer.read(slow.getInputStream()).body().length);
-        long begin = System.nanoTime();
-        first.awaitEnd();
-        second.awaitEnd();
-        assertTrue(System.nanoTime() - begin < 5_000_000_000L, "both end once their last answer has been read");
-        assertEquals("a", stage.call("lookup").text());
+        long startNanos = System.nanoTime();
+        first.awaitTermination();
+        second.awaitTermination();
+        assertTrue(System.nanoTime() - startNanos < 5_000_000_000L, "both end once their last response has been read");
+        assertEquals("a", fixture.call("lookup").text());
     }
 
-    /** The new process that fails before its yes leaves the old one as it was. */
+    /** A new process that fails during its start does not affect the old one. */
     @Test
-    void theOldProcessServesOnWhenTheNewOneCannotStart() throws Exception {
-        stage.server(answers("a"));
-        stage.config.put("listen", "127.0.0.1:" + freePort());
+    void oldProcessKeepsServingWhenTheNewOneCannotStart() throws Exception {
+        fixture.server(respondWith("a"));
+        fixture.config.put("listen", "127.0.0.1:" + freePort());
         start();
-        int taken = stage.agent.management().getPort();
-        stage.config.put("management", "127.0.0.1:" + taken);
+        int occupiedPort = fixture.agent.managementAddress().getPort();
+        fixture.config.put("management", "127.0.0.1:" + occupiedPort);
         try {
-            Agent.start(Config.of(stage.config), shared);
-            throw new AssertionError("two doors at one address");
+            Agent.start(Config.of(fixture.config), shared);
+            throw new AssertionError("two management endpoints at one address");
         } catch (IOException e) {
             assertTrue(e.getMessage().startsWith("cannot listen on"), e.getMessage());
         }
-        assertEquals("a", stage.call("lookup").text());
-        assertEquals(200, door("GET", "/healthcheck").status());
-        // Nor does it think that somebody takes over: told to end it serves on, as before a restart.
-        Socket kept = stage.dial();
+        assertEquals("a", fixture.call("lookup").text());
+        assertEquals(200, request("GET", "/healthcheck").status());
+        // The old process must not assume a successor: when stopped, it keeps serving as before a restart.
+        Socket idleClient = fixture.dial();
         assertEquals(
                 "a",
-                AgentFixture.exchange(kept, stage.request("lookup", 8000, "")).text());
-        ScriptedPeer.daemon(stage.agent::stop);
-        AgentFixture.await(() -> door("GET", "/healthcheck").status() == 503);
+                AgentFixture.exchange(idleClient, fixture.request("lookup", 8000, ""))
+                        .text());
+        ScriptedPeer.daemon(fixture.agent::stop);
+        AgentFixture.await(() -> request("GET", "/healthcheck").status() == 503);
         assertEquals(
                 null,
-                AgentFixture.exchange(kept, stage.request("lookup", 8000, "")).header("Connection"));
+                AgentFixture.exchange(idleClient, fixture.request("lookup", 8000, ""))
+                        .header("Connection"));
     }
 }
--- a/src/test/java/gatefront/agent/RegistrySettingsReaderTest.java
+++ b/src/test/java/gatefront/agent/RegistrySettingsReaderTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The table of the registry: what is wrong is one line with file, line, key and what was meant. */
+/** Reading of the table [registry]; errors are one line with file, line, key and the expected value. */
 class RegistrySettingsReaderTest {
     private static final String GOOD =
             """
@@ -33,33 +33,33 @@
                 .registry();
     }
 
-    private static void wrong(String why, String text) {
+    private static void assertError(String why, String text) {
         String message = assertThrows(TomlException.class, () -> read(text)).getMessage();
         assertTrue(message.startsWith("x.toml:") && message.lines().count() == 1 && message.contains(why), message);
     }
 
     @Test
-    void whatIsSaidIsTakenAndTheRestIsUsual() throws Exception {
+    void givenValuesAreReadAndTheRestDefaulted() throws Exception {
         RegistrySettings settings = read(GOOD);
         assertEquals(RegistrySettings.Kind.ETCD, settings.kind());
         assertFalse(settings.instead());
         assertEquals(2_000_000, settings.bounds().ask());
         assertEquals(30_000_000, settings.bounds().stale());
         assertNull(settings.user());
-        assertNull(read(""), "no registry where there is no table");
+        assertNull(read(""), "no registry without the table");
         RegistrySettings consul =
                 read(GOOD.replace("etcd", "consul") + "padron = \"instead\"\nreads = \"consistent\"\n");
         assertTrue(consul.instead());
-        assertEquals(0, consul.bounds().ask(), "its reads end by themselves");
+        assertEquals(0, consul.bounds().ask(), "Consul ends its blocking reads itself");
     }
 
     @Test
-    void secretsStandInFilesOfTheirOwn() throws IOException, TomlException {
+    void secretsAreReadFromTheirOwnFiles() throws IOException, TomlException {
         Path secret = Files.writeString(folder.resolve("secret"), "clave\n");
         RegistrySettings settings = read(GOOD + "user = \"agente\"\npassword_file = \"" + secret + "\"\n");
         assertEquals("clave", settings.password());
         Files.writeString(secret, "two words");
-        wrong("is to hold one word", GOOD + "user = \"agente\"\npassword_file = \"" + secret + "\"\n");
+        assertError("must hold one word", GOOD + "user = \"agente\"\npassword_file = \"" + secret + "\"\n");
         String missing = assertThrows(
                         TomlException.class,
                         () -> read(GOOD + "user = \"agente\"\npassword_file = \"" + folder.resolve("none") + "\"\n"))
@@ -68,23 +68,25 @@
     }
 
     @Test
-    void whatIsWrongIsOneLine() {
-        wrong(
+    void errorsAreOneLine() {
+        assertError(
                 "x.toml:2: registry.kind: \"etcdd\" is none of etcd, consul; is \"etcd\" meant?",
                 GOOD.replace("etcd", "etcdd"));
-        wrong(
-                "x.toml:3: registry.endpoints: \"localhost:1\" is to be a literal address",
+        assertError(
+                "x.toml:3: registry.endpoints: \"localhost:1\" must be a literal address",
                 GOOD.replace("127.0.0.1:2379", "localhost:1"));
-        wrong("registry.endpoints: is missing", GOOD.replace("endpoints = [\"127.0.0.1:2379\"]", ""));
-        wrong("x.toml:4: registry.prefix: is to be words with a slash behind each", GOOD.replace("oaxaca/", "oaxaca"));
-        wrong("x.toml:5: registry.token_file: means nothing for etcd", GOOD + "token_file = \"x\"");
-        wrong("registry.password_file: is missing", GOOD + "user = \"x\"");
-        wrong("x.toml:5: registry.silence_s: is to be at least twice ask_s", GOOD + "silence_s = 3");
-        wrong("registry.stale_s: is to be at least silence_s", GOOD + "stale_s = 5");
-        wrong("x.toml:5: registry.reads: \"consistent\" is what etcd does", GOOD + "reads = \"consistent\"");
-        wrong(
-                "x.toml:5: registry.state_file: its folder /no/such is not there",
+        assertError("registry.endpoints: is missing", GOOD.replace("endpoints = [\"127.0.0.1:2379\"]", ""));
+        assertError(
+                "x.toml:4: registry.prefix: must be words that each end with a slash",
+                GOOD.replace("oaxaca/", "oaxaca"));
+        assertError("x.toml:5: registry.token_file: does not apply to etcd", GOOD + "token_file = \"x\"");
+        assertError("registry.password_file: is missing", GOOD + "user = \"x\"");
+        assertError("x.toml:5: registry.silence_s: must be at least twice ask_s", GOOD + "silence_s = 3");
+        assertError("registry.stale_s: must be at least silence_s", GOOD + "stale_s = 5");
+        assertError("x.toml:5: registry.reads: \"consistent\" is for Consul only", GOOD + "reads = \"consistent\"");
+        assertError(
+                "x.toml:5: registry.state_file: its folder /no/such does not exist",
                 GOOD + "state_file = \"/no/such/file\"");
-        wrong("x.toml:5: registry.keyz: is not known here; is \"keys\" meant?", GOOD + "keyz = 3");
+        assertError("x.toml:5: registry.keyz: is not known here; is \"keys\" meant?", GOOD + "keyz = 3");
     }
 }
--- a/src/test/java/gatefront/agent/RegistrySourceTest.java
+++ b/src/test/java/gatefront/agent/RegistrySourceTest.java
@@ -23,37 +23,37 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** An agent whose servers a registry lists, over loopback sockets. */
+/** An agent that takes its server list from a registry, over loopback sockets. */
 class RegistrySourceTest {
     @TempDir
     private Path folder;
 
-    private AgentFixture stage;
-    private SocketTransport sockets;
+    private AgentFixture fixture;
+    private SocketTransport transport;
     private final KeyValueStore keys = new KeyValueStore(1);
     private RegistryStandIn registry;
 
     @BeforeEach
-    void set() throws Exception {
-        stage = new AgentFixture();
-        sockets = new SocketTransport();
+    void setUp() throws Exception {
+        fixture = new AgentFixture();
+        transport = new SocketTransport();
     }
 
     @AfterEach
-    void end() throws Exception {
-        stage.close();
-        sockets.close(() -> {});
+    void tearDown() throws Exception {
+        fixture.close();
+        transport.close(() -> {});
     }
 
     private void serve(RegistrySettings.Kind kind) throws Exception {
         registry = kind == RegistrySettings.Kind.ETCD
-                ? new EtcdStandIn(sockets, () -> keys)
-                : new ConsulStandIn(sockets, () -> keys);
+                ? new EtcdStandIn(transport, () -> keys)
+                : new ConsulStandIn(transport, () -> keys);
         registry.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .sync();
     }
 
-    private Extensions extensions(RegistrySettings.Kind kind, String rest) throws TomlException {
+    private Extensions extensions(RegistrySettings.Kind kind, String settings) throws TomlException {
         return Extensions.parse(
                 "x.toml",
                 """
@@ -63,12 +63,13 @@
             prefix = "oaxaca/"
             %s
             """
-                        .formatted(kind.name().toLowerCase(), registry.address().getPort(), rest),
-                Config.of(stage.config));
+                        .formatted(kind.name().toLowerCase(), registry.address().getPort(), settings),
+                Config.of(fixture.config));
     }
 
     private void put(String key, ObjectNode value) throws Exception {
-        sockets.loop()
+        transport
+                .loop()
                 .submit(() -> {
                     if (value == null) {
                         keys.delete("oaxaca/" + key);
@@ -85,50 +86,52 @@
     }
 
     private ScriptedPeer peer() throws Exception {
-        return stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
+        return fixture.peer((message, socket) -> ScriptedPeer.respond(socket, 200, "", "served"));
     }
 
-    /** Requests go to one server alone, from soon after on. */
-    private void only(ScriptedPeer one, ScriptedPeer other) throws Exception {
+    /** Waits until all requests go to one server only. */
+    private void awaitOnlyServer(ScriptedPeer expected, ScriptedPeer other) throws Exception {
         AgentFixture.await(() -> {
             try {
                 int before = other.requests.size();
-                int sent = one.requests.size();
-                for (int i = 0; i < 40; i++) { // of two that may be drawn, both are, but for a chance in 2^40
-                    assertEquals(200, stage.call("lookup").status());
+                int sent = expected.requests.size();
+                for (int i = 0; i < 40; i++) { // if both were eligible, 40 of 40 to one has a chance of 2^-40
+                    assertEquals(200, fixture.call("lookup").status());
                 }
-                return other.requests.size() == before && one.requests.size() == sent + 40;
+                return other.requests.size() == before && expected.requests.size() == sent + 40;
             } catch (java.io.IOException e) {
                 return false;
             }
         });
     }
 
-    /** A limit holds at once, is lifted with its key, and one that cannot be read leaves the last good one. */
+    /**
+     * A limit applies at once and can be raised again; one that cannot be read leaves the last valid one in force.
+     */
     @ParameterizedTest
     @EnumSource(RegistrySettings.Kind.class)
-    void aClassOverItsLimitIsRefusedAndTheOthersAreServed(RegistrySettings.Kind kind) throws Exception {
+    void classOverItsLimitIsRefusedAndOthersAreServed(RegistrySettings.Kind kind) throws Exception {
         serve(kind);
         put("nodos/s-1", nodo(1, peer()));
-        stage.start(extensions(kind, "padron = \"instead\""));
-        assertEquals(200, stage.call("lookup").status());
-        put("policies/clases/lookup", stage.config.objectNode().put("v", 1).put("in_progress", 0));
+        fixture.start(extensions(kind, "padron = \"instead\""));
+        assertEquals(200, fixture.call("lookup").status());
+        put("policies/clases/lookup", fixture.config.objectNode().put("v", 1).put("in_progress", 0));
         AgentFixture.await(() -> status("lookup") == 503);
         assertEquals(200, status("order"));
-        put("policies/clases/lookup", stage.config.objectNode().put("v", 1).put("in_progress", "many"));
-        put("policies/clases/order", stage.config.objectNode().put("v", 1).put("in_progress", 0));
-        AgentFixture.await(() -> status("order") == 503); // so what came before it has been looked at
+        put("policies/clases/lookup", fixture.config.objectNode().put("v", 1).put("in_progress", "many"));
+        put("policies/clases/order", fixture.config.objectNode().put("v", 1).put("in_progress", 0));
+        AgentFixture.await(() -> status("order") == 503); // so the earlier change has been processed
         assertEquals(503, status("lookup"));
-        put("policies/clases/lookup", stage.config.objectNode().put("v", 1).put("in_progress", 1));
+        put("policies/clases/lookup", fixture.config.objectNode().put("v", 1).put("in_progress", 1));
         AgentFixture.await(() -> status("lookup") == 200);
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, status("lookup"), "the one before has ended");
+            assertEquals(200, status("lookup"), "the previous request has ended");
         }
     }
 
     private int status(String kind) {
         try {
-            return stage.call(kind).status();
+            return fixture.call(kind).status();
         } catch (java.io.IOException e) {
             throw new AssertionError(e);
         }
@@ -136,66 +139,67 @@
 
     @ParameterizedTest
     @EnumSource(RegistrySettings.Kind.class)
-    void whatTheRegistryListsIsUsedAndWhatItDrainsIsNot(RegistrySettings.Kind kind) throws Exception {
+    void listedServersAreUsedAndDrainingOnesAreNot(RegistrySettings.Kind kind) throws Exception {
         serve(kind);
         ScriptedPeer first = peer();
         ScriptedPeer second = peer();
         put("nodos/s-1", nodo(1, first));
         put("nodos/s-2", nodo(2, second));
-        stage.start(extensions(kind, "padron = \"instead\""));
+        fixture.start(extensions(kind, "padron = \"instead\""));
         for (int i = 0; i < 20; i++) {
-            assertEquals(200, stage.call("lookup").status());
+            assertEquals(200, fixture.call("lookup").status());
         }
         assertTrue(first.requests.size() > 0 && second.requests.size() > 0);
-        put("policies/nodos/s-1", stage.config.objectNode().put("drain", true));
-        only(second, first);
+        put("policies/nodos/s-1", fixture.config.objectNode().put("drain", true));
+        awaitOnlyServer(second, first);
         put("policies/nodos/s-1", null);
         put("nodos/s-2", null);
-        only(first, second);
-        // Of a version that is not understood, however well it reads: the last good one stays.
+        awaitOnlyServer(first, second);
+        // An entry of an unknown version is ignored even if it can be parsed: the last valid one stays.
         put("nodos/s-1", nodo(1, first).put("v", 2).put("status", "Terminating"));
-        put("policies/clases/order", stage.config.objectNode().put("v", 1).put("in_progress", 0));
-        AgentFixture.await(() -> status("order") == 503); // so what came before it has been looked at
-        assertEquals(200, stage.call("lookup").status());
-        assertEquals(0, stage.discovery.requests.size(), "the padrón is not asked");
+        put("policies/clases/order", fixture.config.objectNode().put("v", 1).put("in_progress", 0));
+        AgentFixture.await(() -> status("order") == 503); // so the earlier change has been processed
+        assertEquals(200, fixture.call("lookup").status());
+        assertEquals(0, fixture.discovery.requests.size(), "the padrón is not asked");
     }
 
     @Test
-    void besideThePadronTheWorseOfBothHolds() throws Exception {
+    void worseStateOfPadronAndRegistryApplies() throws Exception {
         serve(RegistrySettings.Kind.ETCD);
-        ScriptedPeer first = stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
-        ScriptedPeer second = stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
+        ScriptedPeer first = fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "served"));
+        ScriptedPeer second = fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "served"));
         put("nodos/s-1", nodo(1, first));
-        stage.start(extensions(RegistrySettings.Kind.ETCD, ""));
+        fixture.start(extensions(RegistrySettings.Kind.ETCD, ""));
         for (int i = 0; i < 20; i++) {
-            assertEquals(200, stage.call("lookup").status());
+            assertEquals(200, fixture.call("lookup").status());
         }
         assertTrue(first.requests.size() > 0 && second.requests.size() > 0);
-        put("nodos/s-1", null); // the padrón lists it still
-        only(second, first);
+        put("nodos/s-1", null); // still listed by the padrón
+        awaitOnlyServer(second, first);
     }
 
     @Test
-    void aRegistryThatIsDownAtTheStartLeavesWhatIsOnTheDisk() throws Exception {
+    void stateFileIsUsedWhileTheRegistryIsDownAtStart() throws Exception {
         serve(RegistrySettings.Kind.ETCD);
         ScriptedPeer first = peer();
         put("nodos/s-1", nodo(1, first));
         Path state = folder.resolve("state");
-        String rest = "padron = \"instead\"\nstate_file = \"" + state + "\"";
-        stage.start(extensions(RegistrySettings.Kind.ETCD, rest));
-        assertEquals(200, stage.call("lookup").status());
+        String settings = "padron = \"instead\"\nstate_file = \"" + state + "\"";
+        fixture.start(extensions(RegistrySettings.Kind.ETCD, settings));
+        assertEquals(200, fixture.call("lookup").status());
         AgentFixture.await(() -> Files.exists(state));
-        stage.agent.stop();
+        fixture.agent.stop();
         int port = registry.address().getPort();
-        sockets.loop().submit(() -> registry.down(true, null)).sync();
-        stage.start(extensions(RegistrySettings.Kind.ETCD, rest));
-        assertEquals(200, stage.call("lookup").status());
+        transport.loop().submit(() -> registry.down(true, null)).sync();
+        fixture.start(extensions(RegistrySettings.Kind.ETCD, settings));
+        assertEquals(200, fixture.call("lookup").status());
         ScriptedPeer second = peer();
         put("nodos/s-2", nodo(2, second));
         put("nodos/s-1", null);
-        sockets.loop()
+        transport
+                .loop()
                 .submit(() -> registry.down(false, new InetSocketAddress(InetAddress.getLoopbackAddress(), port)))
                 .sync();
-        only(second, first);
+        awaitOnlyServer(second, first);
     }
 }
