--- a/src/test/java/gatefront/agent/ReloadTest.java
+++ b/src/test/java/gatefront/agent/ReloadTest.java
@@ -19,36 +19,36 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A new configuration under way, over loopback sockets. */
+/** Reloading the configuration at run time, over loopback sockets. */
 class ReloadTest {
     @TempDir
     private Path dir;
 
-    private AgentFixture stage;
+    private AgentFixture fixture;
     private Path file;
 
     @BeforeEach
-    void set() throws IOException {
-        stage = new AgentFixture();
+    void setUp() throws IOException {
+        fixture = new AgentFixture();
         file = dir.resolve("config.json");
     }
 
     @AfterEach
-    void strike() throws IOException {
-        stage.close();
+    void tearDown() throws IOException {
+        fixture.close();
     }
 
-    /** The file as it is, but with discovery elsewhere. */
-    private void write(String discovery) throws IOException {
-        ObjectNode copy = stage.config.deepCopy();
+    /** Writes the current configuration with another address of discovery. */
+    private void writeConfig(String discovery) throws IOException {
+        ObjectNode copy = fixture.config.deepCopy();
         Files.writeString(file, copy.put("discovery", discovery).toString());
     }
 
-    /** Another discovery that lists this one server and then has no news; it notes the calls. */
+    /** Creates another discovery that lists only this server and then has no changes; it records the calls. */
     private ScriptedPeer discoveryOf(ScriptedPeer server) throws IOException {
-        return stage.peer((message, socket) -> {
+        return fixture.peer((message, socket) -> {
             if (!message.target().contains("since")) {
-                ScriptedPeer.answer(
+                ScriptedPeer.respond(
                         socket,
                         200,
                         "",
@@ -58,200 +58,211 @@
         });
     }
 
-    private static List<String> asked(ScriptedPeer discovery) {
+    private static List<String> discoveryCalls(ScriptedPeer discovery) {
         return discovery.requests.stream().map(ScriptedPeer.Message::target).toList();
     }
 
     @Test
-    void theWholeListIsFetchedAtTheNewAddressAndNoRequestIsDisturbed() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        ScriptedPeer old = stage.server((message, socket) -> {
-            go.await();
-            ScriptedPeer.answer(socket, 200, "", "old");
+    void fullListIsFetchedAtTheNewAddressWithoutDisturbingRequests() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        ScriptedPeer oldServer = fixture.server((message, socket) -> {
+            release.await();
+            ScriptedPeer.respond(socket, 200, "", "old");
         });
-        ScriptedPeer fresh = stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
-        ScriptedPeer other = discoveryOf(fresh);
-        stage.start();
-        Socket held = stage.dial();
-        ScriptedPeer.write(held, stage.request("order", 8000, "body"));
-        AgentFixture.await(() -> old.requests.size() == 1);
-        write(other.address());
-        for (int i = 0; i < 5; i++) { // several in a row do no more than one
-            stage.agent.reload(file, null);
+        ScriptedPeer newServer = fixture.peer((message, socket) -> ScriptedPeer.respond(socket, 200, "", "new"));
+        ScriptedPeer newDiscovery = discoveryOf(newServer);
+        fixture.start();
+        Socket pending = fixture.dial();
+        ScriptedPeer.write(pending, fixture.request("order", 8000, "body"));
+        AgentFixture.await(() -> oldServer.requests.size() == 1);
+        writeConfig(newDiscovery.address());
+        for (int i = 0; i < 5; i++) { // repeated reloads have the effect of one
+            fixture.agent.reload(file, null);
         }
-        AgentFixture.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
-        assertEquals("/v1/servers", asked(other).get(0));
+        AgentFixture.await(() -> discoveryCalls(newDiscovery).stream().anyMatch(each -> each.contains("since=1&")));
+        assertEquals("/v1/servers", discoveryCalls(newDiscovery).get(0));
         assertEquals(
                 1,
-                asked(other).stream().filter(each -> each.equals("/v1/servers")).count());
+                discoveryCalls(newDiscovery).stream()
+                        .filter(each -> each.equals("/v1/servers"))
+                        .count());
         for (int i = 0; i < 5; i++) {
-            assertEquals("new", stage.call("order").text(), "the new list is the whole list");
+            assertEquals("new", fixture.call("order").text(), "the new list replaces the old one");
         }
-        go.countDown();
-        assertEquals("old", ScriptedPeer.read(held.getInputStream()).text());
+        release.countDown();
+        assertEquals("old", ScriptedPeer.read(pending.getInputStream()).text());
     }
 
     /** Guards against an agent without servers while the new discovery is not up yet. */
     @Test
-    void theOldListStaysUntilTheNewOneComes() throws Exception {
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
-        ScriptedPeer fresh = stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
-        ScriptedPeer up = discoveryOf(fresh);
-        ScriptedPeer down = stage.peer((message, socket) -> ScriptedPeer.reset(socket));
-        stage.start();
-        write(down.address());
-        stage.agent.reload(file, null);
-        AgentFixture.await(() -> down.requests.size() >= 2);
-        assertEquals("old", stage.call("lookup").text());
-        write(up.address());
-        stage.agent.reload(file, null);
-        AgentFixture.await(() -> asked(up).stream().anyMatch(each -> each.contains("since=1&")));
-        assertEquals("new", stage.call("lookup").text());
+    void oldListIsUsedUntilTheNewOneArrives() throws Exception {
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "old"));
+        ScriptedPeer newServer = fixture.peer((message, socket) -> ScriptedPeer.respond(socket, 200, "", "new"));
+        ScriptedPeer newDiscovery = discoveryOf(newServer);
+        ScriptedPeer unreachableDiscovery = fixture.peer((message, socket) -> ScriptedPeer.reset(socket));
+        fixture.start();
+        writeConfig(unreachableDiscovery.address());
+        fixture.agent.reload(file, null);
+        AgentFixture.await(() -> unreachableDiscovery.requests.size() >= 2);
+        assertEquals("old", fixture.call("lookup").text());
+        writeConfig(newDiscovery.address());
+        fixture.agent.reload(file, null);
+        AgentFixture.await(() -> discoveryCalls(newDiscovery).stream().anyMatch(each -> each.contains("since=1&")));
+        assertEquals("new", fixture.call("lookup").text());
     }
 
     @Test
-    void anUnusableFileChangesNothing() throws Exception {
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
-        stage.start();
+    void unusableFileChangesNothing() throws Exception {
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "old"));
+        fixture.start();
         for (String text : List.of("", "{", "{}", "{\"discovery\":\"nowhere\"}")) {
             Files.writeString(file, text);
-            stage.agent.reload(file, null);
+            fixture.agent.reload(file, null);
         }
-        stage.agent.reload(dir.resolve("missing"), null);
-        int before = stage.discovery.requests.size();
-        stage.news.add(AgentFixture.delta(1, AgentFixture.endpoint(2, "127.0.0.1:9", "Terminating")));
-        AgentFixture.await(() -> stage.discovery.requests.size() > before);
-        assertEquals("old", stage.call("lookup").text());
+        fixture.agent.reload(dir.resolve("missing"), null);
+        int before = fixture.discovery.requests.size();
+        fixture.discoveryUpdates.add(AgentFixture.delta(1, AgentFixture.endpoint(2, "127.0.0.1:9", "Terminating")));
+        AgentFixture.await(() -> fixture.discovery.requests.size() > before);
+        assertEquals("old", fixture.call("lookup").text());
     }
 
-    /** Guards against the signal's usual effect, which is the end of the JVM, also while it ends in order. */
+    /**
+     * Guards against the default action of the signal, which terminates the JVM, also during a graceful shutdown.
+     */
     @Test
-    void theProgramLivesThroughSighupsAndEndsOnSigterm() throws Exception {
-        ScriptedPeer old = stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
-        ScriptedPeer other = discoveryOf(old);
-        write(stage.discovery.address());
-        Process process = program("-Xmx48m");
+    void programSurvivesSighupAndEndsOnSigterm() throws Exception {
+        ScriptedPeer oldServer = fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "old"));
+        ScriptedPeer newDiscovery = discoveryOf(oldServer);
+        writeConfig(fixture.discovery.address());
+        Process process = startProgram("-Xmx48m");
         try {
-            AgentFixture.await(() -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
-            write(other.address());
+            AgentFixture.await(
+                    () -> discoveryCalls(fixture.discovery).stream().anyMatch(each -> each.contains("since")));
+            writeConfig(newDiscovery.address());
             signal(process, "HUP");
-            AgentFixture.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
+            AgentFixture.await(() -> discoveryCalls(newDiscovery).stream().anyMatch(each -> each.contains("since=1&")));
             assertTrue(process.isAlive());
             signal(process, "TERM");
             for (int i = 0; i < 3; i++) {
                 signal(process, "HUP");
             }
-            assertTrue(process.waitFor(AgentFixture.GENEROUS_MS, TimeUnit.MILLISECONDS));
+            assertTrue(process.waitFor(AgentFixture.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, process.exitValue());
         } finally {
             process.destroyForcibly();
         }
     }
 
-    /** A padrón that says nothing must not keep a process that is asked to end, nor make its end a failure. */
+    /** A padrón that does not answer must neither delay the shutdown of a process nor make it exit with an error. */
     @Test
-    void theProgramEndsInOrderWhileItsFirstListIsAwaited() throws Exception {
-        ScriptedPeer silent = stage.peer((message, socket) -> {});
-        write(silent.address());
-        Process process = program("-Xmx48m");
+    void programStopsCleanlyWhileItsFirstListIsAwaited() throws Exception {
+        ScriptedPeer silentDiscovery = fixture.peer((message, socket) -> {});
+        writeConfig(silentDiscovery.address());
+        Process process = startProgram("-Xmx48m");
         try {
-            AgentFixture.await(() -> !silent.requests.isEmpty());
+            AgentFixture.await(() -> !silentDiscovery.requests.isEmpty());
             signal(process, "TERM");
-            assertTrue(process.waitFor(AgentFixture.GENEROUS_MS, TimeUnit.MILLISECONDS));
+            assertTrue(process.waitFor(AgentFixture.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, process.exitValue());
         } finally {
             process.destroyForcibly();
         }
     }
 
-    /** Discovery moves before its first answer has come. */
+    /** The address of discovery changes before its first response has arrived. */
     @Test
-    void theProgramTakesItsFirstListFromWhereDiscoveryHasMoved() throws Exception {
-        ScriptedPeer silent = stage.peer((message, socket) -> {});
-        ScriptedPeer other = discoveryOf(stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new")));
-        write(silent.address());
-        Process process = program("-Xmx48m");
+    void firstListIsFetchedFromTheReloadedDiscoveryAddress() throws Exception {
+        ScriptedPeer silentDiscovery = fixture.peer((message, socket) -> {});
+        ScriptedPeer newDiscovery =
+                discoveryOf(fixture.peer((message, socket) -> ScriptedPeer.respond(socket, 200, "", "new")));
+        writeConfig(silentDiscovery.address());
+        Process process = startProgram("-Xmx48m");
         try {
-            AgentFixture.await(() -> !silent.requests.isEmpty());
-            write(other.address());
+            AgentFixture.await(() -> !silentDiscovery.requests.isEmpty());
+            writeConfig(newDiscovery.address());
             signal(process, "HUP");
-            AgentFixture.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
+            AgentFixture.await(() -> discoveryCalls(newDiscovery).stream().anyMatch(each -> each.contains("since=1&")));
             assertTrue(process.isAlive());
         } finally {
             process.destroyForcibly();
         }
     }
 
-    /** Discovery moves in the middle of a restart: whoever still comes is served by the new list. */
+    /** The address of discovery changes during a shutdown: requests that still arrive are served by the new list. */
     @Test
-    void anAgentToldToEndFollowsDiscoveryWhileItServesOn() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        ScriptedPeer old = stage.server((message, socket) -> {
-            go.await();
-            ScriptedPeer.answer(socket, 200, "", "old");
+    void stoppingAgentFollowsAReloadedDiscoveryAddress() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        ScriptedPeer oldServer = fixture.server((message, socket) -> {
+            release.await();
+            ScriptedPeer.respond(socket, 200, "", "old");
         });
-        ScriptedPeer other = discoveryOf(stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new")));
-        stage.start();
-        Socket held = stage.dial();
-        ScriptedPeer.write(held, stage.request("order", 8000, "body"));
-        AgentFixture.await(() -> old.requests.size() == 1);
-        Thread ending = ScriptedPeer.daemon(stage.agent::stop);
-        write(other.address());
-        stage.agent.reload(file, null);
-        AgentFixture.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
-        assertEquals("new", stage.call("lookup").text());
-        go.countDown();
-        assertEquals("old", ScriptedPeer.read(held.getInputStream()).text());
-        ending.join(AgentFixture.GENEROUS_MS);
-        assertFalse(ending.isAlive());
+        ScriptedPeer newDiscovery =
+                discoveryOf(fixture.peer((message, socket) -> ScriptedPeer.respond(socket, 200, "", "new")));
+        fixture.start();
+        Socket pending = fixture.dial();
+        ScriptedPeer.write(pending, fixture.request("order", 8000, "body"));
+        AgentFixture.await(() -> oldServer.requests.size() == 1);
+        Thread stopping = ScriptedPeer.daemon(fixture.agent::stop);
+        writeConfig(newDiscovery.address());
+        fixture.agent.reload(file, null);
+        AgentFixture.await(() -> discoveryCalls(newDiscovery).stream().anyMatch(each -> each.contains("since=1&")));
+        assertEquals("new", fixture.call("lookup").text());
+        release.countDown();
+        assertEquals("old", ScriptedPeer.read(pending.getInputStream()).text());
+        stopping.join(AgentFixture.TIMEOUT_MS);
+        assertFalse(stopping.isAlive());
     }
 
     /**
-     * Guards against a start that takes its time over what serves no request: making the library's mapper or
-     * code for concatenations is a quarter of it on a part of a core, and nobody is served meanwhile.
+     * Guards against slow start-up work that serves no request: creating Jackson's ObjectMapper or the code for string
+     * concatenation takes a quarter of the start on a fraction of a core.
      */
     @Test
-    void theStartLoadsNothingThatTakesLongToSetUp() throws Exception {
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", ""));
-        write(stage.discovery.address());
-        Process process = program("-Xlog:class+load");
+    void startLoadsNoSlowClasses() throws Exception {
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", ""));
+        writeConfig(fixture.discovery.address());
+        Process process = startProgram("-Xlog:class+load");
         try {
-            AgentFixture.await(() -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
+            AgentFixture.await(
+                    () -> discoveryCalls(fixture.discovery).stream().anyMatch(each -> each.contains("since")));
             signal(process, "TERM");
-            assertTrue(process.waitFor(AgentFixture.GENEROUS_MS, TimeUnit.MILLISECONDS));
+            assertTrue(process.waitFor(AgentFixture.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             String loaded = Files.readString(dir.resolve("log"));
             assertTrue(loaded.contains(" gatefront.padron.Discovery$Answers "));
             assertFalse(loaded.contains(" com.fasterxml.jackson.databind.ObjectMapper "));
             try (InputStream code = gatefront.config.Config.class.getResourceAsStream("Config.class")) {
                 String text = new String(code.readAllBytes(), StandardCharsets.ISO_8859_1);
-                assertFalse(text.contains("makeConcatWithConstants"), "concatenations are made by the compiler");
+                assertFalse(text.contains("makeConcatWithConstants"), "string concatenation must be compiled inline");
             }
         } finally {
             process.destroyForcibly();
         }
     }
 
-    /** Guards against a reload that never comes and that nobody misses: under nohup SIGHUP is ignored. */
+    /** Guards against reloads that silently never happen: under nohup, SIGHUP is ignored. */
     @Test
-    void theProgramSaysWhenSighupCannotReachIt() throws Exception {
-        write(stage.discovery.address());
-        Process process = program("-Xmx48m", "--ignore-signal=HUP");
+    void programReportsThatSighupIsIgnored() throws Exception {
+        writeConfig(fixture.discovery.address());
+        Process process = startProgram("-Xmx48m", "--ignore-signal=HUP");
         try {
-            AgentFixture.await(() -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
+            AgentFixture.await(
+                    () -> discoveryCalls(fixture.discovery).stream().anyMatch(each -> each.contains("since")));
             signal(process, "TERM");
-            assertTrue(process.waitFor(AgentFixture.GENEROUS_MS, TimeUnit.MILLISECONDS));
+            assertTrue(process.waitFor(AgentFixture.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertTrue(Files.readString(dir.resolve("log")).contains("reload: SIGHUP is ignored here"));
         } finally {
             process.destroyForcibly();
         }
     }
 
-    /** With SIGHUP as a service has it, whatever ran the tests. */
-    private Process program(String option) throws IOException {
-        return program(option, "--default-signal=HUP");
+    /**
+     * Starts the program with the default action for SIGHUP, as a service has it, whatever the test runner has set.
+     */
+    private Process startProgram(String option) throws IOException {
+        return startProgram(option, "--default-signal=HUP");
     }
 
-    private Process program(String option, String signals) throws IOException {
+    private Process startProgram(String option, String signals) throws IOException {
         ProcessBuilder program = new ProcessBuilder(
                         "env",
                         signals,
--- a/src/test/java/gatefront/agent/ScriptedPeer.java
+++ b/src/test/java/gatefront/agent/ScriptedPeer.java
@@ -14,25 +14,25 @@
 import java.util.TreeMap;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A small peer on a loopback port that does with each message what the test's script says. */
+/** A peer on a loopback port that handles each message by the test's script. */
 final class ScriptedPeer implements Closeable {
-    /** What to do with a message; returning without an answer leaves the peer silent. */
+    /** Handles a message; if it returns without a response, the peer stays silent. */
     interface Script {
         void handle(Message message, Socket socket) throws Exception;
     }
 
-    /** One HTTP message as it stood on the wire. */
-    record Message(String first, Map<String, String> headers, byte[] body) {
+    /** An HTTP message as it was on the wire. */
+    record Message(String startLine, Map<String, String> headers, byte[] body) {
         String header(String name) {
             return headers.get(name);
         }
 
         int status() {
-            return Integer.parseInt(first.split(" ")[1]);
+            return Integer.parseInt(startLine.split(" ")[1]);
         }
 
         String target() {
-            return first.split(" ")[1];
+            return startLine.split(" ")[1];
         }
 
         String text() {
@@ -41,12 +41,12 @@
     }
 
     final ServerSocket listener;
-    /** All requests but health checks, in the order of their arrival. */
+    /** All requests except health checks, in order of arrival. */
     final List<Message> requests = new CopyOnWriteArrayList<>();
 
     final List<Socket> sockets = new CopyOnWriteArrayList<>();
-    /** Connections that the other side has ended. */
-    final List<Socket> ended = new CopyOnWriteArrayList<>();
+    /** Connections that the other side has closed. */
+    final List<Socket> closedByPeer = new CopyOnWriteArrayList<>();
 
     private final Script script;
 
@@ -78,7 +78,7 @@
                 script.handle(message, socket);
             }
         } finally {
-            ended.add(socket);
+            closedByPeer.add(socket);
         }
     }
 
@@ -90,13 +90,13 @@
         }
     }
 
-    /** Something that runs on a thread of its own and may fail when its sockets close. */
+    /** A task that runs on its own thread and may fail when its sockets are closed. */
     interface Task {
         void run() throws Exception;
     }
 
-    /** What is done with a connection. */
-    interface Serving {
+    /** Handles a connection. */
+    interface ConnectionHandler {
         void run(Socket socket) throws Exception;
     }
 
@@ -105,7 +105,7 @@
             try {
                 task.run();
             } catch (Exception e) {
-                // the sockets have been closed
+                // expected when the sockets are closed
             }
         });
         thread.setDaemon(true);
@@ -118,36 +118,36 @@
         socket.getOutputStream().flush();
     }
 
-    /** An answer with a body. */
-    static void answer(Socket socket, int status, String headers, String body) throws IOException {
+    /** Writes a response with a body. */
+    static void respond(Socket socket, int status, String headers, String body) throws IOException {
         write(
                 socket,
                 "HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    /** Ends a connection with a reset. */
+    /** Closes a connection with a reset. */
     static void reset(Socket socket) throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
     }
 
-    /** Reads one message; EOFException where the connection ends first. */
+    /** Reads one message; throws EOFException if the connection ends first. */
     static Message read(InputStream in) throws IOException {
-        String first = line(in);
+        String startLine = line(in);
         Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
         for (String line = line(in); !line.isEmpty(); line = line(in)) {
             int colon = line.indexOf(':');
             headers.put(line.substring(0, colon), line.substring(colon + 1).trim());
         }
         if ("chunked".equals(headers.get("Transfer-Encoding"))) {
-            return new Message(first, headers, chunks(in));
+            return new Message(startLine, headers, chunks(in));
         }
         int length = Integer.parseInt(headers.getOrDefault("Content-Length", "0"));
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
             throw new EOFException();
         }
-        return new Message(first, headers, body);
+        return new Message(startLine, headers, body);
     }
 
     private static byte[] chunks(InputStream in) throws IOException {
--- a/src/test/java/gatefront/agent/SettingsReloadTest.java
+++ b/src/test/java/gatefront/agent/SettingsReloadTest.java
@@ -22,39 +22,39 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Settings that change on SIGHUP, over loopback sockets; and files that are not whole. */
+/** Settings that change on a reload, over loopback sockets, and truncated files. */
 class SettingsReloadTest {
     @TempDir
     private Path dir;
 
-    private AgentFixture stage;
+    private AgentFixture fixture;
     private Path file;
-    private final CountDownLatch go = new CountDownLatch(1);
-    /** How often the module was told of other settings. */
-    private final AtomicInteger told = new AtomicInteger();
+    private final CountDownLatch release = new CountDownLatch(1);
+    /** Number of times that the balancer received new settings. */
+    private final AtomicInteger settingsChanges = new AtomicInteger();
 
     @BeforeEach
-    void set() throws IOException {
-        stage = new AgentFixture();
-        stage.config.put("management", "127.0.0.1:0");
+    void setUp() throws IOException {
+        fixture = new AgentFixture();
+        fixture.config.put("management", "127.0.0.1:0");
         file = dir.resolve("config.json");
-        stage.server((message, socket) -> {
+        fixture.server((message, socket) -> {
             if (message.target().contains("held")) {
-                go.await();
+                release.await();
             }
-            ScriptedPeer.answer(socket, 200, "", "served");
+            ScriptedPeer.respond(socket, 200, "", "served");
         });
-        stage.start(stage.overheard((event, details) -> {
+        fixture.start(fixture.interceptedBalancer((event, details) -> {
             if (event.equals("settings")) {
-                told.incrementAndGet();
+                settingsChanges.incrementAndGet();
             }
         }));
     }
 
     @AfterEach
-    void strike() throws IOException {
-        go.countDown();
-        stage.close();
+    void tearDown() throws IOException {
+        release.countDown();
+        fixture.close();
     }
 
     private static ArrayNode classes(ObjectNode config) {
@@ -63,20 +63,21 @@
 
     private void reload(String text) throws IOException {
         Files.writeString(file, text);
-        long before = figure("config_applied") + figure("config_rejected");
-        stage.agent.reload(file, null);
-        AgentFixture.await(() -> figure("config_applied") + figure("config_rejected") == before + 1);
+        long before = statistic("config_applied") + statistic("config_rejected");
+        fixture.agent.reload(file, null);
+        AgentFixture.await(() -> statistic("config_applied") + statistic("config_rejected") == before + 1);
     }
 
     private void reload(Consumer<ObjectNode> change) throws IOException {
-        ObjectNode copy = stage.config.deepCopy();
+        ObjectNode copy = fixture.config.deepCopy();
         change.accept(copy);
         reload(copy.toString());
     }
 
     private String stats() {
         try (Socket socket = new Socket(
-                InetAddress.getLoopbackAddress(), stage.agent.management().getPort())) {
+                InetAddress.getLoopbackAddress(),
+                fixture.agent.managementAddress().getPort())) {
             ScriptedPeer.write(socket, "GET /stats HTTP/1.1\r\nHost: a\r\n\r\n");
             return ScriptedPeer.read(socket.getInputStream()).text();
         } catch (IOException e) {
@@ -84,7 +85,7 @@
         }
     }
 
-    private long figure(String name) {
+    private long statistic(String name) {
         return stats().lines()
                 .filter(line -> line.startsWith(name + "="))
                 .mapToLong(line -> Long.parseLong(line.substring(name.length() + 1)))
@@ -94,12 +95,12 @@
 
     private int status(String type) throws IOException {
         return AgentFixture.exchange(
-                        stage.dial(), stage.request("order", 8000, "body").replace("order", type))
+                        fixture.dial(), fixture.request("order", 8000, "body").replace("order", type))
                 .status();
     }
 
     @Test
-    void aClassIsAddedAndAnotherDroppedUnderItsNumber() throws Exception {
+    void classIsAddedAndAnotherDroppedKeepingItsNumber() throws Exception {
         assertEquals(400, status("extra"));
         assertEquals(200, status("order"));
         reload(config -> {
@@ -107,44 +108,47 @@
             ObjectNode extra = classes.get(2).deepCopy();
             JsonNode first = classes.remove(0);
             classes.insert(0, extra.put("name", "extra"));
-            classes.add(first); // another order besides
+            classes.add(first); // the order of the classes changes, too
         });
         assertEquals(200, status("extra"));
         assertEquals(200, status("order"));
         reload(config -> classes(config).remove(2));
         assertEquals(400, status("order"));
         assertEquals(400, status("extra"));
-        assertEquals(200, stage.call("lookup").status());
-        assertEquals(2, told.get());
-        assertEquals(2, figure("ok.order"), "counts of a dropped class stay");
-        assertEquals(1, figure("ok.extra"));
-        assertEquals(1, figure("ok.lookup"));
+        assertEquals(200, fixture.call("lookup").status());
+        assertEquals(2, settingsChanges.get());
+        assertEquals(2, statistic("ok.order"), "the counters of a dropped class are kept");
+        assertEquals(1, statistic("ok.extra"));
+        assertEquals(1, statistic("ok.lookup"));
         reload(config -> {});
         assertEquals(200, status("order"));
-        assertEquals(3, figure("ok.order"), "a name keeps its number");
+        assertEquals(3, statistic("ok.order"), "a name keeps its number");
     }
 
     @Test
-    void anOpenRequestKeepsItsClassAndOthersHaveTheNewOne() throws Exception {
-        Socket held = stage.dial();
-        ScriptedPeer.write(held, stage.request("order", 8000, "body").replace("?q=1", "?held"));
-        AgentFixture.await(() -> stage.arrived() > 0
-                && stage.servers.get(0).requests.stream()
+    void openRequestKeepsItsClassWhileOthersUseTheNewOne() throws Exception {
+        Socket pending = fixture.dial();
+        ScriptedPeer.write(pending, fixture.request("order", 8000, "body").replace("?q=1", "?held"));
+        AgentFixture.await(() -> fixture.requestsReceived() > 0
+                && fixture.servers.get(0).requests.stream()
                         .anyMatch(each -> each.target().contains("held")));
         reload(config -> ((ObjectNode) classes(config).get(2)).put("semantics", "safe"));
-        assertEquals(400, stage.call("order").status(), "a POST is no form of a safe class");
-        String get = stage.request("lookup", 8000, "").replace("lookup", "order");
-        assertEquals(200, AgentFixture.exchange(stage.dial(), get).status());
-        go.countDown();
-        assertEquals(200, ScriptedPeer.read(held.getInputStream()).status());
+        assertEquals(400, fixture.call("order").status(), "POST is not allowed for a safe class");
+        String get = fixture.request("lookup", 8000, "").replace("lookup", "order");
+        assertEquals(200, AgentFixture.exchange(fixture.dial(), get).status());
+        release.countDown();
+        assertEquals(200, ScriptedPeer.read(pending.getInputStream()).status());
     }
 
-    /** Replaced by a rename at any moment, it is one file or the other; the last signal ends with the last file. */
+    /**
+     * A file replaced by a rename at any moment is read as one version or the other, and the last reload applies the
+     * last version.
+     */
     @Test
-    void aFileReplacedWhileItIsReadIsTakenWholeAndTheLastOneHolds() throws Exception {
+    void fileReplacedWhileReadIsTakenWholeAndTheLastOneApplies() throws Exception {
         String[] texts = new String[2];
         for (int i = 0; i < 2; i++) {
-            ObjectNode copy = stage.config.deepCopy();
+            ObjectNode copy = fixture.config.deepCopy();
             ((ObjectNode) classes(copy).get(0)).put("name", "class" + i);
             texts[i] = copy.put("filling", "x".repeat(200_000)).toString();
         }
@@ -152,23 +156,23 @@
         for (int i = 0; i < 200; i++) {
             Path fresh = dir.resolve("fresh");
             Files.writeString(fresh, texts[i % 2]);
-            stage.agent.reload(file, null);
+            fixture.agent.reload(file, null);
             Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
-            stage.agent.reload(file, null);
+            fixture.agent.reload(file, null);
         }
-        AgentFixture.await(() -> figure("config_applied") + figure("config_rejected") == 400);
-        assertEquals(0, figure("config_rejected"));
+        AgentFixture.await(() -> statistic("config_applied") + statistic("config_rejected") == 400);
+        assertEquals(0, statistic("config_rejected"));
         assertEquals(400, status("class0"));
-        String get = stage.request("lookup", 8000, "").replace("lookup", "class1");
-        assertEquals(200, AgentFixture.exchange(stage.dial(), get).status());
+        String get = fixture.request("lookup", 8000, "").replace("lookup", "class1");
+        assertEquals(200, AgentFixture.exchange(fixture.dial(), get).status());
     }
 
     @Test
-    void aFileThatIsNotWholeChangesNothing() throws Exception {
-        String whole = stage.config.toString();
-        List<String> broken = new ArrayList<>(List.of("", "{", "null", "[]", "7"));
-        for (int cut = 1; cut < whole.length() - 1; cut += 97) {
-            broken.add(whole.substring(0, cut));
+    void truncatedFileChangesNothing() throws Exception {
+        String complete = fixture.config.toString();
+        List<String> invalidFiles = new ArrayList<>(List.of("", "{", "null", "[]", "7"));
+        for (int cut = 1; cut < complete.length() - 1; cut += 97) {
+            invalidFiles.add(complete.substring(0, cut));
         }
         List<Consumer<ObjectNode>> changes = List.of(
                 c -> c.remove("settings"),
@@ -189,18 +193,18 @@
                 c -> ((ObjectNode) classes(c).get(1)).put("name", "order"),
                 c -> ((ObjectNode) classes(c).get(1)).put("semantics", "sometimes"));
         for (Consumer<ObjectNode> each : changes) {
-            ObjectNode copy = stage.config.deepCopy();
+            ObjectNode copy = fixture.config.deepCopy();
             ((ObjectNode) classes(copy).get(0)).put("name", "other");
             each.accept(copy);
-            broken.add(copy.toString());
+            invalidFiles.add(copy.toString());
         }
-        for (String each : broken) {
+        for (String each : invalidFiles) {
             reload(each);
-            assertEquals(0, figure("config_applied"), each);
+            assertEquals(0, statistic("config_applied"), each);
         }
-        assertTrue(figure("config_rejected") == broken.size());
-        assertEquals(0, told.get(), "nothing is half taken");
-        assertEquals(200, stage.call("lookup").status());
+        assertTrue(statistic("config_rejected") == invalidFiles.size());
+        assertEquals(0, settingsChanges.get(), "no file is applied in part");
+        assertEquals(200, fixture.call("lookup").status());
         assertEquals(400, status("other"));
     }
 }
--- a/src/test/java/gatefront/agent/ThriftAgentFixture.java
+++ b/src/test/java/gatefront/agent/ThriftAgentFixture.java
@@ -32,27 +32,27 @@
 import org.apache.thrift.transport.TTransportFactory;
 import org.apache.thrift.transport.layered.TFramedTransport;
 
-/** An agent between clients and servers of the reference implementation, in one form of Thrift. */
+/** An agent between clients and servers of the reference implementation, in one message format of Thrift. */
 final class ThriftAgentFixture implements Closeable {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    final MessageFormat form;
+    final MessageFormat format;
     final ObjectNode config;
     final List<TServer> servers = new ArrayList<>();
     final List<Closeable> sockets = new ArrayList<>();
     final ScriptedPeer discovery;
-    /** Where the nodos listen: one port, an address each. */
+    /** The port of all nodos; each has its own address. */
     private final int port;
 
-    private int nodos;
+    private int nodoCount;
     Agent agent;
 
     ThriftAgentFixture(MessageFormat form) throws IOException {
-        this.form = form;
+        this.format = form;
         config = (ObjectNode) JSON.readTree(Files.readAllBytes(Path.of("src/test/resources/config.json")));
         discovery = new ScriptedPeer((message, socket) -> {
             if (!message.target().contains("since")) {
-                ScriptedPeer.answer(socket, 200, "", config.get("known").toString());
+                ScriptedPeer.respond(socket, 200, "", config.get("known").toString());
             }
         });
         config.put("discovery", discovery.address());
@@ -67,64 +67,64 @@
                 : new TBinaryProtocol(transport, encoding == ThriftEncoding.BINARY, encoding == ThriftEncoding.BINARY);
     }
 
-    /** Lists a nodo at an address of its own, and returns that. */
-    InetSocketAddress list() {
-        String host = "127.0.77." + ++nodos;
+    /** Lists a nodo at a new address and returns the address. */
+    InetSocketAddress listNodo() {
+        String host = "127.0.77." + ++nodoCount;
         ((ArrayNode) config.get("known").get("endpoints"))
-                .add(AgentFixture.endpoint(nodos, host + ":" + port, "Ready"));
+                .add(AgentFixture.endpoint(nodoCount, host + ":" + port, "Ready"));
         return new InetSocketAddress(host, port);
     }
 
-    /** A nodo of the reference implementation. */
-    ThriftTestService.Processor server(ThriftTestService.Work work) throws TException {
-        ThriftTestService.Processor processor = new ThriftTestService.Processor(work);
-        TProtocolFactory protocols = transport -> protocol(form.encoding(), transport);
-        TServer server = new TThreadPoolServer(new TThreadPoolServer.Args(new TServerSocket(list()))
+    /** Starts a nodo on the thread-pool server of the reference implementation. */
+    ThriftTestService.Processor server(ThriftTestService.Handler handler) throws TException {
+        ThriftTestService.Processor processor = new ThriftTestService.Processor(handler);
+        TProtocolFactory protocols = transport -> protocol(format.encoding(), transport);
+        TServer server = new TThreadPoolServer(new TThreadPoolServer.Args(new TServerSocket(listNodo()))
                 .processor(processor)
                 .protocolFactory(protocols)
-                .transportFactory(form.framed() ? new TFramedTransport.Factory() : new TTransportFactory()));
+                .transportFactory(format.framed() ? new TFramedTransport.Factory() : new TTransportFactory()));
         servers.add(server);
         ScriptedPeer.daemon(server::serve);
         return processor;
     }
 
-    /** A nodo of the reference implementation of another kind. */
-    void server(ThriftTestService.Serve server) throws TException {
-        TServer made = server.at(list());
-        servers.add(made);
-        ScriptedPeer.daemon(made::serve);
+    /** Starts a nodo on the given server of the reference implementation. */
+    void server(ThriftTestService.ServerFactory server) throws TException {
+        TServer started = server.create(listNodo());
+        servers.add(started);
+        ScriptedPeer.daemon(started::serve);
     }
 
-    /** A nodo that does with the first bytes of each connection what a test says. */
-    void raw(ScriptedPeer.Serving work) throws IOException {
+    /** Starts a nodo whose connections are handled byte by byte by the test. */
+    void rawServer(ScriptedPeer.ConnectionHandler handler) throws IOException {
         ServerSocket listener = new ServerSocket();
-        listener.bind(list());
+        listener.bind(listNodo());
         sockets.add(listener);
         ScriptedPeer.daemon(() -> {
             while (true) {
                 Socket socket = listener.accept();
                 sockets.add(socket);
-                ScriptedPeer.daemon(() -> work.run(socket));
+                ScriptedPeer.daemon(() -> handler.run(socket));
             }
         });
     }
 
     ThriftAgentFixture start() throws IOException {
-        Config read = Config.of(config);
-        List<String> classes = read.classes();
+        Config parsed = Config.of(config);
+        List<String> classes = parsed.classes();
         Map<String, Method> methods = new java.util.HashMap<>();
         for (String each : List.of("lookup", "pay", "order")) {
             methods.put(each, new Method(classes.indexOf(each), true));
         }
         methods.put("undeclared", new Method(classes.indexOf("lookup"), false));
         agent = Agent.start(
-                read,
+                parsed,
                 new Extensions(
                         new ThriftSettings(
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                                 null,
                                 port,
-                                form.framed(),
+                                format.framed(),
                                 true,
                                 methods),
                         null,
@@ -137,7 +137,7 @@
     Socket dial() throws IOException {
         Socket socket = new Socket(
                 InetAddress.getLoopbackAddress(), agent.thriftAddress().getPort());
-        socket.setSoTimeout((int) AgentFixture.GENEROUS_MS);
+        socket.setSoTimeout((int) AgentFixture.TIMEOUT_MS);
         sockets.add(socket);
         return socket;
     }
@@ -145,7 +145,7 @@
     ThriftTestService.Client client() throws IOException, TException {
         TTransport transport = new TSocket(dial());
         return new ThriftTestService.Client(
-                protocol(form.encoding(), form.framed() ? new TFramedTransport(transport) : transport));
+                protocol(format.encoding(), format.framed() ? new TFramedTransport(transport) : transport));
     }
 
     @Override
--- a/src/test/java/gatefront/agent/ThriftAgentTest.java
+++ b/src/test/java/gatefront/agent/ThriftAgentTest.java
@@ -36,11 +36,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** An agent between clients and servers of the reference implementation, in every form of Thrift. */
+/** An agent between clients and servers of the reference implementation, in every message format of Thrift. */
 class ThriftAgentTest {
     private static final AtomicInteger IDS = new AtomicInteger();
 
-    static Stream<MessageFormat> forms() {
+    static Stream<MessageFormat> formats() {
         return Stream.of(
                 new MessageFormat(true, ThriftEncoding.BINARY),
                 new MessageFormat(true, ThriftEncoding.COMPACT),
@@ -73,7 +73,7 @@
         return result;
     }
 
-    private static void hold(CountDownLatch until) throws TException {
+    private static void awaitLatch(CountDownLatch until) throws TException {
         try {
             until.await(10, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
@@ -82,39 +82,40 @@
     }
 
     @ParameterizedTest
-    @MethodSource("forms")
-    void callsOfEachClassAreServedWithTheirArgumentsAndWhatIsLeftOfTheirTime(MessageFormat form) throws Exception {
-        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
-            Map<String, Args> seen = new HashMap<>();
-            stage.server((method, args) -> {
-                seen.put(method, args);
+    @MethodSource("formats")
+    void callsOfEachClassAreServedWithTheirArgumentsAndRemainingTime(MessageFormat format) throws Exception {
+        try (ThriftAgentFixture fixture = new ThriftAgentFixture(format)) {
+            Map<String, Args> receivedArgs = new HashMap<>();
+            fixture.server((method, args) -> {
+                receivedArgs.put(method, args);
                 return served(method + " " + args.text);
             });
-            Client client = stage.start().client();
+            Client client = fixture.start().client();
             for (int i = 0; i < 3; i++) {
                 for (String type : List.of("lookup", "pay", "order")) {
                     Args args = args(type, 5_000, "ñandú " + i);
                     assertEquals(type + " ñandú " + i, client.call(type, args).success);
-                    Args came = seen.get(type);
-                    assertEquals(args.requestId, came.requestId);
-                    assertEquals(args.key, came.key);
-                    assertTrue(came.timeoutMs > 0 && came.timeoutMs < 5_000, "left: " + came.timeoutMs);
+                    Args received = receivedArgs.get(type);
+                    assertEquals(args.requestId, received.requestId);
+                    assertEquals(args.key, received.key);
+                    assertTrue(received.timeoutMs > 0 && received.timeoutMs < 5_000, "left: " + received.timeoutMs);
                 }
             }
         }
     }
 
     @ParameterizedTest
-    @MethodSource("forms")
-    void whatANodoRefusesIsSentToAnotherAndWhatAllRefuseIsRefusedWithAWait(MessageFormat form) throws Exception {
-        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
+    @MethodSource("formats")
+    void refusedCallsAreRetriedElsewhereAndThenRefusedWithRetryAfter(MessageFormat format) throws Exception {
+        try (ThriftAgentFixture fixture = new ThriftAgentFixture(format)) {
             AtomicInteger refusals = new AtomicInteger(1);
-            ThriftTestService.Work work = (method, args) -> refusals.getAndDecrement() > 0 ? refused() : served("done");
-            Processor one = stage.server(work);
-            Processor other = stage.server(work);
-            Client client = stage.start().client();
+            ThriftTestService.Handler handler =
+                    (method, args) -> refusals.getAndDecrement() > 0 ? refused() : served("done");
+            Processor first = fixture.server(handler);
+            Processor second = fixture.server(handler);
+            Client client = fixture.start().client();
             assertEquals("done", client.call("order", args("order", 5_000, "")).success);
-            assertEquals(2, one.calls.get() + other.calls.get(), "a refusal proves that nothing ran");
+            assertEquals(2, first.calls.get() + second.calls.get(), "a refusal proves that nothing ran");
             refusals.set(1_000);
             Result result = client.call("order", args("order", 1_000, ""));
             assertNotNull(result.refused, result.failed);
@@ -123,16 +124,16 @@
     }
 
     @ParameterizedTest
-    @MethodSource("forms")
-    void whatMayHaveRunIsSentAgainOnlyAsItsClassPermits(MessageFormat form) throws Exception {
-        for (String how : List.of("failed", "internal", "cut")) {
-            try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
+    @MethodSource("formats")
+    void callsThatMayHaveRunAreRetriedOnlyIfTheirClassPermits(MessageFormat format) throws Exception {
+        for (String failure : List.of("failed", "internal", "cut")) {
+            try (ThriftAgentFixture fixture = new ThriftAgentFixture(format)) {
                 AtomicInteger failures = new AtomicInteger();
-                ThriftTestService.Work work = (method, args) -> {
+                ThriftTestService.Handler handler = (method, args) -> {
                     if (failures.getAndDecrement() <= 0) {
                         return served("done");
                     }
-                    switch (how) {
+                    switch (failure) {
                         case "failed":
                             return failed();
                         case "internal":
@@ -141,35 +142,38 @@
                             throw new TTransportException("the connection ends");
                     }
                 };
-                Processor one = stage.server(work);
-                Processor other = stage.server(work);
-                Client client = stage.start().client();
-                for (int i = 0; i < 40; i++) { // the module repeats a part of what it is asked, not all of it
+                Processor first = fixture.server(handler);
+                Processor second = fixture.server(handler);
+                Client client = fixture.start().client();
+                for (int i = 0; i < 40; i++) { // earns retry budget, which is a fraction of the requests
                     assertEquals("done", client.call("lookup", args("lookup", 5_000, "")).success);
                 }
                 failures.set(1);
-                int before = one.calls.get() + other.calls.get();
-                assertNotNull(client.call("order", args("order", 5_000, "")).failed, how + ": at most once");
-                assertEquals(before + 1, one.calls.get() + other.calls.get(), how);
-                for (String again : List.of("lookup", "pay")) {
+                int before = first.calls.get() + second.calls.get();
+                assertNotNull(client.call("order", args("order", 5_000, "")).failed, failure + ": at most once");
+                assertEquals(before + 1, first.calls.get() + second.calls.get(), failure);
+                for (String retriedClass : List.of("lookup", "pay")) {
                     failures.set(1);
-                    Result result = client.call(again, args(again, 5_000, ""));
-                    assertEquals("done", result.success, again + " " + how + " " + result.refused + result.failed);
+                    Result result = client.call(retriedClass, args(retriedClass, 5_000, ""));
+                    assertEquals(
+                            "done",
+                            result.success,
+                            retriedClass + " " + failure + " " + result.refused + result.failed);
                 }
             }
         }
     }
 
     @ParameterizedTest
-    @MethodSource("forms")
-    void exceptionsThatBlameTheCallGoToTheCallerAndTheCallNowhereElse(MessageFormat form) throws Exception {
-        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
-            ThriftTestService.Work work = (method, args) -> {
+    @MethodSource("formats")
+    void exceptionsThatBlameTheCallAreReturnedWithoutRetry(MessageFormat format) throws Exception {
+        try (ThriftAgentFixture fixture = new ThriftAgentFixture(format)) {
+            ThriftTestService.Handler handler = (method, args) -> {
                 throw new TApplicationException(Integer.parseInt(args.text), "no");
             };
-            Processor one = stage.server(work);
-            Processor other = stage.server(work);
-            stage.start();
+            Processor first = fixture.server(handler);
+            Processor second = fixture.server(handler);
+            fixture.start();
             int before = 0;
             for (int type : new int[] {
                 TApplicationException.UNKNOWN_METHOD,
@@ -180,71 +184,72 @@
                 Args args = args("lookup", 5_000, String.valueOf(type));
                 assertEquals(
                         type,
-                        assertThrows(TApplicationException.class, () -> stage.client()
+                        assertThrows(TApplicationException.class, () -> fixture.client()
                                         .call("lookup", args))
                                 .getType());
-                assertEquals(++before, one.calls.get() + other.calls.get());
+                assertEquals(++before, first.calls.get() + second.calls.get());
             }
         }
     }
 
     @ParameterizedTest
-    @MethodSource("forms")
-    void aLateReplyIsNotTheNextCallsAnswer(MessageFormat form) throws Exception {
-        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
-            CountDownLatch late = new CountDownLatch(1);
-            stage.server((method, args) -> {
+    @MethodSource("formats")
+    void lateReplyIsNotServedToTheNextCall(MessageFormat format) throws Exception {
+        try (ThriftAgentFixture fixture = new ThriftAgentFixture(format)) {
+            CountDownLatch releaseLate = new CountDownLatch(1);
+            fixture.server((method, args) -> {
                 if (args.text.equals("late")) {
-                    hold(late);
+                    awaitLatch(releaseLate);
                 }
                 return served(args.text);
             });
-            Client client = stage.start().client();
+            Client client = fixture.start().client();
             Result result = client.call("order", args("order", 300, "late"));
-            assertNotNull(result.failed, "its deadline is kept");
-            late.countDown();
+            assertNotNull(result.failed, "its deadline applies");
+            releaseLate.countDown();
             for (int i = 0; i < 5; i++) {
                 assertEquals("next" + i, client.call("order", args("order", 5_000, "next" + i)).success);
             }
         }
     }
 
-    /** A nodo that reads calls and answers each with bytes that a test makes of it. */
-    private interface Answer {
+    /** Writes the reply of a nodo to a call, as the test defines it. */
+    private interface ReplyWriter {
         void write(TMessage call, TProtocol out) throws TException;
     }
 
-    private static void liar(ThriftAgentFixture stage, MessageFormat form, AtomicInteger calls, Answer answer)
+    private static void rawServerReplying(
+            ThriftAgentFixture fixture, MessageFormat format, AtomicInteger calls, ReplyWriter response)
             throws Exception {
-        stage.raw(socket -> {
+        fixture.rawServer(socket -> {
             TTransport plain = new TSocket(socket);
-            TTransport transport = form.framed() ? new TFramedTransport(plain) : plain;
-            TProtocol protocol = ThriftAgentFixture.protocol(form.encoding(), transport);
+            TTransport transport = format.framed() ? new TFramedTransport(plain) : plain;
+            TProtocol protocol = ThriftAgentFixture.protocol(format.encoding(), transport);
             while (true) {
                 TMessage call = protocol.readMessageBegin();
                 TProtocolUtil.skip(protocol, TType.STRUCT);
                 calls.incrementAndGet();
-                answer.write(call, protocol);
+                response.write(call, protocol);
                 transport.flush();
             }
         });
     }
 
     @ParameterizedTest
-    @MethodSource("forms")
-    void repliesToAnotherCallOrOfAnotherKindAreNoAnswers(MessageFormat form) throws Exception {
-        List<Answer> lies = List.of(
+    @MethodSource("formats")
+    void repliesToAnotherCallOrOfAnotherKindAreRejected(MessageFormat format) throws Exception {
+        List<ReplyWriter> invalidReplies = List.of(
                 (call, out) -> reply(out, call.name, TMessageType.REPLY, call.seqid + 1),
                 (call, out) -> reply(out, "another", TMessageType.REPLY, call.seqid),
                 (call, out) -> reply(out, call.name, TMessageType.CALL, call.seqid),
                 (call, out) -> reply(out, call.name, (byte) 4, call.seqid),
                 (call, out) -> out.getTransport().write(new byte[] {0x7f, 1, 2, 3, 4, 5, 6, 7, 8, 9}));
-        for (Answer lie : lies) {
-            try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
+        for (ReplyWriter invalidReply : invalidReplies) {
+            try (ThriftAgentFixture fixture = new ThriftAgentFixture(format)) {
                 AtomicInteger calls = new AtomicInteger();
-                liar(stage, form, calls, lie);
-                Result result = stage.start().client().call("order", args("order", 5_000, ""));
-                assertNotNull(result.failed, "nothing of it is served, and it may have run");
+                rawServerReplying(fixture, format, calls, invalidReply);
+                Result result = fixture.start().client().call("order", args("order", 5_000, ""));
+                assertNotNull(result.failed, "the reply is not served, and the call may have run");
                 assertEquals(1, calls.get(), "at most once");
             }
         }
@@ -257,25 +262,25 @@
     }
 
     @ParameterizedTest
-    @MethodSource("forms")
-    void callsInFlightOnOneConnectionAreAnsweredBySeqidAndOfOneSeqidInOrder(MessageFormat form) throws Exception {
-        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
-            CountDownLatch slow = new CountDownLatch(1);
-            stage.server((method, args) -> {
+    @MethodSource("formats")
+    void pipelinedCallsAreAnsweredBySeqidAndInOrderWithinASeqid(MessageFormat format) throws Exception {
+        try (ThriftAgentFixture fixture = new ThriftAgentFixture(format)) {
+            CountDownLatch releaseSlow = new CountDownLatch(1);
+            fixture.server((method, args) -> {
                 if (args.text.startsWith("slow")) {
-                    hold(slow);
+                    awaitLatch(releaseSlow);
                 }
                 return served(args.text);
             });
-            stage.start();
-            Socket socket = stage.dial();
-            TTransport transport = form.framed() ? new TFramedTransport(new TSocket(socket)) : new TSocket(socket);
-            TProtocol protocol = ThriftAgentFixture.protocol(form.encoding(), transport);
+            fixture.start();
+            Socket socket = fixture.dial();
+            TTransport transport = format.framed() ? new TFramedTransport(new TSocket(socket)) : new TSocket(socket);
+            TProtocol protocol = ThriftAgentFixture.protocol(format.encoding(), transport);
             send(protocol, 7, "slow 7");
             send(protocol, 8, "quick 8");
             send(protocol, 7, "second 7");
             assertEquals("8 quick 8", receive(protocol));
-            slow.countDown();
+            releaseSlow.countDown();
             assertEquals("7 slow 7", receive(protocol));
             assertEquals("7 second 7", receive(protocol));
         }
@@ -297,32 +302,32 @@
     }
 
     @ParameterizedTest
-    @MethodSource("forms")
-    void whatIsNoCallEndsTheConnectionAfterTheAnswerBeforeIt(MessageFormat form) throws Exception {
-        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
-            stage.server((method, args) -> served(args.text));
-            stage.start();
-            Socket socket = stage.dial();
-            TTransport transport = form.framed() ? new TFramedTransport(new TSocket(socket)) : new TSocket(socket);
-            TProtocol protocol = ThriftAgentFixture.protocol(form.encoding(), transport);
+    @MethodSource("formats")
+    void invalidCallClosesTheConnectionAfterPendingReplies(MessageFormat format) throws Exception {
+        try (ThriftAgentFixture fixture = new ThriftAgentFixture(format)) {
+            fixture.server((method, args) -> served(args.text));
+            fixture.start();
+            Socket socket = fixture.dial();
+            TTransport transport = format.framed() ? new TFramedTransport(new TSocket(socket)) : new TSocket(socket);
+            TProtocol protocol = ThriftAgentFixture.protocol(format.encoding(), transport);
             send(protocol, 1, "before");
             socket.getOutputStream().write(new byte[] {(byte) 0xff, 1, 2, 3, 4, 5, 6, 7});
             assertEquals("1 before", receive(protocol));
-            assertEquals(-1, socket.getInputStream().read(), "and then it ends");
+            assertEquals(-1, socket.getInputStream().read(), "the connection is closed");
         }
     }
 
     @ParameterizedTest
-    @MethodSource("forms")
-    void callsThatTheAgentCannotTakeAreAnsweredByTheirSeqidAndTheConnectionGoesOn(MessageFormat form) throws Exception {
-        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
-            Processor nodo = stage.server((method, args) -> served("done"));
-            Client client = stage.start().client();
+    @MethodSource("formats")
+    void unacceptableCallsAreAnsweredBySeqidAndTheConnectionStaysOpen(MessageFormat format) throws Exception {
+        try (ThriftAgentFixture fixture = new ThriftAgentFixture(format)) {
+            Processor nodo = fixture.server((method, args) -> served("done"));
+            Client client = fixture.start().client();
             assertEquals(
                     TApplicationException.UNKNOWN_METHOD,
                     assertThrows(TApplicationException.class, () -> client.call("nada", args("lookup", 5_000, "")))
                             .getType());
-            for (Args wrong : List.of(
+            for (Args invalid : List.of(
                     new Args("", 5_000, null, ""),
                     new Args("a b", 5_000, null, ""),
                     new Args("x1", 0, null, ""),
@@ -330,7 +335,7 @@
                     new Args("x3", 5_000, "key", ""))) {
                 assertEquals(
                         TApplicationException.PROTOCOL_ERROR,
-                        assertThrows(TApplicationException.class, () -> client.call("lookup", wrong))
+                        assertThrows(TApplicationException.class, () -> client.call("lookup", invalid))
                                 .getType());
             }
             assertEquals(
@@ -338,30 +343,30 @@
                     assertThrows(TApplicationException.class, () -> client.call("pay", new Args("x4", 5_000, null, "")))
                             .getType(),
                     "a payment without its key");
-            assertEquals(0, nodo.calls.get(), "nothing of it was sent on");
+            assertEquals(0, nodo.calls.get(), "none of the calls was forwarded");
             assertEquals("done", client.call("lookup", args("lookup", 5_000, "")).success);
         }
     }
 
     @ParameterizedTest
-    @MethodSource("forms")
-    void aMethodThatDeclaresNoExceptionsGetsThatOfTheProtocol(MessageFormat form) throws Exception {
-        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
-            stage.server((method, args) -> refused());
-            Client client = stage.start().client();
-            TApplicationException said = assertThrows(
+    @MethodSource("formats")
+    void methodWithoutDeclaredExceptionsGetsAnApplicationException(MessageFormat format) throws Exception {
+        try (ThriftAgentFixture fixture = new ThriftAgentFixture(format)) {
+            fixture.server((method, args) -> refused());
+            Client client = fixture.start().client();
+            TApplicationException exception = assertThrows(
                     TApplicationException.class, () -> client.call("undeclared", args("lookup", 1_000, "")));
-            assertEquals(TApplicationException.INTERNAL_ERROR, said.getType());
-            assertTrue(said.getMessage().contains("retry_after_ms="), said.getMessage());
+            assertEquals(TApplicationException.INTERNAL_ERROR, exception.getType());
+            assertTrue(exception.getMessage().contains("retry_after_ms="), exception.getMessage());
         }
     }
 
     @ParameterizedTest
-    @MethodSource("forms")
-    void aOnewayCallIsSentOnceAndTheConnectionGoesOn(MessageFormat form) throws Exception {
-        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
-            Processor nodo = stage.server((method, args) -> served(args.text));
-            Client client = stage.start().client();
+    @MethodSource("formats")
+    void onewayCallIsSentOnceAndTheConnectionStaysOpen(MessageFormat format) throws Exception {
+        try (ThriftAgentFixture fixture = new ThriftAgentFixture(format)) {
+            Processor nodo = fixture.server((method, args) -> served(args.text));
+            Client client = fixture.start().client();
             client.oneway("order", args("order", 5_000, "no answer"));
             AgentFixture.await(() -> nodo.calls.get() == 1);
             assertEquals("next", client.call("lookup", args("lookup", 5_000, "next")).success);
@@ -369,56 +374,56 @@
         }
     }
 
-    /** A call whose last byte never comes is not run, and does not hold its connection for ever. */
+    /** A call whose last byte never arrives is not run, and does not occupy its connection forever. */
     @ParameterizedTest
-    @MethodSource("forms")
-    void halfACallAndSilenceEndsTheConnection(MessageFormat form) throws Exception {
-        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
-            Processor nodo = stage.server((method, args) -> served(""));
-            stage.start();
+    @MethodSource("formats")
+    void incompleteCallTimesOutAndClosesTheConnection(MessageFormat format) throws Exception {
+        try (ThriftAgentFixture fixture = new ThriftAgentFixture(format)) {
+            Processor nodo = fixture.server((method, args) -> served(""));
+            fixture.start();
             TMemoryBuffer memory = new TMemoryBuffer(256);
-            TTransport transport = form.framed() ? new TFramedTransport(memory) : memory;
-            send(ThriftAgentFixture.protocol(form.encoding(), transport), 1, "half");
-            Socket socket = stage.dial();
+            TTransport transport = format.framed() ? new TFramedTransport(memory) : memory;
+            send(ThriftAgentFixture.protocol(format.encoding(), transport), 1, "half");
+            Socket socket = fixture.dial();
             socket.getOutputStream().write(memory.getArray(), 0, memory.length() - 1);
             assertEquals(-1, socket.getInputStream().read());
             assertEquals(0, nodo.calls.get());
         }
     }
 
-    /** An agent that ends answers what it holds, takes nothing more, and is gone, though its caller goes on asking. */
+    /** A stopping agent answers its open calls, accepts no more and terminates, even if a client keeps sending. */
     @ParameterizedTest
-    @MethodSource("forms")
-    void anAgentThatEndsAnswersWhatItHoldsAndCloses(MessageFormat form) throws Exception {
-        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
-            CountDownLatch go = new CountDownLatch(1);
-            Processor nodo = stage.server((method, args) -> {
+    @MethodSource("formats")
+    void stoppingAgentAnswersItsCallsAndCloses(MessageFormat format) throws Exception {
+        try (ThriftAgentFixture fixture = new ThriftAgentFixture(format)) {
+            CountDownLatch release = new CountDownLatch(1);
+            Processor nodo = fixture.server((method, args) -> {
                 if (args.text.equals("held")) {
-                    hold(go);
+                    awaitLatch(release);
                 }
                 return served(args.text);
             });
-            stage.start();
-            Client held = stage.client();
-            held.send("order", args("order", 8_000, "held"));
-            Client idle = stage.client();
+            fixture.start();
+            Client pending = fixture.client();
+            pending.send("order", args("order", 8_000, "held"));
+            Client idle = fixture.client();
             assertEquals("idle", idle.call("lookup", args("lookup", 5_000, "idle")).success);
             AgentFixture.await(() -> nodo.calls.get() == 2);
-            Thread ending = ScriptedPeer.daemon(stage.agent::stop);
-            Client asking = stage.client();
+            Thread stopping = ScriptedPeer.daemon(fixture.agent::stop);
+            Client asking = fixture.client();
             assertEquals(
                     "asked",
                     asking.call("lookup", args("lookup", 5_000, "asked")).success,
-                    "it serves on while it may");
-            go.countDown();
-            assertEquals("held", held.receive("order").success);
-            AgentFixture.await(() -> ended(idle));
-            ending.join(AgentFixture.GENEROUS_MS);
-            assertTrue(!ending.isAlive(), "it has ended");
+                    "it keeps serving for a moment");
+            release.countDown();
+            assertEquals("held", pending.receive("order").success);
+            AgentFixture.await(() -> isClosed(idle));
+            stopping.join(AgentFixture.TIMEOUT_MS);
+            assertTrue(!stopping.isAlive(), "the agent has terminated");
         }
     }
 
-    private static boolean ended(Client client) {
+    private static boolean isClosed(Client client) {
         try {
             client.call("lookup", args("lookup", 2_000, "again"));
             return false;
@@ -427,29 +432,32 @@
         }
     }
 
-    /** The same request at once over both protocols would be two effects; the second is failed and the first served. */
+    /**
+     * Guards against executing a request twice: of two requests with one id over both protocols at once, the second
+     * fails and the first is served.
+     */
     @Test
-    void theSameRequestOverHttpAndThriftAtOnceIsTakenOnce() throws Exception {
-        MessageFormat form = new MessageFormat(true, ThriftEncoding.BINARY);
-        try (ThriftAgentFixture stage = new ThriftAgentFixture(form)) {
-            CountDownLatch go = new CountDownLatch(1);
-            Processor nodo = stage.server((method, args) -> {
-                hold(go);
+    void sameRequestIdOverHttpAndThriftIsAcceptedOnce() throws Exception {
+        MessageFormat format = new MessageFormat(true, ThriftEncoding.BINARY);
+        try (ThriftAgentFixture fixture = new ThriftAgentFixture(format)) {
+            CountDownLatch release = new CountDownLatch(1);
+            Processor nodo = fixture.server((method, args) -> {
+                awaitLatch(release);
                 return served("first");
             });
-            stage.start();
-            Client client = stage.client();
+            fixture.start();
+            Client client = fixture.client();
             Args args = args("pay", 8_000, "");
             client.send("pay", args);
             AgentFixture.await(() -> nodo.calls.get() == 1);
-            try (Socket http = new Socket("127.0.0.1", stage.agent.address().getPort())) {
+            try (Socket http = new Socket("127.0.0.1", fixture.agent.address().getPort())) {
                 ScriptedPeer.write(
                         http,
                         "POST /pay HTTP/1.1\r\nHost: a\r\nRequest-Id: " + args.requestId + "\r\nRequest-Class: "
                                 + "pay\r\nRequest-Timeout-Ms: 5000\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n");
                 assertEquals(409, ScriptedPeer.read(http.getInputStream()).status());
             }
-            go.countDown();
+            release.countDown();
             Result result = client.receive("pay");
             assertEquals("first", result.success);
             assertNull(result.failed);
--- a/src/test/java/gatefront/agent/ThriftPeersTest.java
+++ b/src/test/java/gatefront/agent/ThriftPeersTest.java
@@ -36,7 +36,7 @@
 import org.apache.thrift.transport.layered.TFramedTransport;
 import org.junit.jupiter.api.Test;
 
-/** Other kinds of clients and servers of the reference implementation: asynchronous, nonblocking, multiplexed. */
+/** Other clients and servers of the reference implementation: asynchronous, nonblocking and multiplexed. */
 class ThriftPeersTest {
     private static final AtomicInteger IDS = new AtomicInteger();
 
@@ -50,7 +50,7 @@
         return result;
     }
 
-    /** What generated code makes of a method for asynchronous clients. */
+    /** A call as in code generated for asynchronous clients. */
     private static final class Lookup extends TAsyncMethodCall<Result> {
         private final Args args;
         private final TProtocolFactory protocols;
@@ -60,8 +60,8 @@
                 TProtocolFactory protocols,
                 TNonblockingSocket socket,
                 Args args,
-                AsyncMethodCallback<Result> then) {
-            super(client, protocols, socket, then, false);
+                AsyncMethodCallback<Result> callback) {
+            super(client, protocols, socket, callback, false);
             this.args = args;
             this.protocols = protocols;
         }
@@ -115,17 +115,17 @@
         for (ThriftEncoding encoding : List.of(ThriftEncoding.BINARY, ThriftEncoding.COMPACT)) {
             TProtocolFactory protocols =
                     encoding == ThriftEncoding.COMPACT ? new TCompactProtocol.Factory() : new TBinaryProtocol.Factory();
-            try (ThriftAgentFixture stage = new ThriftAgentFixture(new MessageFormat(true, encoding))) {
-                stage.server(address -> new TThreadedSelectorServer(
+            try (ThriftAgentFixture fixture = new ThriftAgentFixture(new MessageFormat(true, encoding))) {
+                fixture.server(address -> new TThreadedSelectorServer(
                         new TThreadedSelectorServer.Args(new TNonblockingServerSocket(address))
                                 .protocolFactory(protocols)
                                 .processor(new ThriftTestService.Processor((method, args) -> served(args.text)))));
-                stage.start();
+                fixture.start();
                 TAsyncClientManager manager = new TAsyncClientManager();
                 List<CompletableFuture<Result>> results = new ArrayList<>();
                 for (int i = 0; i < 20; i++) {
                     TNonblockingSocket socket = new TNonblockingSocket(
-                            "127.0.0.1", stage.agent.thriftAddress().getPort());
+                            "127.0.0.1", fixture.agent.thriftAddress().getPort());
                     results.add(new AsyncClient(protocols, manager, socket).call(protocols, socket, args("a" + i)));
                 }
                 for (int i = 0; i < 20; i++) {
@@ -137,11 +137,11 @@
     }
 
     @Test
-    void multiplexedServicesAreFoundByTheirMethodsAndPassedOnWithTheirNames() throws Exception {
+    void multiplexedServicesAreRoutedByMethodAndKeepTheirNames() throws Exception {
         for (ThriftEncoding encoding : List.of(ThriftEncoding.BINARY, ThriftEncoding.COMPACT)) {
             TProtocolFactory protocols =
                     encoding == ThriftEncoding.COMPACT ? new TCompactProtocol.Factory() : new TBinaryProtocol.Factory();
-            try (ThriftAgentFixture stage = new ThriftAgentFixture(new MessageFormat(true, encoding))) {
+            try (ThriftAgentFixture fixture = new ThriftAgentFixture(new MessageFormat(true, encoding))) {
                 TMultiplexedProcessor services = new TMultiplexedProcessor();
                 services.registerProcessor(
                         "Cuentas", new ThriftTestService.Processor((method, args) -> served("cuentas " + method)));
@@ -149,20 +149,20 @@
                         "Avisos", new ThriftTestService.Processor((method, args) -> served("avisos " + method)));
                 services.registerDefault(
                         new ThriftTestService.Processor((method, args) -> served("default " + method)));
-                stage.server(address -> new TThreadPoolServer(new TThreadPoolServer.Args(new TServerSocket(address))
+                fixture.server(address -> new TThreadPoolServer(new TThreadPoolServer.Args(new TServerSocket(address))
                         .processor(services)
                         .protocolFactory(protocols)
                         .transportFactory(new TFramedTransport.Factory())));
-                stage.start();
+                fixture.start();
                 for (String service : List.of("Cuentas", "Avisos")) {
-                    TProtocol plain = protocols.getProtocol(new TFramedTransport(new TSocket(stage.dial())));
+                    TProtocol plain = protocols.getProtocol(new TFramedTransport(new TSocket(fixture.dial())));
                     Client client = new Client(new TMultiplexedProtocol(plain, service));
                     Result result = client.call("lookup", args(""));
                     assertTrue(
                             result.success.equals(service.toLowerCase(java.util.Locale.ROOT) + " lookup"),
                             result.success);
                 }
-                assertEquals("default lookup", stage.client().call("lookup", args("")).success);
+                assertEquals("default lookup", fixture.client().call("lookup", args("")).success);
             }
         }
     }
--- a/src/test/java/gatefront/agent/ThriftTestService.java
+++ b/src/test/java/gatefront/agent/ThriftTestService.java
@@ -16,13 +16,13 @@
 import org.apache.thrift.protocol.TType;
 
 /**
- * A service as its users have it, over the reference implementation: {@code string METHOD(1: Metadata, 2: string text)
+ * A service over the reference implementation, as its users write it: {@code string METHOD(1: Metadata, 2: string text)
  * throws (100: Refused, 101: Failed)}, in the style of generated code.
  */
 final class ThriftTestService {
     private ThriftTestService() {}
 
-    /** A struct as generated code has it, in so far as clients and servers use it. */
+    /** A struct as in generated code, as far as clients and servers use it. */
     abstract static class Struct implements TBase<Struct, TFieldIdEnum> {
         private static final long serialVersionUID = 1;
 
@@ -58,7 +58,7 @@
         }
     }
 
-    /** The arguments. */
+    /** The arguments of a call. */
     static final class Args extends Struct {
         private static final long serialVersionUID = 1;
         String requestId;
@@ -128,14 +128,14 @@
         out.writeFieldEnd();
     }
 
-    /** The result: one of three. */
+    /** The result of a call: exactly one of success, refused and failed is set. */
     static final class Result extends Struct {
         private static final long serialVersionUID = 1;
         String success;
         String refused;
         long retryAfterMs;
         String failed;
-        /** A load report beside it, as a nodo may write it. */
+        /** An optional load report, as a nodo may add it. */
         String load;
 
         @Override
@@ -192,7 +192,7 @@
         }
     }
 
-    /** A client in the style of generated ones. */
+    /** A client in the style of generated code. */
     static final class Client extends TServiceClient {
         Client(TProtocol protocol) {
             super(protocol, protocol);
@@ -218,24 +218,27 @@
         }
     }
 
-    /** Makes a server at an address. */
-    interface Serve {
-        org.apache.thrift.server.TServer at(java.net.InetSocketAddress address) throws TException;
+    /** Creates a server at an address. */
+    interface ServerFactory {
+        org.apache.thrift.server.TServer create(java.net.InetSocketAddress address) throws TException;
     }
 
-    /** What a nodo does with a call. */
-    interface Work {
-        /** Its result; a TApplicationException is sent as such, and a TException ends the connection. */
-        Result of(String method, Args args) throws TException;
+    /** Handles a call on a nodo. */
+    interface Handler {
+        /**
+         * Returns the result; a TApplicationException is sent as such, and any other TException closes the
+         * connection.
+         */
+        Result handle(String method, Args args) throws TException;
     }
 
-    /** A server's processor in the style of generated ones. */
+    /** A processor of a server in the style of generated code. */
     static final class Processor implements TProcessor {
         final AtomicInteger calls = new AtomicInteger();
-        private final Work work;
+        private final Handler handler;
 
-        Processor(Work work) {
-            this.work = work;
+        Processor(Handler work) {
+            this.handler = work;
         }
 
         @Override
@@ -263,7 +266,7 @@
                 calls.incrementAndGet();
                 Result result;
                 try {
-                    result = work.of(message.name, args);
+                    result = handler.handle(message.name, args);
                 } catch (TApplicationException e) {
                     out.writeMessageBegin(new TMessage(message.name, TMessageType.EXCEPTION, message.seqid));
                     e.write(out);
--- a/src/test/java/gatefront/agent/UsageRecorderTest.java
+++ b/src/test/java/gatefront/agent/UsageRecorderTest.java
@@ -22,80 +22,82 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What an agent has served stands in its books, on sockets and a real folder. */
+/** The usage of an agent is written to its ledger, over sockets and in a real directory. */
 class UsageRecorderTest {
     @TempDir
     private Path folder;
 
-    private AgentFixture stage;
+    private AgentFixture fixture;
 
     @BeforeEach
-    void set() throws IOException {
-        stage = new AgentFixture();
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
+    void setUp() throws IOException {
+        fixture = new AgentFixture();
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "served"));
     }
 
     @AfterEach
-    void end() throws IOException {
-        stage.close();
+    void tearDown() throws IOException {
+        fixture.close();
     }
 
-    private Extensions ledger(String more) throws TomlException {
+    private Extensions ledgerExtensions(String extraSettings) throws TomlException {
         return Extensions.parse(
                 "x.toml",
                 "[ledger]\nfolder = \"" + folder.resolve("books") + "\"\n"
-                        + "instance = \"agente-1\"\nwrite_s = 0.1\nperiod_s = 86400\n" + more,
-                Config.of(stage.config));
+                        + "instance = \"agente-1\"\nwrite_s = 0.1\nperiod_s = 86400\n" + extraSettings,
+                Config.of(fixture.config));
     }
 
-    private LedgerStore.Look look() throws IOException {
-        LedgerStore.Look[] look = new LedgerStore.Look[1];
+    private LedgerStore.Look readLedger() throws IOException {
+        LedgerStore.Look[] state = new LedgerStore.Look[1];
         StoreVerification verify = StoreVerification.of(
                 DirectoryDisk.existing(folder.resolve("books")),
                 SigningKeys.NONE,
-                LedgerStore.looking(at -> look[0] = at));
+                LedgerStore.looking(at -> state[0] = at));
         assertEquals(null, verify.damage());
-        return look[0];
+        return state[0];
     }
 
-    private static UsageAmounts all(Ledger ledger, String type) {
+    private static UsageAmounts total(Ledger ledger, String type) {
         UsageAmounts sum = UsageAmounts.NONE;
         for (long period : ledger.periods()) {
-            for (var each : ledger.totals(period).entrySet()) {
-                sum = each.getKey().type().equals(type) ? sum.plus(each.getValue()) : sum;
+            for (var cell : ledger.totals(period).entrySet()) {
+                sum = cell.getKey().type().equals(type) ? sum.plus(cell.getValue()) : sum;
             }
         }
         return sum;
     }
 
-    private void ask(int n, String type) throws IOException {
-        for (int i = 0; i < n; i++) {
+    private void sendRequests(int count, String type) throws IOException {
+        for (int i = 0; i < count; i++) {
             assertEquals(
                     200,
-                    AgentFixture.exchange(stage.dial(), stage.request(type, 8_000, type.equals("lookup") ? "" : "abcd"))
+                    AgentFixture.exchange(
+                                    fixture.dial(), fixture.request(type, 8_000, type.equals("lookup") ? "" : "abcd"))
                             .status());
         }
     }
 
     @Test
-    void whatWasServedIsWrittenWhileItRunsAndAtItsEnd() throws Exception {
-        stage.start(ledger(""));
-        ask(3, "lookup");
+    void usageIsWrittenPeriodicallyAndOnStop() throws Exception {
+        fixture.start(ledgerExtensions(""));
+        sendRequests(3, "lookup");
         AgentFixture.await(() -> {
             try {
-                return look() != null && all(look().ledger(), "lookup").requests() == 3;
+                return readLedger() != null
+                        && total(readLedger().ledger(), "lookup").requests() == 3;
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
         });
-        ask(2, "pay");
-        stage.agent.stop();
-        Ledger ledger = look().ledger();
-        UsageAmounts pay = all(ledger, "pay");
-        assertEquals(2, pay.requests(), "also what was served just before the end");
+        sendRequests(2, "pay");
+        fixture.agent.stop();
+        Ledger ledger = readLedger().ledger();
+        UsageAmounts pay = total(ledger, "pay");
+        assertEquals(2, pay.requests(), "including requests served just before the stop");
         assertEquals(2 * ("abcd".length() + "served".length()), pay.bytes());
         assertTrue(pay.work() > 0);
-        assertEquals(3 * "served".length(), all(ledger, "lookup").bytes());
+        assertEquals(3 * "served".length(), total(ledger, "lookup").bytes());
         for (long period : ledger.periods()) {
             assertEquals(
                     List.of(Ledger.Part.WHOLE),
@@ -104,28 +106,28 @@
     }
 
     @Test
-    void whatWasNeverWrittenWhileItRanIsWrittenAtItsEnd() throws Exception {
-        stage.start(Extensions.parse(
+    void usageNeverWrittenPeriodicallyIsWrittenOnStop() throws Exception {
+        fixture.start(Extensions.parse(
                 "x.toml",
                 "[ledger]\nfolder = \"" + folder.resolve("books") + "\"\ninstance = \"agente-1\"\nwrite_s = 3600\n",
-                Config.of(stage.config)));
-        ask(2, "pay");
-        stage.agent.stop();
-        assertEquals(2, all(look().ledger(), "pay").requests());
+                Config.of(fixture.config)));
+        sendRequests(2, "pay");
+        fixture.agent.stop();
+        assertEquals(2, total(readLedger().ledger(), "pay").requests());
     }
 
     @Test
-    void booksThatAnotherProcessHasAreWaitedForAndNothingIsMissing() throws Exception {
+    void ledgerHeldByAnotherProcessIsAwaitedWithoutLosingUsage() throws Exception {
         LedgerStore other =
                 LedgerStore.open(new DirectoryDisk(folder.resolve("books")), Store.Options.USUAL, "agente-1");
-        stage.start(ledger(""));
-        ask(2, "lookup");
-        Thread.sleep(400); // several tries to write
-        assertEquals(0, look().made());
+        fixture.start(ledgerExtensions(""));
+        sendRequests(2, "lookup");
+        Thread.sleep(400); // several attempts to write
+        assertEquals(0, readLedger().made());
         other.close();
         AgentFixture.await(() -> {
             try {
-                return all(look().ledger(), "lookup").requests() == 2;
+                return total(readLedger().ledger(), "lookup").requests() == 2;
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
@@ -133,17 +135,17 @@
     }
 
     @Test
-    void booksThatCannotBeUsedStopTheStartInOneLine() throws Exception {
+    void unusableLedgerStopsTheStartWithOneLine() throws Exception {
         LedgerStore.open(new DirectoryDisk(folder.resolve("books")), Store.Options.USUAL, "agente-2")
                 .close();
-        IOException e = assertThrows(IOException.class, () -> stage.start(ledger("")));
+        IOException e = assertThrows(IOException.class, () -> fixture.start(ledgerExtensions("")));
         assertEquals(
                 "ledger " + folder.resolve("books") + ": these are the books of agente-2, not of agente-1",
                 e.getMessage());
         Path keys = folder.resolve("keys");
         Files.writeString(keys, "1 00\n");
-        assertThrows(IOException.class, () -> stage.start(ledger("keys = \"" + keys + "\"\n")));
-        assertThrows(TomlException.class, () -> ledger("disk_mb = 0\n"));
-        assertThrows(TomlException.class, () -> ledger("folders = 1\n"));
+        assertThrows(IOException.class, () -> fixture.start(ledgerExtensions("keys = \"" + keys + "\"\n")));
+        assertThrows(TomlException.class, () -> ledgerExtensions("disk_mb = 0\n"));
+        assertThrows(TomlException.class, () -> ledgerExtensions("folders = 1\n"));
     }
 }
