--- a/src/main/java/gatefront/agent/MembershipSources.java
+++ b/src/main/java/gatefront/agent/MembershipSources.java
@@ -65,8 +65,8 @@
                         + (classes.isEmpty()
                                 ? "unlimited"
                                 : classes.entrySet().stream()
-                                        .map(each -> each.getValue() + " of "
-                                                + config.classes().get(each.getKey()))
+                                        .map(limit -> limit.getValue() + " of "
+                                                + config.classes().get(limit.getKey()))
                                         .sorted()
                                         .collect(Collectors.joining(", "))));
             }
--- a/src/test/java/gatefront/agent/AgentFixture.java
+++ b/src/test/java/gatefront/agent/AgentFixture.java
@@ -166,7 +166,7 @@
 
     /** Returns the number of requests that have reached the servers. */
     int requestsReceived() {
-        return servers.stream().mapToInt(each -> each.requests.size()).sum();
+        return servers.stream().mapToInt(server -> server.requests.size()).sum();
     }
 
     static void await(BooleanSupplier condition) {
--- a/src/test/java/gatefront/agent/AgentTest.java
+++ b/src/test/java/gatefront/agent/AgentTest.java
@@ -311,7 +311,7 @@
                 AgentFixture.endpoint(2, second.address(), "Ready"),
                 AgentFixture.endpoint(1, first.address(), "Terminating")));
         AgentFixture.await(() -> fixture.discovery.requests.stream()
-                .anyMatch(each -> each.target().contains("since=1&")));
+                .anyMatch(message -> message.target().contains("since=1&")));
         int before = first.requests.size();
         for (int i = 0; i < 5; i++) {
             assertEquals(200, fixture.call("lookup").status());
@@ -342,7 +342,7 @@
             Thread.sleep(100);
             fixture.discoveryUpdates.add(AgentFixture.delta(1, AgentFixture.endpoint(1, address, "Terminating")));
             AgentFixture.await(() -> fixture.discovery.requests.stream()
-                    .anyMatch(each -> each.target().contains("since=1&")));
+                    .anyMatch(message -> message.target().contains("since=1&")));
             AtomicInteger written = new AtomicInteger();
             ScriptedPeer.daemon(() -> {
                 while (true) {
@@ -374,7 +374,7 @@
         int before = fixture.discovery.requests.size();
         fixture.discoveryUpdates.add((message, socket) -> ScriptedPeer.respond(socket, 200, "", body));
         AgentFixture.await(
-                () -> fixture.discovery.requests.stream().skip(before).anyMatch(each -> each.target()
+                () -> fixture.discovery.requests.stream().skip(before).anyMatch(message -> message.target()
                         .equals("/v1/servers")));
         assertEquals(200, fixture.call("lookup").status());
     }
@@ -397,8 +397,8 @@
         });
         fixture.config.put("discovery", padron.address());
         fixture.start();
-        AgentFixture.await(
-                () -> padron.requests.stream().anyMatch(each -> each.target().contains("since=7&")));
+        AgentFixture.await(() ->
+                padron.requests.stream().anyMatch(message -> message.target().contains("since=7&")));
         assertEquals(200, fixture.call("order").status());
         assertEquals(List.of(0, 1), List.of(replaced.requests.size(), server.requests.size()));
         assertEquals(1, fixture.agent.trackedServers());
@@ -427,7 +427,7 @@
         fixture.discoveryUpdates.add((message, socket) -> ScriptedPeer.respond(socket, 503, "", ""));
         fixture.discoveryUpdates.add(AgentFixture.delta(4, AgentFixture.endpoint(1, server.address(), "Ready")));
         AgentFixture.await(() -> fixture.discovery.requests.stream()
-                .anyMatch(each -> each.target().contains("since=4&")));
+                .anyMatch(message -> message.target().contains("since=4&")));
         assertEquals(200, fixture.call("lookup").status());
     }
 
@@ -509,7 +509,7 @@
         ((ObjectNode) fixture.config.get("limits")).put("sockets", 40 + 2 * 12);
         fixture.server(SERVE);
         fixture.start();
-        Map<Socket, Long> idleClients = new LinkedHashMap<>(); // to the time of its response
+        Map<Socket, Long> idleClients = new LinkedHashMap<>(); // connection to the time of its last response
         for (int i = 0; i < 11; i++) {
             Socket client = fixture.dial();
             if (AgentFixture.exchange(client, fixture.request("lookup", 8000, ""))
@@ -570,8 +570,8 @@
         Thread stopping = ScriptedPeer.daemon(fixture.agent::stop);
         // The health check reports it, while old and new connections are still served and stay open.
         AgentFixture.await(() -> healthStatus() == 503);
-        for (Socket each : List.of(idle, fixture.dial())) {
-            ScriptedPeer.Message response = AgentFixture.exchange(each, fixture.request("lookup", 8000, ""));
+        for (Socket client : List.of(idle, fixture.dial())) {
+            ScriptedPeer.Message response = AgentFixture.exchange(client, fixture.request("lookup", 8000, ""));
             assertEquals(200, response.status());
             assertNull(response.header("Connection"));
         }
@@ -611,8 +611,8 @@
     /** Guards against requests that are still open when the agent is killed, 0.7 s after the longest deadline. */
     @Test
     void stoppingAgentAnswersOpenRequestsBeforeItIsKilled() throws Exception {
-        for (JsonNode each : fixture.config.get("settings").get("classes")) {
-            ((ObjectNode) each).put("aim-us", 300_000).put("give-up-us", 300_000);
+        for (JsonNode requestClass : fixture.config.get("settings").get("classes")) {
+            ((ObjectNode) requestClass).put("aim-us", 300_000).put("give-up-us", 300_000);
         }
         // The balancer never completes its requests, and the client waits for longer than the test.
         fixture.start(agent -> (Balancer) Proxy.newProxyInstance(
--- a/src/test/java/gatefront/agent/BadClientsTest.java
+++ b/src/test/java/gatefront/agent/BadClientsTest.java
@@ -220,8 +220,8 @@
         assertTrue(
                 System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(8),
                 "60 connections, twelve at a time, 2 s each");
-        for (Socket each : silent) {
-            assertEquals(-1, each.getInputStream().read());
+        for (Socket client : silent) {
+            assertEquals(-1, client.getInputStream().read());
         }
     }
 
--- a/src/test/java/gatefront/agent/BadServersTest.java
+++ b/src/test/java/gatefront/agent/BadServersTest.java
@@ -170,7 +170,7 @@
                     AgentFixture.endpoint(i, first.address(), "Ready")));
         }
         AgentFixture.await(() -> fixture.discovery.requests.stream()
-                .anyMatch(each -> each.target().contains("since=40&")));
+                .anyMatch(message -> message.target().contains("since=40&")));
         assertEquals(200, fixture.call("order").status());
         assertEquals(1, fixture.agent.trackedServers(), "only the last server");
         AgentFixture.await(() -> first.closedByPeer.size() >= 1);
--- a/src/test/java/gatefront/agent/LargeBodiesTest.java
+++ b/src/test/java/gatefront/agent/LargeBodiesTest.java
@@ -147,9 +147,9 @@
         fixture.start();
         List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < clients; i++) {
-            Socket each = fixture.dial();
-            ScriptedPeer.write(each, fixture.request("lookup", 8000, ""));
-            sockets.add(each);
+            Socket client = fixture.dial();
+            ScriptedPeer.write(client, fixture.request("lookup", 8000, ""));
+            sockets.add(client);
         }
         Thread.sleep(1500);
         ResourceBudget budget = fixture.agent.budget();
@@ -159,8 +159,8 @@
         assertTrue(budget.of(ResourcePurpose.ANSWERS).bytesHigh() > 0);
         ScriptedPeer.Message response = ScriptedPeer.read(sockets.get(3).getInputStream());
         assertEquals(32 * MIB, response.body().length);
-        for (Socket each : sockets) {
-            each.close();
+        for (Socket client : sockets) {
+            client.close();
         }
         AgentFixture.await(() -> budget.of(ResourcePurpose.ANSWERS).bytes() == 0);
         awaitIdle();
@@ -186,9 +186,9 @@
                 "got 4",
                 AgentFixture.exchange(socket, fixture.request("order", 8000, "body"))
                         .text());
-        for (ScriptedPeer.Message each : fixture.servers.get(0).requests) {
-            if (each.body().length > 4) {
-                assertArrayEquals(body, each.body());
+        for (ScriptedPeer.Message request : fixture.servers.get(0).requests) {
+            if (request.body().length > 4) {
+                assertArrayEquals(body, request.body());
             }
         }
         AgentFixture.await(
@@ -211,8 +211,8 @@
         write(socket, new byte[200_000]);
         AgentFixture.await(() -> !server.sockets.isEmpty());
         Thread.sleep(200);
-        for (Socket each : server.sockets) {
-            ScriptedPeer.reset(each);
+        for (Socket connection : server.sockets) {
+            ScriptedPeer.reset(connection);
         }
         ScriptedPeer.Message response = ScriptedPeer.read(socket.getInputStream());
         assertEquals(503, response.status());
--- a/src/test/java/gatefront/agent/MemoryTest.java
+++ b/src/test/java/gatefront/agent/MemoryTest.java
@@ -176,8 +176,8 @@
         ScriptedPeer.Message refused = fixture.call("lookup");
         assertEquals(503, refused.status());
         assertNotNull(refused.header("Retry-After"));
-        for (Socket each : nonReadingClients) {
-            each.close();
+        for (Socket client : nonReadingClients) {
+            client.close();
         }
         awaitEmpty(ResourcePurpose.ANSWERS);
         assertEquals(200, fixture.call("lookup").status());
@@ -223,8 +223,8 @@
         Thread.sleep(300);
         assertEquals(
                 3, account(ResourcePurpose.CALLER_CONNECTIONS).get("entries").asLong());
-        for (Socket each : incompleteRequests) {
-            each.close();
+        for (Socket connection : incompleteRequests) {
+            connection.close();
         }
         AgentFixture.await(
                 () -> account(ResourcePurpose.CALLER_CONNECTIONS).get("entries").asLong() == 0);
@@ -261,9 +261,10 @@
         AgentFixture.await(
                 () -> account(ResourcePurpose.SERVER_CONNECTIONS).get("entries").asLong() == 2);
         release.countDown();
-        for (CompletableFuture<ScriptedPeer.Message> each : responses) {
+        for (CompletableFuture<ScriptedPeer.Message> response : responses) {
             assertTrue(
-                    List.of(200, 502, 503, 504).contains(each.get().status()), "each gets exactly one final response");
+                    List.of(200, 502, 503, 504).contains(response.get().status()),
+                    "each gets exactly one final response");
         }
         assertEquals(
                 2,
@@ -295,8 +296,8 @@
                 InetAddress.getLoopbackAddress(), fixture.agent.statusAddress().getPort())) {
             ScriptedPeer.write(socket, "GET /status HTTP/1.1\r\nHost: a\r\n\r\n");
             String text = ScriptedPeer.read(socket.getInputStream()).text();
-            for (ResourcePurpose each : ResourcePurpose.values()) {
-                assertTrue(text.contains(each.word()), text);
+            for (ResourcePurpose purpose : ResourcePurpose.values()) {
+                assertTrue(text.contains(purpose.word()), text);
             }
         }
         try (Socket socket = new Socket(
@@ -330,8 +331,8 @@
                 folder.resolve("next.toml"), "[memory]\n" + capTable(ResourcePurpose.ANSWERS, "entries = 77"));
         assertEquals(2, account(ResourcePurpose.CALLS).get("entries_cap").asLong());
         release.countDown();
-        for (CompletableFuture<ScriptedPeer.Message> each : pendingCalls) {
-            assertEquals(200, each.get().status());
+        for (CompletableFuture<ScriptedPeer.Message> call : pendingCalls) {
+            assertEquals(200, call.get().status());
         }
         assertEquals(200, fixture.call("lookup").status());
         fixture.agent.reload(config, folder.resolve("next.toml"));
@@ -354,14 +355,14 @@
             connections.add(fixture.dial());
         }
         AgentFixture.await(() -> statusPage().get("descriptors").asLong() >= open + 20);
-        for (Socket each : connections) {
-            each.close();
+        for (Socket connection : connections) {
+            connection.close();
         }
     }
 
     @Test
     void errorsInTheTableAreOneLine() {
-        for (List<String> each : List.of(
+        for (List<String> testCase : List.of(
                 List.of("status = \"10.0.0.1:1\"", "x.toml:2: memory.status: must be a loopback address"),
                 List.of("status = \"here\"", "x.toml:2: memory.status: must be a literal address"),
                 List.of(
@@ -381,9 +382,9 @@
             String message = assertThrows(
                             TomlException.class,
                             () -> Extensions.parse(
-                                    "x.toml", "[memory]\n" + each.get(0) + "\n", Config.of(fixture.config)))
+                                    "x.toml", "[memory]\n" + testCase.get(0) + "\n", Config.of(fixture.config)))
                     .getMessage();
-            assertTrue(message.contains(each.get(1)) && message.lines().count() == 1, message);
+            assertTrue(message.contains(testCase.get(1)) && message.lines().count() == 1, message);
         }
     }
 }
--- a/src/test/java/gatefront/agent/OperatorControlsTest.java
+++ b/src/test/java/gatefront/agent/OperatorControlsTest.java
@@ -48,7 +48,7 @@
     @AfterEach
     void tearDown() throws IOException {
         fixture.close();
-        agents.forEach(each -> ScriptedPeer.daemon(each::stop));
+        agents.forEach(agent -> ScriptedPeer.daemon(agent::stop));
     }
 
     private void start() throws IOException {
@@ -116,11 +116,11 @@
         start();
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            Socket each = new Socket(
+            Socket client = new Socket(
                     InetAddress.getLoopbackAddress(),
                     fixture.agent.managementAddress().getPort());
-            ScriptedPeer.write(each, "GET /st");
-            silent.add(each);
+            ScriptedPeer.write(client, "GET /st");
+            silent.add(client);
         }
         long startNanos = System.nanoTime();
         assertEquals(200, request("GET", "/healthcheck").status());
@@ -128,8 +128,8 @@
         Socket inTime = silent.get(99);
         ScriptedPeer.write(inTime, "ats HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals(200, ScriptedPeer.read(inTime.getInputStream()).status());
-        for (Socket each : silent) {
-            each.close();
+        for (Socket client : silent) {
+            client.close();
         }
     }
 
@@ -158,7 +158,7 @@
         assertEquals(1, figures.get("pool_size"));
         assertEquals(
                 fixture.servers.get(0).requests.stream()
-                                .filter(each -> !each.target().equals("/healthz"))
+                                .filter(message -> !message.target().equals("/healthz"))
                                 .count()
                         - requestsBefore,
                 figures.get("tries"));
@@ -217,8 +217,8 @@
         assertEquals(200, request("POST", "/backends/s-1/maint").status());
         assertEquals("b", ScriptedPeer.read(client.getInputStream()).text());
         assertTrue(System.nanoTime() - startNanos < 4_000_000_000L, "must not wait for the connect timeout");
-        for (Socket each : waiting) {
-            each.close();
+        for (Socket connection : waiting) {
+            connection.close();
         }
         first.setSoTimeout(1500); // an abandoned attempt would connect now that there is room
         try {
@@ -246,12 +246,13 @@
         Socket client = fixture.dial();
         ScriptedPeer.write(client, fixture.request("lookup", 3000, ""));
         AgentFixture.await(() -> countCalls(fixture.servers.get(0)) + countCalls(fixture.servers.get(1)) == 1);
-        int other = countCalls(fixture.servers.get(0)) == 1 ? 1 : 0;
+        int otherIndex = countCalls(fixture.servers.get(0)) == 1 ? 1 : 0;
         assertEquals(
-                200, request("POST", "/backends/s-" + (other + 1) + "/maint").status());
+                200,
+                request("POST", "/backends/s-" + (otherIndex + 1) + "/maint").status());
         release.countDown();
         assertTrue(ScriptedPeer.read(client.getInputStream()).status() >= 500);
-        assertEquals(0, countCalls(fixture.servers.get(other)), "the retry must not go to the banned server");
+        assertEquals(0, countCalls(fixture.servers.get(otherIndex)), "the retry must not go to the banned server");
     }
 
     /** A ban and a truncated configuration file while two processes run. */
@@ -267,11 +268,11 @@
         Path file = files.resolve("config.json");
         String whole = fixture.config.toString();
         Files.writeString(file, whole.substring(0, whole.length() / 2));
-        for (Agent each : agents) {
-            each.reload(file, null);
-            AgentFixture.await(() -> request(each, "GET", "/stats").text().contains("config_rejected=1\n"));
-            AgentFixture.await(() -> request(each, "GET", "/stats").text().contains("pool_ejected=1\n"));
-            assertTrue(request(each, "GET", "/stats").text().contains("config_applied=0\n"));
+        for (Agent agent : agents) {
+            agent.reload(file, null);
+            AgentFixture.await(() -> request(agent, "GET", "/stats").text().contains("config_rejected=1\n"));
+            AgentFixture.await(() -> request(agent, "GET", "/stats").text().contains("pool_ejected=1\n"));
+            assertTrue(request(agent, "GET", "/stats").text().contains("config_applied=0\n"));
         }
         ScriptedPeer.daemon(oldAgent::stop);
         oldAgent.awaitTermination();
@@ -408,7 +409,7 @@
 
     private static long countCalls(ScriptedPeer server) {
         return server.requests.stream()
-                .filter(each -> each.target().startsWith("/lookup"))
+                .filter(message -> message.target().startsWith("/lookup"))
                 .count();
     }
 
@@ -437,7 +438,7 @@
         assertEquals(200, request("POST", "/backends/s-2/maint").status());
         Socket pending = fixture.dial();
         ScriptedPeer.write(pending, fixture.request("order", 8000, "body"));
-        AgentFixture.await(() -> fixture.servers.stream().anyMatch(each -> each.requests.stream()
+        AgentFixture.await(() -> fixture.servers.stream().anyMatch(server -> server.requests.stream()
                 .anyMatch(m -> m.target().startsWith("/order"))));
         Socket idleClient = fixture.dial();
         assertEquals(
--- a/src/test/java/gatefront/agent/ReloadTest.java
+++ b/src/test/java/gatefront/agent/ReloadTest.java
@@ -79,12 +79,12 @@
         for (int i = 0; i < 5; i++) { // repeated reloads have the effect of one
             fixture.agent.reload(file, null);
         }
-        AgentFixture.await(() -> discoveryCalls(newDiscovery).stream().anyMatch(each -> each.contains("since=1&")));
+        AgentFixture.await(() -> discoveryCalls(newDiscovery).stream().anyMatch(target -> target.contains("since=1&")));
         assertEquals("/v1/servers", discoveryCalls(newDiscovery).get(0));
         assertEquals(
                 1,
                 discoveryCalls(newDiscovery).stream()
-                        .filter(each -> each.equals("/v1/servers"))
+                        .filter(target -> target.equals("/v1/servers"))
                         .count());
         for (int i = 0; i < 5; i++) {
             assertEquals("new", fixture.call("order").text(), "the new list replaces the old one");
@@ -107,7 +107,7 @@
         assertEquals("old", fixture.call("lookup").text());
         writeConfig(newDiscovery.address());
         fixture.agent.reload(file, null);
-        AgentFixture.await(() -> discoveryCalls(newDiscovery).stream().anyMatch(each -> each.contains("since=1&")));
+        AgentFixture.await(() -> discoveryCalls(newDiscovery).stream().anyMatch(target -> target.contains("since=1&")));
         assertEquals("new", fixture.call("lookup").text());
     }
 
@@ -137,10 +137,11 @@
         Process process = startProgram("-Xmx48m");
         try {
             AgentFixture.await(
-                    () -> discoveryCalls(fixture.discovery).stream().anyMatch(each -> each.contains("since")));
+                    () -> discoveryCalls(fixture.discovery).stream().anyMatch(target -> target.contains("since")));
             writeConfig(newDiscovery.address());
             signal(process, "HUP");
-            AgentFixture.await(() -> discoveryCalls(newDiscovery).stream().anyMatch(each -> each.contains("since=1&")));
+            AgentFixture.await(
+                    () -> discoveryCalls(newDiscovery).stream().anyMatch(target -> target.contains("since=1&")));
             assertTrue(process.isAlive());
             signal(process, "TERM");
             for (int i = 0; i < 3; i++) {
@@ -181,7 +182,8 @@
             AgentFixture.await(() -> !silentDiscovery.requests.isEmpty());
             writeConfig(newDiscovery.address());
             signal(process, "HUP");
-            AgentFixture.await(() -> discoveryCalls(newDiscovery).stream().anyMatch(each -> each.contains("since=1&")));
+            AgentFixture.await(
+                    () -> discoveryCalls(newDiscovery).stream().anyMatch(target -> target.contains("since=1&")));
             assertTrue(process.isAlive());
         } finally {
             process.destroyForcibly();
@@ -205,7 +207,7 @@
         Thread stopping = ScriptedPeer.daemon(fixture.agent::stop);
         writeConfig(newDiscovery.address());
         fixture.agent.reload(file, null);
-        AgentFixture.await(() -> discoveryCalls(newDiscovery).stream().anyMatch(each -> each.contains("since=1&")));
+        AgentFixture.await(() -> discoveryCalls(newDiscovery).stream().anyMatch(target -> target.contains("since=1&")));
         assertEquals("new", fixture.call("lookup").text());
         release.countDown();
         assertEquals("old", ScriptedPeer.read(pending.getInputStream()).text());
@@ -224,7 +226,7 @@
         Process process = startProgram("-Xlog:class+load");
         try {
             AgentFixture.await(
-                    () -> discoveryCalls(fixture.discovery).stream().anyMatch(each -> each.contains("since")));
+                    () -> discoveryCalls(fixture.discovery).stream().anyMatch(target -> target.contains("since")));
             signal(process, "TERM");
             assertTrue(process.waitFor(AgentFixture.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             String loaded = Files.readString(dir.resolve("log"));
@@ -246,7 +248,7 @@
         Process process = startProgram("-Xmx48m", "--ignore-signal=HUP");
         try {
             AgentFixture.await(
-                    () -> discoveryCalls(fixture.discovery).stream().anyMatch(each -> each.contains("since")));
+                    () -> discoveryCalls(fixture.discovery).stream().anyMatch(target -> target.contains("since")));
             signal(process, "TERM");
             assertTrue(process.waitFor(AgentFixture.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertTrue(Files.readString(dir.resolve("log")).contains("reload: SIGHUP is ignored here"));
--- a/src/test/java/gatefront/agent/SettingsReloadTest.java
+++ b/src/test/java/gatefront/agent/SettingsReloadTest.java
@@ -131,7 +131,7 @@
         ScriptedPeer.write(pending, fixture.request("order", 8000, "body").replace("?q=1", "?held"));
         AgentFixture.await(() -> fixture.requestsReceived() > 0
                 && fixture.servers.get(0).requests.stream()
-                        .anyMatch(each -> each.target().contains("held")));
+                        .anyMatch(message -> message.target().contains("held")));
         reload(config -> ((ObjectNode) classes(config).get(2)).put("semantics", "safe"));
         assertEquals(400, fixture.call("order").status(), "POST is not allowed for a safe class");
         String get = fixture.request("lookup", 8000, "").replace("lookup", "order");
@@ -175,32 +175,32 @@
             invalidFiles.add(complete.substring(0, cut));
         }
         List<Consumer<ObjectNode>> changes = List.of(
-                c -> c.remove("settings"),
-                c -> c.remove("limits"),
-                c -> c.remove("discovery"),
-                c -> ((ObjectNode) c.get("settings")).remove("classes"),
-                c -> ((ObjectNode) c.get("settings")).remove("caps"),
-                c -> ((ObjectNode) c.get("settings")).remove("deductions"),
-                c -> ((ObjectNode) c.get("settings").get("caps")).remove("max-attempts"),
-                c -> ((ObjectNode) c.get("settings").get("caps")).put("max-attempts", 0),
-                c -> ((ObjectNode) c.get("settings").get("caps")).put("max-attempts", "many"),
-                c -> classes(c).removeAll(),
-                c -> ((ObjectNode) classes(c).get(1)).put("give-up-us", 0),
-                c -> ((ObjectNode) classes(c).get(1)).put("give-up-us", -5),
-                c -> ((ObjectNode) classes(c).get(1)).remove("give-up-us"),
-                c -> ((ObjectNode) classes(c).get(1)).remove("worth"),
-                c -> ((ObjectNode) classes(c).get(1)).remove("name"),
-                c -> ((ObjectNode) classes(c).get(1)).put("name", "order"),
-                c -> ((ObjectNode) classes(c).get(1)).put("semantics", "sometimes"));
-        for (Consumer<ObjectNode> each : changes) {
+                config -> config.remove("settings"),
+                config -> config.remove("limits"),
+                config -> config.remove("discovery"),
+                config -> ((ObjectNode) config.get("settings")).remove("classes"),
+                config -> ((ObjectNode) config.get("settings")).remove("caps"),
+                config -> ((ObjectNode) config.get("settings")).remove("deductions"),
+                config -> ((ObjectNode) config.get("settings").get("caps")).remove("max-attempts"),
+                config -> ((ObjectNode) config.get("settings").get("caps")).put("max-attempts", 0),
+                config -> ((ObjectNode) config.get("settings").get("caps")).put("max-attempts", "many"),
+                config -> classes(config).removeAll(),
+                config -> ((ObjectNode) classes(config).get(1)).put("give-up-us", 0),
+                config -> ((ObjectNode) classes(config).get(1)).put("give-up-us", -5),
+                config -> ((ObjectNode) classes(config).get(1)).remove("give-up-us"),
+                config -> ((ObjectNode) classes(config).get(1)).remove("worth"),
+                config -> ((ObjectNode) classes(config).get(1)).remove("name"),
+                config -> ((ObjectNode) classes(config).get(1)).put("name", "order"),
+                config -> ((ObjectNode) classes(config).get(1)).put("semantics", "sometimes"));
+        for (Consumer<ObjectNode> change : changes) {
             ObjectNode copy = fixture.config.deepCopy();
             ((ObjectNode) classes(copy).get(0)).put("name", "other");
-            each.accept(copy);
+            change.accept(copy);
             invalidFiles.add(copy.toString());
         }
-        for (String each : invalidFiles) {
-            reload(each);
-            assertEquals(0, statistic("config_applied"), each);
+        for (String text : invalidFiles) {
+            reload(text);
+            assertEquals(0, statistic("config_applied"), text);
         }
         assertTrue(statistic("config_rejected") == invalidFiles.size());
         assertEquals(0, settingsChanges.get(), "no file is applied in part");
--- a/src/test/java/gatefront/agent/ThriftAgentFixture.java
+++ b/src/test/java/gatefront/agent/ThriftAgentFixture.java
@@ -113,8 +113,8 @@
         Config parsed = Config.of(config);
         List<String> classes = parsed.classes();
         Map<String, Method> methods = new java.util.HashMap<>();
-        for (String each : List.of("lookup", "pay", "order")) {
-            methods.put(each, new Method(classes.indexOf(each), true));
+        for (String type : List.of("lookup", "pay", "order")) {
+            methods.put(type, new Method(classes.indexOf(type), true));
         }
         methods.put("undeclared", new Method(classes.indexOf("lookup"), false));
         agent = Agent.start(
@@ -150,8 +150,8 @@
 
     @Override
     public void close() throws IOException {
-        for (Closeable each : sockets) {
-            each.close();
+        for (Closeable socket : sockets) {
+            socket.close();
         }
         servers.forEach(TServer::stop);
         if (agent != null) {
