--- a/src/main/java/gatefront/agent/OperatorControls.java
+++ b/src/main/java/gatefront/agent/OperatorControls.java
@@ -20,201 +20,210 @@
 import java.util.function.Consumer;
 
 /**
- * What operators do with an agent, put together: the door, bans laid over the list, and what another process of the
- * same agent is told of them. Not loaded where there is no door. All of it runs on the agent's loop.
+ * Operators' control of an agent: the management endpoint, the bans applied to the server list, and their exchange with
+ * another process of the same agent. Loaded only if a management endpoint is configured. Runs on the agent's loop.
  */
 final class OperatorControls implements ManagementEndpoint.Agent {
-    /** How often the other process is looked for: a ban at its door is to hold here within the grace of a drain. */
-    private static final long LOOK_MS = 100;
-    /** A server is back so long after the yes has been written: time for that to arrive. */
-    private static final long RETURN_MS = 50;
-
-    /** What it asks of the agent. */
-    interface Host {
-        /** Whether the process is ready to serve. */
+    /**
+     * Interval at which the other process is polled, in milliseconds. A ban received by its endpoint must take effect
+     * here within the drain grace.
+     */
+    private static final long POLL_MS = 100;
+    /**
+     * Delay between the confirmation of a return and the first request to the server, in milliseconds, so that the
+     * confirmation arrives first.
+     */
+    private static final long RETURN_DELAY_MS = 50;
+
+    /** The agent as seen by its operator controls. */
+    interface AgentControl {
+        /** Returns whether the process is ready to serve. */
         boolean ready();
 
-        /** Names of the classes by their numbers, dropped ones too. */
+        /** Returns the names of the classes by number, including dropped ones. */
         List<String> classes();
 
-        /** The process that served has ended. */
-        void alone();
+        /** Called when the process that served before this one has ended. */
+        void onPredecessorEnded();
     }
 
     private final Transport transport;
-    private final Host host;
+    private final AgentControl agent;
     private final Engine engine;
-    private final ManagementEndpoint door;
+    private final ManagementEndpoint endpoint;
     private final ServerBans bans = new ServerBans();
-    /** Null where nothing is shared. */
-    private final ProcessHandover neighbour;
-    /** Servers that are about to be put back; each goes after {@link #RETURN_MS}. */
-    private final Map<String, Future<?>> returning = new HashMap<>();
+    /** The other process of the agent; null if no directory is shared. */
+    private final ProcessHandover peer;
+    /** Scheduled returns of banned servers, by name; each runs after {@link #RETURN_DELAY_MS}. */
+    private final Map<String, Future<?>> pendingReturns = new HashMap<>();
+
+    private Future<?> polling;
+    /** State that survives a restart; null if none is stored. */
+    private StateRecovery stateRecovery;
 
-    private Future<?> looking;
-    /** What is known over a death; null where nothing is kept. */
-    private StateRecovery recovering;
+    /** Whether another process serves and this one is to take over from it. */
+    private boolean successor;
 
-    private boolean follows;
     private long applied;
     private long rejected;
 
     OperatorControls(
-            Transport transport, InetSocketAddress listen, ProcessHandover neighbour, Engine engine, Host host) {
+            Transport transport, InetSocketAddress listen, ProcessHandover peer, Engine engine, AgentControl agent) {
         this.transport = transport;
-        this.host = host;
+        this.agent = agent;
         this.engine = engine;
-        this.neighbour = neighbour;
-        this.follows = neighbour != null && neighbour.isSuccessor();
-        this.door = new ManagementEndpoint(transport, listen, this);
+        this.peer = peer;
+        this.successor = peer != null && peer.isSuccessor();
+        this.endpoint = new ManagementEndpoint(transport, listen, this);
     }
 
     ChannelFuture listen() {
-        return door.listen();
+        return endpoint.listen();
     }
 
     InetSocketAddress address() {
-        return door.address();
+        return endpoint.address();
     }
 
-    /** Whether another process serves, and this one is to take over from it. */
-    boolean follows() {
-        return follows;
+    /** Returns whether another process serves and this one is to take over from it. */
+    boolean isSuccessor() {
+        return successor;
     }
 
-    /** Whether another process is there to take over from this one. */
-    boolean followed() {
-        return neighbour != null && neighbour.hasSuccessor();
+    /** Returns whether another process is about to take over from this one. */
+    boolean hasSuccessor() {
+        return peer != null && peer.hasSuccessor();
     }
 
     /**
-     * Hears of what the other process has told so far, and from now on of the rest; before the first list.
+     * Reads the bans of the other process and begins to poll it; must be called before the first server list.
      *
-     * @param before what this instance knows over its death; null where it keeps nothing
+     * @param restored the state restored from before the restart, or null if none is stored
      */
-    void start(StateRecovery before) {
-        recovering = before;
-        if (before != null) {
-            bans.merge(before.bans());
+    void start(StateRecovery restored) {
+        stateRecovery = restored;
+        if (restored != null) {
+            bans.merge(restored.restoredBans());
             bans.takeChanged();
-            if (neighbour != null && !before.guards(RecoverySettings.Guard.KEPT_BANS)) {
-                neighbour.poll();
+            if (peer != null && !restored.isEnabled(RecoverySettings.Guard.KEPT_BANS)) {
+                peer.poll();
             }
-            if (neighbour != null && !bans.entries().isEmpty()) {
-                neighbour.publishBans(bans.entries());
+            if (peer != null && !bans.entries().isEmpty()) {
+                peer.publishBans(bans.entries());
             }
         }
-        if (neighbour != null) {
-            look();
-            looking = transport.loop().scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        if (peer != null) {
+            pollPeer();
+            polling = transport.loop().scheduleWithFixedDelay(this::pollPeer, POLL_MS, POLL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     void close() {
-        door.close();
-        if (looking != null) {
-            looking.cancel(false);
+        endpoint.close();
+        if (polling != null) {
+            polling.cancel(false);
         }
-        if (neighbour != null) {
-            neighbour.close();
+        if (peer != null) {
+            peer.close();
         }
     }
 
-    /** The list with what is out by hand. */
-    List<Endpoint> told(ListKind kind, List<Endpoint> endpoints) {
+    /** Returns the list with the bans applied. */
+    List<Endpoint> applyOverrides(ListKind kind, List<Endpoint> endpoints) {
         return bans.update(kind, endpoints);
     }
 
-    /** A file of settings was taken, or turned down. */
-    void reloaded(boolean taken) {
-        applied += taken ? 1 : 0;
-        rejected += taken ? 0 : 1;
+    /** Counts a reload that was applied or rejected. */
+    void recordReload(boolean success) {
+        applied += success ? 1 : 0;
+        rejected += success ? 0 : 1;
     }
 
-    private void look() {
-        List<Endpoint> lines = bans.merge(neighbour.poll());
-        boolean news = bans.takeChanged();
-        if (news) {
-            neighbour.publishBans(bans.entries());
-            keep(bans.entries(), kept -> {});
+    private void pollPeer() {
+        List<Endpoint> changes = bans.merge(peer.poll());
+        boolean changed = bans.takeChanged();
+        if (changed) {
+            peer.publishBans(bans.entries());
+            persist(bans.entries(), stored -> {});
         }
-        if (!lines.isEmpty()) {
-            engine.updateServers(ListKind.DELTA, lines);
+        if (!changes.isEmpty()) {
+            engine.updateServers(ListKind.DELTA, changes);
         }
-        if (!neighbour.isSuccessor() && neighbour.hasOtherFiles() && !neighbour.hasSuccessor()) {
-            neighbour.deleteOtherFiles();
+        if (!peer.isSuccessor() && peer.hasOtherFiles() && !peer.hasSuccessor()) {
+            peer.deleteOtherFiles();
         }
-        if (follows && !neighbour.isSuccessor()) {
-            follows = false;
-            host.alone();
+        if (successor && !peer.isSuccessor()) {
+            successor = false;
+            agent.onPredecessorEnded();
         }
     }
 
     @Override
     public boolean ready() {
-        return host.ready();
+        return agent.ready();
     }
 
     @Override
-    public void setDrained(String backend, boolean out, BiConsumer<ServerBans.Outcome, Boolean> then) {
-        if (neighbour != null) {
-            look(); // a call at the other door may have come just before
+    public void setDrained(String server, boolean banned, BiConsumer<ServerBans.Outcome, Boolean> callback) {
+        if (peer != null) {
+            pollPeer(); // the other endpoint may have received a call just before
         }
-        Future<?> earlier = returning.remove(backend);
+        Future<?> earlier = pendingReturns.remove(server);
         if (earlier != null) {
             earlier.cancel(false);
         }
-        if (!out && bans.isDrained(backend)) {
-            // Guards against a request that is there before the operator has the yes: what is held goes out at once.
-            Map<String, ServerBans.Entry> soon = new HashMap<>(bans.entries());
-            soon.put(
-                    backend,
+        if (!banned && bans.isDrained(server)) {
+            // Guards against a request reaching the server before the operator has the confirmation: once the server is
+            // back, requests that wait are sent to it at once. So the return is stored and confirmed first.
+            Map<String, ServerBans.Entry> entries = new HashMap<>(bans.entries());
+            entries.put(
+                    server,
                     new ServerBans.Entry(
                             false,
-                            Math.max(transport.wallMicros(), soon.get(backend).changedAtMicros() + 1)));
-            keep(soon, kept -> {
-                then.accept(ServerBans.Outcome.APPLIED, kept);
-                // A call that came meanwhile has the last word.
-                if (bans.isDrained(backend) && !returning.containsKey(backend)) {
-                    returning.put(
-                            backend,
+                            Math.max(transport.wallMicros(), entries.get(server).changedAtMicros() + 1)));
+            persist(entries, stored -> {
+                callback.accept(ServerBans.Outcome.APPLIED, stored);
+                // A call that arrived in the meantime takes precedence.
+                if (bans.isDrained(server) && !pendingReturns.containsKey(server)) {
+                    pendingReturns.put(
+                            server,
                             transport
                                     .loop()
                                     .schedule(
                                             () -> {
-                                                returning.remove(backend);
-                                                apply(backend, false);
-                                                keep(bans.entries(), again -> {});
+                                                pendingReturns.remove(server);
+                                                apply(server, false);
+                                                persist(bans.entries(), ignored -> {});
                                             },
-                                            RETURN_MS,
+                                            RETURN_DELAY_MS,
                                             TimeUnit.MILLISECONDS));
                 }
             });
             return;
         }
-        ServerBans.Outcome answer = apply(backend, out);
-        keep(bans.entries(), kept -> then.accept(answer, kept));
+        ServerBans.Outcome answer = apply(server, banned);
+        persist(bans.entries(), stored -> callback.accept(answer, stored));
     }
 
-    /** Keeps calls by hand where anything is kept; where nothing is, nobody expects it. */
-    private void keep(Map<String, ServerBans.Entry> entries, Consumer<Boolean> then) {
-        if (recovering == null) {
-            then.accept(true);
+    /** Stores the bans if state is stored at all; otherwise reports success. */
+    private void persist(Map<String, ServerBans.Entry> entries, Consumer<Boolean> callback) {
+        if (stateRecovery == null) {
+            callback.accept(true);
         } else {
-            recovering.keep(entries, then);
+            stateRecovery.persistBans(entries, callback);
         }
     }
 
-    private ServerBans.Outcome apply(String backend, boolean out) {
-        ServerBans.Outcome answer = bans.setDrained(backend, out, transport.wallMicros());
+    private ServerBans.Outcome apply(String server, boolean banned) {
+        ServerBans.Outcome answer = bans.setDrained(server, banned, transport.wallMicros());
         if (bans.takeChanged()) {
-            transport.log("server " + backend + (out ? " taken out by hand" : " put back by hand"));
-            if (neighbour != null) {
-                neighbour.publishBans(bans.entries());
+            transport.log("server " + server + (banned ? " taken out by hand" : " put back by hand"));
+            if (peer != null) {
+                peer.publishBans(bans.entries());
             }
-            List<Endpoint> line = bans.effectiveEndpoint(backend);
-            if (!line.isEmpty()) {
-                engine.updateServers(ListKind.DELTA, line);
+            List<Endpoint> change = bans.effectiveEndpoint(server);
+            if (!change.isEmpty()) {
+                engine.updateServers(ListKind.DELTA, change);
             }
         }
         return answer;
@@ -222,21 +231,21 @@
 
     @Override
     public Map<String, String> textFigures() {
-        return recovering == null ? Map.of() : recovering.words();
+        return stateRecovery == null ? Map.of() : stateRecovery.statusFields();
     }
 
     @Override
     public Map<String, Long> figures() {
         Map<String, Long> figures = new LinkedHashMap<>();
-        RequestCounters tally = engine.counters();
-        List<String> classes = host.classes();
+        RequestCounters counters = engine.counters();
+        List<String> classes = agent.classes();
         for (int i = 0; i < classes.size(); i++) {
-            figures.put("ok." + classes.get(i), tally.ok(i));
-            figures.put("shed." + classes.get(i), tally.shed(i));
-            figures.put("errors." + classes.get(i), tally.errors(i));
+            figures.put("ok." + classes.get(i), counters.ok(i));
+            figures.put("shed." + classes.get(i), counters.shed(i));
+            figures.put("errors." + classes.get(i), counters.errors(i));
         }
-        figures.put("tries", tally.attempts());
-        figures.put("active", tally.active());
+        figures.put("tries", counters.attempts());
+        figures.put("active", counters.active());
         figures.put("pool_size", (long) engine.listedServers());
         figures.put("pool_ejected", (long) bans.drainedCount() + engine.avoidedServers());
         figures.put("config_applied", applied);
