--- a/src/main/java/gatefront/ledger/Ledger.java
+++ b/src/main/java/gatefront/ledger/Ledger.java
@@ -9,34 +9,35 @@
 import org.pcollections.TreePMap;
 
 /**
- * All that is known of what was used: a value. Adding an entry makes another ledger that shares nearly all with this
- * one, so a snapshot is the ledger that one has, at no cost and without a pause.
+ * An immutable set of usage entries with their totals. Adding an entry returns a new ledger that shares nearly all of
+ * its structure with this one, so every ledger is also a snapshot, without copying or pausing.
  *
- * <p>An entry is taken once: the same again changes nothing, and another with the same id is a {@link Conflict}. A
- * correction may come before what it corrects, from another instance; until that comes it counts for nothing and is
- * among {@link #waiting()}. A correction corrects an entry of use, or another correction, and counts with the tenant
- * and class of the entry of use at the end of that chain.
+ * <p>Each entry counts once: adding an equal entry again changes nothing, and a different entry with the same id is a
+ * {@link Conflict}. A correction from another instance may arrive before the entry that it corrects; until then it is
+ * not counted and is listed by {@link #unresolvedCorrections()}. A correction refers to an entry of use or to another
+ * correction, and counts for the tenant and class of the entry of use at the end of that chain.
  */
 public final class Ledger {
-    /** Nothing. */
+    /** The ledger without entries. */
     public static final Ledger EMPTY =
             new Ledger(TreePMap.empty(), TreePMap.empty(), HashTreePMap.empty(), TreePMap.empty());
 
-    /** Two entries with one id: an instance was started twice, or a store has lied. */
+    /** Signals two different entries with one id: an instance was started twice, or stored data is wrong. */
     public static final class Conflict extends Exception {
         private static final long serialVersionUID = 1;
 
-        Conflict(LedgerEntry one, LedgerEntry other) {
-            super("entry " + one.id() + " is there as " + line(one) + " and as " + line(other));
+        Conflict(LedgerEntry existing, LedgerEntry added) {
+            super("entry " + existing.id() + " exists with different contents: " + describe(existing) + "; and "
+                    + describe(added));
         }
 
-        private static String line(LedgerEntry entry) {
+        private static String describe(LedgerEntry entry) {
             return entry.kind() + " of period " + entry.period() + " " + entry.tenant() + " " + entry.type() + " "
                     + entry.amounts();
         }
     }
 
-    /** Whose use: a tenant's of a class in a period. */
+    /** The key of a total: a tenant's use of a class of requests in a period. */
     public record Cell(long period, String tenant, String type) implements Comparable<Cell> {
         @Override
         public int compareTo(Cell other) {
@@ -46,167 +47,173 @@
         }
     }
 
-    /** How an instance's part of a period stands. */
-    public enum Part {
-        /** It has said how many entries it made, and all are here. */
-        WHOLE,
-        /** It has said so, and some are not here. */
+    /** Whether the entries of an instance's epoch in a period are complete. */
+    public enum PartStatus {
+        /** The epoch has closed the period, and all its entries are present. */
+        COMPLETE,
+        /** The epoch has closed the period, and some of its entries are missing. */
         INCOMPLETE,
-        /** It has not said so: it still counts, or died in mid-period. Its part is not known, and not nothing. */
+        /** The epoch has not closed the period: it is still counting, or ended early. Its use is unknown, not zero. */
         UNKNOWN
     }
 
     private final TreePMap<EntryId, LedgerEntry> entries;
     private final TreePMap<Cell, UsageAmounts> cells;
-    /** By entry that is not here, the corrections that wait for it. */
-    private final PMap<EntryId, TreePMap<EntryId, LedgerEntry>> waiting;
-    /** By period, instance and epoch, what is here and what should be. */
-    private final TreePMap<Long, TreePMap<String, Count>> parts;
+    /** The corrections that are not counted yet, by the id of the missing entry. */
+    private final PMap<EntryId, TreePMap<EntryId, LedgerEntry>> unresolved;
+    /** The numbers of entries by period and {@code instance/epoch}. */
+    private final TreePMap<Long, TreePMap<String, EntryCount>> entryCounts;
 
-    /** Entries of use and corrections of one epoch in a period; as many as were made, or -1 while not told. */
-    private record Count(long here, long made) {}
+    /** The present and the declared number of an epoch's entries in a period; -1 until it has closed the period. */
+    private record EntryCount(long present, long declared) {}
 
     private Ledger(
             TreePMap<EntryId, LedgerEntry> entries,
             TreePMap<Cell, UsageAmounts> cells,
-            PMap<EntryId, TreePMap<EntryId, LedgerEntry>> waiting,
-            TreePMap<Long, TreePMap<String, Count>> parts) {
+            PMap<EntryId, TreePMap<EntryId, LedgerEntry>> unresolved,
+            TreePMap<Long, TreePMap<String, EntryCount>> entryCounts) {
         this.entries = entries;
         this.cells = cells;
-        this.waiting = waiting;
-        this.parts = parts;
+        this.unresolved = unresolved;
+        this.entryCounts = entryCounts;
     }
 
     /**
-     * With one entry more; this one, if it is here already.
+     * Returns a ledger with one more entry; returns this ledger if it already contains the entry.
      *
-     * @throws Conflict if another entry with its id is here
-     * @throws ArithmeticException if sums with it are more than a number holds; this ledger is as it was
+     * @throws Conflict if this ledger contains a different entry with its id
+     * @throws ArithmeticException if a total overflows; this ledger is unchanged
      */
     public Ledger with(LedgerEntry entry) throws Conflict {
-        LedgerEntry here = entries.get(entry.id());
-        if (here != null) {
-            if (!here.equals(entry)) {
-                throw new Conflict(here, entry);
+        LedgerEntry existing = entries.get(entry.id());
+        if (existing != null) {
+            if (!existing.equals(entry)) {
+                throw new Conflict(existing, entry);
             }
             return this;
         }
-        Ledger with = new Ledger(entries.plus(entry.id(), entry), cells, waiting, counted(entry));
-        return entry.kind() == LedgerEntry.Kind.CLOSED ? with : with.settled(entry);
+        Ledger added = new Ledger(entries.plus(entry.id(), entry), cells, unresolved, countsWith(entry));
+        return entry.kind() == LedgerEntry.Kind.CLOSED ? added : added.withAmounts(entry);
     }
 
-    private TreePMap<Long, TreePMap<String, Count>> counted(LedgerEntry entry) {
-        TreePMap<String, Count> period = parts.getOrDefault(entry.period(), TreePMap.empty());
-        String whose = entry.id().instance() + "/" + entry.id().epoch();
-        Count before = period.getOrDefault(whose, new Count(0, -1));
-        Count now = entry.kind() == LedgerEntry.Kind.CLOSED
-                ? new Count(before.here, entry.amounts().requests())
-                : new Count(before.here + 1, before.made);
-        return parts.plus(entry.period(), period.plus(whose, now));
+    private TreePMap<Long, TreePMap<String, EntryCount>> countsWith(LedgerEntry entry) {
+        TreePMap<String, EntryCount> period = entryCounts.getOrDefault(entry.period(), TreePMap.empty());
+        String epochKey = entry.id().instance() + "/" + entry.id().epoch();
+        EntryCount before = period.getOrDefault(epochKey, new EntryCount(0, -1));
+        EntryCount updated = entry.kind() == LedgerEntry.Kind.CLOSED
+                ? new EntryCount(before.present, entry.amounts().requests())
+                : new EntryCount(before.present + 1, before.declared);
+        return entryCounts.plus(entry.period(), period.plus(epochKey, updated));
     }
 
-    /** Counts an entry that is here, and the corrections that have waited for it. */
-    private Ledger settled(LedgerEntry entry) {
-        LedgerEntry use = origin(entry);
+    /** Counts an entry that has been added, and the corrections that were waiting for it. */
+    private Ledger withAmounts(LedgerEntry entry) {
+        LedgerEntry use = originalUse(entry);
         if (use == null) {
-            EntryId lacks = lacking(entry);
+            EntryId missing = missingEntry(entry);
             return new Ledger(
                     entries,
                     cells,
-                    waiting.plus(
-                            lacks,
-                            waiting.getOrDefault(lacks, TreePMap.<EntryId, LedgerEntry>empty())
+                    unresolved.plus(
+                            missing,
+                            unresolved
+                                    .getOrDefault(missing, TreePMap.<EntryId, LedgerEntry>empty())
                                     .plus(entry.id(), entry)),
-                    parts);
+                    entryCounts);
         }
         Cell cell = new Cell(entry.period(), use.tenant(), use.type());
-        Ledger now = new Ledger(
+        Ledger updated = new Ledger(
                 entries,
-                cells.plus(cell, cells.getOrDefault(cell, UsageAmounts.NONE).plus(entry.amounts())),
-                waiting.minus(entry.id()),
-                parts);
-        for (LedgerEntry each : waiting.getOrDefault(entry.id(), TreePMap.<EntryId, LedgerEntry>empty())
+                cells.plus(cell, cells.getOrDefault(cell, UsageAmounts.ZERO).plus(entry.amounts())),
+                unresolved.minus(entry.id()),
+                entryCounts);
+        for (LedgerEntry correction : unresolved
+                .getOrDefault(entry.id(), TreePMap.<EntryId, LedgerEntry>empty())
                 .values()) {
-            now = now.settled(each);
+            updated = updated.withAmounts(correction);
         }
-        return now;
+        return updated;
     }
 
-    /** The entry of use at the end of a chain of corrections; null if a part of it is not here, or it has no end. */
-    private LedgerEntry origin(LedgerEntry entry) {
-        LedgerEntry at = entry;
-        for (int i = 0; at != null && at.corrects() != null; i++) {
-            at = i > entries.size() ? null : entries.get(at.corrects());
+    /** Returns the entry of use at the end of a chain of corrections; null if the chain is incomplete or cyclic. */
+    private LedgerEntry originalUse(LedgerEntry entry) {
+        LedgerEntry current = entry;
+        for (int i = 0; current != null && current.corrects() != null; i++) {
+            current = i > entries.size() ? null : entries.get(current.corrects());
         }
-        return at == null || at.kind() != LedgerEntry.Kind.USE ? null : at;
+        return current == null || current.kind() != LedgerEntry.Kind.USE ? null : current;
     }
 
-    private EntryId lacking(LedgerEntry entry) {
-        LedgerEntry at = entry;
+    /** Returns the id of the entry that an unresolved chain of corrections waits for. */
+    private EntryId missingEntry(LedgerEntry entry) {
+        LedgerEntry current = entry;
         for (int i = 0; i <= entries.size(); i++) {
-            LedgerEntry next = entries.get(at.corrects());
+            LedgerEntry next = entries.get(current.corrects());
             if (next == null || next.corrects() == null) {
                 break;
             }
-            at = next;
+            current = next;
         }
-        return at.corrects();
+        return current.corrects();
     }
 
-    /** An entry, or null. */
+    /** Returns the entry with this id, or null. */
     public LedgerEntry get(EntryId id) {
         return entries.get(id);
     }
 
-    /** All entries, in the order of their ids. */
+    /** Returns all entries in the order of their ids. */
     public Iterable<LedgerEntry> entries() {
         return entries.values();
     }
 
-    /** How many entries there are. */
+    /** Returns the number of entries. */
     public int size() {
         return entries.size();
     }
 
-    /** What was used in a period, corrections made in it included, by tenant and class. */
+    /** Returns the totals of a period by tenant and class, including the corrections made in it. */
     public Map<Cell, UsageAmounts> totals(long period) {
         return cells.subMap(new Cell(period, "", ""), true, new Cell(period + 1, "", ""), false);
     }
 
-    /** What a tenant used in a period, over all classes. */
+    /** Returns a tenant's total of a period over all classes. */
     public UsageAmounts total(long period, String tenant) {
-        UsageAmounts total = UsageAmounts.NONE;
-        for (Map.Entry<Cell, UsageAmounts> each : totals(period).entrySet()) {
-            total = each.getKey().tenant().equals(tenant) ? total.plus(each.getValue()) : total;
+        UsageAmounts total = UsageAmounts.ZERO;
+        for (Map.Entry<Cell, UsageAmounts> cell : totals(period).entrySet()) {
+            total = cell.getKey().tenant().equals(tenant) ? total.plus(cell.getValue()) : total;
         }
         return total;
     }
 
-    /** Corrections of entries that are not here; they count for nothing yet. */
-    public List<LedgerEntry> waiting() {
+    /** Returns the corrections that are not counted because an entry that they refer to is missing. */
+    public List<LedgerEntry> unresolvedCorrections() {
         List<LedgerEntry> all = new ArrayList<>();
-        waiting.values().forEach(each -> all.addAll(each.values()));
+        unresolved.values().forEach(corrections -> all.addAll(corrections.values()));
         all.sort((a, b) -> a.id().compareTo(b.id()));
         return all;
     }
 
-    /** The periods of which something is here. */
+    /** Returns the periods that have entries. */
     public Iterable<Long> periods() {
-        return parts.keySet();
+        return entryCounts.keySet();
     }
 
     /**
-     * How the part of each instance stands in a period; of one that is expected and has told nothing it is not known.
-     * An instance that died in mid-period and came back has an epoch that never ended: its part stays unknown.
+     * Returns the status of each {@code instance/epoch} in a period. An expected instance without entries is listed by
+     * its name as unknown. An instance that died during a period and restarted has an epoch that never closed the
+     * period; the status of that epoch stays unknown.
      */
-    public Map<String, Part> standing(long period, Iterable<String> expected) {
-        Map<String, Part> standing = new TreeMap<>();
-        expected.forEach(each -> standing.put(each, Part.UNKNOWN));
-        parts.getOrDefault(period, TreePMap.empty()).forEach((whose, count) -> {
-            Part part = count.made < 0 ? Part.UNKNOWN : count.here == count.made ? Part.WHOLE : Part.INCOMPLETE;
-            standing.put(whose, part);
-            standing.remove(whose.substring(0, whose.indexOf('/')));
+    public Map<String, PartStatus> partStatuses(long period, Iterable<String> expected) {
+        Map<String, PartStatus> statuses = new TreeMap<>();
+        expected.forEach(instance -> statuses.put(instance, PartStatus.UNKNOWN));
+        entryCounts.getOrDefault(period, TreePMap.empty()).forEach((epochKey, count) -> {
+            PartStatus status = count.declared < 0
+                    ? PartStatus.UNKNOWN
+                    : count.present == count.declared ? PartStatus.COMPLETE : PartStatus.INCOMPLETE;
+            statuses.put(epochKey, status);
+            statuses.remove(epochKey.substring(0, epochKey.indexOf('/')));
         });
-        return standing;
+        return statuses;
     }
 }
--- a/src/main/java/gatefront/ledger/Reconciliation.java
+++ b/src/main/java/gatefront/ledger/Reconciliation.java
@@ -8,24 +8,24 @@
 import java.util.TreeMap;
 
 /**
- * Finds what two instances know differently, by asking the other for sums where they differ and for entries where few
- * are left. What is asked and told grows with the differences, not with what both have.
+ * Finds the entries in which two instances differ. It asks the peer for the sums of ranges that differ, and for entries
+ * once a range has few of them. The traffic grows with the number of differences, not with the number of entries.
  */
 public final class Reconciliation {
-    /** The other instance, as far as this needs it. */
-    public interface Other {
-        /** What it has in each child of a range. */
+    /** The queries that the other instance must answer. */
+    public interface Peer {
+        /** Returns its sums of all children of a range. */
         List<DigestTree.Sum> children(DigestTree.Range range);
 
-        /** What it has in a range. */
+        /** Returns its entries of a range. */
         List<LedgerEntry> entries(DigestTree.Range range);
 
-        /** What it has altogether. */
-        DigestTree.Sum all();
+        /** Returns its sum of all entries. */
+        DigestTree.Sum total();
 
-        /** An instance that is asked without a wire. */
-        static Other of(DigestTree digests) {
-            return new Other() {
+        /** Returns a peer in the same process. */
+        static Peer of(DigestTree digests) {
+            return new Peer() {
                 @Override
                 public List<DigestTree.Sum> children(DigestTree.Range range) {
                     return digests.children(range);
@@ -37,73 +37,74 @@
                 }
 
                 @Override
-                public DigestTree.Sum all() {
+                public DigestTree.Sum total() {
                     return digests.sum(DigestTree.Range.ALL);
                 }
             };
         }
     }
 
-    /** One entry that is not the same on both sides; null on the side that does not have it. */
-    public record Difference(EntryId id, LedgerEntry here, LedgerEntry there) {}
+    /** An entry that differs between the two sides; null on a side that lacks it. */
+    public record Difference(EntryId id, LedgerEntry local, LedgerEntry remote) {}
 
     /**
-     * What came of it.
+     * The result of a reconciliation.
      *
-     * @param differences in the order of their ids
-     * @param steps questions asked
-     * @param bytes of sums told, and about those of the entries
+     * @param differences the differing entries, in the order of their ids
+     * @param queries the number of queries sent to the peer
+     * @param bytes the bytes received: exact for sums, approximate for entries
      */
-    public record Result(List<Difference> differences, int steps, long bytes) {}
+    public record Result(List<Difference> differences, int queries, long bytes) {}
 
-    /** Bytes of an entry on the wire, about. */
-    private static final int ENTRY_BYTES = 80;
+    /** The approximate size of an entry on the wire, in bytes. */
+    private static final int APPROXIMATE_ENTRY_BYTES = 80;
 
     private Reconciliation() {}
 
-    /** Compares. Whatever the other says, it ends: each question is of a smaller range than the one before. */
-    public static Result run(DigestTree own, Other other) {
-        List<Difference> found = new ArrayList<>();
-        int steps = 1;
+    /** Compares two instances. It ends whatever the peer answers, because each query narrows the range before it. */
+    public static Result run(DigestTree local, Peer peer) {
+        List<Difference> differences = new ArrayList<>();
+        int queries = 1;
         long bytes = DigestTree.Sum.BYTES;
-        Deque<DigestTree.Range> differ = new ArrayDeque<>();
-        if (!own.sum(DigestTree.Range.ALL).equals(other.all())) {
-            differ.add(DigestTree.Range.ALL);
+        Deque<DigestTree.Range> pending = new ArrayDeque<>();
+        if (!local.sum(DigestTree.Range.ALL).equals(peer.total())) {
+            pending.add(DigestTree.Range.ALL);
         }
-        while (!differ.isEmpty()) {
-            DigestTree.Range range = differ.poll();
-            List<DigestTree.Sum> theirs = other.children(range);
-            steps++;
-            bytes += (long) theirs.size() * DigestTree.Sum.BYTES;
-            for (int i = 0; i < DigestTree.BRANCHES; i++) {
+        while (!pending.isEmpty()) {
+            DigestTree.Range range = pending.poll();
+            List<DigestTree.Sum> remoteSums = peer.children(range);
+            queries++;
+            bytes += (long) remoteSums.size() * DigestTree.Sum.BYTES;
+            for (int i = 0; i < DigestTree.BRANCHING_FACTOR; i++) {
                 DigestTree.Range child = range.child(i);
-                DigestTree.Sum mine = own.sum(child);
-                if (mine.equals(theirs.get(i))) {
+                DigestTree.Sum localSum = local.sum(child);
+                if (localSum.equals(remoteSums.get(i))) {
                     continue;
                 }
-                if (DigestTree.whole(child, Math.max(mine.count(), theirs.get(i).count()))) {
-                    List<LedgerEntry> told = other.entries(child);
-                    steps++;
-                    bytes += (long) told.size() * ENTRY_BYTES;
-                    compare(own.entries(child), told, found);
+                if (DigestTree.listsEntries(
+                        child, Math.max(localSum.count(), remoteSums.get(i).count()))) {
+                    List<LedgerEntry> remoteEntries = peer.entries(child);
+                    queries++;
+                    bytes += (long) remoteEntries.size() * APPROXIMATE_ENTRY_BYTES;
+                    compare(local.entries(child), remoteEntries, differences);
                 } else {
-                    differ.add(child);
+                    pending.add(child);
                 }
             }
         }
-        found.sort((a, b) -> a.id.compareTo(b.id));
-        return new Result(found, steps, bytes);
+        differences.sort((a, b) -> a.id.compareTo(b.id));
+        return new Result(differences, queries, bytes);
     }
 
-    private static void compare(List<LedgerEntry> own, List<LedgerEntry> theirs, List<Difference> found) {
-        Map<EntryId, LedgerEntry> left = new TreeMap<>();
-        theirs.forEach(each -> left.put(each.id(), each));
-        for (LedgerEntry each : own) {
-            LedgerEntry there = left.remove(each.id());
-            if (!each.equals(there)) {
-                found.add(new Difference(each.id(), each, there));
+    private static void compare(List<LedgerEntry> local, List<LedgerEntry> remote, List<Difference> differences) {
+        Map<EntryId, LedgerEntry> unmatched = new TreeMap<>();
+        remote.forEach(entry -> unmatched.put(entry.id(), entry));
+        for (LedgerEntry entry : local) {
+            LedgerEntry match = unmatched.remove(entry.id());
+            if (!entry.equals(match)) {
+                differences.add(new Difference(entry.id(), entry, match));
             }
         }
-        left.forEach((id, there) -> found.add(new Difference(id, null, there)));
+        unmatched.forEach((id, match) -> differences.add(new Difference(id, null, match)));
     }
 }
--- a/src/main/java/gatefront/ledgerstore/LedgerEntryCodec.java
+++ b/src/main/java/gatefront/ledgerstore/LedgerEntryCodec.java
@@ -9,7 +9,10 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 
-/** An entry as a protobuf message; its fields are in {@code docs/design/ledger.md}. Unknown fields are skipped. */
+/**
+ * Encodes entries as protobuf messages, whose fields are documented in {@code docs/design/ledger.md}. Unknown fields
+ * are skipped.
+ */
 public final class LedgerEntryCodec {
     private static final int INSTANCE = 1;
     private static final int EPOCH = 2;
@@ -22,14 +25,14 @@
     private static final int WORTH = 9;
     private static final int WORK = 10;
     private static final int BYTES = 11;
-    private static final int OF_INSTANCE = 12;
-    private static final int OF_EPOCH = 13;
-    private static final int OF_SEQUENCE = 14;
+    private static final int CORRECTS_INSTANCE = 12;
+    private static final int CORRECTS_EPOCH = 13;
+    private static final int CORRECTS_SEQUENCE = 14;
     private static final int WHY = 15;
 
     private LedgerEntryCodec() {}
 
-    /** The message. */
+    /** Encodes an entry. */
     public static byte[] write(LedgerEntry entry) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
         CodedOutputStream out = CodedOutputStream.newInstance(bytes);
@@ -46,19 +49,23 @@
             out.writeSInt64(WORK, entry.amounts().work());
             out.writeSInt64(BYTES, entry.amounts().bytes());
             if (entry.corrects() != null) {
-                out.writeString(OF_INSTANCE, entry.corrects().instance());
-                out.writeUInt64(OF_EPOCH, entry.corrects().epoch());
-                out.writeUInt64(OF_SEQUENCE, entry.corrects().sequence());
+                out.writeString(CORRECTS_INSTANCE, entry.corrects().instance());
+                out.writeUInt64(CORRECTS_EPOCH, entry.corrects().epoch());
+                out.writeUInt64(CORRECTS_SEQUENCE, entry.corrects().sequence());
             }
             out.writeString(WHY, entry.why());
             out.flush();
         } catch (IOException e) {
-            throw new IllegalStateException(e); // an array takes all
+            throw new IllegalStateException(e); // a ByteArrayOutputStream never fails
         }
         return bytes.toByteArray();
     }
 
-    /** The entry of a message, which may come from anywhere. */
+    /**
+     * Decodes the entry that starts at an offset. The message may come from an untrusted source.
+     *
+     * @throws IOException if the message is malformed or the entry is invalid
+     */
     public static LedgerEntry read(byte[] bytes, int from) throws IOException {
         CodedInputStream in = CodedInputStream.newInstance(bytes, from, bytes.length - from);
         String[] texts = new String[WHY + 1];
@@ -71,30 +78,31 @@
             } else if (known && WireFormat.getTagWireType(tag) == WireFormat.WIRETYPE_VARINT) {
                 numbers[field] = field >= REQUESTS && field <= BYTES ? in.readSInt64() : in.readUInt64();
             } else if (!in.skipField(tag)) {
-                throw new IOException("an entry ends in the middle of a group");
+                throw new IOException("entry message ends inside a group, field " + field);
             }
         }
         if (numbers[KIND] < 0 || numbers[KIND] >= LedgerEntry.Kind.values().length || texts[INSTANCE] == null) {
-            throw new IOException("an entry has no id, or is of no kind that is known here");
+            throw new IOException("entry message has no instance, or its kind " + numbers[KIND] + " is unknown");
         }
         try {
             return new LedgerEntry(
                     new EntryId(texts[INSTANCE], numbers[EPOCH], numbers[SEQUENCE]),
                     LedgerEntry.Kind.values()[(int) numbers[KIND]],
                     numbers[PERIOD],
-                    text(texts[TENANT]),
-                    text(texts[TYPE]),
+                    orEmpty(texts[TENANT]),
+                    orEmpty(texts[TYPE]),
                     new UsageAmounts(numbers[REQUESTS], numbers[WORTH], numbers[WORK], numbers[BYTES]),
-                    texts[OF_INSTANCE] == null
+                    texts[CORRECTS_INSTANCE] == null
                             ? null
-                            : new EntryId(texts[OF_INSTANCE], numbers[OF_EPOCH], numbers[OF_SEQUENCE]),
-                    text(texts[WHY]));
+                            : new EntryId(
+                                    texts[CORRECTS_INSTANCE], numbers[CORRECTS_EPOCH], numbers[CORRECTS_SEQUENCE]),
+                    orEmpty(texts[WHY]));
         } catch (IllegalArgumentException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
 
-    private static String text(String text) {
+    private static String orEmpty(String text) {
         return text == null ? "" : text;
     }
 }
--- a/src/main/java/gatefront/storage/Store.java
+++ b/src/main/java/gatefront/storage/Store.java
@@ -9,78 +9,80 @@
 import java.util.TreeMap;
 
 /**
- * A log of records and the snapshot that stands for its beginning. One thread.
+ * A log of records with a snapshot that replaces its beginning. Not safe for use by several threads.
  *
- * <p>Why nothing that was forced to the disk is lost or comes twice: a frame is at one place, and the next frame, or
- * the head of the next segment, says up to where all was certain when it was written. A crash can only leave a part of
- * what comes after that, and reading ends before the first piece of it that is not whole. What was read beyond the
- * certain place may not be on the disk yet, so each start writes it again into a new segment, whose head says that the
- * old one ends before it; the segment gets its name only once all of it has been forced, so either both the head and
- * the pieces count, or neither. The same holds after a write or a force that failed: nothing from that file is believed
- * beyond the last force that did not.
+ * <p>Records that were forced to the disk are neither lost nor duplicated, for these reasons. Each frame and each
+ * segment's header state up to which offset all data before it was durable when it was written. A crash can only leave
+ * data after that offset incomplete, and reading ends before the first incomplete frame. Frames read beyond the durable
+ * offset may not be on the disk yet, so each start writes them again into a new segment, whose header states that the
+ * old one ends before them. The segment gets its final name only after all of it has been forced, so its header and the
+ * rewritten frames become valid together or not at all. The same applies after a failed write or force: data of that
+ * file after the last successful force is discarded.
  *
- * <p>State: open files are the current segment and a snapshot in the making. {@link #segments} has an entry for each
- * file of the log, added by {@link #begin} and removed by a snapshot; {@link Options#bytesMost()} bounds them.
+ * <p>State: the open files are the current segment and a snapshot that is being written. {@link #segmentSizes} has an
+ * entry for each earlier segment, added by {@link #beginSegment} and removed when a snapshot replaces it;
+ * {@link Options#maxBytes()} bounds them.
  */
 public final class Store implements Closeable {
     /**
-     * How a store is kept.
+     * The settings of a store.
      *
-     * @param keys by which it is signed
-     * @param segmentBytes from which size on another segment is begun
-     * @param bytesMost what all files together may take; records beyond are refused
+     * @param keys the keys that sign it
+     * @param segmentBytes the size at which a new segment is started, in bytes
+     * @param maxBytes the limit on the size of all files together, in bytes; records beyond it are refused
      */
-    public record Options(SigningKeys keys, int segmentBytes, long bytesMost) {
-        /** Not signed, segments of 4 MiB, a gigabyte. */
-        public static final Options USUAL = new Options(SigningKeys.NONE, 4 << 20, 1 << 30);
+    public record Options(SigningKeys keys, int segmentBytes, long maxBytes) {
+        /** Unsigned, segments of 4 MiB, at most 1 GiB. */
+        public static final Options DEFAULTS = new Options(SigningKeys.NONE, 4 << 20, 1 << 30);
     }
 
-    /** Room for heads and marks, without which a full store could neither be closed nor cut down. */
-    private static final int RESERVE = 3 * FileHeader.BYTES + 2 * Frame.HEAD;
+    /** Space reserved for headers and end markers, so that a full store can still be closed and compacted. */
+    private static final int RESERVED_BYTES = 3 * FileHeader.BYTES + 2 * Frame.HEADER_BYTES;
 
     private final Disk disk;
     private final Options options;
     private final Closeable lock;
-    /** The size of each segment but the current one, by its number. */
-    private final TreeMap<Long, Long> segments = new TreeMap<>();
-    /** By number of segment, which record each begins with; the current one too. */
-    private final TreeMap<Long, Long> firsts = new TreeMap<>();
+    /** The size in bytes of each segment except the current one, by segment number. */
+    private final TreeMap<Long, Long> segmentSizes = new TreeMap<>();
+    /** The number of the first record of each segment, including the current one, by segment number. */
+    private final TreeMap<Long, Long> firstRecords = new TreeMap<>();
 
     private final SignatureChain chain;
-    private final SignatureChain certain;
+    private final SignatureChain durableChain;
     private Disk.File file;
-    private long number;
-    private long end;
-    private long next;
-    private long durable;
-    private long durableNext;
+    private long segmentNumber;
+    private long segmentEnd;
+    private long nextRecord;
+    private long durableEnd;
+    private long durableNextRecord;
     private String snapshotName;
     private long snapshotBytes;
-    private Snapshot making;
-    private IOException failed;
+    private Snapshot pendingSnapshot;
+    private IOException lastFailure;
 
-    private Store(Disk disk, Options options, Closeable lock, StoreReader scan) {
+    private Store(Disk disk, Options options, Closeable lock, StoreReader reader) {
         this.disk = disk;
         this.options = options;
         this.lock = lock;
-        this.chain = scan.certain();
-        this.certain = chain.branch();
-        this.snapshotName = scan.snapshotName;
-        this.snapshotBytes = scan.snapshotBytes;
-        this.next = scan.durableNext;
-        this.durableNext = scan.durableNext;
-        this.durable = scan.durable;
-        scan.segments.forEach(each -> {
-            segments.put(each.head().number(), each.bytes());
-            firsts.put(each.head().number(), each.head().first());
+        this.chain = reader.durableChain();
+        this.durableChain = chain.copy();
+        this.snapshotName = reader.snapshotName;
+        this.snapshotBytes = reader.snapshotBytes;
+        this.nextRecord = reader.durableNextRecord;
+        this.durableNextRecord = reader.durableNextRecord;
+        this.durableEnd = reader.durableEnd;
+        reader.segments.forEach(segment -> {
+            segmentSizes.put(segment.header().number(), segment.size());
+            firstRecords.put(segment.header().number(), segment.header().firstRecord());
         });
     }
 
     /**
-     * Opens a store, or makes one in an empty folder, and tells what it holds.
+     * Opens a store, or creates one in an empty directory, and passes its records to {@code replay}.
      *
-     * @throws CorruptStoreException if a file is not what was written; nothing has been changed then
-     * @throws IOException if somebody else has it open, or the disk would not do
+     * @throws CorruptStoreException if a file is damaged; no file has been changed then
+     * @throws StoreInUseException if it is already open
+     * @throws IOException if a disk operation fails
      */
     public static Store open(Disk disk, Options options, RecordConsumer replay) throws IOException {
         Closeable lock = disk.lock();
@@ -89,131 +91,138 @@
         }
         Store store = null;
         try {
-            StoreReader scan = new StoreReader(disk, options.keys(), replay).run();
-            store = new Store(disk, options, lock, scan);
-            for (String each : scan.leftOver) {
-                disk.delete(each);
+            StoreReader reader = new StoreReader(disk, options.keys(), replay).run();
+            store = new Store(disk, options, lock, reader);
+            for (String name : reader.obsoleteFiles) {
+                disk.delete(name);
             }
-            store.start(scan);
+            store.beginFirstSegment(reader);
             return store;
         } catch (IOException | RuntimeException e) {
             if (store != null && store.file != null) {
-                quietly(store.file);
+                closeQuietly(store.file);
             }
-            quietly(lock);
+            closeQuietly(lock);
             throw e;
         }
     }
 
-    /** What was read beyond what is certain goes into a new segment; one that holds nothing certain is replaced. */
-    private void start(StoreReader scan) throws IOException {
-        boolean empty = !segments.isEmpty() && durable == FileHeader.BYTES;
-        long last = segments.isEmpty() ? 0 : segments.lastKey();
-        List<List<byte[]>> again = scan.unsure.stream()
-                .map(each -> each.frame().records())
-                .filter(each -> !each.isEmpty())
+    /**
+     * Rewrites the frames read beyond the durable offset into a new segment. A last segment without durable frames is
+     * replaced.
+     */
+    private void beginFirstSegment(StoreReader reader) throws IOException {
+        boolean empty = !segmentSizes.isEmpty() && durableEnd == FileHeader.BYTES;
+        long lastNumber = segmentSizes.isEmpty() ? 0 : segmentSizes.lastKey();
+        List<List<byte[]>> unconfirmed = reader.unconfirmed.stream()
+                .map(unconfirmedFrame -> unconfirmedFrame.frame().records())
+                .filter(records -> !records.isEmpty())
                 .toList();
         if (empty) {
-            // The replaced one's own head stands for what the one before it holds.
-            StoreReader.Segment same = scan.segments.get(scan.segments.size() - 1);
-            chain.begin(same.head().chain());
-            certain.follow(chain);
-            begin(last, same.head().before(), again);
+            // The header of the replaced segment states where the segment before it ends, so its values are kept.
+            StoreReader.Segment replaced = reader.segments.get(reader.segments.size() - 1);
+            chain.startFrom(replaced.header().previousSignature());
+            durableChain.copyFrom(chain);
+            beginSegment(lastNumber, replaced.header().previousEnd(), unconfirmed);
         } else {
-            begin(last + 1, durable, again);
+            beginSegment(lastNumber + 1, durableEnd, unconfirmed);
         }
     }
 
-    /** Makes a segment that begins where what is certain ends, with some frames in it, and goes on there. */
-    private void begin(long as, long before, List<List<byte[]>> frames) throws IOException {
-        String name = StoreReader.segmentName(as);
-        SignatureChain trial = certain.branch();
-        long at = FileHeader.BYTES;
-        long comes = durableNext;
-        Disk.File made = disk.create(name + StoreReader.UNFINISHED);
+    /** Creates a segment that starts after the last durable record and contains these frames, and switches to it. */
+    private void beginSegment(long number, long previousEnd, List<List<byte[]>> frames) throws IOException {
+        String name = StoreReader.segmentName(number);
+        SignatureChain newChain = durableChain.copy();
+        long offset = FileHeader.BYTES;
+        long firstRecord = durableNextRecord;
+        Disk.File created = disk.create(name + StoreReader.UNFINISHED_SUFFIX);
         try {
-            made.write(0, FileHeader.write(FileHeader.Kind.SEGMENT, as, durableNext, before, trial));
-            for (List<byte[]> each : frames) {
-                ByteBuffer bytes = Frame.write(as, comes, at, each, trial);
+            created.write(
+                    0, FileHeader.write(FileHeader.Kind.SEGMENT, number, durableNextRecord, previousEnd, newChain));
+            for (List<byte[]> records : frames) {
+                ByteBuffer bytes = Frame.write(number, firstRecord, offset, records, newChain);
                 int length = bytes.remaining();
-                made.write(at, bytes);
-                at += length;
-                comes += each.size();
+                created.write(offset, bytes);
+                offset += length;
+                firstRecord += records.size();
             }
-            made.sync();
-            disk.move(name + StoreReader.UNFINISHED, name);
+            created.sync();
+            disk.move(name + StoreReader.UNFINISHED_SUFFIX, name);
             disk.syncNames();
         } catch (IOException e) {
-            quietly(made);
+            closeQuietly(created);
             throw e;
         }
         if (file != null) {
-            segments.put(number, end);
-            quietly(file); // forced already, or not believed
+            segmentSizes.put(segmentNumber, segmentEnd);
+            closeQuietly(file); // already forced, or its undurable data is discarded
         }
-        segments.remove(as);
-        firsts.put(as, durableNext);
-        file = made;
-        number = as;
-        end = at;
-        next = comes;
-        chain.follow(trial);
-        settled();
+        segmentSizes.remove(number);
+        firstRecords.put(number, durableNextRecord);
+        file = created;
+        segmentNumber = number;
+        segmentEnd = offset;
+        nextRecord = firstRecord;
+        chain.copyFrom(newChain);
+        markDurable();
     }
 
-    private void settled() {
-        durable = end;
-        durableNext = next;
-        certain.follow(chain);
+    private void markDurable() {
+        durableEnd = segmentEnd;
+        durableNextRecord = nextRecord;
+        durableChain.copyFrom(chain);
     }
 
-    /** The number that the next record gets. After a failure it is that after the last record forced to the disk. */
-    public long next() {
-        return next;
+    /** Returns the number of the next record; after a failure, the one after the last record forced to the disk. */
+    public long nextRecord() {
+        return nextRecord;
     }
 
-    /** The bytes of all files. */
-    public long bytes() {
-        return segments.values().stream().mapToLong(Long::longValue).sum()
-                + end
+    /** Returns the total size of all files in bytes. */
+    public long sizeBytes() {
+        return segmentSizes.values().stream().mapToLong(Long::longValue).sum()
+                + segmentEnd
                 + snapshotBytes
-                + (making == null ? 0 : making.at);
+                + (pendingSnapshot == null ? 0 : pendingSnapshot.snapshotEnd);
     }
 
-    /** Whether the last write failed, and none since has gone well. */
+    /** Returns whether the last write failed; a later successful write clears this. */
     public boolean failed() {
-        return failed != null;
+        return lastFailure != null;
     }
 
     /**
-     * Adds records, all or none. They are certain once this returns if they are forced, else after the next force.
+     * Appends records, all or none. They are durable once this returns if {@code force} is set, otherwise after the
+     * next force.
      *
-     * @param records one or more; a frame's bytes at the most
-     * @param force whether they are to be on the disk when this returns
-     * @throws StoreFailedException if none of them is kept; after a fault of the disk, no record since the last force
-     *     is, but one that had reached the disk may come back if the process ends before the store has written again
+     * @param records one or more records that fit into one frame
+     * @param force whether to force them to the disk before returning
+     * @throws StoreFailedException if none of them was stored. After a disk error, all records since the last force are
+     *     discarded; one that had reached the disk may reappear if the process ends before the store has written again
      */
     public void append(List<byte[]> records, boolean force) throws StoreFailedException {
-        int size = Frame.HEAD + records.stream().mapToInt(Frame::room).sum();
-        if (records.isEmpty() || size - Frame.HEAD > Frame.BODY_MOST) {
-            throw new IllegalArgumentException(
-                    "a frame holds one record or more, and " + Frame.BODY_MOST + " bytes at the most, not " + size);
+        int size = Frame.HEADER_BYTES
+                + records.stream().mapToInt(Frame::encodedSize).sum();
+        if (records.isEmpty() || size - Frame.HEADER_BYTES > Frame.MAX_BODY_BYTES) {
+            throw new IllegalArgumentException("a frame takes at least one record and at most " + Frame.MAX_BODY_BYTES
+                    + " bytes; got " + records.size() + " records, " + (size - Frame.HEADER_BYTES) + " bytes");
         }
         recover();
-        if (bytes() + size + RESERVE > options.bytesMost()) {
+        if (sizeBytes() + size + RESERVED_BYTES > options.maxBytes()) {
             throw new StoreFailedException(
-                    StoreFailedException.Why.BOUND,
-                    "the store may take " + options.bytesMost() + " bytes, and has " + bytes(),
+                    StoreFailedException.Reason.SIZE_LIMIT,
+                    "store size limit reached: " + size + " more bytes requested, " + sizeBytes() + " of "
+                            + options.maxBytes() + " used",
                     null);
         }
         try {
-            if (end > FileHeader.BYTES && end + size > options.segmentBytes()) {
+            if (segmentEnd > FileHeader.BYTES && segmentEnd + size > options.segmentBytes()) {
                 rotate();
             }
             write(records);
             if (force) {
                 file.sync();
-                settled();
+                markDurable();
             }
         } catch (IOException e) {
             throw fail(e);
@@ -221,36 +230,37 @@
     }
 
     private void write(List<byte[]> records) throws IOException {
-        SignatureChain trial = chain.branch();
-        ByteBuffer bytes = Frame.write(number, next, durable, records, trial);
+        SignatureChain newChain = chain.copy();
+        ByteBuffer bytes = Frame.write(segmentNumber, nextRecord, durableEnd, records, newChain);
         int length = bytes.remaining();
-        file.write(end, bytes);
-        chain.follow(trial);
-        end += length;
-        next += records.size();
+        file.write(segmentEnd, bytes);
+        chain.copyFrom(newChain);
+        segmentEnd += length;
+        nextRecord += records.size();
     }
 
     /**
-     * Signs with other keys from now on. What is there stays signed as it was, so the old keys are to be kept until a
-     * snapshot has taken the place of all that they signed.
+     * Signs with other keys from now on. Existing data keeps its signatures, so the old keys must be kept until a
+     * snapshot has replaced all data that they signed.
      *
-     * @throws IllegalArgumentException if the key that signs now is not among them
+     * @throws IllegalArgumentException if the current signing key is not among the new keys
      */
-    public void keys(SigningKeys others) {
-        if (chain.signing() != 0 && !others.has(chain.signing())) {
-            throw new IllegalArgumentException("key " + chain.signing() + ", which signed what is there, is missing");
+    public void replaceKeys(SigningKeys newKeys) {
+        if (chain.signingKeyId() != 0 && !newKeys.has(chain.signingKeyId())) {
+            throw new IllegalArgumentException(
+                    "the new keys lack key " + chain.signingKeyId() + ", which signed the existing data");
         }
-        chain.keys(others);
-        certain.keys(others);
+        chain.replaceKeys(newKeys);
+        durableChain.replaceKeys(newKeys);
     }
 
-    /** Forces what was added to the disk. */
+    /** Forces appended records to the disk. */
     public void force() throws StoreFailedException {
         recover();
         try {
-            if (durable < end) {
+            if (durableEnd < segmentEnd) {
                 file.sync();
-                settled();
+                markDurable();
             }
         } catch (IOException e) {
             throw fail(e);
@@ -258,200 +268,201 @@
     }
 
     private void rotate() throws IOException {
-        if (durable < end) {
+        if (durableEnd < segmentEnd) {
             file.sync();
-            settled();
+            markDurable();
         }
-        begin(number + 1, durable, List.of());
+        beginSegment(segmentNumber + 1, durableEnd, List.of());
     }
 
     private StoreFailedException fail(IOException e) {
-        failed = e;
-        next = durableNext;
+        lastFailure = e;
+        nextRecord = durableNextRecord;
         return new StoreFailedException(
-                StoreFailedException.Why.DISK, "the disk would not take it: " + e.getMessage(), e);
+                StoreFailedException.Reason.IO_ERROR, "disk operation failed: " + e.getMessage(), e);
     }
 
-    /** After a failure another segment is begun, which says that the old one ends with what was forced. */
+    /** After a failure, starts a new segment whose header states that the old one ends with its last forced data. */
     private void recover() throws StoreFailedException {
-        if (failed == null) {
+        if (lastFailure == null) {
             return;
         }
         try {
-            end = durable;
-            chain.follow(certain);
-            begin(number + 1, durable, List.of());
-            failed = null;
+            segmentEnd = durableEnd;
+            chain.copyFrom(durableChain);
+            beginSegment(segmentNumber + 1, durableEnd, List.of());
+            lastFailure = null;
         } catch (IOException e) {
             throw fail(e);
         }
     }
 
     /**
-     * Begins a snapshot that stands for all records before the next. The owner hands over its state as it is now; the
-     * log may grow meanwhile.
+     * Starts a snapshot that replaces all records appended so far. The owner adds its state as of now; more records may
+     * be appended meanwhile.
      *
-     * @throws StoreFailedException if it could not be begun; the log is as it was
+     * @throws StoreFailedException if it could not be started; the log is unchanged
      */
     public Snapshot snapshot() throws StoreFailedException {
-        if (making != null) {
-            throw new IllegalStateException("a snapshot is being made");
+        if (pendingSnapshot != null) {
+            throw new IllegalStateException("a snapshot is already in progress");
         }
         force();
         try {
-            if (end > FileHeader.BYTES) {
-                rotate(); // the segments before it can go then
+            if (segmentEnd > FileHeader.BYTES) {
+                rotate(); // so that all earlier segments can be deleted when the snapshot is finished
             }
         } catch (IOException e) {
             throw fail(e);
         }
-        making = new Snapshot();
+        pendingSnapshot = new Snapshot();
         try {
-            making.begin();
+            pendingSnapshot.writeHeader();
         } catch (IOException e) {
-            throw making.failed(e);
+            throw pendingSnapshot.abandonAfter(e);
         }
-        return making;
+        return pendingSnapshot;
     }
 
-    /** A snapshot in the making. */
+    /** A snapshot that is being written. */
     public final class Snapshot {
-        private static final int BATCH = 1 << 18;
+        private static final int FLUSH_BYTES = 1 << 18;
 
-        private final long upTo = next;
-        private final SignatureChain own = chain.branch();
-        private final List<byte[]> waiting = new ArrayList<>();
-        private Disk.File into;
-        private int waits;
-        private long at;
-        private long count;
+        private final long endRecord = nextRecord;
+        private final SignatureChain snapshotChain = chain.copy();
+        private final List<byte[]> pendingRecords = new ArrayList<>();
+        private Disk.File snapshotFile;
+        private int pendingBytes;
+        private long snapshotEnd;
+        private long recordCount;
 
         private String name() {
-            return StoreReader.snapshotName(upTo);
+            return StoreReader.snapshotName(endRecord);
         }
 
-        private void begin() throws IOException {
-            into = disk.create(name() + StoreReader.UNFINISHED);
-            ByteBuffer head = FileHeader.write(FileHeader.Kind.SNAPSHOT, upTo, 0, 0, own);
-            into.write(0, head);
-            at = FileHeader.BYTES;
+        private void writeHeader() throws IOException {
+            snapshotFile = disk.create(name() + StoreReader.UNFINISHED_SUFFIX);
+            ByteBuffer header = FileHeader.write(FileHeader.Kind.SNAPSHOT, endRecord, 0, 0, snapshotChain);
+            snapshotFile.write(0, header);
+            snapshotEnd = FileHeader.BYTES;
         }
 
-        /** Adds a piece of the state. */
+        /** Adds a record of the state. */
         public void add(byte[] record) throws StoreFailedException {
-            waiting.add(record);
-            waits += Frame.room(record);
-            if (waits >= BATCH) {
+            pendingRecords.add(record);
+            pendingBytes += Frame.encodedSize(record);
+            if (pendingBytes >= FLUSH_BYTES) {
                 flush();
             }
         }
 
         private void flush() throws StoreFailedException {
-            if (bytes() + waits + 2 * Frame.HEAD > options.bytesMost()) {
+            long needed = sizeBytes() + pendingBytes + 2 * Frame.HEADER_BYTES;
+            if (needed > options.maxBytes()) {
                 abandon();
                 throw new StoreFailedException(
-                        StoreFailedException.Why.BOUND,
-                        "no snapshot was made: the store may take " + options.bytesMost() + " bytes",
+                        StoreFailedException.Reason.SIZE_LIMIT,
+                        "snapshot failed: it needs " + needed + " bytes in total, limit " + options.maxBytes(),
                         null);
             }
             try {
-                ByteBuffer bytes = Frame.write(upTo, count, FileHeader.BYTES, waiting, own);
+                ByteBuffer bytes = Frame.write(endRecord, recordCount, FileHeader.BYTES, pendingRecords, snapshotChain);
                 int length = bytes.remaining();
-                into.write(at, bytes);
-                at += length;
-                count += waiting.size();
-                waiting.clear();
-                waits = 0;
+                snapshotFile.write(snapshotEnd, bytes);
+                snapshotEnd += length;
+                recordCount += pendingRecords.size();
+                pendingRecords.clear();
+                pendingBytes = 0;
             } catch (IOException e) {
-                throw failed(e);
+                throw abandonAfter(e);
             }
         }
 
-        /** All of the state has been added: the snapshot counts from now on, and what it stands for goes. */
+        /** Completes the snapshot, makes it durable, and deletes the files that it replaces. */
         public void finish() throws StoreFailedException {
-            if (!waiting.isEmpty()) {
+            if (!pendingRecords.isEmpty()) {
                 flush();
             }
-            flush(); // a frame of nothing ends it
+            flush(); // writes an empty frame, the end marker
             try {
-                into.sync();
-                into.close();
-                disk.move(name() + StoreReader.UNFINISHED, name());
+                snapshotFile.sync();
+                snapshotFile.close();
+                disk.move(name() + StoreReader.UNFINISHED_SUFFIX, name());
                 disk.syncNames();
             } catch (IOException e) {
-                throw failed(e);
+                throw abandonAfter(e);
             }
-            String old = snapshotName;
+            String oldSnapshot = snapshotName;
             snapshotName = name();
-            snapshotBytes = at;
-            making = null;
-            prune(old);
+            snapshotBytes = snapshotEnd;
+            pendingSnapshot = null;
+            deleteObsolete(oldSnapshot);
         }
 
-        /** It is given up; the log is as it was. */
+        /** Discards the snapshot; the log is unchanged. */
         public void abandon() {
-            quietly(into);
+            closeQuietly(snapshotFile);
             try {
-                disk.delete(name() + StoreReader.UNFINISHED);
+                disk.delete(name() + StoreReader.UNFINISHED_SUFFIX);
             } catch (IOException e) {
-                // it stands for nothing, and goes at the next start
+                // An unfinished file is ignored, and is deleted at the next start.
             }
-            making = null;
+            pendingSnapshot = null;
         }
 
-        private StoreFailedException failed(IOException e) {
+        private StoreFailedException abandonAfter(IOException e) {
             abandon();
             return new StoreFailedException(
-                    StoreFailedException.Why.DISK, "no snapshot was made: " + e.getMessage(), e);
+                    StoreFailedException.Reason.IO_ERROR, "snapshot failed: " + e.getMessage(), e);
         }
 
-        private void prune(String old) {
+        private void deleteObsolete(String oldSnapshot) {
             try {
-                if (old != null && !old.equals(snapshotName)) {
-                    disk.delete(old);
+                if (oldSnapshot != null && !oldSnapshot.equals(snapshotName)) {
+                    disk.delete(oldSnapshot);
                 }
-                for (Iterator<Long> each = segments.keySet().iterator(); each.hasNext(); ) {
-                    long segment = each.next();
-                    Long following = firsts.get(segment + 1);
-                    if (following == null || following > upTo) {
+                for (Iterator<Long> numbers = segmentSizes.keySet().iterator(); numbers.hasNext(); ) {
+                    long segment = numbers.next();
+                    Long following = firstRecords.get(segment + 1);
+                    if (following == null || following > endRecord) {
                         break;
                     }
                     disk.delete(StoreReader.segmentName(segment));
-                    each.remove();
-                    firsts.remove(segment);
+                    numbers.remove();
+                    firstRecords.remove(segment);
                 }
                 disk.syncNames();
             } catch (IOException e) {
-                // they stand for nothing, and go at the next start
+                // Replaced files are ignored, and are deleted at the next start.
             }
         }
     }
 
-    /** Forces what is there, says so in the file, and lets others in. */
+    /** Forces all records, writes an end marker that states this, and releases the lock. */
     @Override
     public void close() throws IOException {
-        if (making != null) {
-            making.abandon();
+        if (pendingSnapshot != null) {
+            pendingSnapshot.abandon();
         }
         try {
-            if (failed == null) {
+            if (lastFailure == null) {
                 force();
                 write(List.of());
                 file.sync();
             }
         } finally {
-            quietly(file);
+            closeQuietly(file);
             lock.close();
         }
     }
 
-    private static void quietly(Closeable which) {
+    private static void closeQuietly(Closeable resource) {
         try {
-            if (which != null) {
-                which.close();
+            if (resource != null) {
+                resource.close();
             }
         } catch (IOException e) {
-            // nothing more is wanted of it
+            // The resource is no longer used, so a failure to close it has no effect.
         }
     }
 }
--- a/src/main/java/gatefront/storage/StoreFailedException.java
+++ b/src/main/java/gatefront/storage/StoreFailedException.java
@@ -2,27 +2,27 @@
 
 import java.io.IOException;
 
-/** Nothing of what was handed over is kept. */
+/** Signals that none of the records passed to a store operation were stored. */
 public final class StoreFailedException extends IOException {
     private static final long serialVersionUID = 1;
 
-    /** Why that is so. */
-    public enum Why {
-        /** The files would take more room than they may. */
-        BOUND,
-        /** The disk would not take it: it is full, or broken. */
-        DISK
+    /** The cause of the failure. */
+    public enum Reason {
+        /** The files would exceed the store's size limit. */
+        SIZE_LIMIT,
+        /** A disk operation failed, for example because the disk is full. */
+        IO_ERROR
     }
 
-    private final Why why;
+    private final Reason reason;
 
-    StoreFailedException(Why why, String message, Throwable cause) {
+    StoreFailedException(Reason reason, String message, Throwable cause) {
         super(message, cause);
-        this.why = why;
+        this.reason = reason;
     }
 
-    /** Why. */
-    public Why why() {
-        return why;
+    /** Returns the cause of the failure. */
+    public Reason reason() {
+        return reason;
     }
 }
--- a/src/test/java/gatefront/ledger/LedgerTest.java
+++ b/src/test/java/gatefront/ledger/LedgerTest.java
@@ -13,7 +13,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** What a ledger counts, whatever the order in which it hears of it. */
+/** Tests the totals and statuses of a ledger, which must not depend on the order of its entries. */
 class LedgerTest {
     private static EntryId id(String instance, long sequence) {
         return new EntryId(instance, 1, sequence);
@@ -24,7 +24,8 @@
                 id(instance, sequence), period, tenant, "consulta", new UsageAmounts(requests, 10, 20, 30));
     }
 
-    private static LedgerEntry correction(String instance, long sequence, long period, EntryId of, long requests) {
+    private static LedgerEntry correction(
+            String instance, long sequence, long period, EntryId corrected, long requests) {
         return new LedgerEntry(
                 id(instance, sequence),
                 LedgerEntry.Kind.CORRECTION,
@@ -32,91 +33,98 @@
                 "",
                 "",
                 new UsageAmounts(requests, 0, 0, 0),
-                of,
+                corrected,
                 "counted twice");
     }
 
-    private static Ledger of(List<LedgerEntry> entries) throws Ledger.Conflict {
+    private static Ledger ledgerOf(List<LedgerEntry> entries) throws Ledger.Conflict {
         Ledger ledger = Ledger.EMPTY;
-        for (LedgerEntry each : entries) {
-            ledger = ledger.with(each);
+        for (LedgerEntry entry : entries) {
+            ledger = ledger.with(entry);
         }
         return ledger;
     }
 
     @Test
-    void anEntryCountsOnceAndAnotherOfItsIdIsAConflict() throws Exception {
-        Ledger ledger = of(List.of(use("a", 0, 7, "mitla", 5)));
+    void entryCountsOnceAndADifferentEntryWithItsIdIsAConflict() throws Exception {
+        Ledger ledger = ledgerOf(List.of(use("a", 0, 7, "mitla", 5)));
         assertSame(ledger, ledger.with(use("a", 0, 7, "mitla", 5)));
         Ledger.Conflict e = assertThrows(Ledger.Conflict.class, () -> ledger.with(use("a", 0, 7, "mitla", 6)));
-        assertTrue(e.getMessage().startsWith("entry a/1/0 is there as USE of period 7 mitla"), e.getMessage());
+        assertTrue(
+                e.getMessage().startsWith("entry a/1/0 exists with different contents: USE of period 7 mitla"),
+                e.getMessage());
         assertEquals(5, ledger.total(7, "mitla").requests());
     }
 
     @Test
-    void aCorrectionIsAnEntryOfItsOwnInTheOpenPeriodAndCountsWithWhatItCorrects() throws Exception {
-        Ledger ledger = of(
+    void correctionCountsInItsOwnPeriodForTheCorrectedTenant() throws Exception {
+        Ledger ledger = ledgerOf(
                 List.of(use("a", 0, 7, "mitla", 5), use("a", 1, 8, "etla", 1), correction("b", 0, 8, id("a", 0), -2)));
-        assertEquals(5, ledger.total(7, "mitla").requests(), "what is closed is not changed");
+        assertEquals(5, ledger.total(7, "mitla").requests(), "the closed period is unchanged");
         assertEquals(-2, ledger.total(8, "mitla").requests());
         ledger = ledger.with(correction("b", 1, 9, id("b", 0), 1));
-        assertEquals(1, ledger.total(9, "mitla").requests(), "a correction of a correction, of the same tenant");
+        assertEquals(1, ledger.total(9, "mitla").requests(), "a correction of a correction counts for the same tenant");
     }
 
     @Test
-    void aCorrectionThatComesFirstWaits() throws Exception {
-        Ledger ledger = of(List.of(correction("b", 1, 9, id("b", 0), 1), correction("b", 0, 8, id("a", 0), -2)));
-        assertEquals(2, ledger.waiting().size());
+    void correctionReceivedBeforeItsEntryIsHeldBack() throws Exception {
+        Ledger ledger = ledgerOf(List.of(correction("b", 1, 9, id("b", 0), 1), correction("b", 0, 8, id("a", 0), -2)));
+        assertEquals(2, ledger.unresolvedCorrections().size());
         assertEquals(Map.of(), ledger.totals(8));
         ledger = ledger.with(use("a", 0, 7, "mitla", 5));
-        assertEquals(List.of(), ledger.waiting());
+        assertEquals(List.of(), ledger.unresolvedCorrections());
         assertEquals(-2, ledger.total(8, "mitla").requests());
         assertEquals(1, ledger.total(9, "mitla").requests());
     }
 
     @Test
-    void correctionsThatCorrectEachOtherCountForNothingAndEnd() throws Exception {
-        Ledger ledger = of(List.of(correction("b", 0, 8, id("b", 1), 1), correction("b", 1, 8, id("b", 0), 1)));
+    void cyclicCorrectionsAreNotCounted() throws Exception {
+        Ledger ledger = ledgerOf(List.of(correction("b", 0, 8, id("b", 1), 1), correction("b", 1, 8, id("b", 0), 1)));
         assertEquals(Map.of(), ledger.totals(8));
-        assertFalse(ledger.waiting().isEmpty());
+        assertFalse(ledger.unresolvedCorrections().isEmpty());
     }
 
-    /** 300 random lots of entries, some twice, in random orders: the same ledger, and sums as reckoned plainly. */
+    /** Adds 300 random sets of entries, some entries twice, in random orders, and compares with plainly added sums. */
     @Test
-    void anyOrderOfTheSameEntriesMakesTheSameLedger() throws Exception {
+    void ledgerDoesNotDependOnTheOrderOfEntries() throws Exception {
         for (int seed = 0; seed < 300; seed++) {
             Random random = new Random(seed);
             List<LedgerEntry> entries = new ArrayList<>();
             long[] sums = new long[3];
             for (int i = 0; i < 30; i++) {
-                int of = entries.isEmpty() || random.nextInt(3) > 0 ? -1 : random.nextInt(entries.size());
-                LedgerEntry made = of < 0
+                int correctedIndex = entries.isEmpty() || random.nextInt(3) > 0 ? -1 : random.nextInt(entries.size());
+                LedgerEntry entry = correctedIndex < 0
                         ? use("a", i, random.nextInt(3), "t" + random.nextInt(3), random.nextInt(100))
-                        : correction("a", i, random.nextInt(3), entries.get(of).id(), random.nextInt(21) - 10);
-                entries.add(made);
-                sums[(int) made.period()] += made.amounts().requests();
+                        : correction(
+                                "a",
+                                i,
+                                random.nextInt(3),
+                                entries.get(correctedIndex).id(),
+                                random.nextInt(21) - 10);
+                entries.add(entry);
+                sums[(int) entry.period()] += entry.amounts().requests();
             }
-            Ledger one = of(entries);
-            List<LedgerEntry> other = new ArrayList<>(entries);
-            other.addAll(entries.subList(0, 10));
-            Collections.shuffle(other, random);
-            Ledger two = of(other);
+            Ledger ordered = ledgerOf(entries);
+            List<LedgerEntry> shuffledEntries = new ArrayList<>(entries);
+            shuffledEntries.addAll(entries.subList(0, 10));
+            Collections.shuffle(shuffledEntries, random);
+            Ledger shuffled = ledgerOf(shuffledEntries);
             for (long period = 0; period < 3; period++) {
-                assertEquals(one.totals(period), two.totals(period));
+                assertEquals(ordered.totals(period), shuffled.totals(period));
                 assertEquals(
                         sums[(int) period],
-                        one.totals(period).values().stream()
+                        ordered.totals(period).values().stream()
                                 .mapToLong(UsageAmounts::requests)
                                 .sum());
             }
-            assertEquals(List.of(), two.waiting());
-            assertEquals(entries.size(), two.size());
+            assertEquals(List.of(), shuffled.unresolvedCorrections());
+            assertEquals(entries.size(), shuffled.size());
         }
     }
 
     @Test
-    void thePartOfAnInstanceThatNeverClosedIsNotKnownAndNotNothing() throws Exception {
-        Ledger ledger = of(List.of(
+    void partOfAnInstanceThatNeverClosedThePeriodIsUnknown() throws Exception {
+        Ledger ledger = ledgerOf(List.of(
                 use("a", 0, 7, "mitla", 5),
                 use("a", 1, 7, "etla", 1),
                 LedgerEntry.closed(id("a", 2), 7, 2),
@@ -126,29 +134,33 @@
         assertEquals(
                 Map.of(
                         "a/1",
-                        Ledger.Part.WHOLE,
+                        Ledger.PartStatus.COMPLETE,
                         "b/1",
-                        Ledger.Part.UNKNOWN,
+                        Ledger.PartStatus.UNKNOWN,
                         "c/1",
-                        Ledger.Part.INCOMPLETE,
+                        Ledger.PartStatus.INCOMPLETE,
                         "d",
-                        Ledger.Part.UNKNOWN),
-                ledger.standing(7, List.of("a", "b", "c", "d")));
-        LedgerEntry again = LedgerEntry.use(new EntryId("b", 2, 0), 7, "mitla", "consulta", UsageAmounts.NONE);
-        Ledger back = ledger.with(again).with(LedgerEntry.closed(new EntryId("b", 2, 1), 7, 1));
-        assertEquals(Ledger.Part.UNKNOWN, back.standing(7, List.of()).get("b/1"), "its first life never ended");
-        assertEquals(Ledger.Part.WHOLE, back.standing(7, List.of()).get("b/2"));
+                        Ledger.PartStatus.UNKNOWN),
+                ledger.partStatuses(7, List.of("a", "b", "c", "d")));
+        LedgerEntry afterRestart = LedgerEntry.use(new EntryId("b", 2, 0), 7, "mitla", "consulta", UsageAmounts.ZERO);
+        Ledger updated = ledger.with(afterRestart).with(LedgerEntry.closed(new EntryId("b", 2, 1), 7, 1));
+        assertEquals(
+                Ledger.PartStatus.UNKNOWN,
+                updated.partStatuses(7, List.of()).get("b/1"),
+                "its first epoch never closed the period");
+        assertEquals(
+                Ledger.PartStatus.COMPLETE, updated.partStatuses(7, List.of()).get("b/2"));
     }
 
     @Test
-    void sumsBeyondANumberAreToldAndChangeNothing() throws Exception {
-        Ledger ledger = of(List.of(use("a", 0, 7, "mitla", Long.MAX_VALUE)));
+    void overflowingSumIsReportedAndLeavesTheLedgerUnchanged() throws Exception {
+        Ledger ledger = ledgerOf(List.of(use("a", 0, 7, "mitla", Long.MAX_VALUE)));
         assertThrows(ArithmeticException.class, () -> ledger.with(use("a", 1, 7, "mitla", 1)));
         assertEquals(1, ledger.size());
     }
 
     @Test
-    void entriesThatMakeNoSenseAreRefused() {
+    void invalidEntriesAreRefused() {
         assertThrows(IllegalArgumentException.class, () -> new EntryId("a b", 0, 0));
         assertThrows(IllegalArgumentException.class, () -> EntryId.parse("a/1"));
         assertThrows(IllegalArgumentException.class, () -> use("a", 0, -1, "mitla", 1));
@@ -158,21 +170,21 @@
     }
 
     @Test
-    void aClockThatGoesBackReopensNothingAndOneThatJumpsClosesWhatItPasses() {
+    void clockSetBackReopensNoPeriodAndClockSetAheadClosesPassedPeriods() {
         PeriodClock periods = new PeriodClock(100, 10, 0, 1_050);
         assertEquals(10, periods.open());
-        assertFalse(periods.at(1_099));
-        assertFalse(periods.at(1_105));
+        assertFalse(periods.advanceTo(1_099));
+        assertFalse(periods.advanceTo(1_105));
         assertEquals(11, periods.open());
-        assertEquals(10, periods.closing(), "what ended before the end may still be told");
-        assertEquals(1_110, periods.next(1_105));
-        assertTrue(periods.at(1_110));
-        assertEquals(11, periods.closing());
-        assertFalse(periods.at(1_020), "back over the end");
+        assertEquals(10, periods.firstUnclosed(), "the previous period is in its grace time");
+        assertEquals(1_110, periods.nextBoundaryMicros(1_105));
+        assertTrue(periods.advanceTo(1_110));
+        assertEquals(11, periods.firstUnclosed());
+        assertFalse(periods.advanceTo(1_020), "set back over the end of the period");
         assertEquals(11, periods.open());
-        assertEquals(11, periods.closing());
-        assertTrue(periods.at(1_620));
-        assertEquals(16, periods.closing(), "all that was passed is closed");
+        assertEquals(11, periods.firstUnclosed());
+        assertTrue(periods.advanceTo(1_620));
+        assertEquals(16, periods.firstUnclosed(), "all passed periods are closed");
         PeriodClock after = new PeriodClock(100, 10, 16, 1_300);
         assertEquals(16, after.open(), "a restart with the clock set back");
     }
--- a/src/test/java/gatefront/storage/MemoryDisk.java
+++ b/src/test/java/gatefront/storage/MemoryDisk.java
@@ -13,15 +13,15 @@
 import java.util.TreeMap;
 
 /**
- * A disk in memory that can lose its power at any step. What survives then: of each file what was forced, and of each
- * page written since either what it was, what it is, or its first half new and the rest old; of names, what was forced
- * and any of what was done since, a move in one step. A force that fails leaves its pages clean in memory: reading
- * shows them, no later force writes them.
+ * An in-memory disk that can lose power at any step. Forced file contents and names survive a power loss. Of each page
+ * written since the last force, the old content, the new content, or the first half new and the rest old survives; of
+ * each name change since then, all or nothing. A failed force marks its pages clean: reads return their new content,
+ * but no later force writes them.
  */
 final class MemoryDisk implements Disk {
     private static final int PAGE = 64;
 
-    /** What a step is asked to do instead of what it should. */
+    /** The faults that can be injected at a step. */
     enum Fault {
         NONE,
         POWER,
@@ -31,56 +31,56 @@
         FULL
     }
 
-    /** The machine has lost its power. */
+    /** Signals that the machine has lost power. */
     static final class PowerException extends IOException {
         private static final long serialVersionUID = 1;
     }
 
-    /** Contents as programs see them, and as the disk has them. */
+    /** The contents of a file as programs see them, and as they are on the disk. */
     private static final class Data {
-        byte[] seen = {};
-        byte[] forced = {};
-        /** Pages that were written since, and are to be forced. */
-        final TreeMap<Integer, Boolean> dirty = new TreeMap<>();
+        byte[] visible = {};
+        byte[] durable = {};
+        /** Pages written since the last force. */
+        final TreeMap<Integer, Boolean> dirtyPages = new TreeMap<>();
 
-        void write(long at, byte[] bytes, int n) {
-            if (n == 0) {
+        void write(long offset, byte[] bytes, int length) {
+            if (length == 0) {
                 return;
             }
-            int until = (int) at + n;
-            seen = seen.length < until ? Arrays.copyOf(seen, until) : seen;
-            System.arraycopy(bytes, 0, seen, (int) at, n);
-            for (int page = (int) at / PAGE; page <= (until - 1) / PAGE; page++) {
-                dirty.put(page, true);
+            int end = (int) offset + length;
+            visible = visible.length < end ? Arrays.copyOf(visible, end) : visible;
+            System.arraycopy(bytes, 0, visible, (int) offset, length);
+            for (int page = (int) offset / PAGE; page <= (end - 1) / PAGE; page++) {
+                dirtyPages.put(page, true);
             }
         }
 
-        void persist(int page, int n) {
-            int from = page * PAGE;
-            int until = Math.min(seen.length, from + n);
-            forced = forced.length < until ? Arrays.copyOf(forced, until) : forced;
-            if (until > from) {
-                System.arraycopy(seen, from, forced, from, until - from);
+        void persist(int page, int length) {
+            int start = page * PAGE;
+            int end = Math.min(visible.length, start + length);
+            durable = durable.length < end ? Arrays.copyOf(durable, end) : durable;
+            if (end > start) {
+                System.arraycopy(visible, start, durable, start, end - start);
             }
         }
     }
 
-    /** Something done to names since they were forced. */
-    private record Deed(String from, String to, Data data) {}
+    /** A change of names that has not been forced. */
+    private record NameChange(String from, String to, Data data) {}
 
     private Map<String, Data> names = new HashMap<>();
-    private Map<String, Data> forcedNames = new HashMap<>();
-    private final List<Deed> deeds = new ArrayList<>();
+    private Map<String, Data> durableNames = new HashMap<>();
+    private final List<NameChange> unsyncedNameChanges = new ArrayList<>();
     private final Random random;
     private boolean locked;
-    private boolean off;
-    /** Steps taken: writes, forces, moves, removals and new files. */
+    private boolean poweredOff;
+    /** The number of steps so far: writes, forces, moves, deletions and new files. */
     int steps;
-    /** The step at which something goes wrong, and what. */
-    int faultAt = -1;
+    /** The step at which {@link #fault} occurs; -1 for none. */
+    int faultStep = -1;
 
     Fault fault = Fault.NONE;
-    /** While set, nothing that takes room goes well. */
+    /** While set, every operation that needs disk space fails. */
     boolean full;
 
     MemoryDisk(long seed) {
@@ -88,65 +88,65 @@
     }
 
     private Fault step() throws IOException {
-        if (off) {
+        if (poweredOff) {
             throw new PowerException();
         }
-        Fault now = steps++ == faultAt ? fault : Fault.NONE;
-        if (now == Fault.POWER) {
-            off = true;
+        Fault stepFault = steps++ == faultStep ? fault : Fault.NONE;
+        if (stepFault == Fault.POWER) {
+            poweredOff = true;
             throw new PowerException();
         }
-        full |= now == Fault.FULL;
-        return now;
+        full |= stepFault == Fault.FULL;
+        return stepFault;
     }
 
-    /** The machine is started again: what has survived is there, by chance where it was not forced. */
+    /** Restarts the machine; of data and names that were not forced, a random part survives. */
     void restart() {
-        Map<String, Data> survived = new HashMap<>(forcedNames);
-        for (Deed each : deeds) {
+        Map<String, Data> survived = new HashMap<>(durableNames);
+        for (NameChange change : unsyncedNameChanges) {
             if (random.nextBoolean()) {
-                survived.remove(each.from);
-                if (each.to != null) {
-                    survived.put(each.to, each.data);
+                survived.remove(change.from);
+                if (change.to != null) {
+                    survived.put(change.to, change.data);
                 }
             }
         }
-        for (Data each : survived.values()) {
-            for (int page : each.dirty.keySet()) {
-                int kept = random.nextInt(4);
-                if (kept != 0) {
-                    each.persist(page, kept == 1 ? PAGE / 2 : PAGE);
+        for (Data data : survived.values()) {
+            for (int page : data.dirtyPages.keySet()) {
+                int outcome = random.nextInt(4);
+                if (outcome != 0) {
+                    data.persist(page, outcome == 1 ? PAGE / 2 : PAGE);
                 }
             }
-            each.dirty.clear();
-            each.seen = each.forced.clone();
+            data.dirtyPages.clear();
+            data.visible = data.durable.clone();
         }
         names = survived;
-        forcedNames = new HashMap<>(survived);
-        deeds.clear();
+        durableNames = new HashMap<>(survived);
+        unsyncedNameChanges.clear();
         locked = false;
-        off = false;
+        poweredOff = false;
         full = false;
-        faultAt = -1;
+        faultStep = -1;
     }
 
     boolean isOff() {
-        return off;
+        return poweredOff;
     }
 
-    /** Changes one bit of a file. */
-    void flip(String name, int at, int bit) {
-        names.get(name).seen[at] ^= 1 << bit;
-        names.get(name).forced[at] ^= 1 << bit;
+    /** Inverts one bit of a file. */
+    void flipBit(String name, int offset, int bit) {
+        names.get(name).visible[offset] ^= 1 << bit;
+        names.get(name).durable[offset] ^= 1 << bit;
     }
 
     int size(String name) {
-        return names.get(name).seen.length;
+        return names.get(name).visible.length;
     }
 
     @Override
     public List<String> names() throws IOException {
-        if (off) {
+        if (poweredOff) {
             throw new PowerException();
         }
         return List.copyOf(names.keySet());
@@ -160,7 +160,7 @@
         }
         Data data = new Data();
         names.put(name, data);
-        deeds.add(new Deed(name, name, data));
+        unsyncedNameChanges.add(new NameChange(name, name, data));
         return new Handle(data);
     }
 
@@ -177,14 +177,14 @@
         step();
         Data data = names.remove(from);
         names.put(to, data);
-        deeds.add(new Deed(from, to, data));
+        unsyncedNameChanges.add(new NameChange(from, to, data));
     }
 
     @Override
     public void delete(String name) throws IOException {
         step();
         if (names.remove(name) != null) {
-            deeds.add(new Deed(name, null, null));
+            unsyncedNameChanges.add(new NameChange(name, null, null));
         }
     }
 
@@ -193,8 +193,8 @@
         if (step() == Fault.SYNC_FAILS) {
             throw new IOException("Input/output error");
         }
-        forcedNames = new HashMap<>(names);
-        deeds.clear();
+        durableNames = new HashMap<>(names);
+        unsyncedNameChanges.clear();
     }
 
     @Override
@@ -214,54 +214,57 @@
         }
 
         @Override
-        public void write(long at, ByteBuffer bytes) throws IOException {
-            byte[] all = new byte[bytes.remaining()];
-            bytes.get(all);
-            Fault now;
+        public void write(long offset, ByteBuffer bytes) throws IOException {
+            byte[] contents = new byte[bytes.remaining()];
+            bytes.get(contents);
+            Fault stepFault;
             try {
-                now = step();
+                stepFault = step();
             } catch (PowerException e) {
-                data.write(at, all, random.nextInt(all.length + 1)); // as far as it came
+                data.write(
+                        offset,
+                        contents,
+                        random.nextInt(contents.length + 1)); // a random part was written before the power failed
                 throw e;
             }
-            if (full || now == Fault.WRITE_FAILS) {
+            if (full || stepFault == Fault.WRITE_FAILS) {
                 throw new IOException(full ? "No space left on device" : "Input/output error");
             }
-            if (now == Fault.HALF_WRITTEN) {
-                data.write(at, all, all.length / 2);
+            if (stepFault == Fault.HALF_WRITTEN) {
+                data.write(offset, contents, contents.length / 2);
                 throw new IOException("Input/output error");
             }
-            data.write(at, all, all.length);
+            data.write(offset, contents, contents.length);
         }
 
         @Override
-        public int read(long at, ByteBuffer into) throws IOException {
-            if (off) {
+        public int read(long offset, ByteBuffer into) throws IOException {
+            if (poweredOff) {
                 throw new PowerException();
             }
-            int n = (int) Math.max(0, Math.min(into.remaining(), data.seen.length - at));
-            into.put(data.seen, (int) Math.min(at, data.seen.length), n);
-            return n;
+            int length = (int) Math.max(0, Math.min(into.remaining(), data.visible.length - offset));
+            into.put(data.visible, (int) Math.min(offset, data.visible.length), length);
+            return length;
         }
 
         @Override
         public long size() {
-            return data.seen.length;
+            return data.visible.length;
         }
 
         @Override
         public void sync() throws IOException {
             if (step() == Fault.SYNC_FAILS) {
-                for (int page : data.dirty.keySet()) { // some came there, and none is tried again
+                for (int page : data.dirtyPages.keySet()) { // a random part is written, and the rest is never retried
                     if (random.nextBoolean()) {
                         data.persist(page, PAGE);
                     }
                 }
-                data.dirty.clear();
+                data.dirtyPages.clear();
                 throw new IOException("Input/output error");
             }
-            data.dirty.keySet().forEach(page -> data.persist(page, PAGE));
-            data.dirty.clear();
+            data.dirtyPages.keySet().forEach(page -> data.persist(page, PAGE));
+            data.dirtyPages.clear();
         }
 
         @Override
