--- a/src/main/java/gatefront/persistence/RecoveryRecordCodec.java
+++ b/src/main/java/gatefront/persistence/RecoveryRecordCodec.java
@@ -118,7 +118,7 @@
                 case FIELD_BYTES -> bytes = in.readByteArray();
                 default -> {
                     if (!in.skipField(tag)) {
-                        throw new IOException("malformed record: unexpected end-group tag " + tag);
+                        throw new IOException("a record ends in the middle of a group");
                     }
                 }
             }
@@ -131,11 +131,8 @@
             }
             case KIND_ALIVE_MARK -> writtenUntilMicros = numbers[FIELD_TIME];
             case KIND_BAN -> {
-                if (name.isEmpty()) {
-                    throw new IOException("record of a manual drain has no server name");
-                }
-                if (bans.size() >= ServerBans.MAX_ENTRIES && !bans.containsKey(name)) {
-                    throw new IOException("more than " + ServerBans.MAX_ENTRIES + " manual drains in the store");
+                if (name.isEmpty() || bans.size() >= ServerBans.MAX_ENTRIES && !bans.containsKey(name)) {
+                    throw new IOException("a call by hand without a name, or one too many");
                 }
                 bans.put(name, new ServerBans.Entry(numbers[FIELD_DRAINED] != 0, numbers[FIELD_TIME]));
                 writtenUntilMicros = Math.max(writtenUntilMicros, numbers[FIELD_TIME]);
@@ -145,10 +142,7 @@
                 serverListMicros = numbers[FIELD_TIME];
                 serverList = bytes;
             }
-            default -> throw new IOException(
-                    record.length == 0
-                            ? "record is empty, expected a kind"
-                            : "unknown record kind " + record[0] + "; written by a newer version");
+            default -> throw new IOException("a record is of no kind that is known here; a newer program wrote it");
         }
     }
 
--- a/src/main/java/gatefront/persistence/RecoveryStore.java
+++ b/src/main/java/gatefront/persistence/RecoveryStore.java
@@ -109,7 +109,7 @@
                         recoveryStore,
                         restored,
                         Recovery.StoreStatus.FOREIGN,
-                        "that of " + restored.instance() + ", expected " + instance + "; it was set aside as " + aside);
+                        "that of " + restored.instance() + "; it was set aside as " + aside);
             }
             recoveryStore.recordStart(restored);
             return restored.instance() == null
--- a/src/main/java/gatefront/recovery/StateValidator.java
+++ b/src/main/java/gatefront/recovery/StateValidator.java
@@ -30,8 +30,7 @@
     /** Validates restored state at time {@code now} for the given instance. */
     public static ValidationResult validate(RestoredState state, String instance, long now, Bounds bounds) {
         if (state.instance() != null && !state.instance().equals(instance)) {
-            return new ValidationResult(
-                    state, TrustLevel.DISCARDED, "it is that of " + state.instance() + ", expected " + instance);
+            return new ValidationResult(state, TrustLevel.DISCARDED, "it is that of " + state.instance());
         }
         if (state.damaged()) {
             return state.kind() == StateKind.BANS
