--- a/src/main/java/gatefront/agent/Agent.java
+++ b/src/main/java/gatefront/agent/Agent.java
@@ -136,7 +136,7 @@
                 : thrift.probes() ? List.of(overThrift, backends) : List.of(backends, overThrift);
         discovery = new Discovery(transport, config, new Discovery.Listener() {
             @Override
-            public void list(Balancer.ListKind kind, List<Endpoint> endpoints) {
+            public void listReceived(Balancer.ListKind kind, List<Endpoint> endpoints) {
                 if (sources != null) {
                     sources.padron(kind, endpoints);
                 } else {
@@ -146,7 +146,7 @@
             }
 
             @Override
-            public void failed(String why) {
+            public void requestFailed(String why) {
                 say("discovery: " + why);
                 if (config.settings().askDiscovery()) {
                     engine.servers(Balancer.ListKind.FAILED, List.of());
@@ -170,7 +170,7 @@
                     @Override
                     public void fetch() {
                         if (asksPadron()) {
-                            discovery.fetch();
+                            discovery.fetchFullList();
                         }
                     }
                 },
@@ -388,12 +388,12 @@
         // moment, and the list it starts with may be old. Harm: with nobody to tell, calls wait for so long.
         long grace = Math.min(FIRST_LIST_MS, config.settings().obligations().drainGrace() / 1_000);
         engine.wakes(StallDetector.forStartup(transport.nanos() / 1_000, grace * 1_000), grace, () -> {});
-        Discovery.Listing known;
+        Discovery.ServerListResponse known;
         try {
             known = Discovery.decode(recovering == null ? config.known() : recovering.known(config.known()), config);
         } catch (IllegalArgumentException e) {
             say("known list: " + e.getMessage());
-            known = new Discovery.Listing(0, true, List.of());
+            known = new Discovery.ServerListResponse(0, true, List.of());
         }
         if (sources == null) {
             servers(Balancer.ListKind.CACHED, known.endpoints());
@@ -451,7 +451,7 @@
                     waking.lastGapMicros() / 1e6,
                     HEAR_MICROS / 1000));
             if (asksPadron()) {
-                discovery.fetch();
+                discovery.fetchFullList();
             }
         });
         loop.scheduleWithFixedDelay(engine::beat, BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
@@ -573,7 +573,7 @@
                         recovering.changed(changed);
                     }
                     if (asksPadron()) {
-                        discovery.moveTo(changed.discovery());
+                        discovery.changeAddress(changed.discovery());
                     }
                     taken = true;
                 } catch (IllegalArgumentException e) {
--- a/src/main/java/gatefront/agent/MembershipSources.java
+++ b/src/main/java/gatefront/agent/MembershipSources.java
@@ -42,7 +42,7 @@
             Runnable listed) {
         this.servers = servers;
         this.listed = listed;
-        this.padron = !settings.instead();
+        this.padron = !settings.replacesPadron();
         this.membership = new Membership(padron ? List.of("padrón", "registry") : List.of("registry"), transport::log);
         int place = padron ? PADRON + 1 : 0;
         this.registry = new RegistrySource(transport, config, settings, held, new RegistrySource.Listener() {
--- a/src/main/java/gatefront/cli/RegistryCommand.java
+++ b/src/main/java/gatefront/cli/RegistryCommand.java
@@ -77,7 +77,7 @@
                     @Override
                     public void changed(boolean full, List<KeyChange> changes, Map<String, KeyEntry> all) {
                         for (KeyChange each : changes) {
-                            out.println(each.modified()
+                            out.println(each.modRevision()
                                     + (each.value() == null
                                             ? " delete " + each.key()
                                             : " put " + each.key() + " " + each.value()));
@@ -89,8 +89,8 @@
                     }
 
                     @Override
-                    public void stale(boolean now) {
-                        out.println(now ? "# stale" : "# confirmed again");
+                    public void staleChanged(boolean isStale) {
+                        out.println(isStale ? "# stale" : "# confirmed again");
                         out.flush();
                     }
                 });
--- a/src/main/java/gatefront/padron/Discovery.java
+++ b/src/main/java/gatefront/padron/Discovery.java
@@ -34,40 +34,49 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Follows the server list: the whole list once, then one watch after the other on one connection. All of it
- * runs on the agent's event loop.
+ * Follows the server list of the padrón: one full list, then one watch after the other on one connection. Runs on the
+ * agent's event loop.
  */
 public final class Discovery {
-    /** What the agent hears. */
+    /** Receives the results. */
     public interface Listener {
-        /** A list has come. */
-        void list(ListKind kind, List<Endpoint> endpoints);
+        /** Reports a full server list or changes to it. */
+        void listReceived(ListKind kind, List<Endpoint> endpoints);
 
-        /** A call has failed; the next is made after the back-off, or when asked for. */
-        void failed(String why);
+        /**
+         * Reports that a request failed. The next one is sent after the backoff, or when {@link #watch()} is called.
+         */
+        void requestFailed(String reason);
     }
 
-    /** A decoded answer. */
-    public record Listing(long index, boolean snapshot, List<Endpoint> endpoints) {}
+    /** A decoded response. */
+    public record ServerListResponse(long index, boolean snapshot, List<Endpoint> endpoints) {}
 
-    /** How long a watch waits for news. Short enough that a silent discovery is soon asked again. */
-    private static final long WATCH_MS = 5_000;
-    /** How much longer than its wait a call may take. */
-    private static final long ANSWER_MS = 2_000;
+    /** How long a watch waits for changes. Short enough that a silent discovery service is soon asked again. */
+    private static final long WATCH_WAIT_MS = 5_000;
+    /** How much longer than its wait time a request may take. */
+    private static final long RESPONSE_TIMEOUT_MS = 2_000;
 
-    private static final long BACKOFF_LEAST_MS = 50;
-    private static final long BACKOFF_MOST_MS = 1_000;
-    /** And where it says that it has too much to do, a part of the time within which it is to be asked. */
-    private static final long OVERBOOKED_PART = 4;
-    /** Before the next watch when one brought nothing: discovery may answer at once, and would be flooded. */
+    private static final long MIN_BACKOFF_MS = 50;
+    private static final long MAX_BACKOFF_MS = 1_000;
+    /**
+     * While discovery reports overload, the backoff may grow to the time within which it is to be asked, divided by
+     * this.
+     */
+    private static final long OVERLOAD_BACKOFF_DIVISOR = 4;
+    /**
+     * Pause before the next watch after one without changes: discovery may respond without waiting and would be
+     * flooded.
+     */
     private static final long EMPTY_PAUSE_MS = 20;
     /**
-     * Before the next watch when one brought news, with as much jitter: changes come in waves, and every agent would
-     * come back for each. A watch goes on if the next call comes within 200 ms; what changes until then counts as told.
+     * Pause before the next watch after one with changes, with as much jitter: changes come in bursts, and every agent
+     * would send a request for each. Discovery continues a watch if the next request arrives within 200 ms, and
+     * reports the changes made until then.
      */
-    private static final long NEWS_PAUSE_MS = 60;
+    private static final long CHANGE_PAUSE_MS = 60;
 
-    private static final int LIST_BYTES_MAX = 4 << 20;
+    private static final int MAX_LIST_BYTES = 4 << 20;
 
     private final EventLoop loop;
     private final Config config;
@@ -75,21 +84,21 @@
     private final Bootstrap bootstrap;
     private InetSocketAddress address;
     private Channel channel;
-    /** The version last had; negative while the whole list is needed. */
+    /** The version of the list last received; negative while the full list is needed. */
     private long index = -1;
 
     private boolean watching;
     private boolean closed;
-    /** Numbers the calls: what belongs to an earlier one is disregarded. */
-    private int call;
-    /** Of the call that is out; null while none is. */
+    /** The number of the present request; events of earlier ones are ignored. */
+    private int currentRequest;
+    /** The timeout of the request in progress; null while there is none. */
     private Future<?> timeout;
-    /** Agents that fail together must not come back together. */
+    /** Guards against agents that fail together and retry together. */
     private final SplittableRandom jitter;
 
-    private long backoff = BACKOFF_LEAST_MS;
+    private long backoffMs = MIN_BACKOFF_MS;
 
-    /** Follows nothing yet; {@link #watch()} begins. */
+    /** Creates a follower of the server list that is started by {@link #watch()}. */
     public Discovery(Transport transport, Config config, Listener listener) {
         this.loop = transport.loop();
         this.config = config;
@@ -99,7 +108,7 @@
         this.bootstrap = new Bootstrap()
                 .group(loop)
                 .channelFactory(transport.dialers())
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) ANSWER_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) RESPONSE_TIMEOUT_MS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .disableResolver()
                 .handler(new ChannelInitializer<Channel>() {
@@ -109,195 +118,202 @@
                                 .addLast(
                                         new StrictHttpDecoders.Responses(),
                                         new HttpRequestEncoder(),
-                                        new HttpObjectAggregator(LIST_BYTES_MAX),
-                                        new Answers());
+                                        new HttpObjectAggregator(MAX_LIST_BYTES),
+                                        new ResponseHandler());
                     }
                 });
     }
 
-    /** Begins to follow the list, or goes on after a failure where that is asked for. */
+    /** Starts to follow the list, or continues after a failure where that is required. */
     public void watch() {
         if (!watching) {
             watching = true;
-            next(0);
+            scheduleRequest(0);
         }
     }
 
-    /** Gets the whole list with the next call, which is made now. */
-    public void fetch() {
+    /** Sends a request for the full list without delay. */
+    public void fetchFullList() {
         index = -1;
         watching = true;
-        drop();
-        next(0);
+        dropRequest();
+        scheduleRequest(0);
     }
 
     /**
-     * Follows the list at another address from now on. Its versions mean nothing there, so the whole list
-     * comes first; until it has come the old one stays.
+     * Follows the list at another address from now on. Versions of the old address are not valid there, so the full
+     * list is requested first; the old list stays in use until it arrives.
      */
-    public void moveTo(InetSocketAddress to) {
-        if (!closed && !to.equals(address)) {
-            address = to;
-            backoff = BACKOFF_LEAST_MS;
-            fetch();
+    public void changeAddress(InetSocketAddress newAddress) {
+        if (!closed && !newAddress.equals(address)) {
+            address = newAddress;
+            backoffMs = MIN_BACKOFF_MS;
+            fetchFullList();
         }
     }
 
     /** Stops following the server list and closes the connection to discovery. */
     public void close() {
         closed = true;
-        drop();
+        dropRequest();
     }
 
-    private void drop() {
-        call++;
-        over();
+    private void dropRequest() {
+        currentRequest++;
+        cancelTimeout();
         if (channel != null) {
             channel.close();
             channel = null;
         }
     }
 
-    private void over() {
+    private void cancelTimeout() {
         if (timeout != null) {
             timeout.cancel(false);
             timeout = null;
         }
     }
 
-    private void next(long delayMs) {
-        int mine = ++call;
+    private void scheduleRequest(long delayMs) {
+        int requestNumber = ++currentRequest;
         loop.schedule(
                 () -> {
-                    if (mine == call && !closed) {
-                        ask(mine);
+                    if (requestNumber == currentRequest && !closed) {
+                        startRequest(requestNumber);
                     }
                 },
                 delayMs,
                 TimeUnit.MILLISECONDS);
     }
 
-    private void ask(int mine) {
-        long wait = index < 0 ? 0 : WATCH_MS;
-        timeout = loop.schedule(() -> failed(mine, "no answer"), wait + ANSWER_MS, TimeUnit.MILLISECONDS);
+    private void startRequest(int requestNumber) {
+        long waitMs = index < 0 ? 0 : WATCH_WAIT_MS;
+        timeout = loop.schedule(
+                () -> requestFailed(requestNumber, "no answer"), waitMs + RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (channel != null && channel.isActive()) {
-            write(mine);
+            sendRequest(requestNumber);
             return;
         }
         ChannelFuture connecting = bootstrap.connect(address);
         channel = connecting.channel();
         connecting.addListener(done -> {
             if (done.isSuccess()) {
-                write(mine); // that of a call given up is closed before it can come up
+                // The connection of an abandoned request is closed before it can be established.
+                sendRequest(requestNumber);
             } else {
-                failed(mine, "no connection");
+                requestFailed(requestNumber, "no connection");
             }
         });
     }
 
-    private void write(int mine) {
-        String uri = index < 0 ? "/v1/servers" : "/v1/servers?since=" + index + "&timeout_ms=" + WATCH_MS;
+    private void sendRequest(int requestNumber) {
+        String uri = index < 0 ? "/v1/servers" : "/v1/servers?since=" + index + "&timeout_ms=" + WATCH_WAIT_MS;
         var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
         request.headers().set(HttpHeaderNames.HOST, "discovery");
         channel.writeAndFlush(request).addListener(done -> {
             if (!done.isSuccess()) {
-                failed(mine, "connection broken");
+                requestFailed(requestNumber, "connection broken");
             }
         });
     }
 
-    private void failed(int mine, String why) {
-        failed(mine, why, BACKOFF_MOST_MS);
+    private void requestFailed(int requestNumber, String reason) {
+        requestFailed(requestNumber, reason, MAX_BACKOFF_MS);
     }
 
-    private void failed(int mine, String why, long backoffMost) {
-        if (mine != call || closed) {
+    private void requestFailed(int requestNumber, String reason, long maxBackoffMs) {
+        if (requestNumber != currentRequest || closed) {
             return;
         }
-        drop();
+        dropRequest();
         if (config.settings().askDiscovery()) {
-            watching = false; // the module decides when to ask again
+            // The policy decides when to send the next request.
+            watching = false;
         } else {
-            // Full jitter: doubled steps alone keep those that began together in step for ever.
-            next(jitter.nextLong(backoff + 1));
-            backoff = Math.max(BACKOFF_LEAST_MS, Math.min(2 * backoff, backoffMost));
+            // Uses full jitter: doubled delays alone would keep agents that started together synchronised.
+            scheduleRequest(jitter.nextLong(backoffMs + 1));
+            backoffMs = Math.max(MIN_BACKOFF_MS, Math.min(2 * backoffMs, maxBackoffMs));
         }
-        listener.failed(why);
+        listener.requestFailed(reason);
     }
 
-    private void answered(FullHttpResponse response) {
-        over();
+    private void responseReceived(FullHttpResponse response) {
+        cancelTimeout();
         if (response.decoderResult().isFailure() || response.status().code() != 200) {
-            failed(
-                    call,
-                    "answer " + response.status().code(),
+            requestFailed(
+                    currentRequest,
+                    "HTTP status " + response.status().code(),
                     response.status().code() == 503
                             ? Math.max(
-                                    BACKOFF_MOST_MS,
-                                    config.settings().obligations().askWithin() / 1000 / OVERBOOKED_PART)
-                            : BACKOFF_MOST_MS);
+                                    MAX_BACKOFF_MS,
+                                    config.settings().obligations().askWithin() / 1000 / OVERLOAD_BACKOFF_DIVISOR)
+                            : MAX_BACKOFF_MS);
             return;
         }
-        Listing listing;
+        ServerListResponse list;
         try (InputStream body = new ByteBufInputStream(response.content())) {
-            listing = decode(Config.json(body), config);
+            list = decode(Config.json(body), config);
         } catch (IOException | IllegalArgumentException e) {
-            // Guards against a list that cannot be read: the old one stays, and the whole is asked for, since
-            // what the lost one changed is unknown.
+            // Guards against a list that cannot be decoded: the old one stays in use, and the full list is requested,
+            // since the changes in the lost one are unknown.
             index = -1;
-            failed(
-                    call,
-                    "unusable list: "
+            requestFailed(
+                    currentRequest,
+                    "invalid server list: "
                             + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
             return;
         }
-        if (!listing.snapshot() && listing.index() < index) {
-            // Guards against changes of another history, as after a restart from an older copy: the whole is asked for.
+        if (!list.snapshot() && list.index() < index) {
+            // Guards against changes of another history, as after a restart from an older copy: the full list is
+            // requested.
             index = -1;
-            failed(call, "the list's version went back to " + listing.index());
+            requestFailed(currentRequest, "the list's version went back to " + list.index());
             return;
         }
-        index = listing.index();
-        backoff = Math.max(BACKOFF_LEAST_MS, backoff / 2); // one answer does not end the crowd
+        index = list.index();
+        // Halves the backoff instead of resetting it: one response does not mean that the overload has ended.
+        backoffMs = Math.max(MIN_BACKOFF_MS, backoffMs / 2);
         if (!HttpUtil.isKeepAlive(response)) {
-            drop();
+            dropRequest();
         }
-        boolean news = listing.snapshot() || !listing.endpoints().isEmpty();
-        next(news ? NEWS_PAUSE_MS + jitter.nextLong(NEWS_PAUSE_MS) : EMPTY_PAUSE_MS);
-        if (news) {
-            listener.list(listing.snapshot() ? ListKind.FULL : ListKind.DELTA, listing.endpoints());
+        boolean hasChanges = list.snapshot() || !list.endpoints().isEmpty();
+        scheduleRequest(hasChanges ? CHANGE_PAUSE_MS + jitter.nextLong(CHANGE_PAUSE_MS) : EMPTY_PAUSE_MS);
+        if (hasChanges) {
+            listener.listReceived(list.snapshot() ? ListKind.FULL : ListKind.DELTA, list.endpoints());
         }
     }
 
-    /** Decodes a list; an entry that makes no sense makes the whole unusable. */
-    public static Listing decode(JsonNode root, Config config) {
+    /** Decodes a server list; an invalid entry makes the whole list invalid. */
+    public static ServerListResponse decode(JsonNode root, Config config) {
         if (root == null
                 || !root.path("endpoints").isArray()
                 || !root.path("index").canConvertToLong()) {
-            throw new IllegalArgumentException("no list of servers");
+            throw new IllegalArgumentException("expected a server list with endpoints and index");
         }
         List<Endpoint> endpoints = new ArrayList<>();
         for (JsonNode entry : root.get("endpoints")) {
             endpoints.add(EndpointJson.decode(entry, null, config));
         }
-        return new Listing(root.get("index").asLong(), root.path("snapshot").asBoolean(), endpoints);
+        return new ServerListResponse(
+                root.get("index").asLong(), root.path("snapshot").asBoolean(), endpoints);
     }
 
-    /** Hands on what arrives on the connection in use. */
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+    /** Passes on the responses of the connection in use. */
+    private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
             if (ctx.channel() == channel && timeout != null) {
-                answered(response);
+                responseReceived(response);
             } else {
-                ctx.close(); // an answer to nothing: what follows it would be taken for that to the next call
+                // An unsolicited response: those that follow would be taken for the responses to later requests.
+                ctx.close();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             if (ctx.channel() == channel) {
-                failed(call, "connection closed");
+                requestFailed(currentRequest, "connection closed");
             }
         }
 
--- a/src/main/java/gatefront/padron/package-info.java
+++ b/src/main/java/gatefront/padron/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The server list over the platform's protocol. Runs on the agent's loop; owner of one connection and the
- * version last had.
+ * Follows the server list over the protocol of the platform's discovery service, the padrón. Runs on the agent's event
+ * loop and owns one connection and the version of the list last received.
  */
 package gatefront.padron;
--- a/src/main/java/gatefront/registry/ConsulConnector.java
+++ b/src/main/java/gatefront/registry/ConsulConnector.java
@@ -32,13 +32,13 @@
 import java.util.List;
 
 /**
- * Consul's key-value store, or the health of a service, by blocking queries: each answer is the whole state, with an
- * index to wait behind. One connection, one call at a time.
+ * Reads Consul's key-value store, or the health of a service, with blocking queries: each response holds the full
+ * state and an index to wait for the next change with. It uses one connection and makes one call at a time.
  */
 final class ConsulConnector implements RegistryConnector {
-    private static final int BODY_BYTES_MOST = 32 << 20;
-    private static final int DIAL_MS = 2_000;
-    /** Consul has no name for its history; an index that goes back is the only sign of another one. */
+    private static final int MAX_BODY_BYTES = 32 << 20;
+    private static final int CONNECT_TIMEOUT_MS = 2_000;
+    /** Consul does not identify its history; an index that goes back is the only sign of another one. */
     private static final long HISTORY = 1;
 
     private final Transport transport;
@@ -47,10 +47,11 @@
     private final Follower follower;
     private final Bootstrap bootstrap;
     private Channel channel;
-    /** The call that is out, or 0; whether it is a watch, and whether a quorum answers it. */
-    private long out;
+    /** The number of the call in progress, or 0. */
+    private long currentCall;
 
-    private boolean quorum;
+    /** Whether the call in progress is confirmed by a quorum. */
+    private boolean quorumRead;
 
     ConsulConnector(Transport transport, RegistrySettings settings, RegistryMembers members, Follower follower) {
         this.transport = transport;
@@ -60,7 +61,7 @@
         this.bootstrap = new Bootstrap()
                 .group(transport.loop())
                 .channelFactory(transport.dialers())
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DIAL_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .disableResolver()
                 .handler(new ChannelInitializer<Channel>() {
@@ -70,41 +71,43 @@
                                 .addLast(
                                         new StrictHttpDecoders.Responses(),
                                         new HttpRequestEncoder(),
-                                        new HttpObjectAggregator(BODY_BYTES_MOST),
-                                        new Answers());
+                                        new HttpObjectAggregator(MAX_BODY_BYTES),
+                                        new ResponseHandler());
                     }
                 });
     }
 
     @Override
-    public void list(long call, boolean byQuorum) {
-        call(call, byQuorum || settings.reads() == Reads.CONSISTENT, -1);
+    public void list(long call, boolean quorum) {
+        startCall(call, quorum || settings.reads() == Reads.CONSISTENT, -1);
     }
 
     @Override
     public void watch(long call, long revision) {
-        call(call, false, revision);
+        startCall(call, false, revision);
     }
 
     @Override
-    public void ask(long call) {} // each call ends by itself when its wait is over
+    // A blocking query ends by itself when its wait time is over.
+    public void requestProgress(long call) {}
 
     @Override
-    public void drop(boolean failed) {
-        boolean unanswered = out != 0;
-        out = 0;
+    public void endCall(boolean failed) {
+        boolean unanswered = currentCall != 0;
+        currentCall = 0;
         if (channel != null && (failed || unanswered)) {
-            channel.close(); // what it still answers would pass for an answer to the next call
+            // A late response would be taken for the response to the next call.
+            channel.close();
             channel = null;
         }
         if (failed) {
-            members.next();
+            members.moveToNext();
         }
     }
 
-    private void call(long call, boolean byQuorum, long behind) {
-        out = call;
-        quorum = byQuorum;
+    private void startCall(long call, boolean quorum, long waitIndex) {
+        currentCall = call;
+        quorumRead = quorum;
         QueryStringEncoder uri = new QueryStringEncoder(
                 settings.service() == null
                         ? "/v1/kv/" + settings.prefix()
@@ -112,127 +115,136 @@
         if (settings.service() == null) {
             uri.addParam("recurse", "true");
         }
-        if (behind >= 0) {
-            uri.addParam("index", String.valueOf(behind));
-            // Consul adds up to a sixteenth, and the answer has to come before the call passes for broken.
-            uri.addParam("wait", settings.bounds().silence() / 2_000 + "ms");
+        if (waitIndex >= 0) {
+            uri.addParam("index", String.valueOf(waitIndex));
+            // Consul adds up to a sixteenth to the wait time, and the response must arrive before the call is
+            // considered failed.
+            uri.addParam("wait", settings.limits().silenceTimeoutMicros() / 2_000 + "ms");
         }
-        if (byQuorum || settings.reads() == Reads.CONSISTENT) {
+        if (quorum || settings.reads() == Reads.CONSISTENT) {
             uri.addParam("consistent", "true");
         } else if (settings.reads() == Reads.STALE) {
             uri.addParam("stale", "true");
         }
         if (channel != null && channel.isActive()) {
-            write(call, uri.toString());
+            sendRequest(call, uri.toString());
             return;
         }
         ChannelFuture connecting = bootstrap.connect(members.current());
         channel = connecting.channel();
         connecting.addListener(done -> {
             if (done.isSuccess()) {
-                write(call, uri.toString()); // that of a call given up is closed before it can come up
+                // The connection of an abandoned call is closed before it can be established.
+                sendRequest(call, uri.toString());
             } else {
-                failed(call, "no connection", false);
+                callFailed(call, "no connection", false);
             }
         });
     }
 
-    private void write(long call, String uri) {
+    private void sendRequest(long call, String uri) {
         var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
-        request.headers().set(HttpHeaderNames.HOST, members.name());
+        request.headers().set(HttpHeaderNames.HOST, members.address());
         if (settings.token() != null) {
             request.headers().set("X-Consul-Token", settings.token());
         }
         channel.writeAndFlush(request).addListener(done -> {
             if (!done.isSuccess()) {
-                failed(call, "connection broken", false);
+                callFailed(call, "connection broken", false);
             }
         });
     }
 
-    private long now() {
+    private long nowMicros() {
         return transport.nanos() / 1000;
     }
 
-    private void failed(long call, String why, boolean overloaded) {
-        follower.failed(now(), call, members.name() + ": " + why, overloaded);
+    private void callFailed(long call, String reason, boolean overloaded) {
+        follower.callFailed(nowMicros(), call, members.address() + ": " + reason, overloaded);
     }
 
-    private void answered(FullHttpResponse response) {
-        long call = out;
+    private void responseReceived(FullHttpResponse response) {
+        long call = currentCall;
         int status = response.status().code();
         if (response.decoderResult().isFailure() || status != 200 && status != 404) {
-            failed(
+            callFailed(
                     call,
-                    "answer " + status + (status == 403 ? ", the token has no right to " + settings.prefix() : ""),
+                    "HTTP status " + status
+                            + (status == 403 ? ", the token has no permission for " + settings.prefix() : ""),
                     status == 429 || status == 503);
             return;
         }
         if ("false".equals(response.headers().get("X-Consul-KnownLeader"))) {
-            failed(call, "it knows no leader, and may have been cut off", false);
+            callFailed(call, "the member knows no leader and may be partitioned", false);
             return;
         }
         long index;
         List<KeyEntry> entries = List.of();
         try (InputStream body = new ByteBufInputStream(response.content())) {
             index = Long.parseLong(String.valueOf(response.headers().get("X-Consul-Index")));
-            long apart = Long.parseLong(response.headers().get("X-Consul-LastContact", "0"));
-            if (1_000 * apart > settings.bounds().stale()) {
-                failed(call, "it has not heard of its leader for " + apart + " ms", false);
+            long lastContactMillis = Long.parseLong(response.headers().get("X-Consul-LastContact", "0"));
+            if (1_000 * lastContactMillis > settings.limits().staleAfterMicros()) {
+                callFailed(
+                        call, "the member has had no contact with its leader for " + lastContactMillis + " ms", false);
                 return;
             }
             if (index < 1) {
-                throw new IllegalArgumentException("index " + index);
+                throw new IllegalArgumentException("invalid index " + index);
             }
             if (status == 200) {
                 JsonNode root = Config.json(body);
                 entries = settings.service() == null
-                        ? decode(root, index)
+                        ? decodeKeys(root, index)
                         : ConsulHealth.decode(root, settings.prefix(), index);
             }
         } catch (IOException | IllegalArgumentException e) {
-            failed(
+            callFailed(
                     call,
-                    "unusable answer: "
+                    "invalid response: "
                             + String.valueOf(e.getMessage()).lines().findFirst().orElse(""),
                     false);
             return;
         }
-        out = 0;
+        currentCall = 0;
         if (!HttpUtil.isKeepAlive(response)) {
             channel.close();
             channel = null;
         }
-        follower.listed(now(), call, HISTORY, index, quorum, entries);
+        follower.listReceived(nowMicros(), call, HISTORY, index, quorumRead, entries);
     }
 
-    private List<KeyEntry> decode(JsonNode root, long index) {
+    private List<KeyEntry> decodeKeys(JsonNode root, long index) {
         if (root == null || !root.isArray()) {
-            throw new IllegalArgumentException("no list of keys");
+            throw new IllegalArgumentException("expected an array of keys");
         }
         List<KeyEntry> entries = new ArrayList<>();
-        for (JsonNode each : root) {
-            String key = each.path("Key").asText();
-            long created = each.path("CreateIndex").asLong();
-            long modified = each.path("ModifyIndex").asLong();
-            if (!key.startsWith(settings.prefix()) || created < 1 || modified < created || modified > index) {
-                throw new IllegalArgumentException("key or index of " + key);
+        for (JsonNode item : root) {
+            String key = item.path("Key").asText();
+            long createRevision = item.path("CreateIndex").asLong();
+            long modRevision = item.path("ModifyIndex").asLong();
+            if (!key.startsWith(settings.prefix())
+                    || createRevision < 1
+                    || modRevision < createRevision
+                    || modRevision > index) {
+                throw new IllegalArgumentException("invalid key or index: " + key);
             }
-            JsonNode value = each.path("Value"); // null where a key was made without one
+            // Null if the key was created without a value.
+            JsonNode value = item.path("Value");
             byte[] bytes = value.isTextual() ? Base64.getDecoder().decode(value.asText()) : new byte[0];
-            entries.add(new KeyEntry(key, new String(bytes, StandardCharsets.UTF_8), created, modified));
+            entries.add(new KeyEntry(key, new String(bytes, StandardCharsets.UTF_8), createRevision, modRevision));
         }
         return entries;
     }
 
-    /** Hands on what arrives on the connection in use. */
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+    /** Passes on the responses of the connection in use. */
+    private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            if (ctx.channel() == channel && out != 0) {
-                answered(response);
+            if (ctx.channel() == channel && currentCall != 0) {
+                responseReceived(response);
             } else {
-                ctx.close(); // an answer to nothing
+                // An unsolicited response.
+                ctx.close();
             }
         }
 
@@ -240,7 +252,7 @@
         public void channelInactive(ChannelHandlerContext ctx) {
             if (ctx.channel() == channel) {
                 channel = null;
-                failed(out, "connection closed", false);
+                callFailed(currentCall, "connection closed", false);
             }
         }
 
--- a/src/main/java/gatefront/registry/ConsulHealth.java
+++ b/src/main/java/gatefront/registry/ConsulHealth.java
@@ -10,40 +10,40 @@
 import java.util.Set;
 
 /**
- * The instances of a service as Consul's health has them, as if each were a key below {@code nodos/}: its id is the
- * name, its meta data hold zone, kind and group. One with a check that is critical gets nothing new, as if it drained:
- * whether it is to be removed is found by the agent's own probes.
+ * Converts the instances in a health response of Consul to entries, as if each were a key below {@code nodos/}: the id
+ * is the name, and the service's metadata holds zone, type and group. An instance with a critical check gets no new
+ * requests, as if it were draining; the agent's own probes decide whether it is to be ejected.
  */
 final class ConsulHealth {
     private ConsulHealth() {}
 
     static List<KeyEntry> decode(JsonNode root, String prefix, long index) {
         if (root == null || !root.isArray()) {
-            throw new IllegalArgumentException("no list of instances");
+            throw new IllegalArgumentException("expected an array of instances");
         }
         List<KeyEntry> entries = new ArrayList<>();
         Set<String> ids = new HashSet<>();
-        for (JsonNode each : root) {
-            JsonNode service = each.path("Service");
+        for (JsonNode item : root) {
+            JsonNode service = item.path("Service");
             String id = service.path("ID").asText();
-            long created = service.path("CreateIndex").asLong();
-            long modified = service.path("ModifyIndex").asLong();
-            if (!ids.add(id) || !id.matches("[A-Za-z0-9._~-]{1,128}") || created < 1 || modified > index) {
-                throw new IllegalArgumentException("id or index of the instance \"" + id + '"');
+            long createRevision = service.path("CreateIndex").asLong();
+            long modRevision = service.path("ModifyIndex").asLong();
+            if (!ids.add(id) || !id.matches("[A-Za-z0-9._~-]{1,128}") || createRevision < 1 || modRevision > index) {
+                throw new IllegalArgumentException("invalid id or index of instance \"" + id + '"');
             }
-            entries.add(
-                    new KeyEntry(prefix + "nodos/" + id, value(each, service).toString(), created, modified));
+            entries.add(new KeyEntry(
+                    prefix + "nodos/" + id, nodoValue(item, service).toString(), createRevision, modRevision));
         }
         return entries;
     }
 
-    private static ObjectNode value(JsonNode each, JsonNode service) {
+    private static ObjectNode nodoValue(JsonNode item, JsonNode service) {
         JsonNode meta = service.path("Meta");
         String address = service.path("Address").asText().isEmpty()
-                ? each.path("Node").path("Address").asText()
+                ? item.path("Node").path("Address").asText()
                 : service.path("Address").asText();
         boolean critical = false;
-        for (JsonNode check : each.path("Checks")) {
+        for (JsonNode check : item.path("Checks")) {
             critical |= check.path("Status").asText().equals("critical");
         }
         return JsonNodeFactory.instance
--- a/src/main/java/gatefront/registry/EtcdConnector.java
+++ b/src/main/java/gatefront/registry/EtcdConnector.java
@@ -11,20 +11,20 @@
 import java.util.function.Consumer;
 
 /**
- * etcd, version 3: full reads in pages that are all of one revision, then a watch. One connection; of its calls only
- * the newest is heard.
+ * Reads etcd, version 3: full reads in pages that are all of one revision, then a watch. It uses one connection; only
+ * the results of the newest call are processed.
  */
 final class EtcdConnector implements RegistryConnector {
-    private static final int MESSAGE_BYTES_MOST = 16 << 20;
-    private static final int PAGE = 1_000;
+    private static final int MAX_MESSAGE_BYTES = 16 << 20;
+    private static final int PAGE_KEYS = 1_000;
 
     private final Transport transport;
     private final RegistrySettings settings;
     private final RegistryMembers members;
     private final Follower follower;
     private GrpcConnection connection;
-    private GrpcConnection.Call out;
-    /** Given by the registry to the user; null while there is none, and dropped when it is no longer good. */
+    private GrpcConnection.Call currentCall;
+    /** The authentication token of the user; null while there is none, and discarded when it is rejected. */
     private String token;
 
     EtcdConnector(Transport transport, RegistrySettings settings, RegistryMembers members, Follower follower) {
@@ -36,72 +36,79 @@
 
     @Override
     public void list(long call, boolean quorum) {
-        boolean sure = quorum || settings.reads() != Reads.STALE;
-        known(call, () -> page(call, sure, EtcdMessages.bytes(settings.prefix()), 0, new ArrayList<>()));
+        boolean linearizable = quorum || settings.reads() != Reads.STALE;
+        authenticateThen(
+                call, () -> readPage(call, linearizable, EtcdMessages.bytes(settings.prefix()), 0, new ArrayList<>()));
     }
 
     @Override
     public void watch(long call, long revision) {
-        known(call, () -> begin(call, revision));
+        authenticateThen(call, () -> startWatch(call, revision));
     }
 
     @Override
-    public void ask(long call) {
-        if (out != null) {
-            out.send(EtcdMessages.progress());
+    public void requestProgress(long call) {
+        if (currentCall != null) {
+            currentCall.send(EtcdMessages.progressRequest());
         }
     }
 
     @Override
-    public void drop(boolean failed) {
-        if (out != null) {
-            out.cancel();
-            out = null;
+    public void endCall(boolean failed) {
+        if (currentCall != null) {
+            currentCall.cancel();
+            currentCall = null;
         }
         if (failed) {
             if (connection != null) {
                 connection.close();
                 connection = null;
             }
-            members.next();
+            members.moveToNext();
         }
     }
 
-    private long now() {
+    private long nowMicros() {
         return transport.nanos() / 1000;
     }
 
-    private void failed(long call, int status, String why) {
+    private void callFailed(long call, int status, String reason) {
         if (status == GrpcConnection.UNAUTHENTICATED) {
             token = null;
         }
-        follower.failed(
-                now(),
+        follower.callFailed(
+                nowMicros(),
                 call,
-                members.name() + ": " + why + (status > 0 ? " (status " + status + ")" : ""),
+                members.address() + ": " + reason + (status > 0 ? " (status " + status + ")" : ""),
                 status == GrpcConnection.RESOURCE_EXHAUSTED);
     }
 
-    /** A call with one answer or more; what cannot be read ends it. */
-    private void call(long call, String path, byte[] first, boolean only, Reading reading, Ending ending) {
+    /** Starts a call with one response message or more; a message that cannot be decoded fails it. */
+    private void startCall(
+            long call,
+            String path,
+            byte[] first,
+            boolean singleMessage,
+            MessageReader reader,
+            EndListener endListener) {
         if (connection == null || !connection.usable()) {
-            connection = new GrpcConnection(transport, members.current(), MESSAGE_BYTES_MOST);
+            connection = new GrpcConnection(transport, members.current(), MAX_MESSAGE_BYTES);
         }
-        out = connection.call(
+        currentCall = connection.call(
                 path,
                 path.equals(EtcdMessages.AUTHENTICATE) ? null : token,
                 first,
-                only,
+                singleMessage,
                 new GrpcConnection.Listener() {
                     @Override
                     public void message(byte[] message) {
                         try {
-                            reading.read(message);
+                            reader.read(message);
                         } catch (IOException | IllegalArgumentException e) {
-                            failed(
+                            callFailed(
                                     call,
                                     0,
-                                    "unusable answer: "
+                                    "invalid response: "
                                             + String.valueOf(e.getMessage())
                                                     .lines()
                                                     .findFirst()
@@ -110,39 +117,39 @@
                     }
 
                     @Override
-                    public void ended(int status, String why) {
-                        ending.ended(status, why);
+                    public void ended(int status, String reason) {
+                        endListener.ended(status, reason);
                     }
                 });
     }
 
-    private interface Reading {
+    private interface MessageReader {
         void read(byte[] message) throws IOException;
     }
 
-    private interface Ending {
-        void ended(int status, String why);
+    private interface EndListener {
+        void ended(int status, String reason);
     }
 
-    /** Does something as the user, where there is one. */
-    private void known(long call, Runnable then) {
+    /** Runs an action after authentication, if a user is configured. */
+    private void authenticateThen(long call, Runnable action) {
         if (settings.user() == null || token != null) {
-            then.run();
+            action.run();
             return;
         }
-        List<String> got = new ArrayList<>();
-        call(
+        List<String> tokens = new ArrayList<>();
+        startCall(
                 call,
                 EtcdMessages.AUTHENTICATE,
-                EtcdMessages.authenticate(settings.user(), settings.password()),
+                EtcdMessages.authenticateRequest(settings.user(), settings.password()),
                 true,
-                message -> got.add(EtcdMessages.token(message)),
-                (status, why) -> {
-                    if (status == GrpcConnection.OK && !got.isEmpty()) {
-                        token = got.get(0);
-                        then.run();
+                message -> tokens.add(EtcdMessages.decodeToken(message)),
+                (status, reason) -> {
+                    if (status == GrpcConnection.OK && !tokens.isEmpty()) {
+                        token = tokens.get(0);
+                        action.run();
                     } else {
-                        failed(call, status, "user " + settings.user() + " is not let in: " + why);
+                        callFailed(call, status, "authentication of user " + settings.user() + " failed: " + reason);
                     }
                 });
     }
@@ -150,73 +157,81 @@
     // ---- Reads ----
 
     /**
-     * The pages after the first are of its revision: else keys that change meanwhile would be had in part. Where that
-     * is compacted meanwhile, or the token expires, the read has failed, and the next one follows as after any failure.
+     * Reads a page. The pages after the first are read at its revision, since otherwise changes made meanwhile would
+     * be read in part. If that revision is compacted meanwhile, or the token expires, the read fails and is repeated
+     * as after any failure.
      */
-    private void page(long call, boolean sure, byte[] from, long revision, List<KeyEntry> all) {
-        List<EtcdMessages.Range> got = new ArrayList<>();
-        call(
+    private void readPage(long call, boolean linearizable, byte[] from, long revision, List<KeyEntry> entries) {
+        List<EtcdMessages.RangeResponse> responses = new ArrayList<>();
+        startCall(
                 call,
                 EtcdMessages.RANGE,
-                EtcdMessages.range(from, EtcdMessages.behind(settings.prefix()), PAGE, revision, !sure),
+                EtcdMessages.range(from, EtcdMessages.prefixEnd(settings.prefix()), PAGE_KEYS, revision, !linearizable),
                 true,
-                message -> got.add(EtcdMessages.range(message)),
-                (status, why) -> {
-                    if (status != GrpcConnection.OK || got.size() != 1) {
-                        failed(call, status, why.isEmpty() ? "the read has no answer" : why);
+                message -> responses.add(EtcdMessages.range(message)),
+                (status, reason) -> {
+                    if (status != GrpcConnection.OK || responses.size() != 1) {
+                        callFailed(call, status, reason.isEmpty() ? "the read returned no response" : reason);
                     } else {
-                        paged(call, sure, revision, all, got.get(0));
+                        pageReceived(call, linearizable, revision, entries, responses.get(0));
                     }
                 });
     }
 
-    private void paged(long call, boolean sure, long revision, List<KeyEntry> all, EtcdMessages.Range page) {
-        long at = revision > 0 ? revision : page.header().revision();
+    private void pageReceived(
+            long call, boolean linearizable, long revision, List<KeyEntry> entries, EtcdMessages.RangeResponse page) {
+        long readRevision = revision > 0 ? revision : page.header().revision();
         if (page.more() && page.entries().isEmpty()
-                || all.size() > settings.bounds().keys()) {
-            failed(call, 0, "the read does not end");
+                || entries.size() > settings.limits().maxKeys()) {
+            callFailed(
+                    call,
+                    0,
+                    "the read exceeds the limit of " + settings.limits().maxKeys() + " keys, or a page is empty");
             return;
         }
-        all.addAll(page.entries());
+        entries.addAll(page.entries());
         if (page.more()) {
-            follower.heard(now(), call);
-            byte[] last = EtcdMessages.bytes(all.get(all.size() - 1).key());
-            page(call, sure, Arrays.copyOf(last, last.length + 1), at, all);
+            follower.dataReceived(nowMicros(), call);
+            byte[] last = EtcdMessages.bytes(entries.get(entries.size() - 1).key());
+            readPage(call, linearizable, Arrays.copyOf(last, last.length + 1), readRevision, entries);
         } else {
-            out = null;
-            follower.listed(now(), call, page.header().cluster(), at, sure, all);
+            currentCall = null;
+            follower.listReceived(nowMicros(), call, page.header().cluster(), readRevision, linearizable, entries);
         }
     }
 
     // ---- Watches ----
 
-    private void begin(long call, long revision) {
-        Consumer<EtcdMessages.Watched> news = each -> watched(call, each);
-        call(
+    private void startWatch(long call, long revision) {
+        Consumer<EtcdMessages.WatchResponse> handler = response -> watchResponseReceived(call, response);
+        startCall(
                 call,
                 EtcdMessages.WATCH,
-                EtcdMessages.watch(
-                        EtcdMessages.bytes(settings.prefix()), EtcdMessages.behind(settings.prefix()), revision + 1),
+                EtcdMessages.watchRequest(
+                        EtcdMessages.bytes(settings.prefix()), EtcdMessages.prefixEnd(settings.prefix()), revision + 1),
                 false,
-                message -> news.accept(EtcdMessages.watched(message)),
-                (status, why) -> failed(call, status, why.isEmpty() ? "the watch has ended" : why));
+                message -> handler.accept(EtcdMessages.decodeWatchResponse(message)),
+                (status, reason) -> callFailed(call, status, reason.isEmpty() ? "the watch ended" : reason));
     }
 
-    private void watched(long call, EtcdMessages.Watched news) {
-        long cluster = news.header().cluster();
-        long revision = news.header().revision();
-        if (news.compacted() > 0) {
-            follower.compacted(now(), call, news.compacted());
-        } else if (news.canceled()) {
-            // A token that is no longer good shows here, and not by a status.
-            boolean token = news.reason().contains("auth token");
-            failed(call, token ? GrpcConnection.UNAUTHENTICATED : 0, "the watch was cancelled: " + news.reason());
-        } else if (news.created()) {
-            follower.watching(now(), call, cluster, revision);
-        } else if (news.changes().isEmpty() && !news.fragment()) {
-            follower.progress(now(), call, cluster, revision);
+    private void watchResponseReceived(long call, EtcdMessages.WatchResponse response) {
+        long cluster = response.header().cluster();
+        long revision = response.header().revision();
+        if (response.compactRevision() > 0) {
+            follower.revisionCompacted(nowMicros(), call, response.compactRevision());
+        } else if (response.canceled()) {
+            // A token that is no longer valid shows in the reason here, not in a status.
+            boolean tokenRejected = response.reason().contains("auth token");
+            callFailed(
+                    call,
+                    tokenRejected ? GrpcConnection.UNAUTHENTICATED : 0,
+                    "the watch was cancelled: " + response.reason());
+        } else if (response.created()) {
+            follower.watchCreated(nowMicros(), call, cluster, revision);
+        } else if (response.changes().isEmpty() && !response.fragment()) {
+            follower.progressReceived(nowMicros(), call, cluster, revision);
         } else {
-            follower.changes(now(), call, news.changes(), news.fragment());
+            follower.changesReceived(nowMicros(), call, response.changes(), response.fragment());
         }
     }
 }
--- a/src/main/java/gatefront/registry/EtcdMessages.java
+++ b/src/main/java/gatefront/registry/EtcdMessages.java
@@ -11,8 +11,8 @@
 import java.util.List;
 
 /**
- * The few messages of etcd's public interface, version 3, that a follower needs, by their field numbers in
- * {@code rpc.proto} and {@code kv.proto}. Unknown fields are skipped, as the format has it.
+ * The messages of etcd's public API, version 3, that a follower needs, by their field numbers in {@code rpc.proto} and
+ * {@code kv.proto}. Unknown fields are skipped, as Protobuf requires.
  */
 final class EtcdMessages {
     static final String RANGE = "/etcdserverpb.KV/Range";
@@ -21,18 +21,18 @@
 
     private EtcdMessages() {}
 
-    /** Of each answer: whose it is and how far the member was. */
+    /** The header of each response: the cluster that sent it and the revision of the member. */
     record Header(long cluster, long revision) {}
 
-    /** Keys; {@code more} if the limit has cut them. */
-    record Range(Header header, List<KeyEntry> entries, boolean more) {}
+    /** A response to a range request; {@code more} if the limit has truncated it. */
+    record RangeResponse(Header header, List<KeyEntry> entries, boolean more) {}
 
-    /** News of a watch. */
-    record Watched(
+    /** A response of a watch. */
+    record WatchResponse(
             Header header,
             boolean created,
             boolean canceled,
-            long compacted,
+            long compactRevision,
             String reason,
             boolean fragment,
             List<KeyChange> changes) {}
@@ -41,8 +41,11 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The first key behind all that begin with a prefix; a zero byte, for all there are, if it is empty. */
-    static byte[] behind(String prefix) {
+    /**
+     * Returns the first key after all keys with a prefix; if the prefix is empty, a zero byte, which stands for all
+     * keys.
+     */
+    static byte[] prefixEnd(String prefix) {
         byte[] end = bytes(prefix);
         for (int i = end.length - 1; i >= 0; i--) {
             if (end[i] != (byte) 0xff) {
@@ -53,8 +56,8 @@
         return new byte[1];
     }
 
-    /** Asks for a page of keys; at the newest revision if that is 0. */
-    static byte[] range(byte[] from, byte[] to, int limit, long revision, boolean anyMember) {
+    /** Encodes a request for a page of keys, at the newest revision if {@code revision} is 0. */
+    static byte[] range(byte[] from, byte[] to, int limit, long revision, boolean serializable) {
         return Protobuf.message(out -> {
             out.writeByteArray(1, from);
             out.writeByteArray(2, to);
@@ -62,14 +65,14 @@
             if (revision > 0) {
                 out.writeInt64(4, revision);
             }
-            if (anyMember) {
+            if (serializable) {
                 out.writeBool(7, true);
             }
         });
     }
 
-    /** Asks to be told of what changes from a revision on. */
-    static byte[] watch(byte[] from, byte[] to, long revision) {
+    /** Encodes a request to watch the changes from a revision on. */
+    static byte[] watchRequest(byte[] from, byte[] to, long revision) {
         byte[] create = Protobuf.message(out -> {
             out.writeByteArray(1, from);
             out.writeByteArray(2, to);
@@ -80,21 +83,21 @@
         return Protobuf.message(out -> out.writeByteArray(1, create));
     }
 
-    /** Asks a stream of watches how far it is. */
-    static byte[] progress() {
+    /** Encodes a request for progress on a stream of watches. */
+    static byte[] progressRequest() {
         return Protobuf.message(out -> out.writeByteArray(3, new byte[0]));
     }
 
-    /** Asks for a token. */
-    static byte[] authenticate(String user, String password) {
+    /** Encodes a request for an authentication token. */
+    static byte[] authenticateRequest(String user, String password) {
         return Protobuf.message(out -> {
             out.writeString(1, user);
             out.writeString(2, password);
         });
     }
 
-    /** The token that came. */
-    static String token(byte[] message) throws IOException {
+    /** Decodes the token from an authentication response. */
+    static String decodeToken(byte[] message) throws IOException {
         CodedInputStream in = CodedInputStream.newInstance(message);
         String token = "";
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
@@ -105,12 +108,12 @@
             }
         }
         if (token.isEmpty()) {
-            throw new IOException("no token");
+            throw new IOException("authentication response without a token");
         }
         return token;
     }
 
-    static Range range(byte[] message) throws IOException {
+    static RangeResponse range(byte[] message) throws IOException {
         CodedInputStream in = CodedInputStream.newInstance(message);
         Header header = null;
         List<KeyEntry> entries = new ArrayList<>();
@@ -123,15 +126,15 @@
                 default -> in.skipField(tag);
             }
         }
-        return new Range(need(header), entries, more);
+        return new RangeResponse(requireRevision(header), entries, more);
     }
 
-    static Watched watched(byte[] message) throws IOException {
+    static WatchResponse decodeWatchResponse(byte[] message) throws IOException {
         CodedInputStream in = CodedInputStream.newInstance(message);
         Header header = null;
         boolean created = false;
         boolean canceled = false;
-        long compacted = 0;
+        long compactRevision = 0;
         String reason = "";
         boolean fragment = false;
         List<KeyChange> changes = new ArrayList<>();
@@ -140,19 +143,20 @@
                 case 1 -> header = header(in.readByteArray());
                 case 3 -> created = in.readBool();
                 case 4 -> canceled = in.readBool();
-                case 5 -> compacted = in.readInt64();
+                case 5 -> compactRevision = in.readInt64();
                 case 6 -> reason = in.readString();
                 case 7 -> fragment = in.readBool();
                 case 11 -> changes.add(change(in.readByteArray()));
                 default -> in.skipField(tag);
             }
         }
-        return new Watched(need(header), created, canceled, compacted, reason, fragment, changes);
+        return new WatchResponse(
+                requireRevision(header), created, canceled, compactRevision, reason, fragment, changes);
     }
 
-    private static Header need(Header header) throws IOException {
+    private static Header requireRevision(Header header) throws IOException {
         if (header == null || header.revision < 1) {
-            throw new IOException("no revision");
+            throw new IOException("response without a revision");
         }
         return header;
     }
@@ -183,29 +187,29 @@
             }
         }
         if (entry == null) {
-            throw new IOException("a change of no key");
+            throw new IOException("change event without a key");
         }
-        return deleted ? KeyChange.deleted(entry.key(), entry.modified()) : KeyChange.put(entry);
+        return deleted ? KeyChange.deleted(entry.key(), entry.modRevision()) : KeyChange.put(entry);
     }
 
     private static KeyEntry entry(byte[] message) throws IOException {
         CodedInputStream in = CodedInputStream.newInstance(message);
         String key = "";
         String value = "";
-        long created = 0;
-        long modified = 0;
+        long createRevision = 0;
+        long modRevision = 0;
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
             switch (WireFormat.getTagFieldNumber(tag)) {
                 case 1 -> key = in.readString();
-                case 2 -> created = in.readInt64();
-                case 3 -> modified = in.readInt64();
+                case 2 -> createRevision = in.readInt64();
+                case 3 -> modRevision = in.readInt64();
                 case 5 -> value = in.readString();
                 default -> in.skipField(tag);
             }
         }
-        if (key.isEmpty() || modified < 1) {
-            throw new IOException("a key without name or revision");
+        if (key.isEmpty() || modRevision < 1) {
+            throw new IOException("entry without a key or revision");
         }
-        return new KeyEntry(key, value, created, modified);
+        return new KeyEntry(key, value, createRevision, modRevision);
     }
 }
--- a/src/main/java/gatefront/registry/GrpcConnection.java
+++ b/src/main/java/gatefront/registry/GrpcConnection.java
@@ -30,11 +30,11 @@
 import java.util.List;
 
 /**
- * One connection that carries gRPC calls (gRPC over HTTP/2, as the protocol's own description has it), without
- * generated code: messages are bytes. All on the transport's loop; owner of its streams, which end with it.
+ * A connection for gRPC calls (gRPC over HTTP/2, as its protocol specification defines it) without generated code:
+ * messages are byte arrays. Runs on the transport's event loop and owns its streams, which end with it.
  */
 final class GrpcConnection {
-    /** Statuses that mean something here. */
+    /** The gRPC status codes that are handled. */
     static final int OK = 0;
 
     static final int UNKNOWN = 2;
@@ -42,34 +42,34 @@
     static final int UNAVAILABLE = 14;
     static final int UNAUTHENTICATED = 16;
 
-    private static final int DIAL_MS = 2_000;
-    private static final int WINDOW = 1 << 20;
-    private static final int PREFIX = 5;
+    private static final int CONNECT_TIMEOUT_MS = 2_000;
+    private static final int INITIAL_WINDOW_BYTES = 1 << 20;
+    private static final int FRAME_HEADER_BYTES = 5;
 
-    /** What comes of a call. */
+    /** Receives the results of a call. */
     interface Listener {
-        /** A message. */
+        /** Reports a response message. */
         void message(byte[] message);
 
-        /** Its end, once. */
-        void ended(int status, String why);
+        /** Reports the end of the call; called once. */
+        void ended(int status, String reason);
     }
 
-    private final int messageMost;
+    private final int maxMessageBytes;
     private final String authority;
     private final Channel channel;
-    private boolean up;
+    private boolean connected;
     private boolean closed;
-    private final List<Runnable> waiting = new ArrayList<>();
+    private final List<Runnable> pendingCalls = new ArrayList<>();
 
-    /** Dials; calls wait until it is up. */
-    GrpcConnection(Transport transport, InetSocketAddress to, int messageMost) {
-        this.messageMost = messageMost;
-        this.authority = to.getAddress().getHostAddress() + ":" + to.getPort();
+    /** Connects; calls wait until the connection is established. */
+    GrpcConnection(Transport transport, InetSocketAddress address, int maxMessageBytes) {
+        this.maxMessageBytes = maxMessageBytes;
+        this.authority = address.getAddress().getHostAddress() + ":" + address.getPort();
         ChannelFuture connecting = new Bootstrap()
                 .group(transport.loop())
                 .channelFactory(transport.dialers())
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DIAL_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .disableResolver()
                 .handler(new ChannelInitializer<Channel>() {
@@ -80,20 +80,20 @@
                                         Http2FrameCodecBuilder.forClient()
                                                 .initialSettings(Http2Settings.defaultSettings()
                                                         .pushEnabled(false)
-                                                        .initialWindowSize(WINDOW)
+                                                        .initialWindowSize(INITIAL_WINDOW_BYTES)
                                                         .maxHeaderListSize(16 << 10))
                                                 .build(),
                                         new Http2MultiplexHandler(new ChannelInboundHandlerAdapter()),
-                                        new Broken());
+                                        new ConnectionHandler());
                     }
                 })
-                .connect(to);
+                .connect(address);
         channel = connecting.channel();
         connecting.addListener(done -> {
-            up = done.isSuccess();
-            closed |= !up;
-            List.copyOf(waiting).forEach(Runnable::run);
-            waiting.clear();
+            connected = done.isSuccess();
+            closed |= !connected;
+            List.copyOf(pendingCalls).forEach(Runnable::run);
+            pendingCalls.clear();
         });
         channel.closeFuture().addListener(done -> closed = true);
     }
@@ -107,11 +107,12 @@
         channel.close();
     }
 
-    /** What breaks the connection ends its streams, which tell their calls. */
-    private static final class Broken extends ChannelInboundHandlerAdapter {
+    /** Closes the connection on an error. That ends its streams, which report it to their calls. */
+    private static final class ConnectionHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object frame) {
-            ReferenceCountUtil.release(frame); // of the connection itself: settings, pings
+            // A frame of the connection itself, such as settings or a ping.
+            ReferenceCountUtil.release(frame);
         }
 
         @Override
@@ -120,23 +121,26 @@
         }
     }
 
-    /** A call that has begun. */
+    /** A call in progress. */
     final class Call extends ChannelInboundHandlerAdapter {
         private final Listener listener;
         private final List<byte[]> unsent = new ArrayList<>();
         private Http2StreamChannel stream;
-        /** What is not yet a whole message; at most one and a frame. On the heap, so that nothing is to be released. */
+        /**
+         * Received bytes that are not a complete message; at most one message and a frame. The buffer is on the heap,
+         * so that it needs no release.
+         */
         private ByteBuf received = Unpooled.buffer(0);
 
         private boolean ended;
-        private boolean half;
+        private boolean endStreamAfterSend;
 
         private Call(Listener listener) {
             this.listener = listener;
         }
 
         private void open(Http2Headers headers) {
-            if (!up || closed) {
+            if (!connected || closed) {
                 end(UNAVAILABLE, "no connection");
                 return;
             }
@@ -144,7 +148,7 @@
                     new Http2StreamChannelBootstrap(channel).handler(this).open();
             opening.addListener((Future<Http2StreamChannel> done) -> {
                 if (!done.isSuccess()) {
-                    end(UNAVAILABLE, "no stream");
+                    end(UNAVAILABLE, "cannot open a stream");
                 } else if (ended) {
                     done.getNow().close();
                 } else {
@@ -158,7 +162,7 @@
             });
         }
 
-        /** Sends a message; none follows the last. */
+        /** Sends a message; the last message ends the stream. */
         void send(byte[] message) {
             if (ended) {
                 return;
@@ -167,12 +171,12 @@
                 unsent.add(message);
                 return;
             }
-            ByteBuf framed = stream.alloc().buffer(PREFIX + message.length);
+            ByteBuf framed = stream.alloc().buffer(FRAME_HEADER_BYTES + message.length);
             framed.writeByte(0).writeInt(message.length).writeBytes(message);
-            stream.writeAndFlush(new DefaultHttp2DataFrame(framed, half));
+            stream.writeAndFlush(new DefaultHttp2DataFrame(framed, endStreamAfterSend));
         }
 
-        /** Ends it from here; the listener hears no more of it. */
+        /** Cancels the call; its listener is not called any more. */
         void cancel() {
             if (!ended) {
                 ended = true;
@@ -183,10 +187,10 @@
             }
         }
 
-        private void end(int status, String why) {
+        private void end(int status, String reason) {
             if (!ended) {
                 cancel();
-                listener.ended(status, why);
+                listener.ended(status, reason);
             }
         }
 
@@ -197,10 +201,10 @@
                     return;
                 }
                 if (frame instanceof Http2HeadersFrame headers) {
-                    headers(headers);
+                    headersReceived(headers);
                 } else if (frame instanceof Http2DataFrame data) {
                     received.discardReadBytes().writeBytes(data.content());
-                    messages();
+                    readMessages();
                     if (!ended && data.isEndStream()) {
                         end(UNKNOWN, "the call ended without a status");
                     }
@@ -210,32 +214,35 @@
             }
         }
 
-        private void headers(Http2HeadersFrame frame) {
+        private void headersReceived(Http2HeadersFrame frame) {
             Http2Headers headers = frame.headers();
             if (headers.status() != null && !headers.status().toString().equals("200")) {
-                end(UNAVAILABLE, "answer " + headers.status());
+                end(UNAVAILABLE, "HTTP status " + headers.status());
                 return;
             }
             CharSequence status = headers.get("grpc-status");
             if (status != null || frame.isEndStream()) {
-                String why = String.valueOf(headers.get("grpc-message"));
-                boolean told = status != null && status.toString().matches("\\d{1,2}");
-                end(told ? Integer.parseInt(status.toString()) : UNKNOWN, why.equals("null") ? "" : why);
+                String message = String.valueOf(headers.get("grpc-message"));
+                boolean validStatus = status != null && status.toString().matches("\\d{1,2}");
+                end(validStatus ? Integer.parseInt(status.toString()) : UNKNOWN, message.equals("null") ? "" : message);
             }
         }
 
-        private void messages() {
-            while (!ended && received.readableBytes() >= PREFIX) {
-                int at = received.readerIndex();
-                int length = received.getInt(at + 1);
-                if (received.getByte(at) != 0 || length < 0 || length > messageMost) {
-                    end(UNKNOWN, "a message that was not asked for: compressed, or of " + length + " bytes");
+        private void readMessages() {
+            while (!ended && received.readableBytes() >= FRAME_HEADER_BYTES) {
+                int start = received.readerIndex();
+                int length = received.getInt(start + 1);
+                if (received.getByte(start) != 0 || length < 0 || length > maxMessageBytes) {
+                    end(
+                            UNKNOWN,
+                            "unexpected message: compressed, or of " + length + " bytes, above the limit of "
+                                    + maxMessageBytes);
                     return;
                 }
-                if (received.readableBytes() < PREFIX + length) {
+                if (received.readableBytes() < FRAME_HEADER_BYTES + length) {
                     return;
                 }
-                received.skipBytes(PREFIX);
+                received.skipBytes(FRAME_HEADER_BYTES);
                 byte[] message = ByteBufUtil.getBytes(received, received.readerIndex(), length);
                 received.skipBytes(length);
                 if (!received.isReadable()) {
@@ -264,16 +271,16 @@
     }
 
     /**
-     * Begins a call.
+     * Starts a call.
      *
-     * @param path of the method
-     * @param token of who asks, or null
-     * @param first its first message
-     * @param only whether that is the only one
-     * @param listener hears what comes
+     * @param path the path of the method
+     * @param token the authentication token, or null
+     * @param first the first message
+     * @param singleMessage whether it is the only message
+     * @param listener receives the results
      * @return the call
      */
-    Call call(String path, String token, byte[] first, boolean only, Listener listener) {
+    Call call(String path, String token, byte[] first, boolean singleMessage, Listener listener) {
         Http2Headers headers = new DefaultHttp2Headers()
                 .method("POST")
                 .scheme("http")
@@ -284,12 +291,12 @@
             headers.set("token", token);
         }
         Call call = new Call(listener);
-        call.half = only;
+        call.endStreamAfterSend = singleMessage;
         call.send(first);
-        if (up || closed) {
+        if (connected || closed) {
             call.open(headers);
         } else {
-            waiting.add(() -> call.open(headers));
+            pendingCalls.add(() -> call.open(headers));
         }
         return call;
     }
--- a/src/main/java/gatefront/registry/Protobuf.java
+++ b/src/main/java/gatefront/registry/Protobuf.java
@@ -5,17 +5,17 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Protobuf messages written field by field, without generated classes. */
+/** Writes Protobuf messages field by field, without generated classes. */
 public final class Protobuf {
     private Protobuf() {}
 
     /** Writes the fields of a message. */
     public interface Fields {
-        /** Writes them. */
+        /** Writes the fields to a stream. */
         void write(CodedOutputStream out) throws IOException;
     }
 
-    /** The bytes of a message of these fields. */
+    /** Returns the encoded message with the given fields. */
     public static byte[] message(Fields fields) {
         try {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -24,7 +24,8 @@
             out.flush();
             return bytes.toByteArray();
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // an array takes everything
+            // Cannot happen: the output is an array in memory.
+            throw new UncheckedIOException(e);
         }
     }
 }
--- a/src/main/java/gatefront/registry/RegistryClient.java
+++ b/src/main/java/gatefront/registry/RegistryClient.java
@@ -8,61 +8,61 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** A follower with its calls, on one loop. */
+/** Follows a registry: a {@link Follower} together with the connector that makes its calls, on one event loop. */
 public final class RegistryClient {
-    /** What it tells. */
+    /** Receives the results. */
     public interface Listener {
         /**
-         * The keys have changed.
+         * Reports that the entries have changed.
          *
-         * @param full whether by a full read
-         * @param changes what has changed
-         * @param all the keys as they are now
+         * @param full whether a full read caused the changes
+         * @param changes the changes
+         * @param entries all entries as they are now
          */
-        void changed(boolean full, List<KeyChange> changes, Map<String, KeyEntry> all);
+        void changed(boolean full, List<KeyChange> changes, Map<String, KeyEntry> entries);
 
-        /** The registry has not confirmed the keys for too long, or does so again. */
-        default void stale(boolean now) {}
+        /** Reports that the entries have not been confirmed for too long, or that they are confirmed again. */
+        default void staleChanged(boolean isStale) {}
     }
 
     private final Transport transport;
     private final Follower follower;
-    private final RegistryConnector calls;
+    private final RegistryConnector connector;
 
     /**
-     * A client that asks nothing yet.
+     * Creates a client that has not started.
      *
-     * @param transport its loop, clock and network
-     * @param settings which registry
-     * @param seed for its jitter; agents must not share it
-     * @param listener told on the loop
+     * @param transport provides the event loop, the clock and the network
+     * @param settings the registry to follow
+     * @param seed the seed of the jitter; agents must not share it
+     * @param listener called on the event loop
      */
     public RegistryClient(Transport transport, RegistrySettings settings, long seed, Listener listener) {
         this.transport = transport;
-        this.follower = new Follower(settings.bounds(), seed, new Follower.Actions() {
+        this.follower = new Follower(settings.limits(), seed, new Follower.Actions() {
             @Override
             public void list(long call, boolean quorum) {
-                calls.list(call, quorum);
+                connector.list(call, quorum);
             }
 
             @Override
             public void watch(long call, long revision) {
-                calls.watch(call, revision);
+                connector.watch(call, revision);
             }
 
             @Override
-            public void ask(long call) {
-                calls.ask(call);
+            public void requestProgress(long call) {
+                connector.requestProgress(call);
             }
 
             @Override
-            public void drop(boolean failed) {
-                calls.drop(failed);
+            public void endCall(boolean failed) {
+                connector.endCall(failed);
             }
 
             @Override
-            public void timer(long delay) {
-                transport.loop().schedule(() -> follower.timer(now()), delay, TimeUnit.MICROSECONDS);
+            public void scheduleTimer(long delayMicros) {
+                transport.loop().schedule(() -> follower.timerFired(nowMicros()), delayMicros, TimeUnit.MICROSECONDS);
             }
 
             @Override
@@ -71,8 +71,8 @@
             }
 
             @Override
-            public void stale(boolean now) {
-                listener.stale(now);
+            public void staleChanged(boolean isStale) {
+                listener.staleChanged(isStale);
             }
 
             @Override
@@ -81,33 +81,33 @@
             }
         });
         RegistryMembers members = new RegistryMembers(settings.endpoints(), seed);
-        this.calls = settings.kind() == RegistrySettings.Kind.CONSUL
+        this.connector = settings.kind() == RegistrySettings.Kind.CONSUL
                 ? new ConsulConnector(transport, settings, members, follower)
                 : new EtcdConnector(transport, settings, members, follower);
     }
 
-    /** Begins to follow. */
+    /** Starts to follow the registry. */
     public void start() {
-        follower.start(now());
+        follower.start(nowMicros());
     }
 
-    /** Goes on from a state kept earlier; before {@link #start}. */
+    /** Restores entries that were stored earlier; must be called before {@link #start}. */
     public void restore(long history, long revision, List<KeyEntry> entries) {
         follower.restore(history, revision, entries);
     }
 
-    /** Ends: nothing is open any more. */
+    /** Stops following and closes the connection. */
     public void close() {
         follower.close();
-        calls.drop(true);
+        connector.endCall(true);
     }
 
-    /** What it knows. */
+    /** Returns the follower, which holds the entries. */
     public Follower follower() {
         return follower;
     }
 
-    private long now() {
+    private long nowMicros() {
         return transport.nanos() / 1000;
     }
 }
--- a/src/main/java/gatefront/registry/RegistryConnector.java
+++ b/src/main/java/gatefront/registry/RegistryConnector.java
@@ -2,7 +2,7 @@
 
 import gatefront.registry.follower.Follower;
 
-/** Makes a follower's calls to one kind of registry, and hands it what comes of them. */
+/** Makes a follower's calls to one kind of registry and passes the results to the follower. */
 interface RegistryConnector {
     /** See {@link Follower.Actions#list}. */
     void list(long call, boolean quorum);
@@ -10,9 +10,9 @@
     /** See {@link Follower.Actions#watch}. */
     void watch(long call, long revision);
 
-    /** See {@link Follower.Actions#ask}. */
-    void ask(long call);
+    /** See {@link Follower.Actions#requestProgress}. */
+    void requestProgress(long call);
 
-    /** Ends what is out; the next call goes to another member if this one failed. */
-    void drop(boolean failed);
+    /** Ends the call in progress; if the member failed, the next call goes to another member. */
+    void endCall(boolean failed);
 }
--- a/src/main/java/gatefront/registry/RegistryMembers.java
+++ b/src/main/java/gatefront/registry/RegistryMembers.java
@@ -6,26 +6,26 @@
 import java.util.List;
 import java.util.Random;
 
-/** The members of a registry, in an order of each agent's own, so that they share the agents. */
+/** The members of a registry in an order that is shuffled for each agent, so that the agents are spread over them. */
 final class RegistryMembers {
-    private final List<InetSocketAddress> order;
-    private int at;
+    private final List<InetSocketAddress> members;
+    private int index;
 
     RegistryMembers(List<InetSocketAddress> endpoints, long seed) {
-        order = new ArrayList<>(endpoints);
-        Collections.shuffle(order, new Random(seed));
+        members = new ArrayList<>(endpoints);
+        Collections.shuffle(members, new Random(seed));
     }
 
     InetSocketAddress current() {
-        return order.get(at);
+        return members.get(index);
     }
 
-    void next() {
-        at = (at + 1) % order.size();
+    void moveToNext() {
+        index = (index + 1) % members.size();
     }
 
-    /** The current one, for a line of the log. */
-    String name() {
+    /** Returns the address of the current member, for log lines. */
+    String address() {
         return current().getAddress().getHostAddress() + ":" + current().getPort();
     }
 }
--- a/src/main/java/gatefront/registry/RegistrySettings.java
+++ b/src/main/java/gatefront/registry/RegistrySettings.java
@@ -6,33 +6,33 @@
 import java.util.List;
 
 /**
- * How an agent follows a registry.
+ * Configures how an agent follows a registry.
  *
- * @param kind which protocol it speaks
- * @param endpoints its members
- * @param prefix below which the keys stand, with its last slash
- * @param instead whether the padrón is not asked at all; else both count
- * @param user who asks, or null
- * @param password of the user, or null
- * @param token of Consul, or null
- * @param service of Consul whose instances are listed by their health, in place of keys; or null
- * @param reads which reads are believed
- * @param bounds what the follower keeps to
- * @param stateFile where the last state is kept, or null
+ * @param kind the kind of registry
+ * @param endpoints the addresses of its members
+ * @param prefix the prefix of the keys, with its trailing slash
+ * @param replacesPadron whether the padrón is not used at all; otherwise both sources are used
+ * @param user the etcd user, or null
+ * @param password the password of the user, or null
+ * @param token the Consul token, or null
+ * @param service the Consul service whose instances are listed by their health instead of keys, or null
+ * @param reads the consistency of reads
+ * @param limits the limits and intervals of the follower
+ * @param stateFile the file that the last state is stored in, or null
  */
 public record RegistrySettings(
         Kind kind,
         List<InetSocketAddress> endpoints,
         String prefix,
-        boolean instead,
+        boolean replacesPadron,
         String user,
         String password,
         String token,
         String service,
         Reads reads,
-        FollowerLimits bounds,
+        FollowerLimits limits,
         Path stateFile) {
-    /** What a registry speaks. */
+    /** The kinds of registries, by protocol. */
     public enum Kind {
         /** etcd, version 3, over gRPC. */
         ETCD,
@@ -40,20 +40,22 @@
         CONSUL
     }
 
-    /** Who answers a read: a quorum, the leader, or any member from what it has. */
+    /**
+     * The consistency of reads: confirmed by a quorum, answered by the leader, or by any member from its own data.
+     */
     public enum Reads {
-        /** A quorum. */
+        /** Reads are confirmed by a quorum. */
         CONSISTENT,
-        /** As the registry has it. */
+        /** The default of the registry. */
         USUAL,
-        /** Any member. */
+        /** Any member answers from its own data, which may be stale. */
         STALE
     }
 
-    /** With the usual reads, without secrets and disk, in place of the padrón. */
+    /** Returns settings with default reads, without credentials and state file, that replace the padrón. */
     public static RegistrySettings of(
-            Kind kind, List<InetSocketAddress> endpoints, String prefix, FollowerLimits bounds) {
+            Kind kind, List<InetSocketAddress> endpoints, String prefix, FollowerLimits limits) {
         return new RegistrySettings(
-                kind, List.copyOf(endpoints), prefix, true, null, null, null, null, Reads.USUAL, bounds, null);
+                kind, List.copyOf(endpoints), prefix, true, null, null, null, null, Reads.USUAL, limits, null);
     }
 }
--- a/src/main/java/gatefront/registry/RegistrySource.java
+++ b/src/main/java/gatefront/registry/RegistrySource.java
@@ -17,20 +17,20 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 
-/** A registry as a source of the server list; keeps its last state on disk where that is configured. */
+/** A registry as a source of the server list. Stores its last state on disk if a state file is configured. */
 public final class RegistrySource {
-    /** What is written in a burst is written once. */
-    private static final long SAVE_AFTER_MS = 1_000;
+    /** Delay of a save after a change, so that a burst of changes is written once. */
+    private static final long SAVE_DELAY_MS = 1_000;
 
-    /** What it tells, on the loop. */
+    /** Receives the results, on the event loop. */
     public interface Listener {
-        /** Servers that the registry lists: all of them, all as they were on the disk, or changes. */
+        /** Reports servers of the registry: all of them, all of them from the state file, or changes. */
         void list(ListKind kind, List<Endpoint> endpoints);
 
-        /** All policies, by the server's name and the zone's number. */
+        /** Reports all policies, by server name and by zone number. */
         void policies(Map<String, ServerOverride> servers, Map<Integer, ServerOverride> zones);
 
-        /** How many calls of a class may be in progress, by its index: all limits that there are. */
+        /** Reports all limits of requests in progress, by class index. */
         void limits(Map<Integer, Integer> classes);
     }
 
@@ -38,125 +38,126 @@
     private final RegistrySettings settings;
     private final Listener listener;
     private final RegistryClient client;
-    private final RegistryView values;
-    private final ResourceAccount held;
-    /** Writes the state, since the loop must not wait for a disk; null where none is kept. */
-    private final ExecutorService disk;
+    private final RegistryView view;
+    private final ResourceAccount account;
+    /** Writes the state file, since the event loop must not wait for a disk; null where none is configured. */
+    private final ExecutorService writer;
 
-    private boolean saving;
+    private boolean saveScheduled;
 
     /**
-     * A feed that follows nothing yet.
+     * Creates a source that has not started.
      *
-     * @param transport its loop, clock and network
-     * @param config knows zones and kinds, and the seed of this agent
-     * @param settings which registry
-     * @param held what the keys count as
-     * @param listener told on the loop
+     * @param transport provides the event loop, the clock and the network
+     * @param config provides the zones, kinds and classes, and the seed of this agent
+     * @param settings the registry to follow
+     * @param account the account that the keys are charged to
+     * @param listener called on the event loop
      */
     public RegistrySource(
-            Transport transport, Config config, RegistrySettings settings, ResourceAccount held, Listener listener) {
-        this.held = held;
+            Transport transport, Config config, RegistrySettings settings, ResourceAccount account, Listener listener) {
+        this.account = account;
         this.transport = transport;
         this.settings = settings;
         this.listener = listener;
-        this.values = new RegistryView(config, settings.prefix(), transport::log);
+        this.view = new RegistryView(config, settings.prefix(), transport::log);
         this.client = new RegistryClient(transport, settings, config.seed(), new RegistryClient.Listener() {
             @Override
-            public void changed(boolean full, List<KeyChange> changes, Map<String, KeyEntry> all) {
-                held.set(all.size(), 0);
-                tell(full ? ListKind.FULL : ListKind.DELTA, changes);
-                save();
+            public void changed(boolean full, List<KeyChange> changes, Map<String, KeyEntry> entries) {
+                account.set(entries.size(), 0);
+                publish(full ? ListKind.FULL : ListKind.DELTA, changes);
+                scheduleSave();
             }
 
             @Override
-            public void stale(boolean now) {
+            public void staleChanged(boolean isStale) {
                 transport.log(
-                        now
-                                ? "registry: its list is stale and goes on being used"
-                                : "registry: its list is confirmed again");
+                        isStale
+                                ? "registry: the server list is stale; continuing to use it"
+                                : "registry: the server list is confirmed again");
             }
         });
-        this.disk = settings.stateFile() == null
+        this.writer = settings.stateFile() == null
                 ? null
                 : Executors.newSingleThreadExecutor(new DefaultThreadFactory("registry-state", true));
     }
 
-    /** Begins: with what is on the disk, if anything is, and then with the registry. */
+    /** Starts with the state file, if there is one, and then follows the registry. */
     public void start() {
         if (settings.stateFile() != null) {
             try {
-                RegistryStateFile.Kept kept = RegistryStateFile.read(settings.stateFile());
-                if (kept != null) {
-                    client.restore(kept.history(), kept.revision(), kept.entries());
-                    transport.log("registry: begins with revision " + kept.revision() + ", kept "
-                            + Math.max(0, transport.wallMicros() / 1_000_000 - kept.savedAt() / 1_000) + " s ago in "
+                RegistryStateFile.StoredState stored = RegistryStateFile.read(settings.stateFile());
+                if (stored != null) {
+                    client.restore(stored.history(), stored.revision(), stored.entries());
+                    transport.log("registry: starting from revision " + stored.revision() + ", saved "
+                            + Math.max(0, transport.wallMicros() / 1_000_000 - stored.savedAtMillis() / 1_000)
+                            + " s ago in "
                             + settings.stateFile());
-                    tell(
+                    publish(
                             ListKind.CACHED,
-                            kept.entries().stream().map(KeyChange::put).toList());
+                            stored.entries().stream().map(KeyChange::put).toList());
                 }
             } catch (IOException e) {
-                transport.log("registry: the state kept cannot be used: " + e.getMessage());
+                transport.log("registry: cannot use the stored state: " + e.getMessage());
             }
         }
         client.start();
     }
 
-    /** Ends; what is being written is still written. */
+    /** Stops following; a write in progress is completed. */
     public void close() {
         client.close();
-        if (disk != null) {
-            disk.shutdown();
+        if (writer != null) {
+            writer.shutdown();
         }
     }
 
-    /** Where it stands. */
+    /** Returns the follower. */
     public Follower follower() {
         return client.follower();
     }
 
-    private void tell(ListKind kind, List<KeyChange> changes) {
-        RegistryView.News news = values.changed(changes);
-        if (news.policies()) {
-            listener.policies(values.ofServers(), values.ofZones());
+    private void publish(ListKind kind, List<KeyChange> changes) {
+        RegistryView.Update update = view.apply(changes);
+        if (update.policiesChanged()) {
+            listener.policies(view.serverPolicies(), view.zonePolicies());
         }
-        if (news.limits()) {
-            listener.limits(values.ofClasses());
+        if (update.limitsChanged()) {
+            listener.limits(view.classLimits());
         }
-        if (kind != ListKind.DELTA || !news.servers().isEmpty()) {
-            listener.list(kind, kind == ListKind.DELTA ? news.servers() : values.endpoints());
+        if (kind != ListKind.DELTA || !update.servers().isEmpty()) {
+            listener.list(kind, kind == ListKind.DELTA ? update.servers() : view.endpoints());
         }
     }
 
-    private void save() {
-        if (disk != null && !saving) {
-            saving = true;
+    private void scheduleSave() {
+        if (writer != null && !saveScheduled) {
+            saveScheduled = true;
             transport
                     .loop()
                     .schedule(
                             () -> {
-                                saving = false;
+                                saveScheduled = false;
                                 Follower follower = client.follower();
-                                RegistryStateFile.Kept kept = new RegistryStateFile.Kept(
+                                RegistryStateFile.StoredState stored = new RegistryStateFile.StoredState(
                                         follower.history(),
                                         follower.revision(),
                                         transport.wallMicros() / 1_000,
                                         List.copyOf(follower.entries().values()));
-                                if (!disk.isShutdown()) {
-                                    disk.execute(() -> write(kept));
+                                if (!writer.isShutdown()) {
+                                    writer.execute(() -> write(stored));
                                 }
                             },
-                            SAVE_AFTER_MS,
+                            SAVE_DELAY_MS,
                             TimeUnit.MILLISECONDS);
         }
     }
 
-    private void write(RegistryStateFile.Kept kept) {
+    private void write(RegistryStateFile.StoredState state) {
         try {
-            RegistryStateFile.write(settings.stateFile(), kept);
+            RegistryStateFile.write(settings.stateFile(), state);
         } catch (IOException e) {
-            transport.log("registry: its state cannot be kept: " + e);
+            transport.log("registry: cannot write the state file: " + e);
         }
     }
 }
--- a/src/main/java/gatefront/registry/RegistryStateFile.java
+++ b/src/main/java/gatefront/registry/RegistryStateFile.java
@@ -23,84 +23,90 @@
 import java.util.zip.CRC32C;
 
 /**
- * The last state of a registry on disk, for a start while the registry is down. One line of figures with a checksum of
- * what follows, then JSON. It is written beside its place, forced to disk and moved there: a crash leaves the old one
- * or the new one, and what is neither is told by its checksum and not used.
+ * The file that holds the last state of a registry, for a start while the registry is down. It consists of a header
+ * line with numbers and a checksum over them and the body, followed by the body in JSON. It is written to a temporary
+ * file, forced to disk and renamed: a crash leaves the old or the new file, and any other content is detected by the
+ * checksum and not used.
  */
 final class RegistryStateFile {
     private static final String MAGIC = "gatefront-registry-1";
-    private static final long BYTES_MOST = 64 << 20;
+    private static final long MAX_BYTES = 64 << 20;
 
     /**
-     * What was kept.
+     * The stored state.
      *
-     * @param history whose revisions they are
-     * @param revision up to which all was known
-     * @param savedAt milliseconds since 1970
-     * @param entries the keys
+     * @param history the history that the revision belongs to
+     * @param revision the revision up to which all changes were known
+     * @param savedAtMillis the time of the save, in milliseconds since 1970
+     * @param entries the entries
      */
-    record Kept(long history, long revision, long savedAt, List<KeyEntry> entries) {}
+    record StoredState(long history, long revision, long savedAtMillis, List<KeyEntry> entries) {}
 
     private RegistryStateFile() {}
 
-    static void write(Path to, Kept kept) throws IOException {
-        byte[] body = body(kept.entries());
-        String head = MAGIC + " " + kept.history() + " " + kept.revision() + " " + kept.savedAt() + " " + body.length
-                + " " + checksum(kept, body) + "\n";
-        Path beside = to.resolveSibling(to.getFileName() + ".new");
-        try (FileChannel file = FileChannel.open(
-                beside, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
-            for (byte[] each : List.of(head.getBytes(StandardCharsets.US_ASCII), body)) {
-                ByteBuffer left = ByteBuffer.wrap(each);
-                while (left.hasRemaining()) {
-                    file.write(left);
+    static void write(Path file, StoredState state) throws IOException {
+        byte[] body = body(state.entries());
+        String head = MAGIC + " " + state.history() + " " + state.revision() + " " + state.savedAtMillis() + " "
+                + body.length + " " + checksum(state, body) + "\n";
+        Path temporary = file.resolveSibling(file.getFileName() + ".new");
+        try (FileChannel channel = FileChannel.open(
+                temporary, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
+            for (byte[] part : List.of(head.getBytes(StandardCharsets.US_ASCII), body)) {
+                ByteBuffer remaining = ByteBuffer.wrap(part);
+                while (remaining.hasRemaining()) {
+                    channel.write(remaining);
                 }
             }
-            file.force(true);
+            channel.force(true);
         }
-        Files.move(beside, to, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        try (FileChannel folder = FileChannel.open(to.toAbsolutePath().getParent(), StandardOpenOption.READ)) {
-            folder.force(true); // else the new name may be lost with the power
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        try (FileChannel folder = FileChannel.open(file.toAbsolutePath().getParent(), StandardOpenOption.READ)) {
+            // Without this, the rename may be lost in a power failure.
+            folder.force(true);
         }
     }
 
-    /** What a file keeps; null if there is none. An IOException says in one line why it cannot be used. */
-    static Kept read(Path from) throws IOException {
-        byte[] all;
+    /**
+     * Returns the state stored in a file, or null if there is no file. Throws an IOException with a message of one
+     * line if the file cannot be used.
+     */
+    static StoredState read(Path file) throws IOException {
+        byte[] content;
         try {
-            if (Files.size(from) > BYTES_MOST) {
-                throw new IOException(from + " is larger than such a file may be");
+            if (Files.size(file) > MAX_BYTES) {
+                throw new IOException(
+                        file + " has more than " + MAX_BYTES + " bytes, too large for a registry state file");
             }
-            all = Files.readAllBytes(from);
+            content = Files.readAllBytes(file);
         } catch (NoSuchFileException e) {
             return null;
         }
         int end = 0;
-        while (end < all.length && all[end] != '\n') {
+        while (end < content.length && content[end] != '\n') {
             end++;
         }
-        String[] head = new String(all, 0, end, StandardCharsets.US_ASCII).split(" ");
+        String[] head = new String(content, 0, end, StandardCharsets.US_ASCII).split(" ");
         try {
-            byte[] body = Arrays.copyOfRange(all, Math.min(end + 1, all.length), all.length);
+            byte[] body = Arrays.copyOfRange(content, Math.min(end + 1, content.length), content.length);
             if (head.length != 6 || !head[0].equals(MAGIC) || Integer.parseInt(head[4]) != body.length) {
-                throw new IOException(from + " is not whole, or not such a file; it is not used");
+                throw new IOException(file + " is truncated or not a registry state file; it is not used");
             }
-            Kept kept = new Kept(
+            StoredState state = new StoredState(
                     Long.parseLong(head[1]), Long.parseLong(head[2]), Long.parseLong(head[3]), new ArrayList<>());
-            if (Long.parseLong(head[5]) != checksum(kept, body)) {
-                throw new IOException(from + " has another checksum than its text; it is not used");
+            if (Long.parseLong(head[5]) != checksum(state, body)) {
+                throw new IOException(file + " does not match its checksum; it is not used");
             }
-            for (JsonNode each : Config.json(new ByteArrayInputStream(body))) {
-                kept.entries()
+            for (JsonNode item : Config.json(new ByteArrayInputStream(body))) {
+                state.entries()
                         .add(new KeyEntry(
-                                each.path("k").asText(),
-                                each.path("v").asText(),
-                                each.path("c").asLong(),
-                                each.path("m").asLong()));
+                                item.path("k").asText(),
+                                item.path("v").asText(),
+                                item.path("c").asLong(),
+                                item.path("m").asLong()));
             }
-            return kept;
+            return state;
         } catch (NumberFormatException e) {
-            throw new IOException(from + " is not such a file; it is not used", e);
+            throw new IOException(file + " is not a registry state file; it is not used", e);
         }
     }
 
@@ -108,12 +114,12 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = new JsonFactory().createGenerator(bytes)) {
             out.writeStartArray();
-            for (KeyEntry each : entries) {
+            for (KeyEntry entry : entries) {
                 out.writeStartObject();
-                out.writeStringField("k", each.key());
-                out.writeStringField("v", each.value());
-                out.writeNumberField("c", each.created());
-                out.writeNumberField("m", each.modified());
+                out.writeStringField("k", entry.key());
+                out.writeStringField("v", entry.value());
+                out.writeNumberField("c", entry.createRevision());
+                out.writeNumberField("m", entry.modRevision());
                 out.writeEndObject();
             }
             out.writeEndArray();
@@ -121,10 +127,14 @@
         return bytes.toByteArray();
     }
 
-    /** Over the figures too: a revision that is wrong by one bit would pass for another state. */
-    private static long checksum(Kept kept, byte[] body) {
+    /**
+     * Returns a checksum that also covers the numbers of the header: a revision with a wrong bit would pass for
+     * another state.
+     */
+    private static long checksum(StoredState state, byte[] body) {
         CRC32C sum = new CRC32C();
-        sum.update((kept.history() + " " + kept.revision() + " " + kept.savedAt()).getBytes(StandardCharsets.US_ASCII));
+        sum.update((state.history() + " " + state.revision() + " " + state.savedAtMillis())
+                .getBytes(StandardCharsets.US_ASCII));
         sum.update(body);
         return sum.getValue();
     }
--- a/src/main/java/gatefront/registry/RegistryView.java
+++ b/src/main/java/gatefront/registry/RegistryView.java
@@ -17,37 +17,37 @@
 import java.util.function.Consumer;
 
 /**
- * What the keys of a registry say: of servers, {@code nodos/NAME} in the form of the server list, and policies that lie
- * over it, {@code policies/nodos/NAME} and {@code policies/salas/ZONE}; of classes, {@code policies/clases/NAME}, how
- * many calls may be in progress. A value that cannot be read leaves the last good one. State: one value a key, dropped
- * with the key.
+ * Decodes the keys of a registry: servers at {@code nodos/NAME}, in the format of the server list; policies that
+ * override them at {@code policies/nodos/NAME} and {@code policies/salas/ZONE}; and limits of requests in progress of
+ * a class at {@code policies/clases/NAME}. A value that cannot be decoded leaves the last valid one in effect. State:
+ * one value for each key, removed with the key.
  */
 final class RegistryView {
-    private static final String NODOS = "nodos/";
-    private static final String OF_NODOS = "policies/nodos/";
-    private static final String OF_ZONES = "policies/salas/";
-    private static final String OF_CLASSES = "policies/clases/";
-    /** The only version of values there is; one that is not understood must not be guessed at. */
+    private static final String SERVER_PREFIX = "nodos/";
+    private static final String SERVER_POLICY_PREFIX = "policies/nodos/";
+    private static final String ZONE_POLICY_PREFIX = "policies/salas/";
+    private static final String CLASS_LIMIT_PREFIX = "policies/clases/";
+    /** The only supported version of the values; a value of another version is not interpreted. */
     private static final int VERSION = 1;
 
-    private static final double FACTOR_MOST = 100;
-    private static final int LIMIT_MOST = 1_000_000;
+    private static final double MAX_WEIGHT_FACTOR = 100;
+    private static final int MAX_CLASS_LIMIT = 1_000_000;
 
     private final Config config;
     private final String prefix;
     private final Consumer<String> log;
-    private final Map<String, Endpoint> nodos = new LinkedHashMap<>();
+    private final Map<String, Endpoint> servers = new LinkedHashMap<>();
     private final Map<String, ServerOverride> policies = new HashMap<>();
     private final Map<String, Integer> limits = new HashMap<>();
 
     /**
-     * What has come of changes.
+     * The result of applying changes.
      *
-     * @param servers those that have changed; what has no key any more is gone
-     * @param policies whether any policy of servers has changed
-     * @param limits whether any class's limit has
+     * @param servers the servers that have changed; those whose key was deleted are marked as gone
+     * @param policiesChanged whether any policy of servers or zones has changed
+     * @param limitsChanged whether the limit of any class has changed
      */
-    record News(List<Endpoint> servers, boolean policies, boolean limits) {}
+    record Update(List<Endpoint> servers, boolean policiesChanged, boolean limitsChanged) {}
 
     RegistryView(Config config, String prefix, Consumer<String> log) {
         this.config = config;
@@ -55,113 +55,124 @@
         this.log = log;
     }
 
-    /** Takes in changes of keys. */
-    News changed(List<KeyChange> changes) {
-        Map<String, Endpoint> servers = new LinkedHashMap<>();
-        boolean ofPolicies = false;
-        boolean ofLimits = false;
-        for (KeyChange each : changes) {
-            String key = each.key().substring(prefix.length());
+    /** Applies changes of keys and returns what they changed. */
+    Update apply(List<KeyChange> changes) {
+        Map<String, Endpoint> changedServers = new LinkedHashMap<>();
+        boolean policiesChanged = false;
+        boolean limitsChanged = false;
+        for (KeyChange change : changes) {
+            String key = change.key().substring(prefix.length());
             try {
-                if (key.startsWith(NODOS)) {
-                    Endpoint before = nodos.get(key);
-                    Endpoint now = each.value() == null
+                if (key.startsWith(SERVER_PREFIX)) {
+                    Endpoint previous = servers.get(key);
+                    Endpoint current = change.value() == null
                             ? null
-                            : EndpointJson.decode(json(each.value()), key.substring(NODOS.length()), config);
-                    if (now != null) {
-                        nodos.put(key, now);
-                        servers.put(key, now);
-                    } else if (nodos.remove(key) != null) {
-                        servers.put(key, before.asGone());
+                            : EndpointJson.decode(
+                                    parseValue(change.value()), key.substring(SERVER_PREFIX.length()), config);
+                    if (current != null) {
+                        servers.put(key, current);
+                        changedServers.put(key, current);
+                    } else if (servers.remove(key) != null) {
+                        changedServers.put(key, previous.asGone());
                     }
-                } else if (key.startsWith(OF_NODOS) || key.startsWith(OF_ZONES)) {
-                    ServerOverride now = each.value() == null ? null : policy(json(each.value()));
-                    ofPolicies |= !Objects.equals(now, now == null ? policies.remove(key) : policies.put(key, now));
-                } else if (key.startsWith(OF_CLASSES)) {
-                    Integer now = each.value() == null ? null : limit(json(each.value()));
-                    ofLimits |= !Objects.equals(now, now == null ? limits.remove(key) : limits.put(key, now));
-                } // other keys are for others
+                } else if (key.startsWith(SERVER_POLICY_PREFIX) || key.startsWith(ZONE_POLICY_PREFIX)) {
+                    ServerOverride current = change.value() == null ? null : decodePolicy(parseValue(change.value()));
+                    policiesChanged |= !Objects.equals(
+                            current, current == null ? policies.remove(key) : policies.put(key, current));
+                } else if (key.startsWith(CLASS_LIMIT_PREFIX)) {
+                    Integer current = change.value() == null ? null : decodeLimit(parseValue(change.value()));
+                    limitsChanged |=
+                            !Objects.equals(current, current == null ? limits.remove(key) : limits.put(key, current));
+                }
+                // Other keys are not meant for this agent.
             } catch (IOException | IllegalArgumentException e) {
-                boolean kept = nodos.containsKey(key) || policies.containsKey(key) || limits.containsKey(key);
-                log.accept("registry: the value of " + each.key() + " at revision " + each.modified()
-                        + " is not used, " + (kept ? "the last good one stays" : "and there is no earlier one") + ": "
+                boolean hasPrevious = servers.containsKey(key) || policies.containsKey(key) || limits.containsKey(key);
+                log.accept("registry: the value of " + change.key() + " at revision " + change.modRevision()
+                        + " is not used, "
+                        + (hasPrevious ? "keeping the last valid one" : "and there is no earlier value")
+                        + ": "
                         + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
             }
         }
-        return new News(List.copyOf(servers.values()), ofPolicies, ofLimits);
+        return new Update(List.copyOf(changedServers.values()), policiesChanged, limitsChanged);
     }
 
-    private static JsonNode json(String value) throws IOException {
+    private static JsonNode parseValue(String value) throws IOException {
         JsonNode root = Config.json(new ByteArrayInputStream(value.getBytes(StandardCharsets.UTF_8)));
         if (!root.isObject()) {
-            throw new IllegalArgumentException("it is no JSON object");
+            throw new IllegalArgumentException("not a JSON object");
         }
         if (root.path("v").asInt(VERSION) != VERSION) {
-            throw new IllegalArgumentException("it is of version " + root.path("v") + ", known is " + VERSION);
+            throw new IllegalArgumentException("unsupported version " + root.path("v") + ", expected " + VERSION);
         }
         return root;
     }
 
-    private static ServerOverride policy(JsonNode root) {
+    private static ServerOverride decodePolicy(JsonNode root) {
         JsonNode drain = root.path("drain");
         JsonNode factor = root.path("weight_factor");
         if (!drain.isMissingNode() && !drain.isBoolean()) {
-            throw new IllegalArgumentException("drain is to be true or false, not " + drain);
+            throw new IllegalArgumentException("drain must be true or false, not " + drain);
         }
         if (!factor.isMissingNode()
-                && !(factor.isNumber() && factor.asDouble() > 0 && factor.asDouble() <= FACTOR_MOST)) {
-            throw new IllegalArgumentException("weight_factor is to be above 0 and at most " + FACTOR_MOST + ", not "
-                    + factor + "; what is to get nothing is drained");
+                && !(factor.isNumber() && factor.asDouble() > 0 && factor.asDouble() <= MAX_WEIGHT_FACTOR)) {
+            throw new IllegalArgumentException("weight_factor must be above 0 and at most " + MAX_WEIGHT_FACTOR
+                    + ", not " + factor + "; use drain for a server that must not get requests");
         }
         return new ServerOverride(drain.asBoolean(false), factor.asDouble(1));
     }
 
-    private static int limit(JsonNode root) {
-        JsonNode most = root.path("in_progress");
-        if (!(most.isNumber() && most.asDouble() == most.asInt() && most.asInt() >= 0 && most.asInt() <= LIMIT_MOST)) {
-            throw new IllegalArgumentException("in_progress is to be a whole number from 0 to " + LIMIT_MOST + ", not "
-                    + (most.isMissingNode() ? "missing" : most));
+    private static int decodeLimit(JsonNode root) {
+        JsonNode limit = root.path("in_progress");
+        if (!(limit.isNumber()
+                && limit.asDouble() == limit.asInt()
+                && limit.asInt() >= 0
+                && limit.asInt() <= MAX_CLASS_LIMIT)) {
+            throw new IllegalArgumentException("in_progress must be a whole number from 0 to " + MAX_CLASS_LIMIT
+                    + ", not " + (limit.isMissingNode() ? "missing" : limit));
         }
-        return most.asInt();
+        return limit.asInt();
     }
 
-    /** All servers that have a key. */
+    /** Returns all servers that have a key. */
     List<Endpoint> endpoints() {
-        return List.copyOf(nodos.values());
+        return List.copyOf(servers.values());
     }
 
-    /** The policies of one server each, by its name. */
-    Map<String, ServerOverride> ofServers() {
-        Map<String, ServerOverride> of = new HashMap<>();
+    /** Returns the policies of servers, by server name. */
+    Map<String, ServerOverride> serverPolicies() {
+        Map<String, ServerOverride> result = new HashMap<>();
         policies.forEach((key, policy) -> {
-            if (key.startsWith(OF_NODOS)) {
-                of.put(key.substring(OF_NODOS.length()), policy);
+            if (key.startsWith(SERVER_POLICY_PREFIX)) {
+                result.put(key.substring(SERVER_POLICY_PREFIX.length()), policy);
             }
         });
-        return of;
+        return result;
     }
 
-    /** The policies of a zone each, by its number; of a zone that there is not, it says nothing. */
-    Map<Integer, ServerOverride> ofZones() {
-        Map<Integer, ServerOverride> of = new HashMap<>();
+    /** Returns the policies of zones, by zone number; those of unknown zones are left out. */
+    Map<Integer, ServerOverride> zonePolicies() {
+        Map<Integer, ServerOverride> result = new HashMap<>();
         policies.forEach((key, policy) -> {
-            int zone = key.startsWith(OF_ZONES) ? config.zones().indexOf(key.substring(OF_ZONES.length())) : -1;
+            int zone = key.startsWith(ZONE_POLICY_PREFIX)
+                    ? config.zones().indexOf(key.substring(ZONE_POLICY_PREFIX.length()))
+                    : -1;
             if (zone >= 0) {
-                of.put(zone, policy);
+                result.put(zone, policy);
             }
         });
-        return of;
+        return result;
     }
 
-    /** How many calls of a class may be in progress, by its index; of a class that there is not, it says nothing. */
-    Map<Integer, Integer> ofClasses() {
-        Map<Integer, Integer> of = new HashMap<>();
+    /** Returns the limits of requests in progress, by class index; those of unknown classes are left out. */
+    Map<Integer, Integer> classLimits() {
+        Map<Integer, Integer> result = new HashMap<>();
         limits.forEach((key, limit) -> {
-            int index = config.classes().indexOf(key.substring(OF_CLASSES.length()));
+            int index = config.classes().indexOf(key.substring(CLASS_LIMIT_PREFIX.length()));
             if (index >= 0) {
-                of.put(index, limit);
+                result.put(index, limit);
             }
         });
-        return of;
+        return result;
     }
 }
--- a/src/main/java/gatefront/registry/follower/Follower.java
+++ b/src/main/java/gatefront/registry/follower/Follower.java
@@ -10,489 +10,528 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * Follows the keys below a prefix of a registry that numbers its states: a full read, then what has changed since. For
- * registries that send changes (etcd) and for those whose every answer is a full read that waited for one (Consul).
- * No I/O; the time is told with each event, in microseconds.
+ * Follows the keys below a prefix of a registry that numbers its revisions: a full read, then the changes since that
+ * revision. It serves registries that send changes (etcd) and registries whose every response is a full read (Consul's
+ * blocking queries). It does no I/O; each event carries the present time in microseconds.
  *
- * <p>What always holds:
+ * <p>Invariants:
  * <ul>
- * <li>The state is that of the registry at {@link #revision()}: it changes only by a whole revision's changes, or
- * by a full read at one revision. A failure of whatever kind leaves it as it is.
- * <li>No change is applied twice: what is not newer than the revision is passed over. None is left out: each watch
- * begins behind the revision, a call's events come in their order, and where either cannot be had (compacted, out of
- * order, another history) everything is read anew; what that read lacks has been deleted.
- * <li>The revision goes back only by a full read that a quorum answers for. A member that is merely behind is not
- * believed.
- * <li>One call is out at the most, and events of any other are passed over.
+ * <li>The entries are those of the registry at {@link #revision()}. They change only by all changes of a revision or
+ * by a full read at one revision. No failure changes them.
+ * <li>No change is applied twice: changes that are not newer than the revision are ignored. None is left out: each
+ * watch starts after the revision, and the events of a call arrive in order. Where either is impossible (compaction,
+ * revisions out of order, another history) a full read follows, and keys that it does not contain have been deleted.
+ * <li>The revision goes back only after a full read that is confirmed by a quorum. A member that merely lags is not
+ * trusted.
+ * <li>At most one call is in progress, and events of any other call are ignored.
  * </ul>
  *
- * <p>State: the keys, at most {@link FollowerLimits#keys}, each removed by its deletion or by a full read without it;
- * the changes of one message in fragments, at most twice as many, dropped with their call.
+ * <p>State: the keys, at most {@link FollowerLimits#maxKeys}, each removed by its deletion or by a full read without
+ * it; and the changes of one fragmented message, at most twice as many, discarded with their call.
  */
 public final class Follower {
-    /** Where it stands. */
+    /** The states of a follower. */
     public enum State {
-        /** Everything is to be read; what was known before stays until then. */
+        /** A full read is needed; the previous entries stay in use until it completes. */
         LISTING,
-        /** Told of what changes. */
+        /** The follower watches for changes. */
         WATCHING,
-        /** The state is known up to a revision; a watch from there on is to begin. */
+        /** The entries are known up to a revision, from which a watch is to start. */
         RESUMING,
-        /** The same, since the registry no longer has what changed after the revision. */
+        /** The changes after the revision have been compacted, so a full read is needed. */
         COMPACTED,
-        /** A lower revision or another history was seen; a quorum is to tell, and until then the old state stays. */
-        DOUBTING
+        /**
+         * A lower revision or another history was received. A quorum read is to verify it; the previous entries stay
+         * in use until then.
+         */
+        VERIFYING
     }
 
-    /** What it wants done, and what it has found. */
+    /** Performs the actions of a follower and receives its results. */
     public interface Actions {
         /**
-         * Reads everything at one revision.
+         * Starts a full read at one revision.
          *
-         * @param call comes back with each event of it
-         * @param quorum whether a member's own word will not do
+         * @param call the number of the call, passed back with each of its events
+         * @param quorum whether the read must be confirmed by a quorum
          */
         void list(long call, boolean quorum);
 
         /**
-         * Waits for what has changed behind a revision.
+         * Starts a watch for the changes after a revision.
          *
-         * @param call comes back with each event of it
-         * @param revision up to which all is known
+         * @param call the number of the call, passed back with each of its events
+         * @param revision the revision up to which all changes are known
          */
         void watch(long call, long revision);
 
-        /** Asks the watch how far it is. */
-        void ask(long call);
+        /** Requests a progress notification from the watch. */
+        void requestProgress(long call);
 
         /**
-         * Ends the call that is out.
+         * Ends the call in progress.
          *
-         * @param failed whether the member is to blame, and the next call is better made to another
+         * @param failed whether the member failed, so that the next call should go to another member
          */
-        void drop(boolean failed);
+        void endCall(boolean failed);
 
-        /** Asks for {@link Follower#timer}. */
-        void timer(long delay);
+        /** Schedules a call of {@link Follower#timerFired} after a delay. */
+        void scheduleTimer(long delayMicros);
 
         /**
-         * The state has changed; {@link Follower#entries()} has it whole.
+         * Reports that the entries have changed; {@link Follower#entries()} returns all of them.
          *
-         * @param full whether by a full read; the changes are then those that it shows
-         * @param changes in the order of their revisions; what a full read lacks has that read's revision
+         * @param full whether a full read caused the changes; they are then the differences that it shows
+         * @param changes the changes in the order of their revisions; deletions found by a full read carry its
+         *     revision
          */
         void changed(boolean full, List<KeyChange> changes);
 
-        /** The state has become stale, or is no longer. */
-        void stale(boolean now);
+        /** Reports that the entries have become stale, or that they are confirmed again. */
+        void staleChanged(boolean isStale);
 
-        /** One plain line for staff. */
+        /** Writes a log line. */
         void log(String line);
     }
 
-    private final FollowerLimits bounds;
+    private final FollowerLimits limits;
     private final Actions actions;
-    /** A moment of chance from 0 up to its argument. */
+    /** Returns a random number from 0 up to its argument, inclusive. */
     private final LongUnaryOperator jitter;
 
     private final TreeMap<String, KeyEntry> entries = new TreeMap<>();
     private State state = State.LISTING;
-    /** Of which registry the revisions are; 0 while none is known. */
+    /** The identity of the history that the revisions belong to; 0 while none is known. */
     private long history;
-    /** Up to which all is known; negative while nothing is. */
+    /** The revision up to which all changes are known; negative while none is. */
     private long revision = -1;
 
+    /** The number of the latest call; events of other calls are ignored. */
     private long call;
-    /** Whether a call is out, and whether that is a watch. */
-    private boolean out;
 
-    private boolean watch;
-    /** When the next call is made; when something last came of the one that is out; when that was last asked. */
-    private long callAt;
+    private boolean callInProgress;
+    /** Whether the latest call is a watch. */
+    private boolean watchCall;
+    /**
+     * Times in microseconds, on the clock of the events: of the next call, of the last data received for the call in
+     * progress, and of the last progress request.
+     */
+    private long nextCallMicros;
+
+    private long lastReceivedMicros;
+    private long lastProgressRequestMicros;
+    /** When, in microseconds, the entries were last confirmed to be the registry's. */
+    private long lastConfirmedMicros;
 
-    private long heardAt;
-    private long askedAt;
-    /** When the state was last known to be that of the registry. */
-    private long freshAt;
+    /** When, in microseconds, the next full read is due. */
+    private long nextFullReadMicros = Long.MAX_VALUE;
 
-    private long rereadAt = Long.MAX_VALUE;
     private boolean stale;
-    private long backoff;
+    private long backoffMicros;
+    /** The changes received so far of a message in fragments. */
     private final List<KeyChange> fragments = new ArrayList<>();
+
     private boolean closed;
-    /** The earliest timer asked for; one that comes before it is an older one. */
-    private long timerAt = Long.MAX_VALUE;
+    /** When, in microseconds, the earliest scheduled timer fires; earlier ones are obsolete and ignored. */
+    private long nextTimerMicros = Long.MAX_VALUE;
 
     /**
-     * One that knows nothing.
+     * Creates a follower without entries.
      *
-     * @param bounds what it keeps to
-     * @param seed for its jitter; agents must not share it
-     * @param actions what it wants done
+     * @param limits the limits and intervals
+     * @param seed the seed of the jitter; agents must not share it
+     * @param actions performs the calls and receives the results
      */
-    public Follower(FollowerLimits bounds, long seed, Actions actions) {
-        this(bounds, most(new SplittableRandom(seed)), actions);
+    public Follower(FollowerLimits limits, long seed, Actions actions) {
+        this(limits, uniformUpTo(new SplittableRandom(seed)), actions);
     }
 
-    private static LongUnaryOperator most(SplittableRandom random) {
-        return most -> random.nextLong(most + 1);
+    private static LongUnaryOperator uniformUpTo(SplittableRandom random) {
+        return max -> random.nextLong(max + 1);
     }
 
-    /** With another jitter. */
-    Follower(FollowerLimits bounds, LongUnaryOperator jitter, Actions actions) {
-        this.bounds = bounds;
+    /** Creates a follower with the given jitter function. */
+    Follower(FollowerLimits limits, LongUnaryOperator jitter, Actions actions) {
+        this.limits = limits;
         this.actions = actions;
         this.jitter = jitter;
-        this.backoff = bounds.backoffLeast();
+        this.backoffMicros = limits.minBackoffMicros();
     }
 
     // ---- Events ----
 
     /**
-     * Goes on from a state kept earlier; before {@link #start}. It is stale until the registry has confirmed it.
+     * Restores entries that were stored earlier; must be called before {@link #start}. The entries are stale until the
+     * registry has confirmed them.
      *
-     * @param ofHistory whose revisions they are
-     * @param atRevision up to which all was known
-     * @param kept the keys then
+     * @param restoredHistory the history that the revisions belong to
+     * @param restoredRevision the revision up to which all changes were known
+     * @param restoredEntries the entries at that revision
      */
-    public void restore(long ofHistory, long atRevision, List<KeyEntry> kept) {
-        history = ofHistory;
-        revision = atRevision;
+    public void restore(long restoredHistory, long restoredRevision, List<KeyEntry> restoredEntries) {
+        history = restoredHistory;
+        revision = restoredRevision;
         state = State.RESUMING;
-        kept.forEach(each -> entries.put(each.key(), each));
+        restoredEntries.forEach(entry -> entries.put(entry.key(), entry));
         stale = true;
     }
 
-    /** Begins. */
+    /** Starts to follow the registry. */
     public void start(long now) {
-        freshAt = now;
-        begin(now);
+        lastConfirmedMicros = now;
+        beginCall(now);
     }
 
-    /** Ends; nothing is asked for any more. */
+    /** Stops following; no further call is made. */
     public void close() {
         closed = true;
-        end(false);
+        endCall(false);
     }
 
-    /** Something has come that is not yet an event: a page of a read. */
-    public void heard(long now, long ofCall) {
-        if (mine(ofCall)) {
-            heardAt = now;
+    /** Records that data of a call has arrived that is not yet an event, such as a page of a read. */
+    public void dataReceived(long now, long eventCall) {
+        if (isCurrentCall(eventCall)) {
+            lastReceivedMicros = now;
         }
     }
 
     /**
-     * A full read has been answered, all of it as of one revision.
+     * Handles the result of a full read, which is of one revision.
      *
-     * @param ofHistory whose revisions these are, never 0; a registry that has no name for it gives 1
-     * @param quorum whether a quorum answers for it
+     * @param readHistory the history that the revisions belong to, never 0; 1 for a registry that does not identify it
+     * @param quorum whether a quorum has confirmed the read
      */
-    public void listed(long now, long ofCall, long ofHistory, long atRevision, boolean quorum, List<KeyEntry> all) {
-        if (!mine(ofCall)) {
+    public void listReceived(
+            long now, long eventCall, long readHistory, long readRevision, boolean quorum, List<KeyEntry> readEntries) {
+        if (!isCurrentCall(eventCall)) {
             return;
         }
-        if (all.size() > bounds.keys()) {
-            failed(now, ofCall, all.size() + " keys, more than the " + bounds.keys() + " keys that are kept", true);
+        if (readEntries.size() > limits.maxKeys()) {
+            callFailed(
+                    now,
+                    eventCall,
+                    readEntries.size() + " keys in the registry, above the limit of " + limits.maxKeys() + " keys",
+                    true);
             return;
         }
         boolean first = revision < 0;
-        boolean back = !first && (ofHistory != history || atRevision < revision);
-        if (back && !quorum) {
-            doubt(now, ofHistory, atRevision);
+        boolean goesBack = !first && (readHistory != history || readRevision < revision);
+        if (goesBack && !quorum) {
+            requestQuorumRead(now, readHistory, readRevision);
             return;
         }
-        List<KeyChange> changes = difference(all, atRevision);
-        if (back) {
-            actions.log("the registry has another history: " + named(ofHistory, atRevision) + " after "
-                    + named(history, revision) + "; its full read is taken");
-        } else if (atRevision == revision && !changes.isEmpty()) {
+        List<KeyChange> changes = difference(readEntries, readRevision);
+        if (goesBack) {
+            actions.log("the history of the registry has changed: " + describe(readHistory, readRevision) + " after "
+                    + describe(history, revision) + "; using its full read");
+        } else if (readRevision == revision && !changes.isEmpty()) {
             actions.log("a full read at the same revision " + revision + " shows " + changes.size()
-                    + " changes that were not told; it is taken");
+                    + " changes that the watch did not report; using the full read");
         }
-        history = ofHistory;
-        revision = atRevision;
+        history = readHistory;
+        revision = readRevision;
         state = State.WATCHING;
-        rereadAt = bounds.reread() == 0
+        nextFullReadMicros = limits.fullReadIntervalMicros() == 0
                 ? Long.MAX_VALUE
-                : now + bounds.reread() / 2 + jitter.applyAsLong(bounds.reread() / 2);
-        fresh(now);
-        end(false);
+                : now + limits.fullReadIntervalMicros() / 2 + jitter.applyAsLong(limits.fullReadIntervalMicros() / 2);
+        markConfirmed(now);
+        endCall(false);
         if (first || !changes.isEmpty()) {
             entries.clear();
-            all.forEach(each -> entries.put(each.key(), each));
+            readEntries.forEach(entry -> entries.put(entry.key(), entry));
             actions.changed(true, changes);
         }
-        after(now, bounds.pause() == 0 ? 0 : bounds.pause() + jitter.applyAsLong(bounds.pause()));
+        scheduleCall(
+                now, limits.pauseMicros() == 0 ? 0 : limits.pauseMicros() + jitter.applyAsLong(limits.pauseMicros()));
     }
 
-    /** What tells the state known from a full read, in the order of revisions. */
-    private List<KeyChange> difference(List<KeyEntry> all, long atRevision) {
-        Map<String, KeyEntry> lacking = new TreeMap<>(entries);
+    /** Returns the differences between the entries and a full read, in the order of revisions. */
+    private List<KeyChange> difference(List<KeyEntry> readEntries, long readRevision) {
+        Map<String, KeyEntry> missing = new TreeMap<>(entries);
         List<KeyChange> changes = new ArrayList<>();
-        for (KeyEntry each : all) {
-            if (!each.equals(lacking.remove(each.key()))) {
-                changes.add(KeyChange.put(each));
+        for (KeyEntry entry : readEntries) {
+            if (!entry.equals(missing.remove(entry.key()))) {
+                changes.add(KeyChange.put(entry));
             }
         }
-        lacking.keySet().forEach(key -> changes.add(KeyChange.deleted(key, atRevision)));
-        changes.sort(Comparator.comparingLong(KeyChange::modified).thenComparing(KeyChange::key));
+        missing.keySet().forEach(key -> changes.add(KeyChange.deleted(key, readRevision)));
+        changes.sort(Comparator.comparingLong(KeyChange::modRevision).thenComparing(KeyChange::key));
         return changes;
     }
 
     /**
-     * The watch stands; what has changed will come.
+     * Handles the confirmation that the watch has been created.
      *
-     * @param ofHistory whose revisions these are
-     * @param atRevision how far the member is that watches
+     * @param memberHistory the history that the revisions belong to
+     * @param memberRevision the revision of the member that serves the watch
      */
-    public void watching(long now, long ofCall, long ofHistory, long atRevision) {
-        if (mine(ofCall) && !behind(now, ofHistory, atRevision)) {
-            heardAt = now;
+    public void watchCreated(long now, long eventCall, long memberHistory, long memberRevision) {
+        if (isCurrentCall(eventCall) && !requestQuorumReadIfBehind(now, memberHistory, memberRevision)) {
+            lastReceivedMicros = now;
             state = State.WATCHING;
-            if (bounds.ask() > 0) {
-                askedAt = now;
-                actions.ask(call); // so that what has changed meanwhile, or that nothing has, is known soon
+            if (limits.progressIntervalMicros() > 0) {
+                lastProgressRequestMicros = now;
+                // The progress response soon shows what has changed meanwhile, or that nothing has.
+                actions.requestProgress(call);
             }
         }
     }
 
     /**
-     * Changes, in the order of their revisions; those of one revision come together.
+     * Handles changes, in the order of their revisions; the changes of one revision arrive together.
      *
-     * @param more whether the rest of the last revision is still to come
+     * @param incomplete whether further changes of the last revision follow
      */
-    public void changes(long now, long ofCall, List<KeyChange> some, boolean more) {
-        if (!mine(ofCall)) {
+    public void changesReceived(long now, long eventCall, List<KeyChange> received, boolean incomplete) {
+        if (!isCurrentCall(eventCall)) {
             return;
         }
-        heardAt = now;
-        fragments.addAll(some);
-        if (fragments.size() > 2 * bounds.keys()) {
-            failed(now, ofCall, "a message of more than " + 2 * bounds.keys() + " changes", false);
+        lastReceivedMicros = now;
+        fragments.addAll(received);
+        if (fragments.size() > 2 * limits.maxKeys()) {
+            callFailed(now, eventCall, "message of more than " + 2 * limits.maxKeys() + " changes", false);
             return;
         }
-        if (more) {
+        if (incomplete) {
             return;
         }
         List<KeyChange> changes = new ArrayList<>(fragments.size());
-        long last = revision;
-        for (KeyChange each : fragments) {
-            if (each.modified() > revision) { // else it has been applied: a watch may begin too early, or tell twice
-                if (each.modified() < last) {
-                    actions.log("revision " + each.modified() + " came after " + last + "; everything is read anew");
-                    reread(now, State.LISTING, true);
+        long newestRevision = revision;
+        for (KeyChange change : fragments) {
+            // Older changes have been applied already: a watch may start too early or repeat changes.
+            if (change.modRevision() > revision) {
+                if (change.modRevision() < newestRevision) {
+                    actions.log("revision " + change.modRevision() + " received after revision " + newestRevision
+                            + "; starting a full read");
+                    scheduleFullRead(now, State.LISTING, true);
                     return;
                 }
-                last = each.modified();
-                changes.add(each);
+                newestRevision = change.modRevision();
+                changes.add(change);
             }
         }
         fragments.clear();
-        long added = changes.stream()
-                .filter(each -> each.value() != null && !entries.containsKey(each.key()))
+        long addedKeys = changes.stream()
+                .filter(change -> change.value() != null && !entries.containsKey(change.key()))
                 .map(KeyChange::key)
                 .distinct()
                 .count();
-        if (entries.size() + added > bounds.keys()) {
-            failed(now, ofCall, "more than the " + bounds.keys() + " keys that are kept", true);
+        if (entries.size() + addedKeys > limits.maxKeys()) {
+            callFailed(now, eventCall, "keys in the registry exceed the limit of " + limits.maxKeys() + " keys", true);
             return;
         }
-        changes.removeIf(each -> !apply(each));
-        revision = last;
-        fresh(now);
+        changes.removeIf(change -> !apply(change));
+        revision = newestRevision;
+        markConfirmed(now);
         if (!changes.isEmpty()) {
             actions.changed(false, changes);
         }
     }
 
-    /** Takes in a change; whether it is one: a key that is not there cannot go. */
+    /** Applies a change and returns whether it had an effect: the deletion of an absent key has none. */
     private boolean apply(KeyChange change) {
         if (change.value() == null) {
             return entries.remove(change.key()) != null;
         }
-        entries.put(change.key(), new KeyEntry(change.key(), change.value(), change.created(), change.modified()));
+        entries.put(
+                change.key(),
+                new KeyEntry(change.key(), change.value(), change.createRevision(), change.modRevision()));
         return true;
     }
 
-    /** All up to a revision has been told. */
-    public void progress(long now, long ofCall, long ofHistory, long atRevision) {
-        if (mine(ofCall) && fragments.isEmpty() && !behind(now, ofHistory, atRevision)) {
-            heardAt = now;
-            revision = atRevision;
-            fresh(now);
+    /** Handles a progress notification: all changes up to a revision have been sent. */
+    public void progressReceived(long now, long eventCall, long memberHistory, long memberRevision) {
+        if (isCurrentCall(eventCall)
+                && fragments.isEmpty()
+                && !requestQuorumReadIfBehind(now, memberHistory, memberRevision)) {
+            lastReceivedMicros = now;
+            revision = memberRevision;
+            markConfirmed(now);
         }
     }
 
     /**
-     * What has changed since the revision is no longer to be had.
+     * Handles a compaction: the changes after the revision are no longer available.
      *
-     * @param oldest the first revision that is
+     * @param oldestRevision the oldest revision that is available
      */
-    public void compacted(long now, long ofCall, long oldest) {
-        if (mine(ofCall)) {
-            actions.log("revision " + revision + " has been compacted, the oldest is " + oldest
-                    + "; everything is read anew");
-            // Not another of the long waits: the call has just waited one, and a drain may be among what is lacking.
+    public void revisionCompacted(long now, long eventCall, long oldestRevision) {
+        if (isCurrentCall(eventCall)) {
+            actions.log("revision " + revision + " has been compacted, the oldest available revision is "
+                    + oldestRevision + "; starting a full read");
+            // Does not wait for the full backoff again: the call has just waited for it, and the missing changes may
+            // include a drain.
             state = State.COMPACTED;
-            end(false);
-            after(now, jitter.applyAsLong(bounds.backoffLeast()));
+            endCall(false);
+            scheduleCall(now, jitter.applyAsLong(limits.minBackoffMicros()));
         }
     }
 
     /**
-     * A call has ended, or could not be made.
+     * Handles the failure of a call, or of the attempt to make it.
      *
-     * @param overloaded whether the registry says that it has too much to do
+     * @param overloaded whether the registry reports that it is overloaded
      */
-    public void failed(long now, long ofCall, String why, boolean overloaded) {
-        if (!mine(ofCall)) {
+    public void callFailed(long now, long eventCall, String reason, boolean overloaded) {
+        if (!isCurrentCall(eventCall)) {
             return;
         }
-        actions.log(why);
+        actions.log(reason);
         if (state == State.WATCHING) {
             state = State.RESUMING;
         }
-        end(true);
-        backOff(now, overloaded);
+        endCall(true);
+        scheduleRetry(now, overloaded);
     }
 
-    /** A timer has come due. */
-    public void timer(long now) {
-        if (closed || now < timerAt) {
+    /** Handles a timer that was scheduled with {@link Actions#scheduleTimer}. */
+    public void timerFired(long now) {
+        if (closed || now < nextTimerMicros) {
             return;
         }
-        timerAt = Long.MAX_VALUE;
-        if (!stale && now - freshAt >= bounds.stale()) {
+        nextTimerMicros = Long.MAX_VALUE;
+        if (!stale && now - lastConfirmedMicros >= limits.staleAfterMicros()) {
             stale = true;
-            actions.log("not confirmed for " + (now - freshAt) / 1_000_000 + " s; what is known goes on being used");
-            actions.stale(true);
+            actions.log("entries not confirmed for " + (now - lastConfirmedMicros) / 1_000_000
+                    + " s; continuing to use them");
+            actions.staleChanged(true);
         }
-        if (!out && now >= callAt) {
-            begin(now);
-        } else if (out && now - heardAt >= bounds.silence()) {
-            failed(now, call, "nothing came for " + (now - heardAt) / 1_000_000 + " s", false);
-        } else if (out && watch && now >= rereadAt) {
-            reread(now, State.LISTING, false);
-        } else if (out && watch && bounds.ask() > 0 && now - askedAt >= bounds.ask()) {
-            askedAt = now;
-            actions.ask(call);
+        if (!callInProgress && now >= nextCallMicros) {
+            beginCall(now);
+        } else if (callInProgress && now - lastReceivedMicros >= limits.silenceTimeoutMicros()) {
+            callFailed(now, call, "nothing received for " + (now - lastReceivedMicros) / 1_000_000 + " s", false);
+        } else if (callInProgress && watchCall && now >= nextFullReadMicros) {
+            scheduleFullRead(now, State.LISTING, false);
+        } else if (callInProgress
+                && watchCall
+                && limits.progressIntervalMicros() > 0
+                && now - lastProgressRequestMicros >= limits.progressIntervalMicros()) {
+            lastProgressRequestMicros = now;
+            actions.requestProgress(call);
         }
-        arm(now);
+        armTimer(now);
     }
 
-    // ---- What it knows ----
+    // ---- State ----
 
-    /** The keys with their values, as of the revision. */
+    /** Returns the entries by key, as of the revision. */
     public Map<String, KeyEntry> entries() {
         return Collections.unmodifiableMap(entries);
     }
 
-    /** Up to which all is known; negative while nothing is. */
+    /** Returns the revision up to which all changes are known; negative while none is. */
     public long revision() {
         return revision;
     }
 
-    /** Whose revisions they are; 0 while nothing is known. */
+    /** Returns the identity of the history that the revisions belong to; 0 while none is known. */
     public long history() {
         return history;
     }
 
-    /** Where it stands. */
+    /** Returns the present state. */
     public State state() {
         return state;
     }
 
-    /** For how long the state has not been confirmed. */
-    public long age(long now) {
-        return now - freshAt;
+    /** Returns for how long the entries have not been confirmed, in microseconds. */
+    public long unconfirmedMicros(long now) {
+        return now - lastConfirmedMicros;
     }
 
     // ---- Calls ----
 
-    private boolean mine(long ofCall) {
-        return out && ofCall == call && !closed;
+    private boolean isCurrentCall(long eventCall) {
+        return callInProgress && eventCall == call && !closed;
     }
 
-    /** Whether a member's revision is before ours or of another history: it may lag, or all may have gone back. */
-    private boolean behind(long now, long ofHistory, long atRevision) {
-        if (ofHistory == history && atRevision >= revision) {
+    /**
+     * Requests a quorum read if a member's revision is lower or of another history: the member may lag, or the
+     * registry may have been restored from a backup. Returns whether it did.
+     */
+    private boolean requestQuorumReadIfBehind(long now, long otherHistory, long otherRevision) {
+        if (otherHistory == history && otherRevision >= revision) {
             return false;
         }
-        doubt(now, ofHistory, atRevision);
+        requestQuorumRead(now, otherHistory, otherRevision);
         return true;
     }
 
-    private void doubt(long now, long ofHistory, long atRevision) {
-        actions.log(named(ofHistory, atRevision) + " is not believed after " + named(history, revision)
-                + "; a quorum is asked");
-        reread(now, State.DOUBTING, true);
+    private void requestQuorumRead(long now, long otherHistory, long otherRevision) {
+        actions.log(describe(otherHistory, otherRevision) + " is not trusted after " + describe(history, revision)
+                + "; requesting a quorum read");
+        scheduleFullRead(now, State.VERIFYING, true);
     }
 
-    private static String named(long ofHistory, long atRevision) {
-        return "revision " + atRevision + " of " + Long.toHexString(ofHistory);
+    private static String describe(long otherHistory, long otherRevision) {
+        return "revision " + otherRevision + " of " + Long.toHexString(otherHistory);
     }
 
-    /** Everything is to be read; not by all agents at one moment, for what makes one do it makes all. */
-    private void reread(long now, State why, boolean elsewhere) {
-        state = why;
-        end(elsewhere);
-        backOff(now, false);
+    /** Schedules a full read with a random delay, since the same event makes every agent do so. */
+    private void scheduleFullRead(long now, State nextState, boolean memberFailed) {
+        state = nextState;
+        endCall(memberFailed);
+        scheduleRetry(now, false);
     }
 
-    private void end(boolean failed) {
-        out = false;
+    private void endCall(boolean failed) {
+        callInProgress = false;
         call++;
         fragments.clear();
-        actions.drop(failed);
+        actions.endCall(failed);
     }
 
-    /** Full jitter: doubled steps alone would keep those that began together in step for ever. */
-    private void backOff(long now, boolean overloaded) {
-        long wait = jitter.applyAsLong(backoff);
-        backoff = Math.min(2 * backoff, bounds.backoffMost() * (overloaded ? FollowerLimits.OVERLOADED : 1));
-        after(now, wait);
+    /** Uses full jitter: doubled delays alone would keep agents that started together synchronised. */
+    private void scheduleRetry(long now, boolean overloaded) {
+        long waitMicros = jitter.applyAsLong(backoffMicros);
+        backoffMicros = Math.min(
+                2 * backoffMicros,
+                limits.maxBackoffMicros() * (overloaded ? FollowerLimits.OVERLOAD_BACKOFF_FACTOR : 1));
+        scheduleCall(now, waitMicros);
     }
 
-    private void after(long now, long wait) {
-        callAt = now + wait;
-        arm(now);
+    private void scheduleCall(long now, long waitMicros) {
+        nextCallMicros = now + waitMicros;
+        armTimer(now);
     }
 
-    private void begin(long now) {
+    private void beginCall(long now) {
         call++;
-        out = true;
-        heardAt = now;
-        askedAt = now;
-        watch = revision >= 0 && (state == State.WATCHING || state == State.RESUMING);
-        if (watch) {
+        callInProgress = true;
+        lastReceivedMicros = now;
+        lastProgressRequestMicros = now;
+        watchCall = revision >= 0 && (state == State.WATCHING || state == State.RESUMING);
+        if (watchCall) {
             actions.watch(call, revision);
         } else {
-            actions.list(call, state == State.DOUBTING);
+            actions.list(call, state == State.VERIFYING);
         }
-        arm(now);
+        armTimer(now);
     }
 
-    private void fresh(long now) {
-        heardAt = now;
-        freshAt = now;
-        backoff = Math.max(bounds.backoffLeast(), backoff / 2); // one answer does not end the crowd
+    private void markConfirmed(long now) {
+        lastReceivedMicros = now;
+        lastConfirmedMicros = now;
+        // Halves the backoff instead of resetting it: one response does not mean that the overload has ended.
+        backoffMicros = Math.max(limits.minBackoffMicros(), backoffMicros / 2);
         if (stale) {
             stale = false;
-            actions.stale(false);
+            actions.staleChanged(false);
         }
     }
 
-    private void arm(long now) {
-        long at = out ? heardAt + bounds.silence() : callAt;
-        if (out && watch) {
-            at = Math.min(at, rereadAt);
-            at = bounds.ask() > 0 ? Math.min(at, askedAt + bounds.ask()) : at;
+    private void armTimer(long now) {
+        long wakeMicros = callInProgress ? lastReceivedMicros + limits.silenceTimeoutMicros() : nextCallMicros;
+        if (callInProgress && watchCall) {
+            wakeMicros = Math.min(wakeMicros, nextFullReadMicros);
+            wakeMicros = limits.progressIntervalMicros() > 0
+                    ? Math.min(wakeMicros, lastProgressRequestMicros + limits.progressIntervalMicros())
+                    : wakeMicros;
         }
-        at = stale ? at : Math.min(at, freshAt + bounds.stale());
-        if (at < timerAt && !closed) {
-            timerAt = at;
-            actions.timer(Math.max(0, at - now));
+        wakeMicros = stale ? wakeMicros : Math.min(wakeMicros, lastConfirmedMicros + limits.staleAfterMicros());
+        if (wakeMicros < nextTimerMicros && !closed) {
+            nextTimerMicros = wakeMicros;
+            actions.scheduleTimer(Math.max(0, wakeMicros - now));
         }
     }
 }
--- a/src/main/java/gatefront/registry/follower/FollowerLimits.java
+++ b/src/main/java/gatefront/registry/follower/FollowerLimits.java
@@ -1,20 +1,30 @@
 package gatefront.registry.follower;
 
 /**
- * What a follower keeps to. Times in microseconds.
+ * The limits and intervals of a follower, in microseconds.
  *
- * @param backoffLeast the first wait after a failure is up to this
- * @param backoffMost and the longest up to this; a registry that says that it has too much to do gets
- *     {@link #OVERLOADED} times as long
- * @param pause between the answer to one call and the next where calls end with each answer; up to as much again
- * @param ask how often a watch in which nothing happens is asked how far it is; 0 if it tells by itself
- * @param silence a call from which nothing has come for so long is broken
- * @param stale a state not confirmed for so long is stale
- * @param reread after how long at the most everything is read anew, to find what no revision shows; 0 for never
- * @param keys how many keys there may be
+ * @param minBackoffMicros the upper bound of the first delay after a failure
+ * @param maxBackoffMicros the upper bound of the longest delay; for a registry that reports overload it is {@link
+ *     #OVERLOAD_BACKOFF_FACTOR} times as long
+ * @param pauseMicros the minimum delay between a response and the next call where calls end with each response; up to
+ *     the same again is added as jitter
+ * @param progressIntervalMicros how often progress is requested from an idle watch; 0 if the registry reports it
+ *     unasked
+ * @param silenceTimeoutMicros a call for which nothing has been received for this long has failed
+ * @param staleAfterMicros entries that have not been confirmed for this long are stale
+ * @param fullReadIntervalMicros the maximum time between full reads, which find changes that no revision shows; 0 for
+ *     none
+ * @param maxKeys the maximum number of keys
  */
 public record FollowerLimits(
-        long backoffLeast, long backoffMost, long pause, long ask, long silence, long stale, long reread, int keys) {
-    /** How much longer the waits may be for a registry that has too much to do. */
-    public static final int OVERLOADED = 4;
+        long minBackoffMicros,
+        long maxBackoffMicros,
+        long pauseMicros,
+        long progressIntervalMicros,
+        long silenceTimeoutMicros,
+        long staleAfterMicros,
+        long fullReadIntervalMicros,
+        int maxKeys) {
+    /** The factor by which the longest delay grows for a registry that reports overload. */
+    public static final int OVERLOAD_BACKOFF_FACTOR = 4;
 }
--- a/src/main/java/gatefront/registry/follower/KeyChange.java
+++ b/src/main/java/gatefront/registry/follower/KeyChange.java
@@ -1,21 +1,21 @@
 package gatefront.registry.follower;
 
 /**
- * One change of one key.
+ * A change of one key.
  *
- * @param key its name
- * @param value what it holds now; null if it has been deleted, by hand or by the end of its lease
- * @param created the revision at which it came; 0 if it has been deleted
- * @param modified the revision of the change
+ * @param key the key
+ * @param value the new value; null if the key has been deleted, explicitly or by the end of its lease
+ * @param createRevision the revision at which the key was created; 0 if it has been deleted
+ * @param modRevision the revision of the change
  */
-public record KeyChange(String key, String value, long created, long modified) {
-    /** A key that is there. */
+public record KeyChange(String key, String value, long createRevision, long modRevision) {
+    /** Returns a change that puts an entry. */
     public static KeyChange put(KeyEntry entry) {
-        return new KeyChange(entry.key(), entry.value(), entry.created(), entry.modified());
+        return new KeyChange(entry.key(), entry.value(), entry.createRevision(), entry.modRevision());
     }
 
-    /** A key that is gone. */
-    public static KeyChange deleted(String key, long modified) {
-        return new KeyChange(key, null, 0, modified);
+    /** Returns a change that deletes a key. */
+    public static KeyChange deleted(String key, long modRevision) {
+        return new KeyChange(key, null, 0, modRevision);
     }
 }
--- a/src/main/java/gatefront/registry/follower/KeyEntry.java
+++ b/src/main/java/gatefront/registry/follower/KeyEntry.java
@@ -3,9 +3,9 @@
 /**
  * A key with its value.
  *
- * @param key its name
- * @param value what it holds
- * @param created the revision at which it came, anew after a deletion
- * @param modified the revision of this value
+ * @param key the key
+ * @param value the value
+ * @param createRevision the revision at which the key was created; a new one after a deletion
+ * @param modRevision the revision of this value
  */
-public record KeyEntry(String key, String value, long created, long modified) {}
+public record KeyEntry(String key, String value, long createRevision, long modRevision) {}
--- a/src/main/java/gatefront/registry/package-info.java
+++ b/src/main/java/gatefront/registry/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The list of servers and their policies from a key-value registry, etcd or Consul. Runs on the agent's loop; owner of
- * one connection, and through its follower of the keys. Loaded only where an installation configures it.
+ * The server list and policies from a key-value registry, etcd or Consul. Runs on the agent's event loop and owns one
+ * connection and, through its follower, the keys. Loaded only if the configuration names a registry.
  */
 package gatefront.registry;
--- a/src/test/java/gatefront/agent/RegistrySettingsReaderTest.java
+++ b/src/test/java/gatefront/agent/RegistrySettingsReaderTest.java
@@ -42,15 +42,15 @@
     void whatIsSaidIsTakenAndTheRestIsUsual() throws Exception {
         RegistrySettings settings = read(GOOD);
         assertEquals(RegistrySettings.Kind.ETCD, settings.kind());
-        assertFalse(settings.instead());
-        assertEquals(2_000_000, settings.bounds().ask());
-        assertEquals(30_000_000, settings.bounds().stale());
+        assertFalse(settings.replacesPadron());
+        assertEquals(2_000_000, settings.limits().progressIntervalMicros());
+        assertEquals(30_000_000, settings.limits().staleAfterMicros());
         assertNull(settings.user());
         assertNull(read(""), "no registry where there is no table");
         RegistrySettings consul =
                 read(GOOD.replace("etcd", "consul") + "padron = \"instead\"\nreads = \"consistent\"\n");
-        assertTrue(consul.instead());
-        assertEquals(0, consul.bounds().ask(), "its reads end by themselves");
+        assertTrue(consul.replacesPadron());
+        assertEquals(0, consul.limits().progressIntervalMicros(), "its reads end by themselves");
     }
 
     @Test
--- a/src/test/java/gatefront/padron/DiscoveryTest.java
+++ b/src/test/java/gatefront/padron/DiscoveryTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** How the server list is followed, by what the padrón does wrong. On virtual time; one way takes 10 ms. */
+/** Following the server list with a padrón that misbehaves. Uses virtual time; the one-way network delay is 10 ms. */
 class DiscoveryTest {
     private static final long MS = 1_000_000;
     private static final int PORT = 8500;
@@ -41,29 +41,29 @@
     private final VirtualTime time = new VirtualTime();
     private final Network network = new Network(time, 0, (from, to, bytes) -> 10 * MS);
     private VirtualHost padron;
-    /** What it does with the next calls, one each; silent when there is none. */
+    /** The responses to the next requests, one each; without one, the padrón does not respond. */
     private final Deque<Script> scripts = new ArrayDeque<>();
-    /** What it was asked, and when, in milliseconds. */
-    private final List<String> asked = new ArrayList<>();
+    /** The URIs of the requests, and their times in milliseconds. */
+    private final List<String> requestUris = new ArrayList<>();
 
-    private final List<Long> askedAt = new ArrayList<>();
-    private final List<String> heard = new ArrayList<>();
+    private final List<Long> requestTimesMs = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
     private int connections;
-    private int ended;
+    private int closedConnections;
 
     private interface Script {
         void run(ChannelHandlerContext ctx);
     }
 
     @BeforeEach
-    void set() throws Exception {
+    void startPadron() throws Exception {
         padron = host("padron", 2);
         listen();
     }
 
-    private VirtualHost host(String name, int last) throws Exception {
+    private VirtualHost host(String name, int lastAddressByte) throws Exception {
         return network.host(
-                name, InetAddress.getByAddress(new byte[] {127, 0, 0, (byte) last}), 0, 1 << 24, line -> {});
+                name, InetAddress.getByAddress(new byte[] {127, 0, 0, (byte) lastAddressByte}), 0, 1 << 24, line -> {});
     }
 
     private void listen() {
@@ -74,7 +74,7 @@
                     @Override
                     protected void initChannel(Channel ch) {
                         connections++;
-                        ch.closeFuture().addListener(closed -> ended++);
+                        ch.closeFuture().addListener(closed -> closedConnections++);
                         ch.pipeline()
                                 .addLast(
                                         new HttpRequestDecoder(),
@@ -83,8 +83,8 @@
                                             @Override
                                             protected void channelRead0(
                                                     ChannelHandlerContext ctx, FullHttpRequest request) {
-                                                asked.add(request.uri());
-                                                askedAt.add(time.nanoTime() / MS);
+                                                requestUris.add(request.uri());
+                                                requestTimesMs.add(time.nanoTime() / MS);
                                                 if (!scripts.isEmpty()) {
                                                     scripts.pollFirst().run(ctx);
                                                 }
@@ -93,34 +93,34 @@
                     }
                 })
                 .bind(padron.at(PORT));
-        run(0);
+        advance(0);
     }
 
-    private Discovery follow(String name, int last, String seed) throws Exception {
-        VirtualHost agent = host(name, last);
+    private Discovery follow(String name, int lastAddressByte, String seed) throws Exception {
+        VirtualHost agent = host(name, lastAddressByte);
         ObjectNode root =
                 (ObjectNode) new ObjectMapper().readTree(Files.readAllBytes(Path.of("src/test/resources/config.json")));
         root.put("discovery", "127.0.0.2:" + PORT).put("seed", seed);
         Discovery discovery = new Discovery(agent, Config.of(root), new Discovery.Listener() {
             @Override
-            public void list(ListKind kind, List<Endpoint> endpoints) {
-                heard.add(kind + " " + endpoints.stream().map(Endpoint::name).toList());
+            public void listReceived(ListKind kind, List<Endpoint> endpoints) {
+                events.add(kind + " " + endpoints.stream().map(Endpoint::name).toList());
             }
 
             @Override
-            public void failed(String why) {
-                heard.add("failed: " + why);
+            public void requestFailed(String why) {
+                events.add("failed: " + why);
             }
         });
         discovery.watch();
         return discovery;
     }
 
-    private void run(long forMs) {
+    private void advance(long forMs) {
         time.run(time.nanoTime() + forMs * MS);
     }
 
-    private static Script says(int status, String body) {
+    private static Script respondWith(int status, String body) {
         return ctx -> write(ctx, status, body, body.length());
     }
 
@@ -130,23 +130,23 @@
                 StandardCharsets.US_ASCII));
     }
 
-    private static Script list(long index, boolean whole, int... servers) {
+    private static Script list(long index, boolean snapshot, int... servers) {
         List<String> entries = new ArrayList<>();
-        for (int each : servers) {
-            entries.add(String.format(ENTRY, each));
+        for (int server : servers) {
+            entries.add(String.format(ENTRY, server));
         }
-        return says(
+        return respondWith(
                 200,
-                "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[" + String.join(",", entries)
+                "{\"index\":" + index + ",\"snapshot\":" + snapshot + ",\"endpoints\":[" + String.join(",", entries)
                         + "]}");
     }
 
-    private String lastAsked() {
-        return asked.get(asked.size() - 1);
+    private String lastRequestUri() {
+        return requestUris.get(requestUris.size() - 1);
     }
 
     @Test
-    void aListCutInItsMiddleIsNotAppliedAndIsAskedForAgainAtOnce() throws Exception {
+    void truncatedListIsNotAppliedAndRequestedAgainWithoutDelay() throws Exception {
         scripts.add(list(4, true, 1));
         scripts.add(ctx -> {
             write(ctx, 200, "{\"index\":9,\"snapshot\":true,\"endpoints\":[" + String.format(ENTRY, 2), 4_000);
@@ -154,97 +154,101 @@
         });
         scripts.add(list(5, false, 3));
         follow("agent", 1, "1");
-        run(1_000); // far less than the time after which an answer is given up
-        assertEquals(List.of("FULL [s-1]", "failed: connection closed", "DELTA [s-3]"), heard);
-        assertTrue(asked.get(2).contains("since=4&"), "from where it was: " + asked);
+        // Much less than the time after which a request is abandoned.
+        advance(1_000);
+        assertEquals(List.of("FULL [s-1]", "failed: connection closed", "DELTA [s-3]"), events);
+        assertTrue(requestUris.get(2).contains("since=4&"), "continues from the last version: " + requestUris);
     }
 
-    /** Failed before: changes of another history were applied to the list. */
+    /** Guards against applying changes of another history to the list. */
     @Test
-    void whenTheVersionGoesBackTheWholeListIsAskedFor() throws Exception {
+    void fullListIsRequestedWhenTheVersionGoesBack() throws Exception {
         scripts.add(list(40, true, 1, 2));
         scripts.add(list(3, false, 3));
         scripts.add(list(4, true, 2, 4));
         follow("agent", 1, "1");
-        run(1_000);
-        assertEquals(List.of("FULL [s-1, s-2]", "failed: the list's version went back to 3", "FULL [s-2, s-4]"), heard);
-        assertEquals("/v1/servers", asked.get(2));
-        assertTrue(asked.get(3).contains("since=4&"));
+        advance(1_000);
+        assertEquals(
+                List.of("FULL [s-1, s-2]", "failed: the list's version went back to 3", "FULL [s-2, s-4]"), events);
+        assertEquals("/v1/servers", requestUris.get(2));
+        assertTrue(requestUris.get(3).contains("since=4&"));
     }
 
-    /** Danger: a call that was given up for another would be made on the connection that comes up for it. */
+    /** Danger: an abandoned request could be sent on the connection that is established for it. */
     @Test
-    void aWatchThatEndsWhileItsConnectionComesUpIsNotMade() throws Exception {
+    void watchCancelledDuringConnectIsNotSent() throws Exception {
         scripts.add(list(4, true, 1));
         Discovery discovery = follow("agent", 1, "1");
-        run(5); // on the way
-        discovery.fetch();
-        run(500);
-        assertEquals("/v1/servers", asked.get(0));
-        assertEquals(1, asked.stream().filter("/v1/servers"::equals).count(), "asked once: " + asked);
-        assertEquals(List.of("FULL [s-1]"), heard);
-        assertEquals(1, connections - ended, "nothing is left of the first");
+        // The connection is being established.
+        advance(5);
+        discovery.fetchFullList();
+        advance(500);
+        assertEquals("/v1/servers", requestUris.get(0));
+        assertEquals(1, requestUris.stream().filter("/v1/servers"::equals).count(), "requested once: " + requestUris);
+        assertEquals(List.of("FULL [s-1]"), events);
+        assertEquals(1, connections - closedConnections, "the first connection is closed");
     }
 
     @Test
-    void anAnswerThatComesAfterItsCallWasGivenUpIsDisregarded() throws Exception {
-        List<ChannelHandlerContext> first = new ArrayList<>();
-        scripts.add(first::add);
+    void responseToACancelledRequestIsIgnored() throws Exception {
+        List<ChannelHandlerContext> pending = new ArrayList<>();
+        scripts.add(pending::add);
         Discovery discovery = follow("agent", 1, "1");
-        run(50);
+        advance(50);
         scripts.add(list(8, true, 2));
-        discovery.fetch();
-        list(7, true, 1).run(first.get(0));
-        run(500);
-        assertEquals(List.of("FULL [s-2]"), heard);
+        discovery.fetchFullList();
+        list(7, true, 1).run(pending.get(0));
+        advance(500);
+        assertEquals(List.of("FULL [s-2]"), events);
     }
 
-    /** Two answers in one segment: the second belongs to no call, and what comes behind it to none of ours. */
+    /** Two responses in one segment: the second belongs to no request, and nothing after it belongs to one either. */
     @Test
-    void anAnswerToNothingIsNotTakenForThatToTheNextCall() throws Exception {
+    void unsolicitedResponseIsNotUsedForTheNextRequest() throws Exception {
         scripts.add(ctx -> {
             list(4, true, 1).run(ctx);
             list(9, true, 2).run(ctx);
         });
         scripts.add(list(5, false, 3));
         follow("agent", 1, "1");
-        run(500);
-        assertEquals(List.of("FULL [s-1]", "failed: connection closed", "DELTA [s-3]"), heard);
-        assertTrue(asked.get(1).contains("since=4&"), "from where it was: " + asked);
+        advance(500);
+        assertEquals(List.of("FULL [s-1]", "failed: connection closed", "DELTA [s-3]"), events);
+        assertTrue(requestUris.get(1).contains("since=4&"), "continues from the last version: " + requestUris);
     }
 
     @Test
-    void nothingIsHeardOfAConnectionThatWasGivenUp() throws Exception {
+    void responseAfterConnectionCloseIsIgnored() throws Exception {
         scripts.add(ctx -> ctx.writeAndFlush(Unpooled.copiedBuffer(
                 "HTTP/1.1 200 x\r\nConnection: close\r\nContent-Length: 42\r\n\r\n"
                         + "{\"index\":4,\"snapshot\":true,\"endpoints\":[]}"
                         + "HTTP/1.1 200 x\r\nContent-Length: 42\r\n\r\n{\"index\":9,\"snapshot\":true,\"endpoints\":[]}",
                 StandardCharsets.US_ASCII)));
         follow("agent", 1, "1");
-        run(300);
-        assertEquals(List.of("FULL []"), heard);
-        assertTrue(asked.get(1).contains("since=4&"), "from where it was: " + asked);
+        advance(300);
+        assertEquals(List.of("FULL []"), events);
+        assertTrue(requestUris.get(1).contains("since=4&"), "continues from the last version: " + requestUris);
     }
 
-    /** So many agents begin together and get this answer to every call. */
-    private static DiscoveryTest crowd(int agents, int status, long forMs) throws Exception {
-        DiscoveryTest day = new DiscoveryTest();
-        day.set();
+    /** Starts a number of agents at the same time, all of whose requests get the same response. */
+    private static DiscoveryTest startAgents(int agents, int status, long forMs) throws Exception {
+        DiscoveryTest test = new DiscoveryTest();
+        test.startPadron();
         for (int i = 0; i < 5_000; i++) {
-            day.scripts.add(says(status, ""));
+            test.scripts.add(respondWith(status, ""));
         }
         for (int i = 0; i < agents; i++) {
-            day.follow("agent-" + i, 10 + i, Integer.toHexString(i + 1));
+            test.follow("agent-" + i, 10 + i, Integer.toHexString(i + 1));
         }
-        day.run(forMs);
-        return day;
+        test.advance(forMs);
+        return test;
     }
 
-    /** Failed before: the steps doubled without jitter, and all came back in the same moments. */
+    /** Guards against doubled delays without jitter, with which all agents retried at the same moments. */
     @Test
-    void agentsThatAreTurnedAwayTogetherDoNotComeBackTogether() throws Exception {
-        DiscoveryTest day = crowd(20, 503, 4_000);
-        List<Long> later = day.askedAt.stream().filter(at -> at > 1_000).toList();
+    void agentsRefusedTogetherRetryAtDifferentTimes() throws Exception {
+        DiscoveryTest crowd = startAgents(20, 503, 4_000);
+        List<Long> later =
+                crowd.requestTimesMs.stream().filter(at -> at > 1_000).toList();
         long busiest = later.stream()
                 .mapToLong(at -> later.stream()
                         .filter(other -> other >= at && other < at + 20)
@@ -254,44 +258,46 @@
         assertTrue(later.size() > 20 && busiest <= 8, busiest + " of 20 agents within 20 ms");
     }
 
-    /** Failed before: each came back within a second however often it was told that there was too much to do. */
+    /** Guards against agents that retry every second however often the padrón reports overload. */
     @Test
-    void whereItIsOverbookedAgentsComeBackLessOftenThanWhereItIsDown() throws Exception {
-        int overbooked = crowd(10, 503, 20_000).asked.size();
-        int down = crowd(10, 500, 20_000).asked.size();
-        assertTrue(overbooked < 0.7 * down, overbooked + " and " + down);
+    void agentsRetryLessOftenWhenOverloadedThanWhenFailing() throws Exception {
+        int overloaded = startAgents(10, 503, 20_000).requestUris.size();
+        int failing = startAgents(10, 500, 20_000).requestUris.size();
+        assertTrue(overloaded < 0.7 * failing, overloaded + " and " + failing);
     }
 
-    /** Failed before: one answer ended the back-off, and the next refusal was met at full speed again. */
+    /** Guards against one success that resets the backoff, so that the next refusal is met at the full rate. */
     @Test
-    void oneAnswerAmongRefusalsDoesNotEndTheBackOff() throws Exception {
+    void oneSuccessAmongRefusalsDoesNotResetTheBackoff() throws Exception {
         for (int i = 0; i < 6; i++) {
-            scripts.add(says(503, ""));
+            scripts.add(respondWith(503, ""));
         }
         scripts.add(list(4, true, 1));
         for (int i = 0; i < 200; i++) {
-            scripts.add(says(503, ""));
+            scripts.add(respondWith(503, ""));
         }
         follow("agent", 1, "1");
-        while (heard.isEmpty() || !heard.contains("FULL [s-1]")) {
-            run(100);
+        while (events.isEmpty() || !events.contains("FULL [s-1]")) {
+            advance(100);
         }
-        int before = asked.size();
-        run(1_000);
-        assertTrue(asked.size() - before <= 5, "calls in the second after: " + (asked.size() - before));
+        int before = requestUris.size();
+        advance(1_000);
+        assertTrue(requestUris.size() - before <= 5, "calls in the second after: " + (requestUris.size() - before));
     }
 
-    /** Failed before: each of many changes in a row brought a call of its own from every agent. */
+    /** Guards against a request of every agent for each of many consecutive changes. */
     @Test
-    void changesInARowAreFetchedTogether() throws Exception {
+    void consecutiveChangesAreFetchedTogether() throws Exception {
         for (int i = 1; i <= 200; i++) {
             scripts.add(list(i, i == 1, i));
         }
         follow("agent", 1, "1");
-        run(2_000);
-        assertTrue(asked.size() >= 12 && asked.size() <= 25, "calls in 2 s: " + asked.size());
-        for (int i = 1; i < askedAt.size(); i++) {
-            assertTrue(askedAt.get(i) - askedAt.get(i - 1) < 200, "a watch goes on within 200 ms of its last answer");
+        advance(2_000);
+        assertTrue(requestUris.size() >= 12 && requestUris.size() <= 25, "calls in 2 s: " + requestUris.size());
+        for (int i = 1; i < requestTimesMs.size(); i++) {
+            assertTrue(
+                    requestTimesMs.get(i) - requestTimesMs.get(i - 1) < 200,
+                    "a watch continues within 200 ms of its last response");
         }
     }
 }
--- a/src/test/java/gatefront/registry/ConsulConnectorTest.java
+++ b/src/test/java/gatefront/registry/ConsulConnectorTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The contract for Consul, and what only Consul has. */
+/** The registry contract with Consul, and the behaviour specific to Consul. */
 class ConsulConnectorTest extends RegistryContract {
     private String token;
     private String service;
@@ -21,7 +21,7 @@
     }
 
     @Override
-    RegistryStandIn member(VirtualHost host) {
+    RegistryStandIn createMember(VirtualHost host) {
         return new ConsulStandIn(host, () -> store);
     }
 
@@ -37,72 +37,78 @@
                 token,
                 service,
                 RegistrySettings.Reads.USUAL,
-                bounds(),
+                limits(),
                 null);
     }
 
     @Test
-    void theTokenIsToldAndWithoutItNothingIsRead() throws Exception {
+    void tokenIsSentAndReadsFailWithoutIt() throws Exception {
         put("nodos/a", "1");
         members.forEach(each -> each.secret("s3cret"));
         token = "s3cret";
         follow();
-        same();
+        assertSameAsStore();
         members.forEach(each -> each.secret("another"));
         members.forEach(RegistryStandIn::cut);
         put("nodos/a", "2");
-        run(3 * SECOND);
-        assertEquals("1", known("nodos/a"));
+        advance(3 * SECOND);
+        assertEquals("1", knownValue("nodos/a"));
         assertTrue(
-                lines.stream().anyMatch(each -> each.contains("answer 403, the token has no right to oaxaca/")),
-                lines.toString());
-        assertTrue(lines.stream().noneMatch(each -> each.contains("s3cret")), "secrets are not logged");
+                logLines.stream()
+                        .anyMatch(each -> each.contains("HTTP status 403, the token has no permission for oaxaca/")),
+                logLines.toString());
+        assertTrue(logLines.stream().noneMatch(each -> each.contains("s3cret")), "secrets are not logged");
     }
 
-    /** The instances of a service: a check that turns critical changes no index of the instance, and still is told. */
+    /** A check that turns critical changes no index of its instance; the change must still be reported. */
     @Test
-    void theHealthOfAServiceIsAListToo() throws Exception {
+    void serviceHealthGivesAServerList() throws Exception {
         service = "cuentas";
         store.put("cuentas/s-1", "3000 a passing");
         follow();
         assertEquals(
                 "{\"address\":\"127.0.0.1:3000\",\"zone\":\"a\",\"type\":\"small\",\"group\":0,"
                         + "\"status\":\"Ready\",\"weight\":2.0,\"since_ms\":0}",
-                known("nodos/s-1"));
+                knownValue("nodos/s-1"));
         store.put("cuentas/s-1", "3000 a critical");
-        news();
-        run(300 * MS);
-        assertTrue(known("nodos/s-1").contains("\"status\":\"Terminating\""), known("nodos/s-1"));
+        notifyMembers();
+        advance(300 * MS);
+        assertTrue(knownValue("nodos/s-1").contains("\"status\":\"Terminating\""), knownValue("nodos/s-1"));
         store.delete("cuentas/s-1");
-        news();
-        run(300 * MS);
+        notifyMembers();
+        advance(300 * MS);
         assertEquals(0, client.follower().entries().size());
     }
 
-    /** A member that was cut off answers from what it had: it says so, and another one is asked. */
+    /** A partitioned member answers from its old data and says so in its headers; another member must be used. */
     @Test
-    void aMemberThatHasLostItsLeaderIsNotBelieved() throws Exception {
+    void memberWithoutALeaderIsNotTrusted() throws Exception {
         put("nodos/a", "1");
         follow();
         for (RegistryStandIn each : members) {
             ((ConsulStandIn) each).cutOff(false, 0);
         }
         put("nodos/a", "2");
-        run(3 * SECOND);
-        assertEquals("1", known("nodos/a"));
+        advance(3 * SECOND);
+        assertEquals("1", knownValue("nodos/a"));
         for (RegistryStandIn each : members) {
-            ((ConsulStandIn) each).cutOff(true, 16_000); // longer than a state may be unconfirmed
+            // Longer than the time after which entries are stale.
+            ((ConsulStandIn) each).cutOff(true, 16_000);
         }
-        run(3 * SECOND);
-        assertEquals("1", known("nodos/a"));
+        advance(3 * SECOND);
+        assertEquals("1", knownValue("nodos/a"));
         ((ConsulStandIn) members.get(1)).cutOff(true, 20);
-        run(5 * SECOND);
-        same();
-        assertTrue(lines.stream().anyMatch(each -> each.contains("it knows no leader")), lines.toString());
-        assertTrue(lines.stream().anyMatch(each -> each.contains("not heard of its leader for 16000 ms")));
+        advance(5 * SECOND);
+        assertSameAsStore();
+        assertTrue(
+                logLines.stream().anyMatch(each -> each.contains("the member knows no leader")), logLines.toString());
+        assertTrue(logLines.stream().anyMatch(each -> each.contains("no contact with its leader for 16000 ms")));
     }
 
-    /** As documented an index below 1 is a fault; and a list of other keys is no answer to what was asked. */
+    /**
+     * According to its documentation, an index below 1 is an error. Keys outside the prefix do not belong to the
+     * request.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -111,27 +117,27 @@
                 "90|[{\"Key\":\"oaxaca/b\",\"Value\":\"\",\"CreateIndex\":5,\"ModifyIndex\":2}]",
                 "90|[{\"Key\":\"oaxaca/b\",\"Value\":\"\",\"CreateIndex\":5,\"ModifyIndex\":91}]"
             })
-    void anIndexOrAListThatCannotBeIsNotBelieved(String answer) throws Exception {
+    void invalidIndexOrKeyListIsRejected(String answer) throws Exception {
         put("nodos/a", "1");
         follow();
-        down(true);
+        setMembersDown(true);
         String body = answer.split("\\|")[1];
-        liars("HTTP/1.1 200 OK\r\nX-Consul-Index: " + answer.split("\\|")[0] + "\r\nContent-Length: " + body.length()
-                + "\r\n\r\n" + body);
-        run(5 * SECOND);
-        assertEquals("1", known("nodos/a"));
+        startListenersAnswering("HTTP/1.1 200 OK\r\nX-Consul-Index: " + answer.split("\\|")[0] + "\r\nContent-Length: "
+                + body.length() + "\r\n\r\n" + body);
+        advance(5 * SECOND);
+        assertEquals("1", knownValue("nodos/a"));
         assertEquals(1, client.follower().entries().size());
-        assertTrue(lines.stream().anyMatch(each -> each.contains("unusable answer")), lines.toString());
+        assertTrue(logLines.stream().anyMatch(each -> each.contains("invalid response")), logLines.toString());
     }
 
-    /** Consul has one index for all keys of a prefix; where nothing changes, one read waits at a time. */
+    /** Consul has one index for all keys of a prefix; without changes, one blocking query is open at a time. */
     @Test
-    void quietAgentsAskSeldom() throws Exception {
+    void idleAgentsCallSeldom() throws Exception {
         put("nodos/a", "1");
         follow();
         int before = members.stream().mapToInt(RegistryStandIn::calls).sum();
-        run(60 * SECOND);
+        advance(60 * SECOND);
         int calls = members.stream().mapToInt(RegistryStandIn::calls).sum() - before;
-        assertTrue(calls >= 15 && calls <= 21, "calls in 60 s, each waits 3 s: " + calls);
+        assertTrue(calls >= 15 && calls <= 21, "calls in 60 s with a wait time of 3 s: " + calls);
     }
 }
--- a/src/test/java/gatefront/registry/EtcdConnectorTest.java
+++ b/src/test/java/gatefront/registry/EtcdConnectorTest.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** The contract for etcd, and what only etcd has. */
+/** The registry contract with etcd, and the behaviour specific to etcd. */
 class EtcdConnectorTest extends RegistryContract {
     private String password;
 
@@ -20,7 +20,7 @@
     }
 
     @Override
-    RegistryStandIn member(VirtualHost host) {
+    RegistryStandIn createMember(VirtualHost host) {
         return new EtcdStandIn(host, () -> store);
     }
 
@@ -36,113 +36,116 @@
                 null,
                 null,
                 RegistrySettings.Reads.USUAL,
-                bounds(),
+                limits(),
                 null);
     }
 
-    /** From now on members want this password, and give a token for it. */
-    private void letIn(String wanted) {
+    /** Makes the members require a password, for which they issue a token. */
+    private void requirePassword(String password) {
         members.forEach(each -> {
-            ((EtcdStandIn) each).password(wanted);
+            ((EtcdStandIn) each).password(password);
             each.secret("token-1");
         });
     }
 
-    private EtcdStandIn etcd(int i) {
+    private EtcdStandIn etcdMember(int i) {
         return (EtcdStandIn) members.get(i);
     }
 
-    private void keys(int n, String value) {
+    private void commitKeys(int n, String value) {
         Map<String, String> all = new TreeMap<>();
         for (int i = 0; i < n; i++) {
             all.put(PREFIX + "nodos/" + i, value);
         }
         store.commit(all);
-        news();
+        notifyMembers();
     }
 
     @Test
-    void aReadInPagesIsOfOneRevisionThoughKeysChangeMeanwhile() throws Exception {
-        keys(3_500, "before");
-        int[] times = new int[1];
+    void pagedReadIsOfOneRevisionWhileKeysChange() throws Exception {
+        commitKeys(3_500, "before");
+        int[] pageBreaks = new int[1];
         members.forEach(each -> ((EtcdStandIn) each).betweenPages(() -> {
-            times[0]++;
-            store.put(PREFIX + "nodos/" + (3_000 + times[0]), "meanwhile");
+            pageBreaks[0]++;
+            store.put(PREFIX + "nodos/" + (3_000 + pageBreaks[0]), "meanwhile");
         }));
         follow();
-        run(SECOND);
-        assertEquals(3, times[0]);
-        same();
-        once();
+        advance(SECOND);
+        assertEquals(3, pageBreaks[0]);
+        assertSameAsStore();
+        assertReportedOnceInOrder();
     }
 
     @Test
-    void aReadWhoseRevisionIsCompactedBeginsAgain() throws Exception {
-        keys(2_500, "before");
-        int[] times = new int[1];
+    void readIsRepeatedWhenItsRevisionIsCompacted() throws Exception {
+        commitKeys(2_500, "before");
+        int[] pageBreaks = new int[1];
         members.forEach(each -> ((EtcdStandIn) each).betweenPages(() -> {
-            if (++times[0] < 3) {
-                store.put(PREFIX + "nodos/1", "meanwhile " + times[0]);
+            if (++pageBreaks[0] < 3) {
+                store.put(PREFIX + "nodos/1", "meanwhile " + pageBreaks[0]);
                 store.compact(store.revision());
             }
         }));
         follow();
-        run(SECOND);
-        same();
+        advance(SECOND);
+        assertSameAsStore();
     }
 
     @Test
-    void changesInFragmentsAndToldTwiceAreAppliedOnce() throws Exception {
+    void fragmentedAndRepeatedChangesAreAppliedOnce() throws Exception {
         members.forEach(each -> ((EtcdStandIn) each).fragment(3).repeats(true));
         follow();
         for (int i = 0; i < 10; i++) {
-            keys(10, "round " + i);
-            run(50 * MS);
+            commitKeys(10, "round " + i);
+            advance(50 * MS);
         }
-        run(SECOND);
-        same();
-        once();
-        assertEquals(100, told.size());
+        advance(SECOND);
+        assertSameAsStore();
+        assertReportedOnceInOrder();
+        assertEquals(100, reported.size());
     }
 
     @Test
-    void aTokenThatExpiresIsRenewedAndNothingIsMissed() throws Exception {
-        letIn("clave");
+    void expiredTokenIsRenewedWithoutLosingChanges() throws Exception {
+        requirePassword("clave");
         password = "clave";
         put("nodos/a", "1");
         follow();
-        same();
+        assertSameAsStore();
         members.forEach(each -> each.secret("token-2"));
         members.forEach(RegistryStandIn::cut);
-        run(100 * MS); // else the old watch would still tell it
+        // Waits until the connections are closed; otherwise the old watch would still report the change.
+        advance(100 * MS);
         put("nodos/a", "2");
-        run(3 * SECOND);
-        same();
-        once();
-        assertTrue(lines.stream().noneMatch(each -> each.contains("clave") || each.contains("token-")));
+        advance(3 * SECOND);
+        assertSameAsStore();
+        assertReportedOnceInOrder();
+        assertTrue(logLines.stream().noneMatch(each -> each.contains("clave") || each.contains("token-")));
     }
 
     @Test
-    void aWrongPasswordIsSaidAndNotTriedWithoutEnd() throws Exception {
-        letIn("clave");
+    void wrongPasswordIsLoggedAndRetriedAtALimitedRate() throws Exception {
+        requirePassword("clave");
         password = "otra";
         put("nodos/a", "1");
         follow();
-        run(10 * SECOND);
+        advance(10 * SECOND);
         assertEquals(0, client.follower().entries().size());
-        assertTrue(lines.stream().anyMatch(each -> each.contains("user agente is not let in")), lines.toString());
-        assertTrue(lines.size() < 60, lines.size() + " lines in 10 s");
+        assertTrue(
+                logLines.stream().anyMatch(each -> each.contains("authentication of user agente failed")),
+                logLines.toString());
+        assertTrue(logLines.size() < 60, logLines.size() + " lines in 10 s");
     }
 
-    /** A member that answers nothing new is asked how far it is, and its answer keeps the state fresh. */
+    /** Progress is requested from an idle watch, and the response keeps the entries from becoming stale. */
     @Test
-    void aQuietWatchIsAskedHowFarItIs() throws Exception {
+    void progressIsRequestedOnAnIdleWatch() throws Exception {
         put("nodos/a", "1");
         follow();
         store.put("elsewhere/b", "2");
-        run(60 * SECOND);
+        advance(60 * SECOND);
         assertEquals(store.revision(), client.follower().revision());
-        assertTrue(client.follower().age(time.nanoTime() / 1000) < 3_000_000);
-        assertEquals(1, members.stream().mapToInt(RegistryStandIn::watches).sum(), "one watch for all of it: " + lines);
+        assertTrue(client.follower().unconfirmedMicros(time.nanoTime() / 1000) < 3_000_000);
+        assertEquals(1, members.stream().mapToInt(RegistryStandIn::watches).sum(), "one watch in total: " + logLines);
     }
 }
