--- a/src/test/java/gatefront/registry/GrpcPeerTest.java
+++ b/src/test/java/gatefront/registry/GrpcPeerTest.java
@@ -29,13 +29,17 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 
-/** Another's gRPC on the other side, over loopback sockets: the framing is not only our own idea of it. */
+/**
+ * Uses the gRPC library as the peer over loopback sockets, so that the framing is checked against an independent
+ * implementation.
+ */
 class GrpcPeerTest {
-    private static final long GENEROUS_S = 20;
+    private static final long TIMEOUT_S = 20;
 
     private static byte[] header(long revision) {
         return Protobuf.message(out -> {
-            out.writeUInt64(1, -5); // ids of clusters use all 64 bits
+            // Cluster ids use all 64 bits.
+            out.writeUInt64(1, -5);
             out.writeInt64(3, revision);
         });
     }
@@ -46,7 +50,8 @@
             out.writeInt64(2, revision);
             out.writeInt64(3, revision);
             out.writeByteArray(5, value.getBytes(StandardCharsets.UTF_8));
-            out.writeInt64(99, 1); // a field that comes with a later version
+            // A field of a later version.
+            out.writeInt64(99, 1);
         });
     }
 
@@ -75,8 +80,9 @@
     }
 
     /**
-     * Observers are not made for two threads: the library's answers to the client, and the test's. And the message is
-     * made in its turn: progress up to a revision must not be told before that revision's changes.
+     * Sends a message under a lock, since observers are not thread-safe and are used by both the library and the test.
+     * The message is created under the lock as well: progress up to a revision must not be sent before the changes of
+     * that revision.
      */
     private static void send(StreamObserver<byte[]> to, Supplier<byte[]> message) {
         synchronized (to) {
@@ -85,13 +91,14 @@
     }
 
     @Test
-    void aReadOfManyFramesAndAWatchAreUnderstood() throws Exception {
+    void readOfManyFramesAndWatchAreDecoded() throws Exception {
         AtomicLong revision = new AtomicLong(5);
-        BlockingQueue<StreamObserver<byte[]>> begun = new LinkedBlockingQueue<>();
-        BlockingQueue<byte[]> asked = new LinkedBlockingQueue<>();
-        String large = "x".repeat(200_000); // many HTTP/2 frames, and more than a first window
+        BlockingQueue<StreamObserver<byte[]>> openWatches = new LinkedBlockingQueue<>();
+        BlockingQueue<byte[]> requests = new LinkedBlockingQueue<>();
+        // Needs many HTTP/2 frames and exceeds the initial window.
+        String large = "x".repeat(200_000);
         var range = ServerCalls.asyncUnaryCall((byte[] request, StreamObserver<byte[]> answer) -> {
-            asked.add(request);
+            requests.add(request);
             answer.onNext(Protobuf.message(out -> {
                 out.writeByteArray(1, header(5));
                 for (int i = 0; i < 10; i++) {
@@ -105,8 +112,8 @@
             return new StreamObserver<byte[]>() {
                 @Override
                 public void onNext(byte[] request) {
-                    asked.add(request);
-                    boolean watches = !Arrays.equals(EtcdMessages.progress(), request);
+                    requests.add(request);
+                    boolean watches = !Arrays.equals(EtcdMessages.progressRequest(), request);
                     send(
                             answer,
                             () -> Protobuf.message(out -> {
@@ -114,7 +121,7 @@
                                 out.writeBool(3, watches);
                             }));
                     if (watches) {
-                        begun.add(answer);
+                        openWatches.add(answer);
                     }
                 }
 
@@ -135,21 +142,23 @@
                 .build()
                 .start();
         SocketTransport sockets = new SocketTransport();
-        BlockingQueue<KeyChange> told = new LinkedBlockingQueue<>();
+        BlockingQueue<KeyChange> reported = new LinkedBlockingQueue<>();
         RegistrySettings settings = RegistrySettings.of(
                 RegistrySettings.Kind.ETCD,
                 List.of(new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getPort())),
                 "oaxaca/",
                 new FollowerLimits(50_000, 1_000_000, 0, 60_000_000, 120_000_000, 300_000_000, 0, 1_000));
-        RegistryClient client = new RegistryClient(sockets, settings, 1, (full, changes, all) -> told.addAll(changes));
+        RegistryClient client =
+                new RegistryClient(sockets, settings, 1, (full, changes, all) -> reported.addAll(changes));
         try {
             sockets.loop().execute(client::start);
             for (int i = 0; i < 10; i++) {
-                assertEquals(new KeyChange("oaxaca/nodos/" + i, large, 4, 4), told.poll(GENEROUS_S, TimeUnit.SECONDS));
+                assertEquals(
+                        new KeyChange("oaxaca/nodos/" + i, large, 4, 4), reported.poll(TIMEOUT_S, TimeUnit.SECONDS));
             }
-            StreamObserver<byte[]> first = begun.poll(GENEROUS_S, TimeUnit.SECONDS);
+            StreamObserver<byte[]> firstWatch = openWatches.poll(TIMEOUT_S, TimeUnit.SECONDS);
             send(
-                    first,
+                    firstWatch,
                     () -> Protobuf.message(out -> {
                         revision.set(6);
                         out.writeByteArray(1, header(6));
@@ -160,14 +169,14 @@
                             event.writeByteArray(2, kv("oaxaca/nodos/1", "", 6));
                         }));
                     }));
-            assertEquals(new KeyChange("oaxaca/nodos/0", "new", 6, 6), told.poll(GENEROUS_S, TimeUnit.SECONDS));
-            assertEquals(KeyChange.deleted("oaxaca/nodos/1", 6), told.poll(GENEROUS_S, TimeUnit.SECONDS));
-            // The stream ends with a status: the next watch begins behind what was told.
-            first.onError(
+            assertEquals(new KeyChange("oaxaca/nodos/0", "new", 6, 6), reported.poll(TIMEOUT_S, TimeUnit.SECONDS));
+            assertEquals(KeyChange.deleted("oaxaca/nodos/1", 6), reported.poll(TIMEOUT_S, TimeUnit.SECONDS));
+            // The stream ends with a status; the next watch starts after the reported changes.
+            firstWatch.onError(
                     io.grpc.Status.UNAVAILABLE.withDescription("leader changed").asRuntimeException());
-            StreamObserver<byte[]> second = begun.poll(GENEROUS_S, TimeUnit.SECONDS);
+            StreamObserver<byte[]> secondWatch = openWatches.poll(TIMEOUT_S, TimeUnit.SECONDS);
             send(
-                    second,
+                    secondWatch,
                     () -> Protobuf.message(out -> {
                         revision.set(7);
                         out.writeByteArray(1, header(7));
@@ -175,9 +184,11 @@
                                 11,
                                 Protobuf.message(event -> event.writeByteArray(2, kv("oaxaca/nodos/1", "back", 7))));
                     }));
-            assertEquals(new KeyChange("oaxaca/nodos/1", "back", 7, 7), told.poll(GENEROUS_S, TimeUnit.SECONDS));
-            byte[] resumed = EtcdMessages.watch(EtcdMessages.bytes("oaxaca/"), EtcdMessages.behind("oaxaca/"), 7);
-            assertTrue(asked.stream().anyMatch(each -> Arrays.equals(resumed, each)), "resumed from revision 7");
+            assertEquals(new KeyChange("oaxaca/nodos/1", "back", 7, 7), reported.poll(TIMEOUT_S, TimeUnit.SECONDS));
+            byte[] resumeRequest =
+                    EtcdMessages.watchRequest(EtcdMessages.bytes("oaxaca/"), EtcdMessages.prefixEnd("oaxaca/"), 7);
+            assertTrue(
+                    requests.stream().anyMatch(each -> Arrays.equals(resumeRequest, each)), "resumed from revision 7");
         } finally {
             CountDownLatch ended = new CountDownLatch(1);
             sockets.loop().execute(() -> {
--- a/src/test/java/gatefront/registry/RegistryContract.java
+++ b/src/test/java/gatefront/registry/RegistryContract.java
@@ -31,62 +31,72 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What holds for a registry of either kind, by what goes wrong. On virtual time; one way takes 5 ms. */
+/**
+ * Tests that hold for both kinds of registries, mostly of their failures. Uses virtual time; the one-way network delay
+ * is 5 ms.
+ */
 abstract class RegistryContract {
     static final long MS = 1_000_000;
     static final long SECOND = 1_000 * MS;
     static final String PREFIX = "oaxaca/";
-    private static final String END = KeyValueStore.behind(PREFIX);
+    private static final String PREFIX_END = KeyValueStore.behind(PREFIX);
     private static final int MEMBERS = 3;
     private static final int PORT = 2379;
-    /** Told so long after the connection can be had again: the longest wait, a dial and two round trips. */
-    private static final long BOUND = 1_000 * MS + 100 * MS;
+    /**
+     * The time within which a change is reported after a connection is possible again: the longest backoff, a connect
+     * and two round trips.
+     */
+    private static final long RECOVERY_BOUND = 1_000 * MS + 100 * MS;
 
     final VirtualTime time = new VirtualTime();
     final Network network = new Network(time, 0, (from, to, bytes) -> 5 * MS);
     KeyValueStore store = new KeyValueStore(7);
     final List<RegistryStandIn> members = new ArrayList<>();
     private final List<VirtualHost> hosts = new ArrayList<>();
-    final List<String> lines = new ArrayList<>();
-    final List<KeyChange> told = new ArrayList<>();
-    private final List<Boolean> stale = new ArrayList<>();
-    private int fulls;
+    final List<String> logLines = new ArrayList<>();
+    final List<KeyChange> reported = new ArrayList<>();
+    private final List<Boolean> staleEvents = new ArrayList<>();
+    private int fullReads;
     RegistryClient client;
 
     abstract RegistrySettings.Kind kind();
 
-    abstract RegistryStandIn member(VirtualHost host);
+    abstract RegistryStandIn createMember(VirtualHost host);
 
-    FollowerLimits bounds() {
+    FollowerLimits limits() {
         boolean etcd = kind() == RegistrySettings.Kind.ETCD;
         return new FollowerLimits(
                 50_000, 1_000_000, etcd ? 0 : 60_000, etcd ? 2_000_000 : 0, 6_000_000, 15_000_000, 600_000_000, 20_000);
     }
 
     RegistrySettings settings() {
-        return RegistrySettings.of(kind(), addresses(), PREFIX, bounds());
+        return RegistrySettings.of(kind(), addresses(), PREFIX, limits());
     }
 
     final List<InetSocketAddress> addresses() {
         return hosts.stream().limit(MEMBERS).map(each -> each.at(PORT)).toList();
     }
 
-    final VirtualHost host(String name, int net, int last) throws Exception {
+    final VirtualHost host(String name, int thirdAddressByte, int lastAddressByte) throws Exception {
         return network.host(
-                name, InetAddress.getByAddress(new byte[] {127, 0, (byte) net, (byte) last}), 0, 1 << 26, lines::add);
+                name,
+                InetAddress.getByAddress(new byte[] {127, 0, (byte) thirdAddressByte, (byte) lastAddressByte}),
+                0,
+                1 << 26,
+                logLines::add);
     }
 
     @BeforeEach
-    void set() throws Exception {
+    void startMembers() throws Exception {
         for (int i = 0; i < MEMBERS; i++) {
             hosts.add(host("registry-" + i, 2, 2 + i));
-            members.add(member(hosts.get(i)));
+            members.add(createMember(hosts.get(i)));
             members.get(i).listen(hosts.get(i).at(PORT));
         }
-        run(0);
+        advance(0);
     }
 
-    final void run(long nanos) {
+    final void advance(long nanos) {
         time.run(time.nanoTime() + nanos);
     }
 
@@ -99,259 +109,265 @@
         client = follow(0, new RegistryClient.Listener() {
             @Override
             public void changed(boolean full, List<KeyChange> changes, Map<String, KeyEntry> all) {
-                fulls += full ? 1 : 0;
-                told.addAll(changes);
+                fullReads += full ? 1 : 0;
+                reported.addAll(changes);
             }
 
             @Override
-            public void stale(boolean now) {
-                stale.add(now);
+            public void staleChanged(boolean isStale) {
+                staleEvents.add(isStale);
             }
         });
         client.start();
-        run(300 * MS);
+        advance(300 * MS);
     }
 
     final void put(String key, String value) {
         store.put(PREFIX + key, value);
-        news();
+        notifyMembers();
     }
 
     final void delete(String key) {
         store.delete(PREFIX + key);
-        news();
+        notifyMembers();
     }
 
-    final void news() {
+    final void notifyMembers() {
         members.forEach(RegistryStandIn::news);
     }
 
-    final String known(String key) {
+    final String knownValue(String key) {
         KeyEntry entry = client.follower().entries().get(PREFIX + key);
         return entry == null ? null : entry.value();
     }
 
-    /** Everything that the registry has is known, and nothing else. */
-    final void same() {
+    /** Asserts that the entries are exactly those of the registry. */
+    final void assertSameAsStore() {
         assertEquals(
-                store.range(PREFIX, END, store.revision()).stream()
+                store.range(PREFIX, PREFIX_END, store.revision()).stream()
                         .map(each -> new KeyEntry(each.key(), each.value(), each.created(), each.modified()))
                         .toList(),
                 List.copyOf(client.follower().entries().values()));
     }
 
-    /** Of one key, each value was told once, in the order of their revisions. */
-    final void once() {
+    /** Asserts that each value of a key was reported once, in the order of the revisions. */
+    final void assertReportedOnceInOrder() {
         Map<String, Long> newest = new HashMap<>();
-        for (KeyChange each : told) {
-            Long before = newest.put(each.key(), each.modified());
-            assertTrue(before == null || before < each.modified(), each + " was told after revision " + before);
+        for (KeyChange change : reported) {
+            Long previous = newest.put(change.key(), change.modRevision());
+            assertTrue(
+                    previous == null || previous < change.modRevision(),
+                    change + " was reported after revision " + previous);
         }
     }
 
-    final void down(boolean now) {
+    final void setMembersDown(boolean isDown) {
         for (int i = 0; i < MEMBERS; i++) {
-            members.get(i).down(now, hosts.get(i).at(PORT));
+            members.get(i).down(isDown, hosts.get(i).at(PORT));
         }
     }
 
     @Test
-    void whatIsThereIsToldAndThenWhatChanges() throws Exception {
+    void existingKeysAndLaterChangesAreReported() throws Exception {
         put("nodos/a", "1");
         store.put("elsewhere/b", "2");
         follow();
-        assertEquals("1", known("nodos/a"));
+        assertEquals("1", knownValue("nodos/a"));
         put("nodos/a", "3");
-        run(200 * MS);
+        advance(200 * MS);
         delete("nodos/a");
         put("nodos/c", "4");
-        run(200 * MS);
+        advance(200 * MS);
         assertEquals(
                 List.of("1", "3", "null", "4"),
-                told.stream().map(each -> String.valueOf(each.value())).toList());
-        same();
-        once();
+                reported.stream().map(each -> String.valueOf(each.value())).toList());
+        assertSameAsStore();
+        assertReportedOnceInOrder();
         assertEquals(1, client.follower().entries().size());
     }
 
     @Test
-    void anEmptyRegistryIsAState() throws Exception {
+    void emptyRegistryIsAValidState() throws Exception {
         follow();
         assertTrue(client.follower().revision() >= 0);
         put("nodos/a", "1");
-        run(200 * MS);
-        same();
+        advance(200 * MS);
+        assertSameAsStore();
     }
 
     @Test
-    void aDrainThatComesWhileTheConnectionIsDownIsToldSoonAfterItIsBack() throws Exception {
+    void drainDuringADisconnectionIsReportedSoonAfterReconnect() throws Exception {
         put("nodos/a", "ready");
         follow();
         for (int round = 0; round < 20; round++) {
-            down(true);
-            run(200 * MS + round * 700 * MS);
+            setMembersDown(true);
+            advance(200 * MS + round * 700 * MS);
             store.put(PREFIX + "nodos/a", "drain " + round);
-            assertFalse(("drain " + round).equals(known("nodos/a")));
-            down(false);
-            run(BOUND);
-            assertEquals("drain " + round, known("nodos/a"), "round " + round + ", " + lines);
+            assertFalse(("drain " + round).equals(knownValue("nodos/a")));
+            setMembersDown(false);
+            advance(RECOVERY_BOUND);
+            assertEquals("drain " + round, knownValue("nodos/a"), "round " + round + ", " + logLines);
         }
-        once();
-        assertEquals(1, fulls + (kind() == RegistrySettings.Kind.ETCD ? 0 : 1 - fulls), "the rest were changes");
+        assertReportedOnceInOrder();
+        assertEquals(
+                1,
+                fullReads + (kind() == RegistrySettings.Kind.ETCD ? 0 : 1 - fullReads),
+                "all later updates were changes");
     }
 
     @Test
-    void whatHasBeenCompactedMeanwhileIsReadAnewAndWhatIsLackingIsGone() throws Exception {
+    void compactionDuringADisconnectionCausesAFullReadThatRemovesDeletedKeys() throws Exception {
         put("nodos/a", "1");
         put("nodos/b", "2");
         follow();
-        down(true);
-        run(SECOND);
+        setMembersDown(true);
+        advance(SECOND);
         delete("nodos/a");
         for (int i = 0; i < 10; i++) {
             put("nodos/c", "v" + i);
         }
         store.compact(store.revision());
-        down(false);
-        run(2 * SECOND);
-        same();
-        once();
-        assertTrue(told.stream().anyMatch(each -> each.key().equals(PREFIX + "nodos/a") && each.value() == null));
+        setMembersDown(false);
+        advance(2 * SECOND);
+        assertSameAsStore();
+        assertReportedOnceInOrder();
+        assertTrue(reported.stream().anyMatch(each -> each.key().equals(PREFIX + "nodos/a") && each.value() == null));
     }
 
     @Test
-    void aKeyThatIsDeletedAndMadeAgainIsAnotherOne() throws Exception {
+    void recreatedKeyHasANewCreateRevision() throws Exception {
         put("nodos/a", "1");
         follow();
         delete("nodos/a");
         put("nodos/a", "1");
-        run(300 * MS);
-        same();
-        once();
+        advance(300 * MS);
+        assertSameAsStore();
+        assertReportedOnceInOrder();
         assertEquals(
                 store.revision(),
-                client.follower().entries().get(PREFIX + "nodos/a").created());
+                client.follower().entries().get(PREFIX + "nodos/a").createRevision());
     }
 
     @Test
-    void aMemberThatLagsIsNotBelieved() throws Exception {
+    void laggingMemberIsNotTrusted() throws Exception {
         put("nodos/a", "1");
         follow();
         put("nodos/a", "2");
-        run(300 * MS);
+        advance(300 * MS);
         members.forEach(each -> each.lag(1));
         members.forEach(RegistryStandIn::cut);
-        run(10 * SECOND);
-        assertEquals("2", known("nodos/a"), "it never goes back");
+        advance(10 * SECOND);
+        assertEquals("2", knownValue("nodos/a"), "the value never goes back");
         put("nodos/a", "3");
         members.forEach(each -> each.lag(0));
-        run(10 * SECOND);
-        same();
-        once();
+        advance(10 * SECOND);
+        assertSameAsStore();
+        assertReportedOnceInOrder();
     }
 
     @Test
-    void aBackupThatIsRestoredIsReadWhole() throws Exception {
+    void restoredBackupIsReadInFull() throws Exception {
         put("nodos/a", "1");
         KeyValueStore backup = store.backup();
         follow();
         put("nodos/a", "2");
         put("nodos/b", "3");
-        run(300 * MS);
+        advance(300 * MS);
         store = backup.backup();
         members.forEach(RegistryStandIn::cut);
-        run(10 * SECOND);
-        same();
-        assertEquals("1", known("nodos/a"));
+        advance(10 * SECOND);
+        assertSameAsStore();
+        assertEquals("1", knownValue("nodos/a"));
         put("nodos/a", "4");
-        run(SECOND);
-        same();
+        advance(SECOND);
+        assertSameAsStore();
     }
 
     @Test
-    void aCallThatIsSilentIsGivenUpAndTheStateStays() throws Exception {
+    void silentCallIsAbandonedAndTheStateIsKept() throws Exception {
         put("nodos/a", "1");
         follow();
         int connected =
                 (int) members.stream().filter(each -> each.connections() > 0).count();
         assertEquals(1, connected);
-        RegistryStandIn mute = members.stream()
+        RegistryStandIn silentMember = members.stream()
                 .filter(each -> each.connections() > 0)
                 .findFirst()
                 .orElseThrow();
-        mute.silent(true);
+        silentMember.silent(true);
         put("nodos/a", "2");
-        run(500 * MS);
-        assertEquals("1", known("nodos/a"));
-        run(8 * SECOND);
-        assertEquals("2", known("nodos/a"), "another member has told it: " + lines);
-        assertTrue(lines.stream().anyMatch(each -> each.contains("nothing came for 6 s")), lines.toString());
-        assertTrue(stale.isEmpty());
+        advance(500 * MS);
+        assertEquals("1", knownValue("nodos/a"));
+        advance(8 * SECOND);
+        assertEquals("2", knownValue("nodos/a"), "another member has reported it: " + logLines);
+        assertTrue(logLines.stream().anyMatch(each -> each.contains("nothing received for 6 s")), logLines.toString());
+        assertTrue(staleEvents.isEmpty());
     }
 
     @Test
-    void whereNobodyAnswersTheStateIsStaleAndStays() throws Exception {
+    void stateBecomesStaleAndIsKeptWhenNoMemberResponds() throws Exception {
         put("nodos/a", "1");
         follow();
-        down(true);
-        run(20 * SECOND);
-        assertEquals(List.of(true), stale);
-        assertEquals("1", known("nodos/a"));
+        setMembersDown(true);
+        advance(20 * SECOND);
+        assertEquals(List.of(true), staleEvents);
+        assertEquals("1", knownValue("nodos/a"));
         assertEquals(Follower.State.RESUMING, client.follower().state());
-        down(false);
-        run(5 * SECOND); // a read that waits says so only at its end
-        assertEquals(List.of(true, false), stale);
-        same();
+        setMembersDown(false);
+        // A blocking query confirms the entries only when it ends.
+        advance(5 * SECOND);
+        assertEquals(List.of(true, false), staleEvents);
+        assertSameAsStore();
     }
 
     @Test
-    void tenThousandKeysAtOnce() throws Exception {
+    void tenThousandKeysInOneRevision() throws Exception {
         follow();
         Map<String, String> all = new TreeMap<>();
         for (int i = 0; i < 10_000; i++) {
             all.put(PREFIX + "nodos/" + i, "{\"weight\":" + i + "}");
         }
         store.commit(all);
-        news();
-        run(3 * SECOND);
-        same();
+        notifyMembers();
+        advance(3 * SECOND);
+        assertSameAsStore();
         all.replaceAll((key, value) -> value + " ");
         store.commit(all);
-        news();
-        run(3 * SECOND);
-        same();
-        once();
+        notifyMembers();
+        advance(3 * SECOND);
+        assertSameAsStore();
+        assertReportedOnceInOrder();
         members.forEach(RegistryStandIn::cut);
         store.compact(store.revision());
-        run(3 * SECOND);
-        same();
+        advance(3 * SECOND);
+        assertSameAsStore();
     }
 
-    /** Staff hear of it from the registry; here nothing may be lost or invented by what comes in one heap, and late. */
+    /** Changes that arrive late and many at a time must neither be lost nor repeated. */
     @Test
-    void aSlowWatcherIsToldAllInTheEndAndNothingTwice() throws Exception {
+    void slowWatcherReceivesEveryChangeOnce() throws Exception {
         put("nodos/a", "0");
         follow();
         members.forEach(each -> each.late(3_000));
         for (int i = 1; i <= 40; i++) {
             put("nodos/a", "v" + i);
             put("nodos/" + i % 3, "v" + i);
-            run(100 * MS);
+            advance(100 * MS);
         }
-        assertFalse("v40".equals(known("nodos/a")));
-        run(4 * SECOND);
-        same();
-        once();
-        assertTrue(stale.isEmpty(), "late is not silent: " + lines);
+        assertFalse("v40".equals(knownValue("nodos/a")));
+        advance(4 * SECOND);
+        assertSameAsStore();
+        assertReportedOnceInOrder();
+        assertTrue(staleEvents.isEmpty(), "a slow member is not silent: " + logLines);
         members.forEach(each -> each.late(0));
         put("nodos/a", "last");
-        run(200 * MS);
-        same();
-        once();
+        advance(200 * MS);
+        assertSameAsStore();
+        assertReportedOnceInOrder();
     }
 
     @Test
-    void moreKeysThanAreKeptLeaveTheOldState() throws Exception {
+    void tooManyKeysLeaveTheOldState() throws Exception {
         put("nodos/a", "1");
         follow();
         Map<String, String> all = new TreeMap<>();
@@ -359,108 +375,108 @@
             all.put(PREFIX + "nodos/" + i, "");
         }
         store.commit(all);
-        news();
-        run(20 * SECOND);
+        notifyMembers();
+        advance(20 * SECOND);
         assertEquals(1, client.follower().entries().size());
-        assertTrue(lines.stream().anyMatch(each -> each.contains("20000 keys")), lines.toString());
-        assertEquals(List.of(true), stale);
+        assertTrue(logLines.stream().anyMatch(each -> each.contains("20000 keys")), logLines.toString());
+        assertEquals(List.of(true), staleEvents);
     }
 
     @Test
-    void membersThatFailAtRandomLoseNoChange() throws Exception {
+    void randomMemberFailuresLoseNoChange() throws Exception {
         for (int seed = 0; seed < 12; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            RegistryContract world = getClass().getDeclaredConstructor().newInstance();
-            world.set();
-            world.follow();
+            RegistryContract contract = getClass().getDeclaredConstructor().newInstance();
+            contract.startMembers();
+            contract.follow();
             for (int step = 0; step < 150; step++) {
-                world.put("nodos/" + random.nextInt(6), "v" + step);
+                contract.put("nodos/" + random.nextInt(6), "v" + step);
                 if (random.nextInt(4) == 0) {
-                    world.delete("nodos/" + random.nextInt(6));
+                    contract.delete("nodos/" + random.nextInt(6));
                 }
                 int member = random.nextInt(MEMBERS);
                 switch (random.nextInt(8)) {
-                    case 0 -> world.members.get(member).cut();
-                    case 1 -> world.members.get(member).down(true, null);
+                    case 0 -> contract.members.get(member).cut();
+                    case 1 -> contract.members.get(member).down(true, null);
                     case 2 -> {
-                        world.members.get(member).down(true, null);
-                        world.members
+                        contract.members.get(member).down(true, null);
+                        contract.members
                                 .get(member)
-                                .down(false, world.hosts.get(member).at(PORT));
+                                .down(false, contract.hosts.get(member).at(PORT));
                     }
-                    case 3 -> world.store.compact(world.store.revision() - random.nextInt(5));
-                    case 4 -> world.members.get(member).silent(random.nextBoolean());
-                    case 5 -> world.members.get(member).lag(random.nextInt(3));
+                    case 3 -> contract.store.compact(contract.store.revision() - random.nextInt(5));
+                    case 4 -> contract.members.get(member).silent(random.nextBoolean());
+                    case 5 -> contract.members.get(member).lag(random.nextInt(3));
                     default -> {}
                 }
-                world.run(random.nextLong(400 * MS));
-                world.once();
+                contract.advance(random.nextLong(400 * MS));
+                contract.assertReportedOnceInOrder();
             }
             for (int i = 0; i < MEMBERS; i++) {
-                world.members.get(i).silent(false);
-                world.members.get(i).lag(0);
-                world.members.get(i).down(true, null);
-                world.members.get(i).down(false, world.hosts.get(i).at(PORT));
+                contract.members.get(i).silent(false);
+                contract.members.get(i).lag(0);
+                contract.members.get(i).down(true, null);
+                contract.members.get(i).down(false, contract.hosts.get(i).at(PORT));
             }
-            world.run(20 * SECOND);
-            world.same();
-            world.once();
+            contract.advance(20 * SECOND);
+            contract.assertSameAsStore();
+            contract.assertReportedOnceInOrder();
         }
     }
 
     @Test
-    void aRegistryWithTooMuchToDoIsAskedMoreSeldom() throws Exception {
+    void overloadedRegistryIsCalledLessOften() throws Exception {
         members.forEach(each -> each.overloaded(true));
         follow();
-        run(20 * SECOND);
-        int before = calls();
-        run(20 * SECOND);
-        assertTrue(calls() - before < 24, "calls in 20 s: " + (calls() - before));
+        advance(20 * SECOND);
+        int before = memberCalls();
+        advance(20 * SECOND);
+        assertTrue(memberCalls() - before < 24, "calls in 20 s: " + (memberCalls() - before));
         members.forEach(each -> each.overloaded(false));
         put("nodos/a", "1");
-        run(5 * SECOND);
-        same();
+        advance(5 * SECOND);
+        assertSameAsStore();
     }
 
-    private int calls() {
+    private int memberCalls() {
         return members.stream().mapToInt(RegistryStandIn::calls).sum();
     }
 
-    /** All agents lose the registry together, and it comes back. */
+    /** All agents lose the registry at the same time and reconnect when it is back. */
     @Test
-    void agentsThatComeBackTogetherAreSpread() throws Exception {
+    void reconnectingAgentsAreSpreadOverTime() throws Exception {
         put("nodos/a", "1");
         List<RegistryClient> agents = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             agents.add(follow(i, (full, changes, all) -> {}));
             agents.get(i).start();
         }
-        run(5 * SECOND);
-        down(true);
-        run(20 * SECOND);
+        advance(5 * SECOND);
+        setMembersDown(true);
+        advance(20 * SECOND);
         put("nodos/a", "2");
-        down(false);
-        int most = 0;
-        int before = calls();
-        int first = before;
+        setMembersDown(false);
+        int busiest = 0;
+        int before = memberCalls();
+        int initial = before;
         for (int tenth = 0; tenth < 30; tenth++) {
-            run(100 * MS);
-            most = Math.max(most, calls() - before);
-            before = calls();
+            advance(100 * MS);
+            busiest = Math.max(busiest, memberCalls() - before);
+            before = memberCalls();
         }
         for (RegistryClient each : agents) {
             assertEquals("2", each.follower().entries().get(PREFIX + "nodos/a").value());
         }
-        // 100 agents over a second, and with Consul a watch behind each read.
-        assertTrue(most < 40, "the most in a tenth of a second: " + most);
-        assertTrue(calls() - first <= 350, "in all " + (calls() - first));
+        // The reconnects of 100 agents are spread over a second; with Consul, a blocking query follows each read.
+        assertTrue(busiest < 40, "maximum of calls in a tenth of a second: " + busiest);
+        assertTrue(memberCalls() - initial <= 350, "calls in total: " + (memberCalls() - initial));
     }
 
-    /** In the members' place, listeners that answer whatever comes with the same bytes. */
-    final List<Channel> liars(String answer) {
-        List<Channel> liars = new ArrayList<>();
+    /** Starts listeners at the addresses of the members that send the same bytes in response to anything. */
+    final List<Channel> startListenersAnswering(String answer) {
+        List<Channel> listeners = new ArrayList<>();
         for (int i = 0; i < MEMBERS; i++) {
-            liars.add(new ServerBootstrap()
+            listeners.add(new ServerBootstrap()
                     .group(hosts.get(i).loop())
                     .channelFactory(hosts.get(i).listeners())
                     .childHandler(new ChannelInitializer<Channel>() {
@@ -478,36 +494,37 @@
                     .bind(hosts.get(i).at(PORT))
                     .channel());
         }
-        return liars;
+        return listeners;
     }
 
     @Test
-    void whatIsNoAnswerIsNotBelieved() throws Exception {
+    void malformedResponseIsRejected() throws Exception {
         put("nodos/a", "1");
         follow();
-        down(true);
-        List<Channel> liars = liars("HTTP/1.1 200 OK\r\nX-Consul-Index: 99\r\nContent-Length: 4\r\n\r\n[{]]");
-        run(5 * SECOND);
-        assertEquals("1", known("nodos/a"));
-        for (Channel each : liars) {
+        setMembersDown(true);
+        List<Channel> listeners =
+                startListenersAnswering("HTTP/1.1 200 OK\r\nX-Consul-Index: 99\r\nContent-Length: 4\r\n\r\n[{]]");
+        advance(5 * SECOND);
+        assertEquals("1", knownValue("nodos/a"));
+        for (Channel each : listeners) {
             each.close();
         }
-        run(100 * MS);
+        advance(100 * MS);
         put("nodos/a", "2");
-        down(false);
-        run(3 * SECOND);
-        same();
+        setMembersDown(false);
+        advance(3 * SECOND);
+        assertSameAsStore();
     }
 
     @Test
-    void nothingIsOpenOnceItIsClosed() throws Exception {
+    void closedClientHasNoConnections() throws Exception {
         put("nodos/a", "1");
         follow();
         client.close();
-        run(SECOND);
+        advance(SECOND);
         assertEquals(0, members.stream().mapToInt(RegistryStandIn::connections).sum());
         put("nodos/a", "2");
-        run(20 * SECOND);
-        assertEquals("1", known("nodos/a"));
+        advance(20 * SECOND);
+        assertEquals("1", knownValue("nodos/a"));
     }
 }
--- a/src/test/java/gatefront/registry/RegistryLoopbackTest.java
+++ b/src/test/java/gatefront/registry/RegistryLoopbackTest.java
@@ -23,14 +23,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The contract's heart over real sockets: cuts, compaction and members that go down, in real time. */
+/**
+ * The main part of the registry contract over real sockets and in real time: disconnections, compaction and members
+ * that go down.
+ */
 class RegistryLoopbackTest {
-    private static final long GENEROUS_NANOS = TimeUnit.SECONDS.toNanos(30);
+    private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
     @ParameterizedTest
     @EnumSource(RegistrySettings.Kind.class)
-    void noChangeIsMissedOrToldTwice(RegistrySettings.Kind kind) throws Exception {
-        SocketTransport sockets = new SocketTransport(); // stands and client share one loop, and real sockets
+    void noChangeIsLostOrReportedTwice(RegistrySettings.Kind kind) throws Exception {
+        // The stand-ins and the client share one event loop and use real sockets.
+        SocketTransport sockets = new SocketTransport();
         KeyValueStore store = new KeyValueStore(3);
         List<RegistryStandIn> members = new ArrayList<>();
         List<InetSocketAddress> addresses = new ArrayList<>();
@@ -44,7 +48,7 @@
             addresses.add(member.address());
         }
         boolean etcd = kind == RegistrySettings.Kind.ETCD;
-        List<KeyChange> told = new ArrayList<>();
+        List<KeyChange> reported = new ArrayList<>();
         RegistryClient client = new RegistryClient(
                 sockets,
                 RegistrySettings.of(
@@ -54,26 +58,26 @@
                         new FollowerLimits(
                                 5_000, 50_000, etcd ? 0 : 2_000, etcd ? 100_000 : 0, 500_000, 2_000_000, 0, 1_000)),
                 1,
-                (full, changes, all) -> told.addAll(changes));
+                (full, changes, all) -> reported.addAll(changes));
         try {
             sockets.loop().submit(client::start).sync();
             SplittableRandom random = new SplittableRandom(4);
             boolean[] down = new boolean[members.size()];
             for (int i = 0; i < 300; i++) {
                 int step = i;
-                int what = random.nextInt(12);
+                int fault = random.nextInt(12);
                 int member = random.nextInt(members.size());
                 sockets.loop()
                         .submit(() -> {
                             store.put("a/" + step % 7, "v" + step);
-                            if (what == 0) {
+                            if (fault == 0) {
                                 members.get(member).cut();
-                            } else if (what == 1) {
+                            } else if (fault == 1) {
                                 store.compact(store.revision() - 1);
-                            } else if (what == 2 && !down[member]) {
+                            } else if (fault == 2 && !down[member]) {
                                 down[member] = true;
                                 members.get(member).down(true, null);
-                                // A socket is free only after its loop has looked once more.
+                                // The event loop releases a socket only in its next iteration.
                                 sockets.loop()
                                         .schedule(
                                                 () -> {
@@ -88,23 +92,24 @@
                         .sync();
                 Thread.sleep(random.nextInt(8));
             }
-            long end = System.nanoTime() + GENEROUS_NANOS;
-            List<KeyEntry> there = store.range("a/", KeyValueStore.behind("a/"), store.revision()).stream()
+            long timeoutNanos = System.nanoTime() + TIMEOUT_NANOS;
+            List<KeyEntry> expected = store.range("a/", KeyValueStore.behind("a/"), store.revision()).stream()
                     .map(each -> new KeyEntry(each.key(), each.value(), each.created(), each.modified()))
                     .toList();
             while (!sockets.loop()
                     .submit(() -> List.copyOf(client.follower().entries().values()))
                     .get()
-                    .equals(there)) {
-                assertTrue(System.nanoTime() < end, "does not come to the registry's state");
+                    .equals(expected)) {
+                assertTrue(System.nanoTime() < timeoutNanos, "the entries do not reach the state of the registry");
                 Thread.sleep(5);
             }
-            Map<String, Long> newest = new HashMap<>();
-            for (KeyChange each : sockets.loop().submit(() -> List.copyOf(told)).get()) {
-                Long before = newest.put(each.key(), each.modified());
-                assertTrue(before == null || before < each.modified(), each + " after " + before);
+            Map<String, Long> newestRevisions = new HashMap<>();
+            for (KeyChange each :
+                    sockets.loop().submit(() -> List.copyOf(reported)).get()) {
+                Long before = newestRevisions.put(each.key(), each.modRevision());
+                assertTrue(before == null || before < each.modRevision(), each + " after " + before);
             }
-            assertEquals(7, newest.size());
+            assertEquals(7, newestRevisions.size());
         } finally {
             CountDownLatch ended = new CountDownLatch(1);
             sockets.loop().execute(() -> {
--- a/src/test/java/gatefront/registry/RegistryStateFileTest.java
+++ b/src/test/java/gatefront/registry/RegistryStateFileTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The state on disk: whole, or not used. */
+/** The state file is either intact or not used. */
 class RegistryStateFileTest {
-    private static final RegistryStateFile.Kept KEPT = new RegistryStateFile.Kept(
+    private static final RegistryStateFile.StoredState STATE = new RegistryStateFile.StoredState(
             7,
             42,
             1_796_112_000_000L,
@@ -28,55 +28,57 @@
     private Path folder;
 
     @Test
-    void whatIsWrittenIsRead() throws IOException {
+    void writtenStateIsRead() throws IOException {
         Path file = folder.resolve("state");
-        assertNull(RegistryStateFile.read(file), "none is no fault");
-        RegistryStateFile.write(file, KEPT);
-        assertEquals(KEPT, RegistryStateFile.read(file));
-        RegistryStateFile.write(file, new RegistryStateFile.Kept(7, 43, 0, List.of()));
+        assertNull(RegistryStateFile.read(file), "a missing file is no error");
+        RegistryStateFile.write(file, STATE);
+        assertEquals(STATE, RegistryStateFile.read(file));
+        RegistryStateFile.write(file, new RegistryStateFile.StoredState(7, 43, 0, List.of()));
         assertEquals(43, RegistryStateFile.read(file).revision());
         try (var files = Files.list(folder)) {
-            assertEquals(1, files.count(), "nothing is left beside it");
+            assertEquals(1, files.count(), "no temporary file is left");
         }
     }
 
-    /** Each byte that is another, and each length that is shorter: one line, and no state. */
+    /** Every changed byte and every truncation gives an error of one line and no state. */
     @Test
-    void whatIsNotWholeIsNotUsed() throws IOException {
+    void truncatedOrCorruptFileIsNotUsed() throws IOException {
         Path file = folder.resolve("state");
-        RegistryStateFile.write(file, KEPT);
-        byte[] good = Files.readAllBytes(file);
-        for (int i = 0; i < good.length; i++) {
-            byte[] bad = good.clone();
-            bad[i] ^= 1;
-            Files.write(file, bad);
-            IOException why = assertThrows(IOException.class, () -> RegistryStateFile.read(file), "byte " + i);
+        RegistryStateFile.write(file, STATE);
+        byte[] intact = Files.readAllBytes(file);
+        for (int i = 0; i < intact.length; i++) {
+            byte[] corrupt = intact.clone();
+            corrupt[i] ^= 1;
+            Files.write(file, corrupt);
+            IOException exception = assertThrows(IOException.class, () -> RegistryStateFile.read(file), "byte " + i);
             assertTrue(
-                    why.getMessage().lines().count() == 1 && why.getMessage().contains("not used"), why.getMessage());
-            Files.write(file, java.util.Arrays.copyOf(good, i));
+                    exception.getMessage().lines().count() == 1
+                            && exception.getMessage().contains("not used"),
+                    exception.getMessage());
+            Files.write(file, java.util.Arrays.copyOf(intact, i));
             assertThrows(IOException.class, () -> RegistryStateFile.read(file), "length " + i);
         }
     }
 
-    /** Else a file that grew by some fault would take the heap at the start. */
+    /** Guards against a file that has grown by a fault and would fill the heap at the start. */
     @Test
-    void whatIsTooLargeIsNotRead() throws IOException {
+    void tooLargeFileIsNotRead() throws IOException {
         Path file = folder.resolve("state");
         try (RandomAccessFile sparse = new RandomAccessFile(file.toFile(), "rw")) {
             sparse.setLength((64L << 20) + 1);
         }
-        IOException why = assertThrows(IOException.class, () -> RegistryStateFile.read(file));
-        assertTrue(why.getMessage().contains("larger than such a file may be"), why.getMessage());
+        IOException exception = assertThrows(IOException.class, () -> RegistryStateFile.read(file));
+        assertTrue(exception.getMessage().contains("has more than 67108864 bytes, too large"), exception.getMessage());
     }
 
-    /** A crash while the new one is being written leaves the old one. */
+    /** A crash during a write leaves the old file. */
     @Test
-    void aHalfWrittenOneBesideItDoesNoHarm() throws IOException {
+    void incompleteTemporaryFileIsIgnored() throws IOException {
         Path file = folder.resolve("state");
-        RegistryStateFile.write(file, KEPT);
+        RegistryStateFile.write(file, STATE);
         Files.writeString(folder.resolve("state.new"), "gatefront-registry-1 7 43");
-        assertEquals(KEPT, RegistryStateFile.read(file));
-        RegistryStateFile.write(file, KEPT);
-        assertEquals(KEPT, RegistryStateFile.read(file));
+        assertEquals(STATE, RegistryStateFile.read(file));
+        RegistryStateFile.write(file, STATE);
+        assertEquals(STATE, RegistryStateFile.read(file));
     }
 }
--- a/src/test/java/gatefront/registry/RegistryViewTest.java
+++ b/src/test/java/gatefront/registry/RegistryViewTest.java
@@ -16,37 +16,37 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a value says, and what is done with one that cannot be meant. */
+/** Decoding of values, and the handling of invalid ones. */
 class RegistryViewTest {
     private static final String NODO = "{'v':%d,'address':'127.0.0.1:3000','zone':'a','type':'small','group':0,"
             + "'status':'%s','weight':1.0,'since_ms':0,'colour':'unknown here'}";
 
-    private final List<String> lines = new ArrayList<>();
-    private final RegistryView values =
-            new RegistryView(Config.read(Path.of("src/test/resources/config.json")), "p/", lines::add);
+    private final List<String> logLines = new ArrayList<>();
+    private final RegistryView view =
+            new RegistryView(Config.read(Path.of("src/test/resources/config.json")), "p/", logLines::add);
     private long revision;
 
-    private RegistryView.News put(String key, String value) {
+    private RegistryView.Update put(String key, String value) {
         revision++;
-        return values.changed(
+        return view.apply(
                 List.of(new KeyChange("p/" + key, value == null ? null : value.replace('\'', '"'), 1, revision)));
     }
 
     private Phase phase() {
-        return values.endpoints().get(0).server().phase();
+        return view.endpoints().get(0).server().phase();
     }
 
     @Test
-    void aNodoOfAVersionThatIsNotKnownLeavesTheLastGoodOne() {
+    void serverOfUnknownVersionLeavesThePreviousValue() {
         put("nodos/s-1", NODO.formatted(1, "Ready"));
         assertEquals(
                 List.of(), put("nodos/s-1", NODO.formatted(2, "Terminating")).servers());
         assertEquals(Phase.READY, phase());
-        assertEquals(1, lines.size(), lines.toString());
+        assertEquals(1, logLines.size(), logLines.toString());
         assertTrue(
-                lines.get(0).contains("p/nodos/s-1 at revision 2")
-                        && lines.get(0).contains("version 2"),
-                lines.get(0));
+                logLines.get(0).contains("p/nodos/s-1 at revision 2")
+                        && logLines.get(0).contains("version 2"),
+                logLines.get(0));
         put("nodos/s-1", NODO.formatted(1, "Terminating"));
         assertEquals(Phase.DRAINING, phase());
     }
@@ -65,13 +65,13 @@
                 "",
                 "7"
             })
-    void aPolicyThatCannotBeMeantLeavesTheLastGoodOne(String value) {
-        assertTrue(put("policies/nodos/s-1", "{'weight_factor':0.5}").policies());
-        assertFalse(put("policies/nodos/s-1", value).policies());
-        assertEquals(Map.of("s-1", new ServerOverride(false, 0.5)), values.ofServers());
-        assertEquals(1, lines.size(), lines.toString());
-        assertTrue(put("policies/nodos/s-1", null).policies());
-        assertEquals(Map.of(), values.ofServers());
+    void invalidPolicyLeavesThePreviousValue(String value) {
+        assertTrue(put("policies/nodos/s-1", "{'weight_factor':0.5}").policiesChanged());
+        assertFalse(put("policies/nodos/s-1", value).policiesChanged());
+        assertEquals(Map.of("s-1", new ServerOverride(false, 0.5)), view.serverPolicies());
+        assertEquals(1, logLines.size(), logLines.toString());
+        assertTrue(put("policies/nodos/s-1", null).policiesChanged());
+        assertEquals(Map.of(), view.serverPolicies());
     }
 
     @ParameterizedTest
@@ -85,22 +85,22 @@
                 "{'in_progress':99999999999}",
                 "{'v':2,'in_progress':1}"
             })
-    void aLimitThatCannotBeMeantLeavesTheLastGoodOne(String value) {
-        assertTrue(put("policies/clases/pay", "{'in_progress':40}").limits());
-        assertFalse(put("policies/clases/pay", value).limits());
-        assertEquals(Map.of(1, 40), values.ofClasses());
-        assertEquals(1, lines.size(), lines.toString());
-        assertTrue(put("policies/clases/pay", null).limits());
-        assertEquals(Map.of(), values.ofClasses());
+    void invalidLimitLeavesThePreviousValue(String value) {
+        assertTrue(put("policies/clases/pay", "{'in_progress':40}").limitsChanged());
+        assertFalse(put("policies/clases/pay", value).limitsChanged());
+        assertEquals(Map.of(1, 40), view.classLimits());
+        assertEquals(1, logLines.size(), logLines.toString());
+        assertTrue(put("policies/clases/pay", null).limitsChanged());
+        assertEquals(Map.of(), view.classLimits());
     }
 
     @Test
-    void aZoneOrClassThatThereIsNotIsPassedOver() {
+    void unknownZoneOrClassIsIgnored() {
         put("policies/salas/nowhere", "{'drain':true}");
         put("policies/clases/nothing", "{'in_progress':0}");
-        assertEquals(Map.of(), values.ofZones());
-        assertEquals(Map.of(), values.ofClasses());
+        assertEquals(Map.of(), view.zonePolicies());
+        assertEquals(Map.of(), view.classLimits());
         put("policies/salas/b", "{'drain':true}");
-        assertEquals(Map.of(1, new ServerOverride(true, 1)), values.ofZones());
+        assertEquals(Map.of(1, new ServerOverride(true, 1)), view.zonePolicies());
     }
 }
--- a/src/test/java/gatefront/registry/ResyncFigures.java
+++ b/src/test/java/gatefront/registry/ResyncFigures.java
@@ -14,32 +14,37 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Time to resync over loopback, for the design note; by hand: {@code mvn test -Dtest=ResyncFigures}. */
+/**
+ * Measures the time to resynchronise over loopback, for the design note. Run it manually: {@code mvn test
+ * -Dtest=ResyncFigures}.
+ */
 class ResyncFigures {
     private static final int KEYS = 10_000;
     private static final int ROUNDS = 40;
 
-    /** From the moment the connection is cut, and all behind it compacted, to the newest state in the follower. */
+    /** Measures from the disconnection, with all changes compacted, until the follower has the newest state. */
     @ParameterizedTest
     @EnumSource(RegistrySettings.Kind.class)
     void timeToResync(RegistrySettings.Kind kind) throws Exception {
-        SocketTransport there = new SocketTransport();
-        SocketTransport here = new SocketTransport();
+        SocketTransport registryTransport = new SocketTransport();
+        SocketTransport clientTransport = new SocketTransport();
         KeyValueStore store = new KeyValueStore(1);
-        TreeMap<String, String> all = new TreeMap<>();
+        TreeMap<String, String> entries = new TreeMap<>();
         for (int i = 0; i < KEYS; i++) {
-            all.put(
+            entries.put(
                     "oaxaca/nodos/nodo-" + i,
                     "{\"address\":\"10.1.0." + i % 250 + ":3000\",\"zone\":\"a\","
                             + "\"type\":\"m2\",\"group\":3,\"status\":\"Ready\",\"weight\":1.0,\"since_ms\":0}");
         }
-        store.commit(all);
+        store.commit(entries);
         boolean etcd = kind == RegistrySettings.Kind.ETCD;
-        RegistryStandIn member = etcd ? new EtcdStandIn(there, () -> store) : new ConsulStandIn(there, () -> store);
+        RegistryStandIn member = etcd
+                ? new EtcdStandIn(registryTransport, () -> store)
+                : new ConsulStandIn(registryTransport, () -> store);
         member.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .sync();
         RegistryClient client = new RegistryClient(
-                here,
+                clientTransport,
                 RegistrySettings.of(
                         kind,
                         List.of(member.address()),
@@ -55,29 +60,34 @@
                                 20_000)),
                 1,
                 (full, changes, now) -> {});
-        here.loop().submit(client::start).sync();
+        clientTransport.loop().submit(client::start).sync();
         double[] millis = new double[ROUNDS];
         for (int round = -5; round < ROUNDS; round++) {
             int value = round;
-            there.loop()
+            registryTransport
+                    .loop()
                     .submit(() -> {
                         store.put("oaxaca/nodos/nodo-1", "{" + value + "}");
                         store.compact(store.revision());
                         member.cut();
                     })
                     .sync();
-            long began = System.nanoTime();
-            while (here.loop().submit(() -> client.follower().revision()).get() < store.revision()) {
+            long startNanos = System.nanoTime();
+            while (clientTransport
+                            .loop()
+                            .submit(() -> client.follower().revision())
+                            .get()
+                    < store.revision()) {
                 Thread.sleep(1);
             }
             if (round >= 0) {
-                millis[round] = (System.nanoTime() - began) / 1e6;
+                millis[round] = (System.nanoTime() - startNanos) / 1e6;
             }
         }
         Arrays.sort(millis);
         System.out.printf(
                 "%s, %d nodos: median %.0f ms, worst of %d %.0f ms%n",
                 kind, KEYS, millis[ROUNDS / 2], ROUNDS, millis[ROUNDS - 1]);
-        here.loop().submit(client::close).sync();
+        clientTransport.loop().submit(client::close).sync();
     }
 }
--- a/src/test/java/gatefront/registry/follower/FollowerModelTest.java
+++ b/src/test/java/gatefront/registry/follower/FollowerModelTest.java
@@ -15,24 +15,25 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random histories of a registry with all that it and the way to it may do wrong, on virtual time. What the follower
- * applies is held against a twin of the registry that is never compacted: change by change, without gap or repeat.
+ * Runs random histories of a registry with all faults of the registry and the network, on virtual time. The changes
+ * that the follower applies are compared with those of a copy of the registry that is never compacted: none may be
+ * missing or repeated.
  */
 class FollowerModelTest {
     private static final int HISTORIES = 10_000;
     private static final String PREFIX = "a/";
     private static final String END = KeyValueStore.behind(PREFIX);
     private static final long MS = 1_000;
-    private static final FollowerLimits BOUNDS =
+    private static final FollowerLimits LIMITS =
             new FollowerLimits(50 * MS, 1_000 * MS, 0, 2_000 * MS, 6_000 * MS, 15_000 * MS, 60_000 * MS, 1_000);
 
-    /** What was met over all histories: a fault that never happens proves nothing. */
-    private final Map<String, Integer> met = new TreeMap<>();
+    /** How often each fault occurred in all histories: a fault that never occurs is not tested. */
+    private final Map<String, Integer> faultCounts = new TreeMap<>();
 
     @Test
-    void eachChangeIsAppliedOnceAndInOrder() {
+    void eachChangeIsAppliedOnceAndInOrderWithWatches() {
         for (int seed = 0; seed < HISTORIES; seed++) {
-            new World(seed, met, 0).play();
+            new World(seed, faultCounts, 0).runHistory();
         }
         for (String each : List.of(
                 "compacted",
@@ -45,133 +46,142 @@
                 "restored under the same name",
                 "full with changes",
                 "changes",
-                "not believed",
+                "not trusted",
                 "deleted and made again")) {
-            assertTrue(met.getOrDefault(each, 0) > 200, each + " was met " + met.get(each) + " times of " + met);
+            assertTrue(
+                    faultCounts.getOrDefault(each, 0) > 200,
+                    each + " was met " + faultCounts.get(each) + " times of " + faultCounts);
         }
     }
 
-    /** The same where each call ends with its answer, as blocking reads do. */
+    /** The same where each call ends with its response, as blocking queries do. */
     @Test
-    void readsThatWaitMissNothingEither() {
+    void noChangeIsLostWithBlockingQueries() {
         for (int seed = 0; seed < HISTORIES / 5; seed++) {
-            new World(seed, met, 100 * MS).play();
+            new World(seed, faultCounts, 100 * MS).runHistory();
         }
-        assertTrue(met.get("full with changes") > 10_000, met.toString());
+        assertTrue(faultCounts.get("full with changes") > 10_000, faultCounts.toString());
     }
 
-    /** A registry, a follower, and the way between. */
+    /** A registry, a follower, and the network between them. */
     private static final class World implements Follower.Actions {
-        private record Event(long at, long order, Runnable what) {}
+        private record Event(long at, long order, Runnable action) {}
 
         private final SplittableRandom random;
-        private final Map<String, Integer> met;
+        private final Map<String, Integer> faultCounts;
         private final long pause;
         private final PriorityQueue<Event> events =
                 new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
         private final Follower follower;
         private KeyValueStore store = new KeyValueStore(1);
-        private KeyValueStore twin = new KeyValueStore(1);
+        private KeyValueStore uncompactedStore = new KeyValueStore(1);
         private KeyValueStore backup = store.backup();
-        private KeyValueStore twinBackup = twin.backup();
+        private KeyValueStore uncompactedBackup = uncompactedStore.backup();
         private final Map<String, String> applied = new TreeMap<>();
         private long now;
-        private long order;
-        private boolean calm;
-        /** The watch that stands at the registry: its call, how far it has told, by how much its member lags. */
-        private long watching = -1;
-
-        private long told;
-        private long lag;
+        private long nextEventOrder;
+        private boolean faultsEnded;
+        /**
+         * The active watch: its call, the revision up to which changes were sent, and by how many revisions its member
+         * lags.
+         */
+        private long activeWatch = -1;
+
+        private long sentRevision;
+        private long memberLag;
         private long lastArrival;
-        /** Up to which the twin's changes were applied, and whether its history may be another than theirs. */
-        private long checked = -1;
+        /**
+         * The revision up to which the changes were compared with the uncompacted copy, and whether the follower's
+         * history may differ from that copy's.
+         */
+        private long verifiedRevision = -1;
 
-        private boolean blurred;
-        private long histories = 1;
+        private boolean historyUncertain;
+        private long historyCount = 1;
 
-        World(long seed, Map<String, Integer> met, long pause) {
+        World(long seed, Map<String, Integer> faultCounts, long pause) {
             this.random = new SplittableRandom(seed);
-            this.met = met;
+            this.faultCounts = faultCounts;
             this.pause = pause;
             this.follower = new Follower(
                     new FollowerLimits(
-                            BOUNDS.backoffLeast(),
-                            BOUNDS.backoffMost(),
+                            LIMITS.minBackoffMicros(),
+                            LIMITS.maxBackoffMicros(),
                             pause,
-                            pause > 0 ? 0 : BOUNDS.ask(),
-                            BOUNDS.silence(),
-                            BOUNDS.stale(),
-                            BOUNDS.reread(),
-                            BOUNDS.keys()),
+                            pause > 0 ? 0 : LIMITS.progressIntervalMicros(),
+                            LIMITS.silenceTimeoutMicros(),
+                            LIMITS.staleAfterMicros(),
+                            LIMITS.fullReadIntervalMicros(),
+                            LIMITS.maxKeys()),
                     seed,
                     this);
         }
 
-        void play() {
+        void runHistory() {
             for (int i = 0; i < 3; i++) {
                 write();
             }
             follower.start(0);
-            at(0, this::life);
+            schedule(0, this::injectFault);
             run(30_000 * MS);
-            calm = true;
-            run(30_000 * MS + 2 * BOUNDS.reread() + 2 * BOUNDS.silence());
-            if (follower.state() == Follower.State.LISTING) { // everything is being read anew, as it is now and then
+            faultsEnded = true;
+            run(30_000 * MS + 2 * LIMITS.fullReadIntervalMicros() + 2 * LIMITS.silenceTimeoutMicros());
+            // A periodic full read is in progress.
+            if (follower.state() == Follower.State.LISTING) {
                 run(now + 1_000 * MS);
             }
             assertEquals(
                     entries(store.range(PREFIX, END, store.revision())),
                     List.copyOf(follower.entries().values()),
-                    "the end is the registry's");
+                    "the final entries are those of the registry");
             assertEquals(Follower.State.WATCHING, follower.state());
-            assertTrue(follower.age(now) < BOUNDS.stale());
+            assertTrue(follower.unconfirmedMicros(now) < LIMITS.staleAfterMicros());
         }
 
         private void run(long until) {
             while (!events.isEmpty() && events.peek().at <= until) {
                 Event next = events.poll();
                 now = next.at;
-                next.what.run();
+                next.action.run();
             }
             now = until;
         }
 
-        private void at(long when, Runnable what) {
-            events.add(new Event(Math.max(now, when), order++, what));
+        private void schedule(long timeMicros, Runnable action) {
+            events.add(new Event(Math.max(now, timeMicros), nextEventOrder++, action));
         }
 
-        private void count(String what) {
-            met.merge(what, 1, Integer::sum);
+        private void count(String fault) {
+            faultCounts.merge(fault, 1, Integer::sum);
         }
 
-        /** Something happens to the registry. */
-        private void life() {
-            if (calm) {
+        /** Injects a random change or fault into the registry. */
+        private void injectFault() {
+            if (faultsEnded) {
                 return;
             }
-            int what = random.nextInt(40);
-            if (what < 28) {
+            int choice = random.nextInt(40);
+            if (choice < 28) {
                 write();
-            } else if (what < 31) {
+            } else if (choice < 31) {
                 store.compact(store.revision() - random.nextInt(4));
-            } else if (what == 31) {
+            } else if (choice == 31) {
                 backup = store.backup();
-                twinBackup = twin.backup();
-            } else if (what == 32 && random.nextInt(4) == 0) {
+                uncompactedBackup = uncompactedStore.backup();
+            } else if (choice == 32 && random.nextInt(4) == 0) {
                 restore();
-            } else if (what < 36 && watching >= 0) {
-                long call = watching;
-                watching = -1;
+            } else if (choice < 36 && activeWatch >= 0) {
+                long call = activeWatch;
+                activeWatch = -1;
                 if (random.nextInt(3) == 0) {
                     count("silent");
                 } else {
                     count("dropped");
-                    arrive(() -> follower.failed(now, call, "dropped", random.nextInt(4) == 0));
+                    deliver(() -> follower.callFailed(now, call, "dropped", random.nextInt(4) == 0));
                 }
             }
-            at(now + random.nextLong(300 * MS), this::life);
-            at(now + random.nextLong(100 * MS), this::tell);
+            schedule(now + random.nextLong(300 * MS), this::injectFault);
+            schedule(now + random.nextLong(100 * MS), this::sendChanges);
         }
 
         private void write() {
@@ -181,34 +191,35 @@
                 changes.put(key, random.nextInt(3) == 0 ? null : "v" + random.nextInt(1_000_000));
             }
             store.commit(changes);
-            twin.commit(changes);
+            uncompactedStore.commit(changes);
             if (random.nextInt(10) == 0) {
                 String key = PREFIX + random.nextInt(8);
                 store.delete(key);
-                twin.delete(key);
+                uncompactedStore.delete(key);
                 store.put(key, "again");
-                twin.put(key, "again");
+                uncompactedStore.put(key, "again");
                 count("deleted and made again");
             }
         }
 
         private void restore() {
-            boolean named = random.nextBoolean();
-            count(named ? "restored" : "restored under the same name");
+            boolean newHistory = random.nextBoolean();
+            count(newHistory ? "restored" : "restored under the same name");
             store = backup.backup();
-            KeyValueStore before = twinBackup.backup();
-            if (named) {
-                store.rename(++histories);
-                before.rename(histories);
+            KeyValueStore restored = uncompactedBackup.backup();
+            if (newHistory) {
+                store.rename(++historyCount);
+                restored.rename(historyCount);
             }
-            twin = before;
-            blurred = true;
-            watching = -1; // all members have been started anew
+            uncompactedStore = restored;
+            historyUncertain = true;
+            // All members have been restarted.
+            activeWatch = -1;
         }
 
-        private void arrive(Runnable what) {
+        private void deliver(Runnable action) {
             lastArrival = Math.max(lastArrival + 1, now + random.nextLong(20 * MS));
-            at(lastArrival, what);
+            schedule(lastArrival, action);
         }
 
         private static KeyChange change(KeyValueStore.Event event) {
@@ -226,166 +237,172 @@
 
         @Override
         public void list(long call, boolean quorum) {
-            boolean answers = calm || random.nextInt(8) > 0;
-            boolean sure = quorum || random.nextBoolean();
-            boolean behind = !calm && !sure && random.nextInt(3) == 0;
-            at(now + random.nextLong(50 * MS), () -> {
-                if (!answers) {
-                    arrive(() -> follower.failed(now, call, "dropped", false));
+            boolean succeeds = faultsEnded || random.nextInt(8) > 0;
+            boolean linearizable = quorum || random.nextBoolean();
+            boolean stale = !faultsEnded && !linearizable && random.nextInt(3) == 0;
+            schedule(now + random.nextLong(50 * MS), () -> {
+                if (!succeeds) {
+                    deliver(() -> follower.callFailed(now, call, "dropped", false));
                     return;
                 }
                 long revision =
-                        behind ? Math.max(store.oldest() - 1, store.revision() - random.nextInt(5)) : store.revision();
-                read(call, revision, sure);
+                        stale ? Math.max(store.oldest() - 1, store.revision() - random.nextInt(5)) : store.revision();
+                read(call, revision, linearizable);
             });
         }
 
-        private void read(long call, long revision, boolean sure) {
-            List<KeyEntry> all = entries(store.range(PREFIX, END, revision));
-            KeyValueStore of = twin;
+        private void read(long call, long revision, boolean linearizable) {
+            List<KeyEntry> entries = entries(store.range(PREFIX, END, revision));
+            KeyValueStore readStore = uncompactedStore;
             long history = store.history();
-            arrive(() -> {
-                follower.listed(now, call, history, revision, sure, all);
+            deliver(() -> {
+                follower.listReceived(now, call, history, revision, linearizable, entries);
                 if (follower.revision() == revision
                         && follower.history() == history
-                        && of == twin
-                        && List.copyOf(follower.entries().values()).equals(all)) {
-                    checked = revision;
-                    blurred = false;
+                        && readStore == uncompactedStore
+                        && List.copyOf(follower.entries().values()).equals(entries)) {
+                    verifiedRevision = revision;
+                    historyUncertain = false;
                 }
             });
         }
 
         @Override
         public void watch(long call, long revision) {
-            at(now + random.nextLong(30 * MS), () -> {
-                if (!calm && random.nextInt(8) == 0) {
-                    arrive(() -> follower.failed(now, call, "no connection", false));
+            schedule(now + random.nextLong(30 * MS), () -> {
+                if (!faultsEnded && random.nextInt(8) == 0) {
+                    deliver(() -> follower.callFailed(now, call, "no connection", false));
                     return;
                 }
-                watching = call;
-                told = revision;
-                lag = calm ? 0 : random.nextInt(3) == 0 ? random.nextInt(4) : 0;
-                if (lag > 0) {
+                activeWatch = call;
+                sentRevision = revision;
+                memberLag = faultsEnded ? 0 : random.nextInt(3) == 0 ? random.nextInt(4) : 0;
+                if (memberLag > 0) {
                     count("lagging");
                 }
                 long history = store.history();
-                long header = store.revision() - lag;
+                long header = store.revision() - memberLag;
                 if (pause == 0) {
-                    arrive(() -> follower.watching(now, call, history, header));
-                } else if (calm) {
-                    at(now + 1_000 * MS, () -> wake(call));
+                    deliver(() -> follower.watchCreated(now, call, history, header));
+                } else if (faultsEnded) {
+                    schedule(now + 1_000 * MS, () -> endBlockingQuery(call));
                 }
-                tell();
+                sendChanges();
             });
         }
 
-        /** A read that waits has waited for long enough. */
-        private void wake(long call) {
-            if (watching == call) {
-                watching = -1;
+        /** Ends a blocking query whose wait time is over. */
+        private void endBlockingQuery(long call) {
+            if (activeWatch == call) {
+                activeWatch = -1;
                 read(call, store.revision(), false);
             }
         }
 
-        /** The watch tells what it has. */
-        private void tell() {
-            if (watching < 0) {
+        /** Sends the pending changes of the active watch. */
+        private void sendChanges() {
+            if (activeWatch < 0) {
                 return;
             }
-            long call = watching;
+            long call = activeWatch;
             if (pause > 0) {
-                if (told != store.revision()) {
-                    watching = -1;
-                    read(call, Math.max(store.oldest() - 1, store.revision() - lag), false);
+                if (sentRevision != store.revision()) {
+                    activeWatch = -1;
+                    read(call, Math.max(store.oldest() - 1, store.revision() - memberLag), false);
                 }
                 return;
             }
-            List<KeyValueStore.Event> news = store.since(PREFIX, END, told);
-            if (news == null) {
+            List<KeyValueStore.Event> pending = store.since(PREFIX, END, sentRevision);
+            if (pending == null) {
                 count("compacted");
                 long oldest = store.oldest();
-                watching = -1;
-                arrive(() -> follower.compacted(now, call, oldest));
+                activeWatch = -1;
+                deliver(() -> follower.revisionCompacted(now, call, oldest));
                 return;
             }
-            long until = calm ? store.revision() : store.revision() - lag;
-            List<KeyValueStore.Event> due =
-                    news.stream().filter(each -> each.revision() <= until).toList();
-            if (due.isEmpty()) {
+            long visibleRevision = faultsEnded ? store.revision() : store.revision() - memberLag;
+            List<KeyValueStore.Event> visible = pending.stream()
+                    .filter(event -> event.revision() <= visibleRevision)
+                    .toList();
+            if (visible.isEmpty()) {
                 return;
             }
-            if (!calm && random.nextInt(5) == 0 && store.since(PREFIX, END, told - 3) != null) {
+            if (!faultsEnded && random.nextInt(5) == 0 && store.since(PREFIX, END, sentRevision - 3) != null) {
                 count("repeated");
-                due = store.since(PREFIX, END, told - 3).stream()
-                        .filter(each -> each.revision() <= until)
+                visible = store.since(PREFIX, END, sentRevision - 3).stream()
+                        .filter(event -> event.revision() <= visibleRevision)
                         .toList();
             }
-            told = due.get(due.size() - 1).revision();
-            List<KeyChange> all = due.stream().map(World::change).toList();
-            int cut = random.nextInt(all.size() + 1);
-            if (cut > 0 && cut < all.size()) {
+            sentRevision = visible.get(visible.size() - 1).revision();
+            List<KeyChange> changes = visible.stream().map(World::change).toList();
+            int cut = random.nextInt(changes.size() + 1);
+            if (cut > 0 && cut < changes.size()) {
                 count("fragments");
-                arrive(() -> follower.changes(now, call, all.subList(0, cut), true));
+                deliver(() -> follower.changesReceived(now, call, changes.subList(0, cut), true));
             }
-            arrive(() -> follower.changes(now, call, cut < all.size() ? all.subList(cut, all.size()) : all, false));
+            deliver(() -> follower.changesReceived(
+                    now, call, cut < changes.size() ? changes.subList(cut, changes.size()) : changes, false));
         }
 
         @Override
-        public void ask(long call) {
-            tell();
-            if (watching == call) {
+        public void requestProgress(long call) {
+            sendChanges();
+            if (activeWatch == call) {
                 long history = store.history();
-                long upTo = Math.max(told, store.revision() - (calm ? 0 : lag));
-                if (store.since(PREFIX, END, told) != null
-                        && store.since(PREFIX, END, told).stream().noneMatch(each -> each.revision() <= upTo)) {
-                    arrive(() -> follower.progress(now, call, history, upTo));
+                long upTo = Math.max(sentRevision, store.revision() - (faultsEnded ? 0 : memberLag));
+                if (store.since(PREFIX, END, sentRevision) != null
+                        && store.since(PREFIX, END, sentRevision).stream().noneMatch(each -> each.revision() <= upTo)) {
+                    deliver(() -> follower.progressReceived(now, call, history, upTo));
                 }
             }
         }
 
         @Override
-        public void drop(boolean failed) {
-            watching = -1;
+        public void endCall(boolean failed) {
+            activeWatch = -1;
         }
 
         @Override
-        public void timer(long delay) {
-            at(now + delay, () -> follower.timer(now));
+        public void scheduleTimer(long delay) {
+            schedule(now + delay, () -> follower.timerFired(now));
         }
 
         @Override
         public void changed(boolean full, List<KeyChange> changes) {
             count(full ? "full with changes" : "changes");
-            for (KeyChange each : changes) {
-                if (each.value() == null) {
-                    assertNotNull(applied.remove(each.key()), "deleted twice: " + each);
+            for (KeyChange change : changes) {
+                if (change.value() == null) {
+                    assertNotNull(applied.remove(change.key()), "deleted twice: " + change);
                 } else {
-                    assertFalse(each.value().equals(applied.put(each.key(), each.value() + each.modified())), "again");
+                    assertFalse(
+                            change.value().equals(applied.put(change.key(), change.value() + change.modRevision())),
+                            "again");
                 }
             }
-            Map<String, String> known = new TreeMap<>();
-            follower.entries().values().forEach(each -> known.put(each.key(), each.value() + each.modified()));
-            assertEquals(known, applied, "the changes add up to the state");
-            if (!full && !blurred) {
-                long upTo = follower.revision();
+            Map<String, String> expected = new TreeMap<>();
+            follower.entries()
+                    .values()
+                    .forEach(change -> expected.put(change.key(), change.value() + change.modRevision()));
+            assertEquals(expected, applied, "the changes add up to the entries");
+            if (!full && !historyUncertain) {
+                long revision = follower.revision();
                 assertEquals(
-                        twin.since(PREFIX, END, checked).stream()
-                                .filter(each -> each.revision() <= upTo)
+                        uncompactedStore.since(PREFIX, END, verifiedRevision).stream()
+                                .filter(change -> change.revision() <= revision)
                                 .map(World::change)
                                 .toList(),
                         changes);
-                checked = upTo;
+                verifiedRevision = revision;
             }
         }
 
         @Override
-        public void stale(boolean now) {}
+        public void staleChanged(boolean now) {}
 
         @Override
         public void log(String line) {
-            if (line.contains("not believed")) {
-                count("not believed");
+            if (line.contains("not trusted")) {
+                count("not trusted");
             }
         }
     }
--- a/src/test/java/gatefront/registry/follower/IgnoringActions.java
+++ b/src/test/java/gatefront/registry/follower/IgnoringActions.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Does nothing of what a follower asks for; tests override what they look at. */
+/** Ignores all actions of a follower; tests override those they observe. */
 class IgnoringActions implements Follower.Actions {
     @Override
     public void list(long call, boolean quorum) {}
@@ -11,19 +11,19 @@
     public void watch(long call, long revision) {}
 
     @Override
-    public void ask(long call) {}
+    public void requestProgress(long call) {}
 
     @Override
-    public void drop(boolean failed) {}
+    public void endCall(boolean failed) {}
 
     @Override
-    public void timer(long delay) {}
+    public void scheduleTimer(long delay) {}
 
     @Override
     public void changed(boolean full, List<KeyChange> changes) {}
 
     @Override
-    public void stale(boolean now) {}
+    public void staleChanged(boolean now) {}
 
     @Override
     public void log(String line) {}
--- a/src/test/java/gatefront/registry/follower/RegistryFigures.java
+++ b/src/test/java/gatefront/registry/follower/RegistryFigures.java
@@ -6,10 +6,10 @@
 import java.util.function.LongUnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** Figures for the design note; by hand: {@code mvn test -Dtest=RegistryFigures}. */
+/** Measurements for the design note. Run them manually: {@code mvn test -Dtest=RegistryFigures}. */
 class RegistryFigures {
     private static final int KEYS = 10_000;
-    private static final FollowerLimits BOUNDS =
+    private static final FollowerLimits LIMITS =
             new FollowerLimits(50_000, 1_000_000, 0, 2_000_000, 8_000_000, 30_000_000, 0, 20_000);
 
     private static final class Quiet extends IgnoringActions {
@@ -19,19 +19,19 @@
         private long now;
 
         @Override
-        public void list(long of, boolean quorum) {
-            call = of;
+        public void list(long newCall, boolean quorum) {
+            call = newCall;
             calls++;
         }
 
         @Override
-        public void watch(long of, long revision) {
-            call = of;
+        public void watch(long newCall, long revision) {
+            call = newCall;
             calls++;
         }
 
         @Override
-        public void timer(long delay) {
+        public void scheduleTimer(long delay) {
             timerAt = now + delay;
         }
     }
@@ -49,7 +49,7 @@
         return all;
     }
 
-    private static long used() {
+    private static long usedHeapBytes() {
         for (int i = 0; i < 4; i++) {
             System.gc();
         }
@@ -57,19 +57,19 @@
     }
 
     @Test
-    void changesASecondAndMemory() {
-        long before = used();
+    void changeRateAndMemory() {
+        long before = usedHeapBytes();
         Quiet quiet = new Quiet();
-        Follower follower = new Follower(BOUNDS, 1, quiet);
+        Follower follower = new Follower(LIMITS, 1, quiet);
         follower.start(0);
-        follower.listed(0, quiet.call, 1, KEYS + 1, true, entries());
-        System.out.printf("memory for %d nodos: %.1f MB%n", KEYS, (used() - before) / 1e6);
+        follower.listReceived(0, quiet.call, 1, KEYS + 1, true, entries());
+        System.out.printf("memory for %d nodos: %.1f MB%n", KEYS, (usedHeapBytes() - before) / 1e6);
         for (int round = 0; round < 5; round++) {
             long began = System.nanoTime();
             int n = 1_000_000;
             long from = follower.revision();
             for (int i = 1; i <= n; i++) {
-                follower.changes(
+                follower.changesReceived(
                         0,
                         quiet.call,
                         List.of(new KeyChange("oaxaca/nodos/nodo-" + i % KEYS, "x", 1, from + i)),
@@ -78,18 +78,21 @@
             System.out.printf("changes a second, one a message: %.0f%n", n / ((System.nanoTime() - began) / 1e9));
             began = System.nanoTime();
             for (int i = 0; i < 20; i++) {
-                follower.compacted(0, quiet.call, 1);
+                follower.revisionCompacted(0, quiet.call, 1);
                 quiet.now += 1_000_000;
-                follower.timer(quiet.now);
-                follower.listed(quiet.now, quiet.call, 1, follower.revision() + 1, true, entries());
+                follower.timerFired(quiet.now);
+                follower.listReceived(quiet.now, quiet.call, 1, follower.revision() + 1, true, entries());
             }
             System.out.printf("a full read of %d taken in: %.1f ms%n", KEYS, (System.nanoTime() - began) / 20 / 1e6);
         }
     }
 
-    /** All lose the registry at once and it is back after 20 s: calls in the fullest tenth of a second after that. */
+    /**
+     * All agents lose the registry at the same time; it is back after 20 s. Prints the maximum number of calls in a
+     * tenth of a second after that.
+     */
     @Test
-    void crowdAfterAnOutage() {
+    void reconnectRateAfterAnOutage() {
         for (int agents : new int[] {100, 1_000}) {
             for (boolean jitter : new boolean[] {false, true}) {
                 int[] calls = new int[50];
@@ -97,19 +100,20 @@
                     SplittableRandom random = new SplittableRandom(i);
                     LongUnaryOperator wait = jitter ? most -> random.nextLong(most + 1) : most -> most;
                     Quiet quiet = new Quiet();
-                    Follower follower = new Follower(BOUNDS, wait, quiet);
+                    Follower follower = new Follower(LIMITS, wait, quiet);
                     follower.start(0);
-                    follower.listed(0, quiet.call, 1, 5, true, List.of());
+                    follower.listReceived(0, quiet.call, 1, 5, true, List.of());
                     while (quiet.now < 22_000_000) {
                         int before = quiet.calls;
-                        follower.failed(quiet.now, quiet.call, "down", false);
+                        follower.callFailed(quiet.now, quiet.call, "down", false);
                         while (quiet.calls == before) {
                             quiet.now = quiet.timerAt;
-                            follower.timer(quiet.now);
+                            follower.timerFired(quiet.now);
                         }
                         if (quiet.now >= 20_000_000) {
                             calls[(int) Math.min(49, (quiet.now - 20_000_000) / 100_000)]++;
-                            break; // it is answered
+                            // The call succeeds.
+                            break;
                         }
                     }
                 }
