--- a/src/main/java/gatefront/engine/RequestCounters.java
+++ b/src/main/java/gatefront/engine/RequestCounters.java
@@ -3,80 +3,81 @@
 import java.util.Arrays;
 
 /**
- * How requests have ended, by the number of their class, and what is under way. One thread; counts from the process's
- * start. A number for each class that there ever was: classes are bounded where they get their numbers.
+ * Counts by class index how requests have ended, and how many are in progress, since the process started. Not
+ * thread-safe. A class keeps its counters when it leaves the settings; the number of classes is bounded where indexes
+ * are assigned.
  */
 public final class RequestCounters {
     private long[] ok;
     private long[] shed;
     private long[] errors;
-    private long tries;
+    private long attempts;
     private long active;
 
-    /** Nothing yet, of so many classes. */
+    /** Creates counters for this many classes. */
     public RequestCounters(int classes) {
         ok = new long[classes];
         shed = new long[classes];
         errors = new long[classes];
     }
 
-    /** There are so many classes now. */
-    void grow(int classes) {
-        ok = Arrays.copyOf(ok, classes);
-        shed = Arrays.copyOf(shed, classes);
-        errors = Arrays.copyOf(errors, classes);
+    /** Makes room for this many classes. */
+    void grow(int classCount) {
+        ok = Arrays.copyOf(ok, classCount);
+        shed = Arrays.copyOf(shed, classCount);
+        errors = Arrays.copyOf(errors, classCount);
     }
 
-    void served(int of) {
-        ok[of]++;
+    void recordServed(int requestClass) {
+        ok[requestClass]++;
     }
 
-    void refused(int of) {
-        shed[of]++;
+    void recordShed(int requestClass) {
+        shed[requestClass]++;
     }
 
-    void failed(int of) {
-        errors[of]++;
+    void recordError(int requestClass) {
+        errors[requestClass]++;
     }
 
-    void tried() {
-        tries++;
+    void recordAttempt() {
+        attempts++;
     }
 
-    void begun() {
+    void recordStarted() {
         active++;
     }
 
-    void ended() {
+    void recordEnded() {
         active--;
     }
 
-    /** Served, of a class. */
-    public long ok(int of) {
-        return ok[of];
+    /** Returns how many requests of a class were served. */
+    public long ok(int requestClass) {
+        return ok[requestClass];
     }
 
-    /** Refused, of a class. */
-    public long shed(int of) {
-        return shed[of];
+    /** Returns how many requests of a class were refused. */
+    public long shed(int requestClass) {
+        return shed[requestClass];
     }
 
-    /** Failed, of a class; those whose caller has gone are among them. */
-    public long errors(int of) {
-        return errors[of];
+    /** Returns how many requests of a class failed, including those whose client disconnected. */
+    public long errors(int requestClass) {
+        return errors[requestClass];
     }
 
-    /** How many classes have counts. */
-    public int classes() {
+    /** Returns the number of classes that have counters. */
+    public int classCount() {
         return ok.length;
     }
 
-    /** Attempts whose last byte has left for a server; probes are none. */
-    public long tries() {
-        return tries;
+    /** Returns how many attempts were sent to a server to their last byte; probes are not counted. */
+    public long attempts() {
+        return attempts;
     }
 
-    /** Requests taken and not ended. */
+    /** Returns how many accepted requests are in progress. */
     public long active() {
         return active;
     }
--- a/src/main/java/gatefront/engine/UsageMeter.java
+++ b/src/main/java/gatefront/engine/UsageMeter.java
@@ -3,44 +3,48 @@
 import java.util.Arrays;
 
 /**
- * What was served, by the numbers of its tenant and its class, since it was last taken. One thread. A cell for each
- * pair that there ever was: both are bounded where they get their numbers. A request costs three additions.
+ * Sums what was served by tenant index and class index since the last {@link #drain}. Not thread-safe. Each pair that
+ * was ever used keeps a cell; both are bounded where indexes are assigned. Recording a request costs three additions.
  */
 public final class UsageMeter {
-    /** Who is told. */
-    public interface Taker {
-        /** So many requests, of so many microseconds of servers' time and so many bytes. */
-        void cell(int tenant, int requestClass, long requests, long work, long bytes);
+    /** Receives the sums of a tenant and class. */
+    public interface Visitor {
+        /**
+         * Reports the number of requests, the servers' time in microseconds and the bytes of request and response
+         * bodies.
+         */
+        void visit(int tenant, int requestClass, long requests, long serverMicros, long bytes);
     }
 
-    private static final int FIGURES = 3;
+    private static final int VALUES_PER_CLASS = 3;
 
     private long[][] byTenant = {};
 
-    /** A request was served. */
-    void served(int tenant, int requestClass, long work, long bytes) {
+    /** Records a served request. */
+    void record(int tenant, int requestClass, long serverMicros, long bytes) {
         if (tenant >= byTenant.length) {
-            int known = byTenant.length;
+            int oldLength = byTenant.length;
             byTenant = Arrays.copyOf(byTenant, tenant + 1);
-            Arrays.fill(byTenant, known, tenant + 1, new long[0]);
+            Arrays.fill(byTenant, oldLength, tenant + 1, new long[0]);
         }
-        int at = FIGURES * requestClass;
-        if (at >= byTenant[tenant].length) {
-            byTenant[tenant] = Arrays.copyOf(byTenant[tenant], at + FIGURES);
+        int offset = VALUES_PER_CLASS * requestClass;
+        if (offset >= byTenant[tenant].length) {
+            byTenant[tenant] = Arrays.copyOf(byTenant[tenant], offset + VALUES_PER_CLASS);
         }
         long[] cells = byTenant[tenant];
-        cells[at]++;
-        cells[at + 1] += work;
-        cells[at + 2] += bytes;
+        cells[offset]++;
+        cells[offset + 1] += serverMicros;
+        cells[offset + 2] += bytes;
     }
 
-    /** Tells each cell with use, and begins anew. */
-    public void take(Taker taker) {
+    /** Passes each cell with any requests to {@code visitor}, and resets all. */
+    public void drain(Visitor visitor) {
         for (int tenant = 0; tenant < byTenant.length; tenant++) {
             long[] cells = byTenant[tenant];
-            for (int at = 0; at < cells.length; at += FIGURES) {
-                if (cells[at] > 0) {
-                    taker.cell(tenant, at / FIGURES, cells[at], cells[at + 1], cells[at + 2]);
+            for (int offset = 0; offset < cells.length; offset += VALUES_PER_CLASS) {
+                if (cells[offset] > 0) {
+                    visitor.visit(
+                            tenant, offset / VALUES_PER_CLASS, cells[offset], cells[offset + 1], cells[offset + 2]);
                 }
             }
             Arrays.fill(cells, 0);
--- a/src/main/java/gatefront/ledgerstore/EntryFormat.java
+++ b/src/main/java/gatefront/ledgerstore/EntryFormat.java
@@ -8,23 +8,23 @@
 import java.io.StringWriter;
 import java.util.Locale;
 
-/** Entries on paper, a line each: JSON and CSV (RFC 4180). */
+/** Formats entries as lines of JSON or CSV (RFC 4180). */
 public final class EntryFormat {
-    /** The names of the columns. */
-    public static final String CSV_HEAD =
+    /** The header line of CSV output. */
+    public static final String CSV_HEADER =
             "id,kind,period,tenant,class,requests," + "worth_millionths,work_us,bytes,corrects,why";
 
     private static final JsonFactory JSON = new JsonFactory();
 
     private EntryFormat() {}
 
-    /** As an object of JSON. */
+    /** Formats an entry as a JSON object. */
     public static String json(LedgerEntry entry) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = JSON.createGenerator(text)) {
             out.writeStartObject();
             out.writeStringField("id", entry.id().toString());
-            out.writeStringField("kind", word(entry));
+            out.writeStringField("kind", kindName(entry));
             out.writeNumberField("period", entry.period());
             out.writeStringField("tenant", entry.tenant());
             out.writeStringField("class", entry.type());
@@ -38,33 +38,33 @@
             }
             out.writeEndObject();
         } catch (IOException e) {
-            throw new IllegalStateException(e); // a string takes all
+            throw new IllegalStateException(e); // a StringWriter never fails
         }
         return text.toString();
     }
 
-    /** As a line of {@link #CSV_HEAD}. */
+    /** Formats an entry as a CSV line with the columns of {@link #CSV_HEADER}. */
     public static String csv(LedgerEntry entry) {
-        return entry.id() + "," + word(entry) + "," + entry.period() + "," + quoted(entry.tenant()) + ","
-                + quoted(entry.type()) + "," + entry.amounts().requests() + ","
+        return entry.id() + "," + kindName(entry) + "," + entry.period() + "," + csvQuoted(entry.tenant()) + ","
+                + csvQuoted(entry.type()) + "," + entry.amounts().requests() + ","
                 + entry.amounts().worth() + ","
                 + entry.amounts().work() + "," + entry.amounts().bytes() + ","
-                + (entry.corrects() == null ? "" : entry.corrects()) + "," + quoted(entry.why());
+                + (entry.corrects() == null ? "" : entry.corrects()) + "," + csvQuoted(entry.why());
     }
 
-    /** A string of JSON, with its quotes. */
+    /** Returns a text as a JSON string, including the quotes. */
     public static String quotedJson(String text) {
         return "\"" + new String(JsonStringEncoder.getInstance().quoteAsString(text)) + "\"";
     }
 
-    /** What an entry is called. */
-    public static String word(LedgerEntry entry) {
+    /** Returns the word for an entry's kind in JSON and CSV. */
+    public static String kindName(LedgerEntry entry) {
         return entry.kind().name().toLowerCase(Locale.ROOT);
     }
 
-    private static String quoted(String text) {
-        // A sheet takes a cell that begins so for a formula, and runs it.
-        String harmless = !text.isEmpty() && "=+-@\t\r".indexOf(text.charAt(0)) >= 0 ? "'" + text : text;
-        return harmless.matches("[^\",\r\n]*") ? harmless : "\"" + harmless.replace("\"", "\"\"") + "\"";
+    private static String csvQuoted(String text) {
+        // Spreadsheets evaluate cells that begin with these characters as formulas; a leading quote prevents that.
+        String escaped = !text.isEmpty() && "=+-@\t\r".indexOf(text.charAt(0)) >= 0 ? "'" + text : text;
+        return escaped.matches("[^\",\r\n]*") ? escaped : "\"" + escaped.replace("\"", "\"\"") + "\"";
     }
 }
--- a/src/test/java/gatefront/padron/DiscoveryTest.java
+++ b/src/test/java/gatefront/padron/DiscoveryTest.java
@@ -108,16 +108,16 @@
             }
 
             @Override
-            public void requestFailed(String why) {
-                events.add("failed: " + why);
+            public void requestFailed(String reason) {
+                events.add("failed: " + reason);
             }
         });
         discovery.watch();
         return discovery;
     }
 
-    private void advance(long forMs) {
-        time.run(time.nanoTime() + forMs * MS);
+    private void advance(long durationMs) {
+        time.run(time.nanoTime() + durationMs * MS);
     }
 
     private static Script respondWith(int status, String body) {
--- a/src/test/java/gatefront/registry/follower/FollowerTest.java
+++ b/src/test/java/gatefront/registry/follower/FollowerTest.java
@@ -14,7 +14,7 @@
 
     private final List<String> actions = new ArrayList<>();
     private final List<KeyChange> reported = new ArrayList<>();
-    private final Follower follower = new Follower(LIMITS, most -> most, new IgnoringActions() {
+    private final Follower follower = new Follower(LIMITS, max -> max, new IgnoringActions() {
         @Override
         public void list(long newCall, boolean quorum) {
             call = newCall;
--- a/src/test/java/gatefront/registry/follower/RegistryFigures.java
+++ b/src/test/java/gatefront/registry/follower/RegistryFigures.java
@@ -98,7 +98,7 @@
                 int[] calls = new int[50];
                 for (int i = 0; i < agents; i++) {
                     SplittableRandom random = new SplittableRandom(i);
-                    LongUnaryOperator wait = jitter ? most -> random.nextLong(most + 1) : most -> most;
+                    LongUnaryOperator wait = jitter ? max -> random.nextLong(max + 1) : max -> max;
                     Quiet quiet = new Quiet();
                     Follower follower = new Follower(LIMITS, wait, quiet);
                     follower.start(0);
@@ -117,13 +117,13 @@
                         }
                     }
                 }
-                int most = 0;
+                int busiest = 0;
                 for (int each : calls) {
-                    most = Math.max(most, each);
+                    busiest = Math.max(busiest, each);
                 }
                 System.out.printf(
                         "%d agents, %s jitter: %d calls in the fullest tenth of a second%n",
-                        agents, jitter ? "with" : "without", most);
+                        agents, jitter ? "with" : "without", busiest);
             }
         }
     }
