--- a/src/bench/java/gatefront/bench/DecisionBench.java
+++ b/src/bench/java/gatefront/bench/DecisionBench.java
@@ -63,7 +63,7 @@
         public void probe(long server) {}
 
         @Override
-        public void tell(int agent, byte[] message) {}
+        public void sendMessage(int agent, byte[] message) {}
 
         @Override
         public void timer(long token, long delay) {}
--- a/src/main/java/gatefront/agent/Warmup.java
+++ b/src/main/java/gatefront/agent/Warmup.java
@@ -191,7 +191,7 @@
     public void probe(long server) {}
 
     @Override
-    public void tell(int agent, byte[] message) {}
+    public void sendMessage(int agent, byte[] message) {}
 
     @Override
     public void closeIdle(long server) {}
--- a/src/main/java/gatefront/drill/Drill.java
+++ b/src/main/java/gatefront/drill/Drill.java
@@ -95,7 +95,7 @@
             case 16 -> {
                 long spent = in.u32();
                 Outcome outcome = outcome(in.u16());
-                instance.probed(now, in.u32(), outcome, spent, load());
+                instance.probeOutcome(now, in.u32(), outcome, spent, load());
             }
             case 17 -> instance.streamStarted(now, in.i64(), in.u16(), in.u32(), in.u32());
             case 18 -> {
--- a/src/main/java/gatefront/drill/FrameWriter.java
+++ b/src/main/java/gatefront/drill/FrameWriter.java
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public void tell(int agent, byte[] message) {
+    public void sendMessage(int agent, byte[] message) {
         begin(23, 8 + message.length);
         i32(agent);
         i16(message.length);
--- a/src/main/java/gatefront/engine/Engine.java
+++ b/src/main/java/gatefront/engine/Engine.java
@@ -179,7 +179,7 @@
 
     /** How many of them the module avoids by choice; to be asked on its loop. */
     public int avoided() {
-        return balancer.avoided(now());
+        return balancer.unhealthyServers(now());
     }
 
     /** What it holds now; to be asked on its loop. */
@@ -596,12 +596,12 @@
                 .get(0)
                 .probe(
                         server,
-                        result -> event(
-                                () -> balancer.probed(now(), server, result.outcome(), now() - sentAt, result.load())));
+                        result -> event(() ->
+                                balancer.probeOutcome(now(), server, result.outcome(), now() - sentAt, result.load())));
     }
 
     @Override
-    public void tell(int agent, byte[] message) {} // the module sends no messages
+    public void sendMessage(int agent, byte[] message) {} // the module sends no messages
 
     @Override
     public void timer(long token, long delay) {
--- a/src/main/java/gatefront/policy/Balancer.java
+++ b/src/main/java/gatefront/policy/Balancer.java
@@ -233,7 +233,7 @@
          * @param agent which, or all with -1
          * @param message the bytes
          */
-        void tell(int agent, byte[] message);
+        void sendMessage(int agent, byte[] message);
 
         /**
          * Asks for {@link Balancer#timer}.
@@ -331,7 +331,7 @@
      * @param spent since the probe was asked for
      * @param load its load report in the order of the settings' fields; empty if none came
      */
-    void probed(long now, long server, Outcome outcome, long spent, double[] load);
+    void probeOutcome(long now, long server, Outcome outcome, long spent, double[] load);
 
     /**
      * Another agent has sent a message.
@@ -357,7 +357,7 @@
      * @param now the time
      * @return the count
      */
-    int avoided(long now);
+    int unhealthyServers(long now);
 
     /**
      * A timer has come due.
--- a/src/main/java/gatefront/policy/CheckedBalancer.java
+++ b/src/main/java/gatefront/policy/CheckedBalancer.java
@@ -12,17 +12,17 @@
  */
 public final class CheckedBalancer implements Balancer {
     /** What is out for one request: the sends seen and which of them have ended. */
-    private static final class Seen {
+    private static final class TrackedRequest {
         int sends;
-        long ended;
+        long endedAttempts;
         boolean answered;
     }
 
     /** Hands the actions on and counts the sends. */
-    private final class Counted implements Actions {
+    private final class CountingActions implements Actions {
         private final Actions host;
 
-        Counted(Actions host) {
+        CountingActions(Actions host) {
             this.host = host;
         }
 
@@ -34,13 +34,13 @@
 
         @Override
         public void refuse(long request, long retryAfter) {
-            answered(request);
+            markAnswered(request);
             host.refuse(request, retryAfter);
         }
 
         @Override
         public void fail(long request) {
-            answered(request);
+            markAnswered(request);
             host.fail(request);
         }
 
@@ -55,8 +55,8 @@
         }
 
         @Override
-        public void tell(int agent, byte[] message) {
-            host.tell(agent, message);
+        public void sendMessage(int agent, byte[] message) {
+            host.sendMessage(agent, message);
         }
 
         @Override
@@ -87,9 +87,9 @@
 
     private Settings settings;
     private final Balancer balancer;
-    private final Map<Long, Seen> requests = new HashMap<>();
-    private long latest;
-    private boolean inside;
+    private final Map<Long, TrackedRequest> requests = new HashMap<>();
+    private long lastEventAt;
+    private boolean inEvent;
 
     /**
      * A checked {@link AdaptiveBalancer}.
@@ -101,8 +101,8 @@
      */
     public CheckedBalancer(Settings settings, long seed, long now, Actions actions) {
         this.settings = Objects.requireNonNull(settings, "settings");
-        this.latest = now;
-        Actions counted = new Counted(Objects.requireNonNull(actions, "actions"));
+        this.lastEventAt = now;
+        Actions counted = new CountingActions(Objects.requireNonNull(actions, "actions"));
         this.balancer = new AdaptiveBalancer(settings, seed, now, counted);
     }
 
@@ -112,7 +112,7 @@
         for (Server entry : Objects.requireNonNull(entries, "entries")) {
             Objects.requireNonNull(entry, "an entry");
         }
-        event(now, () -> balancer.servers(now, kind, entries));
+        handle(now, () -> balancer.servers(now, kind, entries));
     }
 
     @Override
@@ -122,16 +122,16 @@
         if (requests.containsKey(request.id())) {
             throw new IllegalArgumentException("request " + request.id() + " has come before");
         }
-        event(now, () -> {
-            requests.put(request.id(), new Seen());
+        handle(now, () -> {
+            requests.put(request.id(), new TrackedRequest());
             balancer.request(now, request);
         });
     }
 
     @Override
     public void streamStarted(long now, long request, int attempt, long server, long spent) {
-        out(request, attempt);
-        event(now, () -> balancer.streamStarted(now, request, attempt, server, spent));
+        requireInFlight(request, attempt);
+        handle(now, () -> balancer.streamStarted(now, request, attempt, server, spent));
     }
 
     @Override
@@ -146,36 +146,36 @@
             double[] load) {
         Objects.requireNonNull(outcome, "outcome");
         Objects.requireNonNull(load, "load");
-        Seen seen = out(request, attempt);
-        event(now, () -> {
-            seen.ended |= 1L << attempt;
+        TrackedRequest seen = requireInFlight(request, attempt);
+        handle(now, () -> {
+            seen.endedAttempts |= 1L << attempt;
             seen.answered |= closed;
             balancer.outcome(now, request, attempt, server, outcome, spent, closed, load);
-            forget(request, seen);
+            forgetIfEnded(request, seen);
         });
     }
 
     @Override
     public void clientLeft(long now, long request) {
-        event(now, () -> {
+        handle(now, () -> {
             if (requests.containsKey(request)) {
                 balancer.clientLeft(now, request);
-                answered(request);
+                markAnswered(request);
             }
         });
     }
 
     @Override
-    public void probed(long now, long server, Outcome outcome, long spent, double[] load) {
+    public void probeOutcome(long now, long server, Outcome outcome, long spent, double[] load) {
         Objects.requireNonNull(outcome, "outcome");
         Objects.requireNonNull(load, "load");
-        event(now, () -> balancer.probed(now, server, outcome, spent, load));
+        handle(now, () -> balancer.probeOutcome(now, server, outcome, spent, load));
     }
 
     @Override
     public void message(long now, int agent, byte[] message) {
         Objects.requireNonNull(message, "message");
-        event(now, () -> balancer.message(now, agent, message));
+        handle(now, () -> balancer.message(now, agent, message));
     }
 
     @Override
@@ -185,58 +185,58 @@
             throw new IllegalArgumentException("classes keep their numbers: "
                     + changed.classes().size() + " after " + settings.classes().size());
         }
-        event(now, () -> {
+        handle(now, () -> {
             settings = changed;
             balancer.settings(now, changed);
         });
     }
 
     @Override
-    public int avoided(long now) {
-        return balancer.avoided(now);
+    public int unhealthyServers(long now) {
+        return balancer.unhealthyServers(now);
     }
 
     @Override
     public void timer(long now, long token) {
-        event(now, () -> balancer.timer(now, token));
+        handle(now, () -> balancer.timer(now, token));
     }
 
-    private void event(long now, Runnable told) {
-        if (inside) {
+    private void handle(long now, Runnable handler) {
+        if (inEvent) {
             throw new IllegalStateException("an action has called back into the balancer");
         }
-        if (now < latest) {
-            throw new IllegalArgumentException("time runs backwards: " + now + " after " + latest);
+        if (now < lastEventAt) {
+            throw new IllegalArgumentException("time runs backwards: " + now + " after " + lastEventAt);
         }
-        latest = now;
-        inside = true;
+        lastEventAt = now;
+        inEvent = true;
         try {
-            told.run();
+            handler.run();
         } finally {
-            inside = false;
+            inEvent = false;
         }
     }
 
-    private Seen out(long request, int attempt) {
-        Seen seen = requests.get(request);
+    private TrackedRequest requireInFlight(long request, int attempt) {
+        TrackedRequest seen = requests.get(request);
         if (seen == null) {
             throw new IllegalArgumentException("request " + request + " is not known, or has ended");
         }
         Objects.checkIndex(attempt, seen.sends);
-        if ((seen.ended & 1L << attempt) != 0) {
+        if ((seen.endedAttempts & 1L << attempt) != 0) {
             throw new IllegalArgumentException("attempt " + attempt + " of request " + request + " has ended");
         }
         return seen;
     }
 
-    private void answered(long request) {
-        Seen seen = requests.get(request);
+    private void markAnswered(long request) {
+        TrackedRequest seen = requests.get(request);
         seen.answered = true;
-        forget(request, seen);
+        forgetIfEnded(request, seen);
     }
 
-    private void forget(long request, Seen seen) {
-        if (seen.answered && Long.bitCount(seen.ended) == seen.sends) {
+    private void forgetIfEnded(long request, TrackedRequest seen) {
+        if (seen.answered && Long.bitCount(seen.endedAttempts) == seen.sends) {
             requests.remove(request);
         }
     }
--- a/src/main/java/gatefront/policy/ClassState.java
+++ b/src/main/java/gatefront/policy/ClassState.java
@@ -6,24 +6,24 @@
 
 /** What one agent knows of one class of requests. State only: {@link AdaptiveBalancer} decides. */
 final class ClassState {
-    RequestClass type;
-    final Deque<PendingRequest> held = new ArrayDeque<>(); // its requests that wait in this agent for want of room
-    double came; // requests come and requests served, as counts that fade
-    double served;
-    double typical; // the mean answer time, and the lowest that it has been
-    double unhurried;
+    RequestClass requestClass;
+    final Deque<PendingRequest> queue = new ArrayDeque<>(); // its requests that wait in this agent for want of room
+    double recentArrivals; // requests come and requests served, as counts that fade
+    double recentServed;
+    double meanLatency; // the mean answer time, and the lowest that it has been
+    double lowestMeanLatency;
     double meanCost; // the mean of its requests' cost hints
-    final QuantileEstimator times; // a quantile of its answer times
+    final QuantileEstimator latencyQuantile; // a quantile of its answer times
     /** How long a request unserved here had waited: what a client's repeat has behind it. */
-    double unservedWait;
+    double meanUnservedWait;
     /** The time that most requests bring, a first try's, by a running majority vote. */
-    long usualLeft;
+    long usualTimeout;
 
-    int usualVotes;
-    double value; // what a unit of its work adds to the goal, as last measured
+    int usualTimeoutVotes;
+    double valuePerWork; // what a unit of its work adds to the goal, as last measured
 
     ClassState(RequestClass type, double quantile) {
-        this.type = type;
-        this.times = new QuantileEstimator(quantile);
+        this.requestClass = type;
+        this.latencyQuantile = new QuantileEstimator(quantile);
     }
 }
--- a/src/main/java/gatefront/policy/FailureWindow.java
+++ b/src/main/java/gatefront/policy/FailureWindow.java
@@ -6,20 +6,20 @@
 final class FailureWindow {
     private static final int SLOTS = 10;
 
-    private final int[] failures = new int[SLOTS];
-    private final int[] totals = new int[SLOTS];
-    private long slot;
+    private final int[] failuresBySlot = new int[SLOTS];
+    private final int[] totalsBySlot = new int[SLOTS];
+    private long newestSlot;
     int failed;
     int total;
 
     /** Counts one outcome. */
     void add(long now, long length, boolean failure) {
         slideTo(now, length);
-        int i = (int) (slot % SLOTS);
-        totals[i]++;
+        int i = (int) (newestSlot % SLOTS);
+        totalsBySlot[i]++;
         total++;
         if (failure) {
-            failures[i]++;
+            failuresBySlot[i]++;
             failed++;
         }
     }
@@ -27,19 +27,19 @@
     /** Forgets what is older than the window of this length. */
     void slideTo(long now, long length) {
         long newest = now / (length / SLOTS);
-        for (long s = Math.max(slot + 1, newest - SLOTS + 1); s <= newest; s++) {
+        for (long s = Math.max(newestSlot + 1, newest - SLOTS + 1); s <= newest; s++) {
             int i = (int) (s % SLOTS);
-            total -= totals[i];
-            failed -= failures[i];
-            totals[i] = 0;
-            failures[i] = 0;
+            total -= totalsBySlot[i];
+            failed -= failuresBySlot[i];
+            totalsBySlot[i] = 0;
+            failuresBySlot[i] = 0;
         }
-        slot = newest;
+        newestSlot = newest;
     }
 
     void clear() {
-        Arrays.fill(failures, 0);
-        Arrays.fill(totals, 0);
+        Arrays.fill(failuresBySlot, 0);
+        Arrays.fill(totalsBySlot, 0);
         failed = 0;
         total = 0;
     }
--- a/src/main/java/gatefront/policy/PendingRequest.java
+++ b/src/main/java/gatefront/policy/PendingRequest.java
@@ -9,43 +9,43 @@
 /** One request that an agent has taken. State only: {@link AdaptiveBalancer} decides. */
 final class PendingRequest {
     final Request request;
-    final ClassState state;
+    final ClassState classState;
     /** Its class as it was when it came, and how many attempts it may have. */
-    final RequestClass type;
+    final RequestClass requestClass;
 
-    final int attemptsMost;
+    final int maxAttempts;
     final long token; // names its timer
-    final long cameAt;
-    final long firstAt; // when its first try did
+    final long arrivedAt;
+    final long firstArrivedAt; // when its first try did
     /** When there is nothing left to win, at the latest when the client gives up. */
-    final long endAt;
+    final long expiresAt;
 
     final List<Attempt> attempts = new ArrayList<>(1);
     boolean closed;
-    boolean held;
+    boolean queued;
     boolean streaming;
 
     PendingRequest(
             Request request, ClassState state, int attemptsMost, long token, long cameAt, long firstAt, long endAt) {
         this.request = request;
-        this.state = state;
-        this.type = state.type;
-        this.attemptsMost = attemptsMost;
+        this.classState = state;
+        this.requestClass = state.requestClass;
+        this.maxAttempts = attemptsMost;
         this.token = token;
-        this.cameAt = cameAt;
-        this.firstAt = firstAt;
-        this.endAt = endAt;
+        this.arrivedAt = cameAt;
+        this.firstArrivedAt = firstAt;
+        this.expiresAt = endAt;
     }
 
     /** One attempt; its outcome is null while it is out. */
     static final class Attempt {
-        final ServerState target;
+        final ServerState server;
         final long sentAt;
         Outcome outcome;
-        boolean passing;
+        boolean streaming;
 
-        Attempt(ServerState target, long sentAt) {
-            this.target = target;
+        Attempt(ServerState server, long sentAt) {
+            this.server = server;
             this.sentAt = sentAt;
         }
 
@@ -55,14 +55,14 @@
     }
 
     /** How many attempts are out. */
-    int out() {
+    int attemptsInFlight() {
         return (int)
                 attempts.stream().filter(attempt -> attempt.outcome == null).count();
     }
 
-    boolean tried(ServerState target) {
+    boolean tried(ServerState server) {
         for (Attempt attempt : attempts) {
-            if (attempt.target == target) {
+            if (attempt.server == server) {
                 return true;
             }
         }
--- a/src/main/java/gatefront/policy/SettingsParser.java
+++ b/src/main/java/gatefront/policy/SettingsParser.java
@@ -69,15 +69,15 @@
                 flag("caps.cancel"),
                 flag("caps.probes"),
                 flag("caps.peers"),
-                flag("caps.retry-after") ? whole("caps.max-retry-after-us") : 0);
+                flag("caps.retry-after") ? rounded("caps.max-retry-after-us") : 0);
         var obligations = new Balancer.Obligations(
-                whole("obligations.answer-slack-us"),
-                whole("obligations.stop-sending-within-us"),
+                rounded("obligations.answer-slack-us"),
+                rounded("obligations.stop-sending-within-us"),
                 number("obligations.cold-from"),
                 atLeast(1, "obligations.cold-us"),
                 number("obligations.fall-multiple"),
                 atLeast(1, "obligations.overload-for-us"),
-                has("obligations.ask-within-us") ? whole("obligations.ask-within-us") : 0);
+                has("obligations.ask-within-us") ? rounded("obligations.ask-within-us") : 0);
         var prices = new Balancer.Prices(
                 number("deductions.cross-zone", 0),
                 number("deductions.probe", 0),
@@ -88,7 +88,7 @@
                 number("objective-mix.whole", 1), number("objective-mix.worst-window", 0),
                 number("objective-mix.worst-class", 0), number("objective-mix.worst-tenant", 0));
         List<LoadField> fields = new ArrayList<>();
-        if (!word("load-info.via", "none").equals("none")) {
+        if (!text("load-info.via", "none").equals("none")) {
             for (String name : list("load-info.fields")) {
                 fields.add(LOAD_FIELDS.get(name)); // null: a value without a name here
             }
@@ -99,10 +99,10 @@
                 (int) atLeast(0, "locality"),
                 zones(),
                 atLeast(1, "granularity-us"),
-                need("discovery").equals("subscribe"),
-                word("family-info.warm-keys", "false").equals("true"),
-                !word("weight-source", "none").equals("none"),
-                word("worth-by", "request").equals("work"),
+                required("discovery").equals("subscribe"),
+                text("family-info.warm-keys", "false").equals("true"),
+                !text("weight-source", "none").equals("none"),
+                text("worth-by", "request").equals("work"),
                 number("over-share-worth", 1),
                 permits,
                 obligations,
@@ -116,7 +116,7 @@
     private int zones() {
         int zones = list("zones").size();
         if (zones <= atLeast(0, "locality")) {
-            throw bad("locality");
+            throw unusable("locality");
         }
         return zones;
     }
@@ -131,18 +131,18 @@
                     number(at + "aim-stretch", 0),
                     atLeast(1, at + "give-up-us"),
                     semantics(at + "semantics"),
-                    scope(word(at + "key-scope", "all"), at + "key-scope"),
-                    has(at + "window-us") ? whole(at + "window-us") : 0,
+                    scope(text(at + "key-scope", "all"), at + "key-scope"),
+                    has(at + "window-us") ? rounded(at + "window-us") : 0,
                     number(at + "worth", 1),
                     number(at + "late-share", 0),
-                    word(at + "stream", "false").equals("true")));
+                    text(at + "stream", "false").equals("true")));
         }
         return List.copyOf(classes);
     }
 
     private List<Balancer.Tenant> tenants() {
         List<Balancer.Tenant> tenants = new ArrayList<>();
-        long count = has("realms.count") ? whole("realms.count") : 0;
+        long count = has("realms.count") ? rounded("realms.count") : 0;
         for (int i = 0; i < count; i++) {
             String at = "realms." + i + ".";
             tenants.add(new Balancer.Tenant(number(at + "quota-per-s", 0), number(at + "fraction", 0)));
@@ -151,11 +151,11 @@
     }
 
     private Semantics semantics(String key) {
-        return switch (need(key)) {
+        return switch (required(key)) {
             case "safe" -> Semantics.SAFE;
             case "keyed" -> Semantics.KEYED;
             case "unsafe" -> Semantics.UNSAFE;
-            default -> throw bad(key);
+            default -> throw unusable(key);
         };
     }
 
@@ -164,7 +164,7 @@
             case "all" -> Scope.ALL;
             case "zone" -> Scope.ZONE;
             case "cell" -> Scope.CELL;
-            default -> throw bad(key);
+            default -> throw unusable(key);
         };
     }
 
@@ -172,7 +172,7 @@
         return pairs.containsKey(key);
     }
 
-    private String need(String key) {
+    private String required(String key) {
         String value = pairs.get(key);
         if (value == null) {
             throw new IllegalArgumentException("settings: " + key + " is missing");
@@ -180,31 +180,31 @@
         return value;
     }
 
-    private String word(String key, String otherwise) {
+    private String text(String key, String otherwise) {
         return pairs.getOrDefault(key, otherwise);
     }
 
     private List<String> list(String key) {
-        String value = word(key, "");
+        String value = text(key, "");
         return value.isEmpty() ? List.of() : List.of(value.split(","));
     }
 
     private boolean flag(String key) {
-        return switch (need(key)) {
+        return switch (required(key)) {
             case "true" -> true;
             case "false" -> false;
-            default -> throw bad(key);
+            default -> throw unusable(key);
         };
     }
 
-    private long whole(String key) {
+    private long rounded(String key) {
         return Math.round(number(key));
     }
 
     private long atLeast(long least, String key) {
-        long value = whole(key);
+        long value = rounded(key);
         if (value < least) {
-            throw bad(key);
+            throw unusable(key);
         }
         return value;
     }
@@ -215,17 +215,17 @@
 
     private double number(String key) {
         try {
-            double value = Double.parseDouble(need(key));
+            double value = Double.parseDouble(required(key));
             if (!Double.isFinite(value)) {
-                throw bad(key);
+                throw unusable(key);
             }
             return value;
         } catch (NumberFormatException e) {
-            throw bad(key);
+            throw unusable(key);
         }
     }
 
-    private IllegalArgumentException bad(String key) {
+    private IllegalArgumentException unusable(String key) {
         return new IllegalArgumentException("settings: " + key + " has an unusable value: " + pairs.get(key));
     }
 }
--- a/src/test/java/gatefront/example/Embedding.java
+++ b/src/test/java/gatefront/example/Embedding.java
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public void tell(int agent, byte[] message) {
+    public void sendMessage(int agent, byte[] message) {
         did.add("tell " + agent);
     }
 
--- a/src/test/java/gatefront/example/EmbeddingTest.java
+++ b/src/test/java/gatefront/example/EmbeddingTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void theReadmePrintsTheExampleAsItIsCompiledHere() throws IOException {
+    void theReadmeShowsTheExampleAsCompiled() throws IOException {
         String source = Files.readString(Path.of("src/test/java/gatefront/example/Embedding.java"));
         String block = source.substring(
                         source.indexOf("    // README begins\n") + 21, source.indexOf("    // README ends"))
--- a/src/test/java/gatefront/policy/AdaptiveBalancerTest.java
+++ b/src/test/java/gatefront/policy/AdaptiveBalancerTest.java
@@ -19,277 +19,290 @@
 class AdaptiveBalancerTest {
     private static final long SECOND = BalancerHarness.SECOND;
 
-    private static BalancerHarness two(Semantics semantics, Scope scope) {
+    private static BalancerHarness threeServers(Semantics semantics, Scope scope) {
         return new BalancerHarness(BalancerHarness.settings(semantics, scope))
-                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0), BalancerHarness.server(3, 1));
+                .fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0), BalancerHarness.server(3, 1));
     }
 
     // ---- one final answer, in time ----
 
     @Test
     void anAttemptThatNeverEndsStillGetsOneFinalAnswerBeforeTheDeadline() {
-        BalancerHarness hand = two(Semantics.SAFE, Scope.ALL);
-        long id = hand.request();
-        hand.pass(2 * SECOND);
-        assertEquals(1, hand.of("refuse", id).size() + hand.of("fail", id).size());
-        hand.pass(2 * SECOND);
-        assertEquals(1, hand.of("refuse", id).size() + hand.of("fail", id).size());
-        assertEquals(1, hand.sends(id).size());
+        BalancerHarness harness = threeServers(Semantics.SAFE, Scope.ALL);
+        long id = harness.request();
+        harness.advance(2 * SECOND);
+        assertEquals(
+                1,
+                harness.actionsFor("refuse", id).size()
+                        + harness.actionsFor("fail", id).size());
+        harness.advance(2 * SECOND);
+        assertEquals(
+                1,
+                harness.actionsFor("refuse", id).size()
+                        + harness.actionsFor("fail", id).size());
+        assertEquals(1, harness.sends(id).size());
     }
 
     @Test
-    void theDeadlineIsTheRequestsOwn() {
-        BalancerHarness hand = two(Semantics.UNSAFE, Scope.ALL);
-        hand.balancer.request(hand.now, new Balancer.Request(99, 0, 0, 0, 0, hand.now + 200_000, false, false));
-        hand.pass(215_000);
-        assertEquals(1, hand.of("fail", 99).size());
+    void theRequestsOwnDeadlineApplies() {
+        BalancerHarness harness = threeServers(Semantics.UNSAFE, Scope.ALL);
+        harness.balancer.request(
+                harness.now, new Balancer.Request(99, 0, 0, 0, 0, harness.now + 200_000, false, false));
+        harness.advance(215_000);
+        assertEquals(1, harness.actionsFor("fail", 99).size());
     }
 
     @Test
     void withoutAnyServerARequestIsRefusedInTime() {
-        BalancerHarness hand = new BalancerHarness(BalancerHarness.settings(Semantics.UNSAFE, Scope.ALL)).full();
-        long id = hand.request();
-        hand.pass(SECOND + 10_000);
-        assertEquals(1, hand.of("refuse", id).size());
-        assertTrue(hand.sends(id).isEmpty());
+        BalancerHarness harness = new BalancerHarness(BalancerHarness.settings(Semantics.UNSAFE, Scope.ALL)).fullList();
+        long id = harness.request();
+        harness.advance(SECOND + 10_000);
+        assertEquals(1, harness.actionsFor("refuse", id).size());
+        assertTrue(harness.sends(id).isEmpty());
     }
 
     @Test
-    void outcomesTimersAndDeparturesOfClosedRequestsArePassedOver() {
-        BalancerHarness hand = two(Semantics.SAFE, Scope.ALL);
-        long id = hand.request();
-        hand.end(id, 0, Outcome.OK, 1000);
-        int before = hand.acts.size();
-        hand.end(id, 0, Outcome.OK, 1000);
-        hand.balancer.clientLeft(hand.now, id);
-        hand.balancer.timer(hand.now, 0);
-        assertEquals(before, hand.acts.size());
+    void outcomesTimersAndDisconnectsOfClosedRequestsAreIgnored() {
+        BalancerHarness harness = threeServers(Semantics.SAFE, Scope.ALL);
+        long id = harness.request();
+        harness.endAttempt(id, 0, Outcome.OK, 1000);
+        int before = harness.actions.size();
+        harness.endAttempt(id, 0, Outcome.OK, 1000);
+        harness.balancer.clientLeft(harness.now, id);
+        harness.balancer.timer(harness.now, 0);
+        assertEquals(before, harness.actions.size());
     }
 
     @Test
     void nothingIsSentForARequestWhoseClientLeft() {
-        BalancerHarness hand = two(Semantics.SAFE, Scope.ALL);
-        long id = hand.request();
-        hand.balancer.clientLeft(hand.now, id);
-        hand.end(id, 0, Outcome.CONNECT_FAILED, 1000);
-        hand.pass(3 * SECOND);
-        assertEquals(1, hand.sends(id).size());
-        assertTrue(hand.of("refuse", id).isEmpty() && hand.of("fail", id).isEmpty());
+        BalancerHarness harness = threeServers(Semantics.SAFE, Scope.ALL);
+        long id = harness.request();
+        harness.balancer.clientLeft(harness.now, id);
+        harness.endAttempt(id, 0, Outcome.CONNECT_FAILED, 1000);
+        harness.advance(3 * SECOND);
+        assertEquals(1, harness.sends(id).size());
+        assertTrue(harness.actionsFor("refuse", id).isEmpty()
+                && harness.actionsFor("fail", id).isEmpty());
     }
 
     @Test
     void aStartedStreamHasNoDeadline() {
         var streamed = new Balancer.RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, true);
-        BalancerHarness hand = new BalancerHarness(
+        BalancerHarness harness = new BalancerHarness(
                         BalancerHarness.settings(List.of(streamed), new Permits(3, false, true, true, false, 0), 1, 1))
-                .full(BalancerHarness.server(1, 0));
-        long id = hand.request();
-        hand.balancer.streamStarted(hand.now, id, 0, 1, 100);
-        hand.pass(10 * SECOND);
-        assertTrue(hand.of("fail", id).isEmpty() && hand.of("refuse", id).isEmpty());
+                .fullList(BalancerHarness.server(1, 0));
+        long id = harness.request();
+        harness.balancer.streamStarted(harness.now, id, 0, 1, 100);
+        harness.advance(10 * SECOND);
+        assertTrue(harness.actionsFor("fail", id).isEmpty()
+                && harness.actionsFor("refuse", id).isEmpty());
     }
 
     // ---- no effect twice ----
 
     @Test
-    void unsafeGoesAgainOnlyAfterAProofThatItNeverRan() {
+    void anUnsafeRequestIsRetriedOnlyAfterProofThatItNeverRan() {
         for (Outcome outcome : Outcome.values()) {
             if (outcome == Outcome.OK || outcome == Outcome.NEVER_SENT) {
                 continue;
             }
-            BalancerHarness hand = two(Semantics.UNSAFE, Scope.ALL);
-            long id = hand.request();
-            hand.end(id, 0, outcome, 1000);
+            BalancerHarness harness = threeServers(Semantics.UNSAFE, Scope.ALL);
+            long id = harness.request();
+            harness.endAttempt(id, 0, outcome, 1000);
             boolean proven = outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED;
-            hand.pass(50_000);
+            harness.advance(50_000);
             if (proven) {
-                hand.end(id, 1, Outcome.OK, 1000);
+                harness.endAttempt(id, 1, Outcome.OK, 1000);
             }
-            hand.pass(SECOND);
-            assertEquals(proven ? 2 : 1, hand.sends(id).size(), outcome.toString());
-            assertEquals(proven ? 0 : 1, hand.of("fail", id).size(), outcome.toString());
-            assertTrue(hand.of("refuse", id).isEmpty(), outcome.toString());
+            harness.advance(SECOND);
+            assertEquals(proven ? 2 : 1, harness.sends(id).size(), outcome.toString());
+            assertEquals(proven ? 0 : 1, harness.actionsFor("fail", id).size(), outcome.toString());
+            assertTrue(harness.actionsFor("refuse", id).isEmpty(), outcome.toString());
         }
     }
 
     @Test
-    void keyedByZoneGoesAgainOnlyInsideTheZone() {
+    void aRequestKeyedByZoneIsRetriedOnlyInsideTheZone() {
         for (long seed = 0; seed < 20; seed++) {
-            BalancerHarness hand = new BalancerHarness(BalancerHarness.settings(Semantics.KEYED, Scope.ZONE), seed)
-                    .full(
+            BalancerHarness harness = new BalancerHarness(BalancerHarness.settings(Semantics.KEYED, Scope.ZONE), seed)
+                    .fullList(
                             BalancerHarness.server(1, 0),
                             BalancerHarness.server(2, 0),
                             BalancerHarness.server(3, 1),
                             BalancerHarness.server(4, 1));
-            long id = hand.request();
-            hand.end(id, 0, Outcome.RESET, 1000);
-            hand.pass(10_000);
-            assertEquals(2, hand.sends(id).size());
-            assertTrue(hand.sends(id).get(1).server() <= 2);
-            hand.end(id, 1, Outcome.ERROR, 1000);
-            hand.pass(2 * SECOND);
-            assertEquals(2, hand.sends(id).size(), "the only two servers of the group have been tried");
-            assertTrue(hand.of("refuse", id).isEmpty());
-            assertEquals(1, hand.of("fail", id).size());
+            long id = harness.request();
+            harness.endAttempt(id, 0, Outcome.RESET, 1000);
+            harness.advance(10_000);
+            assertEquals(2, harness.sends(id).size());
+            assertTrue(harness.sends(id).get(1).server() <= 2);
+            harness.endAttempt(id, 1, Outcome.ERROR, 1000);
+            harness.advance(2 * SECOND);
+            assertEquals(2, harness.sends(id).size(), "the only two servers of the group have been tried");
+            assertTrue(harness.actionsFor("refuse", id).isEmpty());
+            assertEquals(1, harness.actionsFor("fail", id).size());
         }
     }
 
     @Test
-    void keyedByCellStaysInTheCellEvenWhenTheZoneHasMore() {
-        BalancerHarness hand = new BalancerHarness(BalancerHarness.settings(Semantics.KEYED, Scope.CELL))
-                .full(
+    void aRequestKeyedByCellStaysInTheCellEvenIfTheZoneHasMoreServers() {
+        BalancerHarness harness = new BalancerHarness(BalancerHarness.settings(Semantics.KEYED, Scope.CELL))
+                .fullList(
                         new Balancer.Server(1, 0, 10, 0, Phase.READY, 1, 0),
                         new Balancer.Server(2, 0, 11, 0, Phase.READY, 1, 0));
-        long id = hand.request();
-        hand.end(id, 0, Outcome.ERROR, 1000);
-        hand.pass(2 * SECOND);
-        assertEquals(1, hand.sends(id).size());
-        assertEquals(1, hand.of("fail", id).size());
+        long id = harness.request();
+        harness.endAttempt(id, 0, Outcome.ERROR, 1000);
+        harness.advance(2 * SECOND);
+        assertEquals(1, harness.sends(id).size());
+        assertEquals(1, harness.actionsFor("fail", id).size());
     }
 
     @Test
-    void keyedIsNotSentAfterTheWindow() {
+    void aKeyedRequestIsNotSentAfterTheDeduplicationWindow() {
         var late =
                 new Balancer.RequestClass(3 * SECOND, 0, 4 * SECOND, Semantics.KEYED, Scope.ALL, SECOND, 1, 0, false);
-        BalancerHarness hand = new BalancerHarness(
+        BalancerHarness harness = new BalancerHarness(
                         BalancerHarness.settings(List.of(late), new Permits(4, false, true, true, false, 0), 1, 1))
-                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
-        long id = hand.request();
-        hand.pass(900_000);
-        hand.end(id, 0, Outcome.RESET, 900_000);
-        hand.pass(3 * SECOND);
-        assertEquals(1, hand.sends(id).size());
-        assertEquals(1, hand.of("refuse", id).size(), "the group is all, so a refusal is harmless");
+                .fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
+        long id = harness.request();
+        harness.advance(900_000);
+        harness.endAttempt(id, 0, Outcome.RESET, 900_000);
+        harness.advance(3 * SECOND);
+        assertEquals(1, harness.sends(id).size());
+        assertEquals(1, harness.actionsFor("refuse", id).size(), "the group is all, so a refusal is harmless");
     }
 
     @Test
-    void neverTwoAttemptsOutWhereTheHostForbidsIt() {
-        BalancerHarness hand = two(Semantics.SAFE, Scope.ALL);
-        long id = hand.request();
-        hand.pass(900_000);
-        assertEquals(1, hand.sends(id).size());
+    void noSecondAttemptIsInFlightIfTheHostForbidsIt() {
+        BalancerHarness harness = threeServers(Semantics.SAFE, Scope.ALL);
+        long id = harness.request();
+        harness.advance(900_000);
+        assertEquals(1, harness.sends(id).size());
     }
 
     @Test
-    void theAttemptsCapHolds() {
-        BalancerHarness hand = new BalancerHarness(BalancerHarness.settings(
-                        List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
+    void theAttemptLimitIsKept() {
+        BalancerHarness harness = new BalancerHarness(BalancerHarness.settings(
+                        List.of(BalancerHarness.requestClass(Semantics.SAFE, Scope.ALL)),
                         new Permits(2, false, true, true, false, 0),
                         1,
                         1))
-                .full(
+                .fullList(
                         BalancerHarness.server(1, 0),
                         BalancerHarness.server(2, 0),
                         BalancerHarness.server(3, 0),
                         BalancerHarness.server(4, 0));
-        long id = hand.request();
-        hand.end(id, 0, Outcome.CONNECT_FAILED, 1000);
-        hand.end(id, 1, Outcome.CONNECT_FAILED, 1000);
-        hand.pass(2 * SECOND);
-        assertEquals(2, hand.sends(id).size());
-        assertEquals(1, hand.of("refuse", id).size());
+        long id = harness.request();
+        harness.endAttempt(id, 0, Outcome.CONNECT_FAILED, 1000);
+        harness.endAttempt(id, 1, Outcome.CONNECT_FAILED, 1000);
+        harness.advance(2 * SECOND);
+        assertEquals(2, harness.sends(id).size());
+        assertEquals(1, harness.actionsFor("refuse", id).size());
     }
 
     // ---- drains ----
 
     @Test
-    void nothingGoesToADrainingOrGoneServerNotEvenWhenItIsTheOnlyOne() {
+    void nothingIsSentToADrainingOrRemovedServerEvenIfItIsTheOnlyOne() {
         for (Phase phase : List.of(Phase.DRAINING, Phase.GONE)) {
-            BalancerHarness hand = new BalancerHarness(BalancerHarness.safe()).full(BalancerHarness.server(1, 0));
-            hand.list(ListKind.DELTA, BalancerHarness.server(1, 0, phase, 0));
-            long id = hand.request();
-            hand.pass(2 * SECOND);
-            assertTrue(hand.sends(id).isEmpty());
+            BalancerHarness harness =
+                    new BalancerHarness(BalancerHarness.safeSettings()).fullList(BalancerHarness.server(1, 0));
+            harness.updateServers(ListKind.DELTA, BalancerHarness.server(1, 0, phase, 0));
+            long id = harness.request();
+            harness.advance(2 * SECOND);
+            assertTrue(harness.sends(id).isEmpty());
         }
     }
 
     @Test
-    void aServerMissingFromAFullListIsGoneAndOneReadyAgainIsUsed() {
-        BalancerHarness hand = two(Semantics.SAFE, Scope.ALL);
-        hand.full(BalancerHarness.server(2, 0));
+    void aServerMissingFromAFullListIsNotUsedAndOneReadyAgainIs() {
+        BalancerHarness harness = threeServers(Semantics.SAFE, Scope.ALL);
+        harness.fullList(BalancerHarness.server(2, 0));
         for (int i = 0; i < 6; i++) {
-            long id = hand.request();
-            assertEquals(2, hand.target(id));
-            hand.end(id, 0, Outcome.OK, 1000);
+            long id = harness.request();
+            assertEquals(2, harness.lastServer(id));
+            harness.endAttempt(id, 0, Outcome.OK, 1000);
         }
-        hand.full(BalancerHarness.server(2, 0, Phase.DRAINING, 0), BalancerHarness.server(1, 0));
-        assertEquals(1, hand.target(hand.request()));
-        hand.list(ListKind.DELTA, BalancerHarness.server(2, 0), BalancerHarness.server(1, 0, Phase.GONE, 0));
-        assertEquals(2, hand.target(hand.request()));
+        harness.fullList(BalancerHarness.server(2, 0, Phase.DRAINING, 0), BalancerHarness.server(1, 0));
+        assertEquals(1, harness.lastServer(harness.request()));
+        harness.updateServers(
+                ListKind.DELTA, BalancerHarness.server(2, 0), BalancerHarness.server(1, 0, Phase.GONE, 0));
+        assertEquals(2, harness.lastServer(harness.request()));
     }
 
     // ---- cold servers ----
 
-    private static int sentTo(BalancerHarness hand, long server, long id0) {
-        return (int) hand.all("send").stream()
+    private static int sentTo(BalancerHarness harness, long server, long id0) {
+        return (int) harness.actionsOfKind("send").stream()
                 .filter(a -> a.server() == server && a.id() >= id0)
                 .count();
     }
 
     @Test
-    void aColdServerGetsItsSurePartOfAWarmServersRateAndNoBurst() {
-        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe())
-                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
+    void aColdServerGetsItsWarmShareOfAWarmServersRateAndNoBurst() {
+        BalancerHarness harness = new BalancerHarness(BalancerHarness.safeSettings())
+                .fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
         for (int i = 0; i < 200; i++) {
-            hand.serve(25_000);
+            harness.serveRequest(25_000);
         }
-        hand.list(ListKind.DELTA, BalancerHarness.server(3, 0, Phase.READY, hand.now));
-        long from = hand.request();
-        hand.end(from, 0, Outcome.OK, 1000);
+        harness.updateServers(ListKind.DELTA, BalancerHarness.server(3, 0, Phase.READY, harness.now));
+        long from = harness.request();
+        harness.endAttempt(from, 0, Outcome.OK, 1000);
         for (int i = 0; i < 40; i++) {
-            hand.serve(25_000);
+            harness.serveRequest(25_000);
         }
         // Its part of 40 a second is 13; a fifth of it is sure, and twice that leaves room: 5 in this second, 1 to
         // begin.
-        int sent = sentTo(hand, 3, from);
+        int sent = sentTo(harness, 3, from);
         assertTrue(sent >= 2 && sent <= 7, "sent " + sent);
     }
 
     @Test
-    void aColdServerIsNotFloodedWhenItIsAloneButIsNotStarvedEither() {
-        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe())
-                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
+    void aSingleColdServerIsNeitherFloodedNorStarved() {
+        BalancerHarness harness = new BalancerHarness(BalancerHarness.safeSettings())
+                .fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
         for (int i = 0; i < 200; i++) {
-            hand.serve(25_000);
+            harness.serveRequest(25_000);
         }
-        hand.full(BalancerHarness.server(3, 0, Phase.READY, hand.now));
+        harness.fullList(BalancerHarness.server(3, 0, Phase.READY, harness.now));
         for (int i = 0; i < 100; i++) {
-            hand.request();
-            hand.pass(10_000);
+            harness.request();
+            harness.advance(10_000);
         }
-        int sent = sentTo(hand, 3, 0);
+        int sent = sentTo(harness, 3, 0);
         assertTrue(sent >= 1 && sent <= 8, "sent " + sent);
     }
 
     @Test
-    void aServerThatAnswersAgainAfterABreakIsTreatedAsColdWhateverTheListSays() {
-        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe()).full(BalancerHarness.server(1, 0));
-        hand.serve(25_000);
-        long one = hand.request();
-        long other = hand.request();
-        hand.end(one, 0, Outcome.RESET, 1000);
-        hand.end(other, 0, Outcome.CONNECT_FAILED, 1000);
-        hand.pass(1_000_000); // a process takes at least that long to come back
-        hand.balancer.probed(hand.now, 1, Outcome.OK, 1000, new double[0]);
-        assertTrue(hand.logged("cold: answers again after a break"));
+    void aServerThatAnswersAfterAnOutageIsTreatedAsColdWhateverTheListSays() {
+        BalancerHarness harness =
+                new BalancerHarness(BalancerHarness.safeSettings()).fullList(BalancerHarness.server(1, 0));
+        harness.serveRequest(25_000);
+        long one = harness.request();
+        long other = harness.request();
+        harness.endAttempt(one, 0, Outcome.RESET, 1000);
+        harness.endAttempt(other, 0, Outcome.CONNECT_FAILED, 1000);
+        harness.advance(1_000_000); // a process takes at least that long to come back
+        harness.balancer.probeOutcome(harness.now, 1, Outcome.OK, 1000, new double[0]);
+        assertTrue(harness.hasLogged("cold: answers again after a break"));
     }
 
     /** Connections that break now and then are no restart. Failed before: each made its server cold for 5 s. */
     @Test
-    void aServerThatAnswersAtOnceAfterABreakIsNotCold() {
-        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe()).full(BalancerHarness.server(1, 0));
+    void aServerThatAnswersSoonAfterAConnectionResetIsNotCold() {
+        BalancerHarness harness =
+                new BalancerHarness(BalancerHarness.safeSettings()).fullList(BalancerHarness.server(1, 0));
         for (int i = 0; i < 10; i++) {
-            hand.serve(20_000);
+            harness.serveRequest(20_000);
         }
         for (int i = 0; i < 3; i++) {
-            long id = hand.request();
-            hand.pass(5_000);
-            hand.end(id, 0, Outcome.RESET, 5_000);
-            hand.pass(50_000);
+            long id = harness.request();
+            harness.advance(5_000);
+            harness.endAttempt(id, 0, Outcome.RESET, 5_000);
+            harness.advance(50_000);
         }
-        hand.pass(100_000);
-        hand.serve(20_000);
-        assertFalse(hand.logged("cold"));
+        harness.advance(100_000);
+        harness.serveRequest(20_000);
+        assertFalse(harness.hasLogged("cold"));
     }
 
     /**
@@ -297,7 +310,7 @@
      * moment, and took the rate of the few servers it had just met for that of all.
      */
     @Test
-    void manyLightAgentsTogetherSendAColdServerItsSurePartOfAWarmOnesRate() {
+    void manyLightAgentsTogetherSendAColdServerItsWarmShareOfAWarmServersRate() {
         for (int agents : new int[] {40, 400}) {
             Server[] list = new Server[20];
             for (int i = 0; i < list.length; i++) {
@@ -307,34 +320,35 @@
             int all = 0;
             // All agents together send some 350 requests a second, 17 to a server; each draws from its own few servers.
             for (int seed = 0; seed < agents; seed++) {
-                BalancerHarness hand = new BalancerHarness(
-                                BalancerHarness.as(
+                BalancerHarness harness = new BalancerHarness(
+                                BalancerHarness.forAgent(
                                         seed,
                                         BalancerHarness.settings(
-                                                List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
+                                                List.of(BalancerHarness.requestClass(Semantics.SAFE, Scope.ALL)),
                                                 new Permits(4, false, true, false, false, 0),
                                                 1,
                                                 agents)),
                                 seed)
-                        .full(list);
+                        .fullList(list);
                 SplittableRandom random = new SplittableRandom(seed);
                 long from = 0;
-                long began = hand.now;
-                while (hand.now < began + 14 * BalancerHarness.SECOND) {
-                    if (from == 0 && hand.now >= began + 12 * BalancerHarness.SECOND) {
-                        hand.list(ListKind.DELTA, BalancerHarness.server(1, 0, Phase.READY, hand.now));
-                        from = hand.serve(20_000);
+                long began = harness.now;
+                while (harness.now < began + 14 * BalancerHarness.SECOND) {
+                    if (from == 0 && harness.now >= began + 12 * BalancerHarness.SECOND) {
+                        harness.updateServers(ListKind.DELTA, BalancerHarness.server(1, 0, Phase.READY, harness.now));
+                        from = harness.serveRequest(20_000);
                         continue;
                     }
                     if (random.nextDouble() < 200.0 / agents * 0.04) {
-                        hand.serve(20_000);
+                        harness.serveRequest(20_000);
                     }
-                    hand.pass(20_000);
+                    harness.advance(20_000);
                 }
-                cold += sentTo(hand, 1, from);
+                cold += sentTo(harness, 1, from);
                 long first = from;
-                all += (int)
-                        hand.all("send").stream().filter(a -> a.id() >= first).count();
+                all += (int) harness.actionsOfKind("send").stream()
+                        .filter(a -> a.id() >= first)
+                        .count();
             }
             // A fifth of it is surely warm, up to 0.28 after these 2 s: 8, and twice that may be sent. Failed before:
             // that
@@ -344,22 +358,23 @@
     }
 
     @Test
-    void entriesForUnknownOrAlreadyGoneServersAndRepeatsChangeNothing() {
-        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe()).full(BalancerHarness.server(1, 0));
-        hand.list(ListKind.DELTA, BalancerHarness.server(9, 0, Phase.GONE, 0));
-        hand.list(
+    void entriesForUnknownOrRemovedServersAndDuplicateEntriesChangeNothing() {
+        BalancerHarness harness =
+                new BalancerHarness(BalancerHarness.safeSettings()).fullList(BalancerHarness.server(1, 0));
+        harness.updateServers(ListKind.DELTA, BalancerHarness.server(9, 0, Phase.GONE, 0));
+        harness.updateServers(
                 ListKind.DELTA,
                 BalancerHarness.server(9, 0, Phase.GONE, 0),
                 BalancerHarness.server(1, 0),
                 BalancerHarness.server(1, 0));
-        hand.balancer.probed(hand.now, 77, Outcome.OK, 1000, new double[0]);
+        harness.balancer.probeOutcome(harness.now, 77, Outcome.OK, 1000, new double[0]);
         for (int i = 0; i < 20; i++) {
-            assertEquals(1, hand.target(hand.serve(20_000)));
+            assertEquals(1, harness.lastServer(harness.serveRequest(20_000)));
         }
-        hand.list(
+        harness.updateServers(
                 ListKind.DELTA,
                 BalancerHarness.server(8, 0, Phase.DRAINING, 0),
                 BalancerHarness.server(1, 0, Phase.DRAINING, 0));
-        assertEquals(-1, hand.target(hand.request()));
+        assertEquals(-1, harness.lastServer(harness.request()));
     }
 }
--- a/src/test/java/gatefront/policy/BalancerHarness.java
+++ b/src/test/java/gatefront/policy/BalancerHarness.java
@@ -24,17 +24,17 @@
     static final long TICK = 5_000;
 
     /** What was done: the words of the action and its numbers. */
-    record Act(String what, long id, long server, long value) {}
+    record RecordedAction(String kind, long id, long server, long value) {}
 
     private record Timer(long token, long at) {}
 
-    final List<Act> acts = new ArrayList<>();
-    final List<String> lines = new ArrayList<>();
+    final List<RecordedAction> actions = new ArrayList<>();
+    final List<String> logLines = new ArrayList<>();
     private final List<Timer> timers = new ArrayList<>();
     final Balancer balancer;
     long now = 100 * SECOND;
     /** What servers report with each answer. */
-    double[] report = new double[0];
+    double[] loadReport = new double[0];
 
     private long nextId = 1;
 
@@ -48,15 +48,16 @@
 
     // ---- settings ----
 
-    static RequestClass type(Semantics semantics, Scope scope) {
+    static RequestClass requestClass(Semantics semantics, Scope scope) {
         return new RequestClass(SECOND, 0, 4 * SECOND, semantics, scope, 2 * SECOND, 1, 0, false);
     }
 
     static Settings settings(Semantics semantics, Scope scope) {
-        return settings(List.of(type(semantics, scope)), new Permits(4, false, true, true, false, SECOND), 2, 2);
+        return settings(
+                List.of(requestClass(semantics, scope)), new Permits(4, false, true, true, false, SECOND), 2, 2);
     }
 
-    static Settings safe() {
+    static Settings safeSettings() {
         return settings(Semantics.SAFE, Scope.ALL);
     }
 
@@ -93,7 +94,7 @@
     }
 
     /** The same for the agent of this number. */
-    static Settings as(int agent, Settings s) {
+    static Settings forAgent(int agent, Settings s) {
         return new Settings(
                 agent,
                 s.agents(),
@@ -115,7 +116,7 @@
     }
 
     /** The same with other prices, rules on cold servers, and fields that servers report. */
-    static Settings with(Settings s, Prices prices, Obligations obligations, Balancer.LoadField... fields) {
+    static Settings withPrices(Settings s, Prices prices, Obligations obligations, Balancer.LoadField... fields) {
         return new Settings(
                 s.agent(),
                 s.agents(),
@@ -146,13 +147,13 @@
 
     // ---- events ----
 
-    BalancerHarness list(ListKind kind, Server... servers) {
+    BalancerHarness updateServers(ListKind kind, Server... servers) {
         balancer.servers(now, kind, Arrays.asList(servers));
         return this;
     }
 
-    BalancerHarness full(Server... servers) {
-        return list(ListKind.FULL, servers);
+    BalancerHarness fullList(Server... servers) {
+        return updateServers(ListKind.FULL, servers);
     }
 
     long request() {
@@ -166,27 +167,27 @@
     }
 
     /** A client's repeat, marked as one. */
-    long repeat() {
+    long clientRetry() {
         long id = nextId++;
         balancer.request(now, new Request(id, 0, 0, 0, 0, now + 3 * SECOND, true, false));
         return id;
     }
 
-    void end(long id, int attempt, Outcome outcome, long spent) {
+    void endAttempt(long id, int attempt, Outcome outcome, long spent) {
         balancer.outcome(
-                now, id, attempt, sends(id).get(attempt).server(), outcome, spent, outcome == Outcome.OK, report);
+                now, id, attempt, sends(id).get(attempt).server(), outcome, spent, outcome == Outcome.OK, loadReport);
     }
 
     /** Moves the clock on in ticks, delivering timers as they come due. */
-    void pass(long micros) {
+    void advance(long micros) {
         long until = now + micros;
         while (now < until) {
             now = Math.min(until, now + TICK);
-            fire();
+            fireDueTimers();
         }
     }
 
-    private void fire() {
+    private void fireDueTimers() {
         List<Timer> ripe = timers.stream().filter(t -> t.at() <= now).toList();
         timers.removeAll(ripe);
         for (Timer timer : ripe) {
@@ -195,11 +196,11 @@
     }
 
     /** Serves a request at once after the given time. */
-    long serve(long spent) {
+    long serveRequest(long spent) {
         long id = request();
-        pass(spent);
+        advance(spent);
         if (!sends(id).isEmpty()) {
-            end(id, sends(id).size() - 1, Outcome.OK, spent);
+            endAttempt(id, sends(id).size() - 1, Outcome.OK, spent);
         }
         return id;
     }
@@ -208,87 +209,89 @@
      * Lets requests come evenly for so many seconds, with so many repeats beside each; each attempt ends after a time,
      * those still out at the end of it stay out. Returns how many were sent.
      */
-    int live(double seconds, Outcome outcome, long after, int perSecond, int repeats) {
-        int before = all("send").size();
+    int runLoad(double seconds, Outcome outcome, long after, int perSecond, int repeats) {
+        int before = actionsOfKind("send").size();
         long until = now + (long) (seconds * SECOND);
-        List<Act> out = new ArrayList<>();
-        int seen = acts.size();
+        List<RecordedAction> out = new ArrayList<>();
+        int seen = actions.size();
         while (now < until) {
             request();
             for (int i = 0; i < repeats; i++) {
-                repeat();
+                clientRetry();
             }
             for (long next = now + SECOND / perSecond; now < next; ) {
-                pass(TICK);
-                for (; seen < acts.size(); seen++) {
-                    Act act = acts.get(seen);
-                    if (act.what().equals("send")) {
-                        out.add(new Act("due", act.id(), act.server(), now + after));
+                advance(TICK);
+                for (; seen < actions.size(); seen++) {
+                    RecordedAction act = actions.get(seen);
+                    if (act.kind().equals("send")) {
+                        out.add(new RecordedAction("due", act.id(), act.server(), now + after));
                     }
                 }
                 out.removeIf(due -> {
                     boolean over = now >= due.value();
                     if (over) {
-                        end(due.id(), sends(due.id()).size() - 1, outcome, after);
+                        endAttempt(due.id(), sends(due.id()).size() - 1, outcome, after);
                     }
                     return over;
                 });
             }
         }
-        return all("send").size() - before;
+        return actionsOfKind("send").size() - before;
     }
 
     // ---- what was done ----
 
-    List<Act> all(String what) {
-        return acts.stream().filter(a -> a.what().equals(what)).toList();
+    List<RecordedAction> actionsOfKind(String what) {
+        return actions.stream().filter(a -> a.kind().equals(what)).toList();
     }
 
-    List<Act> of(String what, long id) {
-        return acts.stream().filter(a -> a.what().equals(what) && a.id() == id).toList();
+    List<RecordedAction> actionsFor(String what, long id) {
+        return actions.stream()
+                .filter(a -> a.kind().equals(what) && a.id() == id)
+                .toList();
     }
 
-    List<Act> sends(long id) {
-        return of("send", id);
+    List<RecordedAction> sends(long id) {
+        return actionsFor("send", id);
     }
 
-    long target(long id) {
-        List<Act> sends = sends(id);
+    long lastServer(long id) {
+        List<RecordedAction> sends = sends(id);
         return sends.isEmpty() ? -1 : sends.get(sends.size() - 1).server();
     }
 
-    boolean logged(String part) {
-        return lines.stream().anyMatch(l -> l.contains(part));
+    boolean hasLogged(String part) {
+        return logLines.stream().anyMatch(l -> l.contains(part));
     }
 
     @Override
     public void send(long request, long server, long timeout) {
-        acts.add(new Act("send", request, server, timeout));
+        actions.add(new RecordedAction("send", request, server, timeout));
     }
 
     @Override
     public void refuse(long request, long retryAfter) {
-        acts.add(new Act("refuse", request, 0, retryAfter));
+        actions.add(new RecordedAction("refuse", request, 0, retryAfter));
     }
 
     @Override
     public void fail(long request) {
-        acts.add(new Act("fail", request, 0, 0));
+        actions.add(new RecordedAction("fail", request, 0, 0));
     }
 
     @Override
     public void cancel(long request, int attempt) {
-        acts.add(new Act("cancel", request, 0, attempt));
+        actions.add(new RecordedAction("cancel", request, 0, attempt));
     }
 
     @Override
     public void probe(long server) {
-        acts.add(new Act("probe", 0, server, now));
+        actions.add(new RecordedAction("probe", 0, server, now));
     }
 
     @Override
-    public void tell(int agent, byte[] message) {
-        acts.add(new Act("tell", agent, 0, message.length));
+    public void sendMessage(int agent, byte[] message) {
+        actions.add(new RecordedAction("tell", agent, 0, message.length));
     }
 
     @Override
@@ -298,21 +301,21 @@
 
     @Override
     public void closeIdle(long server) {
-        acts.add(new Act("closeIdle", 0, server, 0));
+        actions.add(new RecordedAction("closeIdle", 0, server, 0));
     }
 
     @Override
     public void watchServers() {
-        acts.add(new Act("watch", 0, 0, now));
+        actions.add(new RecordedAction("watch", 0, 0, now));
     }
 
     @Override
     public void fetchServers() {
-        acts.add(new Act("fetch", 0, 0, now));
+        actions.add(new RecordedAction("fetch", 0, 0, now));
     }
 
     @Override
     public void log(String line) {
-        lines.add(line);
+        logLines.add(line);
     }
 }
--- a/src/test/java/gatefront/policy/ColdFleetTest.java
+++ b/src/test/java/gatefront/policy/ColdFleetTest.java
@@ -19,12 +19,12 @@
     private static final int AGENTS = 14;
     private static final int SERVERS = 30;
     /** Requests a second that come to each agent: a server's part of all is 14 a second. */
-    private static final int DEMAND = 30;
+    private static final int REQUESTS_PER_SECOND = 30;
 
-    private static BalancerHarness hand(long seed, int zones) {
+    private static BalancerHarness harness(long seed, int zones) {
         return new BalancerHarness(
                 BalancerHarness.settings(
-                        List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
+                        List.of(BalancerHarness.requestClass(Semantics.SAFE, Scope.ALL)),
                         new Permits(4, false, true, false, false, 0),
                         zones,
                         AGENTS),
@@ -40,16 +40,18 @@
     }
 
     /** Lets requests come evenly for so many seconds, each attempt answered after that time. */
-    private static void live(BalancerHarness hand, double seconds, long answer) {
-        live(hand, seconds, answer, DEMAND);
+    private static void runLoad(BalancerHarness harness, double seconds, long answer) {
+        runLoad(harness, seconds, answer, REQUESTS_PER_SECOND);
     }
 
-    private static void live(BalancerHarness hand, double seconds, long answer, int demand) {
-        hand.live(seconds, Outcome.OK, answer, demand, 0);
+    private static void runLoad(BalancerHarness harness, double seconds, long answer, int demand) {
+        harness.runLoad(seconds, Outcome.OK, answer, demand, 0);
     }
 
-    private static long sentFrom(BalancerHarness hand, long id) {
-        return hand.all("send").stream().filter(act -> act.server() >= id).count();
+    private static long sentToServersFrom(BalancerHarness harness, long id) {
+        return harness.actionsOfKind("send").stream()
+                .filter(act -> act.server() >= id)
+                .count();
     }
 
     /**
@@ -57,50 +59,50 @@
      * part that is warm, to each server of a zone that had come back with it: 15 of 120 requests.
      */
     @Test
-    void anAgentThatStartsWithItsColdZoneUsesIt() {
-        BalancerHarness hand = hand(7, 1).full(servers(1, SERVERS, 0, BalancerHarness.SECOND * 98));
-        live(hand, 4, 50_000);
-        long sent = sentFrom(hand, 1);
-        assertTrue(sent > 4 * DEMAND * 0.6, "sent " + sent);
+    void anAgentThatStartsTogetherWithItsColdZoneUsesIt() {
+        BalancerHarness harness = harness(7, 1).fullList(servers(1, SERVERS, 0, BalancerHarness.SECOND * 98));
+        runLoad(harness, 4, 50_000);
+        long sent = sentToServersFrom(harness, 1);
+        assertTrue(sent > 4 * REQUESTS_PER_SECOND * 0.6, "sent " + sent);
     }
 
     /** Failed before: an agent that had not met a zone while it was warm sent it next to nothing when it was back. */
     @Test
-    void aZoneThatIsBackColdIsUsedByThoseWhoNeverMetIt() {
-        BalancerHarness hand = hand(7, 2).full(servers(1, 2, 0, 0));
-        live(hand, 5, 400_000); // far more than two can do
+    void aColdZoneIsUsedByAgentsThatNeverSentToItBefore() {
+        BalancerHarness harness = harness(7, 2).fullList(servers(1, 2, 0, 0));
+        runLoad(harness, 5, 400_000); // far more than two can do
         Server[] both = new Server[SERVERS + 2];
         System.arraycopy(servers(1, 2, 0, 0), 0, both, 0, 2);
-        System.arraycopy(servers(101, SERVERS, 1, hand.now), 0, both, 2, SERVERS);
-        hand.full(both);
-        live(hand, 4, 400_000);
-        long sent = sentFrom(hand, 101);
+        System.arraycopy(servers(101, SERVERS, 1, harness.now), 0, both, 2, SERVERS);
+        harness.fullList(both);
+        runLoad(harness, 4, 400_000);
+        long sent = sentToServersFrom(harness, 101);
         assertTrue(sent > 20, "sent " + sent);
     }
 
     /** Rule 4 where the demand is 0.7 of the capacity: three times what is surely warm is never reached. */
     @Test
-    void allAgentsTogetherStayUnderWhatTopplesAColdServer() {
-        together(DEMAND, DEMAND);
+    void allAgentsTogetherDoNotOverloadAColdServer() {
+        assertNoColdServerIsOverloaded(REQUESTS_PER_SECOND, REQUESTS_PER_SECOND);
     }
 
     /** The same where one agent has ten times another's requests. */
     @Test
-    void soTheyDoWhereOneHasTenTimesAnothersRequests() {
-        together(10 * DEMAND, DEMAND);
+    void allAgentsTogetherDoNotOverloadAColdServerIfOneHasTenTimesTheRequests() {
+        assertNoColdServerIsOverloaded(10 * REQUESTS_PER_SECOND, REQUESTS_PER_SECOND);
     }
 
-    private static void together(int first, int others) {
+    private static void assertNoColdServerIsOverloaded(int first, int others) {
         double capacity = (first + (AGENTS - 1) * others) / 0.7 / SERVERS;
         long[] sent = new long[SERVERS + 1];
         for (int agent = 0; agent < AGENTS; agent++) {
             int demand = agent == 0 ? first : others;
-            BalancerHarness hand = hand(agent, 1).full(servers(1, SERVERS, 0, 0));
-            live(hand, 5, 50_000, demand);
-            hand.full(servers(1, SERVERS, 0, hand.now));
-            int before = hand.all("send").size();
-            live(hand, 1, 50_000, demand);
-            hand.all("send").stream().skip(before).forEach(act -> sent[(int) act.server()]++);
+            BalancerHarness harness = harness(agent, 1).fullList(servers(1, SERVERS, 0, 0));
+            runLoad(harness, 5, 50_000, demand);
+            harness.fullList(servers(1, SERVERS, 0, harness.now));
+            int before = harness.actionsOfKind("send").size();
+            runLoad(harness, 1, 50_000, demand);
+            harness.actionsOfKind("send").stream().skip(before).forEach(act -> sent[(int) act.server()]++);
         }
         for (long each : sent) {
             assertTrue(each < 3 * 0.2 * capacity, each + " of " + 3 * 0.2 * capacity);
@@ -109,25 +111,25 @@
 
     /** At full size: 120 of 200 servers are new in one turn, and all 100 agents hear of it in the same millisecond. */
     @Test
-    void aHundredAgentsThatHearOfManyNewServersAtOncePushNoneOver() {
+    void aHundredAgentsDoNotOverloadManyServersThatStartAtOnce() {
         int demand = 10;
         long[] sent = new long[221];
         for (int agent = 0; agent < 100; agent++) {
-            BalancerHarness hand = new BalancerHarness(
-                            BalancerHarness.as(
+            BalancerHarness harness = new BalancerHarness(
+                            BalancerHarness.forAgent(
                                     agent,
                                     BalancerHarness.settings(
-                                            List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
+                                            List.of(BalancerHarness.requestClass(Semantics.SAFE, Scope.ALL)),
                                             new Permits(4, false, true, false, false, 0),
                                             1,
                                             100)),
                             agent)
-                    .full(servers(1, 80, 0, 0));
-            live(hand, 5, 50_000, demand);
-            hand.list(ListKind.DELTA, servers(101, 120, 0, hand.now));
-            int before = hand.all("send").size();
-            live(hand, 3, 50_000, demand);
-            hand.all("send").stream().skip(before).forEach(act -> sent[(int) act.server()]++);
+                    .fullList(servers(1, 80, 0, 0));
+            runLoad(harness, 5, 50_000, demand);
+            harness.updateServers(ListKind.DELTA, servers(101, 120, 0, harness.now));
+            int before = harness.actionsOfKind("send").size();
+            runLoad(harness, 3, 50_000, demand);
+            harness.actionsOfKind("send").stream().skip(before).forEach(act -> sent[(int) act.server()]++);
         }
         long[] fresh = Arrays.stream(sent).skip(101).sorted().toArray();
         // Each bears 0.2 to 0.32 of 1,000 / 0.7 / 200 a second: 5.6 in the 3 s, and topples at three times that.
@@ -141,37 +143,41 @@
      * nothing for as long as one that was.
      */
     @Test
-    void whatColdServersAreFoundToBeDecidesWhetherTheyAreInTime() {
-        BalancerHarness quick = hand(7, 1).full(servers(1, SERVERS, 0, 0));
-        live(quick, 5, 300_000); // a fifth of the capacity makes 1.5 s of it, and 1 s is wanted
-        quick.full(servers(101, SERVERS, 0, quick.now));
-        live(quick, 3, 400_000);
-        assertTrue(sentFrom(quick, 101) > 3 * DEMAND / 2, "quick " + sentFrom(quick, 101));
-        BalancerHarness slow = hand(7, 1).full(servers(1, SERVERS, 0, 0));
-        live(slow, 5, 300_000);
-        slow.full(servers(101, SERVERS, 0, slow.now));
-        live(slow, 3, 1_400_000);
-        assertTrue(2 * sentFrom(slow, 101) < sentFrom(quick, 101), "slow " + sentFrom(slow, 101));
+    void measuredColdLatencyDecidesWhetherColdServersAreUsed() {
+        BalancerHarness quick = harness(7, 1).fullList(servers(1, SERVERS, 0, 0));
+        runLoad(quick, 5, 300_000); // a fifth of the capacity makes 1.5 s of it, and 1 s is wanted
+        quick.fullList(servers(101, SERVERS, 0, quick.now));
+        runLoad(quick, 3, 400_000);
+        assertTrue(
+                sentToServersFrom(quick, 101) > 3 * REQUESTS_PER_SECOND / 2, "quick " + sentToServersFrom(quick, 101));
+        BalancerHarness slow = harness(7, 1).fullList(servers(1, SERVERS, 0, 0));
+        runLoad(slow, 5, 300_000);
+        slow.fullList(servers(101, SERVERS, 0, slow.now));
+        runLoad(slow, 3, 1_400_000);
+        assertTrue(
+                2 * sentToServersFrom(slow, 101) < sentToServersFrom(quick, 101),
+                "slow " + sentToServersFrom(slow, 101));
     }
 
-    private static BalancerHarness reporting(int agents) {
+    private static BalancerHarness harnessWithLoadReports(int agents) {
         var s = BalancerHarness.settings(
-                List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
+                List.of(BalancerHarness.requestClass(Semantics.SAFE, Scope.ALL)),
                 new Permits(4, false, true, false, false, 0),
                 1,
                 agents);
-        return new BalancerHarness(BalancerHarness.with(s, s.prices(), s.obligations(), Balancer.LoadField.QUEUED), 7);
+        return new BalancerHarness(
+                BalancerHarness.withPrices(s, s.prices(), s.obligations(), Balancer.LoadField.QUEUED), 7);
     }
 
     /** The same requests to cold servers, whose answers report so many waiting. */
-    private static int sentWhile(double queued) {
-        BalancerHarness hand = reporting(AGENTS);
-        hand.report = new double[] {queued};
-        live(hand, 5, 50_000);
-        hand.full(servers(1, SERVERS, 0, hand.now));
-        int before = hand.all("send").size();
-        live(hand, 4, 50_000);
-        return hand.all("send").size() - before;
+    private static int sentWithQueueReport(double queued) {
+        BalancerHarness harness = harnessWithLoadReports(AGENTS);
+        harness.loadReport = new double[] {queued};
+        runLoad(harness, 5, 50_000);
+        harness.fullList(servers(1, SERVERS, 0, harness.now));
+        int before = harness.actionsOfKind("send").size();
+        runLoad(harness, 4, 50_000);
+        return harness.actionsOfKind("send").size() - before;
     }
 
     /**
@@ -179,42 +185,44 @@
      * than one that had requests waiting.
      */
     @Test
-    void aColdServerThatKeepsUpGetsMoreThanOneWhereRequestsWait() {
-        int idle = sentWhile(0);
-        int crowded = sentWhile(3);
+    void aColdServerThatKeepsUpGetsMoreThanOneThatReportsAQueue() {
+        int idle = sentWithQueueReport(0);
+        int crowded = sentWithQueueReport(3);
         assertTrue(idle > 1.3 * crowded, idle + " and " + crowded);
         assertTrue(crowded > 0);
-        assertTrue(sentWhile(Double.NaN) < idle, "what makes no sense is no report");
+        assertTrue(sentWithQueueReport(Double.NaN) < idle, "what makes no sense is no report");
     }
 
     /** Failed before: an agent whose own answers are in time fills a server that tells that requests wait there. */
     @Test
-    void aServerThatReportsRequestsWaitingGetsFewerAtOnce() {
+    void aServerThatReportsAQueueGetsFewerRequestsAtOnce() {
         int[] most = new int[2];
         for (int busy = 0; busy < 2; busy++) {
-            BalancerHarness hand = reporting(2).full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
-            hand.report = new double[] {busy == 0 ? 0 : 2};
-            live(hand, 5, 100_000);
+            BalancerHarness harness =
+                    harnessWithLoadReports(2).fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
+            harness.loadReport = new double[] {busy == 0 ? 0 : 2};
+            runLoad(harness, 5, 100_000);
             for (int i = 0; i < 20; i++) {
-                hand.request();
+                harness.request();
             }
-            most[busy] = (int)
-                    hand.all("send").stream().filter(act -> act.id() > 150).count();
+            most[busy] = (int) harness.actionsOfKind("send").stream()
+                    .filter(act -> act.id() > 150)
+                    .count();
         }
         assertTrue(most[1] < most[0], most[0] + " and " + most[1]);
     }
 
     /** However well it keeps up, its room ends: a report is late, and the agents have it alike. */
     @Test
-    void theRoomOfAColdServerThatKeepsUpIsBounded() {
+    void theRateToAColdServerThatKeepsUpIsBounded() {
         var s = BalancerHarness.settings(
-                List.of(BalancerHarness.type(Semantics.SAFE, Scope.ALL)),
+                List.of(BalancerHarness.requestClass(Semantics.SAFE, Scope.ALL)),
                 new Permits(4, false, true, false, false, 0),
                 1,
                 1);
         double surely = 0.02;
-        BalancerHarness hand = new BalancerHarness(
-                BalancerHarness.with(
+        BalancerHarness harness = new BalancerHarness(
+                BalancerHarness.withPrices(
                         s,
                         s.prices(),
                         new Balancer.Obligations(
@@ -227,64 +235,67 @@
                                 10 * BalancerHarness.SECOND),
                         Balancer.LoadField.QUEUED),
                 7);
-        hand.report = new double[] {0};
-        hand.full(servers(1, 4, 0, 0));
+        harness.loadReport = new double[] {0};
+        harness.fullList(servers(1, 4, 0, 0));
         int demand = 200; // one for each tick
-        live(hand, 3, 10_000, demand);
-        hand.full(servers(1, 4, 0, hand.now));
-        live(hand, 10, 10_000, demand);
-        int before = hand.all("send").size();
-        live(hand, 5, 10_000, demand);
-        int sent = hand.all("send").size() - before;
+        runLoad(harness, 3, 10_000, demand);
+        harness.fullList(servers(1, 4, 0, harness.now));
+        runLoad(harness, 10, 10_000, demand);
+        int before = harness.actionsOfKind("send").size();
+        runLoad(harness, 5, 10_000, demand);
+        int sent = harness.actionsOfKind("send").size() - before;
         double most = 5 * demand * surely * 4;
         assertTrue(sent > most / 2 && sent <= 1.2 * most, sent + " where " + most + " may be");
     }
 
     /** Failed before: a client's repeats counted as demand, and the budget grew with the trouble. */
     @Test
-    void repeatsOfClientsMakeNoRoom() {
+    void clientRetriesDoNotRaiseTheRateToColdServers() {
         int[] sent = new int[2];
         for (int repeats = 0; repeats < 2; repeats++) {
-            BalancerHarness hand = hand(7, 1).full(servers(1, SERVERS, 0, 0));
-            live(hand, 5, 50_000);
-            hand.full(servers(1, SERVERS, 0, hand.now));
-            int before = hand.all("send").size();
-            hand.live(3, Outcome.OK, 20_000, DEMAND, 5 * repeats);
-            sent[repeats] = hand.all("send").size() - before;
+            BalancerHarness harness = harness(7, 1).fullList(servers(1, SERVERS, 0, 0));
+            runLoad(harness, 5, 50_000);
+            harness.fullList(servers(1, SERVERS, 0, harness.now));
+            int before = harness.actionsOfKind("send").size();
+            harness.runLoad(3, Outcome.OK, 20_000, REQUESTS_PER_SECOND, 5 * repeats);
+            sent[repeats] = harness.actionsOfKind("send").size() - before;
         }
-        assertTrue(sent[0] > DEMAND && sent[1] < 2 * sent[0], sent[0] + " without and " + sent[1] + " with repeats");
+        assertTrue(
+                sent[0] > REQUESTS_PER_SECOND && sent[1] < 2 * sent[0],
+                sent[0] + " without and " + sent[1] + " with repeats");
     }
 
     /** Attempts at cold servers that end by time after so long, then whether one that needs long is sent there. */
-    private static boolean sentAfterTimeOutsOf(long... spent) {
+    private static boolean isUsedAfterTimeouts(long... spent) {
         var types = List.of(
-                BalancerHarness.type(Semantics.SAFE, Scope.ALL), BalancerHarness.type(Semantics.SAFE, Scope.ALL));
-        BalancerHarness hand = new BalancerHarness(
+                BalancerHarness.requestClass(Semantics.SAFE, Scope.ALL),
+                BalancerHarness.requestClass(Semantics.SAFE, Scope.ALL));
+        BalancerHarness harness = new BalancerHarness(
                         BalancerHarness.settings(types, new Permits(1, false, true, false, false, 0), 1, 1), 7)
-                .full(BalancerHarness.server(1, 0));
+                .fullList(BalancerHarness.server(1, 0));
         for (int i = 0; i < 40; i++) {
             for (int type = 0; type < 2; type++) {
-                long id = hand.request(type, 0);
-                hand.end(id, 0, Outcome.OK, type == 0 ? 20_000 : 450_000);
-                hand.pass(10_000);
+                long id = harness.request(type, 0);
+                harness.endAttempt(id, 0, Outcome.OK, type == 0 ? 20_000 : 450_000);
+                harness.advance(10_000);
             }
         }
-        hand.full(servers(101, 300, 0, hand.now));
-        hand.pass(spent.length == 0 ? BalancerHarness.SECOND / 2 : 0);
+        harness.fullList(servers(101, 300, 0, harness.now));
+        harness.advance(spent.length == 0 ? BalancerHarness.SECOND / 2 : 0);
         for (long each : spent) {
             int ended = 0;
             for (int i = 0; i < 2_000; i++) { // few are sent once time-outs have used up the credit
-                long id = hand.request(0, 0);
-                if (hand.target(id) > 100) {
-                    hand.end(id, 0, Outcome.TIMEOUT, each);
+                long id = harness.request(0, 0);
+                if (harness.lastServer(id) > 100) {
+                    harness.endAttempt(id, 0, Outcome.TIMEOUT, each);
                     ended++;
                 }
-                hand.pass(BalancerHarness.TICK);
+                harness.advance(BalancerHarness.TICK);
             }
             assertTrue(ended > 20, "time-outs " + ended);
         }
-        hand.pass(BalancerHarness.SECOND); // what rests for its time-outs has rested, and there is room again
-        return hand.target(hand.request(1, 0)) > 100;
+        harness.advance(BalancerHarness.SECOND); // what rests for its time-outs has rested, and there is room again
+        return harness.lastServer(harness.request(1, 0)) > 100;
     }
 
     /**
@@ -292,55 +303,56 @@
      * Failed before: attempts sent late in a request's time made them seem so.
      */
     @Test
-    void attemptsThatEndByTimeShowColdServersSlowAndNeverQuick() {
-        assertTrue(sentAfterTimeOutsOf(), "what is hoped of them: 1 s of work at a fifth, halved");
-        assertFalse(sentAfterTimeOutsOf(900_000), "slow as they are");
-        assertFalse(sentAfterTimeOutsOf(900_000, 1_000), "and none the quicker");
+    void timeoutsNeverMakeColdServersSeemFaster() {
+        assertTrue(isUsedAfterTimeouts(), "what is hoped of them: 1 s of work at a fifth, halved");
+        assertFalse(isUsedAfterTimeouts(900_000), "slow as they are");
+        assertFalse(isUsedAfterTimeouts(900_000, 1_000), "and none the quicker");
     }
 
     /** Where the load is told to probes only, they tell of cold servers, too. */
     @Test
-    void reportsOfProbesCountAsThoseOfAnswers() {
+    void loadReportsOfProbesCountLikeThoseOfResponses() {
         int[] sent = new int[2];
         for (int queued = 0; queued < 2; queued++) {
-            BalancerHarness hand = reporting(AGENTS);
-            live(hand, 5, 50_000);
-            hand.full(servers(1, SERVERS, 0, hand.now));
+            BalancerHarness harness = harnessWithLoadReports(AGENTS);
+            runLoad(harness, 5, 50_000);
+            harness.fullList(servers(1, SERVERS, 0, harness.now));
             for (int i = 0; i < 8; i++) {
                 for (int server = 1; server <= SERVERS; server++) {
-                    hand.balancer.probed(hand.now, server, Outcome.OK, 1_000, new double[] {3 * queued});
+                    harness.balancer.probeOutcome(harness.now, server, Outcome.OK, 1_000, new double[] {3 * queued});
                 }
             }
-            int before = hand.all("send").size();
-            live(hand, 3, 50_000);
-            sent[queued] = hand.all("send").size() - before;
+            int before = harness.actionsOfKind("send").size();
+            runLoad(harness, 3, 50_000);
+            sent[queued] = harness.actionsOfKind("send").size() - before;
         }
         assertTrue(sent[0] > 1.3 * sent[1], sent[0] + " and " + sent[1]);
     }
 
     /** Its listed weight is its part: where weights differ, so does what is sent to it while cold. */
     @Test
-    void aColdServerOfTwiceTheWeightGetsTwiceAsMuch() {
-        BalancerHarness hand = hand(7, 1);
+    void aColdServerOfHigherWeightGetsMoreRequests() {
+        BalancerHarness harness = harness(7, 1);
         Server[] list = new Server[SERVERS];
         for (int i = 0; i < SERVERS; i++) {
-            list[i] = new Server(i + 1, 0, 0, 0, Phase.READY, i < SERVERS / 2 ? 1 : 4, hand.now);
+            list[i] = new Server(i + 1, 0, 0, 0, Phase.READY, i < SERVERS / 2 ? 1 : 4, harness.now);
         }
-        hand.full(list);
-        live(hand, 5, 20_000, 4 * DEMAND);
-        long heavy = sentFrom(hand, SERVERS / 2 + 1);
-        long light = sentFrom(hand, 1) - heavy;
+        harness.fullList(list);
+        runLoad(harness, 5, 20_000, 4 * REQUESTS_PER_SECOND);
+        long heavy = sentToServersFrom(harness, SERVERS / 2 + 1);
+        long light = sentToServersFrom(harness, 1) - heavy;
         assertTrue(heavy > 1.8 * light, heavy + " and " + light);
     }
 
     /** Weights that make no sense come from a socket. */
     @Test
-    void weightsThatMakeNoSenseStarveNobody() {
+    void invalidWeightsDoNotStarveAServer() {
         for (double weight : new double[] {0, -1, Double.NaN, Double.POSITIVE_INFINITY}) {
-            BalancerHarness hand = hand(7, 1);
-            hand.list(ListKind.FULL, new Server(1, 0, 0, 0, Phase.READY, weight, BalancerHarness.SECOND * 99));
-            live(hand, 2, 50_000);
-            assertTrue(sentFrom(hand, 1) > 2, "weight " + weight);
+            BalancerHarness harness = harness(7, 1);
+            harness.updateServers(
+                    ListKind.FULL, new Server(1, 0, 0, 0, Phase.READY, weight, BalancerHarness.SECOND * 99));
+            runLoad(harness, 2, 50_000);
+            assertTrue(sentToServersFrom(harness, 1) > 2, "weight " + weight);
         }
     }
 }
--- a/src/test/java/gatefront/policy/OnCallTest.java
+++ b/src/test/java/gatefront/policy/OnCallTest.java
@@ -20,32 +20,32 @@
     private static final long SECOND = BalancerHarness.SECOND;
 
     /** Every change of state there is, brought about once. */
-    private static Set<String> printed() {
-        BalancerHarness hand = new BalancerHarness(BalancerHarness.safe())
-                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
+    private static Set<String> printedLines() {
+        BalancerHarness harness = new BalancerHarness(BalancerHarness.safeSettings())
+                .fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
         for (int i = 0; i < 2; i++) {
-            hand.balancer.probed(hand.now, 1, Outcome.TIMEOUT, SECOND, new double[0]);
+            harness.balancer.probeOutcome(harness.now, 1, Outcome.TIMEOUT, SECOND, new double[0]);
         }
-        hand.pass(SECOND);
-        hand.balancer.probed(hand.now, 1, Outcome.OK, 1000, new double[0]);
-        hand.pass(10 * SECOND);
+        harness.advance(SECOND);
+        harness.balancer.probeOutcome(harness.now, 1, Outcome.OK, 1000, new double[0]);
+        harness.advance(10 * SECOND);
         for (int i = 0; i < 40; i++) {
-            long id = hand.request();
-            hand.pass(20_000);
-            if (!hand.sends(id).isEmpty()) {
-                hand.end(id, 0, hand.target(id) == 1 ? Outcome.ERROR : Outcome.OK, 20_000);
-                if (hand.sends(id).size() > 1) {
-                    hand.end(id, 1, Outcome.OK, 20_000);
+            long id = harness.request();
+            harness.advance(20_000);
+            if (!harness.sends(id).isEmpty()) {
+                harness.endAttempt(id, 0, harness.lastServer(id) == 1 ? Outcome.ERROR : Outcome.OK, 20_000);
+                if (harness.sends(id).size() > 1) {
+                    harness.endAttempt(id, 1, Outcome.OK, 20_000);
                 }
             }
-            hand.pass(SECOND / 4);
+            harness.advance(SECOND / 4);
         }
-        hand.list(ListKind.DELTA, BalancerHarness.server(2, 0, Phase.DRAINING, 0));
-        hand.list(ListKind.DELTA, BalancerHarness.server(2, 0, Phase.READY, 0));
-        hand.list(ListKind.DELTA, BalancerHarness.server(2, 0, Phase.GONE, 0));
-        hand.list(ListKind.DELTA, BalancerHarness.server(3, 0, Phase.READY, hand.now));
+        harness.updateServers(ListKind.DELTA, BalancerHarness.server(2, 0, Phase.DRAINING, 0));
+        harness.updateServers(ListKind.DELTA, BalancerHarness.server(2, 0, Phase.READY, 0));
+        harness.updateServers(ListKind.DELTA, BalancerHarness.server(2, 0, Phase.GONE, 0));
+        harness.updateServers(ListKind.DELTA, BalancerHarness.server(3, 0, Phase.READY, harness.now));
         Set<String> lines = new TreeSet<>();
-        for (String line : hand.lines) {
+        for (String line : harness.logLines) {
             assertTrue(line.matches("server \\d+ .*"), line);
             lines.add(line.replaceFirst("server \\d+ ", "").replaceFirst("\\d+ of \\d+", "F of N"));
         }
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void thePageShowsEachLineAsItIsPrintedAndNoOther() throws IOException {
+    void thePageShowsEveryPrintedLineAndNoOther() throws IOException {
         String page = Files.readString(Path.of("docs/on-call.md"));
         Set<String> shown = new TreeSet<>();
         Matcher code = Pattern.compile("`((?:active|passive|cold|draining|ready|gone)[^`]*)`")
@@ -61,6 +61,6 @@
         while (code.find()) {
             shown.add(code.group(1));
         }
-        assertEquals(printed(), shown);
+        assertEquals(printedLines(), shown);
     }
 }
--- a/src/test/java/gatefront/policy/QuantileEstimatorTest.java
+++ b/src/test/java/gatefront/policy/QuantileEstimatorTest.java
@@ -9,17 +9,17 @@
 
 class QuantileEstimatorTest {
     @Test
-    void aFirstValueFarBelowTheOthersLeavesNoTraceInTheLowest() {
+    void aLowFirstSampleDoesNotAffectTheMinimum() {
         QuantileEstimator quantile = new QuantileEstimator(0.8);
         quantile.add(0.01);
         for (int i = 0; i < 200; i++) {
             quantile.add(10);
         }
-        assertEquals(10, quantile.lowest(), 2);
+        assertEquals(10, quantile.minimum(), 2);
     }
 
     @Test
-    void theQuantileOfEvenValuesIsFoundAndFollowed() {
+    void theQuantileOfUniformSamplesIsEstimatedAndTracked() {
         SplittableRandom random = new SplittableRandom(5);
         QuantileEstimator quantile = new QuantileEstimator(0.8);
         for (int i = 0; i < 3000; i++) {
@@ -30,17 +30,17 @@
             quantile.add(3 * random.nextDouble());
         }
         assertEquals(2.4, quantile.value(), 0.36);
-        assertEquals(0.8, quantile.lowest(), 0.25, "the lowest stays where it was quiet");
+        assertEquals(0.8, quantile.minimum(), 0.25, "the lowest stays where it was quiet");
     }
 
     @Test
-    void nothingIsKnownOfAFewValues() {
+    void theEstimateIsNotReadyBeforeEnoughSamples() {
         QuantileEstimator quantile = new QuantileEstimator(0.8);
         for (int i = 0; i < 49; i++) {
             quantile.add(1);
         }
-        assertFalse(quantile.known());
+        assertFalse(quantile.isReady());
         quantile.add(1);
-        assertTrue(quantile.known());
+        assertTrue(quantile.isReady());
     }
 }
--- a/src/test/java/gatefront/policy/RandomRunTest.java
+++ b/src/test/java/gatefront/policy/RandomRunTest.java
@@ -29,17 +29,17 @@
     private static final long SECOND = BalancerHarness.SECOND;
 
     /** What the checker knows of a request. */
-    private static final class Known {
-        final RequestClass type;
+    private static final class TrackedRequest {
+        final RequestClass requestClass;
         final long deadline;
         final List<Long> servers = new ArrayList<>();
         final List<Long> sentAt = new ArrayList<>();
         final List<Outcome> outcomes = new ArrayList<>();
-        int answers;
-        boolean left;
+        int finalAnswers;
+        boolean clientLeft;
 
-        Known(RequestClass type, long deadline) {
-            this.type = type;
+        TrackedRequest(RequestClass type, long deadline) {
+            this.requestClass = type;
             this.deadline = deadline;
         }
 
@@ -48,25 +48,25 @@
         }
     }
 
-    private final Map<Long, Known> requests = new HashMap<>();
-    private final Map<Long, Server> listed = new HashMap<>();
-    private BalancerHarness hand;
+    private final Map<Long, TrackedRequest> requests = new HashMap<>();
+    private final Map<Long, Server> listedServers = new HashMap<>();
+    private BalancerHarness harness;
     private Permits permits;
-    private int seen;
+    private int checkedActions;
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void theRulesHoldAndTheSameEventsGiveTheSameActions(long seed) {
-        List<BalancerHarness.Act> first = play(seed);
-        long sent = first.stream().filter(a -> a.what().equals("send")).count();
+    void rulesHoldAndEqualEventsGiveEqualActions(long seed) {
+        List<BalancerHarness.RecordedAction> first = run(seed);
+        long sent = first.stream().filter(a -> a.kind().equals("send")).count();
         assertTrue(sent > 100, "too little was sent: " + sent);
         requests.clear();
-        listed.clear();
-        seen = 0;
-        assertEquals(first, play(seed));
+        listedServers.clear();
+        checkedActions = 0;
+        assertEquals(first, run(seed));
     }
 
-    private List<BalancerHarness.Act> play(long seed) {
+    private List<BalancerHarness.RecordedAction> run(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<RequestClass> classes = new ArrayList<>();
         for (Semantics semantics : Semantics.values()) {
@@ -91,7 +91,7 @@
                 random.nextBoolean(),
                 random.nextBoolean() ? SECOND : 0);
         int zones = 1 + random.nextInt(5);
-        hand = new BalancerHarness(
+        harness = new BalancerHarness(
                 BalancerHarness.settings(
                         classes,
                         permits,
@@ -102,24 +102,26 @@
                         List.of(new Tenant(10, 0.5), new Tenant(10, 0.5))),
                 seed);
         for (int step = 0; step < 4000; step++) {
-            step(random, classes, zones);
-            check();
-            hand.pass(BalancerHarness.TICK);
-            check();
+            randomEvent(random, classes, zones);
+            checkNewActions();
+            harness.advance(BalancerHarness.TICK);
+            checkNewActions();
         }
-        for (long end = hand.now + 7 * SECOND; hand.now < end; ) {
-            hand.pass(BalancerHarness.TICK);
-            check();
+        for (long end = harness.now + 7 * SECOND; harness.now < end; ) {
+            harness.advance(BalancerHarness.TICK);
+            checkNewActions();
         }
-        for (Map.Entry<Long, Known> e : requests.entrySet()) {
-            Known known = e.getValue();
+        for (Map.Entry<Long, TrackedRequest> e : requests.entrySet()) {
+            TrackedRequest known = e.getValue();
             boolean served = known.outcomes.contains(Outcome.OK);
-            assertTrue(known.left || served && known.answers == 0 || known.answers == 1, "request " + e.getKey());
+            assertTrue(
+                    known.clientLeft || served && known.finalAnswers == 0 || known.finalAnswers == 1,
+                    "request " + e.getKey());
         }
-        return List.copyOf(hand.acts);
+        return List.copyOf(harness.actions);
     }
 
-    private void step(SplittableRandom random, List<RequestClass> classes, int zones) {
+    private void randomEvent(SplittableRandom random, List<RequestClass> classes, int zones) {
         int what = random.nextInt(20);
         if (what == 0) {
             Server server = new Server(
@@ -129,30 +131,30 @@
                     0,
                     Phase.values()[Math.max(0, random.nextInt(8) - 5)],
                     1,
-                    random.nextInt(9) == 0 ? hand.now : 0);
-            Server before = listed.get(server.id());
+                    random.nextInt(9) == 0 ? harness.now : 0);
+            Server before = listedServers.get(server.id());
             if (before != null) { // a server keeps its place
                 server =
                         new Server(server.id(), before.zone(), before.cell(), 0, server.phase(), 1, server.startedAt());
             }
-            listed.put(server.id(), server);
-            hand.list(ListKind.DELTA, server);
+            listedServers.put(server.id(), server);
+            harness.updateServers(ListKind.DELTA, server);
         } else if (what == 1) {
-            hand.balancer.probed(
-                    hand.now,
+            harness.balancer.probeOutcome(
+                    harness.now,
                     1 + random.nextInt(8),
                     Outcome.values()[Math.max(0, random.nextInt(20) - 16)],
                     1000,
                     new double[0]);
         } else if (what == 2) {
-            hand.list(ListKind.FAILED);
+            harness.updateServers(ListKind.FAILED);
         } else if (what < 10) {
             int c = random.nextInt(classes.size());
-            long deadline = hand.now + 300_000 + random.nextLong(3 * SECOND);
+            long deadline = harness.now + 300_000 + random.nextLong(3 * SECOND);
             long id = 1_000_000 + requests.size();
-            requests.put(id, new Known(classes.get(c), deadline));
-            hand.balancer.request(
-                    hand.now,
+            requests.put(id, new TrackedRequest(classes.get(c), deadline));
+            harness.balancer.request(
+                    harness.now,
                     new Balancer.Request(
                             id,
                             c,
@@ -166,46 +168,48 @@
             List<Long> ids = new ArrayList<>(requests.keySet());
             ids.sort(null);
             for (int i = Math.max(0, ids.size() - 40); i < ids.size(); i++) {
-                end(random, ids.get(i));
+                endAttempts(random, ids.get(i));
             }
         }
     }
 
-    private void end(SplittableRandom random, long id) {
-        Known known = requests.get(id);
+    private void endAttempts(SplittableRandom random, long id) {
+        TrackedRequest known = requests.get(id);
         int roll = random.nextInt(60);
-        if (roll == 0 && known.answers == 0 && !known.outcomes.contains(Outcome.OK)) {
-            known.left = true;
-            hand.balancer.clientLeft(hand.now, id);
-            check();
+        if (roll == 0 && known.finalAnswers == 0 && !known.outcomes.contains(Outcome.OK)) {
+            known.clientLeft = true;
+            harness.balancer.clientLeft(harness.now, id);
+            checkNewActions();
         }
         for (int a = 0; a < known.outcomes.size(); a++) {
             if (known.outcomes.get(a) == null && roll < 20) {
                 Outcome outcome = Outcome.values()[Math.max(0, random.nextInt(40) - 32)];
-                boolean closed = known.left || known.answers > 0 || outcome == Outcome.OK;
+                boolean closed = known.clientLeft || known.finalAnswers > 0 || outcome == Outcome.OK;
                 known.outcomes.set(a, outcome);
-                hand.balancer.outcome(hand.now, id, a, known.servers.get(a), outcome, 1000, closed, new double[0]);
-                check();
+                harness.balancer.outcome(
+                        harness.now, id, a, known.servers.get(a), outcome, 1000, closed, new double[0]);
+                checkNewActions();
             }
         }
     }
 
     /** Looks at the actions not seen yet. */
-    private void check() {
-        for (; seen < hand.acts.size(); seen++) {
-            BalancerHarness.Act act = hand.acts.get(seen);
-            Known known = requests.get(act.id());
-            switch (act.what()) {
+    private void checkNewActions() {
+        for (; checkedActions < harness.actions.size(); checkedActions++) {
+            BalancerHarness.RecordedAction act = harness.actions.get(checkedActions);
+            TrackedRequest known = requests.get(act.id());
+            switch (act.kind()) {
                 case "send" -> checkSend(act, known);
                 case "refuse", "fail" -> {
-                    assertEquals(0, known.answers, "one final answer");
-                    assertFalse(known.left || known.outcomes.contains(Outcome.OK), "nothing is owed");
-                    assertTrue(hand.now <= known.deadline + 20_000, "in time");
-                    known.answers++;
-                    for (int a = 0; a < known.outcomes.size() && act.what().equals("refuse"); a++) {
-                        boolean harmless = known.type.semantics() == Semantics.SAFE
+                    assertEquals(0, known.finalAnswers, "one final answer");
+                    assertFalse(known.clientLeft || known.outcomes.contains(Outcome.OK), "nothing is owed");
+                    assertTrue(harness.now <= known.deadline + 20_000, "in time");
+                    known.finalAnswers++;
+                    for (int a = 0; a < known.outcomes.size() && act.kind().equals("refuse"); a++) {
+                        boolean harmless = known.requestClass.semantics() == Semantics.SAFE
                                 || !known.mayHaveRun(a)
-                                || known.type.semantics() == Semantics.KEYED && known.type.scope() == Scope.ALL;
+                                || known.requestClass.semantics() == Semantics.KEYED
+                                        && known.requestClass.scope() == Scope.ALL;
                         assertTrue(harmless, "a refusal is harmless");
                     }
                 }
@@ -216,31 +220,31 @@
         }
     }
 
-    private void checkSend(BalancerHarness.Act act, Known known) {
-        assertEquals(0, known.answers, "nothing is sent after the answer");
-        assertFalse(known.left || known.outcomes.contains(Outcome.OK), "nothing is sent after the end");
-        assertEquals(Phase.READY, listed.get(act.server()).phase());
+    private void checkSend(BalancerHarness.RecordedAction act, TrackedRequest known) {
+        assertEquals(0, known.finalAnswers, "nothing is sent after the answer");
+        assertFalse(known.clientLeft || known.outcomes.contains(Outcome.OK), "nothing is sent after the end");
+        assertEquals(Phase.READY, listedServers.get(act.server()).phase());
         assertTrue(known.outcomes.size() < permits.maxAttempts(), "attempts");
         for (int a = 0; a < known.outcomes.size(); a++) {
             if (known.outcomes.get(a) == null) {
-                assertTrue(permits.duplicates() && known.type.semantics() == Semantics.SAFE, "two at once");
+                assertTrue(permits.duplicates() && known.requestClass.semantics() == Semantics.SAFE, "two at once");
             }
             if (known.mayHaveRun(a)) {
-                assertTrue(known.type.semantics() != Semantics.UNSAFE, "unsafe may have run");
-                if (known.type.semantics() == Semantics.KEYED) {
-                    assertTrue(hand.now < known.sentAt.get(a) + known.type.window(), "window");
-                    Server old = listed.get(known.servers.get(a));
-                    Server next = listed.get(act.server());
+                assertTrue(known.requestClass.semantics() != Semantics.UNSAFE, "unsafe may have run");
+                if (known.requestClass.semantics() == Semantics.KEYED) {
+                    assertTrue(harness.now < known.sentAt.get(a) + known.requestClass.window(), "window");
+                    Server old = listedServers.get(known.servers.get(a));
+                    Server next = listedServers.get(act.server());
                     assertTrue(
-                            known.type.scope() == Scope.ALL
-                                    || known.type.scope() == Scope.ZONE && old.zone() == next.zone()
-                                    || known.type.scope() == Scope.CELL && old.cell() == next.cell(),
+                            known.requestClass.scope() == Scope.ALL
+                                    || known.requestClass.scope() == Scope.ZONE && old.zone() == next.zone()
+                                    || known.requestClass.scope() == Scope.CELL && old.cell() == next.cell(),
                             "group");
                 }
             }
         }
         known.servers.add(act.server());
-        known.sentAt.add(hand.now);
+        known.sentAt.add(harness.now);
         known.outcomes.add(null);
     }
 }
--- a/src/test/java/gatefront/policy/SettingsChangeTest.java
+++ b/src/test/java/gatefront/policy/SettingsChangeTest.java
@@ -17,7 +17,7 @@
     private static Settings settings(int attempts, Semantics... classes) {
         List<Balancer.RequestClass> types = new ArrayList<>();
         for (Semantics each : classes) {
-            types.add(BalancerHarness.type(each, Scope.ALL));
+            types.add(BalancerHarness.requestClass(each, Scope.ALL));
         }
         return BalancerHarness.settings(
                 types, new Permits(attempts, false, true, true, false, BalancerHarness.SECOND), 2, 2);
@@ -25,23 +25,23 @@
 
     /** One request comes before a change and one after it, both fail: how many attempts each has had then. */
     private static List<Integer> attempts(Settings before, Settings after) {
-        BalancerHarness hand =
-                new BalancerHarness(before).full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
-        long first = hand.request();
-        hand.balancer.settings(hand.now, after);
-        long second = hand.request();
-        hand.end(first, 0, Outcome.ERROR, 10_000);
-        hand.end(second, 0, Outcome.ERROR, 10_000);
-        return List.of(hand.sends(first).size(), hand.sends(second).size());
+        BalancerHarness harness =
+                new BalancerHarness(before).fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
+        long first = harness.request();
+        harness.balancer.settings(harness.now, after);
+        long second = harness.request();
+        harness.endAttempt(first, 0, Outcome.ERROR, 10_000);
+        harness.endAttempt(second, 0, Outcome.ERROR, 10_000);
+        return List.of(harness.sends(first).size(), harness.sends(second).size());
     }
 
     @Test
-    void aKeyedRequestWhoseClassTurnsUnsafeMayStillGoAgainAndTheNextMayNot() {
+    void aKeyedRequestIsStillRetriedAfterItsClassTurnsUnsafeAndTheNextIsNot() {
         assertEquals(List.of(2, 1), attempts(settings(4, Semantics.KEYED), settings(4, Semantics.UNSAFE)));
     }
 
     @Test
-    void anUnsafeRequestWhoseClassTurnsSafeDoesNotGoAgain() {
+    void anUnsafeRequestIsNotRetriedAfterItsClassTurnsSafe() {
         assertEquals(
                 1,
                 attempts(settings(4, Semantics.UNSAFE), settings(4, Semantics.SAFE))
@@ -49,55 +49,57 @@
     }
 
     @Test
-    void fewerAttemptsHoldForWhatComesFromThenOn() {
+    void aLowerAttemptLimitAppliesToLaterRequestsOnly() {
         assertEquals(List.of(2, 1), attempts(settings(4, Semantics.SAFE), settings(1, Semantics.SAFE)));
     }
 
     @Test
-    void aNewClassIsServedByServersKnownBefore() {
-        BalancerHarness hand = new BalancerHarness(settings(4, Semantics.SAFE))
-                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
-        hand.balancer.settings(hand.now, settings(4, Semantics.SAFE, Semantics.UNSAFE));
-        long id = hand.request(1, 0);
-        hand.end(id, 0, Outcome.OK, 10_000);
-        assertEquals(1, hand.sends(id).size());
+    void aNewClassIsServedByAlreadyKnownServers() {
+        BalancerHarness harness = new BalancerHarness(settings(4, Semantics.SAFE))
+                .fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
+        harness.balancer.settings(harness.now, settings(4, Semantics.SAFE, Semantics.UNSAFE));
+        long id = harness.request(1, 0);
+        harness.endAttempt(id, 0, Outcome.OK, 10_000);
+        assertEquals(1, harness.sends(id).size());
     }
 
     @Test
-    void aBanOnTheLastServerOfAZoneSendsWhatComesToTheOthersAtOnce() {
-        BalancerHarness hand = new BalancerHarness(settings(4, Semantics.UNSAFE))
-                .full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 1));
-        hand.list(Balancer.ListKind.DELTA, BalancerHarness.server(1, 0, Balancer.Phase.DRAINING, 0));
+    void drainingTheLastServerOfAZoneSendsRequestsToOtherZonesAtOnce() {
+        BalancerHarness harness = new BalancerHarness(settings(4, Semantics.UNSAFE))
+                .fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 1));
+        harness.updateServers(Balancer.ListKind.DELTA, BalancerHarness.server(1, 0, Balancer.Phase.DRAINING, 0));
         for (int i = 0; i < 3; i++) {
-            assertEquals(2, hand.target(hand.request()));
+            assertEquals(2, harness.lastServer(harness.request()));
         }
     }
 
     /** Where every listed server drains, or is out by hand, waiting brings nothing; where none is listed yet it may. */
     @Test
-    void whileEveryServerDrainsWhatComesIsRefusedAtOnce() {
-        BalancerHarness hand = new BalancerHarness(settings(4, Semantics.UNSAFE));
-        long first = hand.request();
+    void requestsAreRefusedAtOnceWhileEveryServerDrains() {
+        BalancerHarness harness = new BalancerHarness(settings(4, Semantics.UNSAFE));
+        long first = harness.request();
         assertEquals(
                 0,
-                hand.acts.stream().filter(each -> each.what().equals("refuse")).count());
-        hand.full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 1));
-        assertEquals(1, hand.sends(first).size(), "what came before the list has waited for it");
-        hand.full(
+                harness.actions.stream()
+                        .filter(each -> each.kind().equals("refuse"))
+                        .count());
+        harness.fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 1));
+        assertEquals(1, harness.sends(first).size(), "what came before the list has waited for it");
+        harness.fullList(
                 BalancerHarness.server(1, 0, Balancer.Phase.DRAINING, 0),
                 BalancerHarness.server(2, 1, Balancer.Phase.DRAINING, 0));
-        long id = hand.request();
+        long id = harness.request();
         assertEquals(
                 1,
-                hand.acts.stream()
-                        .filter(each -> each.what().equals("refuse") && each.id() == id)
+                harness.actions.stream()
+                        .filter(each -> each.kind().equals("refuse") && each.id() == id)
                         .count());
-        hand.full(BalancerHarness.server(1, 0), BalancerHarness.server(2, 1));
-        assertEquals(1, hand.sends(hand.request()).size());
+        harness.fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 1));
+        assertEquals(1, harness.sends(harness.request()).size());
     }
 
     @Test
-    void theCheckedModuleHoldsItsHostToTheNumbersOfClasses() {
+    void theCheckedBalancerRejectsSettingsWithFewerClasses() {
         Balancer checked = new CheckedBalancer(
                 settings(4, Semantics.SAFE, Semantics.SAFE), 1, 0, new BalancerHarness(settings(4, Semantics.SAFE)));
         assertThrows(IllegalArgumentException.class, () -> checked.settings(1, settings(4, Semantics.SAFE)));
--- a/src/test/java/gatefront/rehearsal/FaultyAgentTest.java
+++ b/src/test/java/gatefront/rehearsal/FaultyAgentTest.java
@@ -64,8 +64,8 @@
         }
 
         @Override
-        public void probed(long now, long server, Outcome outcome, long spent, double[] load) {
-            right.probed(now, server, outcome, spent, load);
+        public void probeOutcome(long now, long server, Outcome outcome, long spent, double[] load) {
+            right.probeOutcome(now, server, outcome, spent, load);
         }
 
         @Override
@@ -77,8 +77,8 @@
         }
 
         @Override
-        public int avoided(long now) {
-            return right.avoided(now);
+        public int unhealthyServers(long now) {
+            return right.unhealthyServers(now);
         }
 
         @Override
