--- a/src/main/java/gatefront/policy/AdaptiveBalancer.java
+++ b/src/main/java/gatefront/policy/AdaptiveBalancer.java
@@ -14,160 +14,288 @@
 import java.util.stream.Collectors;
 
 /**
- * Every decision of one agent's balancer. The ordinary path of a request: of two random available servers of the own
- * zone, the one with fewer of this agent's requests in flight; then other zones; then all.
+ * Makes every decision of one agent's balancer.
+ *
+ * <p>On the ordinary path a request goes to the one of two random available servers of the agent's own zone that has
+ * fewer of this agent's requests in flight. If that zone has no capacity, servers of other zones are considered; if no
+ * server is available in any zone, all are (panic mode).
  */
 public final class AdaptiveBalancer implements Balancer {
+    /** Microseconds in a second; all times of this class are in microseconds. */
     private static final long SECOND = 1_000_000;
-    /** Between two probes of a server, by all that share it: a silent one is found for a small price. */
+
+    // ---- Probes ----
+
+    /**
+     * Interval between two probes of a server by all the agents that share it, in microseconds. A server that does not
+     * respond is found at a low cost.
+     */
     private static final long PROBE_INTERVAL = SECOND;
-    /** The price of a probe from which that grows with it: a fleet where probes are dear pays for them all. */
+    /** Price of a probe above which the interval grows with the price, as every agent pays for its probes. */
     private static final double PROBE_PRICE_THRESHOLD = 0.04;
-    /** Servers of the own zone that a light agent draws from: two to compare, and as many may fail. */
+
+    // ---- Subset ----
+
+    /**
+     * Smallest number of own-zone servers that an agent with little traffic picks from: two can be compared even if one
+     * of the three has failed.
+     */
     private static final int SUBSET_MIN_OWN_ZONE = 3;
 
-    private static final int SUBSET_MIN_OTHER_ZONES =
-            2; // and of other zones, where its own has no room: two to compare
-    /** Agents that share a server on average: enough to load it evenly, so few that each comes there often. */
+    /** Smallest number of servers of other zones to pick from if the own zone has no capacity: two to compare. */
+    private static final int SUBSET_MIN_OTHER_ZONES = 2;
+    /**
+     * Average number of agents that share a server. It has to be large enough for an even load on the server and small
+     * enough for each agent to reuse its connections.
+     */
     private static final int SUBSET_AGENTS_PER_SERVER = 10;
-    /** Servers in the subset for each one that this agent's requests would keep busy. */
+    /** Servers in the subset for each server that the requests of this agent would keep busy. */
     private static final double SUBSET_SERVERS_PER_BUSY_SERVER = 4;
 
-    private static final int UNHEALTHY_PROBE_THRESHOLD = 2; // failed probes in a row that make a server Unhealthy
-    /** The sliding window: long enough to hold a light agent's few requests, short beside an outage. */
+    // ---- Health and outlier ejection ----
+
+    /** Consecutive failed probes after which the active health state is Unhealthy. */
+    private static final int UNHEALTHY_PROBE_THRESHOLD = 2;
+    /**
+     * Length of the sliding window of outcomes, in microseconds: long enough to hold the few requests of an agent with
+     * little traffic, and short compared with an outage.
+     */
     private static final long FAILURE_WINDOW = 10 * SECOND;
-    /** Requests in the window before the passive state is judged; a light agent never sees the default 10. */
+    /**
+     * Minimum number of requests in the window before the passive health state is evaluated. The usual default of 10 is
+     * never reached by an agent with little traffic.
+     */
     private static final int FAILURE_WINDOW_MIN_REQUESTS = 5;
 
-    private static final double MAX_FAILURE_RATE = 0.3; // over which the passive state is Unhealthy; the default
-    /** And by how many deviations above the peers' share: what fails everywhere is no server's fault. */
+    /** Failure rate above which the passive health state may become Unhealthy; the usual default. */
+    private static final double MAX_FAILURE_RATE = 0.3;
+    /**
+     * Number of standard deviations by which the failures of a server have to exceed those expected from its peers'
+     * failure rate. A failure that is common to all servers is not the fault of one of them.
+     */
     private static final double PEER_DEVIATIONS = 1;
-    /** A server that fails at once rests as if the request had taken its time, doubled up to this often. */
+    /**
+     * Maximum number of doublings of the backoff of a server that fails fast. The backoff starts at the time that a
+     * request usually takes.
+     */
     private static final int MAX_BACKOFF_DOUBLINGS = 5;
 
-    private static final long EJECTION_TIME = 5 * SECOND; // after this the passive state is Unknown again
-    private static final double LIMIT_INITIAL = 12; // of all agents together, for a server unknown so far
-    /** After a fast answer with the limit half used; after a slow one: even at one slow answer in nine. */
+    /** Ejection time in microseconds, after which the passive health state is Unknown again. */
+    private static final long EJECTION_TIME = 5 * SECOND;
+
+    // ---- Concurrency limit of a server ----
+
+    /** Initial limit of requests in flight at a server whose capacity is unknown, for all agents together. */
+    private static final double LIMIT_INITIAL = 12;
+    /**
+     * Increase of the limit after a fast response with at least half of the limit in use. With the decrease after a
+     * slow response the limit is in balance at one slow response in nine.
+     */
     private static final double LIMIT_INCREASE = 0.2;
 
+    /** Decrease of the limit after a slow response or a failure, if the limit is above {@link #LOW_LIMIT}. */
     private static final double LIMIT_DECREASE = 1.6;
+    /** Factor applied instead to a limit of up to {@link #LOW_LIMIT}. */
     private static final double LIMIT_SLOW_FACTOR = 0.5;
-    /** Waiting requests a listed core from which a server has too much, by its own report, and what is left then. */
+    /** Queued requests for each listed core, by the server's own load report, above which a server is overloaded. */
     private static final double MAX_QUEUED_PER_CORE = 1;
 
+    /** Factor applied to the limit of a server that reports more than {@link #MAX_QUEUED_PER_CORE}. */
     private static final double LIMIT_QUEUED_FACTOR = 0.8;
-    /** The same past the aim: a choked server mends only if all that share it leave it for seconds. */
+    /**
+     * Factor applied to a low limit if the response took longer than the aim. An overloaded server recovers only if all
+     * the agents that share it stop sending to it for seconds.
+     */
     private static final double LIMIT_LATE_FACTOR = 0.1;
-    /** Up to this limit an agent is light: its answers from a server are few, and one says little. */
+    /** Limit up to which an agent has little traffic to a server: responses are few, and a single one means little. */
     private static final double LOW_LIMIT = 2;
-    /** The least limit of all agents together, so that none is shut out; below 1 a server pauses. */
+    /**
+     * Lower bound of the limit for all agents together, so that no agent is shut out. An agent's own limit may fall
+     * below 1, which pauses the server after each request.
+     */
     private static final double LIMIT_MIN = 6;
-    /** An answer slower than this many times the unhurried time says that the server has too much in hand. */
+    /** Multiple of the class's minimum latency quantile above which a response is slow: the server is overloaded. */
     private static final double SLOW_LATENCY_MULTIPLE = 1.45;
-    /** Never let the unhurried time excuse answers slower than this part of the time wanted. */
+    /** Share of the request's total time above which a response is slow whatever the minimum latency quantile is. */
     private static final double SLOW_TIMEOUT_SHARE = 0.5;
-    /** To a light agent an answer within this part of the aim is never slow. */
+    /** Share of the aim within which a response is never slow for an agent with little traffic to the server. */
     private static final double NEVER_SLOW_AIM_SHARE = 0.4;
-    /** The quantile of a class's answer times that is followed; its lowest value is the unhurried time. */
+    /** Quantile of the latencies of a class that is tracked. Its minimum is the latency without load. */
     static final double LATENCY_QUANTILE = 0.8;
-    /** How much slower than the class a server may be by nature before its answers count as slow. */
+    /**
+     * Maximum ratio of a server's latency without load to that of the class that is accepted as the server's nature.
+     */
     private static final double MAX_SERVER_LATENCY_RATIO = 2;
-    /** How long a server is thought to have restarted unless the list says so: the list is seconds late. */
+
+    // ---- Restarts ----
+
+    /**
+     * Time in microseconds for which a server that answers again after an outage is treated as cold unless the server
+     * list confirms the restart. The list lags by seconds.
+     */
     private static final long SUSPECTED_RESTART_COLD_TIME = 5 * SECOND;
 
-    private static final long MIN_RESTART_TIME = SECOND / 2; // a break shorter than this is no restart
-    private static final int USUAL_TIMEOUT_TOLERANCE_TICKS =
-            4; // ticks by which the time that first tries bring may differ
-    private static final int MAX_USUAL_TIMEOUT_VOTES = 20; // votes for that time at the most; half of them make it sure
-    private static final int MAX_UNSERVED_REQUESTS =
-            1_024; // requests not served that are known again when they come back
-    private static final double EWMA_WEIGHT = 0.1; // weight of one new measurement in a running mean
-    /** Weight of one answer in its server's slowness: a light agent sees few, and they soon say nothing. */
+    /** Shortest outage, in microseconds, that is taken for a restart. */
+    private static final long MIN_RESTART_TIME = SECOND / 2;
+
+    // ---- Client retries ----
+
+    /** Ticks by which the timeouts of first tries of a class may differ. */
+    private static final int USUAL_TIMEOUT_TOLERANCE_TICKS = 4;
+    /** Maximum number of votes for the usual timeout of a class; it is reliable from half of them on. */
+    private static final int MAX_USUAL_TIMEOUT_VOTES = 20;
+    /** Maximum number of unserved requests that are remembered in order to recognize their client retries. */
+    private static final int MAX_UNSERVED_REQUESTS = 1_024;
+
+    // ---- Running means ----
+
+    /** Weight of a new sample in an exponentially weighted moving average. */
+    private static final double EWMA_WEIGHT = 0.1;
+    /**
+     * Weight of a response in the latency ratio of its server. It is high because an agent with little traffic sees few
+     * responses, and old ones soon mean nothing.
+     */
     private static final double LATENCY_RATIO_EWMA_WEIGHT = 0.4;
 
-    private static final double MAX_LATENCY_RATIO =
-            5; // the most that one answer moves it by, for works have heavy tails
-    /** Further attempts earned by each request: retries can never multiply an overload. */
+    /**
+     * Upper bound of a single sample of the latency ratio, as the work of requests has a heavy-tailed distribution.
+     */
+    private static final double MAX_LATENCY_RATIO = 5;
+
+    // ---- Retry budget and admission credit ----
+
+    /** Retries that each request adds to the retry budget. The budget keeps retries from amplifying an overload. */
     private static final double RETRY_BUDGET_PER_REQUEST = 0.2;
 
-    private static final double MAX_RETRY_BUDGET = 10; // what may be saved up of them, enough for one broken server
-    /** Attempts that an answer pays for, where each costs one: so fast may they grow while servers answer in time. */
+    /** Maximum retry budget, enough for the failure of one server. */
+    private static final double MAX_RETRY_BUDGET = 10;
+    /**
+     * Admission credit that a response earns, where an attempt costs 1. It bounds how fast the attempts may grow while
+     * servers respond in time.
+     */
     private static final double CREDIT_PER_RESPONSE = 1.2;
 
-    private static final double CREDIT_PER_REQUEST = 0.03; // and each request that comes, so that some are always tried
-    /** What may be saved up: what is out is paid for and not answered yet, the more the more requests come. */
+    /** Admission credit that each arriving request earns, so that some attempts are always made. */
+    private static final double CREDIT_PER_REQUEST = 0.03;
+    /**
+     * Maximum admission credit without traffic. With traffic the maximum is higher, because attempts in flight have
+     * been paid for and have not earned anything yet.
+     */
     private static final double MIN_CREDIT_CAP = 10;
 
+    /** Seconds of the request rate that are added to the maximum admission credit. */
     private static final double CREDIT_CAP_SECONDS = 0.5;
-    /** While requests are held, how often they are looked at, in ticks of the host. */
+    /** Interval between two passes over the queued requests, in ticks of the host. */
     private static final int SWEEP_TICKS = 4;
-    /** How far back the counts of requests come and served look, for ranking the classes. */
+    /** Time constant, in microseconds, of the decaying counts of arrived and served requests that rank the classes. */
     private static final long RANKING_DECAY_TIME = 2 * SECOND;
 
-    private static final long RATE_DECAY_TIME = 5 * SECOND; // how far back the measured answer rates look
-    /** How fast the share of keys that cross zones at once follows what is seen: some hundred requests. */
+    /** Time constant, in microseconds, of the decaying sums from which request rates are computed. */
+    private static final long RATE_DECAY_TIME = 5 * SECOND;
+    /**
+     * Step by which the share of keys that cross zones at once follows the observed need for it: it adapts within some
+     * hundred requests.
+     */
     private static final double CROSS_ZONE_SHARE_STEP = 0.01;
-    /** The part of what the settings make expect at the worst that a cold server needs, until it is measured. */
+
+    // ---- Cold servers (slow start) ----
+
+    /** Latency of cold servers before it has been measured, as a share of the worst case that the settings imply. */
     private static final double INITIAL_COLD_LATENCY_SHARE = 0.5;
-    /** Waiting requests a core under which a cold server keeps up: its room grows by half, else it shrinks. */
+    /**
+     * Queued requests for each core below which a cold server keeps up, so that its rate is raised; else it is cut.
+     */
     private static final double COLD_MAX_QUEUED_PER_CORE = 0.2;
-    /** How much of the time that topples a server its burst may fill: half, the list may be late. */
+    /**
+     * Share of the time of overload that makes a server fail which a burst to a cold server may fill. It is half,
+     * because the server list may be late.
+     */
     private static final double COLD_BURST_SHARE = 0.5;
-    /** The part of a keyed request's window in which it may be resent: a late arrival would run again. */
+    // ---- Retries of keyed requests, discovery and timers ----
+
+    /**
+     * Share of the deduplication window of a keyed request in which it may be sent again. A retry that arrives after
+     * the window would be executed a second time.
+     */
     private static final double RETRY_WINDOW_SHARE = 0.75;
 
-    private static final long DISCOVERY_BACKOFF =
-            SECOND; // the first wait before discovery is asked again; then doubled
+    /** Initial backoff before discovery is asked again, in microseconds; it doubles with each failure. */
+    private static final long DISCOVERY_BACKOFF = SECOND;
+    /** Token of the timer of the next probe. Tokens of requests are not negative. */
     private static final long TIMER_PROBE = -1;
+    /** Token of the timer of the next pass over the queued requests. */
     private static final long TIMER_SWEEP = -2;
+    /** Token of the timer of the next discovery attempt. */
     private static final long TIMER_DISCOVERY = -3;
 
     private Settings settings;
     private final Actions actions;
     private final SplittableRandom random;
+    /** All known servers, including those that have left the list and still have attempts in flight. */
     private final Map<Long, ServerState> serversById = new HashMap<>();
-    private final List<ServerState> listedServers = new ArrayList<>(); // in the order of this agent's own hash
+    /** The servers of the list, in the order of this agent's own hash. */
+    private final List<ServerState> listedServers = new ArrayList<>();
+    /** Reused by {@link #pickOfTwo} for the servers that a request may be sent to. */
     private final List<ServerState> candidates = new ArrayList<>();
+
     private final Map<Long, PendingRequest> openRequests = new HashMap<>();
     private final Map<Long, PendingRequest> requestsByToken = new HashMap<>();
     private final List<ClassState> classes = new ArrayList<>();
-    private final List<ClassState> rankedClasses; // the same, the most valuable first
+    /** The same classes as {@link #classes}, the most valuable one first. */
+    private final List<ClassState> rankedClasses;
+
     private double retryBudget = MAX_RETRY_BUDGET;
-    private double admissionCredit =
-            Double.MAX_VALUE; // attempts that may be sent; as many as come until one finds no room
-    private double crossZoneShare; // the share of keys that cross zones at once
-    /** By kind of server, what {@link ServerState#latencyRatio} is for one. */
+    /** Number of attempts that may be sent. It is unlimited until an attempt finds a server without capacity. */
+    private double admissionCredit = Double.MAX_VALUE;
+    /** Share of the keys that are sent to other zones at once. */
+    private double crossZoneShare;
+    /** The usual {@link ServerState#latencyRatio} of servers, by their kind. */
     private final Map<Integer, Double> latencyRatioByKind = new HashMap<>();
 
     private final long createdAt;
-    /** The unhurried time of the requests that came, and the first tries that did, as sums that fade. */
+    /** Decaying sum of the latencies without load of the requests that arrived, in microseconds. */
     private double recentWork;
 
+    /** Decaying count of the first tries that arrived. */
     private double recentFirstTries;
+    /** When the decaying sums were last updated. */
     private long decayedAt;
-    /** The listed weights of those that take requests, together; how many those are, and in the own zone. */
+    /** Sum of the listed weights of the servers that accept new requests. */
     private double readyWeight;
 
+    /** Number of servers that accept new requests. */
     private int readyServers;
+    /** Number of those that are in the agent's own zone. */
     private int readyServersInZone;
-    /** How long cold servers take, as a part of what the settings make expect at the worst. */
+    /** Measured latency of cold servers, as a share of the worst case that the settings imply. */
     private double coldLatencyShare = INITIAL_COLD_LATENCY_SHARE;
 
     private long rankedAt;
-    /** When a request that had time enough was last turned away for want of room. */
+    /** When a request that had enough time left was last shed for lack of capacity. */
     private long lastShedAt = Long.MIN_VALUE / 2;
 
-    private boolean clientsMarkRetries; // whether clients mark their repeats
-    /** By {@link #fingerprint}, when the first try of a request came that was not served; emptied when full. */
+    /** Whether clients mark their retries. */
+    private boolean clientsMarkRetries;
+    /** Arrival time of the first try of unserved requests, by {@link #fingerprint}; cleared when full. */
     private final Map<Long, Long> unservedArrivals = new HashMap<>();
 
     private long nextToken;
+    /** Index of the server to probe next, modulo the number of servers to probe. */
     private int nextProbe;
+
     private boolean sweepScheduled;
     private boolean probeScheduled;
+    /** Backoff before discovery is asked again, in microseconds. */
     private long discoveryDelay = DISCOVERY_BACKOFF;
 
-    /** A new instance that knows nothing but its settings; seed for its random choices. */
+    /**
+     * Creates an instance without any knowledge but its settings.
+     *
+     * @param settings the settings
+     * @param seed the seed of its random choices
+     * @param now the current time in microseconds
+     * @param actions the host
+     */
     public AdaptiveBalancer(Settings settings, long seed, long now, Actions actions) {
         this.settings = settings;
         this.actions = actions;
@@ -175,7 +303,7 @@
         this.nextProbe = random.nextInt(1 << 16);
         this.rankedAt = now;
         this.createdAt = now;
-        settings.classes().forEach(type -> classes.add(new ClassState(type, LATENCY_QUANTILE)));
+        settings.classes().forEach(requestClass -> classes.add(new ClassState(requestClass, LATENCY_QUANTILE)));
         this.rankedClasses = new ArrayList<>(classes);
         if (settings.askDiscovery()) {
             actions.watchServers();
@@ -192,7 +320,7 @@
             }
             classes.get(i).requestClass = changed.classes().get(i);
         }
-        serversById.values().forEach(each -> each.ensureClasses(classes.size()));
+        serversById.values().forEach(server -> server.ensureClasses(classes.size()));
     }
 
     // ---- Life of a request ----
@@ -200,34 +328,36 @@
     @Override
     public void request(long now, Request request) {
         ClassState state = classes.get(request.requestClass());
-        RequestClass type = state.requestClass;
-        long aim = type.aim() + (long) (type.aimStretch() * request.cost());
-        Long first = request.cost() == 0 ? null : unservedArrivals.remove(fingerprint(request));
-        long spent = first != null ? now - first : timeAlreadySpent(request, state, now);
-        // Danger: work for an answer already too late. Where that is only reckoned, one is served while there is room.
-        long last = request.deadline() - settings.tick();
-        long left = aim - spent;
-        boolean late =
-                type.lateShare() == 0 && Math.min(left, last - now) < Math.min(aim, state.latencyQuantile.value());
-        boolean past =
-                request.repeated() && late && left < (first == null ? state.latencyQuantile.value() : settings.tick());
-        long endAt = type.lateShare() > 0
-                ? last
-                : Math.min(last, now + (late && !request.repeated() ? aim : left) - settings.tick());
+        RequestClass requestClass = state.requestClass;
+        long aim = requestClass.aim() + (long) (requestClass.aimStretch() * request.cost());
+        Long firstTryAt = request.cost() == 0 ? null : unservedArrivals.remove(fingerprint(request));
+        long elapsed = firstTryAt != null ? now - firstTryAt : timeAlreadySpent(request, state, now);
+        // Danger: servers would work for responses that come too late. If that is only an estimate, the request is
+        // still served while there is capacity.
+        long latestEnd = request.deadline() - settings.tick();
+        long remaining = aim - elapsed;
+        boolean likelyLate = requestClass.lateShare() == 0
+                && Math.min(remaining, latestEnd - now) < Math.min(aim, state.latencyQuantile.value());
+        boolean pastAim = request.repeated()
+                && likelyLate
+                && remaining < (firstTryAt == null ? state.latencyQuantile.value() : settings.tick());
+        long expiresAt = requestClass.lateShare() > 0
+                ? latestEnd
+                : Math.min(latestEnd, now + (likelyLate && !request.repeated() ? aim : remaining) - settings.tick());
         PendingRequest req = new PendingRequest(
-                request, state, settings.permits().maxAttempts(), nextToken++, now, now - spent, endAt);
+                request, state, settings.permits().maxAttempts(), nextToken++, now, now - elapsed, expiresAt);
         openRequests.put(request.id(), req);
         requestsByToken.put(req.token, req);
-        actions.timer(req.token, Math.max(0, endAt - now));
+        actions.timer(req.token, Math.max(0, expiresAt - now));
         state.meanCost += (state.meanCost == 0 ? 1 : EWMA_WEIGHT / 2) * (request.cost() - state.meanCost);
         state.recentArrivals++;
         decay(now);
         recentWork += state.lowestMeanLatency;
-        recentFirstTries += request.repeated() || spent > 0 ? 0 : 1;
+        recentFirstTries += request.repeated() || elapsed > 0 ? 0 : 1;
         retryBudget = Math.min(MAX_RETRY_BUDGET, retryBudget + RETRY_BUDGET_PER_REQUEST);
         addCredit(CREDIT_PER_REQUEST, now);
-        if (past
-                || late && (hasQueued() || now - lastShedAt < SECOND)
+        if (pastAim
+                || likelyLate && (hasQueued() || now - lastShedAt < SECOND)
                 || readyWeight == 0 && !listedServers.isEmpty()) {
             reject(req, now);
         } else {
@@ -235,28 +365,31 @@
         }
     }
 
-    // What a client's repeat has behind it: it brings less time than first tries of its class, which bring the same.
+    /**
+     * Returns how long the client has already been waiting, in microseconds. All first tries of a class have the same
+     * timeout, and a client retry has what is left of it.
+     */
     private long timeAlreadySpent(Request request, ClassState state, long now) {
-        long left = request.deadline() - now;
-        boolean usual = Math.abs(left - state.usualTimeout) <= USUAL_TIMEOUT_TOLERANCE_TICKS * settings.tick();
+        long timeout = request.deadline() - now;
+        boolean usual = Math.abs(timeout - state.usualTimeout) <= USUAL_TIMEOUT_TOLERANCE_TICKS * settings.tick();
         if (usual) {
             state.usualTimeoutVotes = Math.min(MAX_USUAL_TIMEOUT_VOTES, state.usualTimeoutVotes + 1);
         } else if (--state.usualTimeoutVotes < 0) {
-            state.usualTimeout = left;
+            state.usualTimeout = timeout;
             state.usualTimeoutVotes = 1;
         }
-        clientsMarkRetries |=
-                request.repeated(); // danger: clients that give up early bring little too, and have spent nothing
-        boolean unsure = usual
+        // Danger: clients with short deadlines have a short timeout too, and have not waited at all.
+        clientsMarkRetries |= request.repeated();
+        boolean unknown = usual
                 || clientsMarkRetries
                 || request.cost() != 0
                 || state.usualTimeoutVotes < MAX_USUAL_TIMEOUT_VOTES / 2;
         return request.repeated()
                 ? (long) state.meanUnservedWait
-                : unsure ? 0 : Math.max(0, state.requestClass.giveUp() - left);
+                : unknown ? 0 : Math.max(0, state.requestClass.giveUp() - timeout);
     }
 
-    /** What tells a request from others: its client's repeat brings the same. */
+    /** Returns a hash of the request's attributes, by which a client retry of it is recognized. */
     private static long fingerprint(Request request) {
         return mix(request.key() ^ mix(request.cost() ^ mix(request.requestClass() ^ mix(request.tenant()))));
     }
@@ -265,7 +398,7 @@
         return classes.stream().anyMatch(state -> !state.queue.isEmpty());
     }
 
-    /** Sends a request if its history permits and a server has room. */
+    /** Sends a request if its earlier attempts permit it and a server has capacity. */
     private boolean dispatch(PendingRequest req, long now) {
         if (req.attempts.size() >= req.maxAttempts || now >= req.expiresAt || admissionCredit < 1) {
             return false;
@@ -298,7 +431,10 @@
         }
     }
 
-    // Sends what was held, the newest of each class first. Danger: oldest first, each is sent when it is just too late.
+    /**
+     * Sends queued requests, the newest of each class first. Danger: with the oldest first, each request would be sent
+     * when it is just too late.
+     */
     private void dispatchQueued(long now) {
         for (ClassState state : rankedClasses) {
             var queue = state.queue;
@@ -312,9 +448,10 @@
             while (!queue.isEmpty() && (!queue.peekLast().queued || dispatch(queue.peekLast(), now))) {
                 queue.pollLast();
             }
-            // Danger: the oldest would cross zones with too little time left; take the newest that may.
-            for (var newest = queue.descendingIterator(); newest.hasNext(); ) {
-                PendingRequest req = newest.next();
+            // Danger: the oldest request would cross zones with too little time left, so the newest that has waited
+            // long enough is taken.
+            for (var iterator = queue.descendingIterator(); iterator.hasNext(); ) {
+                PendingRequest req = iterator.next();
                 if (req.queued && now - req.arrivedAt >= crossZoneWait(req) && !dispatch(req, now)) {
                     break;
                 }
@@ -322,23 +459,23 @@
         }
     }
 
-    /** Orders the classes by what a unit of their work adds to the goal, as measured now. */
+    /** Orders the classes by what a unit of their work currently adds to the goal. */
     private void rankClasses(long now) {
-        double fade = Math.exp(-(double) (now - rankedAt) / RANKING_DECAY_TIME);
+        double retained = Math.exp(-(double) (now - rankedAt) / RANKING_DECAY_TIME);
         rankedAt = now;
-        double all = 0;
+        double totalWorth = 0;
         ClassState worst = rankedClasses.get(0);
         for (ClassState state : rankedClasses) {
-            state.recentArrivals *= fade;
-            state.recentServed *= fade;
-            all += state.recentArrivals * state.requestClass.worth() * requestWeight(state);
+            state.recentArrivals *= retained;
+            state.recentServed *= retained;
+            totalWorth += state.recentArrivals * state.requestClass.worth() * requestWeight(state);
             if (state.recentServed * worst.recentArrivals < worst.recentServed * state.recentArrivals) {
                 worst = state;
             }
         }
         for (ClassState state : rankedClasses) {
-            double each = state.requestClass.worth() * requestWeight(state) / Math.max(all, Double.MIN_NORMAL);
-            state.valuePerWork = (settings.goal().whole() + settings.goal().worstWindow()) * each;
+            double share = state.requestClass.worth() * requestWeight(state) / Math.max(totalWorth, Double.MIN_NORMAL);
+            state.valuePerWork = (settings.goal().whole() + settings.goal().worstWindow()) * share;
             if (state == worst) {
                 state.valuePerWork += settings.goal().worstClass() / Math.max(state.recentArrivals, Double.MIN_NORMAL);
             }
@@ -347,12 +484,12 @@
         rankedClasses.sort((a, b) -> Double.compare(b.valuePerWork, a.valuePerWork));
     }
 
-    /** What one request of a class weighs: its work where worth is counted by work. */
+    /** Returns the weight of one request of a class: its mean latency if the settings count worth by work, else 1. */
     private double requestWeight(ClassState state) {
         return settings.worthByWork() ? state.meanLatency : 1;
     }
 
-    /** Whether an answer would come too late to be worth the work. */
+    /** Returns whether a response is expected too late to be worth the work. */
     private boolean wouldBeLate(PendingRequest req, long now) {
         return now + (long) req.classState.latencyQuantile.value() > req.expiresAt;
     }
@@ -364,23 +501,24 @@
             int attempt,
             long server,
             Outcome outcome,
-            long spent,
+            long elapsed,
             boolean closed,
             double[] load) {
         PendingRequest req = openRequests.get(request);
         if (req == null || attempt >= req.attempts.size() || req.attempts.get(attempt).outcome != null) {
-            return; // not held any more, or told twice
+            return; // the request has ended, or the outcome was reported twice
         }
         Attempt ended = req.attempts.get(attempt);
         ended.outcome = outcome;
         ended.server.inFlight -= ended.streaming ? 0 : 1;
         forgetIfIdle(ended.server);
-        boolean full = outcome == Outcome.FULL
+        boolean overloaded = outcome == Outcome.FULL
                 || (outcome == Outcome.TIMEOUT || outcome == Outcome.CANCELLED)
                         && req.expiresAt - req.arrivedAt > req.classState.latencyQuantile.value();
         addCredit(
-                ended.streaming ? CREDIT_PER_REQUEST : outcome == Outcome.OK ? CREDIT_PER_RESPONSE : full ? 0 : 1, now);
-        recordOutcome(req, ended.server, outcome, spent, recordLoadReport(ended.server, load, now), now);
+                ended.streaming ? CREDIT_PER_REQUEST : outcome == Outcome.OK ? CREDIT_PER_RESPONSE : overloaded ? 0 : 1,
+                now);
+        recordOutcome(req, ended.server, outcome, elapsed, recordLoadReport(ended.server, load, now), now);
         if (closed) {
             close(req);
         }
@@ -393,10 +531,10 @@
         dispatchQueued(now);
     }
 
-    /** After a failed attempt: another one where permitted and affordable, or the final answer. */
+    /** Retries after a failed attempt if it is permitted and the retry budget allows it; else ends the request. */
     private void retryOrReject(PendingRequest req, long now) {
-        boolean worthIt = !wouldBeLate(req, now) && req.attempts.size() < req.maxAttempts;
-        if (worthIt && maySend(req, now) && retryBudget >= 1) {
+        boolean worthwhile = !wouldBeLate(req, now) && req.attempts.size() < req.maxAttempts;
+        if (worthwhile && maySend(req, now) && retryBudget >= 1) {
             retryBudget -= 1;
             dispatchOrQueue(req, now);
         } else {
@@ -404,7 +542,7 @@
         }
     }
 
-    /** The final answer for a request that will not be served: a refusal where permitted. */
+    /** Gives the final answer to a request that will not be served: a refusal if that is permitted, else a failure. */
     private void reject(PendingRequest req, long now) {
         if (req.closed) {
             return;
@@ -421,7 +559,7 @@
         close(req);
     }
 
-    /** Ends what is out for a request that is not served, and keeps in mind when it came. */
+    /** Cancels the attempts in flight of a request that is not served, and remembers when its first try arrived. */
     private void cancelAttempts(PendingRequest req) {
         if (unservedArrivals.size() >= MAX_UNSERVED_REQUESTS) {
             unservedArrivals.clear();
@@ -453,12 +591,13 @@
     }
 
     @Override
-    public void streamStarted(long now, long request, int attempt, long server, long spent) {
+    public void streamStarted(long now, long request, int attempt, long server, long elapsed) {
         PendingRequest req = openRequests.get(request);
         if (req != null && !req.attempts.get(attempt).streaming) {
             req.streaming = true;
             req.attempts.get(attempt).streaming = true;
-            req.attempts.get(attempt).server.inFlight--; // its work is done; a slow reader takes no room there
+            // The server's work is done; a slow client does not use its capacity.
+            req.attempts.get(attempt).server.inFlight--;
             addCredit(CREDIT_PER_RESPONSE, now);
             dispatchQueued(now);
         }
@@ -478,31 +617,35 @@
         } else {
             PendingRequest req = requestsByToken.get(token);
             if (req == null || req.streaming) {
-                return; // answered long ago, or with the client now
+                return; // already answered, or being streamed to the client
             }
             if (req.attemptsInFlight() > 0 && now < req.expiresAt + settings.tick()) {
-                actions.timer(token, settings.tick()); // the attempt's own time-out comes with this batch
+                actions.timer(token, settings.tick()); // the host reports the attempt's timeout in the same batch
             } else {
                 reject(req, now);
             }
         }
     }
 
+    // Messages between agents are ignored: none has been worth its price so far.
     @Override
-    public void message(long now, int agent, byte[] message) {} // no message has earned its price yet
+    public void message(long now, int agent, byte[] message) {}
 
-    // ---- What a request's history permits ----
+    // ---- Retry safety ----
 
-    // Danger: an effect twice. Unsafe requests go again only once every attempt provably never ran; keyed ones only
-    // inside the window of each that may have run, and where inGroups says.
+    /**
+     * Returns whether another attempt is permitted. Danger: a request would take effect twice. An unsafe request is
+     * sent again only if every attempt provably never ran; a keyed one only inside the deduplication window of each
+     * attempt that may have run, and only to servers that {@link #inDedupScope} accepts.
+     */
     private boolean maySend(PendingRequest req, long now) {
         Semantics semantics = req.requestClass.semantics();
-        boolean sending =
+        boolean otherInFlight =
                 req.attemptsInFlight() > 0 && !(settings.permits().duplicates() && semantics == Semantics.SAFE);
-        if (req.closed || req.streaming || sending) {
+        if (req.closed || req.streaming || otherInFlight) {
             return false;
         }
-        // Danger: a repeat that arrives after the window runs again; leave time for the way.
+        // Danger: a retry that arrives after the window is executed again. The margin covers the network latency.
         long window = (long) (RETRY_WINDOW_SHARE * req.requestClass.window());
         return semantics == Semantics.SAFE
                 || req.attempts.stream()
@@ -510,7 +653,7 @@
                                 !attempt.mayHaveRun() || semantics == Semantics.KEYED && now < attempt.sentAt + window);
     }
 
-    /** Whether a server is in the group of every earlier attempt that may have run. */
+    /** Returns whether a server shares its deduplication scope with every earlier attempt that may have run. */
     private boolean inDedupScope(PendingRequest req, ServerState server) {
         Scope scope = req.requestClass.scope();
         if (req.requestClass.semantics() != Semantics.KEYED || scope == Scope.ALL) {
@@ -523,7 +666,10 @@
                                 : attempt.server.entry.cell() == server.entry.cell()));
     }
 
-    /** A refusal says that trying again is harmless: danger of an effect twice if it is not. */
+    /**
+     * Returns whether the request may be refused. A refusal tells the client that a retry is harmless. Danger: if it is
+     * not, the request takes effect twice.
+     */
     private boolean mayRefuse(PendingRequest req) {
         Semantics semantics = req.requestClass.semantics();
         return semantics == Semantics.SAFE
@@ -531,14 +677,14 @@
                 || semantics == Semantics.KEYED && req.requestClass.scope() == Scope.ALL;
     }
 
-    // ---- Pick ----
+    // ---- Selection of a server ----
 
     private ServerState pickServer(PendingRequest req, long now) {
         if (!maySend(req, now)) {
             return null;
         }
-        boolean roams = usesKeyAffinity(req) && (mix(~req.request.key()) >>> 11) * 0x1p-53 < crossZoneShare;
-        ServerState best = roams ? pickOfTwo(req, now, true, 0) : null;
+        boolean crossesAtOnce = usesKeyAffinity(req) && (mix(~req.request.key()) >>> 11) * 0x1p-53 < crossZoneShare;
+        ServerState best = crossesAtOnce ? pickOfTwo(req, now, true, 0) : null;
         if (best == null) {
             best = pickOfTwo(req, now, true, 1);
             crossZoneShare -=
@@ -547,53 +693,67 @@
         if (best != null) {
             return best;
         }
-        // Danger: a repeat would wait all its time for a removed server, the one it has tried being available.
+        // Danger: a retry would wait for an ejected server until it expires, because the server that it has already
+        // tried is available. So servers that have been tried do not count here.
         boolean availableAnywhere = listedServers.stream()
-                .anyMatch(each ->
-                        each.ready && !req.tried(each) && inDedupScope(req, each) && isAvailable(req, each, now));
-        boolean availableHere = listedServers.stream()
-                .anyMatch(each -> each.ready && each.entry.zone() == settings.zone() && isAvailable(req, each, now));
+                .anyMatch(server -> server.ready
+                        && !req.tried(server)
+                        && inDedupScope(req, server)
+                        && isAvailable(req, server, now));
+        boolean availableInZone = listedServers.stream()
+                .anyMatch(server ->
+                        server.ready && server.entry.zone() == settings.zone() && isAvailable(req, server, now));
         if (!availableAnywhere) {
             return pickOfTwo(req, now, false, -1);
         }
-        if (availableHere && now - req.arrivedAt < crossZoneWait(req)) {
+        if (availableInZone && now - req.arrivedAt < crossZoneWait(req)) {
             return null;
         }
         best = pickOfTwo(req, now, true, 0);
-        if (best != null && availableHere) {
-            // Danger: keys that cross only after waiting are known to no server. The same ones cross, more of them.
+        if (best != null && availableInZone) {
+            // Danger: keys that cross zones only after a wait would be warm on no server. So a growing share of the
+            // keys crosses at once, always the same ones.
             crossZoneShare += CROSS_ZONE_SHARE_STEP * (1 - crossZoneShare);
         }
         return best;
     }
 
-    /** Whether servers are quicker with this request's key where they met it lately. */
+    /** Returns whether servers respond faster to this request if they have recently served its key. */
     private boolean usesKeyAffinity(PendingRequest req) {
         return settings.warmKeys() && req.request.key() != 0;
     }
 
-    /** Crossing zones costs its price: while servers are available here, that part of the time is waited. */
+    /**
+     * Returns how long a request waits for a server of the own zone before it crosses zones, in microseconds: the
+     * share of its total time that equals the price of crossing.
+     */
     private long crossZoneWait(PendingRequest req) {
         return (long)
                 ((req.expiresAt - req.arrivedAt) * Math.min(1, settings.prices().crossing()));
     }
 
-    /** The two-draw pick among servers with room; where: 1 own zone, 0 other zones, -1 all. */
+    /**
+     * Picks the less loaded of two random servers with capacity, or of the two servers of the request's key.
+     *
+     * @param healthy whether to consider available servers only
+     * @param where 1 for the own zone, 0 for other zones, -1 for all servers
+     * @return null if there is none
+     */
     private ServerState pickOfTwo(PendingRequest req, long now, boolean healthy, int where) {
         candidates.clear();
-        double room = 0;
-        int out = 0;
-        int left = usesKeyAffinity(req)
+        double spare = 0;
+        int inFlight = 0;
+        int remaining = usesKeyAffinity(req)
                 ? listedServers.size()
                 : subsetSize(where == 1 ? SUBSET_MIN_OWN_ZONE : SUBSET_MIN_OTHER_ZONES, now);
-        for (int at = 0; at < listedServers.size() && left > 0; at++) {
-            ServerState server = listedServers.get(at);
+        for (int index = 0; index < listedServers.size() && remaining > 0; index++) {
+            ServerState server = listedServers.get(index);
             if (server.ready
                     && (!healthy || isAvailable(req, server, now))
                     && (where < 0 || (server.entry.zone() == settings.zone()) == (where == 1))) {
-                left--;
-                room += server.limit - server.inFlight;
-                out += server.inFlight;
+                remaining--;
+                spare += server.limit - server.inFlight;
+                inFlight += server.inFlight;
                 if (!req.tried(server)
                         && inDedupScope(req, server)
                         && hasCapacity(server, now)
@@ -603,24 +763,25 @@
                 }
             }
         }
-        if (out > 0 && room < 1) {
-            return null; // Danger: one request at each of a few servers, times hundreds of agents, is a jam
+        if (inFlight > 0 && spare < 1) {
+            // Danger: a request at each of a few servers, from each of hundreds of agents, would overload them.
+            return null;
         }
         if (usesKeyAffinity(req)) {
             removeBusyCandidates();
         }
-        int n = candidates.size();
-        if (n <= 1) {
-            return n == 0 ? null : candidates.get(0);
+        int count = candidates.size();
+        if (count <= 1) {
+            return count == 0 ? null : candidates.get(0);
         }
         if (usesKeyAffinity(req)) {
-            // All agents draw the same two by the key's hash.
+            // All agents pick the same two servers by the key's hash.
             ServerState first = highestHash(req.request.key(), null);
             ServerState second = highestHash(req.request.key(), first);
             return first.inFlight <= second.inFlight ? first : second;
         }
-        int i = random.nextInt(n);
-        int j = random.nextInt(n - 1);
+        int i = random.nextInt(count);
+        int j = random.nextInt(count - 1);
         ServerState a = candidates.get(i);
         ServerState b = candidates.get(j < i ? j : j + 1);
         return (a.inFlight != b.inFlight
@@ -630,23 +791,32 @@
                 : b;
     }
 
-    // From how many servers an agent draws: few while it sends little. Danger: many light agents that each use every
-    // server fill the connection tables, pay a handshake for nearly every request, and see none enough to judge it.
-    // What is out does not count: it grows in a jam, and the jam with it.
-    private int subsetSize(int least, long now) {
+    /**
+     * Returns the size of the subset that this agent picks servers from; it is small for an agent with little
+     * traffic. Danger: many agents with little traffic that each use every server fill the connection tables, pay a
+     * handshake for nearly every request, and see too few outcomes of each server to evaluate it. Requests in flight
+     * do not count: they increase under overload, and a larger subset would increase the overload.
+     */
+    private int subsetSize(int min, long now) {
         decay(now);
-        return Math.max(minSubsetSize(least), (int) (SUBSET_SERVERS_PER_BUSY_SERVER * recentWork / RATE_DECAY_TIME));
+        return Math.max(minSubsetSize(min), (int) (SUBSET_SERVERS_PER_BUSY_SERVER * recentWork / RATE_DECAY_TIME));
     }
 
-    private int minSubsetSize(int least) {
-        return Math.max(least, SUBSET_AGENTS_PER_SERVER * listedServers.size() / settings.agents());
+    private int minSubsetSize(int min) {
+        return Math.max(min, SUBSET_AGENTS_PER_SERVER * listedServers.size() / settings.agents());
     }
 
-    // Leaves servers with at most one over the mean in flight. Danger: those of a key that many ask for are flooded.
+    /**
+     * Keeps only the candidates with at most one request in flight above the mean. Danger: the servers of a hot key
+     * would be flooded.
+     */
     private void removeBusyCandidates() {
-        double most = 1
-                + candidates.stream().mapToInt(each -> each.inFlight).average().orElse(0);
-        candidates.removeIf(server -> server.inFlight > most);
+        double max = 1
+                + candidates.stream()
+                        .mapToInt(server -> server.inFlight)
+                        .average()
+                        .orElse(0);
+        candidates.removeIf(server -> server.inFlight > max);
     }
 
     private ServerState highestHash(long key, ServerState except) {
@@ -662,7 +832,7 @@
         return z ^ z >>> 32;
     }
 
-    // ---- Limits and what answers teach ----
+    // ---- Concurrency limits and latencies ----
 
     private boolean hasCapacity(ServerState server, long now) {
         return server.inFlight < Math.max(1, (int) server.limit)
@@ -671,67 +841,72 @@
     }
 
     private void recordOutcome(
-            PendingRequest req, ServerState server, Outcome outcome, long spent, double queued, long now) {
+            PendingRequest req, ServerState server, Outcome outcome, long elapsed, double queued, long now) {
         if (outcome == Outcome.CANCELLED || outcome == Outcome.NEVER_SENT) {
-            return; // says nothing about the server
+            return; // the outcome says nothing about the server
         }
         boolean failed = outcome != Outcome.OK && outcome != Outcome.FULL;
-        PerClassState own = perClass(req, server);
+        PerClassState classState = perClass(req, server);
         server.failureWindow.add(now, FAILURE_WINDOW, failed);
-        own.failureWindow.add(now, FAILURE_WINDOW, failed);
+        classState.failureWindow.add(now, FAILURE_WINDOW, failed);
         if (outcome == Outcome.OK) {
             server.answeredSinceProbe = true;
             server.consecutiveFailures = 0;
             server.lastSuccessAt = now;
-            own.consecutiveFailures = 0;
-            own.lastSuccessAt = now;
+            classState.consecutiveFailures = 0;
+            classState.lastSuccessAt = now;
             recordRecovery(server, now);
-            recordLatency(req, server, spent, now);
+            recordLatency(req, server, elapsed, now);
             req.classState.recentServed++;
         } else if (outcome == Outcome.TIMEOUT) {
-            recordColdLatency(req, server, spent, coldLatencyShare, now); // it would have taken longer yet
+            recordColdLatency(req, server, elapsed, coldLatencyShare, now); // the response would have taken even longer
         } else if (server.consecutiveFailures > 0 && (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.RESET)) {
-            markBroken(server, now); // one alone may be a full table of connections
+            markBroken(server, now); // a single failure may be due to a full connection table
         }
         boolean fault = outcome == Outcome.ERROR || outcome == Outcome.TIMEOUT;
-        boolean alone = fault && otherClassesSucceed(server, own, now);
-        own.lastFailureAt = fault ? now : own.lastFailureAt;
-        if (outcome != Outcome.OK && (outcome != Outcome.TIMEOUT || now - spent > own.lastSuccessAt)) {
-            // Danger: a server that fails at once has the fewest in flight; and few agents fill a silent one's window.
-            long usual = (long) Math.max(req.classState.meanLatency, settings.tick());
-            if (!alone && (outcome != Outcome.TIMEOUT || now - spent > server.lastSuccessAt)) {
-                server.backoffUntil = now + (usual << server.consecutiveFailures);
+        boolean thisClassOnly = fault && otherClassesSucceed(server, classState, now);
+        classState.lastFailureAt = fault ? now : classState.lastFailureAt;
+        if (outcome != Outcome.OK && (outcome != Outcome.TIMEOUT || now - elapsed > classState.lastSuccessAt)) {
+            // Danger: a server that fails fast has the fewest requests in flight and would attract all of them; and
+            // few agents see enough requests to eject a silent server by its failure window.
+            long baseBackoff = (long) Math.max(req.classState.meanLatency, settings.tick());
+            if (!thisClassOnly && (outcome != Outcome.TIMEOUT || now - elapsed > server.lastSuccessAt)) {
+                server.backoffUntil = now + (baseBackoff << server.consecutiveFailures);
                 server.consecutiveFailures = Math.min(MAX_BACKOFF_DOUBLINGS, server.consecutiveFailures + 1);
             }
-            own.backoffUntil = now + (usual << own.consecutiveFailures);
-            own.consecutiveFailures = Math.min(MAX_BACKOFF_DOUBLINGS, own.consecutiveFailures + 1);
-        }
-        // Danger: a connection that breaks says nothing about room, and a bad network would leave servers idle.
-        boolean crowded = outcome != Outcome.ERROR && outcome != Outcome.RESET;
-        if (outcome != Outcome.OK && crowded || isSlow(req, server, spent)) {
-            // In proportion where it is low: one slow answer must not close a server to a light agent.
-            double factor = spent > req.requestClass.aim() ? LIMIT_LATE_FACTOR : LIMIT_SLOW_FACTOR;
-            double less = server.limit > LOW_LIMIT ? server.limit - LIMIT_DECREASE : factor * server.limit;
-            server.limit = Math.max(Math.min(1, LIMIT_MIN / settings.agents()), less);
+            classState.backoffUntil = now + (baseBackoff << classState.consecutiveFailures);
+            classState.consecutiveFailures = Math.min(MAX_BACKOFF_DOUBLINGS, classState.consecutiveFailures + 1);
+        }
+        // Danger: a connection that breaks says nothing about the server's capacity, and on a bad network servers
+        // would be left idle.
+        boolean mayBeOverload = outcome != Outcome.ERROR && outcome != Outcome.RESET;
+        if (outcome != Outcome.OK && mayBeOverload || isSlow(req, server, elapsed)) {
+            // A low limit is decreased by a factor: a single slow response must not shut a server off from an agent
+            // with little traffic.
+            double factor = elapsed > req.requestClass.aim() ? LIMIT_LATE_FACTOR : LIMIT_SLOW_FACTOR;
+            double decreased = server.limit > LOW_LIMIT ? server.limit - LIMIT_DECREASE : factor * server.limit;
+            server.limit = Math.max(Math.min(1, LIMIT_MIN / settings.agents()), decreased);
         } else if (queued > MAX_QUEUED_PER_CORE) {
-            // Danger: what one light agent sees of a server is little, and all of them together fill it unseen.
+            // Danger: an agent with little traffic sees little of a server, and all agents together would overload it
+            // unnoticed.
             server.limit = Math.max(Math.min(1, LIMIT_MIN / settings.agents()), LIMIT_QUEUED_FACTOR * server.limit);
         } else if (outcome == Outcome.OK && 2 * (server.inFlight + 1) >= server.limit) {
             server.limit += LIMIT_INCREASE;
         }
-        if (server.limit < 1) { // Danger: with many agents one each is too much for a small server
-            server.backoffUntil = Math.max(server.backoffUntil, now + (long) (spent * (1 / server.limit - 1)));
+        if (server.limit < 1) { // Danger: with many agents, one request of each is too much for a small server
+            server.backoffUntil = Math.max(server.backoffUntil, now + (long) (elapsed * (1 / server.limit - 1)));
         }
         if (failed && isAvailable(req, server, now)) {
-            ejectIfOutlier(req, server, alone, now);
+            ejectIfOutlier(req, server, thisClassOnly, now);
         }
     }
 
-    /** Takes in a load report; returns how many requests wait for each listed core, negative if it does not tell. */
+    /** Evaluates a load report. Returns the queued requests for each listed core; negative or NaN if not reported. */
     private double recordLoadReport(ServerState server, double[] load, long now) {
-        int at = settings.loadFields().indexOf(LoadField.QUEUED);
-        double queued = at < 0 || load.length <= at ? -1 : load[at] / server.effectiveWeight();
-        if (queued >= 0 && isCold(server, now)) { // what it keeps up with is less than it can do; the report is late
+        int index = settings.loadFields().indexOf(LoadField.QUEUED);
+        double queued = index < 0 || load.length <= index ? -1 : load[index] / server.effectiveWeight();
+        // A cold server that keeps up may be able to do more; the report lags behind.
+        if (queued >= 0 && isCold(server, now)) {
             server.coldRateMultiple = queued < COLD_MAX_QUEUED_PER_CORE
                     ? Math.min(2 * initialColdRateMultiple(), server.coldRateMultiple + 0.5)
                     : Math.max(1, 0.7 * server.coldRateMultiple);
@@ -739,7 +914,10 @@
         return queued;
     }
 
-    // What is sent to a cold server at first, as a multiple of its sure part: one under what topples it.
+    /**
+     * Returns the initial rate to a cold server, as a multiple of its warm share: one less than the multiple at which
+     * it fails.
+     */
     private double initialColdRateMultiple() {
         return Math.max(1, settings.obligations().overloadMultiple() - 1);
     }
@@ -748,75 +926,89 @@
         return server.byClass[req.request.requestClass()];
     }
 
-    // Whether other classes are answered here and have not failed lately. Danger: a release that breaks one class would
-    // take the room from all; but where some of every class fail, the server does.
-    private static boolean otherClassesSucceed(ServerState server, PerClassState own, long now) {
+    /**
+     * Returns whether the server has recently answered other classes and failed none of them. Danger: a release that
+     * breaks one class would take the capacity from all classes. But if requests of every class fail, the server itself
+     * is at fault.
+     */
+    private static boolean otherClassesSucceed(ServerState server, PerClassState failing, long now) {
         boolean answered = false;
-        for (PerClassState each : server.byClass) {
-            if (each != own && each.lastFailureAt > 0 && now - each.lastFailureAt < FAILURE_WINDOW) {
+        for (PerClassState other : server.byClass) {
+            if (other != failing && other.lastFailureAt > 0 && now - other.lastFailureAt < FAILURE_WINDOW) {
                 return false;
             }
-            answered |= each != own && each.lastSuccessAt > 0 && now - each.lastSuccessAt < FAILURE_WINDOW;
+            answered |= other != failing && other.lastSuccessAt > 0 && now - other.lastSuccessAt < FAILURE_WINDOW;
         }
         return answered;
     }
 
-    /** An answer's time, against the class's and in part the request's own cost, for a hint may be rough. */
-    private void recordLatency(PendingRequest req, ServerState server, long spent, long now) {
+    /**
+     * Records the latency of a response, relative to the mean of its class and in part to the request's own cost, as
+     * the cost hint may be inaccurate.
+     */
+    private void recordLatency(PendingRequest req, ServerState server, long elapsed, long now) {
         ClassState state = req.classState;
-        double heavy = relativeCost(req);
-        recordColdLatency(req, server, spent, 0, now);
-        double ratio = state.meanLatency == 0 ? 1 : Math.min(MAX_LATENCY_RATIO, spent / (state.meanLatency * heavy));
-        double before = latencyRatio(server, now);
-        server.latencyRatio = before + LATENCY_RATIO_EWMA_WEIGHT * (ratio - before);
+        double cost = relativeCost(req);
+        recordColdLatency(req, server, elapsed, 0, now);
+        double ratio = state.meanLatency == 0 ? 1 : Math.min(MAX_LATENCY_RATIO, elapsed / (state.meanLatency * cost));
+        double previous = latencyRatio(server, now);
+        server.latencyRatio = previous + LATENCY_RATIO_EWMA_WEIGHT * (ratio - previous);
         server.latencyRatioAt = now;
-        latencyRatioByKind.merge(server.entry.kind(), ratio, (old, one) -> old + EWMA_WEIGHT / 2 * (one - old));
-        state.meanLatency += (state.meanLatency == 0 ? 1 : EWMA_WEIGHT / 2) * (spent - state.meanLatency);
+        latencyRatioByKind.merge(server.entry.kind(), ratio, (old, sample) -> old + EWMA_WEIGHT / 2 * (sample - old));
+        state.meanLatency += (state.meanLatency == 0 ? 1 : EWMA_WEIGHT / 2) * (elapsed - state.meanLatency);
         state.lowestMeanLatency =
                 state.lowestMeanLatency == 0 ? state.meanLatency : Math.min(state.lowestMeanLatency, state.meanLatency);
-        state.latencyQuantile.add(spent);
+        state.latencyQuantile.add(elapsed);
         if (state.latencyQuantile.isReady()) {
-            server.relativeLatency.add(spent / state.latencyQuantile.minimum());
+            server.relativeLatency.add(elapsed / state.latencyQuantile.minimum());
         }
     }
 
-    /** A request's own cost against its class's, in part. */
+    /** Returns the cost of a request relative to its class, with half the weight on the request's own cost hint. */
     private static double relativeCost(PendingRequest req) {
         return req.classState.meanCost == 0 ? 1 : 0.5 + 0.5 * req.request.cost() / req.classState.meanCost;
     }
 
-    /** What an answer from a cold server, or none in time, says of the warmth of all. */
-    private void recordColdLatency(PendingRequest req, ServerState server, long spent, double least, long now) {
+    /**
+     * Updates the estimated latency of cold servers with a response or a timeout of one; {@code min} bounds the
+     * sample.
+     */
+    private void recordColdLatency(PendingRequest req, ServerState server, long elapsed, double min, long now) {
         if (isCold(server, now) && req.classState.meanLatency > 0) {
-            double part = spent * warmShare(server, now) / (req.classState.meanLatency * relativeCost(req));
-            coldLatencyShare += EWMA_WEIGHT / 2 * (Math.max(least, Math.min(1, part)) - coldLatencyShare);
+            double share = elapsed * warmShare(server, now) / (req.classState.meanLatency * relativeCost(req));
+            coldLatencyShare += EWMA_WEIGHT / 2 * (Math.max(min, Math.min(1, share)) - coldLatencyShare);
         }
     }
 
-    /** A server's answer times against the usual: its own lately, else those of its kind. */
+    /** Returns the latency of a server relative to the mean: its own if measured recently, else that of its kind. */
     private double latencyRatio(ServerState server, long now) {
         double usual = latencyRatioByKind.getOrDefault(server.entry.kind(), 1.0);
         return usual
                 + (server.latencyRatio - usual) * Math.exp(-(double) (now - server.latencyRatioAt) / RATE_DECAY_TIME);
     }
 
-    // Whether an answer was slow for its class and its server's nature. Danger: where the aim leaves room, to pause for
-    // a short queue leaves servers idle; so does holding small machines to the pace of the large ones.
-    private boolean isSlow(PendingRequest req, ServerState server, long spent) {
-        QuantileEstimator times = req.classState.latencyQuantile;
-        double nature = server.relativeLatency.isReady()
+    /**
+     * Returns whether a response was slow for its class and for the server's own latency without load. Danger: if the
+     * aim allows for queueing, pausing a server because of a short queue leaves it idle; so does expecting small
+     * machines to be as fast as large ones.
+     */
+    private boolean isSlow(PendingRequest req, ServerState server, long elapsed) {
+        QuantileEstimator latency = req.classState.latencyQuantile;
+        double serverRatio = server.relativeLatency.isReady()
                 ? Math.max(1, Math.min(MAX_SERVER_LATENCY_RATIO, server.relativeLatency.minimum()))
                 : 1;
-        double most = SLOW_TIMEOUT_SHARE * (req.expiresAt - req.arrivedAt);
-        return spent
+        double max = SLOW_TIMEOUT_SHARE * (req.expiresAt - req.arrivedAt);
+        return elapsed
                 > Math.max(
                         server.limit > LOW_LIMIT ? 0 : NEVER_SLOW_AIM_SHARE * req.requestClass.aim(),
-                        times.isReady() ? Math.min(most, SLOW_LATENCY_MULTIPLE * nature * times.minimum()) : most);
+                        latency.isReady()
+                                ? Math.min(max, SLOW_LATENCY_MULTIPLE * serverRatio * latency.minimum())
+                                : max);
     }
 
     // ---- Health ----
 
-    /** Available unless either state is Unhealthy. */
+    /** Returns whether a server is available: neither health state is Unhealthy. Ends an ejection that is over. */
     private boolean isAvailable(ServerState server, long now) {
         if (server.passiveHealth == Health.UNHEALTHY && now >= server.ejectedUntil) {
             server.passiveHealth = Health.UNKNOWN;
@@ -830,27 +1022,31 @@
     @Override
     public int unhealthyServers(long now) {
         return (int) listedServers.stream()
-                .filter(each -> each.ready
-                        && (each.activeHealth == Health.UNHEALTHY
-                                || each.passiveHealth == Health.UNHEALTHY && now < each.ejectedUntil))
+                .filter(server -> server.ready
+                        && (server.activeHealth == Health.UNHEALTHY
+                                || server.passiveHealth == Health.UNHEALTHY && now < server.ejectedUntil))
                 .count();
     }
 
-    /** The same for a request, whose class may have been removed alone. */
+    /** Returns whether a server is available for a request. It may be ejected for the request's class only. */
     private boolean isAvailable(PendingRequest req, ServerState server, long now) {
-        PerClassState own = perClass(req, server);
-        if (own.passiveHealth == Health.UNHEALTHY && now >= own.ejectedUntil) {
-            own.passiveHealth = Health.UNKNOWN;
-            own.failureWindow.clear();
+        PerClassState classState = perClass(req, server);
+        if (classState.passiveHealth == Health.UNHEALTHY && now >= classState.ejectedUntil) {
+            classState.passiveHealth = Health.UNKNOWN;
+            classState.failureWindow.clear();
             log(server, "class " + req.request.requestClass() + " passive Unknown: reactivated");
         }
-        return own.passiveHealth != Health.UNHEALTHY && isAvailable(server, now);
+        return classState.passiveHealth != Health.UNHEALTHY && isAvailable(server, now);
     }
 
-    /** Makes the passive state, or a class's own, Unhealthy when too much fails here, and more than elsewhere. */
-    private void ejectIfOutlier(PendingRequest req, ServerState server, boolean alone, long now) {
-        PerClassState own = perClass(req, server);
-        FailureWindow window = alone ? own.failureWindow : server.failureWindow;
+    /**
+     * Ejects a server if its failure rate is too high and significantly higher than that of its peers of the same zone.
+     *
+     * @param thisClassOnly whether to eject it for the request's class only
+     */
+    private void ejectIfOutlier(PendingRequest req, ServerState server, boolean thisClassOnly, long now) {
+        PerClassState classState = perClass(req, server);
+        FailureWindow window = thisClassOnly ? classState.failureWindow : server.failureWindow;
         int total = window.total;
         int failed = window.failed;
         if (total < FAILURE_WINDOW_MIN_REQUESTS || failed <= MAX_FAILURE_RATE * total) {
@@ -860,63 +1056,68 @@
         int peerFailed = 0;
         for (ServerState peer : listedServers) {
             if (peer != server && peer.entry.zone() == server.entry.zone()) {
-                FailureWindow theirs = alone ? perClass(req, peer).failureWindow : peer.failureWindow;
-                theirs.slideTo(now, FAILURE_WINDOW);
-                peerTotal += theirs.total;
-                peerFailed += theirs.failed;
+                FailureWindow peerWindow = thisClassOnly ? perClass(req, peer).failureWindow : peer.failureWindow;
+                peerWindow.slideTo(now, FAILURE_WINDOW);
+                peerTotal += peerWindow.total;
+                peerFailed += peerWindow.failed;
             }
         }
-        // Danger: when everything fails alike, removing servers pushes their load onto the rest.
+        // Danger: if all servers fail alike, ejecting some pushes their load onto the others.
         double expected = total * (double) peerFailed / peerTotal;
         if (failed <= expected + PEER_DEVIATIONS * Math.sqrt(Math.max(1, expected))) {
             return;
         }
-        if (alone) {
-            own.passiveHealth = Health.UNHEALTHY;
-            own.ejectedUntil = now + EJECTION_TIME;
+        if (thisClassOnly) {
+            classState.passiveHealth = Health.UNHEALTHY;
+            classState.ejectedUntil = now + EJECTION_TIME;
         } else {
             server.passiveHealth = Health.UNHEALTHY;
             server.ejectedUntil = now + EJECTION_TIME;
         }
         log(
                 server,
-                (alone ? "class " + req.request.requestClass() + " " : "") + "passive Unhealthy: " + failed + " of "
-                        + total + " failed");
+                (thisClassOnly ? "class " + req.request.requestClass() + " " : "") + "passive Unhealthy: " + failed
+                        + " of " + total + " failed");
     }
 
-    /** Those it draws from, and what stands before them that is not available and may recover. */
+    /** Returns the servers of the subset and the unavailable ones ahead of them in the list, which may recover. */
     private List<ServerState> serversToProbe(long now) {
-        List<ServerState> watched = new ArrayList<>();
-        int left = subsetSize(SUBSET_MIN_OWN_ZONE, now);
+        List<ServerState> result = new ArrayList<>();
+        int remaining = subsetSize(SUBSET_MIN_OWN_ZONE, now);
         for (ServerState server : listedServers) {
-            if (left > 0 && server.ready && server.entry.zone() == settings.zone()) {
-                watched.add(server);
-                left -= isAvailable(server, now) ? 1 : 0;
+            if (remaining > 0 && server.ready && server.entry.zone() == settings.zone()) {
+                result.add(server);
+                remaining -= isAvailable(server, now) ? 1 : 0;
             }
         }
-        return watched.isEmpty() ? listedServers : watched;
+        return result.isEmpty() ? listedServers : result;
     }
 
-    // Sends the next probe and sets the time of another. Danger: at size, or in step, probes cost more than requests.
-    private void probeNext(long now, double from) {
+    /**
+     * Sends the next probe and schedules the one after it. Danger: with many agents, or if all send at the same time,
+     * probes cost more than requests.
+     *
+     * @param minFactor lower bound of the random factor of the interval; 0 to schedule without sending
+     */
+    private void probeNext(long now, double minFactor) {
         probeScheduled = settings.permits().probes() && !listedServers.isEmpty();
         if (!probeScheduled) {
             return;
         }
-        List<ServerState> watched = serversToProbe(now);
-        double sharers = (double) settings.agents() * watched.size() / listedServers.size();
+        List<ServerState> probed = serversToProbe(now);
+        double sharers = (double) settings.agents() * probed.size() / listedServers.size();
         double interval = PROBE_INTERVAL * Math.max(1, settings.prices().probe() / PROBE_PRICE_THRESHOLD);
-        double mean = interval * Math.max(1, sharers) / watched.size();
-        actions.timer(TIMER_PROBE, 1 + (long) (mean * (from + random.nextDouble())));
-        ServerState server = watched.get(nextProbe++ % watched.size());
-        if (from > 0 && !server.probeInFlight) {
+        double mean = interval * Math.max(1, sharers) / probed.size();
+        actions.timer(TIMER_PROBE, 1 + (long) (mean * (minFactor + random.nextDouble())));
+        ServerState server = probed.get(nextProbe++ % probed.size());
+        if (minFactor > 0 && !server.probeInFlight) {
             server.probeInFlight = true;
             actions.probe(server.id);
         }
     }
 
     @Override
-    public void probeOutcome(long now, long serverId, Outcome outcome, long spent, double[] load) {
+    public void probeOutcome(long now, long serverId, Outcome outcome, long elapsed, double[] load) {
         ServerState server = serversById.get(serverId);
         if (server == null) {
             return;
@@ -924,7 +1125,7 @@
         server.probeInFlight = false;
         recordLoadReport(server, load, now);
         if (outcome == Outcome.NEVER_SENT) {
-            return; // says nothing about the server
+            return; // the outcome says nothing about the server
         }
         if (outcome == Outcome.OK) {
             server.probeFailures = 0;
@@ -934,7 +1135,8 @@
             }
             server.activeHealth = Health.HEALTHY;
         } else if ((outcome == Outcome.TIMEOUT || outcome == Outcome.RESET) && server.answeredSinceProbe) {
-            // Danger: a busy server answers probes late, or a connection breaks; real answers prove that it lives.
+            // Danger: a busy server would be ejected because it answers probes late or a connection breaks. Its
+            // responses to requests prove that it is alive.
             server.probeFailures = 0;
         } else {
             if (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.RESET) {
@@ -951,15 +1153,18 @@
         dispatchQueued(now);
     }
 
-    // ---- Cold start ----
+    // ---- Cold servers (slow start) ----
 
     private void markBroken(ServerState server, long now) {
         server.brokenAt = server.broken ? server.brokenAt : now;
         server.broken = true;
     }
 
-    // First answer after a break: it may have restarted, so it counts as cold. Danger: a network that resets now and
-    // then makes every server cold, over and over; a process does not come back within the time of one more try.
+    /**
+     * Treats a server that answers for the first time after an outage as cold, since it may have restarted. Danger: a
+     * network that resets connections now and then would make every server cold again and again. So short outages do
+     * not count: a process does not restart within the time of one retry.
+     */
     private void recordRecovery(ServerState server, long now) {
         if (server.broken) {
             server.broken = false;
@@ -969,16 +1174,16 @@
         }
     }
 
-    private void markCold(ServerState server, long now, long since, long until, String why) {
+    private void markCold(ServerState server, long now, long since, long until, String reason) {
         server.coldSince = since;
         server.coldRateMultiple = initialColdRateMultiple();
         server.coldUntil = until;
-        server.coldTokens = random.nextDouble(); // a whole one each, and a thousand agents send a thousand
+        server.coldTokens = random.nextDouble(); // with a whole token each, a thousand agents would send a thousand
         server.coldTokensAt = now;
-        log(server, "cold: " + why);
+        log(server, "cold: " + reason);
     }
 
-    /** The part of its capacity that a cold server has at the least. */
+    /** Returns the share of its capacity that a cold server has at least, by its age. */
     private double warmShare(ServerState server, long now) {
         double share = Math.min(
                 1,
@@ -989,7 +1194,10 @@
         return share + (1 - share) * settings.obligations().coldFrom();
     }
 
-    /** Danger: a server that has just started may need longer for one request than anybody waits. */
+    /**
+     * Returns whether a server can be expected to respond in time. Danger: a server that has just started may need
+     * longer for a request than any client waits.
+     */
     private boolean isWarmEnough(PendingRequest req, ServerState server, long now) {
         return !isCold(server, now)
                 || coldLatencyShare * req.classState.meanLatency / warmShare(server, now) < req.expiresAt - now;
@@ -999,41 +1207,49 @@
         return now < server.coldUntil;
     }
 
-    // Requests this agent may send to a cold server now. Danger: all agents together push it over. Each keeps to the
-    // server's part of its own demand among those it draws from, times the part surely warm, and more the better it
-    // keeps up by its reports. What is answered elsewhere says nothing to a new agent, nor where a whole zone is cold.
+    /**
+     * Refills the token bucket of a cold server and returns the number of requests that this agent may send to it
+     * now. Danger: all agents together would overload it. The rate of each agent is the server's share of the agent's
+     * own request rate within its subset, times the warm share, times a multiple that grows while the server keeps up
+     * by its load reports. It is not derived from the rates of warm servers: a new agent knows none, and there may be
+     * none if a whole zone is cold.
+     */
     private double refillColdTokens(ServerState server, long now) {
-        int drawn = Math.min(readyServersInZone, subsetSize(SUBSET_MIN_OWN_ZONE, now))
+        int subset = Math.min(readyServersInZone, subsetSize(SUBSET_MIN_OWN_ZONE, now))
                 + Math.min(readyServers - readyServersInZone, subsetSize(SUBSET_MIN_OTHER_ZONES, now));
-        double part =
-                server.effectiveWeight() / readyWeight * (settings.warmKeys() ? 1 : (double) readyServers / drawn);
-        double perSecond = requestRate(now) * part * warmShare(server, now) * server.coldRateMultiple;
-        double most = 1 + perSecond * COLD_BURST_SHARE * settings.obligations().overloadTime() / SECOND;
-        server.coldTokens = Math.min(most, server.coldTokens + perSecond * (now - server.coldTokensAt) / SECOND);
+        double share =
+                server.effectiveWeight() / readyWeight * (settings.warmKeys() ? 1 : (double) readyServers / subset);
+        double perSecond = requestRate(now) * share * warmShare(server, now) * server.coldRateMultiple;
+        double max = 1 + perSecond * COLD_BURST_SHARE * settings.obligations().overloadTime() / SECOND;
+        server.coldTokens = Math.min(max, server.coldTokens + perSecond * (now - server.coldTokensAt) / SECOND);
         server.coldTokensAt = now;
         return server.coldTokens;
     }
 
-    // Danger: work goes on for what has run out of time; the more is sent to full servers, the less is served. What
-    // answers pay for follows what servers can do, also where one agent sees too little of each for limits of its own.
-    private void addCredit(double much, long now) {
-        double most = MIN_CREDIT_CAP + CREDIT_CAP_SECONDS * requestRate(now);
-        admissionCredit = much == 0
-                ? Math.min(most, admissionCredit)
-                : Math.max(admissionCredit, Math.min(most, admissionCredit + much));
+    /**
+     * Adds admission credit; with an amount of 0 it only applies the maximum. Danger: servers go on working for
+     * requests that have timed out, so the more is sent to overloaded servers, the less is served. Credit that
+     * responses earn follows what the servers can do, even if an agent sees too little of each server for a
+     * concurrency limit.
+     */
+    private void addCredit(double amount, long now) {
+        double max = MIN_CREDIT_CAP + CREDIT_CAP_SECONDS * requestRate(now);
+        admissionCredit = amount == 0
+                ? Math.min(max, admissionCredit)
+                : Math.max(admissionCredit, Math.min(max, admissionCredit + amount));
     }
 
-    /** First tries a second; a client's repeats are no demand. */
+    /** Returns the rate of first tries per second. Client retries do not count as demand. */
     private double requestRate(long now) {
         decay(now);
-        double seen = 1 - Math.exp(-(double) Math.max(SECOND, now - createdAt) / RATE_DECAY_TIME);
-        return recentFirstTries * SECOND / (RATE_DECAY_TIME * seen);
+        double observedShare = 1 - Math.exp(-(double) Math.max(SECOND, now - createdAt) / RATE_DECAY_TIME);
+        return recentFirstTries * SECOND / (RATE_DECAY_TIME * observedShare);
     }
 
     private void decay(long now) {
-        double left = Math.exp(-(double) (now - decayedAt) / RATE_DECAY_TIME);
-        recentWork *= left;
-        recentFirstTries *= left;
+        double retained = Math.exp(-(double) (now - decayedAt) / RATE_DECAY_TIME);
+        recentWork *= retained;
+        recentFirstTries *= retained;
         decayedAt = now;
     }
 
@@ -1044,33 +1260,33 @@
         if (kind == ListKind.FAILED) {
             if (settings.askDiscovery()) {
                 actions.timer(TIMER_DISCOVERY, discoveryDelay + random.nextLong(discoveryDelay));
-                long most = Math.max(DISCOVERY_BACKOFF, settings.obligations().askWithin() / 4);
-                discoveryDelay = Math.min(2 * discoveryDelay, most);
+                long max = Math.max(DISCOVERY_BACKOFF, settings.obligations().askWithin() / 4);
+                discoveryDelay = Math.min(2 * discoveryDelay, max);
             }
             return;
         }
         discoveryDelay = kind == ListKind.CACHED ? discoveryDelay : DISCOVERY_BACKOFF;
         if (kind != ListKind.DELTA) {
-            var complete = entries.stream().map(Server::id).collect(Collectors.toSet());
+            var listedIds = entries.stream().map(Server::id).collect(Collectors.toSet());
             List.copyOf(listedServers).stream()
-                    .filter(each -> !complete.contains(each.id))
+                    .filter(server -> !listedIds.contains(server.id))
                     .forEach(this::removeServer);
         }
         for (Server entry : entries) {
             applyEntry(now, entry);
         }
-        // By this agent's own hash: its first few are its subset, and no two agents have the same.
-        listedServers.sort(Comparator.comparingLong(each -> mix(each.id ^ mix(settings.agent()))));
+        // The first servers in the order of this agent's own hash are its subset, which differs between agents.
+        listedServers.sort(Comparator.comparingLong(server -> mix(server.id ^ mix(settings.agent()))));
         List<ServerState> ready =
-                listedServers.stream().filter(each -> each.ready).toList();
+                listedServers.stream().filter(server -> server.ready).toList();
         readyWeight = ready.stream().mapToDouble(ServerState::effectiveWeight).sum();
         readyServers = ready.size();
         readyServersInZone = (int) ready.stream()
-                .filter(each -> each.entry.zone() == settings.zone())
+                .filter(server -> server.entry.zone() == settings.zone())
                 .count();
-        double part = Math.min(1, (double) minSubsetSize(SUBSET_MIN_OWN_ZONE) / Math.max(1, listedServers.size()));
+        double share = Math.min(1, (double) minSubsetSize(SUBSET_MIN_OWN_ZONE) / Math.max(1, listedServers.size()));
         for (ServerState server : listedServers) {
-            server.limit = server.limit == 0 ? LIMIT_INITIAL / (settings.agents() * part) : server.limit;
+            server.limit = server.limit == 0 ? LIMIT_INITIAL / (settings.agents() * share) : server.limit;
         }
         if (!probeScheduled) {
             probeNext(now, 0);
@@ -1080,25 +1296,25 @@
 
     private void applyEntry(long now, Server entry) {
         if (entry.phase() == Phase.GONE) {
-            ServerState gone = serversById.get(entry.id());
-            if (gone != null) {
-                removeServer(gone);
+            ServerState known = serversById.get(entry.id());
+            if (known != null) {
+                removeServer(known);
             }
             return;
         }
         ServerState server = serversById.computeIfAbsent(entry.id(), id -> new ServerState(id, classes.size()));
-        Server before = server.entry;
-        if (before == null || server.removed) {
+        Server previous = server.entry;
+        if (previous == null || server.removed) {
             listedServers.add(server);
         }
         server.removed = false;
         server.entry = entry;
         boolean ready = entry.phase() == Phase.READY;
-        if (before != null && server.ready != ready) {
+        if (previous != null && server.ready != ready) {
             log(server, ready ? "ready" : "draining: nothing new is sent");
         }
         server.ready = ready;
-        if (entry.startedAt() > 0 && (before == null || entry.startedAt() != before.startedAt())) {
+        if (entry.startedAt() > 0 && (previous == null || entry.startedAt() != previous.startedAt())) {
             resetServer(now, server);
         }
     }
@@ -1111,7 +1327,7 @@
         server.limit = 0;
         server.latencyRatio = 1;
         server.failureWindow.clear();
-        Arrays.setAll(server.byClass, each -> new PerClassState());
+        Arrays.setAll(server.byClass, i -> new PerClassState());
         long warmAt = server.entry.startedAt() + settings.obligations().coldTime();
         if (now < warmAt) {
             markCold(server, now, server.entry.startedAt(), warmAt, "listed as just started");
@@ -1127,17 +1343,20 @@
         forgetIfIdle(server);
     }
 
-    /** Danger: servers come and go for ever. What is known of one goes with it once nothing is out. */
+    /**
+     * Drops the state of a removed server once no attempt is in flight there. Danger: servers come and go all the
+     * time, and memory would grow without bound.
+     */
     private void forgetIfIdle(ServerState server) {
         if (server.removed && server.inFlight == 0) {
             serversById.remove(server.id);
         }
     }
 
-    private void log(ServerState server, String what) {
+    private void log(ServerState server, String text) {
         if (server.removed) {
-            return; // nobody is to look after it
+            return; // operators need not look after a removed server
         }
-        actions.log("server " + server.id + " " + what);
+        actions.log("server " + server.id + " " + text);
     }
 }
--- a/src/main/java/gatefront/policy/Balancer.java
+++ b/src/main/java/gatefront/policy/Balancer.java
@@ -3,69 +3,71 @@
 import java.util.List;
 
 /**
- * One agent's balancer: events in, actions out. The host calls one method for each event, in the order
- * of the events, from one thread at a time; the balancer answers through {@link Actions} before the call
- * returns. All times are microseconds on one clock that never runs backwards. Instances share nothing.
+ * Decides for one agent where requests are sent, which are retried and which are refused.
+ *
+ * <p>The host calls one method for each event, in the order of the events and from one thread at a time. The balancer
+ * responds through {@link Actions} before the call returns. All times and durations are in microseconds, on one clock
+ * that never runs backwards. Instances share no state.
  */
 public interface Balancer {
 
-    /** How often the effect of a request may happen. */
+    /** How often a request may be executed. */
     enum Semantics {
-        /** Any number of times. */
+        /** Any number of times: the request is idempotent. */
         SAFE,
-        /** Repeats dropped by a group for a while. */
+        /** Any number of times within a time window, as a group of servers drops duplicates by a key. */
         KEYED,
         /** At most once. */
         UNSAFE
     }
 
-    /** Which servers drop the repeats of a keyed request that one of them has seen. */
+    /** The group of servers that drop duplicates of a keyed request once one of them has received it. */
     enum Scope {
-        /** Every server. */
+        /** All servers. */
         ALL,
-        /** Those of the server's zone. */
+        /** The servers of the same zone. */
         ZONE,
-        /** Those of the server's cell. */
+        /** The servers of the same cell. */
         CELL
     }
 
-    /** What discovery says of a server. */
+    /** The state of a server according to discovery. */
     enum Phase {
-        /** It takes requests. */
+        /** The server accepts requests. */
         READY,
-        /** It takes nothing new. */
+        /** The server accepts no new requests. */
         DRAINING,
-        /** It has left. */
+        /** The server has been removed. */
         GONE
     }
 
-    /** What a list of servers holds. */
+    /** The kind of an update of the server list. */
     enum ListKind {
         /** Changed entries only. */
         DELTA,
-        /** Every server there is. */
+        /** All servers. */
         FULL,
-        /** Every server, as last held by the host; perhaps old. */
+        /** All servers, as last stored by the host; possibly outdated. */
         CACHED,
-        /** No list: discovery could not be reached. */
+        /** No entries: discovery could not be reached. */
         FAILED
     }
 
-    /** How an attempt or a probe ended. */
+    /** The result of an attempt or a probe. */
     enum Outcome {
-        /** Answered. */
+        /** The server responded. */
         OK(false),
-        /** Error answer. */
+        /** The server responded with an error. */
         ERROR(false),
-        /** Turned away unseen. */
+        /** The server refused the request without executing it. */
         FULL(true),
-        /** No answer in the time given. */
+        /** No response came within the timeout. */
         TIMEOUT(false),
-        /** No connection. */
+        /** The connection could not be established. */
         CONNECT_FAILED(true),
-        /** The connection broke. */
+        /** The connection broke before the response. */
         RESET(false),
-        /** Given up by the balancer. */
+        /** The balancer cancelled the attempt. */
         CANCELLED(false),
         /** The host could not send it. */
         NEVER_SENT(true);
@@ -77,41 +79,45 @@
         }
 
         /**
-         * Whether this outcome proves that the attempt had no effect.
+         * Returns whether this outcome proves that the attempt had no effect.
          *
-         * @return false if it may have run
+         * @return false if the request may have been executed
          */
         public boolean neverRan() {
             return neverRan;
         }
     }
 
-    /** The values a load report may hold. */
+    /** The values that a load report may contain. */
     enum LoadField {
-        /** Requests held. */
+        /** Requests in progress. */
         IN_FLIGHT,
-        /** Requests waiting. */
+        /** Requests in the queue. */
         QUEUED,
-        /** Part of the machine in use. */
+        /** Share of the machine's capacity in use. */
         CPU_SHARE,
-        /** Mean answer time. */
+        /** Mean response time in milliseconds. */
         MEAN_MILLIS,
-        /** Answers a second. */
+        /** Responses per second. */
         SERVED_PER_SECOND,
-        /** Error answers a second. */
+        /** Error responses per second. */
         ERRORS_PER_SECOND
     }
 
     /**
      * A class of requests.
      *
-     * @param aim an answer within this time of the request's arrival has its full worth
-     * @param aimStretch the aim grows by this multiple of the request's own cost
-     * @param giveUp how long a client waits in all
-     * @param window how long the group drops repeats of a keyed request, from its first send
-     * @param worth what an answer in time is worth
-     * @param lateShare the part of the worth that a late answer still has
-     * @param streamed whether answers arrive in parts
+     * @param aim target response time in microseconds: a response within it, from the arrival of the request, has its
+     *     full worth
+     * @param aimStretch the aim grows by this multiple of the request's cost hint
+     * @param giveUp total time in microseconds that a client waits, including its retries
+     * @param semantics how often a request may be executed
+     * @param scope the group of servers that drop duplicates of a keyed request
+     * @param window deduplication window in microseconds: how long the group drops duplicates of a keyed request,
+     *     from its first attempt
+     * @param worth value of a response in time
+     * @param lateShare share of the worth that a late response still has
+     * @param streamed whether responses arrive in parts
      */
     record RequestClass(
             long aim,
@@ -124,10 +130,24 @@
             double lateShare,
             boolean streamed) {}
 
-    /** A tenant: requests a second that count in full, over all agents; its fraction of the service. */
+    /**
+     * A tenant.
+     *
+     * @param quotaPerSecond requests per second, over all agents, that count in full
+     * @param fraction the tenant's share of the service
+     */
     record Tenant(double quotaPerSecond, double fraction) {}
 
-    /** What the host permits. A retry-after of 0 means that clients take no such advice. */
+    /**
+     * What the host permits.
+     *
+     * @param maxAttempts maximum number of attempts of a request
+     * @param duplicates whether a request may have several attempts in flight
+     * @param cancel whether attempts may be cancelled
+     * @param probes whether servers may be probed
+     * @param messages whether agents may exchange messages
+     * @param maxRetryAfter longest retry-after in microseconds; 0 if clients do not support it
+     */
     record Permits(
             int maxAttempts,
             boolean duplicates,
@@ -136,7 +156,17 @@
             boolean messages,
             long maxRetryAfter) {}
 
-    /** What the rules on draining and on cold servers say. */
+    /**
+     * Rules for deadlines, drains, cold servers and discovery. Times are in microseconds.
+     *
+     * @param answerSlack time after a request's deadline within which its final answer is still accepted
+     * @param drainGrace time after a drain is announced within which requests may still be sent to the server
+     * @param coldFrom share of its capacity that a server has at its start
+     * @param coldTime time from its start until a server has its full capacity
+     * @param overloadMultiple multiple of its current capacity at which a cold server fails
+     * @param overloadTime how long that load has to last
+     * @param askWithin time within which discovery has to be asked again after a failure; 0 for no limit
+     */
     record Obligations(
             long answerSlack,
             long drainGrace,
@@ -146,13 +176,48 @@
             long overloadTime,
             long askWithin) {}
 
-    /** What things cost, in parts of the result: crossings, probes, waste, late failures, messages. */
+    /**
+     * Prices of actions, as shares of the worth of a request.
+     *
+     * @param crossing an attempt in another zone
+     * @param probe a probe
+     * @param waste an attempt whose work is lost
+     * @param lateFailure a failure that is reported late
+     * @param message a message to another agent
+     */
     record Prices(double crossing, double probe, double waste, double lateFailure, double message) {}
 
-    /** How the result is weighed: all of it, its worst stretch of time, worst class and worst tenant. */
+    /**
+     * Weights of the parts of the objective.
+     *
+     * @param whole the total result
+     * @param worstWindow the result of the worst time window
+     * @param worstClass the result of the worst class
+     * @param worstTenant the result of the worst tenant
+     */
     record Goal(double whole, double worstWindow, double worstClass, double worstTenant) {}
 
-    /** What an instance is told once, at its start. */
+    /**
+     * The settings of an instance.
+     *
+     * @param agent number of this agent, from 0
+     * @param agents number of agents
+     * @param zone zone of this agent
+     * @param zones number of zones
+     * @param tick resolution of the host's timers in microseconds
+     * @param askDiscovery whether the balancer subscribes to the server list itself
+     * @param warmKeys whether servers respond faster to keys that they have recently served
+     * @param listedWeights whether the weights of the server list are meaningful
+     * @param worthByWork whether the worth of a request is counted by its work
+     * @param overQuotaWorth worth of a request over its tenant's quota, as a share
+     * @param permits what the host permits
+     * @param obligations rules that the balancer has to follow
+     * @param prices prices of actions
+     * @param goal weights of the parts of the objective
+     * @param classes the classes of requests, by their numbers
+     * @param tenants the tenants, by their numbers
+     * @param loadFields the fields of a load report, in their order; null for a field without a meaning here
+     */
     record Settings(
             int agent,
             int agents,
@@ -172,10 +237,31 @@
             List<Tenant> tenants,
             List<LoadField> loadFields) {}
 
-    /** A line of the list of servers; {@code startedAt} is 0 if long past, {@code weight} relative. */
+    /**
+     * An entry of the server list.
+     *
+     * @param id identifies the server
+     * @param zone the server's zone
+     * @param cell the server's cell
+     * @param kind the kind of machine
+     * @param phase whether the server accepts requests
+     * @param weight relative capacity
+     * @param startedAt when the process started; 0 if long ago
+     */
     record Server(long id, int zone, int cell, int kind, Phase phase, double weight, long startedAt) {}
 
-    /** A client's request. Key and cost are 0 if unknown; {@code deadline} is when this try is given up. */
+    /**
+     * A request of a client.
+     *
+     * @param id identifies the request
+     * @param requestClass number of its class
+     * @param tenant number of its tenant
+     * @param key affinity key; 0 if unknown
+     * @param cost hint at the work that it takes; 0 if unknown
+     * @param deadline when the client gives up this try
+     * @param repeated whether the client marked it as a retry
+     * @param write whether it changes data
+     */
     record Request(
             long id,
             int requestClass,
@@ -186,123 +272,123 @@
             boolean repeated,
             boolean write) {}
 
-    /** What the balancer asks of its host. */
+    /** The actions that the balancer requests from its host. */
     interface Actions {
         /**
          * Starts the next attempt of a request.
          *
-         * @param request its id
-         * @param server where to
-         * @param timeout after this the host ends it as {@link Outcome#TIMEOUT}; 0 for never
+         * @param request id of the request
+         * @param server id of the server
+         * @param timeout time after which the host ends the attempt with {@link Outcome#TIMEOUT}; 0 for no timeout
          */
         void send(long request, long server, long timeout);
 
         /**
-         * Final answer: it did not run, trying again is harmless.
+         * Gives the final answer that the request was not executed, so that a client retry is harmless.
          *
-         * @param request its id
-         * @param retryAfter the wait advised to the client; 0 for no advice
+         * @param request id of the request
+         * @param retryAfter time that the client should wait before it retries; 0 for none
          */
         void refuse(long request, long retryAfter);
 
         /**
-         * Final answer: nothing is promised.
+         * Gives the final answer that the request failed; it may have been executed.
          *
-         * @param request its id
+         * @param request id of the request
          */
         void fail(long request);
 
         /**
-         * Stops waiting for one attempt.
+         * Cancels an attempt.
          *
-         * @param request its id
-         * @param attempt which of its sends, counted from 0
+         * @param request id of the request
+         * @param attempt number of the attempt, from 0
          */
         void cancel(long request, int attempt);
 
         /**
-         * Asks for a server's health.
+         * Probes the health of a server.
          *
-         * @param server which
+         * @param server id of the server
          */
         void probe(long server);
 
         /**
-         * Sends bytes to other agents.
+         * Sends a message to other agents.
          *
-         * @param agent which, or all with -1
-         * @param message the bytes
+         * @param agent number of the agent, or -1 for all
+         * @param message the message
          */
         void sendMessage(int agent, byte[] message);
 
         /**
-         * Asks for {@link Balancer#timer}.
+         * Schedules a call of {@link Balancer#timer}.
          *
-         * @param token comes back with it
-         * @param delay from now
+         * @param token the token to pass
+         * @param delay time until the call
          */
         void timer(long token, long delay);
 
         /**
-         * Closes idle connections.
+         * Closes the idle connections to a server.
          *
-         * @param server to this one
+         * @param server id of the server
          */
         void closeIdle(long server);
 
         /** Subscribes to changes of the server list. */
         void watchServers();
 
-        /** Asks for the whole server list once. */
+        /** Fetches the full server list once. */
         void fetchServers();
 
         /**
-         * Tells on-call staff.
+         * Writes a log line for operators.
          *
-         * @param line one plain line
+         * @param line the line, without a line break
          */
         void log(String line);
     }
 
     /**
-     * The list of servers has changed, or could not be had.
+     * The server list has changed or could not be obtained.
      *
-     * @param now the time
-     * @param kind what the entries are
-     * @param entries none if it could not be had
+     * @param now the current time
+     * @param kind the kind of the update
+     * @param entries the entries; empty if the list could not be obtained
      */
     void servers(long now, ListKind kind, List<Server> entries);
 
     /**
-     * A client's request has come; it is owed one final answer.
+     * A request has arrived. It has to be given one final answer.
      *
-     * @param now the time
-     * @param request with an id not in use
+     * @param now the current time
+     * @param request the request, with an id that is not in use
      */
     void request(long now, Request request);
 
     /**
-     * The answer to a streamed request has begun; no deadline applies any more.
+     * The response to a streamed request has started. From now on no deadline applies.
      *
-     * @param now the time
-     * @param request its id
-     * @param attempt which of its sends, counted from 0
-     * @param server where it was sent
-     * @param spent since the send
+     * @param now the current time
+     * @param request id of the request
+     * @param attempt number of the attempt, from 0
+     * @param server id of the server
+     * @param elapsed time since the attempt was sent
      */
-    void streamStarted(long now, long request, int attempt, long server, long spent);
+    void streamStarted(long now, long request, int attempt, long server, long elapsed);
 
     /**
      * An attempt has ended.
      *
-     * @param now the time
-     * @param request its id
-     * @param attempt which of its sends, counted from 0
-     * @param server where it was sent
-     * @param outcome how it ended
-     * @param spent since the send
-     * @param closed whether the client has its final answer, by this outcome or earlier
-     * @param load the server's load report in the order of the settings' fields; empty if none came
+     * @param now the current time
+     * @param request id of the request
+     * @param attempt number of the attempt, from 0
+     * @param server id of the server
+     * @param outcome the result
+     * @param elapsed time since the attempt was sent
+     * @param closed whether the client has its final answer, by this outcome or an earlier one
+     * @param load the server's load report, in the order of {@link Settings#loadFields}; empty if there is none
      */
     void outcome(
             long now,
@@ -310,60 +396,61 @@
             int attempt,
             long server,
             Outcome outcome,
-            long spent,
+            long elapsed,
             boolean closed,
             double[] load);
 
     /**
-     * The client has left; nothing more is owed.
+     * The client has disconnected. The request needs no answer any more.
      *
-     * @param now the time
-     * @param request its id
+     * @param now the current time
+     * @param request id of the request
      */
     void clientLeft(long now, long request);
 
     /**
      * A probe has ended.
      *
-     * @param now the time
-     * @param server which
-     * @param outcome how it ended
-     * @param spent since the probe was asked for
-     * @param load its load report in the order of the settings' fields; empty if none came
+     * @param now the current time
+     * @param server id of the server
+     * @param outcome the result
+     * @param elapsed time since the probe was requested
+     * @param load the server's load report, in the order of {@link Settings#loadFields}; empty if there is none
      */
-    void probeOutcome(long now, long server, Outcome outcome, long spent, double[] load);
+    void probeOutcome(long now, long server, Outcome outcome, long elapsed, double[] load);
 
     /**
-     * Another agent has sent a message.
+     * A message of another agent has arrived.
      *
-     * @param now the time
-     * @param agent which
-     * @param message the bytes
+     * @param now the current time
+     * @param agent number of the agent
+     * @param message the message
      */
     void message(long now, int agent, byte[] message);
 
     /**
-     * The settings have changed. Classes keep their numbers: those told before are there with what they are now,
-     * further ones follow. Requests that have come before keep their class as it was, and the attempts that it had.
+     * The settings have changed. Classes keep their numbers: the known classes are present with their new settings,
+     * and new ones may follow. Requests that have already arrived keep the settings of their class and their maximum
+     * number of attempts.
      *
-     * @param now the time
-     * @param settings from now on; of them the classes and what the host permits are heeded
+     * @param now the current time
+     * @param settings the new settings; changes other than to the classes and the permits have no guaranteed effect
      */
     void settings(long now, Settings settings);
 
     /**
-     * How many listed servers that may take requests it avoids for their health. Changes nothing.
+     * Returns how many servers that are listed as ready are avoided because of their health. Changes no state.
      *
-     * @param now the time
+     * @param now the current time
      * @return the count
      */
     int unhealthyServers(long now);
 
     /**
-     * A timer has come due.
+     * A timer has expired.
      *
-     * @param now the time
-     * @param token as given to {@link Actions#timer}
+     * @param now the current time
+     * @param token the token that was passed to {@link Actions#timer}
      */
     void timer(long now, long token);
 }
--- a/src/main/java/gatefront/policy/CheckedBalancer.java
+++ b/src/main/java/gatefront/policy/CheckedBalancer.java
@@ -6,19 +6,23 @@
 import java.util.Objects;
 
 /**
- * A balancer that holds its host to the contract: wrong use is an exception that says what was wrong, and the
- * balancer behind it is not told. For the time in which a host is written; {@link AdaptiveBalancer} itself disregards
- * what it can.
+ * A balancer that verifies that its host keeps the contract of {@link Balancer}. Wrong use throws an exception that
+ * says what was wrong, and the event is not passed on. It is meant for the development of a host; {@link
+ * AdaptiveBalancer} itself ignores wrong events where it can.
  */
 public final class CheckedBalancer implements Balancer {
-    /** What is out for one request: the sends seen and which of them have ended. */
+    /** The attempts of one request. */
     private static final class TrackedRequest {
+        /** Number of attempts sent. */
         int sends;
+
+        /** Bit set of the attempts that have ended. */
         long endedAttempts;
+
         boolean answered;
     }
 
-    /** Hands the actions on and counts the sends. */
+    /** Passes the actions on to the host and counts the attempts. */
     private final class CountingActions implements Actions {
         private final Actions host;
 
@@ -92,11 +96,11 @@
     private boolean inEvent;
 
     /**
-     * A checked {@link AdaptiveBalancer}.
+     * Creates a checked {@link AdaptiveBalancer}.
      *
-     * @param settings what it is told once
-     * @param seed for its random choices
-     * @param now the time
+     * @param settings the settings
+     * @param seed the seed of its random choices
+     * @param now the current time in microseconds
      * @param actions the host
      */
     public CheckedBalancer(Settings settings, long seed, long now, Actions actions) {
@@ -120,7 +124,7 @@
         Objects.requireNonNull(request, "request");
         Objects.checkIndex(request.requestClass(), settings.classes().size());
         if (requests.containsKey(request.id())) {
-            throw new IllegalArgumentException("request " + request.id() + " has come before");
+            throw new IllegalArgumentException("request id " + request.id() + " is still in use");
         }
         handle(now, () -> {
             requests.put(request.id(), new TrackedRequest());
@@ -129,9 +133,9 @@
     }
 
     @Override
-    public void streamStarted(long now, long request, int attempt, long server, long spent) {
+    public void streamStarted(long now, long request, int attempt, long server, long elapsed) {
         requireInFlight(request, attempt);
-        handle(now, () -> balancer.streamStarted(now, request, attempt, server, spent));
+        handle(now, () -> balancer.streamStarted(now, request, attempt, server, elapsed));
     }
 
     @Override
@@ -141,17 +145,17 @@
             int attempt,
             long server,
             Outcome outcome,
-            long spent,
+            long elapsed,
             boolean closed,
             double[] load) {
         Objects.requireNonNull(outcome, "outcome");
         Objects.requireNonNull(load, "load");
-        TrackedRequest seen = requireInFlight(request, attempt);
+        TrackedRequest tracked = requireInFlight(request, attempt);
         handle(now, () -> {
-            seen.endedAttempts |= 1L << attempt;
-            seen.answered |= closed;
-            balancer.outcome(now, request, attempt, server, outcome, spent, closed, load);
-            forgetIfEnded(request, seen);
+            tracked.endedAttempts |= 1L << attempt;
+            tracked.answered |= closed;
+            balancer.outcome(now, request, attempt, server, outcome, elapsed, closed, load);
+            forgetIfEnded(request, tracked);
         });
     }
 
@@ -166,10 +170,10 @@
     }
 
     @Override
-    public void probeOutcome(long now, long server, Outcome outcome, long spent, double[] load) {
+    public void probeOutcome(long now, long server, Outcome outcome, long elapsed, double[] load) {
         Objects.requireNonNull(outcome, "outcome");
         Objects.requireNonNull(load, "load");
-        handle(now, () -> balancer.probeOutcome(now, server, outcome, spent, load));
+        handle(now, () -> balancer.probeOutcome(now, server, outcome, elapsed, load));
     }
 
     @Override
@@ -182,8 +186,9 @@
     public void settings(long now, Settings changed) {
         if (Objects.requireNonNull(changed, "changed").classes().size()
                 < settings.classes().size()) {
-            throw new IllegalArgumentException("classes keep their numbers: "
-                    + changed.classes().size() + " after " + settings.classes().size());
+            throw new IllegalArgumentException(
+                    "classes cannot be removed: " + changed.classes().size() + " left of "
+                            + settings.classes().size());
         }
         handle(now, () -> {
             settings = changed;
@@ -218,25 +223,25 @@
     }
 
     private TrackedRequest requireInFlight(long request, int attempt) {
-        TrackedRequest seen = requests.get(request);
-        if (seen == null) {
+        TrackedRequest tracked = requests.get(request);
+        if (tracked == null) {
             throw new IllegalArgumentException("request " + request + " is not known, or has ended");
         }
-        Objects.checkIndex(attempt, seen.sends);
-        if ((seen.endedAttempts & 1L << attempt) != 0) {
+        Objects.checkIndex(attempt, tracked.sends);
+        if ((tracked.endedAttempts & 1L << attempt) != 0) {
             throw new IllegalArgumentException("attempt " + attempt + " of request " + request + " has ended");
         }
-        return seen;
+        return tracked;
     }
 
     private void markAnswered(long request) {
-        TrackedRequest seen = requests.get(request);
-        seen.answered = true;
-        forgetIfEnded(request, seen);
+        TrackedRequest tracked = requests.get(request);
+        tracked.answered = true;
+        forgetIfEnded(request, tracked);
     }
 
-    private void forgetIfEnded(long request, TrackedRequest seen) {
-        if (seen.answered && Long.bitCount(seen.endedAttempts) == seen.sends) {
+    private void forgetIfEnded(long request, TrackedRequest tracked) {
+        if (tracked.answered && Long.bitCount(tracked.endedAttempts) == tracked.sends) {
             requests.remove(request);
         }
     }
--- a/src/main/java/gatefront/policy/ClassState.java
+++ b/src/main/java/gatefront/policy/ClassState.java
@@ -4,26 +4,39 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** What one agent knows of one class of requests. State only: {@link AdaptiveBalancer} decides. */
+/** The state that one agent keeps of one class of requests. It makes no decisions; {@link AdaptiveBalancer} does. */
 final class ClassState {
     RequestClass requestClass;
-    final Deque<PendingRequest> queue = new ArrayDeque<>(); // its requests that wait in this agent for want of room
-    double recentArrivals; // requests come and requests served, as counts that fade
+    /** Requests of the class that wait in this agent for a server with capacity, in the order of arrival. */
+    final Deque<PendingRequest> queue = new ArrayDeque<>();
+
+    /** Decaying count of requests that arrived. */
+    double recentArrivals;
+    /** Decaying count of requests that were served. */
     double recentServed;
-    double meanLatency; // the mean answer time, and the lowest that it has been
+    /** Moving average of the latency in microseconds; 0 before the first response. */
+    double meanLatency;
+    /** Minimum of {@link #meanLatency}: the latency without load. */
     double lowestMeanLatency;
-    double meanCost; // the mean of its requests' cost hints
-    final QuantileEstimator latencyQuantile; // a quantile of its answer times
-    /** How long a request unserved here had waited: what a client's repeat has behind it. */
+    /** Moving average of the cost hints. */
+    double meanCost;
+
+    final QuantileEstimator latencyQuantile;
+    /**
+     * Moving average of the time in microseconds that unserved requests waited here: the time that a client retry has
+     * already spent.
+     */
     double meanUnservedWait;
-    /** The time that most requests bring, a first try's, by a running majority vote. */
+    /** Usual timeout of first tries in microseconds: the majority of all requests, by a running vote. */
     long usualTimeout;
 
+    /** Votes for {@link #usualTimeout}. */
     int usualTimeoutVotes;
-    double valuePerWork; // what a unit of its work adds to the goal, as last measured
+    /** What a unit of the class's work adds to the goal, as last computed. */
+    double valuePerWork;
 
-    ClassState(RequestClass type, double quantile) {
-        this.requestClass = type;
+    ClassState(RequestClass requestClass, double quantile) {
+        this.requestClass = requestClass;
         this.latencyQuantile = new QuantileEstimator(quantile);
     }
 }
--- a/src/main/java/gatefront/policy/FailureWindow.java
+++ b/src/main/java/gatefront/policy/FailureWindow.java
@@ -2,17 +2,20 @@
 
 import java.util.Arrays;
 
-/** Failures and totals of one server over a sliding window of equal slots. */
+/** Counts the outcomes and failures of a server in a sliding window, which is divided into slots of equal length. */
 final class FailureWindow {
     private static final int SLOTS = 10;
 
     private final int[] failuresBySlot = new int[SLOTS];
     private final int[] totalsBySlot = new int[SLOTS];
+    /** Number of the newest slot, counted from time 0. */
     private long newestSlot;
+    /** Failures in the window. */
     int failed;
+    /** Outcomes in the window. */
     int total;
 
-    /** Counts one outcome. */
+    /** Adds an outcome; {@code length} is the length of the window in microseconds. */
     void add(long now, long length, boolean failure) {
         slideTo(now, length);
         int i = (int) (newestSlot % SLOTS);
@@ -24,7 +27,7 @@
         }
     }
 
-    /** Forgets what is older than the window of this length. */
+    /** Drops the outcomes that are older than a window of {@code length} microseconds. */
     void slideTo(long now, long length) {
         long newest = now / (length / SLOTS);
         for (long s = Math.max(newestSlot + 1, newest - SLOTS + 1); s <= newest; s++) {
--- a/src/main/java/gatefront/policy/PendingRequest.java
+++ b/src/main/java/gatefront/policy/PendingRequest.java
@@ -6,23 +6,29 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One request that an agent has taken. State only: {@link AdaptiveBalancer} decides. */
+/** The state of one open request. It makes no decisions; {@link AdaptiveBalancer} does. */
 final class PendingRequest {
     final Request request;
     final ClassState classState;
-    /** Its class as it was when it came, and how many attempts it may have. */
+    /** The request's class with the settings at its arrival. */
     final RequestClass requestClass;
 
     final int maxAttempts;
-    final long token; // names its timer
+    /** Token of the request's timer. */
+    final long token;
+
     final long arrivedAt;
-    final long firstArrivedAt; // when its first try did
-    /** When there is nothing left to win, at the latest when the client gives up. */
+    /** When the client's first try arrived; equals {@link #arrivedAt} unless this is a client retry. */
+    final long firstArrivedAt;
+    /** When a response is of no use any more, at the latest when the client gives up. */
     final long expiresAt;
 
     final List<Attempt> attempts = new ArrayList<>(1);
+    /** Whether the request needs no answer any more. */
     boolean closed;
+    /** Whether the request waits for a server with capacity. */
     boolean queued;
+    /** Whether the response is being streamed to the client. */
     boolean streaming;
 
     PendingRequest(
@@ -37,11 +43,12 @@
         this.expiresAt = endAt;
     }
 
-    /** One attempt; its outcome is null while it is out. */
+    /** An attempt. Its outcome is null while it is in flight. */
     static final class Attempt {
         final ServerState server;
         final long sentAt;
         Outcome outcome;
+        /** Whether the response has started. */
         boolean streaming;
 
         Attempt(ServerState server, long sentAt) {
@@ -54,7 +61,6 @@
         }
     }
 
-    /** How many attempts are out. */
     int attemptsInFlight() {
         return (int)
                 attempts.stream().filter(attempt -> attempt.outcome == null).count();
--- a/src/main/java/gatefront/policy/QuantileEstimator.java
+++ b/src/main/java/gatefront/policy/QuantileEstimator.java
@@ -1,18 +1,20 @@
 package gatefront.policy;
 
-/** Follows a quantile of a stream of positive values, and the lowest it has been. */
+/** Estimates a quantile of a stream of positive samples, and tracks the minimum of that estimate. */
 final class QuantileEstimator {
-    /** Values before the quantile means anything. */
+    /** Number of samples before the estimate is meaningful. */
     private static final int MIN_SAMPLES = 50;
-    /** A step, as a part of the value. */
+    /** Step of the estimate, relative to its value. */
     private static final double STEP = 0.02;
-    /** What a value adds to the lowest, as a part: an old minimum is forgotten in some ten thousands. */
+    /**
+     * Relative increase of the minimum with each sample: an old minimum is forgotten after some ten thousand samples.
+     */
     private static final double MINIMUM_RISE = 0.00003;
 
     private final double quantile;
     private double value;
     private double minimum = Double.MAX_VALUE;
-    /** The first values, in order of size: steps from a single one would be lost for long. */
+    /** The first samples, sorted. An estimate that started from a single sample would be wrong for long. */
     private final double[] firstSamples = new double[MIN_SAMPLES];
 
     private int count;
@@ -21,23 +23,23 @@
         this.quantile = share;
     }
 
-    void add(double x) {
+    void add(double sample) {
         if (count < MIN_SAMPLES) {
-            int at = count++;
-            for (; at > 0 && firstSamples[at - 1] > x; at--) {
-                firstSamples[at] = firstSamples[at - 1];
+            int index = count++;
+            for (; index > 0 && firstSamples[index - 1] > sample; index--) {
+                firstSamples[index] = firstSamples[index - 1];
             }
-            firstSamples[at] = x;
+            firstSamples[index] = sample;
             value = firstSamples[(int) (quantile * count)];
         } else {
-            value += x > value ? value * STEP * quantile : value * STEP * (quantile - 1);
+            value += sample > value ? value * STEP * quantile : value * STEP * (quantile - 1);
         }
         if (isReady()) {
             minimum = Math.min(minimum * (1 + MINIMUM_RISE), value);
         }
     }
 
-    /** Whether enough has been seen for {@link #minimum}. */
+    /** Returns whether there are enough samples for {@link #minimum}. */
     boolean isReady() {
         return count >= MIN_SAMPLES;
     }
--- a/src/main/java/gatefront/policy/ServerState.java
+++ b/src/main/java/gatefront/policy/ServerState.java
@@ -3,9 +3,9 @@
 import gatefront.policy.Balancer.Server;
 import java.util.Arrays;
 
-/** What one agent knows of one server. State only: {@link AdaptiveBalancer} decides. */
+/** The state that one agent keeps of one server. It makes no decisions; {@link AdaptiveBalancer} does. */
 final class ServerState {
-    /** The states of a health check. */
+    /** The results of a health check. */
     enum Health {
         UNKNOWN,
         HEALTHY,
@@ -13,67 +13,88 @@
     }
 
     final long id;
-    Server entry; // its line of the server list
-    boolean ready; // whether new requests may go to it at all: listed as ready
-    boolean removed; // whether the list has it no more
+    /** The server's entry in the server list. */
+    Server entry;
+    /** Whether the server is listed as ready, so that new requests may be sent to it. */
+    boolean ready;
+    /** Whether the server has left the server list. */
+    boolean removed;
 
+    /** Health by probes. */
     Health activeHealth = Health.UNKNOWN;
+    /** Consecutive failed probes. */
     int probeFailures;
+
     boolean probeInFlight;
     boolean answeredSinceProbe;
 
+    /** Health by the outcomes of requests. Unhealthy means that the server is ejected. */
     Health passiveHealth = Health.UNKNOWN;
+
     long ejectedUntil;
     final FailureWindow failureWindow = new FailureWindow();
 
-    int inFlight; // this agent's attempts that are out
-    double limit; // how many it may have in flight at once; 0 until reckoned
-    double latencyRatio = 1; // its answer times against those of all servers, as a mean
-    long latencyRatioAt; // when that was last measured
-    /** A quantile of its answer times, each as a multiple of its class's lowest. */
+    /** This agent's attempts in flight at the server. */
+    int inFlight;
+    /** Maximum number of attempts in flight; 0 until it is computed. */
+    double limit;
+    /** Moving average of the server's latency relative to the mean of all servers. */
+    double latencyRatio = 1;
+    /** When the latency ratio was last measured. */
+    long latencyRatioAt;
+    /** Quantile of the server's latencies, each as a multiple of the minimum quantile of its class. */
     final QuantileEstimator relativeLatency = new QuantileEstimator(AdaptiveBalancer.LATENCY_QUANTILE);
 
-    long lastSuccessAt; // when it last answered
-    int consecutiveFailures; // fast failures in a row, and until when it rests for them
+    long lastSuccessAt;
+    /** Consecutive failures, which determine the backoff. */
+    int consecutiveFailures;
+    /** Until when no request is sent to the server after failures. */
     long backoffUntil;
-    PerClassState[] byClass = {}; // the same by class of requests, in the settings' order
+    /** State by class of requests, in the order of the settings. */
+    PerClassState[] byClass = {};
 
-    long coldSince; // start and end of the warm-up this agent believes in
+    /** Assumed start of the slow start. */
+    long coldSince;
+    /** Assumed end of the slow start. */
     long coldUntil = Long.MIN_VALUE;
-    /** Requests that may be sent while cold, and when that was reckoned. */
+    /** Requests that may be sent while the server is cold. */
     double coldTokens;
-
+    /** When {@link #coldTokens} was last computed. */
     long coldTokensAt;
-    double coldRateMultiple; // how many times its sure part it is sent while cold
-    /** A broken connection or a dead probe was seen and no answer since. */
+    /** Rate at which requests are sent to the server while it is cold, as a multiple of its warm share. */
+    double coldRateMultiple;
+    /** Whether a connection or probe has failed and the server has not answered since. */
     boolean broken;
 
-    long brokenAt; // when that was first seen
+    /** When the outage was first noticed. */
+    long brokenAt;
 
     ServerState(long id, int classes) {
         this.id = id;
         ensureClasses(classes);
     }
 
-    /** There are so many classes now. */
+    /** Adds state for classes up to the given number. */
     void ensureClasses(int classes) {
-        int known = byClass.length;
+        int previous = byClass.length;
         byClass = Arrays.copyOf(byClass, classes);
-        Arrays.setAll(byClass, i -> i < known ? byClass[i] : new PerClassState());
+        Arrays.setAll(byClass, i -> i < previous ? byClass[i] : new PerClassState());
     }
 
-    /** Its listed weight; a list may lie, and one that makes no sense is that of any server. */
+    /** Returns the listed weight, or 1 if it is invalid, since the list comes from outside. */
     double effectiveWeight() {
         return entry.weight() > 0 && entry.weight() < Integer.MAX_VALUE ? entry.weight() : 1;
     }
 
-    /** What the server is to one class of requests: it may fail one and serve the others. */
+    /** The state of a server for one class of requests, as a server may fail one class and serve the others. */
     static final class PerClassState {
         final FailureWindow failureWindow = new FailureWindow();
         Health passiveHealth = Health.UNKNOWN;
         long ejectedUntil;
         long lastSuccessAt;
-        long lastFailureAt; // when it last ended in an error or without an answer
+        /** When a request last ended with an error or a timeout. */
+        long lastFailureAt;
+
         int consecutiveFailures;
         long backoffUntil;
     }
--- a/src/main/java/gatefront/policy/SettingsParser.java
+++ b/src/main/java/gatefront/policy/SettingsParser.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Turns path=value settings into the module's settings. Keys it does not know are skipped. */
+/** Converts settings given as path=value pairs into {@link Balancer.Settings}. Unknown keys are ignored. */
 public final class SettingsParser {
     private static final Map<String, LoadField> LOAD_FIELDS = Map.of(
             "concurrent",
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Reads the wire's settings text.
+     * Parses the settings in the text format of the protocol.
      *
-     * @param text a path=value pair a line
+     * @param text one path=value pair per line
      * @return the settings
      * @throws IllegalArgumentException if a value is missing or unusable; the message names it
      */
@@ -52,9 +52,9 @@
     }
 
     /**
-     * Reads settings already taken apart.
+     * Parses settings from a map.
      *
-     * @param pairs values by their paths
+     * @param pairs the values by their paths
      * @return the settings
      * @throws IllegalArgumentException if a value is missing or unusable; the message names it
      */
@@ -90,7 +90,7 @@
         List<LoadField> fields = new ArrayList<>();
         if (!text("load-info.via", "none").equals("none")) {
             for (String name : list("load-info.fields")) {
-                fields.add(LOAD_FIELDS.get(name)); // null: a value without a name here
+                fields.add(LOAD_FIELDS.get(name)); // null for a field without a meaning here
             }
         }
         return new Balancer.Settings(
@@ -125,17 +125,17 @@
         List<Balancer.RequestClass> classes = new ArrayList<>();
         long count = atLeast(0, "classes.count");
         for (int i = 0; i < count; i++) {
-            String at = "classes." + i + ".";
+            String prefix = "classes." + i + ".";
             classes.add(new Balancer.RequestClass(
-                    atLeast(1, at + "aim-us"),
-                    number(at + "aim-stretch", 0),
-                    atLeast(1, at + "give-up-us"),
-                    semantics(at + "semantics"),
-                    scope(text(at + "key-scope", "all"), at + "key-scope"),
-                    has(at + "window-us") ? rounded(at + "window-us") : 0,
-                    number(at + "worth", 1),
-                    number(at + "late-share", 0),
-                    text(at + "stream", "false").equals("true")));
+                    atLeast(1, prefix + "aim-us"),
+                    number(prefix + "aim-stretch", 0),
+                    atLeast(1, prefix + "give-up-us"),
+                    semantics(prefix + "semantics"),
+                    scope(text(prefix + "key-scope", "all"), prefix + "key-scope"),
+                    has(prefix + "window-us") ? rounded(prefix + "window-us") : 0,
+                    number(prefix + "worth", 1),
+                    number(prefix + "late-share", 0),
+                    text(prefix + "stream", "false").equals("true")));
         }
         return List.copyOf(classes);
     }
@@ -144,8 +144,8 @@
         List<Balancer.Tenant> tenants = new ArrayList<>();
         long count = has("realms.count") ? rounded("realms.count") : 0;
         for (int i = 0; i < count; i++) {
-            String at = "realms." + i + ".";
-            tenants.add(new Balancer.Tenant(number(at + "quota-per-s", 0), number(at + "fraction", 0)));
+            String prefix = "realms." + i + ".";
+            tenants.add(new Balancer.Tenant(number(prefix + "quota-per-s", 0), number(prefix + "fraction", 0)));
         }
         return List.copyOf(tenants);
     }
@@ -180,8 +180,8 @@
         return value;
     }
 
-    private String text(String key, String otherwise) {
-        return pairs.getOrDefault(key, otherwise);
+    private String text(String key, String defaultValue) {
+        return pairs.getOrDefault(key, defaultValue);
     }
 
     private List<String> list(String key) {
@@ -201,16 +201,16 @@
         return Math.round(number(key));
     }
 
-    private long atLeast(long least, String key) {
+    private long atLeast(long min, String key) {
         long value = rounded(key);
-        if (value < least) {
+        if (value < min) {
             throw unusable(key);
         }
         return value;
     }
 
-    private double number(String key, double otherwise) {
-        return has(key) ? number(key) : otherwise;
+    private double number(String key, double defaultValue) {
+        return has(key) ? number(key) : defaultValue;
     }
 
     private double number(String key) {
--- a/src/main/java/gatefront/policy/package-info.java
+++ b/src/main/java/gatefront/policy/package-info.java
@@ -1,5 +1,7 @@
 /**
- * PURE: which server, whether to retry, what to turn away. Events in, actions out, time as an argument; no
- * I/O, threads or clocks.
+ * The load-balancing policy: which server a request is sent to, whether it is retried and which requests are shed.
+ *
+ * <p>The package is PURE: it receives events and returns actions, and time is an argument. It does no I/O and uses no
+ * threads or clocks.
  */
 package gatefront.policy;
--- a/src/test/java/gatefront/policy/CheckedBalancerTest.java
+++ b/src/test/java/gatefront/policy/CheckedBalancerTest.java
@@ -88,7 +88,7 @@
     void duplicateIdsAndUnknownClassesAreRejected() {
         checkedBalancer.request(harness.now, request(5, 0));
         assertEquals(
-                "request 5 has come before",
+                "request id 5 is still in use",
                 message(IllegalArgumentException.class, () -> checkedBalancer.request(harness.now, request(5, 0))));
         assertThrows(IndexOutOfBoundsException.class, () -> checkedBalancer.request(harness.now, request(6, 1)));
     }
