--- a/src/test/java/gatefront/example/Embedding.java
+++ b/src/test/java/gatefront/example/Embedding.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The README's example. What stands between the two marks is printed there, and a test holds them equal. */
+/** The example of the README. A test checks that the README contains the text between the two marks. */
 final class Embedding implements Balancer.Actions {
     final List<String> did = new ArrayList<>();
 
--- a/src/test/java/gatefront/policy/AdaptiveBalancerTest.java
+++ b/src/test/java/gatefront/policy/AdaptiveBalancerTest.java
@@ -15,7 +15,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The four rules, with their awkward cases. */
+/** Tests the four rules: one final answer in time, no duplicate effects, drains and cold servers. */
 class AdaptiveBalancerTest {
     private static final long SECOND = BalancerHarness.SECOND;
 
@@ -98,7 +98,7 @@
                 && harness.actionsFor("refuse", id).isEmpty());
     }
 
-    // ---- no effect twice ----
+    // ---- no duplicate effects ----
 
     @Test
     void anUnsafeRequestIsRetriedOnlyAfterProofThatItNeverRan() {
@@ -137,7 +137,7 @@
             assertTrue(harness.sends(id).get(1).server() <= 2);
             harness.endAttempt(id, 1, Outcome.ERROR, 1000);
             harness.advance(2 * SECOND);
-            assertEquals(2, harness.sends(id).size(), "the only two servers of the group have been tried");
+            assertEquals(2, harness.sends(id).size(), "both servers of the zone have been tried");
             assertTrue(harness.actionsFor("refuse", id).isEmpty());
             assertEquals(1, harness.actionsFor("fail", id).size());
         }
@@ -168,7 +168,8 @@
         harness.endAttempt(id, 0, Outcome.RESET, 900_000);
         harness.advance(3 * SECOND);
         assertEquals(1, harness.sends(id).size());
-        assertEquals(1, harness.actionsFor("refuse", id).size(), "the group is all, so a refusal is harmless");
+        assertEquals(
+                1, harness.actionsFor("refuse", id).size(), "all servers share the scope, so a refusal is harmless");
     }
 
     @Test
@@ -231,9 +232,9 @@
 
     // ---- cold servers ----
 
-    private static int sentTo(BalancerHarness harness, long server, long id0) {
+    private static int sentTo(BalancerHarness harness, long server, long firstId) {
         return (int) harness.actionsOfKind("send").stream()
-                .filter(a -> a.server() == server && a.id() >= id0)
+                .filter(a -> a.server() == server && a.id() >= firstId)
                 .count();
     }
 
@@ -250,8 +251,8 @@
         for (int i = 0; i < 40; i++) {
             harness.serveRequest(25_000);
         }
-        // Its part of 40 a second is 13; a fifth of it is sure, and twice that leaves room: 5 in this second, 1 to
-        // begin.
+        // Its share of 40 requests a second is 13. A fifth of that is the warm share, and twice that may be sent: 5
+        // in this second, and 1 at the start.
         int sent = sentTo(harness, 3, from);
         assertTrue(sent >= 2 && sent <= 7, "sent " + sent);
     }
@@ -281,12 +282,12 @@
         long other = harness.request();
         harness.endAttempt(one, 0, Outcome.RESET, 1000);
         harness.endAttempt(other, 0, Outcome.CONNECT_FAILED, 1000);
-        harness.advance(1_000_000); // a process takes at least that long to come back
+        harness.advance(1_000_000); // a restart of a process takes at least that long
         harness.balancer.probeOutcome(harness.now, 1, Outcome.OK, 1000, new double[0]);
         assertTrue(harness.hasLogged("cold: answers again after a break"));
     }
 
-    /** Connections that break now and then are no restart. Failed before: each made its server cold for 5 s. */
+    /** Guards against treating each connection reset as a restart, which made the server cold for 5 s. */
     @Test
     void aServerThatAnswersSoonAfterAConnectionResetIsNotCold() {
         BalancerHarness harness =
@@ -306,8 +307,8 @@
     }
 
     /**
-     * Rule 4 summed over agents. Failed before: each agent had a token for each cold server from its first
-     * moment, and took the rate of the few servers it had just met for that of all.
+     * Checks rule 4 over all agents. Guards against each agent having a token for each cold server from its start, and
+     * against taking the rate of the few servers that it has just used for that of all servers.
      */
     @Test
     void manyLightAgentsTogetherSendAColdServerItsWarmShareOfAWarmServersRate() {
@@ -318,7 +319,7 @@
             }
             int cold = 0;
             int all = 0;
-            // All agents together send some 350 requests a second, 17 to a server; each draws from its own few servers.
+            // All agents together send some 350 requests a second, 17 to a server; each uses its own small subset.
             for (int seed = 0; seed < agents; seed++) {
                 BalancerHarness harness = new BalancerHarness(
                                 BalancerHarness.forAgent(
@@ -350,9 +351,8 @@
                         .filter(a -> a.id() >= first)
                         .count();
             }
-            // A fifth of it is surely warm, up to 0.28 after these 2 s: 8, and twice that may be sent. Failed before:
-            // that
-            // was 4 and 0, for each agent shared its demand over servers that it never draws from.
+            // The warm share is 0.2 to 0.28 during these 2 s: 8 requests, and twice that may be sent. Guards against
+            // agents that divide their rate over servers outside their subset: only 4 and 0 were sent.
             assertTrue(cold >= (agents == 40 ? 6 : 3) && cold <= 18, agents + " agents: " + cold + " of " + all);
         }
     }
--- a/src/test/java/gatefront/policy/BalancerHarness.java
+++ b/src/test/java/gatefront/policy/BalancerHarness.java
@@ -18,12 +18,12 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Drives one balancer by hand: a hand-turned clock, recorded actions, due timers. */
+/** Drives one balancer in a test: with a manual clock, recorded actions and timers that fire as the clock advances. */
 class BalancerHarness implements Balancer.Actions {
     static final long SECOND = 1_000_000;
     static final long TICK = 5_000;
 
-    /** What was done: the words of the action and its numbers. */
+    /** An action of the balancer: its kind and its arguments. */
     record RecordedAction(String kind, long id, long server, long value) {}
 
     private record Timer(long token, long at) {}
@@ -33,7 +33,7 @@
     private final List<Timer> timers = new ArrayList<>();
     final Balancer balancer;
     long now = 100 * SECOND;
-    /** What servers report with each answer. */
+    /** Load report that comes with each response. */
     double[] loadReport = new double[0];
 
     private long nextId = 1;
@@ -93,7 +93,7 @@
                 List.of());
     }
 
-    /** The same for the agent of this number. */
+    /** Returns the settings for another agent. */
     static Settings forAgent(int agent, Settings s) {
         return new Settings(
                 agent,
@@ -115,7 +115,7 @@
                 s.loadFields());
     }
 
-    /** The same with other prices, rules on cold servers, and fields that servers report. */
+    /** Returns the settings with other prices, obligations and load report fields. */
     static Settings withPrices(Settings s, Prices prices, Obligations obligations, Balancer.LoadField... fields) {
         return new Settings(
                 s.agent(),
@@ -166,19 +166,19 @@
         return id;
     }
 
-    /** A client's repeat, marked as one. */
+    /** Sends a client retry that is marked as one. */
     long clientRetry() {
         long id = nextId++;
         balancer.request(now, new Request(id, 0, 0, 0, 0, now + 3 * SECOND, true, false));
         return id;
     }
 
-    void endAttempt(long id, int attempt, Outcome outcome, long spent) {
+    void endAttempt(long id, int attempt, Outcome outcome, long elapsed) {
         balancer.outcome(
-                now, id, attempt, sends(id).get(attempt).server(), outcome, spent, outcome == Outcome.OK, loadReport);
+                now, id, attempt, sends(id).get(attempt).server(), outcome, elapsed, outcome == Outcome.OK, loadReport);
     }
 
-    /** Moves the clock on in ticks, delivering timers as they come due. */
+    /** Advances the clock in ticks and fires timers that have expired. */
     void advance(long micros) {
         long until = now + micros;
         while (now < until) {
@@ -188,58 +188,60 @@
     }
 
     private void fireDueTimers() {
-        List<Timer> ripe = timers.stream().filter(t -> t.at() <= now).toList();
-        timers.removeAll(ripe);
-        for (Timer timer : ripe) {
+        List<Timer> due = timers.stream().filter(t -> t.at() <= now).toList();
+        timers.removeAll(due);
+        for (Timer timer : due) {
             balancer.timer(now, timer.token());
         }
     }
 
-    /** Serves a request at once after the given time. */
-    long serveRequest(long spent) {
+    /** Sends a request that is answered after the given time in microseconds. */
+    long serveRequest(long elapsed) {
         long id = request();
-        advance(spent);
+        advance(elapsed);
         if (!sends(id).isEmpty()) {
-            endAttempt(id, sends(id).size() - 1, Outcome.OK, spent);
+            endAttempt(id, sends(id).size() - 1, Outcome.OK, elapsed);
         }
         return id;
     }
 
     /**
-     * Lets requests come evenly for so many seconds, with so many repeats beside each; each attempt ends after a time,
-     * those still out at the end of it stay out. Returns how many were sent.
+     * Sends requests at an even rate, each with a number of client retries. Each attempt ends with the given outcome
+     * after the given time; attempts in flight at the end remain in flight.
+     *
+     * @return the number of attempts sent
      */
-    int runLoad(double seconds, Outcome outcome, long after, int perSecond, int repeats) {
+    int runLoad(double seconds, Outcome outcome, long latency, int perSecond, int retries) {
         int before = actionsOfKind("send").size();
         long until = now + (long) (seconds * SECOND);
-        List<RecordedAction> out = new ArrayList<>();
-        int seen = actions.size();
+        List<RecordedAction> inFlight = new ArrayList<>();
+        int checked = actions.size();
         while (now < until) {
             request();
-            for (int i = 0; i < repeats; i++) {
+            for (int i = 0; i < retries; i++) {
                 clientRetry();
             }
             for (long next = now + SECOND / perSecond; now < next; ) {
                 advance(TICK);
-                for (; seen < actions.size(); seen++) {
-                    RecordedAction act = actions.get(seen);
-                    if (act.kind().equals("send")) {
-                        out.add(new RecordedAction("due", act.id(), act.server(), now + after));
+                for (; checked < actions.size(); checked++) {
+                    RecordedAction action = actions.get(checked);
+                    if (action.kind().equals("send")) {
+                        inFlight.add(new RecordedAction("due", action.id(), action.server(), now + latency));
                     }
                 }
-                out.removeIf(due -> {
-                    boolean over = now >= due.value();
-                    if (over) {
-                        endAttempt(due.id(), sends(due.id()).size() - 1, outcome, after);
+                inFlight.removeIf(attempt -> {
+                    boolean ended = now >= attempt.value();
+                    if (ended) {
+                        endAttempt(attempt.id(), sends(attempt.id()).size() - 1, outcome, latency);
                     }
-                    return over;
+                    return ended;
                 });
             }
         }
         return actionsOfKind("send").size() - before;
     }
 
-    // ---- what was done ----
+    // ---- recorded actions ----
 
     List<RecordedAction> actionsOfKind(String what) {
         return actions.stream().filter(a -> a.kind().equals(what)).toList();
--- a/src/test/java/gatefront/policy/CheckedBalancerTest.java
+++ b/src/test/java/gatefront/policy/CheckedBalancerTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Wrong use: an exception from the checked balancer; from the module alone the disregard that README states. */
+/** Wrong use makes the checked balancer throw; the unchecked one ignores it, as the README documents. */
 class CheckedBalancerTest {
     private static final double[] NO_LOAD = new double[0];
     private final BalancerHarness harness = new BalancerHarness(BalancerHarness.safeSettings());
@@ -39,7 +39,7 @@
         assertEquals(1, harness.sends(5).size());
         checkedBalancer.outcome(harness.now, 5, 0, harness.lastServer(5), Outcome.OK, 100, true, NO_LOAD);
         checkedBalancer.request(harness.now, request(5, 0));
-        assertEquals(2, harness.sends(5).size(), "an id may come again once its request has ended");
+        assertEquals(2, harness.sends(5).size(), "an id may be used again once its request has ended");
     }
 
     @Test
@@ -116,17 +116,17 @@
     @Test
     void anActionThatCallsBackIsRejected() {
         Balancer[] self = new Balancer[1];
-        BalancerHarness rash = new BalancerHarness(BalancerHarness.safeSettings()) {
+        BalancerHarness reentrant = new BalancerHarness(BalancerHarness.safeSettings()) {
             @Override
             public void send(long request, long server, long timeout) {
                 self[0].timer(now, 1);
             }
         };
-        self[0] = new CheckedBalancer(BalancerHarness.safeSettings(), 1, rash.now, rash);
+        self[0] = new CheckedBalancer(BalancerHarness.safeSettings(), 1, reentrant.now, reentrant);
         listTwoServers(self[0]);
         assertEquals(
                 "an action has called back into the balancer",
-                message(IllegalStateException.class, () -> self[0].request(rash.now, request(5, 0))));
+                message(IllegalStateException.class, () -> self[0].request(reentrant.now, request(5, 0))));
     }
 
     @Test
--- a/src/test/java/gatefront/policy/ClassFailureTest.java
+++ b/src/test/java/gatefront/policy/ClassFailureTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A server that fails one class of requests and serves the others, as after a release with a fault in one of its
- * handlers. Rule: what fails is taken away, and nothing else.
+ * Tests a server that fails one class of requests and serves the others, as after a release with a fault in one of its
+ * handlers. It has to be ejected for the failing class only.
  */
 class ClassFailureTest {
     private static final int BROKEN_CLASS = 0;
@@ -28,25 +28,31 @@
                 .fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
     }
 
-    /** A request of this class each 20 ms and server; those for server 1 end as given, and all others are answered. */
+    /**
+     * Sends requests of a class one after the other. Attempts at server 1 end with the given outcome, all others
+     * succeed.
+     *
+     * @return the number of attempts by server id
+     */
     private static int[] sendRequests(
-            BalancerHarness harness, int rounds, int requestClass, Outcome atOne, long spent) {
+            BalancerHarness harness, int rounds, int requestClass, Outcome outcomeAtOne, long elapsed) {
         int[] sent = new int[3];
         for (int i = 0; i < rounds; i++) {
             long id = harness.request(requestClass, 0);
             for (int attempt = 0; attempt < harness.sends(id).size(); attempt++) {
                 int server = (int) harness.sends(id).get(attempt).server();
                 sent[server]++;
-                boolean here = server == 1;
-                harness.advance(here ? spent : USUAL_LATENCY);
-                harness.endAttempt(id, attempt, here ? atOne : Outcome.OK, here ? spent : USUAL_LATENCY);
+                boolean atServerOne = server == 1;
+                harness.advance(atServerOne ? elapsed : USUAL_LATENCY);
+                harness.endAttempt(
+                        id, attempt, atServerOne ? outcomeAtOne : Outcome.OK, atServerOne ? elapsed : USUAL_LATENCY);
             }
             harness.advance(USUAL_LATENCY);
         }
         return sent;
     }
 
-    /** Both classes served everywhere. */
+    /** Returns a harness where both servers have served both classes. */
     private static BalancerHarness harnessServingBothClasses() {
         BalancerHarness harness = twoServers();
         for (int i = 0; i < 20; i++) {
@@ -56,7 +62,7 @@
         return harness;
     }
 
-    /** Then one class broken at server 1, until it is removed for it. */
+    /** Returns a harness where server 1 fails one class and has been ejected for it. */
     private static BalancerHarness harnessWithBrokenClass() {
         BalancerHarness harness = harnessServingBothClasses();
         for (int i = 0; i < 60; i++) {
@@ -66,23 +72,23 @@
         return harness;
     }
 
-    /** Failed before: five errors of one class removed the server for every class. */
+    /** Guards against five errors of one class ejecting the server for every class. */
     @Test
     void errorsOfOneClassEjectTheServerForThatClassOnly() {
         BalancerHarness harness = harnessServingBothClasses();
-        int broken = 0;
-        int sound = 0;
+        int brokenAttempts = 0;
+        int healthyAttempts = 0;
         for (int i = 0; i < 150; i++) {
-            broken += sendRequests(harness, 1, BROKEN_CLASS, Outcome.ERROR, 1_000)[1];
-            sound += sendRequests(harness, 1, HEALTHY_CLASS, Outcome.OK, USUAL_LATENCY)[1];
+            brokenAttempts += sendRequests(harness, 1, BROKEN_CLASS, Outcome.ERROR, 1_000)[1];
+            healthyAttempts += sendRequests(harness, 1, HEALTHY_CLASS, Outcome.OK, USUAL_LATENCY)[1];
         }
         assertTrue(harness.hasLogged("server 1 class 0 passive Unhealthy"), String.join("\n", harness.logLines));
         assertFalse(harness.hasLogged("server 1 passive Unhealthy"), String.join("\n", harness.logLines));
-        assertTrue(broken <= 15, "attempts of the broken class: " + broken);
-        assertTrue(sound >= 40, "requests of the sound class: " + sound);
+        assertTrue(brokenAttempts <= 15, "attempts of the broken class: " + brokenAttempts);
+        assertTrue(healthyAttempts >= 40, "attempts of the healthy class: " + healthyAttempts);
     }
 
-    /** Failed before: the time-outs of one class took the server from all of them. */
+    /** Guards against timeouts of one class ejecting the server for all classes. */
     @Test
     void timeoutsOfOneClassDoNotEjectTheServerForOthers() {
         BalancerHarness harness = harnessServingBothClasses();
@@ -90,13 +96,13 @@
             sendRequests(harness, 1, BROKEN_CLASS, Outcome.TIMEOUT, TIMEOUT_LATENCY);
             sendRequests(harness, 2, HEALTHY_CLASS, Outcome.OK, USUAL_LATENCY);
         }
-        long[] held = new long[6];
-        int out = 0;
-        for (int i = 0; i < held.length; i++) {
-            held[i] = harness.request(HEALTHY_CLASS, 0);
-            out += harness.lastServer(held[i]) == 1 ? 1 : 0;
+        long[] ids = new long[6];
+        int inFlight = 0;
+        for (int i = 0; i < ids.length; i++) {
+            ids[i] = harness.request(HEALTHY_CLASS, 0);
+            inFlight += harness.lastServer(ids[i]) == 1 ? 1 : 0;
         }
-        assertTrue(out >= 2, "at once at server 1: " + out);
+        assertTrue(inFlight >= 2, "requests in flight at server 1: " + inFlight);
         assertFalse(harness.hasLogged("server 1 passive Unhealthy"), String.join("\n", harness.logLines));
     }
 
@@ -104,13 +110,13 @@
     void anEjectedClassIsTriedAgainAfterReactivation() {
         BalancerHarness harness = harnessWithBrokenClass();
         assertTrue(harness.hasLogged("server 1 class 0 passive Unhealthy"), String.join("\n", harness.logLines));
-        assertEquals(0, sendRequests(harness, 20, BROKEN_CLASS, Outcome.OK, USUAL_LATENCY)[1], "removed");
+        assertEquals(0, sendRequests(harness, 20, BROKEN_CLASS, Outcome.OK, USUAL_LATENCY)[1], "ejected");
         harness.advance(5 * BalancerHarness.SECOND);
-        assertTrue(sendRequests(harness, 20, BROKEN_CLASS, Outcome.OK, USUAL_LATENCY)[1] > 0, "mended and not used");
+        assertTrue(sendRequests(harness, 20, BROKEN_CLASS, Outcome.OK, USUAL_LATENCY)[1] > 0, "recovered but not used");
         assertTrue(harness.hasLogged("server 1 class 0 passive Unknown: reactivated"));
     }
 
-    /** The other side of it: a server that fails all classes is removed as a whole, after one failure more for each. */
+    /** A server that fails all classes is ejected as a whole, after one more failure of each class. */
     @Test
     void aServerThatFailsEveryClassIsEjectedForAllClasses() {
         BalancerHarness harness = harnessServingBothClasses();
@@ -130,10 +136,10 @@
                 BalancerHarness.server(2, 0));
         assertTrue(
                 sendRequests(harness, 20, BROKEN_CLASS, Outcome.OK, USUAL_LATENCY)[1] > 0,
-                "still removed after its restart");
+                "still ejected after its restart");
     }
 
-    /** Failed before: the repeat was held until its time was up, for the server tried first was available. */
+    /** Guards against a retry that waits until it expires because the server it has already tried is available. */
     @Test
     void aRetryUsesTheEjectedServerAtOnceIfAllOthersWereTried() {
         BalancerHarness harness = harnessServingBothClasses();
@@ -144,11 +150,14 @@
         long id = harness.request(BROKEN_CLASS, 0);
         assertEquals(2, harness.lastServer(id));
         harness.endAttempt(id, 0, Outcome.ERROR, 1_000);
-        assertEquals(2, harness.sends(id).size(), "sent to the removed one at once");
+        assertEquals(2, harness.sends(id).size(), "sent to the ejected server at once");
         assertEquals(1, harness.lastServer(id));
     }
 
-    /** Before the window is sure of it: what fails at once would draw the most, being the least busy. */
+    /**
+     * Before the failure window ejects it, a server that fails fast would attract the most requests as the least
+     * loaded.
+     */
     @Test
     void aClassThatFailsFastBacksOffBeforeItIsEjected() {
         BalancerHarness harness = harnessServingBothClasses();
@@ -160,10 +169,12 @@
         assertEquals(4, sent);
         assertFalse(harness.hasLogged("passive Unhealthy"), String.join("\n", harness.logLines));
         assertEquals(
-                0, sendRequests(harness, 3, BROKEN_CLASS, Outcome.ERROR, 1_000)[1], "within 160 ms of four in a row");
+                0,
+                sendRequests(harness, 3, BROKEN_CLASS, Outcome.ERROR, 1_000)[1],
+                "backoff of 160 ms after four consecutive failures");
     }
 
-    /** Rule: a keyed repeat stays in its group; servers outside are no reason to wait for one inside. */
+    /** A keyed retry stays in its cell. Available servers of other cells are no reason to wait for one of its own. */
     @Test
     void aKeyedRetryUsesTheEjectedServerOfItsCellAtOnce() {
         BalancerHarness harness = new BalancerHarness(BalancerHarness.settings(Semantics.KEYED, Scope.CELL))
--- a/src/test/java/gatefront/policy/ColdFleetTest.java
+++ b/src/test/java/gatefront/policy/ColdFleetTest.java
@@ -14,11 +14,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What all agents together send to servers that have just started, where many have at once. */
+/** Tests what all agents together send to servers that have just started, if many start at once. */
 class ColdFleetTest {
     private static final int AGENTS = 14;
     private static final int SERVERS = 30;
-    /** Requests a second that come to each agent: a server's part of all is 14 a second. */
+    /** Requests per second of each agent. Each server's share of all requests is 14 per second. */
     private static final int REQUESTS_PER_SECOND = 30;
 
     private static BalancerHarness harness(long seed, int zones) {
@@ -39,13 +39,13 @@
         return list;
     }
 
-    /** Lets requests come evenly for so many seconds, each attempt answered after that time. */
-    private static void runLoad(BalancerHarness harness, double seconds, long answer) {
-        runLoad(harness, seconds, answer, REQUESTS_PER_SECOND);
+    /** Sends requests at an even rate; each attempt is answered after the given latency in microseconds. */
+    private static void runLoad(BalancerHarness harness, double seconds, long latency) {
+        runLoad(harness, seconds, latency, REQUESTS_PER_SECOND);
     }
 
-    private static void runLoad(BalancerHarness harness, double seconds, long answer, int demand) {
-        harness.runLoad(seconds, Outcome.OK, answer, demand, 0);
+    private static void runLoad(BalancerHarness harness, double seconds, long latency, int demand) {
+        harness.runLoad(seconds, Outcome.OK, latency, demand, 0);
     }
 
     private static long sentToServersFrom(BalancerHarness harness, long id) {
@@ -55,8 +55,8 @@
     }
 
     /**
-     * An agent that has just started knows of no warm server's rate. Failed before: it sent 5 / 14 a second, times the
-     * part that is warm, to each server of a zone that had come back with it: 15 of 120 requests.
+     * An agent that has just started does not know the request rate of any warm server. Guards against sending too
+     * little to a zone that started together with the agent: only 15 of 120 requests were sent.
      */
     @Test
     void anAgentThatStartsTogetherWithItsColdZoneUsesIt() {
@@ -66,11 +66,11 @@
         assertTrue(sent > 4 * REQUESTS_PER_SECOND * 0.6, "sent " + sent);
     }
 
-    /** Failed before: an agent that had not met a zone while it was warm sent it next to nothing when it was back. */
+    /** Guards against an agent sending almost nothing to a restarted zone that it has not used before. */
     @Test
     void aColdZoneIsUsedByAgentsThatNeverSentToItBefore() {
         BalancerHarness harness = harness(7, 2).fullList(servers(1, 2, 0, 0));
-        runLoad(harness, 5, 400_000); // far more than two can do
+        runLoad(harness, 5, 400_000); // far more than two servers can handle
         Server[] both = new Server[SERVERS + 2];
         System.arraycopy(servers(1, 2, 0, 0), 0, both, 0, 2);
         System.arraycopy(servers(101, SERVERS, 1, harness.now), 0, both, 2, SERVERS);
@@ -80,13 +80,13 @@
         assertTrue(sent > 20, "sent " + sent);
     }
 
-    /** Rule 4 where the demand is 0.7 of the capacity: three times what is surely warm is never reached. */
+    /** Checks rule 4 at 0.7 of the capacity: three times the warm share is never reached. */
     @Test
     void allAgentsTogetherDoNotOverloadAColdServer() {
         assertNoColdServerIsOverloaded(REQUESTS_PER_SECOND, REQUESTS_PER_SECOND);
     }
 
-    /** The same where one agent has ten times another's requests. */
+    /** Checks the same if one agent has ten times the requests of each other agent. */
     @Test
     void allAgentsTogetherDoNotOverloadAColdServerIfOneHasTenTimesTheRequests() {
         assertNoColdServerIsOverloaded(10 * REQUESTS_PER_SECOND, REQUESTS_PER_SECOND);
@@ -104,12 +104,12 @@
             runLoad(harness, 1, 50_000, demand);
             harness.actionsOfKind("send").stream().skip(before).forEach(act -> sent[(int) act.server()]++);
         }
-        for (long each : sent) {
-            assertTrue(each < 3 * 0.2 * capacity, each + " of " + 3 * 0.2 * capacity);
+        for (long count : sent) {
+            assertTrue(count < 3 * 0.2 * capacity, count + " of " + 3 * 0.2 * capacity);
         }
     }
 
-    /** At full size: 120 of 200 servers are new in one turn, and all 100 agents hear of it in the same millisecond. */
+    /** Full size: 120 of 200 servers start at once, and all 100 agents learn of it in the same millisecond. */
     @Test
     void aHundredAgentsDoNotOverloadManyServersThatStartAtOnce() {
         int demand = 10;
@@ -132,31 +132,30 @@
             harness.actionsOfKind("send").stream().skip(before).forEach(act -> sent[(int) act.server()]++);
         }
         long[] fresh = Arrays.stream(sent).skip(101).sorted().toArray();
-        // Each bears 0.2 to 0.32 of 1,000 / 0.7 / 200 a second: 5.6 in the 3 s, and topples at three times that.
-        double bears = 3 * 0.26 * 100 * demand / 0.7 / 200;
-        assertTrue(fresh[119] < 3 * bears, "the most " + fresh[119] + " of " + 3 * bears);
-        assertTrue(fresh[60] > 0.5 * bears, "half got " + fresh[60] + " of " + bears + " or less");
+        // Each can handle 0.2 to 0.32 of 1,000 / 0.7 / 200 a second: 5.6 in the 3 s, and fails at three times that.
+        double capacity = 3 * 0.26 * 100 * demand / 0.7 / 200;
+        assertTrue(fresh[119] < 3 * capacity, "maximum " + fresh[119] + " of " + 3 * capacity);
+        assertTrue(fresh[60] > 0.5 * capacity, "half of the servers got at most " + fresh[60] + " of " + capacity);
     }
 
     /**
-     * The settings tell how slow a cold server may be at the worst. Failed before: one that was never as slow got
-     * nothing for as long as one that was.
+     * The settings give the worst-case latency of a cold server. Guards against a cold server that is faster than that
+     * getting no requests for as long as one that is not.
      */
     @Test
     void measuredColdLatencyDecidesWhetherColdServersAreUsed() {
-        BalancerHarness quick = harness(7, 1).fullList(servers(1, SERVERS, 0, 0));
-        runLoad(quick, 5, 300_000); // a fifth of the capacity makes 1.5 s of it, and 1 s is wanted
-        quick.fullList(servers(101, SERVERS, 0, quick.now));
-        runLoad(quick, 3, 400_000);
-        assertTrue(
-                sentToServersFrom(quick, 101) > 3 * REQUESTS_PER_SECOND / 2, "quick " + sentToServersFrom(quick, 101));
+        BalancerHarness fast = harness(7, 1).fullList(servers(1, SERVERS, 0, 0));
+        runLoad(fast, 5, 300_000); // at a fifth of the capacity it takes 1.5 s, and the aim is 1 s
+        fast.fullList(servers(101, SERVERS, 0, fast.now));
+        runLoad(fast, 3, 400_000);
+        assertTrue(sentToServersFrom(fast, 101) > 3 * REQUESTS_PER_SECOND / 2, "fast: " + sentToServersFrom(fast, 101));
         BalancerHarness slow = harness(7, 1).fullList(servers(1, SERVERS, 0, 0));
         runLoad(slow, 5, 300_000);
         slow.fullList(servers(101, SERVERS, 0, slow.now));
         runLoad(slow, 3, 1_400_000);
         assertTrue(
-                2 * sentToServersFrom(slow, 101) < sentToServersFrom(quick, 101),
-                "slow " + sentToServersFrom(slow, 101));
+                2 * sentToServersFrom(slow, 101) < sentToServersFrom(fast, 101),
+                "slow: " + sentToServersFrom(slow, 101));
     }
 
     private static BalancerHarness harnessWithLoadReports(int agents) {
@@ -169,7 +168,7 @@
                 BalancerHarness.withPrices(s, s.prices(), s.obligations(), Balancer.LoadField.QUEUED), 7);
     }
 
-    /** The same requests to cold servers, whose answers report so many waiting. */
+    /** Returns how many requests are sent to cold servers that report the given number of queued requests. */
     private static int sentWithQueueReport(double queued) {
         BalancerHarness harness = harnessWithLoadReports(AGENTS);
         harness.loadReport = new double[] {queued};
@@ -181,8 +180,8 @@
     }
 
     /**
-     * What a cold server reports comes of all agents together. Failed before: one that kept up with ease got no more
-     * than one that had requests waiting.
+     * A cold server's load report reflects the requests of all agents. Guards against a server that keeps up easily
+     * getting no more than one that has a queue.
      */
     @Test
     void aColdServerThatKeepsUpGetsMoreThanOneThatReportsAQueue() {
@@ -190,13 +189,13 @@
         int crowded = sentWithQueueReport(3);
         assertTrue(idle > 1.3 * crowded, idle + " and " + crowded);
         assertTrue(crowded > 0);
-        assertTrue(sentWithQueueReport(Double.NaN) < idle, "what makes no sense is no report");
+        assertTrue(sentWithQueueReport(Double.NaN) < idle, "an invalid report is ignored");
     }
 
-    /** Failed before: an agent whose own answers are in time fills a server that tells that requests wait there. */
+    /** Guards against an agent overloading a server that reports a queue because its own responses are in time. */
     @Test
     void aServerThatReportsAQueueGetsFewerRequestsAtOnce() {
-        int[] most = new int[2];
+        int[] sent = new int[2];
         for (int busy = 0; busy < 2; busy++) {
             BalancerHarness harness =
                     harnessWithLoadReports(2).fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
@@ -205,14 +204,17 @@
             for (int i = 0; i < 20; i++) {
                 harness.request();
             }
-            most[busy] = (int) harness.actionsOfKind("send").stream()
+            sent[busy] = (int) harness.actionsOfKind("send").stream()
                     .filter(act -> act.id() > 150)
                     .count();
         }
-        assertTrue(most[1] < most[0], most[0] + " and " + most[1]);
+        assertTrue(sent[1] < sent[0], sent[0] + " and " + sent[1]);
     }
 
-    /** However well it keeps up, its room ends: a report is late, and the agents have it alike. */
+    /**
+     * The rate is bounded even if the server keeps up, since reports lag behind and all agents act on the same
+     * report.
+     */
     @Test
     void theRateToAColdServerThatKeepsUpIsBounded() {
         var s = BalancerHarness.settings(
@@ -220,7 +222,7 @@
                 new Permits(4, false, true, false, false, 0),
                 1,
                 1);
-        double surely = 0.02;
+        double warmShare = 0.02;
         BalancerHarness harness = new BalancerHarness(
                 BalancerHarness.withPrices(
                         s,
@@ -228,7 +230,7 @@
                         new Balancer.Obligations(
                                 20_000,
                                 500_000,
-                                surely,
+                                warmShare,
                                 10_000 * BalancerHarness.SECOND,
                                 3,
                                 BalancerHarness.SECOND,
@@ -237,36 +239,39 @@
                 7);
         harness.loadReport = new double[] {0};
         harness.fullList(servers(1, 4, 0, 0));
-        int demand = 200; // one for each tick
+        int demand = 200; // one request per tick
         runLoad(harness, 3, 10_000, demand);
         harness.fullList(servers(1, 4, 0, harness.now));
         runLoad(harness, 10, 10_000, demand);
         int before = harness.actionsOfKind("send").size();
         runLoad(harness, 5, 10_000, demand);
         int sent = harness.actionsOfKind("send").size() - before;
-        double most = 5 * demand * surely * 4;
-        assertTrue(sent > most / 2 && sent <= 1.2 * most, sent + " where " + most + " may be");
+        double max = 5 * demand * warmShare * 4;
+        assertTrue(sent > max / 2 && sent <= 1.2 * max, sent + " sent of at most " + max);
     }
 
-    /** Failed before: a client's repeats counted as demand, and the budget grew with the trouble. */
+    /** Guards against counting client retries as demand, so that the rate to cold servers grows with the overload. */
     @Test
     void clientRetriesDoNotRaiseTheRateToColdServers() {
         int[] sent = new int[2];
-        for (int repeats = 0; repeats < 2; repeats++) {
+        for (int retries = 0; retries < 2; retries++) {
             BalancerHarness harness = harness(7, 1).fullList(servers(1, SERVERS, 0, 0));
             runLoad(harness, 5, 50_000);
             harness.fullList(servers(1, SERVERS, 0, harness.now));
             int before = harness.actionsOfKind("send").size();
-            harness.runLoad(3, Outcome.OK, 20_000, REQUESTS_PER_SECOND, 5 * repeats);
-            sent[repeats] = harness.actionsOfKind("send").size() - before;
+            harness.runLoad(3, Outcome.OK, 20_000, REQUESTS_PER_SECOND, 5 * retries);
+            sent[retries] = harness.actionsOfKind("send").size() - before;
         }
         assertTrue(
                 sent[0] > REQUESTS_PER_SECOND && sent[1] < 2 * sent[0],
-                sent[0] + " without and " + sent[1] + " with repeats");
+                sent[0] + " without and " + sent[1] + " with retries");
     }
 
-    /** Attempts at cold servers that end by time after so long, then whether one that needs long is sent there. */
-    private static boolean isUsedAfterTimeouts(long... spent) {
+    /**
+     * Lets attempts at cold servers time out after the given times; returns whether a long request is then sent
+     * there.
+     */
+    private static boolean isUsedAfterTimeouts(long... timeouts) {
         var types = List.of(
                 BalancerHarness.requestClass(Semantics.SAFE, Scope.ALL),
                 BalancerHarness.requestClass(Semantics.SAFE, Scope.ALL));
@@ -281,35 +286,35 @@
             }
         }
         harness.fullList(servers(101, 300, 0, harness.now));
-        harness.advance(spent.length == 0 ? BalancerHarness.SECOND / 2 : 0);
-        for (long each : spent) {
+        harness.advance(timeouts.length == 0 ? BalancerHarness.SECOND / 2 : 0);
+        for (long timeout : timeouts) {
             int ended = 0;
-            for (int i = 0; i < 2_000; i++) { // few are sent once time-outs have used up the credit
+            for (int i = 0; i < 2_000; i++) { // few are sent once timeouts have used up the credit
                 long id = harness.request(0, 0);
                 if (harness.lastServer(id) > 100) {
-                    harness.endAttempt(id, 0, Outcome.TIMEOUT, each);
+                    harness.endAttempt(id, 0, Outcome.TIMEOUT, timeout);
                     ended++;
                 }
                 harness.advance(BalancerHarness.TICK);
             }
-            assertTrue(ended > 20, "time-outs " + ended);
+            assertTrue(ended > 20, "timeouts: " + ended);
         }
-        harness.advance(BalancerHarness.SECOND); // what rests for its time-outs has rested, and there is room again
+        harness.advance(BalancerHarness.SECOND); // the backoff after the timeouts is over, and there is capacity again
         return harness.lastServer(harness.request(1, 0)) > 100;
     }
 
     /**
-     * An attempt that ends by time would have taken longer: however soon that was, cold servers are none the quicker.
-     * Failed before: attempts sent late in a request's time made them seem so.
+     * An attempt that times out would have taken longer, however short its timeout was. Guards against attempts that
+     * are sent late in a request's lifetime making cold servers seem faster.
      */
     @Test
     void timeoutsNeverMakeColdServersSeemFaster() {
-        assertTrue(isUsedAfterTimeouts(), "what is hoped of them: 1 s of work at a fifth, halved");
-        assertFalse(isUsedAfterTimeouts(900_000), "slow as they are");
-        assertFalse(isUsedAfterTimeouts(900_000, 1_000), "and none the quicker");
+        assertTrue(isUsedAfterTimeouts(), "initial estimate: 1 s of work at a fifth of the capacity, halved");
+        assertFalse(isUsedAfterTimeouts(900_000), "cold servers are slow");
+        assertFalse(isUsedAfterTimeouts(900_000, 1_000), "and do not seem faster after short timeouts");
     }
 
-    /** Where the load is told to probes only, they tell of cold servers, too. */
+    /** Servers may report their load to probes only. */
     @Test
     void loadReportsOfProbesCountLikeThoseOfResponses() {
         int[] sent = new int[2];
@@ -329,7 +334,7 @@
         assertTrue(sent[0] > 1.3 * sent[1], sent[0] + " and " + sent[1]);
     }
 
-    /** Its listed weight is its part: where weights differ, so does what is sent to it while cold. */
+    /** Requests to cold servers are shared by their listed weights. */
     @Test
     void aColdServerOfHigherWeightGetsMoreRequests() {
         BalancerHarness harness = harness(7, 1);
@@ -344,7 +349,7 @@
         assertTrue(heavy > 1.8 * light, heavy + " and " + light);
     }
 
-    /** Weights that make no sense come from a socket. */
+    /** The server list comes from outside and may contain invalid weights. */
     @Test
     void invalidWeightsDoNotStarveAServer() {
         for (double weight : new double[] {0, -1, Double.NaN, Double.POSITIVE_INFINITY}) {
--- a/src/test/java/gatefront/policy/MechanismTest.java
+++ b/src/test/java/gatefront/policy/MechanismTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The mechanism: probes, window, reactivation, pick, spill, fallback; and its departures. */
+/** Tests health checks, outlier ejection, server selection, zone fallback, subsetting, limits and admission credit. */
 class MechanismTest {
     private static final long SECOND = BalancerHarness.SECOND;
     private static final double[] NO_LOAD = new double[0];
@@ -45,7 +45,7 @@
 
     @Test
     void everyServerOfTheOwnZoneIsProbedOncePerIntervalAndProbesAreSpreadOut() {
-        // A single agent, so that the whole interval is its own.
+        // A single agent does not share the probe interval with others.
         BalancerHarness harness = new BalancerHarness(BalancerHarness.settings(
                         List.of(BalancerHarness.requestClass(Semantics.SAFE, Scope.ALL)),
                         new Permits(4, false, true, true, false, 0),
@@ -81,7 +81,9 @@
                         .count());
     }
 
-    /** Failed before: every agent probed every server once a second, however many agents there were. */
+    /**
+     * Guards against every agent probing every server once a second, so that probes grow with the number of agents.
+     */
     @Test
     void probeRatePerServerDoesNotGrowWithTheNumberOfAgents() {
         for (int agents : new int[] {5, 50, 500}) {
@@ -109,23 +111,25 @@
                 }
                 probes += harness.actionsOfKind("probe").size();
             }
-            // 4 servers over 10 s, each once a second by all agents together: 40.
+            // 4 servers over 10 s, each probed once a second by all agents together: 40 probes.
             assertTrue(probes >= 20 && probes <= 80, agents + " agents: " + probes);
         }
     }
 
-    /** Failed before: probes came as often whatever they cost. */
+    /** Guards against a probe interval that does not depend on the price of probes. */
     @Test
     void probeIntervalGrowsWithTheProbePrice() {
         int[] probes = new int[2];
-        for (int dear = 0; dear < 2; dear++) {
+        for (int expensive = 0; expensive < 2; expensive++) {
             var s = BalancerHarness.settings(
                     List.of(BalancerHarness.requestClass(Semantics.SAFE, Scope.ALL)),
                     new Permits(4, false, true, true, false, 0),
                     1,
                     1);
             BalancerHarness harness = new BalancerHarness(BalancerHarness.withPrices(
-                            s, new Balancer.Prices(0.2, dear == 0 ? 0.01 : 0.12, 0.05, 0.05, 0.01), s.obligations()))
+                            s,
+                            new Balancer.Prices(0.2, expensive == 0 ? 0.01 : 0.12, 0.05, 0.05, 0.01),
+                            s.obligations()))
                     .fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
             for (int i = 0; i < 6000; i++) {
                 int before = harness.actionsOfKind("probe").size();
@@ -136,10 +140,10 @@
                         .forEach(probe ->
                                 harness.balancer.probeOutcome(harness.now, probe.server(), Outcome.OK, 1000, NO_LOAD));
             }
-            probes[dear] = harness.actionsOfKind("probe").size();
+            probes[expensive] = harness.actionsOfKind("probe").size();
         }
-        assertTrue(probes[0] >= 48 && probes[0] <= 72, "30 s, two servers, one a second each: " + probes[0]);
-        assertTrue(probes[1] >= 14 && probes[1] <= 27, "a third of it at three times the price: " + probes[1]);
+        assertTrue(probes[0] >= 48 && probes[0] <= 72, "30 s, two servers, one probe a second each: " + probes[0]);
+        assertTrue(probes[1] >= 14 && probes[1] <= 27, "a third of the probes at three times the price: " + probes[1]);
     }
 
     @Test
@@ -182,7 +186,7 @@
         assertFalse(harness.hasLogged("active Unhealthy"));
     }
 
-    /** Serves requests; those that go to server 1 end with the given outcome, the first so many. */
+    /** Sends requests until the given number of them have failed at server 1; all others succeed. */
     private static void failOnServerOne(BalancerHarness harness, int failures, Outcome outcome) {
         int failed = 0;
         for (int i = 0; i < 400 && failed < failures; i++) {
@@ -195,7 +199,7 @@
             }
             harness.advance(20_000);
         }
-        assertEquals(failures, failed, "server 1 drew too little");
+        assertEquals(failures, failed, "too few requests were sent to server 1");
     }
 
     @Test
@@ -242,10 +246,10 @@
             }
             harness.advance(100_000);
         }
-        long removed = harness.logLines.stream()
+        long ejected = harness.logLines.stream()
                 .filter(l -> l.contains("passive Unhealthy"))
                 .count();
-        assertTrue(removed <= 2, "removed " + removed);
+        assertTrue(ejected <= 2, "ejected " + ejected);
     }
 
     @Test
@@ -263,10 +267,12 @@
         for (int i = 0; i < 40; i++) {
             ids.add(harness.request());
         }
-        assertTrue(ids.stream().noneMatch(id -> harness.lastServer(id) == 4), "first the own zone, and then wait");
+        assertTrue(ids.stream().noneMatch(id -> harness.lastServer(id) == 4), "own zone first, then the request waits");
         assertTrue(ids.stream().anyMatch(id -> harness.lastServer(id) == -1));
         harness.advance(250_000);
-        assertTrue(ids.stream().anyMatch(id -> harness.lastServer(id) == 4), "the wait has cost as much as crossing");
+        assertTrue(
+                ids.stream().anyMatch(id -> harness.lastServer(id) == 4),
+                "after a wait that equals the price of crossing");
     }
 
     @Test
@@ -294,17 +300,17 @@
         for (int i = 0; i < 20; i++) {
             harness.serveRequest(50_000);
         }
-        int toOne = 0;
+        int sentToServerOne = 0;
         for (int i = 0; i < 40; i++) {
             long id = harness.request();
-            for (int a = 0; a < harness.sends(id).size(); a++) {
-                boolean one = harness.sends(id).get(a).server() == 1;
-                toOne += one ? 1 : 0;
-                harness.endAttempt(id, a, one ? Outcome.FULL : Outcome.OK, one ? 4_000 : 50_000);
+            for (int attempt = 0; attempt < harness.sends(id).size(); attempt++) {
+                boolean atServerOne = harness.sends(id).get(attempt).server() == 1;
+                sentToServerOne += atServerOne ? 1 : 0;
+                harness.endAttempt(id, attempt, atServerOne ? Outcome.FULL : Outcome.OK, atServerOne ? 4_000 : 50_000);
             }
             harness.advance(10_000);
         }
-        assertTrue(toOne <= 6, "sent " + toOne);
+        assertTrue(sentToServerOne <= 6, "sent " + sentToServerOne);
     }
 
     @Test
@@ -328,10 +334,10 @@
 
     @Test
     void theMoreValuableOfTwoQueuedClassesIsDispatchedFirst() {
-        var cheap = new Balancer.RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, false);
-        var dear = new Balancer.RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 8, 0, false);
+        var lowWorth = new Balancer.RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, false);
+        var highWorth = new Balancer.RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 8, 0, false);
         BalancerHarness harness = new BalancerHarness(BalancerHarness.settings(
-                        List.of(cheap, dear), new Permits(3, false, true, true, false, 0), 1, 2))
+                        List.of(lowWorth, highWorth), new Permits(3, false, true, true, false, 0), 1, 2))
                 .fullList(BalancerHarness.server(1, 0));
         List<Long> first = new ArrayList<>();
         while (first.isEmpty() || harness.lastServer(first.get(first.size() - 1)) == 1) {
@@ -354,7 +360,7 @@
             harness.serveRequest(300_000);
         }
         for (int i = 0; i < 60; i++) {
-            harness.request(); // more than one server can take: most wait and are refused
+            harness.request(); // more than one server can handle: most wait and are refused
         }
         harness.advance(SECOND);
         harness.balancer.request(
@@ -375,9 +381,9 @@
         for (int i = 0; i < 40; i++) {
             newer.add(harness.request());
         }
-        harness.advance(200_000); // the old may cross since 200 ms of waiting, and have filled the other zone
+        harness.advance(200_000); // the older requests may cross after 200 ms and have filled the other zone
         assertTrue(newer.stream().noneMatch(id -> harness.lastServer(id) == 4));
-        harness.advance(30_000); // now the newer may, too
+        harness.advance(30_000); // now the newer requests may cross as well
         harness.actions.stream()
                 .filter(a -> a.kind().equals("send") && a.server() == 4)
                 .toList()
@@ -393,7 +399,7 @@
             harness.serveRequest(400_000);
         }
         harness.updateServers(Balancer.ListKind.FULL, BalancerHarness.server(3, 0, Balancer.Phase.READY, harness.now));
-        long early = harness.request(); // a fifth of its capacity: two seconds for a request wanted within one
+        long early = harness.request(); // at a fifth of its capacity a request takes two seconds, and the aim is one
         assertEquals(-1, harness.lastServer(early));
         harness.advance(15 * SECOND);
         assertEquals(3, harness.lastServer(harness.request()));
@@ -406,10 +412,10 @@
         for (int i = 0; i < 20; i++) {
             harness.serveRequest(50_000);
         }
-        failProbes(harness, 1, 3); // the first is excused by the answers before it
+        failProbes(harness, 1, 3); // the first is ignored because of the responses before it
         harness.advance(SECOND);
         harness.balancer.probeOutcome(harness.now, 1, Outcome.OK, 1000, NO_LOAD);
-        harness.serveRequest(50_000); // the one request a cold server may have at once
+        harness.serveRequest(50_000); // the only request that a cold server may have in flight
         assertEquals(-1, harness.lastServer(harness.request()));
         harness.advance(6 * SECOND);
         for (int i = 0; i < 3; i++) {
@@ -431,16 +437,16 @@
         }
         harness.serveRequest(20_000);
         long paused = harness.request();
-        assertEquals(-1, harness.lastServer(paused), "thirteen agents with one request each would be too much");
+        assertEquals(-1, harness.lastServer(paused), "one request of each of thirteen agents would be too much");
         harness.advance(100_000);
         assertEquals(1, harness.lastServer(paused));
         harness.endAttempt(paused, 0, Outcome.OK, 100_000);
         harness.advance(SECOND);
         harness.serveRequest(20_000);
-        assertEquals(1, harness.lastServer(harness.request()), "three fast answers have lifted the limit over one");
+        assertEquals(1, harness.lastServer(harness.request()), "three fast responses have raised the limit above one");
     }
 
-    /** First tries bring 3 of the 4 s for all tries; returns a hand with one busy server and requests held. */
+    /** Returns a harness with one server, where first tries have a timeout of 3 s out of the 4 s for all tries. */
     private static BalancerHarness harnessWithKnownUsualTimeout(boolean busy) {
         BalancerHarness harness =
                 new BalancerHarness(BalancerHarness.safeSettings()).fullList(BalancerHarness.server(1, 0));
@@ -453,9 +459,10 @@
         return harness;
     }
 
-    private static BalancerHarness.RecordedAction requestWithTimeout(BalancerHarness harness, long left) {
+    private static BalancerHarness.RecordedAction requestWithTimeout(BalancerHarness harness, long timeout) {
         int before = harness.actions.size();
-        harness.balancer.request(harness.now, new Balancer.Request(777, 0, 0, 0, 0, harness.now + left, false, false));
+        harness.balancer.request(
+                harness.now, new Balancer.Request(777, 0, 0, 0, 0, harness.now + timeout, false, false));
         return harness.actions.subList(before, harness.actions.size()).stream()
                 .filter(a -> a.id() == 777 && !a.kind().equals("timer"))
                 .findFirst()
@@ -468,17 +475,17 @@
                 "refuse",
                 requestWithTimeout(harnessWithKnownUsualTimeout(true), 2 * SECOND)
                         .kind(),
-                "two of four seconds are spent");
-        assertEquals(null, requestWithTimeout(harnessWithKnownUsualTimeout(true), 3 * SECOND), "a first try is held");
+                "two of four seconds have passed");
+        assertEquals(null, requestWithTimeout(harnessWithKnownUsualTimeout(true), 3 * SECOND), "a first try is queued");
         assertEquals(
                 null,
                 requestWithTimeout(harnessWithKnownUsualTimeout(true), 3 * SECOND + 900_000),
-                "an early repeat has time left");
+                "an early retry has time left");
         assertEquals(
                 "send",
                 requestWithTimeout(harnessWithKnownUsualTimeout(false), 2 * SECOND)
                         .kind(),
-                "while nobody waits it is served");
+                "it is served while no other request waits");
     }
 
     @Test
@@ -493,10 +500,13 @@
         for (int i = 0; i < 30; i++) {
             harness.request();
         }
-        assertEquals(null, requestWithTimeout(harness, 3 * SECOND), "held, not refused");
+        assertEquals(null, requestWithTimeout(harness, 3 * SECOND), "queued, not refused");
     }
 
-    /** One agent and sixty servers: what limits by server leave open is left to the credit. */
+    /**
+     * With one agent and sixty servers, the limits of the servers are not reached and only the admission credit
+     * applies.
+     */
     private static BalancerHarness oneAgentWithSixtyServers() {
         Server[] servers = new Server[60];
         Arrays.setAll(servers, i -> BalancerHarness.server(i + 1, 0));
@@ -508,31 +518,31 @@
                 .fullList(servers);
     }
 
-    /** Failed before: work that runs out of time at full servers was sent on and on, 26 a second of 50. */
+    /** Guards against sending on to servers where all requests time out: 26 of 50 requests per second were sent. */
     @Test
     void admissionCreditLimitsAttemptsThatTimeOutUntilResponsesReplenishIt() {
         BalancerHarness harness = oneAgentWithSixtyServers();
-        assertTrue(harness.runLoad(4, Outcome.OK, 40_000, 50, 0) > 195, "while servers answer all is sent");
+        assertTrue(harness.runLoad(4, Outcome.OK, 40_000, 50, 0) > 195, "all requests are sent while servers respond");
         harness.runLoad(8, Outcome.TIMEOUT, 900_000, 50, 0);
         int sent = harness.runLoad(2, Outcome.TIMEOUT, 900_000, 50, 0);
-        assertTrue(sent > 0 && sent < 10, "some are tried still, " + sent);
+        assertTrue(sent > 0 && sent < 10, "some are still sent: " + sent);
         harness.runLoad(12, Outcome.OK, 40_000, 50, 0);
-        assertTrue(harness.runLoad(2, Outcome.OK, 40_000, 50, 0) > 95, "and all again once they are answered");
+        assertTrue(harness.runLoad(2, Outcome.OK, 40_000, 50, 0) > 95, "all are sent again once servers respond");
     }
 
-    /** Failed before: answers that pass slowly kept what they had been paid with, and in the end nothing was sent. */
+    /** Guards against slowly streamed responses that hold their credit until nothing is sent any more. */
     @Test
     void streamingResponsesHoldNoCredit() {
         BalancerHarness harness = withLimitedCredit(oneAgentWithSixtyServers());
         for (int i = 0; i < 60; i++) {
             long id = harness.request();
             harness.advance(20_000);
-            assertEquals(1, harness.sends(id).size(), "after " + i + " that pass");
+            assertEquals(1, harness.sends(id).size(), "after " + i + " streaming responses");
             harness.balancer.streamStarted(harness.now, id, 0, harness.lastServer(id), 20_000);
         }
     }
 
-    /** One finds no room: from now on what is sent has to be paid for. */
+    /** Lets one attempt time out at an overloaded server; from then on the admission credit is limited. */
     private static BalancerHarness withLimitedCredit(BalancerHarness harness) {
         long lost = harness.request();
         harness.advance(900_000);
@@ -540,7 +550,7 @@
         return harness;
     }
 
-    /** How many of a hundred that come at once are sent. */
+    /** Returns how many of a hundred simultaneous requests are sent. */
     private static int sentOfOneHundred(BalancerHarness harness) {
         int before = harness.actionsOfKind("send").size();
         for (int i = 0; i < 100; i++) {
@@ -551,35 +561,38 @@
 
     @Test
     void accumulatedCreditIsBounded() {
-        assertEquals(100, sentOfOneHundred(oneAgentWithSixtyServers()), "nothing has found no room yet");
+        assertEquals(
+                100, sentOfOneHundred(oneAgentWithSixtyServers()), "no attempt has found an overloaded server yet");
         int few = sentOfOneHundred(withLimitedCredit(oneAgentWithSixtyServers()));
-        assertTrue(few >= 10 && few < 30, "after one that found no room " + few);
+        assertTrue(few >= 10 && few < 30, "after one timeout: " + few);
         BalancerHarness served = withLimitedCredit(oneAgentWithSixtyServers());
         served.runLoad(60, Outcome.OK, 10_000, 20, 0);
         int more = sentOfOneHundred(served);
-        assertTrue(more >= 20 && more < 50, "a minute's answers are not all saved up, " + more);
+        assertTrue(more >= 20 && more < 50, "not all credit of a minute's responses is kept: " + more);
     }
 
     @Test
     void aStreamedResponseEarnsCreditOnlyOnce() {
         BalancerHarness harness = withLimitedCredit(oneAgentWithSixtyServers());
-        sentOfOneHundred(harness); // the credit is used up
+        sentOfOneHundred(harness); // uses up the credit
         int before = harness.actionsOfKind("send").size();
-        List<BalancerHarness.RecordedAction> out = harness.actionsOfKind("send").subList(1, before);
-        for (BalancerHarness.RecordedAction each : out) {
-            harness.balancer.streamStarted(harness.now, each.id(), 0, each.server(), 20_000);
+        List<BalancerHarness.RecordedAction> inFlight =
+                harness.actionsOfKind("send").subList(1, before);
+        for (BalancerHarness.RecordedAction send : inFlight) {
+            harness.balancer.streamStarted(harness.now, send.id(), 0, send.server(), 20_000);
         }
-        int begun = harness.actionsOfKind("send").size() - before;
-        for (BalancerHarness.RecordedAction each : out) {
-            harness.endAttempt(each.id(), 0, Outcome.OK, 20_000);
+        int sentAfterStart = harness.actionsOfKind("send").size() - before;
+        for (BalancerHarness.RecordedAction send : inFlight) {
+            harness.endAttempt(send.id(), 0, Outcome.OK, 20_000);
         }
-        int ended = harness.actionsOfKind("send").size() - before - begun;
+        int sentAfterEnd = harness.actionsOfKind("send").size() - before - sentAfterStart;
         assertTrue(
-                begun >= out.size() && ended <= 2,
-                begun + " when " + out.size() + " began, " + ended + " at their end");
+                sentAfterStart >= inFlight.size() && sentAfterEnd <= 2,
+                sentAfterStart + " sent when " + inFlight.size() + " streams started, " + sentAfterEnd
+                        + " when they ended");
     }
 
-    /** What fails at once, or was never wanted for longer, has found no full server, and costs nothing. */
+    /** Attempts that fail fast did not find an overloaded server and cost no credit. */
     @ParameterizedTest
     @EnumSource(
             value = Outcome.class,
@@ -607,7 +620,7 @@
         }
     }
 
-    /** Where clients mark repeats and give no hints, one that brings little time is still a first try. */
+    /** If clients mark their retries and send no cost hints, a request with a short timeout is a first try. */
     @Test
     void shortTimeoutsAreNotTakenForRetriesOnceClientsMarkThem() {
         BalancerHarness harness = harnessWithKnownUsualTimeout(false);
@@ -624,11 +637,11 @@
         for (int i = 0; i < 30; i++) {
             harness.request();
         }
-        assertEquals(null, requestWithTimeout(harness, 2 * SECOND), "held like all others, and not refused");
+        assertEquals(null, requestWithTimeout(harness, 2 * SECOND), "queued like all others, not refused");
         assertTrue(harness.actionsOfKind("send").size() > demand);
     }
 
-    /** The first of all its tries counts, not the last one before it. */
+    /** The time already elapsed is counted from the first try, not from the previous one. */
     @Test
     void theElapsedTimeOfAThirdTryCountsFromTheFirst() {
         BalancerHarness harness = harnessWithKnownUsualTimeout(false);
@@ -641,7 +654,7 @@
         }
         harness.balancer.request(
                 harness.now, new Balancer.Request(903, 0, 0, 0, 5_000, harness.now + 3 * SECOND, true, false));
-        assertEquals(1, harness.actionsFor("refuse", 903).size(), "1.2 s of 1 s are over");
+        assertEquals(1, harness.actionsFor("refuse", 903).size(), "1.2 s have passed of an aim of 1 s");
     }
 
     @Test
@@ -655,7 +668,7 @@
             }
         }
         harness.advance(3 * SECOND);
-        for (int i : new int[] {0, 1_099}) { // the first is forgotten, the last is known to be past its aim
+        for (int i : new int[] {0, 1_099}) { // the first has been dropped, the last is known to be past its aim
             harness.balancer.request(
                     harness.now,
                     new Balancer.Request(9_000 + i, 0, 0, 0, 5_000 + i, harness.now + 3 * SECOND, true, false));
@@ -682,33 +695,33 @@
                         BalancerHarness.server(5, 0),
                         BalancerHarness.server(6, 0));
         for (int i = 0; i < 100; i++) {
-            harness.request(); // more than all have room for
+            harness.request(); // more than all servers have capacity for
         }
         List<BalancerHarness.RecordedAction> first = List.copyOf(harness.actionsOfKind("send"));
         List<BalancerHarness.RecordedAction> failed = first.subList(0, 8);
-        failed.forEach(each -> harness.endAttempt(each.id(), 0, Outcome.ERROR, 1_000));
-        assertTrue(failed.stream().anyMatch(each -> harness.sends(each.id()).size() == 1), "repeats wait");
+        failed.forEach(send -> harness.endAttempt(send.id(), 0, Outcome.ERROR, 1_000));
+        assertTrue(failed.stream().anyMatch(send -> harness.sends(send.id()).size() == 1), "retries wait");
         int before = harness.actionsOfKind("send").size();
         harness.updateServers(Balancer.ListKind.DELTA, drainingServer(1), drainingServer(2), drainingServer(3));
         harness.advance(100_000);
-        first.subList(8, first.size()).forEach(each -> harness.endAttempt(each.id(), 0, Outcome.OK, 100_000));
+        first.subList(8, first.size()).forEach(send -> harness.endAttempt(send.id(), 0, Outcome.OK, 100_000));
         harness.advance(2 * SECOND);
         List<BalancerHarness.RecordedAction> after = harness.actionsOfKind("send")
                 .subList(before, harness.actionsOfKind("send").size());
-        assertTrue(after.stream().allMatch(each -> each.server() > 3), "nothing new to those that drain");
+        assertTrue(after.stream().allMatch(send -> send.server() > 3), "no new request to draining servers");
         assertTrue(
-                after.stream().anyMatch(each -> failed.stream().anyMatch(one -> one.id() == each.id())),
-                "repeats go on");
-        for (BalancerHarness.RecordedAction each : failed) {
+                after.stream().anyMatch(send -> failed.stream().anyMatch(failedSend -> failedSend.id() == send.id())),
+                "retries are sent");
+        for (BalancerHarness.RecordedAction send : failed) {
             assertEquals(
                     1,
-                    harness.actionsFor("refuse", each.id()).size()
-                            + harness.actionsFor("fail", each.id()).size(),
-                    "one end");
+                    harness.actionsFor("refuse", send.id()).size()
+                            + harness.actionsFor("fail", send.id()).size(),
+                    "one final answer");
         }
     }
 
-    /** The clock moves on by the processor time used, and may jump: nothing is sent past its end then. */
+    /** The clock may jump when the process gets no processor time. Nothing may be sent after its expiry then. */
     @Test
     void aQueuedRequestThatExpiresInAClockJumpIsRefusedAndNotSent() {
         BalancerHarness harness = harnessWithKnownUsualTimeout(true);
@@ -719,19 +732,19 @@
         assertTrue(
                 harness.sends(901).isEmpty()
                         && harness.actionsFor("refuse", 901).isEmpty(),
-                "held");
-        harness.now += 200_000; // no timer has come yet
+                "queued");
+        harness.now += 200_000; // no timer has fired yet
         int sent = harness.actionsOfKind("send").size();
         harness.endAttempt(
-                out.id(), 0, Outcome.OK, 100_000); // there is room for one, and the newest is looked at first
+                out.id(), 0, Outcome.OK, 100_000); // frees capacity for one, and the newest is considered first
         assertTrue(harness.sends(901).isEmpty());
         harness.advance(BalancerHarness.TICK);
-        assertEquals(1, harness.actionsFor("refuse", 901).size(), "at once");
+        assertEquals(1, harness.actionsFor("refuse", 901).size(), "refused at once");
         harness.advance(50_000);
-        assertTrue(harness.actionsOfKind("send").size() > sent, "there was room, and another one goes");
+        assertTrue(harness.actionsOfKind("send").size() > sent, "there is capacity, and another request is sent");
     }
 
-    /** One of a caller that waits a quarter of the usual answer's time; returns what was done with it at once. */
+    /** Sends a request of a client that waits only a fraction of the usual latency; returns the immediate action. */
     private static String requestWithShortDeadline(BalancerHarness harness, long id, long cost, boolean repeated) {
         int before = harness.actions.size();
         harness.balancer.request(
@@ -740,10 +753,10 @@
                 .filter(a -> a.id() == id && !a.kind().equals("timer"))
                 .map(BalancerHarness.RecordedAction::kind)
                 .findFirst()
-                .orElse("held");
+                .orElse("queued");
     }
 
-    /** Failed before: the little time that its repeat brings was taken for time spent, and refused at once. */
+    /** Guards against taking the short timeout of such a retry for time already elapsed, and refusing it at once. */
     @Test
     void theRetryOfAClientWithAShortDeadlineIsServedIfThereIsCapacity() {
         BalancerHarness harness = harnessWithKnownUsualTimeout(false);
@@ -754,7 +767,7 @@
         assertEquals("send", requestWithShortDeadline(harness, 902, 5_000, true));
     }
 
-    /** Failed before: what a repeat has behind it was reckoned from others of its class, here nothing. */
+    /** Guards against estimating the time that a retry has already elapsed from other requests of its class. */
     @Test
     void aRetryRecognizedByItsCostHintIsRefusedOnceItsFirstTryIsPastTheAim() {
         BalancerHarness harness = harnessWithKnownUsualTimeout(false);
@@ -762,7 +775,7 @@
         harness.balancer.clientLeft(harness.now, 901);
         harness.endAttempt(901, 0, Outcome.CANCELLED, 0);
         harness.advance(500_000);
-        assertEquals("send", requestWithShortDeadline(harness, 902, 6_000, true), "another one's repeat");
+        assertEquals("send", requestWithShortDeadline(harness, 902, 6_000, true), "the retry of another request");
         harness.advance(3 * SECOND);
         harness.balancer.request(
                 harness.now, new Balancer.Request(903, 0, 0, 0, 5_000, harness.now + 3 * SECOND, true, false));
@@ -770,19 +783,19 @@
         assertTrue(harness.sends(903).isEmpty());
     }
 
-    /** Failed before: work for those who will hardly wait took the room of those who would. */
+    /** Guards against requests that are unlikely to be answered in time taking capacity from those that are. */
     @Test
     void clientsWithShortDeadlinesAreRefusedWhileOtherRequestsAreShed() {
         BalancerHarness harness = harnessWithKnownUsualTimeout(true);
-        harness.clientRetry(); // clients here mark their repeats
-        harness.advance(SECOND + 10_000); // those held are turned away
+        harness.clientRetry(); // clients mark their retries
+        harness.advance(SECOND + 10_000); // the queued requests are shed
         assertEquals("refuse", requestWithShortDeadline(harness, 901, 5_000, false));
         harness.actionsOfKind("send").stream()
-                .filter(each -> each.id() < 900)
-                .forEach(each -> harness.endAttempt(each.id(), 0, Outcome.TIMEOUT, SECOND));
+                .filter(send -> send.id() < 900)
+                .forEach(send -> harness.endAttempt(send.id(), 0, Outcome.TIMEOUT, SECOND));
         harness.advance(6 * SECOND);
         assertEquals(
-                "send", requestWithShortDeadline(harness, 902, 6_000, false), "a second later there is room again");
+                "send", requestWithShortDeadline(harness, 902, 6_000, false), "a second later there is capacity again");
     }
 
     @Test
@@ -875,11 +888,11 @@
             harness.advance(2 * SECOND);
         }
         Set<Long> some = keysSentToOtherZone(harness);
-        assertTrue(!some.isEmpty() && some.size() < 100, some.size() + " of 100 keys cross");
-        assertTrue(some.containsAll(keysSentToOtherZone(harness)), "the same keys, fewer as the zone is quiet");
+        assertTrue(!some.isEmpty() && some.size() < 100, some.size() + " of 100 keys cross zones");
+        assertTrue(some.containsAll(keysSentToOtherZone(harness)), "the same keys, and fewer as the zone is idle");
     }
 
-    /** Which of a hundred keys, asked for one at a time, are sent to zone 1 at once. */
+    /** Returns which of a hundred keys, requested one at a time, are sent to zone 1 at once. */
     private static Set<Long> keysSentToOtherZone(BalancerHarness harness) {
         Set<Long> crossed = new TreeSet<>();
         for (long key = 1; key <= 100; key++) {
@@ -931,7 +944,7 @@
                 .count();
     }
 
-    /** Failed before: a light agent among hundreds opened a connection to every server there was. */
+    /** Guards against an agent with little traffic, one of hundreds, opening connections to every server. */
     @Test
     void aLightAgentAmongManyUsesFewServersAndABusyOneUsesMore() {
         BalancerHarness light = oneOfMany(400, 40);
@@ -961,7 +974,7 @@
         assertTrue(serversUsed(few) >= 30, "used " + serversUsed(few));
     }
 
-    /** Failed before (in a first draft): counted by what is out, the subset grew in a jam, and the jam with it. */
+    /** Guards against a subset that grows with the requests in flight, which would increase an overload. */
     @Test
     void overloadDoesNotWidenTheSubset() {
         BalancerHarness harness = oneOfMany(400, 40);
@@ -998,7 +1011,7 @@
         assertTrue(!first.contains(harness.lastServer(id)) && harness.lastServer(id) > 0);
     }
 
-    /** Those that a subset loses are replaced in its probes as well: else nobody looks after what it draws from. */
+    /** Replacements of failed servers have to be probed too, or the health of the servers in use would be unknown. */
     @Test
     void replacementServersAreProbedIfAWholeSubsetFails() {
         Server[] list = new Server[40];
@@ -1027,7 +1040,7 @@
         assertTrue(probed > 3, "probed " + probed);
     }
 
-    /** A full table of connections refuses while the server serves those it has: no restart, and a rest for all. */
+    /** A server with a full connection table refuses connections while it serves the existing ones. */
     @Test
     void aRefusedConnectionBacksOffTheServerForEveryClassAndIsNotARestart() {
         var types = List.of(
@@ -1041,7 +1054,7 @@
         }
         long refused = harness.request();
         harness.endAttempt(refused, 0, Outcome.CONNECT_FAILED, 1_000);
-        assertEquals(-1, harness.lastServer(harness.request(1, 0)), "the other class waits, too");
+        assertEquals(-1, harness.lastServer(harness.request(1, 0)), "the other class waits as well");
         harness.advance(SECOND);
         assertEquals(1, harness.lastServer(harness.request(1, 0)));
         harness.advance(SECOND);
@@ -1049,7 +1062,7 @@
         assertTrue(!harness.hasLogged("cold"), String.join("; ", harness.logLines));
     }
 
-    /** Failed before (in a first draft): one that came back was taken for idle while requests were out there. */
+    /** Guards against taking a relisted server for idle while requests are in flight there. */
     @Test
     void aRelistedServerKeepsItsCountOfRequestsInFlight() {
         BalancerHarness harness = new BalancerHarness(BalancerHarness.settings(
@@ -1065,7 +1078,7 @@
         harness.fullList(BalancerHarness.server(2, 0));
         harness.fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
         for (int i = 0; i < 3; i++) {
-            assertEquals(2, harness.lastServer(harness.request()), "the less busy");
+            assertEquals(2, harness.lastServer(harness.request()), "the less loaded server");
         }
     }
 
@@ -1080,15 +1093,15 @@
         int toFast = 0;
         for (int i = 0; i < 100; i++) {
             long id = harness.request();
-            long spent = harness.lastServer(id) == 1 ? 40_000 : 120_000;
-            harness.advance(spent);
-            harness.endAttempt(id, 0, Outcome.OK, spent);
+            long elapsed = harness.lastServer(id) == 1 ? 40_000 : 120_000;
+            harness.advance(elapsed);
+            harness.endAttempt(id, 0, Outcome.OK, elapsed);
             toFast += harness.lastServer(id) == 1 ? 1 : 0;
         }
-        assertTrue(toFast >= 85, "to the faster " + toFast);
+        assertTrue(toFast >= 85, "sent to the faster server: " + toFast);
     }
 
-    /** Failed before: each of hundreds of agents sent one request to every server of its subset at once. */
+    /** Guards against hundreds of agents that each send a request to every server of their subsets at once. */
     @Test
     void manyAgentsTogetherStartWithFewRequestsInFlight() {
         BalancerHarness harness = oneOfMany(400, 40);
@@ -1103,7 +1116,7 @@
         assertEquals(10, few.actionsOfKind("send").size());
     }
 
-    /** Failed before: a late answer paused a server for no longer than a merely slow one. */
+    /** Guards against pausing a server after a late response for no longer than after a slow one. */
     @Test
     void aResponsePastTheAimPausesAServerForLongerThanASlowOne() {
         long[] sentAgainAfter = new long[2];
@@ -1114,9 +1127,10 @@
                 harness.advance(SECOND);
             }
             long slow = harness.request();
-            long spent = late == 0 ? 900_000 : 1_100_000; // the aim is one second
-            harness.advance(spent);
-            harness.balancer.outcome(harness.now, slow, 0, harness.lastServer(slow), Outcome.OK, spent, true, NO_LOAD);
+            long elapsed = late == 0 ? 900_000 : 1_100_000; // the aim is one second
+            harness.advance(elapsed);
+            harness.balancer.outcome(
+                    harness.now, slow, 0, harness.lastServer(slow), Outcome.OK, elapsed, true, NO_LOAD);
             long began = harness.now;
             int sends = harness.actionsOfKind("send").size();
             while (harness.actionsOfKind("send").size() == sends && harness.now < began + 60 * SECOND) {
--- a/src/test/java/gatefront/policy/OnCallTest.java
+++ b/src/test/java/gatefront/policy/OnCallTest.java
@@ -15,11 +15,11 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** The on-call page shows the lines that the module really prints, all of them and no others. */
+/** Checks that the on-call page shows exactly the lines that the policy logs. */
 class OnCallTest {
     private static final long SECOND = BalancerHarness.SECOND;
 
-    /** Every change of state there is, brought about once. */
+    /** Causes every logged change of state once and returns the lines, with their numbers replaced. */
     private static Set<String> printedLines() {
         BalancerHarness harness = new BalancerHarness(BalancerHarness.safeSettings())
                 .fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
--- a/src/test/java/gatefront/policy/QuantileEstimatorTest.java
+++ b/src/test/java/gatefront/policy/QuantileEstimatorTest.java
@@ -30,7 +30,7 @@
             quantile.add(3 * random.nextDouble());
         }
         assertEquals(2.4, quantile.value(), 0.36);
-        assertEquals(0.8, quantile.minimum(), 0.25, "the lowest stays where it was quiet");
+        assertEquals(0.8, quantile.minimum(), 0.25, "the minimum stays at the earlier, lower value");
     }
 
     @Test
--- a/src/test/java/gatefront/policy/RandomRunTest.java
+++ b/src/test/java/gatefront/policy/RandomRunTest.java
@@ -22,13 +22,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Legal events in a random order over varied settings, with a checker of its own for the rules on answers,
- * repeats and drains, and for determinism. Outcomes are drawn by lot: there is no model of a server here.
+ * Sends legal events in random order under varied settings, and checks the rules on final answers, retries and
+ * drains, and that runs are deterministic. Outcomes are random; servers are not modelled.
  */
 class RandomRunTest {
     private static final long SECOND = BalancerHarness.SECOND;
 
-    /** What the checker knows of a request. */
+    /** The checker's record of a request. */
     private static final class TrackedRequest {
         final RequestClass requestClass;
         final long deadline;
@@ -59,7 +59,7 @@
     void rulesHoldAndEqualEventsGiveEqualActions(long seed) {
         List<BalancerHarness.RecordedAction> first = run(seed);
         long sent = first.stream().filter(a -> a.kind().equals("send")).count();
-        assertTrue(sent > 100, "too little was sent: " + sent);
+        assertTrue(sent > 100, "too few requests were sent: " + sent);
         requests.clear();
         listedServers.clear();
         checkedActions = 0;
@@ -112,18 +112,18 @@
             checkNewActions();
         }
         for (Map.Entry<Long, TrackedRequest> e : requests.entrySet()) {
-            TrackedRequest known = e.getValue();
-            boolean served = known.outcomes.contains(Outcome.OK);
+            TrackedRequest tracked = e.getValue();
+            boolean served = tracked.outcomes.contains(Outcome.OK);
             assertTrue(
-                    known.clientLeft || served && known.finalAnswers == 0 || known.finalAnswers == 1,
+                    tracked.clientLeft || served && tracked.finalAnswers == 0 || tracked.finalAnswers == 1,
                     "request " + e.getKey());
         }
         return List.copyOf(harness.actions);
     }
 
     private void randomEvent(SplittableRandom random, List<RequestClass> classes, int zones) {
-        int what = random.nextInt(20);
-        if (what == 0) {
+        int kind = random.nextInt(20);
+        if (kind == 0) {
             Server server = new Server(
                     1 + random.nextInt(8),
                     random.nextInt(zones),
@@ -133,22 +133,22 @@
                     1,
                     random.nextInt(9) == 0 ? harness.now : 0);
             Server before = listedServers.get(server.id());
-            if (before != null) { // a server keeps its place
+            if (before != null) { // a server keeps its zone and cell
                 server =
                         new Server(server.id(), before.zone(), before.cell(), 0, server.phase(), 1, server.startedAt());
             }
             listedServers.put(server.id(), server);
             harness.updateServers(ListKind.DELTA, server);
-        } else if (what == 1) {
+        } else if (kind == 1) {
             harness.balancer.probeOutcome(
                     harness.now,
                     1 + random.nextInt(8),
                     Outcome.values()[Math.max(0, random.nextInt(20) - 16)],
                     1000,
                     new double[0]);
-        } else if (what == 2) {
+        } else if (kind == 2) {
             harness.updateServers(ListKind.FAILED);
-        } else if (what < 10) {
+        } else if (kind < 10) {
             int c = random.nextInt(classes.size());
             long deadline = harness.now + 300_000 + random.nextLong(3 * SECOND);
             long id = 1_000_000 + requests.size();
@@ -174,42 +174,42 @@
     }
 
     private void endAttempts(SplittableRandom random, long id) {
-        TrackedRequest known = requests.get(id);
+        TrackedRequest tracked = requests.get(id);
         int roll = random.nextInt(60);
-        if (roll == 0 && known.finalAnswers == 0 && !known.outcomes.contains(Outcome.OK)) {
-            known.clientLeft = true;
+        if (roll == 0 && tracked.finalAnswers == 0 && !tracked.outcomes.contains(Outcome.OK)) {
+            tracked.clientLeft = true;
             harness.balancer.clientLeft(harness.now, id);
             checkNewActions();
         }
-        for (int a = 0; a < known.outcomes.size(); a++) {
-            if (known.outcomes.get(a) == null && roll < 20) {
+        for (int a = 0; a < tracked.outcomes.size(); a++) {
+            if (tracked.outcomes.get(a) == null && roll < 20) {
                 Outcome outcome = Outcome.values()[Math.max(0, random.nextInt(40) - 32)];
-                boolean closed = known.clientLeft || known.finalAnswers > 0 || outcome == Outcome.OK;
-                known.outcomes.set(a, outcome);
+                boolean closed = tracked.clientLeft || tracked.finalAnswers > 0 || outcome == Outcome.OK;
+                tracked.outcomes.set(a, outcome);
                 harness.balancer.outcome(
-                        harness.now, id, a, known.servers.get(a), outcome, 1000, closed, new double[0]);
+                        harness.now, id, a, tracked.servers.get(a), outcome, 1000, closed, new double[0]);
                 checkNewActions();
             }
         }
     }
 
-    /** Looks at the actions not seen yet. */
+    /** Checks the actions since the last call. */
     private void checkNewActions() {
         for (; checkedActions < harness.actions.size(); checkedActions++) {
-            BalancerHarness.RecordedAction act = harness.actions.get(checkedActions);
-            TrackedRequest known = requests.get(act.id());
-            switch (act.kind()) {
-                case "send" -> checkSend(act, known);
+            BalancerHarness.RecordedAction action = harness.actions.get(checkedActions);
+            TrackedRequest tracked = requests.get(action.id());
+            switch (action.kind()) {
+                case "send" -> checkSend(action, tracked);
                 case "refuse", "fail" -> {
-                    assertEquals(0, known.finalAnswers, "one final answer");
-                    assertFalse(known.clientLeft || known.outcomes.contains(Outcome.OK), "nothing is owed");
-                    assertTrue(harness.now <= known.deadline + 20_000, "in time");
-                    known.finalAnswers++;
-                    for (int a = 0; a < known.outcomes.size() && act.kind().equals("refuse"); a++) {
-                        boolean harmless = known.requestClass.semantics() == Semantics.SAFE
-                                || !known.mayHaveRun(a)
-                                || known.requestClass.semantics() == Semantics.KEYED
-                                        && known.requestClass.scope() == Scope.ALL;
+                    assertEquals(0, tracked.finalAnswers, "one final answer");
+                    assertFalse(tracked.clientLeft || tracked.outcomes.contains(Outcome.OK), "no answer is due");
+                    assertTrue(harness.now <= tracked.deadline + 20_000, "in time");
+                    tracked.finalAnswers++;
+                    for (int a = 0; a < tracked.outcomes.size() && action.kind().equals("refuse"); a++) {
+                        boolean harmless = tracked.requestClass.semantics() == Semantics.SAFE
+                                || !tracked.mayHaveRun(a)
+                                || tracked.requestClass.semantics() == Semantics.KEYED
+                                        && tracked.requestClass.scope() == Scope.ALL;
                         assertTrue(harmless, "a refusal is harmless");
                     }
                 }
@@ -220,31 +220,35 @@
         }
     }
 
-    private void checkSend(BalancerHarness.RecordedAction act, TrackedRequest known) {
-        assertEquals(0, known.finalAnswers, "nothing is sent after the answer");
-        assertFalse(known.clientLeft || known.outcomes.contains(Outcome.OK), "nothing is sent after the end");
-        assertEquals(Phase.READY, listedServers.get(act.server()).phase());
-        assertTrue(known.outcomes.size() < permits.maxAttempts(), "attempts");
-        for (int a = 0; a < known.outcomes.size(); a++) {
-            if (known.outcomes.get(a) == null) {
-                assertTrue(permits.duplicates() && known.requestClass.semantics() == Semantics.SAFE, "two at once");
+    private void checkSend(BalancerHarness.RecordedAction action, TrackedRequest tracked) {
+        assertEquals(0, tracked.finalAnswers, "nothing is sent after the answer");
+        assertFalse(tracked.clientLeft || tracked.outcomes.contains(Outcome.OK), "nothing is sent after the end");
+        assertEquals(Phase.READY, listedServers.get(action.server()).phase());
+        assertTrue(tracked.outcomes.size() < permits.maxAttempts(), "maximum number of attempts");
+        for (int a = 0; a < tracked.outcomes.size(); a++) {
+            if (tracked.outcomes.get(a) == null) {
+                assertTrue(
+                        permits.duplicates() && tracked.requestClass.semantics() == Semantics.SAFE,
+                        "two attempts in flight");
             }
-            if (known.mayHaveRun(a)) {
-                assertTrue(known.requestClass.semantics() != Semantics.UNSAFE, "unsafe may have run");
-                if (known.requestClass.semantics() == Semantics.KEYED) {
-                    assertTrue(harness.now < known.sentAt.get(a) + known.requestClass.window(), "window");
-                    Server old = listedServers.get(known.servers.get(a));
-                    Server next = listedServers.get(act.server());
+            if (tracked.mayHaveRun(a)) {
+                assertTrue(tracked.requestClass.semantics() != Semantics.UNSAFE, "an unsafe request may have run");
+                if (tracked.requestClass.semantics() == Semantics.KEYED) {
                     assertTrue(
-                            known.requestClass.scope() == Scope.ALL
-                                    || known.requestClass.scope() == Scope.ZONE && old.zone() == next.zone()
-                                    || known.requestClass.scope() == Scope.CELL && old.cell() == next.cell(),
-                            "group");
+                            harness.now < tracked.sentAt.get(a) + tracked.requestClass.window(),
+                            "deduplication window");
+                    Server old = listedServers.get(tracked.servers.get(a));
+                    Server next = listedServers.get(action.server());
+                    assertTrue(
+                            tracked.requestClass.scope() == Scope.ALL
+                                    || tracked.requestClass.scope() == Scope.ZONE && old.zone() == next.zone()
+                                    || tracked.requestClass.scope() == Scope.CELL && old.cell() == next.cell(),
+                            "deduplication scope");
                 }
             }
         }
-        known.servers.add(act.server());
-        known.sentAt.add(harness.now);
-        known.outcomes.add(null);
+        tracked.servers.add(action.server());
+        tracked.sentAt.add(harness.now);
+        tracked.outcomes.add(null);
     }
 }
--- a/src/test/java/gatefront/policy/SettingsChangeTest.java
+++ b/src/test/java/gatefront/policy/SettingsChangeTest.java
@@ -12,18 +12,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Settings that change under way, without sockets: open requests keep the class that they came with. */
+/** Tests changes of the settings at run time: open requests keep the class settings that they arrived with. */
 class SettingsChangeTest {
     private static Settings settings(int attempts, Semantics... classes) {
-        List<Balancer.RequestClass> types = new ArrayList<>();
-        for (Semantics each : classes) {
-            types.add(BalancerHarness.requestClass(each, Scope.ALL));
+        List<Balancer.RequestClass> requestClasses = new ArrayList<>();
+        for (Semantics semantics : classes) {
+            requestClasses.add(BalancerHarness.requestClass(semantics, Scope.ALL));
         }
         return BalancerHarness.settings(
-                types, new Permits(attempts, false, true, true, false, BalancerHarness.SECOND), 2, 2);
+                requestClasses, new Permits(attempts, false, true, true, false, BalancerHarness.SECOND), 2, 2);
     }
 
-    /** One request comes before a change and one after it, both fail: how many attempts each has had then. */
+    /** Returns the number of attempts of a failing request that arrives before the change, and of one after it. */
     private static List<Integer> attempts(Settings before, Settings after) {
         BalancerHarness harness =
                 new BalancerHarness(before).fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
@@ -73,7 +73,9 @@
         }
     }
 
-    /** Where every listed server drains, or is out by hand, waiting brings nothing; where none is listed yet it may. */
+    /**
+     * If every listed server drains or is in manual drain, waiting is useless; if none is listed yet, one may appear.
+     */
     @Test
     void requestsAreRefusedAtOnceWhileEveryServerDrains() {
         BalancerHarness harness = new BalancerHarness(settings(4, Semantics.UNSAFE));
@@ -81,10 +83,10 @@
         assertEquals(
                 0,
                 harness.actions.stream()
-                        .filter(each -> each.kind().equals("refuse"))
+                        .filter(action -> action.kind().equals("refuse"))
                         .count());
         harness.fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 1));
-        assertEquals(1, harness.sends(first).size(), "what came before the list has waited for it");
+        assertEquals(1, harness.sends(first).size(), "a request that arrives before the server list waits for it");
         harness.fullList(
                 BalancerHarness.server(1, 0, Balancer.Phase.DRAINING, 0),
                 BalancerHarness.server(2, 1, Balancer.Phase.DRAINING, 0));
@@ -92,7 +94,7 @@
         assertEquals(
                 1,
                 harness.actions.stream()
-                        .filter(each -> each.kind().equals("refuse") && each.id() == id)
+                        .filter(action -> action.kind().equals("refuse") && action.id() == id)
                         .count());
         harness.fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 1));
         assertEquals(1, harness.sends(harness.request()).size());
--- a/src/test/java/gatefront/policy/SettingsTest.java
+++ b/src/test/java/gatefront/policy/SettingsTest.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Settings at the ends of their ranges: sane behaviour and kept rules. */
+/** Tests that the rules are kept with settings at the limits of their ranges. */
 class SettingsTest {
     private static final long SECOND = BalancerHarness.SECOND;
     private static final Permits ALL = new Permits(4, false, true, true, false, SECOND);
@@ -82,12 +82,12 @@
         BalancerHarness harness = new BalancerHarness(
                         withPricesAndTenants(BalancerHarness.safeSettings(), new Prices(0, 0, 0, 0, 0), List.of()))
                 .fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 1));
-        List<Long> targets = new ArrayList<>();
+        List<Long> servers = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            targets.add(harness.lastServer(harness.request()));
+            servers.add(harness.lastServer(harness.request()));
         }
-        assertEquals(1, targets.get(0));
-        assertEquals(2, targets.get(9));
+        assertEquals(1, servers.get(0));
+        assertEquals(2, servers.get(9));
     }
 
     @Test
@@ -153,7 +153,7 @@
         BalancerHarness harness = harness(streamed, ALL, 1);
         harness.fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 0));
         long id = harness.request();
-        assertEquals(0, harness.sends(id).get(0).value(), "no time-out");
+        assertEquals(0, harness.sends(id).get(0).value(), "no timeout");
         harness.balancer.streamStarted(harness.now, id, 0, harness.lastServer(id), 1000);
         harness.advance(8 * SECOND);
         assertEquals(
@@ -202,7 +202,7 @@
             }
             harness.advance(4 * SECOND);
         }
-        assertTrue(resent > 0, "some were sent again");
+        assertTrue(resent > 0, "some requests were retried");
     }
 
     @Test
