--- a/src/main/java/gatefront/policy/AdaptiveBalancer.java
+++ b/src/main/java/gatefront/policy/AdaptiveBalancer.java
@@ -122,9 +122,7 @@
     private static final double NEVER_SLOW_AIM_SHARE = 0.4;
     /** Quantile of the latencies of a class that is tracked. Its minimum is the latency without load. */
     static final double LATENCY_QUANTILE = 0.8;
-    /**
-     * Maximum ratio of a server's latency without load to that of the class that is accepted as the server's nature.
-     */
+    /** Maximum ratio of a server's latency without load to that of the class before its responses count as slow. */
     private static final double MAX_SERVER_LATENCY_RATIO = 2;
 
     // ---- Restarts ----
@@ -211,6 +209,7 @@
      * because the server list may be late.
      */
     private static final double COLD_BURST_SHARE = 0.5;
+
     // ---- Retries of keyed requests, discovery and timers ----
 
     /**
@@ -332,8 +331,8 @@
         long aim = requestClass.aim() + (long) (requestClass.aimStretch() * request.cost());
         Long firstTryAt = request.cost() == 0 ? null : unservedArrivals.remove(fingerprint(request));
         long elapsed = firstTryAt != null ? now - firstTryAt : timeAlreadySpent(request, state, now);
-        // Danger: servers would work for responses that come too late. If that is only an estimate, the request is
-        // still served while there is capacity.
+        // A request that cannot be answered in time would only waste the servers' work. If that is only an estimate,
+        // it is still served while there is capacity.
         long latestEnd = request.deadline() - settings.tick();
         long remaining = aim - elapsed;
         boolean likelyLate = requestClass.lateShare() == 0
@@ -378,7 +377,8 @@
             state.usualTimeout = timeout;
             state.usualTimeoutVotes = 1;
         }
-        // Danger: clients with short deadlines have a short timeout too, and have not waited at all.
+        // Where clients mark their retries, a short timeout means a client with a short deadline, which has not
+        // waited yet.
         clientsMarkRetries |= request.repeated();
         boolean unknown = usual
                 || clientsMarkRetries
@@ -432,8 +432,8 @@
     }
 
     /**
-     * Sends queued requests, the newest of each class first. Danger: with the oldest first, each request would be sent
-     * when it is just too late.
+     * Sends queued requests, the newest of each class first. With the oldest first, each request would be sent when
+     * it is just too late.
      */
     private void dispatchQueued(long now) {
         for (ClassState state : rankedClasses) {
@@ -448,8 +448,8 @@
             while (!queue.isEmpty() && (!queue.peekLast().queued || dispatch(queue.peekLast(), now))) {
                 queue.pollLast();
             }
-            // Danger: the oldest request would cross zones with too little time left, so the newest that has waited
-            // long enough is taken.
+            // The oldest request would cross zones with too little time left, so the newest that has waited long
+            // enough is sent.
             for (var iterator = queue.descendingIterator(); iterator.hasNext(); ) {
                 PendingRequest req = iterator.next();
                 if (req.queued && now - req.arrivedAt >= crossZoneWait(req) && !dispatch(req, now)) {
@@ -634,9 +634,9 @@
     // ---- Retry safety ----
 
     /**
-     * Returns whether another attempt is permitted. Danger: a request would take effect twice. An unsafe request is
-     * sent again only if every attempt provably never ran; a keyed one only inside the deduplication window of each
-     * attempt that may have run, and only to servers that {@link #inDedupScope} accepts.
+     * Returns whether another attempt is permitted without the risk that the request takes effect twice. An unsafe
+     * request is sent again only if every attempt provably never ran; a keyed one only inside the deduplication
+     * window of each attempt that may have run, and only to servers that {@link #inDedupScope} accepts.
      */
     private boolean maySend(PendingRequest req, long now) {
         Semantics semantics = req.requestClass.semantics();
@@ -645,7 +645,7 @@
         if (req.closed || req.streaming || otherInFlight) {
             return false;
         }
-        // Danger: a retry that arrives after the window is executed again. The margin covers the network latency.
+        // A retry that arrives after the window would be executed again. The margin covers the network latency.
         long window = (long) (RETRY_WINDOW_SHARE * req.requestClass.window());
         return semantics == Semantics.SAFE
                 || req.attempts.stream()
@@ -667,8 +667,8 @@
     }
 
     /**
-     * Returns whether the request may be refused. A refusal tells the client that a retry is harmless. Danger: if it is
-     * not, the request takes effect twice.
+     * Returns whether the request may be refused. A refusal tells the client that a retry is harmless. If it is not,
+     * the request may take effect twice.
      */
     private boolean mayRefuse(PendingRequest req) {
         Semantics semantics = req.requestClass.semantics();
@@ -693,8 +693,8 @@
         if (best != null) {
             return best;
         }
-        // Danger: a retry would wait for an ejected server until it expires, because the server that it has already
-        // tried is available. So servers that have been tried do not count here.
+        // Servers that have been tried do not count here. Otherwise a retry would wait until it expires because the
+        // server that it has already tried is available, although only an ejected server is left.
         boolean availableAnywhere = listedServers.stream()
                 .anyMatch(server -> server.ready
                         && !req.tried(server)
@@ -711,7 +711,7 @@
         }
         best = pickOfTwo(req, now, true, 0);
         if (best != null && availableInZone) {
-            // Danger: keys that cross zones only after a wait would be warm on no server. So a growing share of the
+            // If any key could cross zones after a wait, no server would be warm for it. So a growing share of the
             // keys crosses at once, always the same ones.
             crossZoneShare += CROSS_ZONE_SHARE_STEP * (1 - crossZoneShare);
         }
@@ -764,7 +764,7 @@
             }
         }
         if (inFlight > 0 && spare < 1) {
-            // Danger: a request at each of a few servers, from each of hundreds of agents, would overload them.
+            // Even one request at each of a few servers would overload them if each of hundreds of agents sent it.
             return null;
         }
         if (usesKeyAffinity(req)) {
@@ -793,9 +793,9 @@
 
     /**
      * Returns the size of the subset that this agent picks servers from; it is small for an agent with little
-     * traffic. Danger: many agents with little traffic that each use every server fill the connection tables, pay a
-     * handshake for nearly every request, and see too few outcomes of each server to evaluate it. Requests in flight
-     * do not count: they increase under overload, and a larger subset would increase the overload.
+     * traffic. If many agents with little traffic each used every server, they would fill the connection tables, pay
+     * a handshake for nearly every request, and see too few outcomes of each server to evaluate it. Requests in
+     * flight do not count: they increase under overload, and a larger subset would increase the overload.
      */
     private int subsetSize(int min, long now) {
         decay(now);
@@ -807,7 +807,7 @@
     }
 
     /**
-     * Keeps only the candidates with at most one request in flight above the mean. Danger: the servers of a hot key
+     * Keeps only the candidates with at most one request in flight above the mean. Otherwise the servers of a hot key
      * would be flooded.
      */
     private void removeBusyCandidates() {
@@ -867,8 +867,8 @@
         boolean thisClassOnly = fault && otherClassesSucceed(server, classState, now);
         classState.lastFailureAt = fault ? now : classState.lastFailureAt;
         if (outcome != Outcome.OK && (outcome != Outcome.TIMEOUT || now - elapsed > classState.lastSuccessAt)) {
-            // Danger: a server that fails fast has the fewest requests in flight and would attract all of them; and
-            // few agents see enough requests to eject a silent server by its failure window.
+            // Without a backoff, a server that fails fast would attract all requests, as it has the fewest in flight;
+            // and few agents see enough requests to eject a silent server by its failure window.
             long baseBackoff = (long) Math.max(req.classState.meanLatency, settings.tick());
             if (!thisClassOnly && (outcome != Outcome.TIMEOUT || now - elapsed > server.lastSuccessAt)) {
                 server.backoffUntil = now + (baseBackoff << server.consecutiveFailures);
@@ -877,8 +877,8 @@
             classState.backoffUntil = now + (baseBackoff << classState.consecutiveFailures);
             classState.consecutiveFailures = Math.min(MAX_BACKOFF_DOUBLINGS, classState.consecutiveFailures + 1);
         }
-        // Danger: a connection that breaks says nothing about the server's capacity, and on a bad network servers
-        // would be left idle.
+        // A connection that breaks says nothing about the server's capacity. If it lowered the limit, a bad network
+        // would leave servers idle.
         boolean mayBeOverload = outcome != Outcome.ERROR && outcome != Outcome.RESET;
         if (outcome != Outcome.OK && mayBeOverload || isSlow(req, server, elapsed)) {
             // A low limit is decreased by a factor: a single slow response must not shut a server off from an agent
@@ -887,13 +887,13 @@
             double decreased = server.limit > LOW_LIMIT ? server.limit - LIMIT_DECREASE : factor * server.limit;
             server.limit = Math.max(Math.min(1, LIMIT_MIN / settings.agents()), decreased);
         } else if (queued > MAX_QUEUED_PER_CORE) {
-            // Danger: an agent with little traffic sees little of a server, and all agents together would overload it
+            // Each agent with little traffic sees little of a server, so all of them together would overload it
             // unnoticed.
             server.limit = Math.max(Math.min(1, LIMIT_MIN / settings.agents()), LIMIT_QUEUED_FACTOR * server.limit);
         } else if (outcome == Outcome.OK && 2 * (server.inFlight + 1) >= server.limit) {
             server.limit += LIMIT_INCREASE;
         }
-        if (server.limit < 1) { // Danger: with many agents, one request of each is too much for a small server
+        if (server.limit < 1) { // with many agents, one request of each is too much for a small server
             server.backoffUntil = Math.max(server.backoffUntil, now + (long) (elapsed * (1 / server.limit - 1)));
         }
         if (failed && isAvailable(req, server, now)) {
@@ -927,9 +927,9 @@
     }
 
     /**
-     * Returns whether the server has recently answered other classes and failed none of them. Danger: a release that
-     * breaks one class would take the capacity from all classes. But if requests of every class fail, the server itself
-     * is at fault.
+     * Returns whether the server has recently answered other classes and failed none of them. Without this
+     * distinction a release that breaks one class would take the server's capacity from all classes. If requests of
+     * every class fail, the server itself is at fault.
      */
     private static boolean otherClassesSucceed(ServerState server, PerClassState failing, long now) {
         boolean answered = false;
@@ -988,8 +988,8 @@
     }
 
     /**
-     * Returns whether a response was slow for its class and for the server's own latency without load. Danger: if the
-     * aim allows for queueing, pausing a server because of a short queue leaves it idle; so does expecting small
+     * Returns whether a response was slow for its class and for the server's own latency without load. If the aim
+     * allows for queueing, pausing a server because of a short queue would leave it idle; so would expecting small
      * machines to be as fast as large ones.
      */
     private boolean isSlow(PendingRequest req, ServerState server, long elapsed) {
@@ -1062,7 +1062,7 @@
                 peerFailed += peerWindow.failed;
             }
         }
-        // Danger: if all servers fail alike, ejecting some pushes their load onto the others.
+        // If all servers fail alike, ejecting some would only push their load onto the others.
         double expected = total * (double) peerFailed / peerTotal;
         if (failed <= expected + PEER_DEVIATIONS * Math.sqrt(Math.max(1, expected))) {
             return;
@@ -1094,8 +1094,8 @@
     }
 
     /**
-     * Sends the next probe and schedules the one after it. Danger: with many agents, or if all send at the same time,
-     * probes cost more than requests.
+     * Sends the next probe and schedules the one after it. The interval grows with the number of agents and is
+     * random, as probes of many agents, or of all at the same time, would cost more than requests.
      *
      * @param minFactor lower bound of the random factor of the interval; 0 to schedule without sending
      */
@@ -1135,8 +1135,8 @@
             }
             server.activeHealth = Health.HEALTHY;
         } else if ((outcome == Outcome.TIMEOUT || outcome == Outcome.RESET) && server.answeredSinceProbe) {
-            // Danger: a busy server would be ejected because it answers probes late or a connection breaks. Its
-            // responses to requests prove that it is alive.
+            // A busy server may answer probes late, or a connection may break. Its responses to requests prove that
+            // it is alive, so it must not become Unhealthy.
             server.probeFailures = 0;
         } else {
             if (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.RESET) {
@@ -1161,9 +1161,9 @@
     }
 
     /**
-     * Treats a server that answers for the first time after an outage as cold, since it may have restarted. Danger: a
-     * network that resets connections now and then would make every server cold again and again. So short outages do
-     * not count: a process does not restart within the time of one retry.
+     * Treats a server that answers for the first time after an outage as cold, since it may have restarted. Short
+     * outages do not count, as a process does not restart within the time of one retry; otherwise a network that
+     * resets connections now and then would make every server cold again and again.
      */
     private void recordRecovery(ServerState server, long now) {
         if (server.broken) {
@@ -1195,8 +1195,8 @@
     }
 
     /**
-     * Returns whether a server can be expected to respond in time. Danger: a server that has just started may need
-     * longer for a request than any client waits.
+     * Returns whether a server can be expected to respond in time. A server that has just started may need longer for
+     * a request than any client waits.
      */
     private boolean isWarmEnough(PendingRequest req, ServerState server, long now) {
         return !isCold(server, now)
@@ -1209,10 +1209,10 @@
 
     /**
      * Refills the token bucket of a cold server and returns the number of requests that this agent may send to it
-     * now. Danger: all agents together would overload it. The rate of each agent is the server's share of the agent's
-     * own request rate within its subset, times the warm share, times a multiple that grows while the server keeps up
-     * by its load reports. It is not derived from the rates of warm servers: a new agent knows none, and there may be
-     * none if a whole zone is cold.
+     * now. It keeps all agents together from overloading the server. The rate of each agent is the server's share of
+     * the agent's own request rate within its subset, times the warm share, times a multiple that grows while the
+     * server keeps up by its load reports. It is not derived from the rates of warm servers: a new agent knows none,
+     * and there may be none if a whole zone is cold.
      */
     private double refillColdTokens(ServerState server, long now) {
         int subset = Math.min(readyServersInZone, subsetSize(SUBSET_MIN_OWN_ZONE, now))
@@ -1227,10 +1227,9 @@
     }
 
     /**
-     * Adds admission credit; with an amount of 0 it only applies the maximum. Danger: servers go on working for
-     * requests that have timed out, so the more is sent to overloaded servers, the less is served. Credit that
-     * responses earn follows what the servers can do, even if an agent sees too little of each server for a
-     * concurrency limit.
+     * Adds admission credit; with an amount of 0 it only applies the maximum. Servers go on working for requests that
+     * have timed out, so the more is sent to overloaded servers, the less is served. Credit that responses earn
+     * follows what the servers can do, even if an agent sees too little of each server for a concurrency limit.
      */
     private void addCredit(double amount, long now) {
         double max = MIN_CREDIT_CAP + CREDIT_CAP_SECONDS * requestRate(now);
@@ -1344,8 +1343,8 @@
     }
 
     /**
-     * Drops the state of a removed server once no attempt is in flight there. Danger: servers come and go all the
-     * time, and memory would grow without bound.
+     * Drops the state of a removed server once no attempt is in flight there. Servers come and go all the time, so
+     * memory would otherwise grow without bound.
      */
     private void forgetIfIdle(ServerState server) {
         if (server.removed && server.inFlight == 0) {
--- a/src/main/java/gatefront/policy/CheckedBalancer.java
+++ b/src/main/java/gatefront/policy/CheckedBalancer.java
@@ -14,7 +14,7 @@
     /** The attempts of one request. */
     private static final class TrackedRequest {
         /** Number of attempts sent. */
-        int sends;
+        int attemptsSent;
 
         /** Bit set of the attempts that have ended. */
         long endedAttempts;
@@ -32,7 +32,7 @@
 
         @Override
         public void send(long request, long server, long timeout) {
-            requests.get(request).sends++;
+            requests.get(request).attemptsSent++;
             host.send(request, server, timeout);
         }
 
@@ -227,7 +227,7 @@
         if (tracked == null) {
             throw new IllegalArgumentException("request " + request + " is not known, or has ended");
         }
-        Objects.checkIndex(attempt, tracked.sends);
+        Objects.checkIndex(attempt, tracked.attemptsSent);
         if ((tracked.endedAttempts & 1L << attempt) != 0) {
             throw new IllegalArgumentException("attempt " + attempt + " of request " + request + " has ended");
         }
@@ -241,7 +241,7 @@
     }
 
     private void forgetIfEnded(long request, TrackedRequest tracked) {
-        if (tracked.answered && Long.bitCount(tracked.endedAttempts) == tracked.sends) {
+        if (tracked.answered && Long.bitCount(tracked.endedAttempts) == tracked.attemptsSent) {
             requests.remove(request);
         }
     }
