--- a/src/test/java/gatefront/policy/MechanismTest.java
+++ b/src/test/java/gatefront/policy/MechanismTest.java
@@ -641,7 +641,7 @@
         assertTrue(harness.actionsOfKind("send").size() > demand);
     }
 
-    /** The time already elapsed is counted from the first try, not from the previous one. */
+    /** The elapsed time is counted from the first try, not from the previous one. */
     @Test
     void theElapsedTimeOfAThirdTryCountsFromTheFirst() {
         BalancerHarness harness = harnessWithKnownUsualTimeout(false);
@@ -721,7 +721,7 @@
         }
     }
 
-    /** The clock may jump when the process gets no processor time. Nothing may be sent after its expiry then. */
+    /** The clock advances by the processor time used and may jump. Nothing may be sent after its expiry then. */
     @Test
     void aQueuedRequestThatExpiresInAClockJumpIsRefusedAndNotSent() {
         BalancerHarness harness = harnessWithKnownUsualTimeout(true);
@@ -756,7 +756,7 @@
                 .orElse("queued");
     }
 
-    /** Guards against taking the short timeout of such a retry for time already elapsed, and refusing it at once. */
+    /** Guards against refusing such a retry at once because its short timeout is taken for elapsed time. */
     @Test
     void theRetryOfAClientWithAShortDeadlineIsServedIfThereIsCapacity() {
         BalancerHarness harness = harnessWithKnownUsualTimeout(false);
@@ -767,7 +767,7 @@
         assertEquals("send", requestWithShortDeadline(harness, 902, 5_000, true));
     }
 
-    /** Guards against estimating the time that a retry has already elapsed from other requests of its class. */
+    /** Guards against estimating the time since a retry's first try from other requests of its class. */
     @Test
     void aRetryRecognizedByItsCostHintIsRefusedOnceItsFirstTryIsPastTheAim() {
         BalancerHarness harness = harnessWithKnownUsualTimeout(false);
@@ -1040,7 +1040,10 @@
         assertTrue(probed > 3, "probed " + probed);
     }
 
-    /** A server with a full connection table refuses connections while it serves the existing ones. */
+    /**
+     * A server with a full connection table refuses connections while it serves the existing ones. So it has to back
+     * off for every class, but has not restarted.
+     */
     @Test
     void aRefusedConnectionBacksOffTheServerForEveryClassAndIsNotARestart() {
         var types = List.of(
--- a/src/test/java/gatefront/policy/RandomRunTest.java
+++ b/src/test/java/gatefront/policy/RandomRunTest.java
@@ -38,8 +38,8 @@
         int finalAnswers;
         boolean clientLeft;
 
-        TrackedRequest(RequestClass type, long deadline) {
-            this.requestClass = type;
+        TrackedRequest(RequestClass requestClass, long deadline) {
+            this.requestClass = requestClass;
             this.deadline = deadline;
         }
 
@@ -149,15 +149,15 @@
         } else if (kind == 2) {
             harness.updateServers(ListKind.FAILED);
         } else if (kind < 10) {
-            int c = random.nextInt(classes.size());
+            int classNumber = random.nextInt(classes.size());
             long deadline = harness.now + 300_000 + random.nextLong(3 * SECOND);
             long id = 1_000_000 + requests.size();
-            requests.put(id, new TrackedRequest(classes.get(c), deadline));
+            requests.put(id, new TrackedRequest(classes.get(classNumber), deadline));
             harness.balancer.request(
                     harness.now,
                     new Balancer.Request(
                             id,
-                            c,
+                            classNumber,
                             random.nextInt(2),
                             random.nextInt(5),
                             random.nextInt(50_000),
@@ -181,13 +181,13 @@
             harness.balancer.clientLeft(harness.now, id);
             checkNewActions();
         }
-        for (int a = 0; a < tracked.outcomes.size(); a++) {
-            if (tracked.outcomes.get(a) == null && roll < 20) {
+        for (int attempt = 0; attempt < tracked.outcomes.size(); attempt++) {
+            if (tracked.outcomes.get(attempt) == null && roll < 20) {
                 Outcome outcome = Outcome.values()[Math.max(0, random.nextInt(40) - 32)];
                 boolean closed = tracked.clientLeft || tracked.finalAnswers > 0 || outcome == Outcome.OK;
-                tracked.outcomes.set(a, outcome);
+                tracked.outcomes.set(attempt, outcome);
                 harness.balancer.outcome(
-                        harness.now, id, a, tracked.servers.get(a), outcome, 1000, closed, new double[0]);
+                        harness.now, id, attempt, tracked.servers.get(attempt), outcome, 1000, closed, new double[0]);
                 checkNewActions();
             }
         }
@@ -205,9 +205,11 @@
                     assertFalse(tracked.clientLeft || tracked.outcomes.contains(Outcome.OK), "no answer is due");
                     assertTrue(harness.now <= tracked.deadline + 20_000, "in time");
                     tracked.finalAnswers++;
-                    for (int a = 0; a < tracked.outcomes.size() && action.kind().equals("refuse"); a++) {
+                    for (int attempt = 0;
+                            attempt < tracked.outcomes.size() && action.kind().equals("refuse");
+                            attempt++) {
                         boolean harmless = tracked.requestClass.semantics() == Semantics.SAFE
-                                || !tracked.mayHaveRun(a)
+                                || !tracked.mayHaveRun(attempt)
                                 || tracked.requestClass.semantics() == Semantics.KEYED
                                         && tracked.requestClass.scope() == Scope.ALL;
                         assertTrue(harmless, "a refusal is harmless");
@@ -225,19 +227,19 @@
         assertFalse(tracked.clientLeft || tracked.outcomes.contains(Outcome.OK), "nothing is sent after the end");
         assertEquals(Phase.READY, listedServers.get(action.server()).phase());
         assertTrue(tracked.outcomes.size() < permits.maxAttempts(), "maximum number of attempts");
-        for (int a = 0; a < tracked.outcomes.size(); a++) {
-            if (tracked.outcomes.get(a) == null) {
+        for (int attempt = 0; attempt < tracked.outcomes.size(); attempt++) {
+            if (tracked.outcomes.get(attempt) == null) {
                 assertTrue(
                         permits.duplicates() && tracked.requestClass.semantics() == Semantics.SAFE,
                         "two attempts in flight");
             }
-            if (tracked.mayHaveRun(a)) {
+            if (tracked.mayHaveRun(attempt)) {
                 assertTrue(tracked.requestClass.semantics() != Semantics.UNSAFE, "an unsafe request may have run");
                 if (tracked.requestClass.semantics() == Semantics.KEYED) {
                     assertTrue(
-                            harness.now < tracked.sentAt.get(a) + tracked.requestClass.window(),
+                            harness.now < tracked.sentAt.get(attempt) + tracked.requestClass.window(),
                             "deduplication window");
-                    Server old = listedServers.get(tracked.servers.get(a));
+                    Server old = listedServers.get(tracked.servers.get(attempt));
                     Server next = listedServers.get(action.server());
                     assertTrue(
                             tracked.requestClass.scope() == Scope.ALL
