--- a/src/main/java/gatefront/policy/ClassState.java
+++ b/src/main/java/gatefront/policy/ClassState.java
@@ -4,26 +4,39 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** What one agent knows of one class of requests. State only: {@link AdaptiveBalancer} decides. */
+/** The state that one agent keeps of one class of requests. It makes no decisions; {@link AdaptiveBalancer} does. */
 final class ClassState {
-    RequestClass type;
-    final Deque<PendingRequest> held = new ArrayDeque<>(); // its requests that wait in this agent for want of room
-    double came; // requests come and requests served, as counts that fade
-    double served;
-    double typical; // the mean answer time, and the lowest that it has been
-    double unhurried;
-    double meanCost; // the mean of its requests' cost hints
-    final QuantileEstimator times; // a quantile of its answer times
-    /** How long a request unserved here had waited: what a client's repeat has behind it. */
-    double unservedWait;
-    /** The time that most requests bring, a first try's, by a running majority vote. */
-    long usualLeft;
+    RequestClass requestClass;
+    /** Requests of the class that wait in this agent for a server with capacity, in the order of arrival. */
+    final Deque<PendingRequest> queue = new ArrayDeque<>();
 
-    int usualVotes;
-    double value; // what a unit of its work adds to the goal, as last measured
+    /** Decaying count of requests that arrived. */
+    double recentArrivals;
+    /** Decaying count of requests that were served. */
+    double recentServed;
+    /** Moving average of the latency in microseconds; 0 before the first response. */
+    double meanLatency;
+    /** Minimum of {@link #meanLatency}: the latency without load. */
+    double lowestMeanLatency;
+    /** Moving average of the cost hints. */
+    double meanCost;
 
-    ClassState(RequestClass type, double quantile) {
-        this.type = type;
-        this.times = new QuantileEstimator(quantile);
+    final QuantileEstimator latencyQuantile;
+    /**
+     * Moving average of the time in microseconds that unserved requests waited here: the time that a client retry has
+     * already spent.
+     */
+    double meanUnservedWait;
+    /** Usual timeout of first tries in microseconds: the majority of all requests, by a running vote. */
+    long usualTimeout;
+
+    /** Votes for {@link #usualTimeout}. */
+    int usualTimeoutVotes;
+    /** What a unit of the class's work adds to the goal, as last computed. */
+    double valuePerWork;
+
+    ClassState(RequestClass requestClass, double quantile) {
+        this.requestClass = requestClass;
+        this.latencyQuantile = new QuantileEstimator(quantile);
     }
 }
--- a/src/test/java/gatefront/policy/BalancerHarness.java
+++ b/src/test/java/gatefront/policy/BalancerHarness.java
@@ -18,23 +18,23 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Drives one balancer by hand: a hand-turned clock, recorded actions, due timers. */
+/** Drives one balancer in a test: with a manual clock, recorded actions and timers that fire as the clock advances. */
 class BalancerHarness implements Balancer.Actions {
     static final long SECOND = 1_000_000;
     static final long TICK = 5_000;
 
-    /** What was done: the words of the action and its numbers. */
-    record Act(String what, long id, long server, long value) {}
+    /** An action of the balancer: its kind and its arguments. */
+    record RecordedAction(String kind, long id, long server, long value) {}
 
     private record Timer(long token, long at) {}
 
-    final List<Act> acts = new ArrayList<>();
-    final List<String> lines = new ArrayList<>();
+    final List<RecordedAction> actions = new ArrayList<>();
+    final List<String> logLines = new ArrayList<>();
     private final List<Timer> timers = new ArrayList<>();
     final Balancer balancer;
     long now = 100 * SECOND;
-    /** What servers report with each answer. */
-    double[] report = new double[0];
+    /** Load report that comes with each response. */
+    double[] loadReport = new double[0];
 
     private long nextId = 1;
 
@@ -48,15 +48,16 @@
 
     // ---- settings ----
 
-    static RequestClass type(Semantics semantics, Scope scope) {
+    static RequestClass requestClass(Semantics semantics, Scope scope) {
         return new RequestClass(SECOND, 0, 4 * SECOND, semantics, scope, 2 * SECOND, 1, 0, false);
     }
 
     static Settings settings(Semantics semantics, Scope scope) {
-        return settings(List.of(type(semantics, scope)), new Permits(4, false, true, true, false, SECOND), 2, 2);
+        return settings(
+                List.of(requestClass(semantics, scope)), new Permits(4, false, true, true, false, SECOND), 2, 2);
     }
 
-    static Settings safe() {
+    static Settings safeSettings() {
         return settings(Semantics.SAFE, Scope.ALL);
     }
 
@@ -92,8 +93,8 @@
                 List.of());
     }
 
-    /** The same for the agent of this number. */
-    static Settings as(int agent, Settings s) {
+    /** Returns the settings for another agent. */
+    static Settings forAgent(int agent, Settings s) {
         return new Settings(
                 agent,
                 s.agents(),
@@ -114,8 +115,8 @@
                 s.loadFields());
     }
 
-    /** The same with other prices, rules on cold servers, and fields that servers report. */
-    static Settings with(Settings s, Prices prices, Obligations obligations, Balancer.LoadField... fields) {
+    /** Returns the settings with other prices, obligations and load report fields. */
+    static Settings withPrices(Settings s, Prices prices, Obligations obligations, Balancer.LoadField... fields) {
         return new Settings(
                 s.agent(),
                 s.agents(),
@@ -146,13 +147,13 @@
 
     // ---- events ----
 
-    BalancerHarness list(ListKind kind, Server... servers) {
+    BalancerHarness updateServers(ListKind kind, Server... servers) {
         balancer.servers(now, kind, Arrays.asList(servers));
         return this;
     }
 
-    BalancerHarness full(Server... servers) {
-        return list(ListKind.FULL, servers);
+    BalancerHarness fullList(Server... servers) {
+        return updateServers(ListKind.FULL, servers);
     }
 
     long request() {
@@ -165,130 +166,134 @@
         return id;
     }
 
-    /** A client's repeat, marked as one. */
-    long repeat() {
+    /** Sends a client retry that is marked as one. */
+    long clientRetry() {
         long id = nextId++;
         balancer.request(now, new Request(id, 0, 0, 0, 0, now + 3 * SECOND, true, false));
         return id;
     }
 
-    void end(long id, int attempt, Outcome outcome, long spent) {
+    void endAttempt(long id, int attempt, Outcome outcome, long elapsed) {
         balancer.outcome(
-                now, id, attempt, sends(id).get(attempt).server(), outcome, spent, outcome == Outcome.OK, report);
+                now, id, attempt, sends(id).get(attempt).server(), outcome, elapsed, outcome == Outcome.OK, loadReport);
     }
 
-    /** Moves the clock on in ticks, delivering timers as they come due. */
-    void pass(long micros) {
+    /** Advances the clock in ticks and fires timers that have expired. */
+    void advance(long micros) {
         long until = now + micros;
         while (now < until) {
             now = Math.min(until, now + TICK);
-            fire();
+            fireDueTimers();
         }
     }
 
-    private void fire() {
-        List<Timer> ripe = timers.stream().filter(t -> t.at() <= now).toList();
-        timers.removeAll(ripe);
-        for (Timer timer : ripe) {
+    private void fireDueTimers() {
+        List<Timer> due = timers.stream().filter(t -> t.at() <= now).toList();
+        timers.removeAll(due);
+        for (Timer timer : due) {
             balancer.timer(now, timer.token());
         }
     }
 
-    /** Serves a request at once after the given time. */
-    long serve(long spent) {
+    /** Sends a request that is answered after the given time in microseconds. */
+    long serveRequest(long elapsed) {
         long id = request();
-        pass(spent);
+        advance(elapsed);
         if (!sends(id).isEmpty()) {
-            end(id, sends(id).size() - 1, Outcome.OK, spent);
+            endAttempt(id, sends(id).size() - 1, Outcome.OK, elapsed);
         }
         return id;
     }
 
     /**
-     * Lets requests come evenly for so many seconds, with so many repeats beside each; each attempt ends after a time,
-     * those still out at the end of it stay out. Returns how many were sent.
+     * Sends requests at an even rate, each with a number of client retries. Each attempt ends with the given outcome
+     * after the given time; attempts in flight at the end remain in flight.
+     *
+     * @return the number of attempts sent
      */
-    int live(double seconds, Outcome outcome, long after, int perSecond, int repeats) {
-        int before = all("send").size();
+    int runLoad(double seconds, Outcome outcome, long latency, int perSecond, int retries) {
+        int before = actionsOfKind("send").size();
         long until = now + (long) (seconds * SECOND);
-        List<Act> out = new ArrayList<>();
-        int seen = acts.size();
+        List<RecordedAction> inFlight = new ArrayList<>();
+        int checked = actions.size();
         while (now < until) {
             request();
-            for (int i = 0; i < repeats; i++) {
-                repeat();
+            for (int i = 0; i < retries; i++) {
+                clientRetry();
             }
             for (long next = now + SECOND / perSecond; now < next; ) {
-                pass(TICK);
-                for (; seen < acts.size(); seen++) {
-                    Act act = acts.get(seen);
-                    if (act.what().equals("send")) {
-                        out.add(new Act("due", act.id(), act.server(), now + after));
+                advance(TICK);
+                for (; checked < actions.size(); checked++) {
+                    RecordedAction action = actions.get(checked);
+                    if (action.kind().equals("send")) {
+                        inFlight.add(new RecordedAction("due", action.id(), action.server(), now + latency));
                     }
                 }
-                out.removeIf(due -> {
-                    boolean over = now >= due.value();
-                    if (over) {
-                        end(due.id(), sends(due.id()).size() - 1, outcome, after);
+                inFlight.removeIf(attempt -> {
+                    boolean ended = now >= attempt.value();
+                    if (ended) {
+                        endAttempt(attempt.id(), sends(attempt.id()).size() - 1, outcome, latency);
                     }
-                    return over;
+                    return ended;
                 });
             }
         }
-        return all("send").size() - before;
+        return actionsOfKind("send").size() - before;
     }
 
-    // ---- what was done ----
+    // ---- recorded actions ----
 
-    List<Act> all(String what) {
-        return acts.stream().filter(a -> a.what().equals(what)).toList();
+    List<RecordedAction> actionsOfKind(String what) {
+        return actions.stream().filter(a -> a.kind().equals(what)).toList();
     }
 
-    List<Act> of(String what, long id) {
-        return acts.stream().filter(a -> a.what().equals(what) && a.id() == id).toList();
+    List<RecordedAction> actionsFor(String what, long id) {
+        return actions.stream()
+                .filter(a -> a.kind().equals(what) && a.id() == id)
+                .toList();
     }
 
-    List<Act> sends(long id) {
-        return of("send", id);
+    List<RecordedAction> sends(long id) {
+        return actionsFor("send", id);
     }
 
-    long target(long id) {
-        List<Act> sends = sends(id);
+    long lastServer(long id) {
+        List<RecordedAction> sends = sends(id);
         return sends.isEmpty() ? -1 : sends.get(sends.size() - 1).server();
     }
 
-    boolean logged(String part) {
-        return lines.stream().anyMatch(l -> l.contains(part));
+    boolean hasLogged(String part) {
+        return logLines.stream().anyMatch(l -> l.contains(part));
     }
 
     @Override
     public void send(long request, long server, long timeout) {
-        acts.add(new Act("send", request, server, timeout));
+        actions.add(new RecordedAction("send", request, server, timeout));
     }
 
     @Override
     public void refuse(long request, long retryAfter) {
-        acts.add(new Act("refuse", request, 0, retryAfter));
+        actions.add(new RecordedAction("refuse", request, 0, retryAfter));
     }
 
     @Override
     public void fail(long request) {
-        acts.add(new Act("fail", request, 0, 0));
+        actions.add(new RecordedAction("fail", request, 0, 0));
     }
 
     @Override
     public void cancel(long request, int attempt) {
-        acts.add(new Act("cancel", request, 0, attempt));
+        actions.add(new RecordedAction("cancel", request, 0, attempt));
     }
 
     @Override
     public void probe(long server) {
-        acts.add(new Act("probe", 0, server, now));
+        actions.add(new RecordedAction("probe", 0, server, now));
     }
 
     @Override
-    public void tell(int agent, byte[] message) {
-        acts.add(new Act("tell", agent, 0, message.length));
+    public void sendMessage(int agent, byte[] message) {
+        actions.add(new RecordedAction("tell", agent, 0, message.length));
     }
 
     @Override
@@ -298,21 +303,21 @@
 
     @Override
     public void closeIdle(long server) {
-        acts.add(new Act("closeIdle", 0, server, 0));
+        actions.add(new RecordedAction("closeIdle", 0, server, 0));
     }
 
     @Override
     public void watchServers() {
-        acts.add(new Act("watch", 0, 0, now));
+        actions.add(new RecordedAction("watch", 0, 0, now));
     }
 
     @Override
     public void fetchServers() {
-        acts.add(new Act("fetch", 0, 0, now));
+        actions.add(new RecordedAction("fetch", 0, 0, now));
     }
 
     @Override
     public void log(String line) {
-        lines.add(line);
+        logLines.add(line);
     }
 }
