--- a/src/main/java/gatefront/policy/PendingRequest.java
+++ b/src/main/java/gatefront/policy/PendingRequest.java
@@ -6,46 +6,53 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One request that an agent has taken. State only: {@link AdaptiveBalancer} decides. */
+/** The state of one open request. It makes no decisions; {@link AdaptiveBalancer} does. */
 final class PendingRequest {
     final Request request;
-    final ClassState state;
-    /** Its class as it was when it came, and how many attempts it may have. */
-    final RequestClass type;
+    final ClassState classState;
+    /** The request's class with the settings at its arrival. */
+    final RequestClass requestClass;
 
-    final int attemptsMost;
-    final long token; // names its timer
-    final long cameAt;
-    final long firstAt; // when its first try did
-    /** When there is nothing left to win, at the latest when the client gives up. */
-    final long endAt;
+    final int maxAttempts;
+    /** Token of the request's timer. */
+    final long token;
+
+    final long arrivedAt;
+    /** When the client's first try arrived; equals {@link #arrivedAt} unless this is a client retry. */
+    final long firstArrivedAt;
+    /** When a response is of no use any more, at the latest when the client gives up. */
+    final long expiresAt;
 
     final List<Attempt> attempts = new ArrayList<>(1);
+    /** Whether the request needs no answer any more. */
     boolean closed;
-    boolean held;
+    /** Whether the request waits for a server with capacity. */
+    boolean queued;
+    /** Whether the response is being streamed to the client. */
     boolean streaming;
 
     PendingRequest(
             Request request, ClassState state, int attemptsMost, long token, long cameAt, long firstAt, long endAt) {
         this.request = request;
-        this.state = state;
-        this.type = state.type;
-        this.attemptsMost = attemptsMost;
+        this.classState = state;
+        this.requestClass = state.requestClass;
+        this.maxAttempts = attemptsMost;
         this.token = token;
-        this.cameAt = cameAt;
-        this.firstAt = firstAt;
-        this.endAt = endAt;
+        this.arrivedAt = cameAt;
+        this.firstArrivedAt = firstAt;
+        this.expiresAt = endAt;
     }
 
-    /** One attempt; its outcome is null while it is out. */
+    /** An attempt. Its outcome is null while it is in flight. */
     static final class Attempt {
-        final ServerState target;
+        final ServerState server;
         final long sentAt;
         Outcome outcome;
-        boolean passing;
+        /** Whether the response has started. */
+        boolean streaming;
 
-        Attempt(ServerState target, long sentAt) {
-            this.target = target;
+        Attempt(ServerState server, long sentAt) {
+            this.server = server;
             this.sentAt = sentAt;
         }
 
@@ -54,15 +61,14 @@
         }
     }
 
-    /** How many attempts are out. */
-    int out() {
+    int attemptsInFlight() {
         return (int)
                 attempts.stream().filter(attempt -> attempt.outcome == null).count();
     }
 
-    boolean tried(ServerState target) {
+    boolean tried(ServerState server) {
         for (Attempt attempt : attempts) {
-            if (attempt.target == target) {
+            if (attempt.server == server) {
                 return true;
             }
         }
