--- a/src/test/java/gatefront/agent/ReloadTest.java
+++ b/src/test/java/gatefront/agent/ReloadTest.java
@@ -230,7 +230,7 @@
             signal(process, "TERM");
             assertTrue(process.waitFor(AgentFixture.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             String loaded = Files.readString(dir.resolve("log"));
-            assertTrue(loaded.contains(" gatefront.padron.Discovery$Answers "));
+            assertTrue(loaded.contains(" gatefront.padron.Discovery$ResponseHandler "));
             assertFalse(loaded.contains(" com.fasterxml.jackson.databind.ObjectMapper "));
             try (InputStream code = gatefront.config.Config.class.getResourceAsStream("Config.class")) {
                 String text = new String(code.readAllBytes(), StandardCharsets.ISO_8859_1);
