--- a/src/main/java/gatefront/agent/Agent.java
+++ b/src/main/java/gatefront/agent/Agent.java
@@ -154,7 +154,7 @@
                         : List.of(httpUpstream, thriftUpstream);
         discovery = new Discovery(transport, config, new Discovery.Listener() {
             @Override
-            public void list(Balancer.ListKind kind, List<Endpoint> endpoints) {
+            public void listReceived(Balancer.ListKind kind, List<Endpoint> endpoints) {
                 if (membershipSources != null) {
                     membershipSources.onPadronList(kind, endpoints);
                 } else {
@@ -164,7 +164,7 @@
             }
 
             @Override
-            public void failed(String reason) {
+            public void requestFailed(String reason) {
                 log("discovery: " + reason);
                 if (config.settings().askDiscovery()) {
                     engine.updateServers(Balancer.ListKind.FAILED, List.of());
@@ -188,7 +188,7 @@
                     @Override
                     public void fetch() {
                         if (usesPadron()) {
-                            discovery.fetch();
+                            discovery.fetchFullList();
                         }
                     }
                 },
@@ -423,7 +423,7 @@
         long grace =
                 Math.min(FIRST_LIST_TIMEOUT_MS, config.settings().obligations().drainGrace() / 1_000);
         engine.setStallDetector(StallDetector.forStartup(transport.nanos() / 1_000, grace * 1_000), grace, () -> {});
-        Discovery.Listing knownList;
+        Discovery.ServerListResponse knownList;
         try {
             knownList = Discovery.decode(
                     stateRecovery == null
@@ -432,7 +432,7 @@
                     config);
         } catch (IllegalArgumentException e) {
             log("known list: " + e.getMessage());
-            knownList = new Discovery.Listing(0, true, List.of());
+            knownList = new Discovery.ServerListResponse(0, true, List.of());
         }
         if (membershipSources == null) {
             onServerList(Balancer.ListKind.CACHED, knownList.endpoints());
@@ -495,7 +495,7 @@
                     detector.lastGapMicros() / 1e6,
                     LIST_REFRESH_TIMEOUT_MICROS / 1000));
             if (usesPadron()) {
-                discovery.fetch();
+                discovery.fetchFullList();
             }
         });
         loop.scheduleWithFixedDelay(engine::checkForStall, STALL_CHECK_MS, STALL_CHECK_MS, TimeUnit.MILLISECONDS);
@@ -624,7 +624,7 @@
                         stateRecovery.configChanged(changed);
                     }
                     if (usesPadron()) {
-                        discovery.moveTo(changed.discovery());
+                        discovery.changeAddress(changed.discovery());
                     }
                     applied = true;
                 } catch (IllegalArgumentException e) {
