--- a/src/main/java/gatefront/agent/Extensions.java
+++ b/src/main/java/gatefront/agent/Extensions.java
@@ -58,7 +58,7 @@
      */
     public static Extensions read(Path path, Config config) {
         try {
-            return parse(path.toString(), TomlFile.text(path, ""), config);
+            return parse(path.toString(), TomlFile.read(path, ""), config);
         } catch (TomlException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
@@ -73,7 +73,7 @@
         LedgerSettings ledger = root.has("ledger") ? LedgerSettings.read(root.table("ledger")) : null;
         RecoverySettings recovery =
                 root.has("recovery") ? RecoverySettings.read(root.table("recovery"), root.table("rehearsal")) : null;
-        root.finish();
+        root.rejectUnknownKeys();
         return new Extensions(thrift, registry, memory, ledger, recovery);
     }
 
@@ -82,35 +82,35 @@
         try {
             listen = Config.address(table.text("listen", null));
         } catch (IllegalArgumentException e) {
-            throw table.bad("listen", "must be a literal address and a port, as in \"127.0.0.1:9090\"");
+            throw table.invalid("listen", "must be a literal address and a port, as in \"127.0.0.1:9090\"");
         }
         String framing = table.word("framing", "any", List.of("any", "framed", "unframed"));
         String protocol = table.word("protocol", "any", List.of("any", "binary", "binary-old", "compact"));
         if (framing.equals("any") != protocol.equals("any")) {
-            throw table.bad(
+            throw table.invalid(
                     framing.equals("any") ? "protocol" : "framing",
                     "must be \"any\" for both framing and protocol, or for neither: "
                             + "both are detected from the first bytes, or both are fixed");
         }
         MessageFormat format =
                 framing.equals("any") ? null : new MessageFormat(framing.equals("framed"), ENCODINGS.get(protocol));
-        int port = table.whole("nodo_port", -1, 1, MAX_PORT);
+        int port = table.integer("nodo_port", -1, 1, MAX_PORT);
         if (!table.has("nodo_port")) {
-            throw table.bad("nodo_port", "is missing; it is the port on which nodos accept Thrift");
+            throw table.invalid("nodo_port", "is missing; it is the port on which nodos accept Thrift");
         }
-        boolean nodoFramed = table.flag("nodo_framed", true);
+        boolean nodoFramed = table.bool("nodo_framed", true);
         boolean thriftProbes =
                 table.word("probes", "http", List.of("http", "thrift")).equals("thrift");
         Map<String, Method> methods = new LinkedHashMap<>();
         for (TomlTable methodTable : table.tables("methods")) {
             String name = methodTable.text("name", null);
             int classNumber = config.classes().indexOf(methodTable.word("class", null, config.classes()));
-            if (methods.put(name, new Method(classNumber, methodTable.flag("declares", false))) != null) {
-                throw methodTable.bad("name", "\"" + name + "\" appears more than once");
+            if (methods.put(name, new Method(classNumber, methodTable.bool("declares", false))) != null) {
+                throw methodTable.invalid("name", "\"" + name + "\" appears more than once");
             }
         }
         if (methods.isEmpty()) {
-            throw table.bad("methods", "is missing; add a [[thrift.methods]] table for each method to forward");
+            throw table.invalid("methods", "is missing; add a [[thrift.methods]] table for each method to forward");
         }
         return new ThriftSettings(listen, format, port, nodoFramed, thriftProbes, Map.copyOf(methods));
     }
--- a/src/main/java/gatefront/padron/Discovery.java
+++ b/src/main/java/gatefront/padron/Discovery.java
@@ -107,7 +107,7 @@
         this.jitter = new SplittableRandom(config.seed());
         this.bootstrap = new Bootstrap()
                 .group(loop)
-                .channelFactory(transport.dialers())
+                .channelFactory(transport.clientChannels())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) RESPONSE_TIMEOUT_MS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .disableResolver()
@@ -252,7 +252,7 @@
         }
         ServerListResponse list;
         try (InputStream body = new ByteBufInputStream(response.content())) {
-            list = decode(Config.json(body), config);
+            list = decode(Config.parseJson(body), config);
         } catch (IOException | IllegalArgumentException e) {
             // Guards against a list that cannot be decoded: the old one stays in use, and the full list is requested,
             // since the changes in the lost one are unknown.
--- a/src/main/java/gatefront/registry/RegistryStateFile.java
+++ b/src/main/java/gatefront/registry/RegistryStateFile.java
@@ -96,7 +96,7 @@
             if (Long.parseLong(head[5]) != checksum(state, body)) {
                 throw new IOException(file + " does not match its checksum; it is not used");
             }
-            for (JsonNode item : Config.json(new ByteArrayInputStream(body))) {
+            for (JsonNode item : Config.parseJson(new ByteArrayInputStream(body))) {
                 state.entries()
                         .add(new KeyEntry(
                                 item.path("k").asText(),
--- a/src/main/java/gatefront/registry/RegistryView.java
+++ b/src/main/java/gatefront/registry/RegistryView.java
@@ -98,7 +98,7 @@
     }
 
     private static JsonNode parseValue(String value) throws IOException {
-        JsonNode root = Config.json(new ByteArrayInputStream(value.getBytes(StandardCharsets.UTF_8)));
+        JsonNode root = Config.parseJson(new ByteArrayInputStream(value.getBytes(StandardCharsets.UTF_8)));
         if (!root.isObject()) {
             throw new IllegalArgumentException("not a JSON object");
         }
--- a/src/main/java/gatefront/status/OperatorHttpServer.java
+++ b/src/main/java/gatefront/status/OperatorHttpServer.java
@@ -26,13 +26,19 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** HTTP/1.1 for staff: one call a connection, a bound on connections, a time for a call that does not end. */
+/** HTTP/1.1 server for operators: one request a connection, with limits on connections and on the time of a request. */
 public abstract class OperatorHttpServer {
-    private static final int BODY_MAX = 1 << 10;
+    private static final int MAX_BODY_BYTES = 1 << 10;
 
-    /** An answer: its status, the type of its text, the text. */
+    /**
+     * A response.
+     *
+     * @param status HTTP status code
+     * @param type content type
+     * @param text body
+     */
     public record Reply(int status, String type, String text) {
-        /** Plain text. */
+        /** Creates a plain-text response. */
         public static Reply plain(int status, String text) {
             return new Reply(status, "text/plain; charset=utf-8", text);
         }
@@ -40,36 +46,37 @@
 
     private final Transport transport;
     private final InetSocketAddress listen;
-    private final int connectionsMost;
-    private final long patienceMs;
-    /** The oldest first. Each is removed when it closes: after its answer or its time, or for a newer one. */
+    private final int maxConnections;
+    private final long requestTimeoutMs;
+    /** Open connections, oldest first. Each is closed after its response, on timeout, or to admit a newer one. */
     private final Set<Channel> open = new LinkedHashSet<>();
 
     private Channel server;
 
     /**
-     * Listens to nobody yet.
+     * Creates a server that does not listen until {@link #listen()} is called.
      *
-     * @param transport its loop and network
-     * @param listen where
-     * @param connectionsMost open at the most; the oldest then ends, for its caller has had the most time
-     * @param patienceMs a call not ended by then is cut off
+     * @param transport loop and network
+     * @param listen address to listen on
+     * @param maxConnections maximum open connections; beyond it the oldest is closed, as it has had the most time
+     * @param requestTimeoutMs time after which a connection is closed even without a response
      */
-    protected OperatorHttpServer(Transport transport, InetSocketAddress listen, int connectionsMost, long patienceMs) {
+    protected OperatorHttpServer(
+            Transport transport, InetSocketAddress listen, int maxConnections, long requestTimeoutMs) {
         this.transport = transport;
         this.listen = listen;
-        this.connectionsMost = connectionsMost;
-        this.patienceMs = patienceMs;
+        this.maxConnections = maxConnections;
+        this.requestTimeoutMs = requestTimeoutMs;
     }
 
-    /** Answers a call that could be read; on the loop, at once or later. */
-    protected abstract void call(FullHttpRequest request, Consumer<Reply> answer);
+    /** Handles a well-formed request; the response may be given at once or later, on the loop. */
+    protected abstract void handle(FullHttpRequest request, Consumer<Reply> responder);
 
-    /** Begins to listen; the future tells whether it could. */
+    /** Starts listening; the future reports success or failure. */
     public final ChannelFuture listen() {
         ChannelFuture bound = new ServerBootstrap()
                 .group(transport.loop())
-                .channelFactory(transport.listeners())
+                .channelFactory(transport.serverChannels())
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
@@ -81,50 +88,51 @@
         return bound;
     }
 
-    /** Where it listens. */
+    /** The address on which the server listens. */
     public final InetSocketAddress address() {
         return (InetSocketAddress) server.localAddress();
     }
 
-    /** Ends. */
+    /** Closes the listener and all connections. */
     public final void close() {
         server.close();
         List.copyOf(open).forEach(Channel::close);
     }
 
     private void accept(Channel ch) {
-        if (open.size() >= connectionsMost) {
+        if (open.size() >= maxConnections) {
             open.iterator().next().close();
         }
         open.add(ch);
-        var cutOff = transport.loop().schedule(() -> ch.close(), patienceMs, TimeUnit.MILLISECONDS);
+        var timeout = transport.loop().schedule(() -> ch.close(), requestTimeoutMs, TimeUnit.MILLISECONDS);
         ch.closeFuture().addListener(closed -> {
             open.remove(ch);
-            cutOff.cancel(false);
+            timeout.cancel(false);
         });
-        ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(BODY_MAX), new Answers());
+        ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new RequestHandler());
     }
 
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private boolean answered;
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             if (answered) {
-                return; // one call a connection
+                return; // one request a connection
             }
             answered = true;
-            Throwable unread = request.decoderResult().cause();
-            if (unread instanceof TooLongHttpHeaderException || unread instanceof TooLongHttpLineException) {
-                answer(ctx, Reply.plain(431, "too long\n"));
-            } else if (unread != null) {
-                answer(ctx, Reply.plain(400, "not to be read\n"));
+            Throwable decodeFailure = request.decoderResult().cause();
+            if (decodeFailure instanceof TooLongHttpHeaderException
+                    || decodeFailure instanceof TooLongHttpLineException) {
+                respond(ctx, Reply.plain(431, "too long\n"));
+            } else if (decodeFailure != null) {
+                respond(ctx, Reply.plain(400, "not to be read\n"));
             } else {
-                call(request, reply -> answer(ctx, reply));
+                handle(request, reply -> respond(ctx, reply));
             }
         }
 
-        private void answer(ChannelHandlerContext ctx, Reply reply) {
+        private void respond(ChannelHandlerContext ctx, Reply reply) {
             byte[] body = reply.text().getBytes(StandardCharsets.UTF_8);
             var response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(body));
--- a/src/main/java/gatefront/toml/KeyLineIndex.java
+++ b/src/main/java/gatefront/toml/KeyLineIndex.java
@@ -7,9 +7,8 @@
 import java.util.regex.Pattern;
 
 /**
- * The line of each key of a TOML file, by its path: the library tells what a file says, and not where. Written
- * for the forms that these files use (tables, arrays of tables, a key a line); a key that it does not find has the line
- * of the table around it.
+ * Maps key paths of a TOML file to line numbers, which the TOML library does not report. Supports tables, arrays of
+ * tables and one key a line; a key that is not found has the line of its enclosing table.
  */
 final class KeyLineIndex {
     private static final Pattern TABLE = Pattern.compile("\\s*(\\[{1,2})\\s*([^\\]]+?)\\s*\\]{1,2}\\s*(#.*)?");
@@ -19,43 +18,48 @@
 
     KeyLineIndex(List<String> text) {
         Map<String, Integer> counts = new HashMap<>();
-        String at = "";
+        String tablePath = "";
         for (int i = 0; i < text.size(); i++) {
             Matcher table = TABLE.matcher(text.get(i));
             Matcher key = KEY.matcher(text.get(i));
             if (table.matches()) {
-                at = resolve(table.group(2), counts);
+                tablePath = resolve(table.group(2), counts);
                 if (table.group(1).length() == 2) {
-                    int n = counts.merge(table.group(2), 1, Integer::sum) - 1;
-                    at = resolve(table.group(2), counts);
-                    lines.putIfAbsent(at.replaceFirst("\\." + n + "$", ""), i + 1);
+                    int index = counts.merge(table.group(2), 1, Integer::sum) - 1;
+                    tablePath = resolve(table.group(2), counts);
+                    lines.putIfAbsent(tablePath.replaceFirst("\\." + index + "$", ""), i + 1);
                 }
-                lines.putIfAbsent(at, i + 1);
+                lines.putIfAbsent(tablePath, i + 1);
             } else if (key.matches()) {
-                lines.putIfAbsent((at.isEmpty() ? "" : at + ".") + key.group(1).replace("\"", ""), i + 1);
+                lines.putIfAbsent(
+                        (tablePath.isEmpty() ? "" : tablePath + ".")
+                                + key.group(1).replace("\"", ""),
+                        i + 1);
             }
         }
     }
 
-    /** A table's path with the number of the element in each array of tables on the way. */
+    /** Returns a table's path with the index of the current element of each enclosing array of tables. */
     private static String resolve(String name, Map<String, Integer> counts) {
         StringBuilder path = new StringBuilder();
         StringBuilder plain = new StringBuilder();
         for (String part : name.split("\\.")) {
             plain.append(plain.isEmpty() ? "" : ".").append(part);
             path.append(path.isEmpty() ? "" : ".").append(part);
-            Integer n = counts.get(plain.toString());
-            if (n != null) {
-                path.append('.').append(n - 1);
+            Integer count = counts.get(plain.toString());
+            if (count != null) {
+                path.append('.').append(count - 1);
             }
         }
         return path.toString();
     }
 
-    /** The line of a path, or of what is around it; at least 1. */
-    int of(String path) {
-        for (String at = path; !at.isEmpty(); at = at.substring(0, Math.max(0, at.lastIndexOf('.')))) {
-            Integer line = lines.get(at);
+    /** Returns the line of a path or of its nearest ancestor; 1 if neither is known. */
+    int lineOf(String path) {
+        for (String ancestor = path;
+                !ancestor.isEmpty();
+                ancestor = ancestor.substring(0, Math.max(0, ancestor.lastIndexOf('.')))) {
+            Integer line = lines.get(ancestor);
             if (line != null) {
                 return line;
             }
--- a/src/test/java/gatefront/agent/RegistrySettingsReaderTest.java
+++ b/src/test/java/gatefront/agent/RegistrySettingsReaderTest.java
@@ -70,7 +70,7 @@
     @Test
     void errorsAreOneLine() {
         assertError(
-                "x.toml:2: registry.kind: \"etcdd\" is none of etcd, consul; is \"etcd\" meant?",
+                "x.toml:2: registry.kind: \"etcdd\" is none of etcd, consul; did you mean \"etcd\"?",
                 GOOD.replace("etcd", "etcdd"));
         assertError(
                 "x.toml:3: registry.endpoints: \"localhost:1\" must be a literal address",
@@ -87,6 +87,6 @@
         assertError(
                 "x.toml:5: registry.state_file: its folder /no/such does not exist",
                 GOOD + "state_file = \"/no/such/file\"");
-        assertError("x.toml:5: registry.keyz: is not known here; is \"keys\" meant?", GOOD + "keyz = 3");
+        assertError("x.toml:5: registry.keyz: unknown key; did you mean \"keys\"?", GOOD + "keyz = 3");
     }
 }
--- a/src/test/java/gatefront/agent/RegistrySourceTest.java
+++ b/src/test/java/gatefront/agent/RegistrySourceTest.java
@@ -64,7 +64,7 @@
             %s
             """
                         .formatted(kind.name().toLowerCase(), registry.address().getPort(), settings),
-                Config.of(fixture.config));
+                Config.fromJson(fixture.config));
     }
 
     private void put(String key, ObjectNode value) throws Exception {
