--- a/src/test/java/gatefront/agent/UsageRecorderTest.java
+++ b/src/test/java/gatefront/agent/UsageRecorderTest.java
@@ -140,7 +140,7 @@
                 .close();
         IOException e = assertThrows(IOException.class, () -> fixture.start(ledgerExtensions("")));
         assertEquals(
-                "ledger " + folder.resolve("books") + ": these are the books of agente-2, not of agente-1",
+                "ledger " + folder.resolve("books") + ": ledger store belongs to instance agente-2, not to agente-1",
                 e.getMessage());
         Path keys = folder.resolve("keys");
         Files.writeString(keys, "1 00\n");
