--- a/src/main/java/gatefront/agent/Agent.java
+++ b/src/main/java/gatefront/agent/Agent.java
@@ -663,9 +663,9 @@
                 / 1000;
         long lastResponseMs = longestDeadlineMs + KILL_AFTER_MS - FINAL_RESPONSE_MARGIN_MS;
         loop.execute(() -> {
-            boolean handsOver = operatorControls != null && listening && operatorControls.hasSuccessor();
-            frontends.forEach(handsOver ? Frontend::handOver : Frontend::markNotReady);
-            loop.schedule(this::drainIfIdle, handsOver ? 0 : IDLE_STOP_DELAY_MS, TimeUnit.MILLISECONDS);
+            boolean hasSuccessor = operatorControls != null && listening && operatorControls.hasSuccessor();
+            frontends.forEach(hasSuccessor ? Frontend::handOver : Frontend::markNotReady);
+            loop.schedule(this::drainIfIdle, hasSuccessor ? 0 : IDLE_STOP_DELAY_MS, TimeUnit.MILLISECONDS);
             loop.schedule(
                     this::beginDrain,
                     Math.min(MAX_SERVE_AFTER_STOP_MS, lastResponseMs - CONNECTION_CLOSE_MS),
--- a/src/main/java/gatefront/agent/OperatorControls.java
+++ b/src/main/java/gatefront/agent/OperatorControls.java
@@ -64,8 +64,8 @@
     /** Whether another process serves and this one is to take over from it. */
     private boolean successor;
 
-    private long applied;
-    private long rejected;
+    private long appliedReloads;
+    private long rejectedReloads;
 
     OperatorControls(
             Transport transport, InetSocketAddress listen, ProcessHandover peer, Engine engine, AgentControl agent) {
@@ -135,8 +135,8 @@
 
     /** Counts a reload that was applied or rejected. */
     void recordReload(boolean success) {
-        applied += success ? 1 : 0;
-        rejected += success ? 0 : 1;
+        appliedReloads += success ? 1 : 0;
+        rejectedReloads += success ? 0 : 1;
     }
 
     private void pollPeer() {
@@ -164,15 +164,15 @@
     }
 
     @Override
-    public void setDrained(String server, boolean banned, BiConsumer<ServerBans.Outcome, Boolean> callback) {
+    public void setDrained(String server, boolean drained, BiConsumer<ServerBans.Outcome, Boolean> callback) {
         if (peer != null) {
             pollPeer(); // the other endpoint may have received a call just before
         }
-        Future<?> earlier = pendingReturns.remove(server);
-        if (earlier != null) {
-            earlier.cancel(false);
+        Future<?> scheduledReturn = pendingReturns.remove(server);
+        if (scheduledReturn != null) {
+            scheduledReturn.cancel(false);
         }
-        if (!banned && bans.isDrained(server)) {
+        if (!drained && bans.isDrained(server)) {
             // Guards against a request reaching the server before the operator has the confirmation: once the server is
             // back, requests that wait are sent to it at once. So the return is stored and confirmed first.
             Map<String, ServerBans.Entry> entries = new HashMap<>(bans.entries());
@@ -201,8 +201,8 @@
             });
             return;
         }
-        ServerBans.Outcome answer = apply(server, banned);
-        persist(bans.entries(), stored -> callback.accept(answer, stored));
+        ServerBans.Outcome outcome = apply(server, drained);
+        persist(bans.entries(), stored -> callback.accept(outcome, stored));
     }
 
     /** Stores the bans if state is stored at all; otherwise reports success. */
@@ -214,10 +214,10 @@
         }
     }
 
-    private ServerBans.Outcome apply(String server, boolean banned) {
-        ServerBans.Outcome answer = bans.setDrained(server, banned, transport.wallMicros());
+    private ServerBans.Outcome apply(String server, boolean drained) {
+        ServerBans.Outcome outcome = bans.setDrained(server, drained, transport.wallMicros());
         if (bans.takeChanged()) {
-            transport.log("server " + server + (banned ? " taken out by hand" : " put back by hand"));
+            transport.log("server " + server + (drained ? " taken out by hand" : " put back by hand"));
             if (peer != null) {
                 peer.publishBans(bans.entries());
             }
@@ -226,30 +226,30 @@
                 engine.updateServers(ListKind.DELTA, change);
             }
         }
-        return answer;
+        return outcome;
     }
 
     @Override
-    public Map<String, String> textFigures() {
+    public Map<String, String> textStatistics() {
         return stateRecovery == null ? Map.of() : stateRecovery.statusFields();
     }
 
     @Override
-    public Map<String, Long> figures() {
-        Map<String, Long> figures = new LinkedHashMap<>();
+    public Map<String, Long> statistics() {
+        Map<String, Long> statistics = new LinkedHashMap<>();
         RequestCounters counters = engine.counters();
         List<String> classes = agent.classes();
         for (int i = 0; i < classes.size(); i++) {
-            figures.put("ok." + classes.get(i), counters.ok(i));
-            figures.put("shed." + classes.get(i), counters.shed(i));
-            figures.put("errors." + classes.get(i), counters.errors(i));
+            statistics.put("ok." + classes.get(i), counters.ok(i));
+            statistics.put("shed." + classes.get(i), counters.shed(i));
+            statistics.put("errors." + classes.get(i), counters.errors(i));
         }
-        figures.put("tries", counters.attempts());
-        figures.put("active", counters.active());
-        figures.put("pool_size", (long) engine.listedServers());
-        figures.put("pool_ejected", (long) bans.drainedCount() + engine.avoidedServers());
-        figures.put("config_applied", applied);
-        figures.put("config_rejected", rejected);
-        return figures;
+        statistics.put("tries", counters.attempts());
+        statistics.put("active", counters.active());
+        statistics.put("pool_size", (long) engine.listedServers());
+        statistics.put("pool_ejected", (long) bans.drainedCount() + engine.avoidedServers());
+        statistics.put("config_applied", appliedReloads);
+        statistics.put("config_rejected", rejectedReloads);
+        return statistics;
     }
 }
--- a/src/main/java/gatefront/agent/RecoverySettings.java
+++ b/src/main/java/gatefront/agent/RecoverySettings.java
@@ -28,7 +28,7 @@
         long clockOffsetMicros) {
     private static final double DEFAULT_DOUBT_SECONDS = 30;
     private static final double DEFAULT_LIST_SECONDS = 600;
-    private static final double MAX_AHEAD_SECONDS = 5;
+    private static final double MAX_CLOCK_LEAD_SECONDS = 5;
     private static final double DEFAULT_MARK_SECONDS = 1;
     private static final double DAY_SECONDS = 86_400;
 
@@ -42,7 +42,7 @@
         WAKING;
 
         /** Returns the word that names this guard in the settings. */
-        String settingWord() {
+        String label() {
             return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
         }
     }
@@ -59,8 +59,7 @@
                     "doubt_s", "must be at least twice mark_s, otherwise every start is treated as doubtful");
         }
         Set<Guard> disabledGuards = new HashSet<>();
-        List<String> words =
-                List.of(Guard.values()).stream().map(Guard::settingWord).toList();
+        List<String> words = List.of(Guard.values()).stream().map(Guard::label).toList();
         for (String word : rehearsal.texts("without")) {
             if (!words.contains(word)) {
                 throw rehearsal.invalid("without", "\"" + word + "\" is none of " + String.join(", ", words));
@@ -73,7 +72,7 @@
                 new StateValidator.Bounds(
                         (long) (1e6 * doubtSeconds),
                         (long) (1e6 * table.number("list_s", DEFAULT_LIST_SECONDS, 0, 30 * DAY_SECONDS)),
-                        (long) (1e6 * MAX_AHEAD_SECONDS)),
+                        (long) (1e6 * MAX_CLOCK_LEAD_SECONDS)),
                 (long) (1e6 * markSeconds),
                 Set.copyOf(disabledGuards),
                 (long) (1e6 * rehearsal.number("clock_s", 0.0, -30 * DAY_SECONDS, 30 * DAY_SECONDS)));
--- a/src/main/java/gatefront/agent/RegistrySettingsReader.java
+++ b/src/main/java/gatefront/agent/RegistrySettingsReader.java
@@ -73,15 +73,16 @@
             throw table.invalid(
                     "reads", "\"consistent\" is for Consul only; for etcd, \"usual\" reads are already consistent");
         }
-        double askSeconds = table.number("ask_s", 2.0, 0.1, 600);
+        double progressRequestSeconds = table.number("ask_s", 2.0, 0.1, 600);
         double silenceSeconds = table.number("silence_s", 8.0, 0.5, 600);
         double staleSeconds = table.number("stale_s", 30.0, 1, 86_400);
         double rereadSeconds = table.number("reread_s", 600.0, 0, 86_400);
         double backoffSeconds = table.number("backoff_s", 1.0, 0.05, 60);
-        if (etcd && silenceSeconds < 2 * askSeconds) {
+        if (etcd && silenceSeconds < 2 * progressRequestSeconds) {
             throw table.invalid(
                     "silence_s",
-                    "must be at least twice ask_s, " + askSeconds + ", so that a response can arrive in time");
+                    "must be at least twice ask_s, " + progressRequestSeconds
+                            + ", so that a response can arrive in time");
         }
         if (staleSeconds < silenceSeconds) {
             throw table.invalid("stale_s", "must be at least silence_s, " + silenceSeconds);
@@ -90,7 +91,7 @@
                 50_000,
                 (long) (backoffSeconds * MICROS_PER_SECOND),
                 etcd ? 0 : 60_000,
-                etcd ? (long) (askSeconds * MICROS_PER_SECOND) : 0,
+                etcd ? (long) (progressRequestSeconds * MICROS_PER_SECOND) : 0,
                 (long) (silenceSeconds * MICROS_PER_SECOND),
                 (long) (staleSeconds * MICROS_PER_SECOND),
                 (long) (rereadSeconds * MICROS_PER_SECOND),
--- a/src/main/java/gatefront/agent/StateRecovery.java
+++ b/src/main/java/gatefront/agent/StateRecovery.java
@@ -248,9 +248,9 @@
         }
     }
 
-    void close(Runnable then) {
+    void close(Runnable onClosed) {
         persistList();
-        store.close(then);
+        store.close(onClosed);
     }
 
     void abandon() {
--- a/src/main/java/gatefront/agent/UsageRecorder.java
+++ b/src/main/java/gatefront/agent/UsageRecorder.java
@@ -52,7 +52,7 @@
 
     private boolean closing;
     /** Whether the last write failed. */
-    private boolean failing;
+    private boolean writesFailing;
     /** Amounts for the next batch. Confined to the loop. */
     private TreeMap<Ledger.Cell, UsageAmounts> pending = new TreeMap<>();
     /** The latest batch; the writer removes what it has written. */
@@ -119,10 +119,10 @@
         transport
                 .loop()
                 .scheduleWithFixedDelay(
-                        this::handOver, settings.writeMicros(), settings.writeMicros(), TimeUnit.MICROSECONDS);
+                        this::submitBatch, settings.writeMicros(), settings.writeMicros(), TimeUnit.MICROSECONDS);
     }
 
-    private void handOver() {
+    private void submitBatch() {
         if (writePending || closing) {
             return;
         }
@@ -183,7 +183,7 @@
         while (!batch.isEmpty()) {
             long period = batch.firstKey().period();
             Map<Ledger.Cell, UsageAmounts> periodCells = batch.headMap(new Ledger.Cell(period + 1, "", ""));
-            ledgerStore.recordUse(period, periodCells);
+            ledgerStore.recordUsage(period, periodCells);
             periodCells.clear();
         }
         if (closeBefore - firstUnclosed > MAX_CLOSED_SINGLY) {
@@ -206,16 +206,16 @@
         writePending = false;
         unwritten.forEach((cell, amounts) -> pending.merge(cell, amounts, UsageAmounts::plus));
         unwritten.clear();
-        if (failure != null && !failing && !(failure instanceof StoreInUseException)) {
+        if (failure != null && !writesFailing && !(failure instanceof StoreInUseException)) {
             transport.log("ledger: write failed, will be retried: " + failure.getMessage());
-        } else if (failure == null && failing) {
+        } else if (failure == null && writesFailing) {
             transport.log("ledger: writes succeed again, no usage was lost");
         }
-        failing = failure != null && !(failure instanceof StoreInUseException);
+        writesFailing = failure != null && !(failure instanceof StoreInUseException);
     }
 
     /** Writes what is left and closes the ledger. Called on the loop; runs on the writer, as does {@code then}. */
-    void close(Runnable then) {
+    void close(Runnable onClosed) {
         closing = true;
         collect(periods.open());
         TreeMap<Ledger.Cell, UsageAmounts> batch = pending;
@@ -231,7 +231,7 @@
             } catch (IOException | RuntimeException e) {
                 transport.log("ledger: usage since the last successful write is lost: " + e.getMessage());
             } finally {
-                then.run();
+                onClosed.run();
             }
         });
         writer.shutdown();
--- a/src/main/java/gatefront/budget/LeakTrend.java
+++ b/src/main/java/gatefront/budget/LeakTrend.java
@@ -31,7 +31,7 @@
      * @return by how much the minimum has risen, if that is due to be reported: after the given number of consecutive
      *     rising windows, and after each further such number; 0 otherwise
      */
-    public long observe(long now, long held) {
+    public long observe(long now, long amount) {
         if (windowEndMicros == 0) {
             windowEndMicros = now + windowMicros;
         }
@@ -50,7 +50,7 @@
             windowMinimum = Long.MAX_VALUE;
             windowEndMicros = now + windowMicros;
         }
-        windowMinimum = Math.min(windowMinimum, held);
+        windowMinimum = Math.min(windowMinimum, amount);
         return growth;
     }
 }
--- a/src/main/java/gatefront/budget/UnaccountedMemory.java
+++ b/src/main/java/gatefront/budget/UnaccountedMemory.java
@@ -29,11 +29,11 @@
         if (resident < 0) {
             return 0;
         }
-        long rest = resident - heap - buffers;
+        long unaccountedBytes = resident - heap - buffers;
         if (baselineBytes < 0) {
-            baselineBytes = Math.max(0, rest);
+            baselineBytes = Math.max(0, unaccountedBytes);
         }
-        long growth = rest - baselineBytes;
+        long growth = unaccountedBytes - baselineBytes;
         if (growth < nextReportBytes) {
             return 0;
         }
--- a/src/main/java/gatefront/config/Config.java
+++ b/src/main/java/gatefront/config/Config.java
@@ -83,8 +83,8 @@
         try {
             root = parseJson(new ByteArrayInputStream(Files.readAllBytes(file)));
         } catch (IOException e) {
-            String why = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-            throw new IllegalArgumentException("cannot read " + file + ": " + why, e);
+            String reason = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
+            throw new IllegalArgumentException("cannot read " + file + ": " + reason, e);
         }
         return fromJson(root);
     }
@@ -153,7 +153,7 @@
     public Config reloadedWith(Config newer) {
         SettingsCompatibility.check(settingsJson, newer.settingsJson);
         List<String> names = new ArrayList<>(classes);
-        List<Balancer.RequestClass> types = new ArrayList<>(settings.classes());
+        List<Balancer.RequestClass> requestClasses = new ArrayList<>(settings.classes());
         Set<String> removed = new HashSet<>(classes);
         for (int i = 0; i < newer.classes.size(); i++) {
             String name = newer.classes.get(i);
@@ -161,9 +161,9 @@
             int index = names.indexOf(name);
             if (index < 0) {
                 names.add(name);
-                types.add(newer.settings.classes().get(i));
+                requestClasses.add(newer.settings.classes().get(i));
             } else {
-                types.set(index, newer.settings.classes().get(i));
+                requestClasses.set(index, newer.settings.classes().get(i));
             }
         }
         if (names.size() > MAX_CLASSES) {
@@ -193,7 +193,7 @@
                 updated.obligations(),
                 updated.prices(),
                 updated.goal(),
-                List.copyOf(types),
+                List.copyOf(requestClasses),
                 updated.tenants(),
                 current.loadFields());
         return new Config(
@@ -226,12 +226,12 @@
         }
     }
 
-    private static JsonNode parseJson(JsonParser input, JsonToken at) throws IOException {
+    private static JsonNode parseJson(JsonParser input, JsonToken token) throws IOException {
         JsonNodeFactory nodes = JsonNodeFactory.instance;
-        if (at == null) {
+        if (token == null) {
             return nodes.missingNode();
         }
-        switch (at) {
+        switch (token) {
             case START_OBJECT:
                 ObjectNode object = nodes.objectNode();
                 while (input.nextToken() != JsonToken.END_OBJECT) {
--- a/src/main/java/gatefront/drill/Drill.java
+++ b/src/main/java/gatefront/drill/Drill.java
@@ -63,7 +63,7 @@
         }
         Balancer instance = instances.get(id);
         if (instance == null) {
-            throw new WireException(in.where() + ": instance " + id + " has not been started");
+            throw new WireException(in.location() + ": instance " + id + " has not been started");
         }
         if (code == 19) {
             instances.remove(id);
@@ -137,14 +137,14 @@
             }
             case 23 -> instance.clientLeft(now, in.i64());
             case 26 -> instance.timer(now, in.i64());
-            default -> throw new WireException(in.where() + ": unknown code");
+            default -> throw new WireException(in.location() + ": unknown code");
         }
     }
 
     private void defineList() {
         int number = in.u8();
         if (number >= MAX_LISTS) {
-            throw new WireException(in.where() + ": list number " + number + "; expected 0 to " + (MAX_LISTS - 1));
+            throw new WireException(in.location() + ": list number " + number + "; expected 0 to " + (MAX_LISTS - 1));
         }
         int count = in.checkedCount(in.u32(), SERVER_ENTRY_BYTES);
         List<Balancer.Server> entries = new ArrayList<>(count);
@@ -169,7 +169,7 @@
                     case 2 -> ListKind.CACHED;
                     case 3 -> ListKind.FULL;
                     case 4 -> ListKind.FAILED;
-                    default -> throw new WireException(in.where() + ": unknown list kind " + kindCode);
+                    default -> throw new WireException(in.location() + ": unknown list kind " + kindCode);
                 };
         in.u32(); // list version; unused, because events are ordered and complete
         if (kind == ListKind.FAILED) {
@@ -178,7 +178,7 @@
         }
         List<Balancer.Server> entries = number < MAX_LISTS ? lists.get(number) : null;
         if (entries == null) {
-            throw new WireException(in.where() + ": list " + number + " has not been defined");
+            throw new WireException(in.location() + ": list " + number + " has not been defined");
         }
         instance.servers(now, kind, entries);
     }
@@ -200,7 +200,7 @@
             case 1 -> Phase.GONE;
             case 2 -> Phase.DRAINING;
             case 3 -> Phase.READY;
-            default -> throw new WireException(in.where() + ": unknown health " + code);
+            default -> throw new WireException(in.location() + ": unknown health " + code);
         };
     }
 
@@ -214,7 +214,7 @@
             case 520 -> Outcome.RESET;
             case 444 -> Outcome.CANCELLED;
             case 409 -> Outcome.NEVER_SENT;
-            default -> throw new WireException(in.where() + ": unknown outcome " + code);
+            default -> throw new WireException(in.location() + ": unknown outcome " + code);
         };
     }
 }
--- a/src/main/java/gatefront/drill/FrameReader.java
+++ b/src/main/java/gatefront/drill/FrameReader.java
@@ -73,7 +73,7 @@
     /** Moves to the next record of the frame; returns false after the last. */
     boolean nextRecord() {
         if (position != recordEnd) {
-            throw new WireException(where() + ": " + (recordEnd - position) + " bytes after the last field");
+            throw new WireException(location() + ": " + (recordEnd - position) + " bytes after the last field");
         }
         if (recordsLeft == 0) {
             if (position != end) {
@@ -85,12 +85,12 @@
         recordIndex++;
         recordEnd = end;
         if (end - position < RECORD_HEADER_BYTES) {
-            throw new WireException(where() + ": the frame ends inside the record");
+            throw new WireException(location() + ": the frame ends inside the record");
         }
         code = u8();
         int size = i32();
         if (size < 0 || size > end - position) {
-            throw new WireException(where() + ": size " + Integer.toUnsignedString(size) + " exceeds the "
+            throw new WireException(location() + ": size " + Integer.toUnsignedString(size) + " exceeds the "
                     + (end - position) + " bytes left in the frame");
         }
         recordEnd = position + size;
@@ -101,13 +101,13 @@
         return code;
     }
 
-    String where() {
+    String location() {
         return "frame " + frames + " record " + recordIndex + " (code " + code + ")";
     }
 
     private void require(int bytes) {
         if (bytes < 0 || recordEnd - position < bytes) {
-            throw new WireException(where() + ": too short for its fields");
+            throw new WireException(location() + ": too short for its fields");
         }
     }
 
@@ -145,7 +145,7 @@
     /** Returns a number of items after checking that the record has enough bytes left for them. */
     int checkedCount(long items, int itemSize) {
         if (items * itemSize > recordEnd - position) {
-            throw new WireException(where() + ": too short for its fields");
+            throw new WireException(location() + ": too short for its fields");
         }
         return (int) items;
     }
--- a/src/main/java/gatefront/ledger/ExportSchedule.java
+++ b/src/main/java/gatefront/ledger/ExportSchedule.java
@@ -85,7 +85,7 @@
     }
 
     /** Handles an answer with the receiver's number of entries; returns whether it differs from the known number. */
-    public boolean onAnswer(long nowMicros, long received, long created) {
+    public boolean onResponse(long nowMicros, long received, long created) {
         if (received < 0 || received > created) {
             onFailure(nowMicros);
             return false;
--- a/src/main/java/gatefront/ledger/Ledger.java
+++ b/src/main/java/gatefront/ledger/Ledger.java
@@ -108,7 +108,7 @@
 
     /** Counts an entry that has been added, and the corrections that were waiting for it. */
     private Ledger withAmounts(LedgerEntry entry) {
-        LedgerEntry use = originalUse(entry);
+        LedgerEntry use = originalUsage(entry);
         if (use == null) {
             EntryId missing = missingEntry(entry);
             return new Ledger(
@@ -136,7 +136,7 @@
     }
 
     /** Returns the entry of use at the end of a chain of corrections; null if the chain is incomplete or cyclic. */
-    private LedgerEntry originalUse(LedgerEntry entry) {
+    private LedgerEntry originalUsage(LedgerEntry entry) {
         LedgerEntry current = entry;
         for (int i = 0; current != null && current.corrects() != null; i++) {
             current = i > entries.size() ? null : entries.get(current.corrects());
--- a/src/main/java/gatefront/ledgerstore/LedgerStore.java
+++ b/src/main/java/gatefront/ledgerstore/LedgerStore.java
@@ -183,7 +183,7 @@
     }
 
     /** Stores the use of a period, all or nothing; cells without use are skipped. */
-    public void recordUse(long period, Map<Ledger.Cell, UsageAmounts> cells) throws StoreFailedException {
+    public void recordUsage(long period, Map<Ledger.Cell, UsageAmounts> cells) throws StoreFailedException {
         List<LedgerEntry> entries = new ArrayList<>();
         for (Map.Entry<Ledger.Cell, UsageAmounts> cell : cells.entrySet()) {
             if (!cell.getValue().isZero()) {
--- a/src/main/java/gatefront/management/ManagementEndpoint.java
+++ b/src/main/java/gatefront/management/ManagementEndpoint.java
@@ -27,10 +27,10 @@
         boolean ready();
 
         /** Returns the numeric statistics, in the order in which they are printed. */
-        Map<String, Long> figures();
+        Map<String, Long> statistics();
 
         /** Returns further statistics with text values. */
-        default Map<String, String> textFigures() {
+        default Map<String, String> textStatistics() {
             return Map.of();
         }
 
@@ -38,9 +38,9 @@
          * Drains a server manually, which takes effect before this method returns, or puts it back, which takes effect
          * soon after.
          *
-         * @param then receives the outcome, and whether it would survive a restart of the agent, once both are known
+         * @param callback receives the outcome, and whether it would survive a restart of the agent, once both are known
          */
-        void setDrained(String server, boolean drained, BiConsumer<ServerBans.Outcome, Boolean> then);
+        void setDrained(String server, boolean drained, BiConsumer<ServerBans.Outcome, Boolean> callback);
     }
 
     private final Agent agent;
@@ -52,23 +52,23 @@
     }
 
     @Override
-    protected void handle(FullHttpRequest request, Consumer<Reply> answer) {
+    protected void handle(FullHttpRequest request, Consumer<Response> responder) {
         String uri = request.uri();
         int queryStart = uri.indexOf('?');
         String path = queryStart < 0 ? uri : uri.substring(0, queryStart);
         if (path.equals("/healthcheck") || path.equals("/stats")) {
-            answer.accept(answerRead(request, path));
+            responder.accept(respondToRead(request, path));
             return;
         }
         int actionStart = path.lastIndexOf('/');
         boolean drain = path.endsWith("/maint");
         if (!path.startsWith(BACKENDS) || actionStart <= BACKENDS.length() || !drain && !path.endsWith("/ready")) {
-            answer.accept(
-                    Reply.plain(404, "there are /healthcheck, /stats, /backends/ID/maint and /backends/ID/ready\n"));
+            responder.accept(
+                    Response.plain(404, "there are /healthcheck, /stats, /backends/ID/maint and /backends/ID/ready\n"));
             return;
         }
         if (!request.method().equals(HttpMethod.POST)) {
-            answer.accept(Reply.plain(405, "POST only\n"));
+            responder.accept(Response.plain(405, "POST only\n"));
             return;
         }
         String server;
@@ -79,35 +79,35 @@
             server = "";
         }
         if (server.isEmpty() || server.chars().anyMatch(c -> c < ' ')) {
-            answer.accept(Reply.plain(400, "an id that cannot be read\n"));
+            responder.accept(Response.plain(400, "an id that cannot be read\n"));
             return;
         }
         agent.setDrained(
                 server,
                 drain,
-                (outcome, persisted) -> answer.accept(
+                (outcome, persisted) -> responder.accept(
                         switch (outcome) {
-                            case APPLIED -> Reply.plain(
+                            case APPLIED -> Response.plain(
                                     200,
                                     (drain ? "out" : "back") + (persisted ? "\n" : ", and not kept over a restart\n"));
-                            case UNKNOWN_SERVER -> Reply.plain(404, "nobody has this id\n");
-                            case TOO_MANY -> Reply.plain(503, "too many are out by hand\n");
+                            case UNKNOWN_SERVER -> Response.plain(404, "nobody has this id\n");
+                            case TOO_MANY -> Response.plain(503, "too many are out by hand\n");
                         }));
     }
 
-    private Reply answerRead(FullHttpRequest request, String path) {
+    private Response respondToRead(FullHttpRequest request, String path) {
         if (!request.method().equals(HttpMethod.GET)) {
-            return Reply.plain(405, "GET only\n");
+            return Response.plain(405, "GET only\n");
         }
         if (path.equals("/stats")) {
-            return Reply.plain(200, text(agent.figures()) + text(agent.textFigures()));
+            return Response.plain(200, text(agent.statistics()) + text(agent.textStatistics()));
         }
-        return agent.ready() ? Reply.plain(200, "ready\n") : Reply.plain(503, "not ready\n");
+        return agent.ready() ? Response.plain(200, "ready\n") : Response.plain(503, "not ready\n");
     }
 
-    private static String text(Map<String, ?> figures) {
+    private static String text(Map<String, ?> statistics) {
         StringBuilder text = new StringBuilder();
-        figures.forEach(
+        statistics.forEach(
                 (name, value) -> text.append(name).append('=').append(value).append('\n'));
         return text.toString();
     }
--- a/src/main/java/gatefront/membership/Membership.java
+++ b/src/main/java/gatefront/membership/Membership.java
@@ -93,7 +93,7 @@
             if (endpoint.server().phase() == Phase.GONE) {
                 withdraw(source, views);
             } else {
-                list(source, views, endpoint);
+                markListed(source, views, endpoint);
             }
         }
         List<Endpoint> changed = new ArrayList<>();
@@ -153,7 +153,7 @@
         }
     }
 
-    private void list(int source, SourceViews views, Endpoint endpoint) {
+    private void markListed(int source, SourceViews views, Endpoint endpoint) {
         views.bySource[source] = endpoint;
         views.withdrawn[source] = false;
         if (endpoint.server().startedAt() > views.latestKnownStart) {
--- a/src/main/java/gatefront/persistence/RecoveryStore.java
+++ b/src/main/java/gatefront/persistence/RecoveryStore.java
@@ -104,12 +104,12 @@
             StoredState restored = codec.contents();
             if (restored.instance() != null && !restored.instance().equals(instance)) {
                 recoveryStore.store.close();
-                String aside = recoveryStore.setAsideAndRecreate();
+                String oldStorePath = recoveryStore.setAsideAndRecreate();
                 return new Opened(
                         recoveryStore,
                         restored,
                         Recovery.StoreStatus.FOREIGN,
-                        "that of " + restored.instance() + "; it was set aside as " + aside);
+                        "that of " + restored.instance() + "; it was set aside as " + oldStorePath);
             }
             recoveryStore.recordStart(restored);
             return restored.instance() == null
@@ -127,12 +127,12 @@
             return new Opened(recoveryStore, StoredState.EMPTY, Recovery.StoreStatus.IN_USE, "");
         } catch (CorruptStoreException e) {
             try {
-                String aside = recoveryStore.setAsideAndRecreate();
+                String oldStorePath = recoveryStore.setAsideAndRecreate();
                 return new Opened(
                         recoveryStore,
                         codec.contents(),
                         Recovery.StoreStatus.DAMAGED,
-                        e.getMessage() + "; it was set aside as " + aside);
+                        e.getMessage() + "; it was set aside as " + oldStorePath);
             } catch (IOException recreation) {
                 return new Opened(
                         recoveryStore,
@@ -157,22 +157,22 @@
 
     /** Moves the present store aside, creates a new one, and returns the path of the old one. */
     private String setAsideAndRecreate() throws IOException {
-        Path aside = null;
-        for (int i = 1; i <= MAX_SET_ASIDE && (aside == null || Files.exists(aside)); i++) {
-            aside = folder.resolveSibling(folder.getFileName() + ".aside-" + i);
+        Path oldStore = null;
+        for (int i = 1; i <= MAX_SET_ASIDE && (oldStore == null || Files.exists(oldStore)); i++) {
+            oldStore = folder.resolveSibling(folder.getFileName() + ".aside-" + i);
         }
-        if (Files.exists(aside)) {
-            try (var files = Files.list(aside)) {
+        if (Files.exists(oldStore)) {
+            try (var files = Files.list(oldStore)) {
                 for (Path file : files.toList()) {
                     Files.delete(file);
                 }
             }
-            Files.delete(aside);
+            Files.delete(oldStore);
         }
-        Files.move(folder, aside);
+        Files.move(folder, oldStore);
         store = Store.open(new DirectoryDisk(folder), OPTIONS, new RecoveryRecordCodec());
         recordStart(StoredState.EMPTY);
-        return aside.toString();
+        return oldStore.toString();
     }
 
     private void recordStart(StoredState restored) throws StoreFailedException {
@@ -283,7 +283,7 @@
     }
 
     /** Writes what is pending and closes the store; {@code then} runs on the writer thread. */
-    public void close(Runnable then) {
+    public void close(Runnable onClosed) {
         saveAliveMark();
         closed = true;
         Map<String, PendingWrite> last = pendingWrites;
@@ -298,7 +298,7 @@
             } catch (IOException e) {
                 // the result of each write has been reported already
             } finally {
-                then.run();
+                onClosed.run();
             }
         });
         writer.shutdown();
--- a/src/main/java/gatefront/policy/AdaptiveBalancer.java
+++ b/src/main/java/gatefront/policy/AdaptiveBalancer.java
@@ -464,19 +464,20 @@
         double retained = Math.exp(-(double) (now - rankedAt) / RANKING_DECAY_TIME);
         rankedAt = now;
         double totalWorth = 0;
-        ClassState worst = rankedClasses.get(0);
+        ClassState worstServedClass = rankedClasses.get(0);
         for (ClassState state : rankedClasses) {
             state.recentArrivals *= retained;
             state.recentServed *= retained;
             totalWorth += state.recentArrivals * state.requestClass.worth() * requestWeight(state);
-            if (state.recentServed * worst.recentArrivals < worst.recentServed * state.recentArrivals) {
-                worst = state;
+            if (state.recentServed * worstServedClass.recentArrivals
+                    < worstServedClass.recentServed * state.recentArrivals) {
+                worstServedClass = state;
             }
         }
         for (ClassState state : rankedClasses) {
             double share = state.requestClass.worth() * requestWeight(state) / Math.max(totalWorth, Double.MIN_NORMAL);
             state.valuePerWork = (settings.goal().whole() + settings.goal().worstWindow()) * share;
-            if (state == worst) {
+            if (state == worstServedClass) {
                 state.valuePerWork += settings.goal().worstClass() / Math.max(state.recentArrivals, Double.MIN_NORMAL);
             }
             state.valuePerWork /= Math.max(state.meanLatency, 1);
@@ -736,23 +737,23 @@
      * Picks the less loaded of two random servers with capacity, or of the two servers of the request's key.
      *
      * @param healthy whether to consider available servers only
-     * @param where 1 for the own zone, 0 for other zones, -1 for all servers
+     * @param zoneFilter 1 for the own zone, 0 for other zones, -1 for all servers
      * @return null if there is none
      */
-    private ServerState pickOfTwo(PendingRequest req, long now, boolean healthy, int where) {
+    private ServerState pickOfTwo(PendingRequest req, long now, boolean healthy, int zoneFilter) {
         candidates.clear();
-        double spare = 0;
+        double spareCapacity = 0;
         int inFlight = 0;
         int remaining = usesKeyAffinity(req)
                 ? listedServers.size()
-                : subsetSize(where == 1 ? SUBSET_MIN_OWN_ZONE : SUBSET_MIN_OTHER_ZONES, now);
+                : subsetSize(zoneFilter == 1 ? SUBSET_MIN_OWN_ZONE : SUBSET_MIN_OTHER_ZONES, now);
         for (int index = 0; index < listedServers.size() && remaining > 0; index++) {
             ServerState server = listedServers.get(index);
             if (server.ready
                     && (!healthy || isAvailable(req, server, now))
-                    && (where < 0 || (server.entry.zone() == settings.zone()) == (where == 1))) {
+                    && (zoneFilter < 0 || (server.entry.zone() == settings.zone()) == (zoneFilter == 1))) {
                 remaining--;
-                spare += server.limit - server.inFlight;
+                spareCapacity += server.limit - server.inFlight;
                 inFlight += server.inFlight;
                 if (!req.tried(server)
                         && inDedupScope(req, server)
@@ -763,7 +764,7 @@
                 }
             }
         }
-        if (inFlight > 0 && spare < 1) {
+        if (inFlight > 0 && spareCapacity < 1) {
             // Even one request at each of a few servers would overload them if each of hundreds of agents sent it.
             return null;
         }
@@ -826,10 +827,10 @@
                 .orElseThrow();
     }
 
-    private static long mix(long z) {
-        z = (z + 0x9e3779b97f4a7c15L) * 0xbf58476d1ce4e5b9L;
-        z = (z ^ z >>> 29) * 0x94d049bb133111ebL;
-        return z ^ z >>> 32;
+    private static long mix(long hash) {
+        hash = (hash + 0x9e3779b97f4a7c15L) * 0xbf58476d1ce4e5b9L;
+        hash = (hash ^ hash >>> 29) * 0x94d049bb133111ebL;
+        return hash ^ hash >>> 32;
     }
 
     // ---- Concurrency limits and latencies ----
@@ -1105,9 +1106,9 @@
             return;
         }
         List<ServerState> probed = serversToProbe(now);
-        double sharers = (double) settings.agents() * probed.size() / listedServers.size();
+        double agentsPerServer = (double) settings.agents() * probed.size() / listedServers.size();
         double interval = PROBE_INTERVAL * Math.max(1, settings.prices().probe() / PROBE_PRICE_THRESHOLD);
-        double mean = interval * Math.max(1, sharers) / probed.size();
+        double mean = interval * Math.max(1, agentsPerServer) / probed.size();
         actions.timer(TIMER_PROBE, 1 + (long) (mean * (minFactor + random.nextDouble())));
         ServerState server = probed.get(nextProbe++ % probed.size());
         if (minFactor > 0 && !server.probeInFlight) {
--- a/src/main/java/gatefront/policy/PendingRequest.java
+++ b/src/main/java/gatefront/policy/PendingRequest.java
@@ -32,15 +32,21 @@
     boolean streaming;
 
     PendingRequest(
-            Request request, ClassState state, int attemptsMost, long token, long cameAt, long firstAt, long endAt) {
+            Request request,
+            ClassState state,
+            int maxAttempts,
+            long token,
+            long arrivedAt,
+            long firstArrivedAt,
+            long expiresAt) {
         this.request = request;
         this.classState = state;
         this.requestClass = state.requestClass;
-        this.maxAttempts = attemptsMost;
+        this.maxAttempts = maxAttempts;
         this.token = token;
-        this.arrivedAt = cameAt;
-        this.firstArrivedAt = firstAt;
-        this.expiresAt = endAt;
+        this.arrivedAt = arrivedAt;
+        this.firstArrivedAt = firstArrivedAt;
+        this.expiresAt = expiresAt;
     }
 
     /** An attempt. Its outcome is null while it is in flight. */
--- a/src/main/java/gatefront/policy/QuantileEstimator.java
+++ b/src/main/java/gatefront/policy/QuantileEstimator.java
@@ -19,8 +19,8 @@
 
     private int count;
 
-    QuantileEstimator(double share) {
-        this.quantile = share;
+    QuantileEstimator(double quantile) {
+        this.quantile = quantile;
     }
 
     void add(double sample) {
--- a/src/main/java/gatefront/registry/EtcdConnector.java
+++ b/src/main/java/gatefront/registry/EtcdConnector.java
@@ -91,7 +91,7 @@
             boolean singleMessage,
             MessageReader reader,
             EndListener endListener) {
-        if (connection == null || !connection.usable()) {
+        if (connection == null || !connection.isUsable()) {
             connection = new GrpcConnection(transport, members.current(), MAX_MESSAGE_BYTES);
         }
         currentCall = connection.call(
--- a/src/main/java/gatefront/registry/GrpcConnection.java
+++ b/src/main/java/gatefront/registry/GrpcConnection.java
@@ -98,7 +98,7 @@
         channel.closeFuture().addListener(done -> closed = true);
     }
 
-    boolean usable() {
+    boolean isUsable() {
         return !closed;
     }
 
--- a/src/main/java/gatefront/registry/follower/Follower.java
+++ b/src/main/java/gatefront/registry/follower/Follower.java
@@ -215,13 +215,13 @@
             return;
         }
         boolean first = revision < 0;
-        boolean goesBack = !first && (readHistory != history || readRevision < revision);
-        if (goesBack && !quorum) {
+        boolean historyRegressed = !first && (readHistory != history || readRevision < revision);
+        if (historyRegressed && !quorum) {
             requestQuorumRead(now, readHistory, readRevision);
             return;
         }
         List<KeyChange> changes = difference(readEntries, readRevision);
-        if (goesBack) {
+        if (historyRegressed) {
             actions.log("the history of the registry has changed: " + describe(readHistory, readRevision) + " after "
                     + describe(history, revision) + "; using its full read");
         } else if (readRevision == revision && !changes.isEmpty()) {
--- a/src/main/java/gatefront/status/OperatorHttpServer.java
+++ b/src/main/java/gatefront/status/OperatorHttpServer.java
@@ -37,10 +37,10 @@
      * @param type content type
      * @param text body
      */
-    public record Reply(int status, String type, String text) {
+    public record Response(int status, String type, String text) {
         /** Creates a plain-text response. */
-        public static Reply plain(int status, String text) {
-            return new Reply(status, "text/plain; charset=utf-8", text);
+        public static Response plain(int status, String text) {
+            return new Response(status, "text/plain; charset=utf-8", text);
         }
     }
 
@@ -70,7 +70,7 @@
     }
 
     /** Handles a well-formed request; the response may be given at once or later, on the loop. */
-    protected abstract void handle(FullHttpRequest request, Consumer<Reply> responder);
+    protected abstract void handle(FullHttpRequest request, Consumer<Response> responder);
 
     /** Starts listening; the future reports success or failure. */
     public final ChannelFuture listen() {
@@ -124,23 +124,24 @@
             Throwable decodeFailure = request.decoderResult().cause();
             if (decodeFailure instanceof TooLongHttpHeaderException
                     || decodeFailure instanceof TooLongHttpLineException) {
-                respond(ctx, Reply.plain(431, "too long\n"));
+                respond(ctx, Response.plain(431, "too long\n"));
             } else if (decodeFailure != null) {
-                respond(ctx, Reply.plain(400, "not to be read\n"));
+                respond(ctx, Response.plain(400, "not to be read\n"));
             } else {
                 handle(request, reply -> respond(ctx, reply));
             }
         }
 
-        private void respond(ChannelHandlerContext ctx, Reply reply) {
-            byte[] body = reply.text().getBytes(StandardCharsets.UTF_8);
-            var response = new DefaultFullHttpResponse(
-                    HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(body));
-            response.headers()
+        private void respond(ChannelHandlerContext ctx, Response response) {
+            byte[] body = response.text().getBytes(StandardCharsets.UTF_8);
+            var httpResponse = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(response.status()), Unpooled.wrappedBuffer(body));
+            httpResponse
+                    .headers()
                     .set(HttpHeaderNames.CONTENT_LENGTH, body.length)
-                    .set(HttpHeaderNames.CONTENT_TYPE, reply.type())
+                    .set(HttpHeaderNames.CONTENT_TYPE, response.type())
                     .set(HttpHeaderNames.CONNECTION, "close");
-            ctx.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
+            ctx.writeAndFlush(httpResponse).addListener(ChannelFutureListener.CLOSE);
         }
 
         @Override
--- a/src/main/java/gatefront/status/StatusEndpoint.java
+++ b/src/main/java/gatefront/status/StatusEndpoint.java
@@ -21,17 +21,17 @@
     }
 
     @Override
-    protected void handle(FullHttpRequest request, Consumer<Reply> responder) {
-        responder.accept(reply(request));
+    protected void handle(FullHttpRequest request, Consumer<Response> responder) {
+        responder.accept(respond(request));
     }
 
-    private Reply reply(FullHttpRequest request) {
+    private Response respond(FullHttpRequest request) {
         boolean json = request.uri().equals("/status.json");
         if (!request.method().equals(HttpMethod.GET) || !json && !request.uri().equals("/status")) {
-            return Reply.plain(404, "there are /status and /status.json\n");
+            return Response.plain(404, "there are /status and /status.json\n");
         }
         return json
-                ? new Reply(200, "application/json", StatusPage.json(budget, ProcessMetrics.now()) + "\n")
-                : Reply.plain(200, StatusPage.text(budget, ProcessMetrics.now()));
+                ? new Response(200, "application/json", StatusPage.json(budget, ProcessMetrics.now()) + "\n")
+                : Response.plain(200, StatusPage.text(budget, ProcessMetrics.now()));
     }
 }
--- a/src/main/java/gatefront/storage/GroupCommit.java
+++ b/src/main/java/gatefront/storage/GroupCommit.java
@@ -61,7 +61,7 @@
     private final MpscArrayQueue<Item> queue;
     private final AtomicInteger activeOffers = new AtomicInteger();
     private final Thread thread;
-    private volatile boolean sleeping;
+    private volatile boolean writerParked;
     private volatile boolean closed;
     /** An item that was taken from the queue but did not fit into the current group. */
     private Item deferred;
@@ -106,7 +106,7 @@
         } finally {
             activeOffers.decrementAndGet();
         }
-        if (sleeping) {
+        if (writerParked) {
             LockSupport.unpark(thread);
         }
         return true;
@@ -163,13 +163,13 @@
             return next;
         }
         // A thread that offers an item after the second poll sees the flag and unparks the writer.
-        sleeping = true;
+        writerParked = true;
         next = queue.poll();
         if (next == null) {
             LockSupport.parkNanos(this, waitNanos < 0 ? IDLE_WAIT_NANOS : Math.min(waitNanos, IDLE_WAIT_NANOS));
             next = queue.poll();
         }
-        sleeping = false;
+        writerParked = false;
         return next;
     }
 
--- a/src/main/java/gatefront/storage/StoreReader.java
+++ b/src/main/java/gatefront/storage/StoreReader.java
@@ -283,8 +283,8 @@
     /** Returns whether a valid frame after a bad offset states that the offset had been forced to the disk. */
     private static boolean isConfirmedByLaterFrame(ByteBuffer bytes, int badOffset, long fileNumber) {
         for (int offset = badOffset + 1; offset <= bytes.limit() - Frame.HEADER_BYTES; offset++) {
-            long statedEnd = bytes.getLong(offset + 16);
-            if (statedEnd > badOffset && statedEnd <= offset) {
+            long durableEndInFrame = bytes.getLong(offset + 16);
+            if (durableEndInFrame > badOffset && durableEndInFrame <= offset) {
                 Frame frame = Frame.read(bytes, offset, fileNumber);
                 if (frame != null) {
                     return true;
--- a/src/test/java/gatefront/cli/LedgerCommandTest.java
+++ b/src/test/java/gatefront/cli/LedgerCommandTest.java
@@ -48,9 +48,9 @@
     private String books(String name, String instance, long requests) throws IOException {
         Path folder = dir.resolve(name);
         try (LedgerStore books = LedgerStore.open(new DirectoryDisk(folder), Store.Options.DEFAULTS, instance)) {
-            books.recordUse(
+            books.recordUsage(
                     7, Map.of(new Ledger.Cell(7, "mitla", "pago"), new UsageAmounts(requests, 8_000_000, 5, 6)));
-            books.recordUse(7, Map.of(new Ledger.Cell(7, "=1+1", "a,\"b\""), new UsageAmounts(1, 0, 0, 0)));
+            books.recordUsage(7, Map.of(new Ledger.Cell(7, "=1+1", "a,\"b\""), new UsageAmounts(1, 0, 0, 0)));
             books.closePeriod(7);
         }
         return folder.toString();
--- a/src/test/java/gatefront/ledger/ExportScheduleTest.java
+++ b/src/test/java/gatefront/ledger/ExportScheduleTest.java
@@ -15,7 +15,7 @@
     @Test
     void answerAboveTheNumberOfCreatedEntriesCountsAsFailure() {
         assertEquals(new ExportSchedule.Batch(0, 3), export.nextBatch(0, 3));
-        assertFalse(export.onAnswer(10, 4, 3));
+        assertFalse(export.onResponse(10, 4, 3));
         assertEquals(0, export.acknowledged());
         assertEquals(1, export.failures());
         assertEquals(new ExportSchedule.Batch(0, 3), export.nextBatch(200, 3));
--- a/src/test/java/gatefront/ledgerstore/LedgerStoreTest.java
+++ b/src/test/java/gatefront/ledgerstore/LedgerStoreTest.java
@@ -59,7 +59,7 @@
             for (int i = 0; i < (faults ? 200 : 20_000); i++) {
                 now += 20;
                 if (faults && random.nextInt(4) == 0) {
-                    store.recordUse(1, cell(1, "t" + random.nextInt(3), 1 + random.nextInt(9)));
+                    store.recordUsage(1, cell(1, "t" + random.nextInt(3), 1 + random.nextInt(9)));
                     stored.add(store.ownEntries(store.ownCount() - 1, 1).get(0).id());
                 }
                 if (faults && random.nextInt(60) == 0) {
@@ -71,7 +71,7 @@
                     answerAt = now + 20L * random.nextInt(faults ? 60 : 5); // sometimes after the timeout
                 }
                 if (answer != null && now >= answerAt) {
-                    boolean changed = export.onAnswer(now, answer, store.ownCount());
+                    boolean changed = export.onResponse(now, answer, store.ownCount());
                     answer = faults && random.nextInt(10) == 0
                             ? answer
                             : null; // with faults, the answer may be delivered again
@@ -129,7 +129,7 @@
     void ledgerStoreBelongsToOneInstanceAndEachOpeningStartsAnEpoch() throws IOException {
         CrashingDisk disk = new CrashingDisk(1);
         LedgerStore first = LedgerStore.open(disk, Store.Options.DEFAULTS, "a");
-        first.recordUse(1, cell(1, "mitla", 5));
+        first.recordUsage(1, cell(1, "mitla", 5));
         assertThrows(IOException.class, () -> LedgerStore.open(disk, Store.Options.DEFAULTS, "a"), "already open");
         first.close();
         assertEquals(
@@ -137,7 +137,7 @@
                 assertThrows(IOException.class, () -> LedgerStore.open(disk, Store.Options.DEFAULTS, "b"))
                         .getMessage());
         LedgerStore second = LedgerStore.open(disk, Store.Options.DEFAULTS, "a");
-        second.recordUse(1, cell(1, "mitla", 2));
+        second.recordUsage(1, cell(1, "mitla", 2));
         second.closePeriod(1);
         assertEquals(new EntryId("a", 1, 0), second.ownEntries(1, 1).get(0).id());
         assertEquals(7, second.ledger().total(1, "mitla").requests());
@@ -150,7 +150,7 @@
     @Test
     void exportedEntryIsCorrectedByASeparateEntry() throws IOException {
         LedgerStore store = LedgerStore.open(new CrashingDisk(1), Store.Options.DEFAULTS, "a");
-        store.recordUse(1, cell(1, "mitla", 5));
+        store.recordUsage(1, cell(1, "mitla", 5));
         EntryId correctedId = store.ownEntries(0, 1).get(0).id();
         LedgerEntry correction = store.correct(correctedId, 2, new UsageAmounts(-5, 0, 0, 0), "a test terminal");
         store.correct(correction.id(), 2, new UsageAmounts(1, 0, 0, 0), "one was real");
