--- a/src/main/java/gatefront/agent/Agent.java
+++ b/src/main/java/gatefront/agent/Agent.java
@@ -510,7 +510,7 @@
         return operatorControls != null && operatorControls.isSuccessor();
     }
 
-    /** Receives the merged server list; bans set by operators are applied to it. */
+    /** Receives the merged server list and applies the manual drains to it. */
     private void onServerList(Balancer.ListKind kind, List<Endpoint> endpoints) {
         if (stateRecovery != null) {
             stateRecovery.onServerList(kind, endpoints);
--- a/src/main/java/gatefront/agent/OperatorControls.java
+++ b/src/main/java/gatefront/agent/OperatorControls.java
@@ -20,12 +20,13 @@
 import java.util.function.Consumer;
 
 /**
- * Operators' control of an agent: the management endpoint, the bans applied to the server list, and their exchange with
- * another process of the same agent. Loaded only if a management endpoint is configured. Runs on the agent's loop.
+ * Operators' control of an agent: the management endpoint, the manual drains applied to the server list, and their
+ * exchange with another process of the same agent. Loaded only if a management endpoint is configured. Runs on the
+ * agent's loop.
  */
 final class OperatorControls implements ManagementEndpoint.Agent {
     /**
-     * Interval at which the other process is polled, in milliseconds. A ban received by its endpoint must take effect
+     * Interval at which the other process is polled, in milliseconds. A drain received by its endpoint must take effect
      * here within the drain grace.
      */
     private static final long POLL_MS = 100;
@@ -54,7 +55,7 @@
     private final ServerBans bans = new ServerBans();
     /** The other process of the agent; null if no directory is shared. */
     private final ProcessHandover peer;
-    /** Scheduled returns of banned servers, by name; each runs after {@link #RETURN_DELAY_MS}. */
+    /** Scheduled returns of drained servers, by name; each runs after {@link #RETURN_DELAY_MS}. */
     private final Map<String, Future<?>> pendingReturns = new HashMap<>();
 
     private Future<?> polling;
@@ -96,7 +97,7 @@
     }
 
     /**
-     * Reads the bans of the other process and begins to poll it; must be called before the first server list.
+     * Reads the manual drains of the other process and begins to poll it; must be called before the first server list.
      *
      * @param restored the state restored from before the restart, or null if none is stored
      */
@@ -128,7 +129,7 @@
         }
     }
 
-    /** Returns the list with the bans applied. */
+    /** Returns the server list with the manual drains applied. */
     List<Endpoint> applyOverrides(ListKind kind, List<Endpoint> endpoints) {
         return bans.update(kind, endpoints);
     }
@@ -205,7 +206,7 @@
         persist(bans.entries(), stored -> callback.accept(outcome, stored));
     }
 
-    /** Stores the bans if state is stored at all; otherwise reports success. */
+    /** Stores the manual drains if state is stored at all; otherwise reports success. */
     private void persist(Map<String, ServerBans.Entry> entries, Consumer<Boolean> callback) {
         if (stateRecovery == null) {
             callback.accept(true);
--- a/src/main/java/gatefront/agent/RecoverySettings.java
+++ b/src/main/java/gatefront/agent/RecoverySettings.java
@@ -34,14 +34,14 @@
 
     /** Guards that a rehearsal can switch off to verify that its checker detects the fault. */
     enum Guard {
-        /** Bans set by operators are restored after a restart. */
+        /** Manual drains are restored after a restart. */
         KEPT_BANS,
-        /** The loss of stored bans is reported. */
+        /** The loss of stored manual drains is reported. */
         NAMED_LOSS,
         /** After a stall, requests are held until the server list is refreshed. */
         WAKING;
 
-        /** Returns the word that names this guard in the settings. */
+        /** Returns the name used in the settings. */
         String label() {
             return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
         }
--- a/src/main/java/gatefront/agent/StateRecovery.java
+++ b/src/main/java/gatefront/agent/StateRecovery.java
@@ -31,7 +31,7 @@
 /**
  * Restores an agent's state after a restart: validates the stored state, combines it with the configuration and stores
  * changes from then on. Runs on the agent's loop, except {@link #open}. Holds the latest server list, which bounds its
- * size, and the bans as last passed to the store.
+ * size, and the manual drains as last passed to the store.
  */
 final class StateRecovery {
     /** Minimum interval between two writes of the server list, in milliseconds. */
@@ -97,7 +97,8 @@
     }
 
     /**
-     * Returns the bans from before the restart, unless their validation dropped them. Doubtful bans stay in force.
+     * Returns the manual drains from before the restart, unless their validation discarded them. Unconfirmed ones stay
+     * in force.
      */
     Map<String, ServerBans.Entry> restoredBans() {
         if (bansValidation == null
@@ -110,7 +111,7 @@
     }
 
     /**
-     * Returns the server list to start with: the stored one unless its validation dropped it, otherwise the one from
+     * Returns the server list to start with: the stored one unless its validation discarded it, otherwise the one from
      * the configuration.
      */
     JsonNode initialList(JsonNode configured) {
@@ -190,7 +191,7 @@
     }
 
     /**
-     * Stores the current bans.
+     * Stores the current manual drains.
      *
      * @param callback receives whether all of them are stored, once that is known
      */
--- a/src/main/java/gatefront/agent/UsageRecorder.java
+++ b/src/main/java/gatefront/agent/UsageRecorder.java
@@ -151,7 +151,7 @@
         });
     }
 
-    /** Writes a batch, on the writer thread; what could not be written goes back to the loop. */
+    /** Writes a batch, on the writer thread; amounts that could not be written are returned to the loop. */
     private void write(TreeMap<Ledger.Cell, UsageAmounts> batch, long closeBefore) {
         IOException failure = null;
         try {
--- a/src/main/java/gatefront/budget/ResourcePurpose.java
+++ b/src/main/java/gatefront/budget/ResourcePurpose.java
@@ -6,7 +6,7 @@
 public enum ResourcePurpose {
     /**
      * Connections of clients. At the cap, the connection that has been silent longest is closed, otherwise the oldest
-     * kept-alive one; if there is none of either, the new connection is not accepted.
+     * kept-alive one; if there is neither, the new connection is not accepted.
      */
     CALLER_CONNECTIONS,
     /** Requests received in part or in full, with their bodies. At the cap, refused with Retry-After. */
--- a/src/main/java/gatefront/connection/AbstractFrontend.java
+++ b/src/main/java/gatefront/connection/AbstractFrontend.java
@@ -38,7 +38,7 @@
         KEEP_ALIVE,
         /** A request waits for its response. */
         AWAITING_RESPONSE,
-        /** A response is being streamed; entered anew whenever the client takes some of it. */
+        /** A response is being streamed; re-entered whenever the client has read some of it. */
         STREAMING_RESPONSE,
         /** The last response of the connection is being written. */
         WRITING_LAST_RESPONSE,
@@ -185,7 +185,7 @@
         return connections.isEmpty();
     }
 
-    /** Returns whether health checks are to be answered with "not ready". */
+    /** Returns whether health checks get the response "not ready". */
     protected final boolean isMarkedNotReady() {
         return markedNotReady;
     }
@@ -306,7 +306,7 @@
             }
         }
 
-        /** Reserves bytes for request bodies; returns false, and reserves nothing, if the budget has no room. */
+        /** Reserves bytes for request bodies; returns false, and reserves nothing, if the budget is exhausted. */
         protected final boolean reserve(int bytes) {
             // Guards against running out of memory.
             if (!requestAccount.tryGrow(bytes)) {
--- a/src/main/java/gatefront/connection/PooledUpstream.java
+++ b/src/main/java/gatefront/connection/PooledUpstream.java
@@ -368,7 +368,7 @@
             listener.onResponseStreaming(response);
         }
 
-        /** Notes that the server has sent some of the response. */
+        /** Records that the server has sent some of the response. */
         public void recordProgress() {
             lastProgressNanos = transport.nanos();
         }
@@ -554,7 +554,7 @@
         }
 
         /**
-         * Reserves bytes for an incomplete response; returns false, and reserves nothing, if the budget has no room.
+         * Reserves bytes for an incomplete response; returns false, and reserves nothing, if the budget is exhausted.
          */
         protected final boolean reserve(int bytes) {
             if (!responseAccount.tryGrow(bytes)) {
--- a/src/main/java/gatefront/drill/Drill.java
+++ b/src/main/java/gatefront/drill/Drill.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Adapts the decision module to the simulator's protocol, for many instances. Makes no decisions of its own. */
+/** Adapts the decision module to the simulator's protocol, for many instances. It makes no decisions itself. */
 public final class Drill {
     private static final double[] NO_LOAD = new double[0];
     /** Server lists that can be defined at a time, numbered from 0. */
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Answers frames until the input ends. */
+    /** Processes frames until the input ends, and writes a reply to each. */
     public void run() throws IOException {
         while (in.nextFrame()) {
             while (in.nextRecord()) {
--- a/src/main/java/gatefront/engine/Engine.java
+++ b/src/main/java/gatefront/engine/Engine.java
@@ -29,7 +29,7 @@
 public final class Engine implements Balancer.Actions {
     /** Advised wait before a retry of a refused request where the module gives none, in microseconds. */
     public static final long RETRY_AFTER_MICROS = 250_000;
-    /** Part of the client's timeout reserved for a late wake-up and the response's way back, in microseconds. */
+    /** Part of the client's timeout reserved for late timers and for sending the response, in microseconds. */
     private static final long DEADLINE_MARGIN_MICROS = 10_000;
 
     private static final Pattern SERVER_PREFIX = Pattern.compile("^server (-?\\d+)");
@@ -38,7 +38,7 @@
     private final EventLoop loop;
     private final Balancer.Settings settings;
     private final long seed;
-    /** One for each protocol; the first one also sends the probes. */
+    /** One upstream for each protocol; the first one also sends the probes. */
     private final List<Upstream> upstreams;
 
     private final Source source;
@@ -181,7 +181,7 @@
         return serverNames.size();
     }
 
-    /** Returns how many listed servers the module avoids by its own choice; must be called on the event loop. */
+    /** Returns how many ready servers the module avoids because of their health; must be called on the event loop. */
     public int avoidedServers() {
         return balancer.unhealthyServers(now());
     }
@@ -360,8 +360,8 @@
             }
         }
         if (accepted.size() < endpoints.size()) {
-            logLine("list: " + (endpoints.size() - accepted.size()) + " servers are not taken, more than the "
-                    + serverAccount.entriesCap() + " that may be held");
+            logLine("list: ignored " + (endpoints.size() - accepted.size()) + " servers, above the limit of "
+                    + serverAccount.entriesCap() + " servers");
         }
         return accepted;
     }
@@ -383,7 +383,7 @@
 
     private void accept(ClientRequest request, Exchange exchange, Upstream upstream) {
         // Guards against running a request twice, and against one request getting the other's response: a second
-        // request with the same id is not sent, whatever client and protocol it came from, and the first one goes on.
+        // request with the same id is not sent, whatever client and protocol it came from, and the first continues.
         if (pendingByClientId.containsKey(request.id())) {
             exchange.failed(Exchange.Failure.DUPLICATE);
             counters.recordError(request.requestClass());
@@ -541,8 +541,8 @@
         pending.outstandingAttempts++;
         pending.attempts.add(
                 pending.upstream.send(server, pending.request.payload(), timeoutMicros, new Upstream.Listener() {
-                    /** When the server was given the request, in microseconds. */
-                    private long givenAtMicros = sentAt;
+                    /** Start of the measured latency, in microseconds; the last byte sent if the body is streamed. */
+                    private long latencyStartMicros = sentAt;
 
                     /** How long the server took until its response started, in microseconds; negative before that. */
                     private long latencyMicros = -1;
@@ -550,7 +550,8 @@
                     @Override
                     public void onResult(Upstream.Result result) {
                         boolean served = result.outcome() == Balancer.Outcome.OK && latencyMicros >= 0;
-                        attemptEnded(pending, attempt, server, served ? latencyMicros : now() - givenAtMicros, result);
+                        attemptEnded(
+                                pending, attempt, server, served ? latencyMicros : now() - latencyStartMicros, result);
                     }
 
                     @Override
@@ -558,7 +559,7 @@
                         counters.recordAttempt();
                         if (pending.request.payload().bodyStream() != null && !pending.answered) {
                             startDeadlineTimer(pending); // both the timeout and the latency count from the last byte
-                            givenAtMicros = now();
+                            latencyStartMicros = now();
                         }
                     }
 
@@ -570,8 +571,8 @@
 
                     @Override
                     public void onResponseStarted() {
-                        latencyMicros =
-                                now() - givenAtMicros; // sending the response body is not counted as the server's work
+                        latencyMicros = now()
+                                - latencyStartMicros; // sending the response body is not counted as the server's work
                     }
 
                     @Override
--- a/src/main/java/gatefront/engine/Frontend.java
+++ b/src/main/java/gatefront/engine/Frontend.java
@@ -16,7 +16,7 @@
         void clientLeft(Exchange exchange);
     }
 
-    /** Starts listening; the future tells whether the address could be bound. */
+    /** Starts listening; the future reports whether the address could be bound. */
     ChannelFuture listen();
 
     /** Returns the listening channel. */
--- a/src/main/java/gatefront/engine/Upstream.java
+++ b/src/main/java/gatefront/engine/Upstream.java
@@ -18,7 +18,7 @@
      */
     record Result(Outcome outcome, double[] loadReport, Payload response, Payload rejection) {}
 
-    /** Is notified of the progress of an attempt or probe; its result comes last, and once. */
+    /** Receives the progress of an attempt or probe; the result is reported last, and exactly once. */
     interface Listener {
         /** The attempt or probe has ended. */
         void onResult(Result result);
@@ -54,7 +54,7 @@
     /** Returns the number of servers that state is kept for. */
     int serverCount();
 
-    /** Sends a request; a timeout of 0 means that there is none. */
+    /** Sends a request; a timeout of 0 means no timeout. */
     Attempt send(long server, Payload payload, long timeoutMicros, Listener listener);
 
     /** Probes a server's health. */
--- a/src/main/java/gatefront/http/HttpFrontend.java
+++ b/src/main/java/gatefront/http/HttpFrontend.java
@@ -71,7 +71,7 @@
     private static final AsciiString CLIENT_RETRY = AsciiString.cached("Client-Retry");
     private static final AsciiString WORK_HINT = AsciiString.cached("Work-Hint");
     private static final AsciiString IDEMPOTENCY_KEY = AsciiString.cached("Idempotency-Key");
-    /** Headers that a request may carry once at most: of two values, a server might use the other one. */
+    /** Headers that a request may carry at most once: of two values, a server might use the other one. */
     private static final AsciiString[] SINGLE_VALUE_HEADERS = {
         HttpHeaderNames.HOST,
         REQUEST_ID,
--- a/src/main/java/gatefront/http/HttpUpstream.java
+++ b/src/main/java/gatefront/http/HttpUpstream.java
@@ -66,7 +66,7 @@
         }
     }
 
-    /** A response that found the request itself invalid. */
+    /** A response by which a server rejects the request itself as invalid. */
     record Rejection(HttpResponseStatus status) implements Payload {}
 
     /** Header that gives the time until the request's deadline, in milliseconds. */
--- a/src/main/java/gatefront/ledger/DigestTree.java
+++ b/src/main/java/gatefront/ledger/DigestTree.java
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Encodes a text as UTF-16BE; done by hand, because this package must not use classes for I/O. */
+    /** Encodes a text as UTF-16BE without the charset classes, as this package must not use classes for I/O. */
     private static byte[] utf16Bytes(String text) {
         byte[] bytes = new byte[2 * text.length()];
         for (int i = 0; i < text.length(); i++) {
@@ -105,7 +105,7 @@
         return value;
     }
 
-    /** The text that digests are made of. It must not change: instances of different versions compare digests. */
+    /** Returns the text that is hashed. It must not change: instances of different versions compare digests. */
     private static String canonicalText(LedgerEntry entry) {
         return entry.id() + "\n" + entry.kind() + "\n" + entry.period() + "\n" + entry.tenant() + "\n" + entry.type()
                 + "\n" + entry.amounts() + "\n" + entry.corrects() + "\n" + entry.why();
--- a/src/main/java/gatefront/ledger/ExportSchedule.java
+++ b/src/main/java/gatefront/ledger/ExportSchedule.java
@@ -4,11 +4,11 @@
 
 /**
  * Schedules the export of an instance's entries to the receiver. Entries are numbered from 0 in the order of their
- * creation. The receiver answers with the number of entries it has, counted from the first without a gap, and accepts
+ * creation. The receiver responds with the number of entries it has, counted from the first without a gap, and accepts
  * each number once, however often it is sent. So each entry is sent at least once and takes effect exactly once.
  *
- * <p>No answer can make the schedule skip an entry. If the receiver reports fewer entries than before, it has lost some
- * and they are sent again; if it reports more than were ever created, the answer counts as a failure.
+ * <p>No response can make the schedule skip an entry. If the receiver reports fewer entries than before, it has lost
+ * some, and they are sent again; if it reports more than were ever created, the response counts as a failure.
  *
  * <p>Pure; not safe for use by several threads. State: a few numbers. One batch is outstanding at a time, for at most
  * {@link Settings#timeoutMicros()}.
@@ -18,7 +18,7 @@
      * The settings of a schedule; times in microseconds.
      *
      * @param maxBatchEntries the largest number of entries in a batch
-     * @param timeoutMicros how long to wait for an answer
+     * @param timeoutMicros how long to wait for a response
      * @param minBackoffMicros the upper bound of the first wait after a failure, doubled with each consecutive failure;
      *     the wait is drawn from the upper half of that range
      * @param maxBackoffMicros the upper bound of all waits
@@ -39,7 +39,7 @@
     private final Settings settings;
     private final SplittableRandom random;
     private long acknowledged;
-    /** The time before which nothing is sent after a failure, or polled after an answer. */
+    /** The time before which nothing is sent after a failure, or polled after a response. */
     private long nextSendMicros;
 
     private Batch pendingBatch;
@@ -84,7 +84,7 @@
                 : failures == 0 && acknowledged < created ? nowMicros : Math.max(nowMicros, nextSendMicros);
     }
 
-    /** Handles an answer with the receiver's number of entries; returns whether it differs from the known number. */
+    /** Handles a response with the receiver's number of entries; returns whether it differs from the known number. */
     public boolean onResponse(long nowMicros, long received, long created) {
         if (received < 0 || received > created) {
             onFailure(nowMicros);
@@ -105,7 +105,7 @@
         return changed;
     }
 
-    /** Handles a missing or invalid answer, or a refusal by the receiver. */
+    /** Handles a missing or invalid response, or a refusal by the receiver. */
     public void onFailure(long nowMicros) {
         pendingBatch = null;
         backOff(nowMicros);
--- a/src/main/java/gatefront/ledger/Ledger.java
+++ b/src/main/java/gatefront/ledger/Ledger.java
@@ -14,8 +14,8 @@
  *
  * <p>Each entry counts once: adding an equal entry again changes nothing, and a different entry with the same id is a
  * {@link Conflict}. A correction from another instance may arrive before the entry that it corrects; until then it is
- * not counted and is listed by {@link #unresolvedCorrections()}. A correction refers to an entry of use or to another
- * correction, and counts for the tenant and class of the entry of use at the end of that chain.
+ * not counted and is listed by {@link #unresolvedCorrections()}. A correction refers to a usage entry or to another
+ * correction, and counts for the tenant and class of the usage entry at the end of that chain.
  */
 public final class Ledger {
     /** The ledger without entries. */
@@ -37,7 +37,7 @@
         }
     }
 
-    /** The key of a total: a tenant's use of a class of requests in a period. */
+    /** The key of a total: a tenant's usage of a class of requests in a period. */
     public record Cell(long period, String tenant, String type) implements Comparable<Cell> {
         @Override
         public int compareTo(Cell other) {
@@ -53,7 +53,7 @@
         COMPLETE,
         /** The epoch has closed the period, and some of its entries are missing. */
         INCOMPLETE,
-        /** The epoch has not closed the period: it is still counting, or ended early. Its use is unknown, not zero. */
+        /** The epoch has not closed the period: it is still counting or ended early. Its usage is unknown, not 0. */
         UNKNOWN
     }
 
@@ -135,7 +135,7 @@
         return updated;
     }
 
-    /** Returns the entry of use at the end of a chain of corrections; null if the chain is incomplete or cyclic. */
+    /** Returns the usage entry at the end of a chain of corrections; null if the chain is incomplete or cyclic. */
     private LedgerEntry originalUsage(LedgerEntry entry) {
         LedgerEntry current = entry;
         for (int i = 0; current != null && current.corrects() != null; i++) {
--- a/src/main/java/gatefront/ledger/LedgerEntry.java
+++ b/src/main/java/gatefront/ledger/LedgerEntry.java
@@ -23,7 +23,7 @@
         String why) {
     /** The kinds of entries. Their names are part of digests and their ordinals are stored, so both must stay. */
     public enum Kind {
-        /** Records use. */
+        /** Records usage. */
         USE,
         /** Changes the amounts of another entry by a difference. */
         CORRECTION,
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Creates an entry of use. */
+    /** Creates a usage entry. */
     public static LedgerEntry use(EntryId id, long period, String tenant, String type, UsageAmounts amounts) {
         return new LedgerEntry(id, Kind.USE, period, tenant, type, amounts, null, "");
     }
--- a/src/main/java/gatefront/ledger/PeriodClock.java
+++ b/src/main/java/gatefront/ledger/PeriodClock.java
@@ -4,7 +4,7 @@
  * Determines the current accounting period from the wall clock, which may jump. A period is numbered by the time since
  * 1970 divided by the period's length. The open period never goes back: if the clock is set back over a period's end,
  * the period that was open stays open until the clock reaches it again. If the clock jumps ahead, the periods that it
- * passes are closed; use up to the jump counts in the period that was open, and is not spread over the others.
+ * passes are closed; usage up to the jump counts in the period that was open, and is not spread over the others.
  *
  * <p>Pure; not safe for use by several threads. State: two numbers.
  */
--- a/src/main/java/gatefront/ledger/Reconciliation.java
+++ b/src/main/java/gatefront/ledger/Reconciliation.java
@@ -12,7 +12,7 @@
  * once a range has few of them. The traffic grows with the number of differences, not with the number of entries.
  */
 public final class Reconciliation {
-    /** The queries that the other instance must answer. */
+    /** The queries that are sent to the other instance. */
     public interface Peer {
         /** Returns its sums of all children of a range. */
         List<DigestTree.Sum> children(DigestTree.Range range);
@@ -61,7 +61,7 @@
 
     private Reconciliation() {}
 
-    /** Compares two instances. It ends whatever the peer answers, because each query narrows the range before it. */
+    /** Compares two instances. It terminates whatever the peer returns, as each query narrows the range. */
     public static Result run(DigestTree local, Peer peer) {
         List<Difference> differences = new ArrayList<>();
         int queries = 1;
--- a/src/main/java/gatefront/ledgerstore/LedgerStore.java
+++ b/src/main/java/gatefront/ledgerstore/LedgerStore.java
@@ -182,7 +182,7 @@
                 .toList();
     }
 
-    /** Stores the use of a period, all or nothing; cells without use are skipped. */
+    /** Stores the usage of a period, all or nothing; cells without usage are skipped. */
     public void recordUsage(long period, Map<Ledger.Cell, UsageAmounts> cells) throws StoreFailedException {
         List<LedgerEntry> entries = new ArrayList<>();
         for (Map.Entry<Ledger.Cell, UsageAmounts> cell : cells.entrySet()) {
--- a/src/main/java/gatefront/management/ManagementEndpoint.java
+++ b/src/main/java/gatefront/management/ManagementEndpoint.java
@@ -38,7 +38,7 @@
          * Drains a server manually, which takes effect before this method returns, or puts it back, which takes effect
          * soon after.
          *
-         * @param callback receives the outcome, and whether it would survive a restart of the agent, once both are known
+         * @param callback receives the outcome and whether it would survive a restart of the agent, once both are known
          */
         void setDrained(String server, boolean drained, BiConsumer<ServerBans.Outcome, Boolean> callback);
     }
--- a/src/main/java/gatefront/padron/Discovery.java
+++ b/src/main/java/gatefront/padron/Discovery.java
@@ -52,7 +52,7 @@
     /** A decoded response. */
     public record ServerListResponse(long index, boolean snapshot, List<Endpoint> endpoints) {}
 
-    /** How long a watch waits for changes. Short enough that a silent discovery service is soon asked again. */
+    /** How long a watch waits for changes. It is short, so that a silent discovery service is detected soon. */
     private static final long WATCH_WAIT_MS = 5_000;
     /** How much longer than its wait time a request may take. */
     private static final long RESPONSE_TIMEOUT_MS = 2_000;
@@ -124,7 +124,7 @@
                 });
     }
 
-    /** Starts to follow the list, or continues after a failure where that is required. */
+    /** Starts to follow the list; also sends the next request after a failure if the policy decides when to retry. */
     public void watch() {
         if (!watching) {
             watching = true;
--- a/src/main/java/gatefront/policy/AdaptiveBalancer.java
+++ b/src/main/java/gatefront/policy/AdaptiveBalancer.java
@@ -543,7 +543,7 @@
         }
     }
 
-    /** Gives the final answer to a request that will not be served: a refusal if that is permitted, else a failure. */
+    /** Sends the final response of a request that is not served: a refusal if that is permitted, else a failure. */
     private void reject(PendingRequest req, long now) {
         if (req.closed) {
             return;
@@ -618,7 +618,7 @@
         } else {
             PendingRequest req = requestsByToken.get(token);
             if (req == null || req.streaming) {
-                return; // already answered, or being streamed to the client
+                return; // the response has been sent, or is being streamed to the client
             }
             if (req.attemptsInFlight() > 0 && now < req.expiresAt + settings.tick()) {
                 actions.timer(token, settings.tick()); // the host reports the attempt's timeout in the same batch
@@ -628,7 +628,7 @@
         }
     }
 
-    // Messages between agents are ignored: none has been worth its price so far.
+    // Messages between agents are not used: their price exceeds their benefit.
     @Override
     public void message(long now, int agent, byte[] message) {}
 
@@ -738,7 +738,7 @@
      *
      * @param healthy whether to consider available servers only
      * @param zoneFilter 1 for the own zone, 0 for other zones, -1 for all servers
-     * @return null if there is none
+     * @return the server, or null if the request cannot be sent to any of them now
      */
     private ServerState pickOfTwo(PendingRequest req, long now, boolean healthy, int zoneFilter) {
         candidates.clear();
@@ -1164,7 +1164,7 @@
     /**
      * Treats a server that answers for the first time after an outage as cold, since it may have restarted. Short
      * outages do not count, as a process does not restart within the time of one retry; otherwise a network that
-     * resets connections now and then would make every server cold again and again.
+     * resets connections now and then would repeatedly make every server cold.
      */
     private void recordRecovery(ServerState server, long now) {
         if (server.broken) {
@@ -1184,7 +1184,7 @@
         log(server, "cold: " + reason);
     }
 
-    /** Returns the share of its capacity that a cold server has at least, by its age. */
+    /** Returns the minimum share of its capacity that a cold server has, given its age. */
     private double warmShare(ServerState server, long now) {
         double share = Math.min(
                 1,
@@ -1228,8 +1228,8 @@
     }
 
     /**
-     * Adds admission credit; with an amount of 0 it only applies the maximum. Servers go on working for requests that
-     * have timed out, so the more is sent to overloaded servers, the less is served. Credit that responses earn
+     * Adds admission credit; with an amount of 0 it only applies the maximum. Servers continue to work on requests
+     * that have timed out, so the more is sent to overloaded servers, the less is served. Credit that responses earn
      * follows what the servers can do, even if an agent sees too little of each server for a concurrency limit.
      */
     private void addCredit(double amount, long now) {
@@ -1344,8 +1344,8 @@
     }
 
     /**
-     * Drops the state of a removed server once no attempt is in flight there. Servers come and go all the time, so
-     * memory would otherwise grow without bound.
+     * Drops the state of a removed server once no attempt is in flight there. Servers are added and removed
+     * continually, so memory would otherwise grow without bound.
      */
     private void forgetIfIdle(ServerState server) {
         if (server.removed && server.inFlight == 0) {
@@ -1355,7 +1355,7 @@
 
     private void log(ServerState server, String text) {
         if (server.removed) {
-            return; // operators need not look after a removed server
+            return; // a removed server does not concern operators
         }
         actions.log("server " + server.id + " " + text);
     }
--- a/src/main/java/gatefront/policy/Balancer.java
+++ b/src/main/java/gatefront/policy/Balancer.java
@@ -159,7 +159,7 @@
     /**
      * Rules for deadlines, drains, cold servers and discovery. Times are in microseconds.
      *
-     * @param answerSlack time after a request's deadline within which its final answer is still accepted
+     * @param answerSlack time after a request's deadline within which its final response is still accepted
      * @param drainGrace time after a drain is announced within which requests may still be sent to the server
      * @param coldFrom share of its capacity that a server has at its start
      * @param coldTime time from its start until a server has its full capacity
@@ -257,7 +257,7 @@
      * @param requestClass number of its class
      * @param tenant number of its tenant
      * @param key affinity key; 0 if unknown
-     * @param cost hint at the work that it takes; 0 if unknown
+     * @param cost hint of the work that the request takes; 0 if unknown
      * @param deadline when the client gives up this try
      * @param repeated whether the client marked it as a retry
      * @param write whether it changes data
@@ -284,7 +284,7 @@
         void send(long request, long server, long timeout);
 
         /**
-         * Gives the final answer that the request was not executed, so that a client retry is harmless.
+         * Sends the final response that the request was not executed, so that a client retry is harmless.
          *
          * @param request id of the request
          * @param retryAfter time that the client should wait before it retries; 0 for none
@@ -292,7 +292,7 @@
         void refuse(long request, long retryAfter);
 
         /**
-         * Gives the final answer that the request failed; it may have been executed.
+         * Sends the final response that the request failed; it may have been executed.
          *
          * @param request id of the request
          */
@@ -360,7 +360,7 @@
     void servers(long now, ListKind kind, List<Server> entries);
 
     /**
-     * A request has arrived. It has to be given one final answer.
+     * A request has arrived. It must get exactly one final response.
      *
      * @param now the current time
      * @param request the request, with an id that is not in use
@@ -387,7 +387,7 @@
      * @param server id of the server
      * @param outcome the result
      * @param elapsed time since the attempt was sent
-     * @param closed whether the client has its final answer, by this outcome or an earlier one
+     * @param closed whether the client has its final response, by this outcome or an earlier one
      * @param load the server's load report, in the order of {@link Settings#loadFields}; empty if there is none
      */
     void outcome(
@@ -401,7 +401,7 @@
             double[] load);
 
     /**
-     * The client has disconnected. The request needs no answer any more.
+     * The client has disconnected. The request no longer needs a response.
      *
      * @param now the current time
      * @param request id of the request
--- a/src/main/java/gatefront/policy/CheckedBalancer.java
+++ b/src/main/java/gatefront/policy/CheckedBalancer.java
@@ -7,7 +7,7 @@
 
 /**
  * A balancer that verifies that its host keeps the contract of {@link Balancer}. Wrong use throws an exception that
- * says what was wrong, and the event is not passed on. It is meant for the development of a host; {@link
+ * describes it, and the event is not passed on. It is meant for the development of a host; {@link
  * AdaptiveBalancer} itself ignores wrong events where it can.
  */
 public final class CheckedBalancer implements Balancer {
--- a/src/main/java/gatefront/policy/PendingRequest.java
+++ b/src/main/java/gatefront/policy/PendingRequest.java
@@ -24,7 +24,7 @@
     final long expiresAt;
 
     final List<Attempt> attempts = new ArrayList<>(1);
-    /** Whether the request needs no answer any more. */
+    /** Whether the request has its final response, or its client has disconnected. */
     boolean closed;
     /** Whether the request waits for a server with capacity. */
     boolean queued;
--- a/src/main/java/gatefront/registry/RegistrySettings.java
+++ b/src/main/java/gatefront/registry/RegistrySettings.java
@@ -41,14 +41,14 @@
     }
 
     /**
-     * The consistency of reads: confirmed by a quorum, answered by the leader, or by any member from its own data.
+     * The consistency of reads: confirmed by a quorum, served by the leader, or served by any member from its own data.
      */
     public enum Reads {
         /** Reads are confirmed by a quorum. */
         CONSISTENT,
-        /** The default of the registry. */
+        /** The registry's default consistency. */
         USUAL,
-        /** Any member answers from its own data, which may be stale. */
+        /** Any member serves reads from its own data, which may be stale. */
         STALE
     }
 
--- a/src/main/java/gatefront/registry/RegistryStateFile.java
+++ b/src/main/java/gatefront/registry/RegistryStateFile.java
@@ -94,7 +94,8 @@
             StoredState state = new StoredState(
                     Long.parseLong(head[1]), Long.parseLong(head[2]), Long.parseLong(head[3]), new ArrayList<>());
             if (Long.parseLong(head[5]) != checksum(state, body)) {
-                throw new IOException(file + " does not match its checksum; it is not used");
+                throw new IOException(file + " does not match its checksum: stored " + head[5] + ", computed "
+                        + checksum(state, body) + "; it is not used");
             }
             for (JsonNode item : Config.parseJson(new ByteArrayInputStream(body))) {
                 state.entries()
--- a/src/main/java/gatefront/status/OperatorHttpServer.java
+++ b/src/main/java/gatefront/status/OperatorHttpServer.java
@@ -88,7 +88,7 @@
         return bound;
     }
 
-    /** The address on which the server listens. */
+    /** Returns the address on which the server listens. */
     public final InetSocketAddress address() {
         return (InetSocketAddress) server.localAddress();
     }
--- a/src/main/java/gatefront/status/StatusPage.java
+++ b/src/main/java/gatefront/status/StatusPage.java
@@ -70,7 +70,7 @@
         return cap == Long.MAX_VALUE ? "-" : String.valueOf(cap);
     }
 
-    /** Renders the same as JSON; absent caps and unknown values are left out. */
+    /** Renders the resources in use as JSON; absent caps and unknown values are left out. */
     public static ObjectNode json(ResourceBudget budget, ProcessMetrics process) {
         ObjectNode root = JsonNodeFactory.instance.objectNode();
         ObjectNode purposes = root.putObject("purposes");
--- a/src/main/java/gatefront/storage/SignatureChain.java
+++ b/src/main/java/gatefront/storage/SignatureChain.java
@@ -27,7 +27,7 @@
         return new SignatureChain(keys, this);
     }
 
-    /** Takes over the position of another chain. */
+    /** Copies the position of another chain. */
     void copyFrom(SignatureChain other) {
         lastSignature = other.lastSignature;
         signed = other.signed;
--- a/src/main/java/gatefront/storage/Store.java
+++ b/src/main/java/gatefront/storage/Store.java
@@ -32,7 +32,7 @@
      * @param maxBytes the limit on the size of all files together, in bytes; records beyond it are refused
      */
     public record Options(SigningKeys keys, int segmentBytes, long maxBytes) {
-        /** Unsigned, segments of 4 MiB, at most 1 GiB. */
+        /** The default options: unsigned, segments of 4 MiB, at most 1 GiB in all files together. */
         public static final Options DEFAULTS = new Options(SigningKeys.NONE, 4 << 20, 1 << 30);
     }
 
--- a/src/main/java/gatefront/thrift/ThriftUpstream.java
+++ b/src/main/java/gatefront/thrift/ThriftUpstream.java
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Whether a reply belongs to the attempt; rejects the reply to another call if a server mixes them up. */
+    /** Returns whether a reply belongs to the attempt; rejects the reply to another call if a server mixes them up. */
     private static boolean matches(ThriftMessage reply, Attempt attempt) {
         ThriftMessage call = ((ThriftCall) attempt.request()).message();
         MessageHeader.Type type = reply.header().type();
--- a/src/main/java/gatefront/thrift/codec/MessageDecoder.java
+++ b/src/main/java/gatefront/thrift/codec/MessageDecoder.java
@@ -38,17 +38,17 @@
         this.format = format;
     }
 
-    /** The format of the messages, or null if it has not been detected yet. */
+    /** Returns the format of the messages, or null if it has not been detected yet. */
     public MessageFormat format() {
         return format;
     }
 
-    /** Whether part of a message has been received. */
+    /** Returns whether part of a message has been received. */
     public boolean hasPartialMessage() {
         return !failed && actualReadableBytes() > 0;
     }
 
-    /** Whether bytes have been received beyond the messages decoded so far. */
+    /** Returns whether bytes have been received beyond the messages decoded so far. */
     public boolean hasUnreadBytes() {
         return actualReadableBytes() > 0;
     }
--- a/src/main/java/gatefront/thrift/codec/MessageEncoder.java
+++ b/src/main/java/gatefront/thrift/codec/MessageEncoder.java
@@ -15,7 +15,7 @@
      *
      * @param message the message
      * @param framed whether to write its length before it
-     * @param out where
+     * @param out the buffer to write to
      */
     public static void write(ThriftMessage message, boolean framed, ByteBuf out) {
         int lengthIndex = out.writerIndex();
--- a/src/main/java/gatefront/thrift/codec/MessageScanner.java
+++ b/src/main/java/gatefront/thrift/codec/MessageScanner.java
@@ -67,17 +67,17 @@
         evenTypes = new int[limits.maxDepth()];
     }
 
-    /** The header, or null if it has not been read yet. */
+    /** Returns the header, or null if it has not been read yet. */
     MessageHeader header() {
         return header;
     }
 
-    /** Offset of the body struct from the first byte of the message. */
+    /** Returns the offset of the body struct from the first byte of the message. */
     int bodyOffset() {
         return bodyOffset;
     }
 
-    /** Bytes scanned so far; the length of the message once it is complete. */
+    /** Returns the bytes scanned so far: the length of the message once it is complete. */
     int scannedBytes() {
         return position;
     }
@@ -249,9 +249,8 @@
         } else {
             nextType = (valuesLeft[top] & 1) == 0 ? evenTypes[top] : oddTypes[top];
             if (nextType == STOP) {
-                throw new MalformedMessageException(
-                        "container elements of type 0"); // they take no bytes, so the number of steps would be
-                // unbounded
+                // Elements of type 0 take no bytes, so the number of steps would be unbounded.
+                throw new MalformedMessageException("container elements of type 0");
             }
             inContainer = true;
             valuesLeft[top]--;
--- a/src/main/java/gatefront/thrift/codec/StructReader.java
+++ b/src/main/java/gatefront/thrift/codec/StructReader.java
@@ -54,17 +54,17 @@
         return true;
     }
 
-    /** Id of the current field. */
+    /** Returns the id of the current field. */
     public int id() {
         return id;
     }
 
-    /** Offset of the current field's value in the struct; the offset after the value once it has been read. */
+    /** Returns the offset of the current field's value in the struct, or the offset after it once it has been read. */
     public int position() {
         return in.position();
     }
 
-    /** Whether the current field is a struct. */
+    /** Returns whether the current field is a struct. */
     public boolean isStruct() {
         return type == 12;
     }
--- a/src/main/java/gatefront/thrift/codec/ThriftEncoding.java
+++ b/src/main/java/gatefront/thrift/codec/ThriftEncoding.java
@@ -15,7 +15,7 @@
     /** First byte of a compact message. */
     static final int COMPACT_FIRST_BYTE = 0x82;
 
-    /** Whether bodies are encoded alike; the variants of the binary protocol differ only in their headers. */
+    /** Returns whether bodies are encoded alike; the variants of the binary protocol differ only in their headers. */
     public boolean hasSameBodyFormat(ThriftEncoding other) {
         return (this == COMPACT) == (other == COMPACT);
     }
--- a/src/main/java/gatefront/toml/TomlTable.java
+++ b/src/main/java/gatefront/toml/TomlTable.java
@@ -50,7 +50,7 @@
         return node.path(key);
     }
 
-    /** Whether the table has a key. */
+    /** Returns whether the table has a key. */
     public boolean has(String key) {
         return node.has(key);
     }
@@ -92,7 +92,7 @@
         if (!found.isTextual() || found.asText().isBlank()) {
             throw found.isMissingNode()
                     ? missing(key, "expected a name in quotes")
-                    : invalid(key, "must be a text in quotes");
+                    : invalid(key, "must be a string in quotes, not " + found);
         }
         return found.asText();
     }
@@ -102,11 +102,11 @@
         JsonNode found = lookup(key);
         List<String> texts = new ArrayList<>();
         if (!found.isMissingNode() && !found.isArray()) {
-            throw invalid(key, "must be a list of texts, as in [\"a\", \"b\"]");
+            throw invalid(key, "must be a list of strings, as in [\"a\", \"b\"]");
         }
         for (JsonNode element : found) {
             if (!element.isTextual()) {
-                throw invalid(key, "must be a list of texts; " + element + " is not a text");
+                throw invalid(key, "must be a list of strings; " + element + " is not a string");
             }
             texts.add(element.asText());
         }
@@ -117,7 +117,7 @@
     public boolean bool(String key, boolean defaultValue) throws TomlException {
         JsonNode found = lookup(key);
         if (!found.isMissingNode() && !found.isBoolean()) {
-            throw invalid(key, "must be true or false");
+            throw invalid(key, "must be true or false, not " + found);
         }
         return found.isMissingNode() ? defaultValue : found.asBoolean();
     }
@@ -219,7 +219,7 @@
                 : "; known: " + all.stream().sorted().collect(Collectors.joining(", "));
     }
 
-    /** Levenshtein distance of two words. */
+    /** Returns the Levenshtein distance of two words. */
     private static int distance(String a, String b) {
         int[] row = new int[b.length() + 1];
         for (int j = 0; j < row.length; j++) {
--- a/src/main/java/gatefront/transport/SocketTransport.java
+++ b/src/main/java/gatefront/transport/SocketTransport.java
@@ -16,18 +16,18 @@
 import java.nio.channels.SocketChannel;
 import java.util.concurrent.TimeUnit;
 
-/** Transport over NIO sockets and the system clocks, with one event loop thread of its own. */
+/** Transport over NIO sockets and the system clocks, with its own event loop thread. */
 public final class SocketTransport implements Transport {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final long clockOffsetMicros;
 
-    /** Uses the system's wall clock. */
+    /** Creates a transport that uses the system's wall clock. */
     public SocketTransport() {
         this(0);
     }
 
-    /** Uses a wall clock that is offset by this many microseconds, for rehearsals of clock skew. */
+    /** Creates a transport whose wall clock is offset by this many microseconds, for rehearsals of clock skew. */
     public SocketTransport(long clockOffsetMicros) {
         this.clockOffsetMicros = clockOffsetMicros;
     }
--- a/src/main/java/gatefront/transport/Transport.java
+++ b/src/main/java/gatefront/transport/Transport.java
@@ -10,21 +10,21 @@
  * {@link io.netty.channel.socket.DuplexChannel}, and addresses are {@link java.net.InetSocketAddress}.
  */
 public interface Transport {
-    /** The event loop that runs all work of the process. */
+    /** Returns the event loop that runs all work of the process. */
     EventLoop loop();
 
-    /** Nanoseconds of a monotonic clock with an arbitrary origin; only differences are meaningful. */
+    /** Returns the nanoseconds of a monotonic clock with an arbitrary origin; only differences are meaningful. */
     default long nanos() {
         return loop().ticker().nanoTime();
     }
 
-    /** Wall-clock time in microseconds since the Unix epoch, comparable between processes. */
+    /** Returns the wall-clock time in microseconds since the Unix epoch, which is comparable between processes. */
     long wallMicros();
 
-    /** Creates listening channels. */
+    /** Returns a factory of listening channels. */
     ChannelFactory<? extends ServerChannel> serverChannels();
 
-    /** Creates listening channels on an address that another process of the same agent may share. */
+    /** Returns a factory of listening channels whose address another process of the same agent may share. */
     default ChannelFactory<? extends ServerChannel> sharedServerChannels() {
         return serverChannels();
     }
@@ -37,16 +37,16 @@
         listener.close();
     }
 
-    /** Creates channels for outgoing connections. */
+    /** Returns a factory of channels for outgoing connections. */
     ChannelFactory<? extends Channel> clientChannels();
 
     /**
-     * Whether a channel of {@link #clientChannels()} is open and has no unread input. Detects a close, or bytes that
-     * would be taken as the next response, that have arrived since the loop last polled the socket.
+     * Returns whether a channel of {@link #clientChannels()} is open and has no unread input. Detects a close, or bytes
+     * that would be taken as the next response, that have arrived since the loop last polled the socket.
      */
     boolean hasNoUnreadInput(Channel channel);
 
-    /** Maximum memory of the process, in bytes. */
+    /** Returns the maximum memory of the process, in bytes. */
     long maxMemoryBytes();
 
     /** Writes one line to the log of the process. */
--- a/src/test/java/gatefront/agent/MemoryTest.java
+++ b/src/test/java/gatefront/agent/MemoryTest.java
@@ -52,8 +52,8 @@
                 "x.toml", "[memory]\nstatus = \"127.0.0.1:0\"\n" + caps, Config.fromJson(fixture.config)));
     }
 
-    private static String capTable(ResourcePurpose purpose, String figures) {
-        return "[[memory.caps]]\npurpose = \"" + purpose.label() + "\"\n" + figures + "\n";
+    private static String capTable(ResourcePurpose purpose, String limits) {
+        return "[[memory.caps]]\npurpose = \"" + purpose.label() + "\"\n" + limits + "\n";
     }
 
     private JsonNode account(ResourcePurpose purpose) {
--- a/src/test/java/gatefront/agent/OperatorControlsTest.java
+++ b/src/test/java/gatefront/agent/OperatorControlsTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Operation over loopback sockets: the management endpoint, its statistics, bans, and handover between processes.
+ * Operation over loopback sockets: the management endpoint, its statistics, manual drains and handover.
  */
 @Timeout(60)
 class OperatorControlsTest {
@@ -77,13 +77,13 @@
     }
 
     private Map<String, Long> stats() {
-        Map<String, Long> figures = new HashMap<>();
+        Map<String, Long> statistics = new HashMap<>();
         request("GET", "/stats")
                 .text()
                 .lines()
-                .forEach(line -> figures.put(
+                .forEach(line -> statistics.put(
                         line.substring(0, line.indexOf('=')), Long.valueOf(line.substring(line.indexOf('=') + 1))));
-        return figures;
+        return statistics;
     }
 
     private static ScriptedPeer.Script respondWith(String text) {
@@ -149,19 +149,19 @@
             assertEquals(200, fixture.call("lookup").status());
         }
         assertEquals(502, fixture.call("order").status());
-        Map<String, Long> figures = stats();
-        assertEquals(7, figures.get("ok.lookup"));
-        assertEquals(0, figures.get("shed.lookup"));
-        assertEquals(1, figures.get("errors.order"));
-        assertEquals(0, figures.get("ok.pay"));
-        assertEquals(0, figures.get("active"));
-        assertEquals(1, figures.get("pool_size"));
+        Map<String, Long> statistics = stats();
+        assertEquals(7, statistics.get("ok.lookup"));
+        assertEquals(0, statistics.get("shed.lookup"));
+        assertEquals(1, statistics.get("errors.order"));
+        assertEquals(0, statistics.get("ok.pay"));
+        assertEquals(0, statistics.get("active"));
+        assertEquals(1, statistics.get("pool_size"));
         assertEquals(
                 fixture.servers.get(0).requests.stream()
                                 .filter(message -> !message.target().equals("/healthz"))
                                 .count()
                         - requestsBefore,
-                figures.get("tries"));
+                statistics.get("tries"));
     }
 
     @Test
@@ -255,7 +255,7 @@
         assertEquals(0, countCalls(fixture.servers.get(otherIndex)), "the retry must not go to the banned server");
     }
 
-    /** A ban and a truncated configuration file while two processes run. */
+    /** A manual drain and a truncated configuration file while two processes run. */
     @Test
     void banAndBrokenFileDuringAnUpgradeApplyToBothProcesses(@TempDir Path files) throws Exception {
         fixture.server(respondWith("a"));
@@ -447,7 +447,7 @@
                         .text());
         start();
         assertEquals(1, stats().get("pool_ejected"), "the ban applies in the new process");
-        // A ban received by either endpoint applies to both processes.
+        // A manual drain received by either endpoint applies to both processes.
         request(oldAgent, "POST", "/backends/s-3/maint");
         AgentFixture.await(() -> stats().get("pool_ejected") == 2);
         request("POST", "/backends/s-3/ready");
--- a/src/test/java/gatefront/agent/SettingsReloadTest.java
+++ b/src/test/java/gatefront/agent/SettingsReloadTest.java
@@ -171,8 +171,8 @@
     void truncatedFileChangesNothing() throws Exception {
         String complete = fixture.config.toString();
         List<String> invalidFiles = new ArrayList<>(List.of("", "{", "null", "[]", "7"));
-        for (int cut = 1; cut < complete.length() - 1; cut += 97) {
-            invalidFiles.add(complete.substring(0, cut));
+        for (int length = 1; length < complete.length() - 1; length += 97) {
+            invalidFiles.add(complete.substring(0, length));
         }
         List<Consumer<ObjectNode>> changes = List.of(
                 config -> config.remove("settings"),
--- a/src/test/java/gatefront/agent/ThriftAgentTest.java
+++ b/src/test/java/gatefront/agent/ThriftAgentTest.java
@@ -410,10 +410,10 @@
             assertEquals("idle", idle.call("lookup", args("lookup", 5_000, "idle")).success);
             AgentFixture.await(() -> nodo.calls.get() == 2);
             Thread stopping = ScriptedPeer.daemon(fixture.agent::stop);
-            Client asking = fixture.client();
+            Client otherClient = fixture.client();
             assertEquals(
                     "asked",
-                    asking.call("lookup", args("lookup", 5_000, "asked")).success,
+                    otherClient.call("lookup", args("lookup", 5_000, "asked")).success,
                     "it keeps serving for a moment");
             release.countDown();
             assertEquals("held", pending.receive("order").success);
--- a/src/test/java/gatefront/agent/UsageRecorderTest.java
+++ b/src/test/java/gatefront/agent/UsageRecorderTest.java
@@ -93,10 +93,10 @@
         sendRequests(2, "pay");
         fixture.agent.stop();
         Ledger ledger = readLedger().ledger();
-        UsageAmounts pay = total(ledger, "pay");
-        assertEquals(2, pay.requests(), "including requests served just before the stop");
-        assertEquals(2 * ("abcd".length() + "served".length()), pay.bytes());
-        assertTrue(pay.work() > 0);
+        UsageAmounts payUsage = total(ledger, "pay");
+        assertEquals(2, payUsage.requests(), "including requests served just before the stop");
+        assertEquals(2 * ("abcd".length() + "served".length()), payUsage.bytes());
+        assertTrue(payUsage.work() > 0);
         assertEquals(3 * "served".length(), total(ledger, "lookup").bytes());
         for (long period : ledger.periods()) {
             assertEquals(
--- a/src/test/java/gatefront/connection/UpstreamContract.java
+++ b/src/test/java/gatefront/connection/UpstreamContract.java
@@ -187,7 +187,7 @@
         }
 
         private void failPendingWrites() {
-            pendingWrites.forEach(each -> each.tryFailure(new ClosedChannelException()));
+            pendingWrites.forEach(write -> write.tryFailure(new ClosedChannelException()));
         }
 
         @Override
@@ -221,7 +221,10 @@
         advanceMillis(100);
         assertEquals(2, acceptedConnections, "concurrent attempts use separate connections");
         assertEquals(
-                5, results.stream().filter(each -> each.outcome() == Outcome.OK).count());
+                5,
+                results.stream()
+                        .filter(result -> result.outcome() == Outcome.OK)
+                        .count());
     }
 
     /** The server restarts while the request is being sent. The request cannot have run: its last byte was not sent. */
@@ -246,16 +249,16 @@
 
     @Test
     public void truncatedResponseIsNotServed() {
-        int[] cut = {0};
+        int[] partLength = {0};
         int[] length = {Integer.MAX_VALUE};
         onRequest = (ctx, reply) -> {
             length[0] = reply.length;
-            sendBytes(ctx, Arrays.copyOf(reply, cut[0]));
+            sendBytes(ctx, Arrays.copyOf(reply, partLength[0]));
             reset(ctx);
         };
-        for (cut[0] = 0; cut[0] < length[0]; cut[0]++) {
+        for (partLength[0] = 0; partLength[0] < length[0]; partLength[0]++) {
             Result result = runAttempt();
-            assertEquals(Outcome.RESET, result.outcome(), "after " + cut[0] + " bytes");
+            assertEquals(Outcome.RESET, result.outcome(), "after " + partLength[0] + " bytes");
             assertNull(result.response());
         }
     }
--- a/src/test/java/gatefront/drill/DrillTest.java
+++ b/src/test/java/gatefront/drill/DrillTest.java
@@ -214,10 +214,10 @@
 
     @Test
     void unusableSettingIsReported() {
-        String bad = FrameBuilder.SETTINGS.replace("semantics=safe", "semantics=perhaps");
+        String invalidSettings = FrameBuilder.SETTINGS.replace("semantics=safe", "semantics=perhaps");
         assertEquals(
                 "settings: classes.0.semantics has an unusable value: perhaps",
-                failure(new FrameBuilder().spawn(1, bad).frame(1)));
+                failure(new FrameBuilder().spawn(1, invalidSettings).frame(1)));
         String letters = FrameBuilder.SETTINGS.replace("group-size=2", "group-size=two");
         assertEquals(
                 "settings: group-size has an unusable value: two",
@@ -238,10 +238,11 @@
             })
     void settingOutOfRangeIsReported(String pair) {
         String key = pair.substring(0, pair.indexOf('='));
-        String bad = FrameBuilder.SETTINGS.replaceAll("(?m)^" + key.replace(".", "\\.") + "=.*\n", pair + "\n");
+        String invalidSettings =
+                FrameBuilder.SETTINGS.replaceAll("(?m)^" + key.replace(".", "\\.") + "=.*\n", pair + "\n");
         assertEquals(
                 "settings: " + key + " has an unusable value: " + pair.substring(key.length() + 1),
-                failure(new FrameBuilder().spawn(1, bad).frame(1)));
+                failure(new FrameBuilder().spawn(1, invalidSettings).frame(1)));
     }
 
     @Test
--- a/src/test/java/gatefront/ledger/ExportScheduleTest.java
+++ b/src/test/java/gatefront/ledger/ExportScheduleTest.java
@@ -7,7 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests what is sent after an invalid answer and after a timeout. */
+/** Tests what is sent after an invalid response and after a timeout. */
 class ExportScheduleTest {
     private final ExportSchedule export =
             new ExportSchedule(new ExportSchedule.Settings(5, 1_000, 100, 2_000, 500), 0, 1);
--- a/src/test/java/gatefront/ledgerstore/ExportReceiver.java
+++ b/src/test/java/gatefront/ledgerstore/ExportReceiver.java
@@ -8,13 +8,13 @@
 
 /**
  * A stand-in for the receiver of exported entries. As its contract requires, it stores the entries of an instance in
- * the order of their numbers, accepts each number once, and answers how many it has. With faults, it may lose a request
- * or an answer, repeat an old answer, refuse, or fall back to its last backup.
+ * the order of their numbers, accepts each number once, and responds with how many it has. With faults, it may lose a
+ * request or a response, repeat an old response, refuse, or fall back to its last backup.
  */
 final class ExportReceiver {
     private final Random random;
     private final List<LedgerEntry> received = new ArrayList<>();
-    private long lastAnswer;
+    private long lastResponse;
     /** The number of entries in its last backup, which it never loses. */
     private int backedUp;
 
@@ -35,7 +35,7 @@
         return backedUp;
     }
 
-    /** Receives a batch; returns its answer, or null if there is none. */
+    /** Receives a batch; returns its response, or null if there is none. */
     Long receive(ExportSchedule.Batch batch, List<LedgerEntry> entries, boolean faults) {
         int fault = faults ? random.nextInt(12) : 99;
         if (fault == 0) {
@@ -46,16 +46,16 @@
             return null;
         }
         if (fault == 2) {
-            return lastAnswer; // an old answer
+            return lastResponse; // an old response
         }
         if (batch.from() <= received.size()) {
             for (int i = (int) (received.size() - batch.from()); i < entries.size(); i++) {
                 received.add(entries.get(i));
             }
         }
-        lastAnswer = received.size();
+        lastResponse = received.size();
         if (fault == 3) {
-            return null; // the answer is lost
+            return null; // the response is lost
         }
         if (fault == 4 && received.size() > backedUp) {
             forgotten += received.size() - backedUp;
@@ -64,6 +64,6 @@
         if (random.nextInt(8) == 0) {
             backedUp = received.size();
         }
-        return lastAnswer;
+        return lastResponse;
     }
 }
--- a/src/test/java/gatefront/ledgerstore/LedgerStoreTest.java
+++ b/src/test/java/gatefront/ledgerstore/LedgerStoreTest.java
@@ -54,8 +54,8 @@
             LedgerStore store = LedgerStore.open(disk, Store.Options.DEFAULTS, "agente-1");
             stored.forEach(id -> assertTrue(store.ledger().get(id) != null, "lost: " + id));
             ExportSchedule export = new ExportSchedule(EXPORT, store.acknowledged(), random.nextLong());
-            Long answer = null;
-            long answerAt = 0;
+            Long response = null;
+            long responseAt = 0;
             for (int i = 0; i < (faults ? 200 : 20_000); i++) {
                 now += 20;
                 if (faults && random.nextInt(4) == 0) {
@@ -67,15 +67,15 @@
                 }
                 ExportSchedule.Batch batch = export.nextBatch(now, store.ownCount());
                 if (batch != null) {
-                    answer = receiver.receive(batch, store.ownEntries(batch.from(), batch.count()), faults);
-                    answerAt = now + 20L * random.nextInt(faults ? 60 : 5); // sometimes after the timeout
+                    response = receiver.receive(batch, store.ownEntries(batch.from(), batch.count()), faults);
+                    responseAt = now + 20L * random.nextInt(faults ? 60 : 5); // sometimes after the timeout
                 }
-                if (answer != null && now >= answerAt) {
-                    boolean changed = export.onResponse(now, answer, store.ownCount());
-                    answer = faults && random.nextInt(10) == 0
-                            ? answer
-                            : null; // with faults, the answer may be delivered again
-                    answerAt = now + 20;
+                if (response != null && now >= responseAt) {
+                    boolean changed = export.onResponse(now, response, store.ownCount());
+                    response = faults && random.nextInt(10) == 0
+                            ? response
+                            : null; // with faults, the response may be delivered again
+                    responseAt = now + 20;
                     if (changed) {
                         store.storeAcknowledged(export.acknowledged());
                     }
@@ -105,8 +105,8 @@
             Ledger[] ledger = {Ledger.EMPTY};
             LedgerStore.Contents[] contents = new LedgerStore.Contents[1];
             StoreVerification.of(simulation.disk, SigningKeys.NONE, LedgerStore.contentsReader(at -> contents[0] = at));
-            List<LedgerEntry> own = new ArrayList<>();
-            contents[0].ledger().entries().forEach(own::add);
+            List<LedgerEntry> storedEntries = new ArrayList<>();
+            contents[0].ledger().entries().forEach(storedEntries::add);
             Set<EntryId> ids = new HashSet<>();
             for (LedgerEntry entry : simulation.receiver.received()) {
                 assertTrue(ids.add(entry.id()), "received twice: " + entry.id());
@@ -117,7 +117,7 @@
                 }
             }
             assertTrue(ids.containsAll(simulation.stored));
-            assertEquals(own.size(), simulation.receiver.received().size());
+            assertEquals(storedEntries.size(), simulation.receiver.received().size());
             assertEquals(contents[0].ledger().totals(1), ledger[0].totals(1), "exact to the unit");
             forgotten += simulation.receiver.forgotten;
             refused += simulation.receiver.refused;
--- a/src/test/java/gatefront/padron/DiscoveryTest.java
+++ b/src/test/java/gatefront/padron/DiscoveryTest.java
@@ -246,9 +246,9 @@
     /** Guards against doubled delays without jitter, with which all agents retried at the same moments. */
     @Test
     void agentsRefusedTogetherRetryAtDifferentTimes() throws Exception {
-        DiscoveryTest crowd = startAgents(20, 503, 4_000);
+        DiscoveryTest agents = startAgents(20, 503, 4_000);
         List<Long> later =
-                crowd.requestTimesMs.stream().filter(at -> at > 1_000).toList();
+                agents.requestTimesMs.stream().filter(at -> at > 1_000).toList();
         long busiest = later.stream()
                 .mapToLong(at -> later.stream()
                         .filter(other -> other >= at && other < at + 20)
--- a/src/test/java/gatefront/policy/ColdFleetTest.java
+++ b/src/test/java/gatefront/policy/ColdFleetTest.java
@@ -44,13 +44,13 @@
         runLoad(harness, seconds, latency, REQUESTS_PER_SECOND);
     }
 
-    private static void runLoad(BalancerHarness harness, double seconds, long latency, int demand) {
-        harness.runLoad(seconds, Outcome.OK, latency, demand, 0);
+    private static void runLoad(BalancerHarness harness, double seconds, long latency, int requestsPerSecond) {
+        harness.runLoad(seconds, Outcome.OK, latency, requestsPerSecond, 0);
     }
 
     private static long sentToServersFrom(BalancerHarness harness, long id) {
         return harness.actionsOfKind("send").stream()
-                .filter(act -> act.server() >= id)
+                .filter(action -> action.server() >= id)
                 .count();
     }
 
@@ -96,13 +96,13 @@
         double capacity = (first + (AGENTS - 1) * others) / 0.7 / SERVERS;
         long[] sent = new long[SERVERS + 1];
         for (int agent = 0; agent < AGENTS; agent++) {
-            int demand = agent == 0 ? first : others;
+            int requestsPerSecond = agent == 0 ? first : others;
             BalancerHarness harness = harness(agent, 1).fullList(servers(1, SERVERS, 0, 0));
-            runLoad(harness, 5, 50_000, demand);
+            runLoad(harness, 5, 50_000, requestsPerSecond);
             harness.fullList(servers(1, SERVERS, 0, harness.now));
             int before = harness.actionsOfKind("send").size();
-            runLoad(harness, 1, 50_000, demand);
-            harness.actionsOfKind("send").stream().skip(before).forEach(act -> sent[(int) act.server()]++);
+            runLoad(harness, 1, 50_000, requestsPerSecond);
+            harness.actionsOfKind("send").stream().skip(before).forEach(action -> sent[(int) action.server()]++);
         }
         for (long count : sent) {
             assertTrue(count < 3 * 0.2 * capacity, count + " of " + 3 * 0.2 * capacity);
@@ -112,7 +112,7 @@
     /** Full size: 120 of 200 servers start at once, and all 100 agents learn of it in the same millisecond. */
     @Test
     void aHundredAgentsDoNotOverloadManyServersThatStartAtOnce() {
-        int demand = 10;
+        int requestsPerSecond = 10;
         long[] sent = new long[221];
         for (int agent = 0; agent < 100; agent++) {
             BalancerHarness harness = new BalancerHarness(
@@ -125,15 +125,15 @@
                                             100)),
                             agent)
                     .fullList(servers(1, 80, 0, 0));
-            runLoad(harness, 5, 50_000, demand);
+            runLoad(harness, 5, 50_000, requestsPerSecond);
             harness.updateServers(ListKind.DELTA, servers(101, 120, 0, harness.now));
             int before = harness.actionsOfKind("send").size();
-            runLoad(harness, 3, 50_000, demand);
-            harness.actionsOfKind("send").stream().skip(before).forEach(act -> sent[(int) act.server()]++);
+            runLoad(harness, 3, 50_000, requestsPerSecond);
+            harness.actionsOfKind("send").stream().skip(before).forEach(action -> sent[(int) action.server()]++);
         }
         long[] fresh = Arrays.stream(sent).skip(101).sorted().toArray();
         // Each can handle 0.2 to 0.32 of 1,000 / 0.7 / 200 a second: 5.6 in the 3 s, and fails at three times that.
-        double capacity = 3 * 0.26 * 100 * demand / 0.7 / 200;
+        double capacity = 3 * 0.26 * 100 * requestsPerSecond / 0.7 / 200;
         assertTrue(fresh[119] < 3 * capacity, "maximum " + fresh[119] + " of " + 3 * capacity);
         assertTrue(fresh[60] > 0.5 * capacity, "half of the servers got at most " + fresh[60] + " of " + capacity);
     }
@@ -186,9 +186,9 @@
     @Test
     void aColdServerThatKeepsUpGetsMoreThanOneThatReportsAQueue() {
         int idle = sentWithQueueReport(0);
-        int crowded = sentWithQueueReport(3);
-        assertTrue(idle > 1.3 * crowded, idle + " and " + crowded);
-        assertTrue(crowded > 0);
+        int queueing = sentWithQueueReport(3);
+        assertTrue(idle > 1.3 * queueing, idle + " and " + queueing);
+        assertTrue(queueing > 0);
         assertTrue(sentWithQueueReport(Double.NaN) < idle, "an invalid report is ignored");
     }
 
@@ -205,7 +205,7 @@
                 harness.request();
             }
             sent[busy] = (int) harness.actionsOfKind("send").stream()
-                    .filter(act -> act.id() > 150)
+                    .filter(action -> action.id() > 150)
                     .count();
         }
         assertTrue(sent[1] < sent[0], sent[0] + " and " + sent[1]);
@@ -239,14 +239,14 @@
                 7);
         harness.loadReport = new double[] {0};
         harness.fullList(servers(1, 4, 0, 0));
-        int demand = 200; // one request per tick
-        runLoad(harness, 3, 10_000, demand);
+        int requestsPerSecond = 200; // one request per tick
+        runLoad(harness, 3, 10_000, requestsPerSecond);
         harness.fullList(servers(1, 4, 0, harness.now));
-        runLoad(harness, 10, 10_000, demand);
+        runLoad(harness, 10, 10_000, requestsPerSecond);
         int before = harness.actionsOfKind("send").size();
-        runLoad(harness, 5, 10_000, demand);
+        runLoad(harness, 5, 10_000, requestsPerSecond);
         int sent = harness.actionsOfKind("send").size() - before;
-        double max = 5 * demand * warmShare * 4;
+        double max = 5 * requestsPerSecond * warmShare * 4;
         assertTrue(sent > max / 2 && sent <= 1.2 * max, sent + " sent of at most " + max);
     }
 
--- a/src/test/java/gatefront/policy/MechanismTest.java
+++ b/src/test/java/gatefront/policy/MechanismTest.java
@@ -399,8 +399,9 @@
             harness.serveRequest(400_000);
         }
         harness.updateServers(Balancer.ListKind.FULL, BalancerHarness.server(3, 0, Balancer.Phase.READY, harness.now));
-        long early = harness.request(); // at a fifth of its capacity a request takes two seconds, and the aim is one
-        assertEquals(-1, harness.lastServer(early));
+        long earlyRequest =
+                harness.request(); // at a fifth of its capacity a request takes two seconds, and the aim is one
+        assertEquals(-1, harness.lastServer(earlyRequest));
         harness.advance(15 * SECOND);
         assertEquals(3, harness.lastServer(harness.request()));
     }
@@ -563,12 +564,16 @@
     void accumulatedCreditIsBounded() {
         assertEquals(
                 100, sentOfOneHundred(oneAgentWithSixtyServers()), "no attempt has found an overloaded server yet");
-        int few = sentOfOneHundred(withLimitedCredit(oneAgentWithSixtyServers()));
-        assertTrue(few >= 10 && few < 30, "after one timeout: " + few);
+        int sentWithLimitedCredit = sentOfOneHundred(withLimitedCredit(oneAgentWithSixtyServers()));
+        assertTrue(
+                sentWithLimitedCredit >= 10 && sentWithLimitedCredit < 30,
+                "after one timeout: " + sentWithLimitedCredit);
         BalancerHarness served = withLimitedCredit(oneAgentWithSixtyServers());
         served.runLoad(60, Outcome.OK, 10_000, 20, 0);
-        int more = sentOfOneHundred(served);
-        assertTrue(more >= 20 && more < 50, "not all credit of a minute's responses is kept: " + more);
+        int sentAfterResponses = sentOfOneHundred(served);
+        assertTrue(
+                sentAfterResponses >= 20 && sentAfterResponses < 50,
+                "not all credit of a minute's responses is kept: " + sentAfterResponses);
     }
 
     @Test
@@ -633,12 +638,12 @@
                 0,
                 Outcome.OK,
                 1_000);
-        int demand = harness.actionsOfKind("send").size();
+        int sentBefore = harness.actionsOfKind("send").size();
         for (int i = 0; i < 30; i++) {
             harness.request();
         }
         assertEquals(null, requestWithTimeout(harness, 2 * SECOND), "queued like all others, not refused");
-        assertTrue(harness.actionsOfKind("send").size() > demand);
+        assertTrue(harness.actionsOfKind("send").size() > sentBefore);
     }
 
     /** The elapsed time is counted from the first try, not from the previous one. */
@@ -861,16 +866,16 @@
         for (int i = 0; i < 4; i++) {
             sent.add(harness.lastServer(harness.request(0, 42)));
         }
-        long home = sent.get(0);
-        assertEquals(List.of(home, 3 - home, home, 3 - home), sent);
+        long firstServer = sent.get(0);
+        assertEquals(List.of(firstServer, 3 - firstServer, firstServer, 3 - firstServer), sent);
     }
 
     @Test
     void sameKeysCrossZonesAtOnceAfterRequestsHadToWait() {
         BalancerHarness harness = new BalancerHarness(warmKeySettings(2), 1);
         harness.fullList(BalancerHarness.server(1, 0), BalancerHarness.server(2, 1));
-        Set<Long> early = keysSentToOtherZone(harness);
-        assertEquals(Set.of(), early);
+        Set<Long> crossedAtFirst = keysSentToOtherZone(harness);
+        assertEquals(Set.of(), crossedAtFirst);
         for (int round = 0; round < 20; round++) {
             List<Long> out = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
@@ -887,9 +892,10 @@
             }
             harness.advance(2 * SECOND);
         }
-        Set<Long> some = keysSentToOtherZone(harness);
-        assertTrue(!some.isEmpty() && some.size() < 100, some.size() + " of 100 keys cross zones");
-        assertTrue(some.containsAll(keysSentToOtherZone(harness)), "the same keys, and fewer as the zone is idle");
+        Set<Long> crossedKeys = keysSentToOtherZone(harness);
+        assertTrue(!crossedKeys.isEmpty() && crossedKeys.size() < 100, crossedKeys.size() + " of 100 keys cross zones");
+        assertTrue(
+                crossedKeys.containsAll(keysSentToOtherZone(harness)), "the same keys, and fewer as the zone is idle");
     }
 
     /** Returns which of a hundred keys, requested one at a time, are sent to zone 1 at once. */
@@ -920,8 +926,8 @@
             harness.updateServers(Balancer.ListKind.FAILED);
             harness.advance(9 * SECOND);
         }
-        List<BalancerHarness.RecordedAction> asked = harness.actionsOfKind("watch");
-        assertEquals(4, asked.size());
+        List<BalancerHarness.RecordedAction> watches = harness.actionsOfKind("watch");
+        assertEquals(4, watches.size());
     }
 
     private static BalancerHarness oneOfMany(int agents, int servers) {
@@ -967,11 +973,11 @@
             }
         }
         assertTrue(serversUsed(heavy) >= 12, "used " + serversUsed(heavy));
-        BalancerHarness few = oneOfMany(4, 40);
+        BalancerHarness agentOfFour = oneOfMany(4, 40);
         for (int i = 0; i < 400; i++) {
-            few.serveRequest(50_000);
+            agentOfFour.serveRequest(50_000);
         }
-        assertTrue(serversUsed(few) >= 30, "used " + serversUsed(few));
+        assertTrue(serversUsed(agentOfFour) >= 30, "used " + serversUsed(agentOfFour));
     }
 
     /** Guards against a subset that grows with the requests in flight, which would increase an overload. */
@@ -1112,25 +1118,25 @@
             harness.request();
         }
         assertEquals(1, harness.actionsOfKind("send").size());
-        BalancerHarness few = oneOfMany(2, 3);
+        BalancerHarness agentOfTwo = oneOfMany(2, 3);
         for (int i = 0; i < 10; i++) {
-            few.request();
+            agentOfTwo.request();
         }
-        assertEquals(10, few.actionsOfKind("send").size());
+        assertEquals(10, agentOfTwo.actionsOfKind("send").size());
     }
 
     /** Guards against pausing a server after a late response for no longer than after a slow one. */
     @Test
     void aResponsePastTheAimPausesAServerForLongerThanASlowOne() {
         long[] sentAgainAfter = new long[2];
-        for (int late = 0; late < 2; late++) {
+        for (int run = 0; run < 2; run++) {
             BalancerHarness harness = oneOfMany(100, 1);
             for (int i = 0; i < 5; i++) {
                 harness.serveRequest(50_000);
                 harness.advance(SECOND);
             }
             long slow = harness.request();
-            long elapsed = late == 0 ? 900_000 : 1_100_000; // the aim is one second
+            long elapsed = run == 0 ? 900_000 : 1_100_000; // the aim is one second
             harness.advance(elapsed);
             harness.balancer.outcome(
                     harness.now, slow, 0, harness.lastServer(slow), Outcome.OK, elapsed, true, NO_LOAD);
@@ -1140,7 +1146,7 @@
                 harness.request();
                 harness.advance(SECOND / 10);
             }
-            sentAgainAfter[late] = harness.now - began;
+            sentAgainAfter[run] = harness.now - began;
         }
         assertTrue(sentAgainAfter[1] >= 2 * sentAgainAfter[0], sentAgainAfter[0] + " and " + sentAgainAfter[1]);
     }
--- a/src/test/java/gatefront/policy/OnCallTest.java
+++ b/src/test/java/gatefront/policy/OnCallTest.java
@@ -55,12 +55,12 @@
     @Test
     void thePageShowsEveryPrintedLineAndNoOther() throws IOException {
         String page = Files.readString(Path.of("docs/on-call.md"));
-        Set<String> shown = new TreeSet<>();
+        Set<String> documentedLines = new TreeSet<>();
         Matcher code = Pattern.compile("`((?:active|passive|cold|draining|ready|gone)[^`]*)`")
                 .matcher(page);
         while (code.find()) {
-            shown.add(code.group(1));
+            documentedLines.add(code.group(1));
         }
-        assertEquals(printedLines(), shown);
+        assertEquals(printedLines(), documentedLines);
     }
 }
--- a/src/test/java/gatefront/policy/SettingsTest.java
+++ b/src/test/java/gatefront/policy/SettingsTest.java
@@ -211,15 +211,16 @@
         for (int i = 0; i < 50; i++) {
             tenants.add(new Tenant(1, 0.02));
         }
-        for (List<Tenant> some : List.of(tenants, List.<Tenant>of())) {
+        for (List<Tenant> tenantsOfAgent : List.of(tenants, List.<Tenant>of())) {
             BalancerHarness harness = new BalancerHarness(withPricesAndTenants(
                             BalancerHarness.safeSettings(),
                             BalancerHarness.safeSettings().prices(),
-                            some))
+                            tenantsOfAgent))
                     .fullList(BalancerHarness.server(1, 0));
             harness.balancer.request(
                     harness.now,
-                    new Request(900, 0, Math.max(0, some.size() - 1), 0, 0, harness.now + SECOND, false, false));
+                    new Request(
+                            900, 0, Math.max(0, tenantsOfAgent.size() - 1), 0, 0, harness.now + SECOND, false, false));
             assertEquals(1, harness.sends(900).size());
         }
     }
--- a/src/test/java/gatefront/registry/ConsulConnectorTest.java
+++ b/src/test/java/gatefront/registry/ConsulConnectorTest.java
@@ -44,20 +44,20 @@
     @Test
     void tokenIsSentAndReadsFailWithoutIt() throws Exception {
         put("nodos/a", "1");
-        members.forEach(each -> each.secret("s3cret"));
+        members.forEach(member -> member.secret("s3cret"));
         token = "s3cret";
         follow();
         assertSameAsStore();
-        members.forEach(each -> each.secret("another"));
+        members.forEach(member -> member.secret("another"));
         members.forEach(RegistryStandIn::cut);
         put("nodos/a", "2");
         advance(3 * SECOND);
         assertEquals("1", knownValue("nodos/a"));
         assertTrue(
                 logLines.stream()
-                        .anyMatch(each -> each.contains("HTTP status 403, the token has no permission for oaxaca/")),
+                        .anyMatch(line -> line.contains("HTTP status 403, the token has no permission for oaxaca/")),
                 logLines.toString());
-        assertTrue(logLines.stream().noneMatch(each -> each.contains("s3cret")), "secrets are not logged");
+        assertTrue(logLines.stream().noneMatch(line -> line.contains("s3cret")), "secrets are not logged");
     }
 
     /** A check that turns critical changes no index of its instance; the change must still be reported. */
@@ -85,15 +85,15 @@
     void memberWithoutALeaderIsNotTrusted() throws Exception {
         put("nodos/a", "1");
         follow();
-        for (RegistryStandIn each : members) {
-            ((ConsulStandIn) each).cutOff(false, 0);
+        for (RegistryStandIn member : members) {
+            ((ConsulStandIn) member).cutOff(false, 0);
         }
         put("nodos/a", "2");
         advance(3 * SECOND);
         assertEquals("1", knownValue("nodos/a"));
-        for (RegistryStandIn each : members) {
+        for (RegistryStandIn member : members) {
             // Longer than the time after which entries are stale.
-            ((ConsulStandIn) each).cutOff(true, 16_000);
+            ((ConsulStandIn) member).cutOff(true, 16_000);
         }
         advance(3 * SECOND);
         assertEquals("1", knownValue("nodos/a"));
@@ -101,8 +101,8 @@
         advance(5 * SECOND);
         assertSameAsStore();
         assertTrue(
-                logLines.stream().anyMatch(each -> each.contains("the member knows no leader")), logLines.toString());
-        assertTrue(logLines.stream().anyMatch(each -> each.contains("no contact with its leader for 16000 ms")));
+                logLines.stream().anyMatch(line -> line.contains("the member knows no leader")), logLines.toString());
+        assertTrue(logLines.stream().anyMatch(line -> line.contains("no contact with its leader for 16000 ms")));
     }
 
     /**
@@ -127,7 +127,7 @@
         advance(5 * SECOND);
         assertEquals("1", knownValue("nodos/a"));
         assertEquals(1, client.follower().entries().size());
-        assertTrue(logLines.stream().anyMatch(each -> each.contains("invalid response")), logLines.toString());
+        assertTrue(logLines.stream().anyMatch(line -> line.contains("invalid response")), logLines.toString());
     }
 
     /** Consul has one index for all keys of a prefix; without changes, one blocking query is open at a time. */
--- a/src/test/java/gatefront/registry/EtcdConnectorTest.java
+++ b/src/test/java/gatefront/registry/EtcdConnectorTest.java
@@ -42,9 +42,9 @@
 
     /** Makes the members require a password, for which they issue a token. */
     private void requirePassword(String password) {
-        members.forEach(each -> {
-            ((EtcdStandIn) each).password(password);
-            each.secret("token-1");
+        members.forEach(member -> {
+            ((EtcdStandIn) member).password(password);
+            member.secret("token-1");
         });
     }
 
@@ -65,7 +65,7 @@
     void pagedReadIsOfOneRevisionWhileKeysChange() throws Exception {
         commitKeys(3_500, "before");
         int[] pageBreaks = new int[1];
-        members.forEach(each -> ((EtcdStandIn) each).betweenPages(() -> {
+        members.forEach(member -> ((EtcdStandIn) member).betweenPages(() -> {
             pageBreaks[0]++;
             store.put(PREFIX + "nodos/" + (3_000 + pageBreaks[0]), "meanwhile");
         }));
@@ -80,7 +80,7 @@
     void readIsRepeatedWhenItsRevisionIsCompacted() throws Exception {
         commitKeys(2_500, "before");
         int[] pageBreaks = new int[1];
-        members.forEach(each -> ((EtcdStandIn) each).betweenPages(() -> {
+        members.forEach(member -> ((EtcdStandIn) member).betweenPages(() -> {
             if (++pageBreaks[0] < 3) {
                 store.put(PREFIX + "nodos/1", "meanwhile " + pageBreaks[0]);
                 store.compact(store.revision());
@@ -93,7 +93,7 @@
 
     @Test
     void fragmentedAndRepeatedChangesAreAppliedOnce() throws Exception {
-        members.forEach(each -> ((EtcdStandIn) each).fragment(3).repeats(true));
+        members.forEach(member -> ((EtcdStandIn) member).fragment(3).repeats(true));
         follow();
         for (int i = 0; i < 10; i++) {
             commitKeys(10, "round " + i);
@@ -112,7 +112,7 @@
         put("nodos/a", "1");
         follow();
         assertSameAsStore();
-        members.forEach(each -> each.secret("token-2"));
+        members.forEach(member -> member.secret("token-2"));
         members.forEach(RegistryStandIn::cut);
         // Waits until the connections are closed; otherwise the old watch would still report the change.
         advance(100 * MS);
@@ -120,7 +120,7 @@
         advance(3 * SECOND);
         assertSameAsStore();
         assertReportedOnceInOrder();
-        assertTrue(logLines.stream().noneMatch(each -> each.contains("clave") || each.contains("token-")));
+        assertTrue(logLines.stream().noneMatch(line -> line.contains("clave") || line.contains("token-")));
     }
 
     @Test
@@ -132,7 +132,7 @@
         advance(10 * SECOND);
         assertEquals(0, client.follower().entries().size());
         assertTrue(
-                logLines.stream().anyMatch(each -> each.contains("authentication of user agente failed")),
+                logLines.stream().anyMatch(line -> line.contains("authentication of user agente failed")),
                 logLines.toString());
         assertTrue(logLines.size() < 60, logLines.size() + " lines in 10 s");
     }
--- a/src/test/java/gatefront/registry/GrpcPeerTest.java
+++ b/src/test/java/gatefront/registry/GrpcPeerTest.java
@@ -188,7 +188,8 @@
             byte[] resumeRequest =
                     EtcdMessages.watchRequest(EtcdMessages.bytes("oaxaca/"), EtcdMessages.prefixEnd("oaxaca/"), 7);
             assertTrue(
-                    requests.stream().anyMatch(each -> Arrays.equals(resumeRequest, each)), "resumed from revision 7");
+                    requests.stream().anyMatch(request -> Arrays.equals(resumeRequest, request)),
+                    "resumed from revision 7");
         } finally {
             CountDownLatch ended = new CountDownLatch(1);
             sockets.loop().execute(() -> {
--- a/src/test/java/gatefront/registry/RegistryContract.java
+++ b/src/test/java/gatefront/registry/RegistryContract.java
@@ -74,7 +74,7 @@
     }
 
     final List<InetSocketAddress> addresses() {
-        return hosts.stream().limit(MEMBERS).map(each -> each.at(PORT)).toList();
+        return hosts.stream().limit(MEMBERS).map(host -> host.at(PORT)).toList();
     }
 
     final VirtualHost host(String name, int thirdAddressByte, int lastAddressByte) throws Exception {
@@ -145,7 +145,7 @@
     final void assertSameAsStore() {
         assertEquals(
                 store.range(PREFIX, PREFIX_END, store.revision()).stream()
-                        .map(each -> new KeyEntry(each.key(), each.value(), each.created(), each.modified()))
+                        .map(entry -> new KeyEntry(entry.key(), entry.value(), entry.created(), entry.modified()))
                         .toList(),
                 List.copyOf(client.follower().entries().values()));
     }
@@ -180,7 +180,7 @@
         advance(200 * MS);
         assertEquals(
                 List.of("1", "3", "null", "4"),
-                reported.stream().map(each -> String.valueOf(each.value())).toList());
+                reported.stream().map(change -> String.valueOf(change.value())).toList());
         assertSameAsStore();
         assertReportedOnceInOrder();
         assertEquals(1, client.follower().entries().size());
@@ -231,7 +231,8 @@
         advance(2 * SECOND);
         assertSameAsStore();
         assertReportedOnceInOrder();
-        assertTrue(reported.stream().anyMatch(each -> each.key().equals(PREFIX + "nodos/a") && each.value() == null));
+        assertTrue(reported.stream()
+                .anyMatch(change -> change.key().equals(PREFIX + "nodos/a") && change.value() == null));
     }
 
     @Test
@@ -254,12 +255,12 @@
         follow();
         put("nodos/a", "2");
         advance(300 * MS);
-        members.forEach(each -> each.lag(1));
+        members.forEach(member -> member.lag(1));
         members.forEach(RegistryStandIn::cut);
         advance(10 * SECOND);
         assertEquals("2", knownValue("nodos/a"), "the value never goes back");
         put("nodos/a", "3");
-        members.forEach(each -> each.lag(0));
+        members.forEach(member -> member.lag(0));
         advance(10 * SECOND);
         assertSameAsStore();
         assertReportedOnceInOrder();
@@ -287,11 +288,11 @@
     void silentCallIsAbandonedAndTheStateIsKept() throws Exception {
         put("nodos/a", "1");
         follow();
-        int connected =
-                (int) members.stream().filter(each -> each.connections() > 0).count();
+        int connected = (int)
+                members.stream().filter(member -> member.connections() > 0).count();
         assertEquals(1, connected);
         RegistryStandIn silentMember = members.stream()
-                .filter(each -> each.connections() > 0)
+                .filter(member -> member.connections() > 0)
                 .findFirst()
                 .orElseThrow();
         silentMember.silent(true);
@@ -300,7 +301,7 @@
         assertEquals("1", knownValue("nodos/a"));
         advance(8 * SECOND);
         assertEquals("2", knownValue("nodos/a"), "another member has reported it: " + logLines);
-        assertTrue(logLines.stream().anyMatch(each -> each.contains("nothing received for 6 s")), logLines.toString());
+        assertTrue(logLines.stream().anyMatch(line -> line.contains("nothing received for 6 s")), logLines.toString());
         assertTrue(staleEvents.isEmpty());
     }
 
@@ -348,7 +349,7 @@
     void slowWatcherReceivesEveryChangeOnce() throws Exception {
         put("nodos/a", "0");
         follow();
-        members.forEach(each -> each.late(3_000));
+        members.forEach(member -> member.late(3_000));
         for (int i = 1; i <= 40; i++) {
             put("nodos/a", "v" + i);
             put("nodos/" + i % 3, "v" + i);
@@ -359,7 +360,7 @@
         assertSameAsStore();
         assertReportedOnceInOrder();
         assertTrue(staleEvents.isEmpty(), "a slow member is not silent: " + logLines);
-        members.forEach(each -> each.late(0));
+        members.forEach(member -> member.late(0));
         put("nodos/a", "last");
         advance(200 * MS);
         assertSameAsStore();
@@ -378,7 +379,7 @@
         notifyMembers();
         advance(20 * SECOND);
         assertEquals(1, client.follower().entries().size());
-        assertTrue(logLines.stream().anyMatch(each -> each.contains("20000 keys")), logLines.toString());
+        assertTrue(logLines.stream().anyMatch(line -> line.contains("20000 keys")), logLines.toString());
         assertEquals(List.of(true), staleEvents);
     }
 
@@ -426,13 +427,13 @@
 
     @Test
     void overloadedRegistryIsCalledLessOften() throws Exception {
-        members.forEach(each -> each.overloaded(true));
+        members.forEach(member -> member.overloaded(true));
         follow();
         advance(20 * SECOND);
         int before = memberCalls();
         advance(20 * SECOND);
         assertTrue(memberCalls() - before < 24, "calls in 20 s: " + (memberCalls() - before));
-        members.forEach(each -> each.overloaded(false));
+        members.forEach(member -> member.overloaded(false));
         put("nodos/a", "1");
         advance(5 * SECOND);
         assertSameAsStore();
@@ -464,8 +465,8 @@
             busiest = Math.max(busiest, memberCalls() - before);
             before = memberCalls();
         }
-        for (RegistryClient each : agents) {
-            assertEquals("2", each.follower().entries().get(PREFIX + "nodos/a").value());
+        for (RegistryClient agent : agents) {
+            assertEquals("2", agent.follower().entries().get(PREFIX + "nodos/a").value());
         }
         // The reconnects of 100 agents are spread over a second; with Consul, a blocking query follows each read.
         assertTrue(busiest < 40, "maximum of calls in a tenth of a second: " + busiest);
@@ -506,8 +507,8 @@
                 startListenersAnswering("HTTP/1.1 200 OK\r\nX-Consul-Index: 99\r\nContent-Length: 4\r\n\r\n[{]]");
         advance(5 * SECOND);
         assertEquals("1", knownValue("nodos/a"));
-        for (Channel each : listeners) {
-            each.close();
+        for (Channel listener : listeners) {
+            listener.close();
         }
         advance(100 * MS);
         put("nodos/a", "2");
--- a/src/test/java/gatefront/registry/RegistryLoopbackTest.java
+++ b/src/test/java/gatefront/registry/RegistryLoopbackTest.java
@@ -94,7 +94,7 @@
             }
             long timeoutNanos = System.nanoTime() + TIMEOUT_NANOS;
             List<KeyEntry> expected = store.range("a/", KeyValueStore.behind("a/"), store.revision()).stream()
-                    .map(each -> new KeyEntry(each.key(), each.value(), each.created(), each.modified()))
+                    .map(entry -> new KeyEntry(entry.key(), entry.value(), entry.created(), entry.modified()))
                     .toList();
             while (!sockets.loop()
                     .submit(() -> List.copyOf(client.follower().entries().values()))
@@ -104,17 +104,17 @@
                 Thread.sleep(5);
             }
             Map<String, Long> newestRevisions = new HashMap<>();
-            for (KeyChange each :
+            for (KeyChange change :
                     sockets.loop().submit(() -> List.copyOf(reported)).get()) {
-                Long before = newestRevisions.put(each.key(), each.modRevision());
-                assertTrue(before == null || before < each.modRevision(), each + " after " + before);
+                Long before = newestRevisions.put(change.key(), change.modRevision());
+                assertTrue(before == null || before < change.modRevision(), change + " after " + before);
             }
             assertEquals(7, newestRevisions.size());
         } finally {
             CountDownLatch ended = new CountDownLatch(1);
             sockets.loop().execute(() -> {
                 client.close();
-                members.forEach(each -> each.down(true, null));
+                members.forEach(member -> member.down(true, null));
                 sockets.close(ended::countDown);
             });
             ended.await();
--- a/src/test/java/gatefront/registry/follower/FollowerModelTest.java
+++ b/src/test/java/gatefront/registry/follower/FollowerModelTest.java
@@ -35,7 +35,7 @@
         for (int seed = 0; seed < HISTORIES; seed++) {
             new World(seed, faultCounts, 0).runHistory();
         }
-        for (String each : List.of(
+        for (String fault : List.of(
                 "compacted",
                 "dropped",
                 "silent",
@@ -49,8 +49,8 @@
                 "not trusted",
                 "deleted and made again")) {
             assertTrue(
-                    faultCounts.getOrDefault(each, 0) > 200,
-                    each + " was met " + faultCounts.get(each) + " times of " + faultCounts);
+                    faultCounts.getOrDefault(fault, 0) > 200,
+                    fault + " was met " + faultCounts.get(fault) + " times of " + faultCounts);
         }
     }
 
@@ -231,7 +231,7 @@
 
         private List<KeyEntry> entries(List<KeyValueStore.Kv> all) {
             return all.stream()
-                    .map(each -> new KeyEntry(each.key(), each.value(), each.created(), each.modified()))
+                    .map(entry -> new KeyEntry(entry.key(), entry.value(), entry.created(), entry.modified()))
                     .toList();
         }
 
@@ -335,13 +335,16 @@
             }
             sentRevision = visible.get(visible.size() - 1).revision();
             List<KeyChange> changes = visible.stream().map(World::change).toList();
-            int cut = random.nextInt(changes.size() + 1);
-            if (cut > 0 && cut < changes.size()) {
+            int fragmentEnd = random.nextInt(changes.size() + 1);
+            if (fragmentEnd > 0 && fragmentEnd < changes.size()) {
                 count("fragments");
-                deliver(() -> follower.changesReceived(now, call, changes.subList(0, cut), true));
+                deliver(() -> follower.changesReceived(now, call, changes.subList(0, fragmentEnd), true));
             }
             deliver(() -> follower.changesReceived(
-                    now, call, cut < changes.size() ? changes.subList(cut, changes.size()) : changes, false));
+                    now,
+                    call,
+                    fragmentEnd < changes.size() ? changes.subList(fragmentEnd, changes.size()) : changes,
+                    false));
         }
 
         @Override
@@ -351,7 +354,8 @@
                 long history = store.history();
                 long upTo = Math.max(sentRevision, store.revision() - (faultsEnded ? 0 : memberLag));
                 if (store.since(PREFIX, END, sentRevision) != null
-                        && store.since(PREFIX, END, sentRevision).stream().noneMatch(each -> each.revision() <= upTo)) {
+                        && store.since(PREFIX, END, sentRevision).stream()
+                                .noneMatch(change -> change.revision() <= upTo)) {
                     deliver(() -> follower.progressReceived(now, call, history, upTo));
                 }
             }
--- a/src/test/java/gatefront/registry/follower/RegistryFigures.java
+++ b/src/test/java/gatefront/registry/follower/RegistryFigures.java
@@ -118,8 +118,8 @@
                     }
                 }
                 int busiest = 0;
-                for (int each : calls) {
-                    busiest = Math.max(busiest, each);
+                for (int callCount : calls) {
+                    busiest = Math.max(busiest, callCount);
                 }
                 System.out.printf(
                         "%d agents, %s jitter: %d calls in the fullest tenth of a second%n",
--- a/src/test/java/gatefront/upgrade/ProcessHandoverTest.java
+++ b/src/test/java/gatefront/upgrade/ProcessHandoverTest.java
@@ -82,8 +82,8 @@
     void truncatedOldOrForeignFilesAreLoggedAndIgnored() throws IOException {
         String text = BanFileFormat.write(ENTRIES);
         assertEquals(ENTRIES, BanFileFormat.read(text));
-        for (int cut = 0; cut < text.length(); cut++) {
-            String part = text.substring(0, cut);
+        for (int length = 0; length < text.length(); length++) {
+            String part = text.substring(0, length);
             assertThrows(IllegalArgumentException.class, () -> BanFileFormat.read(part), part);
         }
         ProcessHandover first = open("1");
