--- a/src/main/java/gatefront/agent/Agent.java
+++ b/src/main/java/gatefront/agent/Agent.java
@@ -419,7 +419,7 @@
         }
         // Guards against sending to servers that are in the known list but no longer in the current one: the known
         // list may be old, while drains count as announced to this process from its first moment. Drawback: if
-        // discovery does not answer, requests wait for the whole grace.
+        // discovery does not respond, requests wait for the whole grace.
         long grace =
                 Math.min(FIRST_LIST_TIMEOUT_MS, config.settings().obligations().drainGrace() / 1_000);
         engine.setStallDetector(StallDetector.forStartup(transport.nanos() / 1_000, grace * 1_000), grace, () -> {});
@@ -766,7 +766,7 @@
         return loop.submit(() -> engine.trackedServers()).sync().getNow();
     }
 
-    /** Returns the number of warm-up requests that were answered before the agent became ready. */
+    /** Returns the number of warm-up requests that got a response before the agent became ready. */
     int warmupResponses() throws InterruptedException {
         return loop.submit(() -> warmupResponses).sync().getNow();
     }
--- a/src/main/java/gatefront/agent/OperatorControls.java
+++ b/src/main/java/gatefront/agent/OperatorControls.java
@@ -58,7 +58,7 @@
     /** Scheduled returns of drained servers, by name; each runs after {@link #RETURN_DELAY_MS}. */
     private final Map<String, Future<?>> pendingReturns = new HashMap<>();
 
-    private Future<?> polling;
+    private Future<?> pollTask;
     /** State that survives a restart; null if none is stored. */
     private StateRecovery stateRecovery;
 
@@ -115,14 +115,14 @@
         }
         if (peer != null) {
             pollPeer();
-            polling = transport.loop().scheduleWithFixedDelay(this::pollPeer, POLL_MS, POLL_MS, TimeUnit.MILLISECONDS);
+            pollTask = transport.loop().scheduleWithFixedDelay(this::pollPeer, POLL_MS, POLL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     void close() {
         endpoint.close();
-        if (polling != null) {
-            polling.cancel(false);
+        if (pollTask != null) {
+            pollTask.cancel(false);
         }
         if (peer != null) {
             peer.close();
--- a/src/main/java/gatefront/agent/Warmup.java
+++ b/src/main/java/gatefront/agent/Warmup.java
@@ -47,8 +47,8 @@
     private final InetSocketAddress ownAddress;
     private final IntConsumer onFinished;
     private final Balancer balancer;
-    private final HttpUpstream.Outgoing keepAliveRequest;
-    private final HttpUpstream.Outgoing closingRequest;
+    private final HttpUpstream.OutgoingRequest keepAliveRequest;
+    private final HttpUpstream.OutgoingRequest closingRequest;
     private int started;
     private int inFlight;
     private int responses;
@@ -70,9 +70,9 @@
         this.ownAddress = ownAddress;
         this.onFinished = onFinished;
         this.balancer = new AdaptiveBalancer(config.settings(), config.seed(), nowMicros(), this);
-        this.keepAliveRequest = new HttpUpstream.Outgoing(
+        this.keepAliveRequest = new HttpUpstream.OutgoingRequest(
                 HttpMethod.GET, path, exampleRequest().headers().remove("Request-Id"), HttpUpstream.NO_BODY);
-        this.closingRequest = new HttpUpstream.Outgoing(
+        this.closingRequest = new HttpUpstream.OutgoingRequest(
                 HttpMethod.GET,
                 path,
                 keepAliveRequest.headers().copy().set("Connection", "close"),
@@ -80,7 +80,7 @@
     }
 
     /**
-     * Runs the warm-up on the loop and calls back there with the number of answered requests.
+     * Runs the warm-up on the loop and calls back there with the number of responses.
      *
      * @param ownAddress an address on which this agent listens
      * @param path the path of the health check at that address
@@ -161,7 +161,7 @@
     public void send(long request, long server, long timeout) {
         long sentAt = nowMicros();
         httpUpstream.send(server, request % CLOSE_EVERY == 0 ? closingRequest : keepAliveRequest, timeout, result -> {
-            // The health check of an agent that is not ready answers with an error.
+            // The health check of an agent that is not ready responds with an error.
             responses += result.outcome() == Balancer.Outcome.ERROR ? 1 : 0;
             long now = nowMicros();
             balancer.outcome(now, request, 0, server, Balancer.Outcome.OK, now - sentAt, true, result.loadReport());
--- a/src/main/java/gatefront/config/SettingsCompatibility.java
+++ b/src/main/java/gatefront/config/SettingsCompatibility.java
@@ -26,7 +26,7 @@
         for (Map.Entry<String, JsonNode> field : before.properties()) {
             String key = path + "." + field.getKey();
             JsonNode found = after.path(field.getKey());
-            checkKind(key, field.getValue(), found);
+            checkType(key, field.getValue(), found);
             if (found.isObject()) {
                 checkObject(key, field.getValue(), found);
             }
@@ -35,15 +35,15 @@
 
     /** Checks that each item has a unique name and the keys that all current items have in common. */
     private static void checkItems(String path, JsonNode before, JsonNode after) {
-        Set<String> common = new HashSet<>();
-        before.path(0).fieldNames().forEachRemaining(common::add);
-        before.forEach(item -> common.removeIf(key -> !item.has(key)));
+        Set<String> commonKeys = new HashSet<>();
+        before.path(0).fieldNames().forEachRemaining(commonKeys::add);
+        before.forEach(item -> commonKeys.removeIf(key -> !item.has(key)));
         Set<String> names = new HashSet<>();
         int index = 0;
         for (JsonNode item : after) {
             String itemPath = path + "." + index++;
-            for (String key : common) {
-                checkKind(itemPath + "." + key, before.path(0).path(key), item.path(key));
+            for (String key : commonKeys) {
+                checkType(itemPath + "." + key, before.path(0).path(key), item.path(key));
             }
             if (item.path("name").asText("").isEmpty()
                     || !names.add(item.path("name").asText())) {
@@ -52,7 +52,7 @@
         }
     }
 
-    private static void checkKind(String key, JsonNode before, JsonNode found) {
+    private static void checkType(String key, JsonNode before, JsonNode found) {
         if (found.isMissingNode() || found.isNull() && !before.isNull()) {
             throw invalid(key, "is missing");
         }
--- a/src/main/java/gatefront/drill/Drill.java
+++ b/src/main/java/gatefront/drill/Drill.java
@@ -16,6 +16,20 @@
 
 /** Adapts the decision module to the simulator's protocol, for many instances. It makes no decisions itself. */
 public final class Drill {
+    /** Codes of the records that the simulator sends. */
+    private static final int PROBE_OUTCOME = 16;
+
+    private static final int STREAM_STARTED = 17;
+    private static final int MESSAGE = 18;
+    private static final int STOP_INSTANCE = 19;
+    private static final int REQUEST = 20;
+    private static final int SERVER_LIST = 21;
+    private static final int ATTEMPT_OUTCOME = 22;
+    private static final int CLIENT_LEFT = 23;
+    private static final int START_INSTANCE = 24;
+    private static final int DEFINE_LIST = 25;
+    private static final int TIMER = 26;
+
     private static final double[] NO_LOAD = new double[0];
     /** Server lists that can be defined at a time, numbered from 0. */
     private static final int MAX_LISTS = 16;
@@ -49,13 +63,13 @@
 
     private void handleRecord(long now) {
         int code = in.code();
-        if (code == 25) {
+        if (code == DEFINE_LIST) {
             defineList();
             return;
         }
         int id = in.u16();
         out.instance(id);
-        if (code == 24) {
+        if (code == START_INSTANCE) {
             long seed = in.i64();
             Balancer.Settings settings = parseSettings(in.text(in.u32()));
             runDecision(() -> instances.put(id, new AdaptiveBalancer(settings, seed, now, out)));
@@ -65,7 +79,7 @@
         if (instance == null) {
             throw new WireException(in.location() + ": instance " + id + " has not been started");
         }
-        if (code == 19) {
+        if (code == STOP_INSTANCE) {
             instances.remove(id);
             return;
         }
@@ -94,17 +108,17 @@
 
     private void dispatchEvent(int code, Balancer instance, long now) {
         switch (code) {
-            case 16 -> {
+            case PROBE_OUTCOME -> {
                 long elapsedMicros = in.u32();
                 Outcome outcome = outcome(in.u16());
                 instance.probeOutcome(now, in.u32(), outcome, elapsedMicros, readLoadReport());
             }
-            case 17 -> instance.streamStarted(now, in.i64(), in.u16(), in.u32(), in.u32());
-            case 18 -> {
+            case STREAM_STARTED -> instance.streamStarted(now, in.i64(), in.u16(), in.u32(), in.u32());
+            case MESSAGE -> {
                 int from = in.u16();
                 instance.message(now, from, in.bytes(in.u16()));
             }
-            case 20 -> {
+            case REQUEST -> {
                 long id = in.i64();
                 long key = in.i64();
                 int attributes = in.u8();
@@ -125,8 +139,8 @@
                                 (attributes & 2) != 0,
                                 (attributes & 4) != 0));
             }
-            case 21 -> applyServerList(instance, now);
-            case 22 -> {
+            case SERVER_LIST -> applyServerList(instance, now);
+            case ATTEMPT_OUTCOME -> {
                 long id = in.i64();
                 int attempt = in.u16();
                 long server = in.u32();
@@ -135,8 +149,8 @@
                 boolean closed = in.u8() != 0;
                 instance.outcome(now, id, attempt, server, outcome, elapsedMicros, closed, readLoadReport());
             }
-            case 23 -> instance.clientLeft(now, in.i64());
-            case 26 -> instance.timer(now, in.i64());
+            case CLIENT_LEFT -> instance.clientLeft(now, in.i64());
+            case TIMER -> instance.timer(now, in.i64());
             default -> throw new WireException(in.location() + ": unknown code");
         }
     }
--- a/src/main/java/gatefront/drill/FrameWriter.java
+++ b/src/main/java/gatefront/drill/FrameWriter.java
@@ -8,6 +8,21 @@
 
 /** Encodes the actions of the current instance as records of one reply, in a reused buffer. */
 final class FrameWriter implements Balancer.Actions {
+    /** Codes of the records in a reply. */
+    private static final int SEND = 16;
+
+    private static final int REFUSE = 17;
+    private static final int FAIL = 18;
+    private static final int CANCEL = 19;
+    private static final int TIMER = 20;
+    private static final int PROBE = 21;
+    private static final int CLOSE_IDLE = 22;
+    private static final int MESSAGE = 23;
+    private static final int LOG = 24;
+    private static final int INSTANCE_FAILED = 25;
+    private static final int WATCH_SERVERS = 26;
+    private static final int FETCH_SERVERS = 27;
+
     private static final int HEADER_BYTES = 8;
     private static final int MAX_TEXT_BYTES = 0xffff;
     private static final long MAX_U32 = 0xffffffffL;
@@ -36,7 +51,7 @@
 
     @Override
     public void send(long request, long server, long timeout) {
-        beginRecord(16, 18);
+        beginRecord(SEND, 18);
         i64(request);
         i32((int) server);
         i32(clampToU32(timeout));
@@ -44,46 +59,46 @@
 
     @Override
     public void refuse(long request, long retryAfter) {
-        beginRecord(17, 14);
+        beginRecord(REFUSE, 14);
         i64(request);
         i32(clampToU32(retryAfter));
     }
 
     @Override
     public void fail(long request) {
-        beginRecord(18, 10);
+        beginRecord(FAIL, 10);
         i64(request);
     }
 
     @Override
     public void cancel(long request, int attempt) {
-        beginRecord(19, 12);
+        beginRecord(CANCEL, 12);
         i64(request);
         i16(attempt);
     }
 
     @Override
     public void timer(long token, long delay) {
-        beginRecord(20, 14);
+        beginRecord(TIMER, 14);
         i64(token);
         i32(clampToU32(delay));
     }
 
     @Override
     public void probe(long server) {
-        beginRecord(21, 6);
+        beginRecord(PROBE, 6);
         i32((int) server);
     }
 
     @Override
     public void closeIdle(long server) {
-        beginRecord(22, 6);
+        beginRecord(CLOSE_IDLE, 6);
         i32((int) server);
     }
 
     @Override
     public void sendMessage(int agent, byte[] message) {
-        beginRecord(23, 8 + message.length);
+        beginRecord(MESSAGE, 8 + message.length);
         i32(agent);
         i16(message.length);
         bytes(message, message.length);
@@ -91,23 +106,23 @@
 
     @Override
     public void log(String line) {
-        text(24, line);
+        text(LOG, line);
     }
 
     @Override
     public void watchServers() {
-        beginRecord(26, 3);
+        beginRecord(WATCH_SERVERS, 3);
         buffer[position++] = 1;
     }
 
     @Override
     public void fetchServers() {
-        beginRecord(27, 2);
+        beginRecord(FETCH_SERVERS, 2);
     }
 
     /** Reports that the current instance has failed. */
     void instanceFailed(String reason) {
-        text(25, reason);
+        text(INSTANCE_FAILED, reason);
     }
 
     private void text(int code, String line) {
--- a/src/main/java/gatefront/engine/Engine.java
+++ b/src/main/java/gatefront/engine/Engine.java
@@ -52,7 +52,7 @@
     private UsageMeter usageMeter;
     /**
      * Requests in progress, by the module's id. An entry, here and in the two maps below, is removed once the request
-     * is answered and no attempt is outstanding; its deadline timer forces that at the latest.
+     * has its response and no attempt is outstanding; its deadline timer forces that at the latest.
      */
     private final Map<Long, Pending> pendingById = new HashMap<>();
 
--- a/src/main/java/gatefront/http/HttpFrontend.java
+++ b/src/main/java/gatefront/http/HttpFrontend.java
@@ -7,7 +7,7 @@
 import gatefront.engine.ClientRequest;
 import gatefront.engine.Engine;
 import gatefront.engine.Payload;
-import gatefront.http.HttpUpstream.Outgoing;
+import gatefront.http.HttpUpstream.OutgoingRequest;
 import gatefront.http.HttpUpstream.ServedResponse;
 import gatefront.http.codec.StrictHttpDecoders;
 import gatefront.policy.Balancer;
@@ -184,7 +184,7 @@
             if (retryAfterMicros > 0) {
                 headers.set(HttpHeaderNames.RETRY_AFTER, String.valueOf(retryAfterMicros / 1e6));
             }
-            // Pipelined requests are answered before the connection is closed.
+            // Pipelined requests get their responses before the connection is closed.
             boolean closeConnection = closesConnection();
             if (closeConnection) {
                 headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -571,7 +571,7 @@
     }
 
     private static ClientRequest withBody(ClientRequest request, byte[] body) {
-        Outgoing payload = (Outgoing) request.payload();
+        OutgoingRequest payload = (OutgoingRequest) request.payload();
         return new ClientRequest(
                 request.id(),
                 request.requestClass(),
@@ -580,11 +580,11 @@
                 request.costHint(),
                 request.timeoutMs(),
                 request.clientRetry(),
-                new Outgoing(payload.method(), payload.uri(), payload.headers(), body));
+                new OutgoingRequest(payload.method(), payload.uri(), payload.headers(), body));
     }
 
     private static ClientRequest withBody(ClientRequest request, BodyStream body, long length) {
-        Outgoing payload = (Outgoing) request.payload();
+        OutgoingRequest payload = (OutgoingRequest) request.payload();
         return new ClientRequest(
                 request.id(),
                 request.requestClass(),
@@ -593,7 +593,7 @@
                 request.costHint(),
                 request.timeoutMs(),
                 request.clientRetry(),
-                new Outgoing(
+                new OutgoingRequest(
                         payload.method(),
                         payload.uri(),
                         payload.headers(),
@@ -603,7 +603,7 @@
     }
 
     private static byte[] bodyOf(ClientRequest request) {
-        return ((Outgoing) request.payload()).body();
+        return ((OutgoingRequest) request.payload()).body();
     }
 
     private static boolean isHealthCheck(HttpRequest head) {
@@ -636,7 +636,7 @@
 
     /**
      * Parses a request; returns null if it does not follow the protocol. Guards against forwarding what a server would
-     * reject, or would answer by closing a connection that other requests wait for.
+     * reject, or would respond to by closing a connection that other requests wait for.
      */
     public ClientRequest parse(HttpRequest request) {
         HttpHeaders headers = request.headers();
@@ -703,7 +703,7 @@
                 workHint,
                 timeoutMs,
                 "1".equals(headers.get(CLIENT_RETRY)),
-                new Outgoing(request.method(), uri, forwarded, HttpUpstream.NO_BODY));
+                new OutgoingRequest(request.method(), uri, forwarded, HttpUpstream.NO_BODY));
     }
 
     /** Returns the part of a path between its first slash and the next slash or question mark. */
--- a/src/main/java/gatefront/http/HttpUpstream.java
+++ b/src/main/java/gatefront/http/HttpUpstream.java
@@ -43,11 +43,11 @@
  */
 public final class HttpUpstream extends PooledUpstream {
     /** A request to send; method, target and body are forwarded unchanged. */
-    public record Outgoing(
+    public record OutgoingRequest(
             HttpMethod method, String uri, HttpHeaders headers, byte[] body, BodyStream bodyStream, long length)
             implements Payload {
         /** Creates a request whose whole body is in memory. */
-        public Outgoing(HttpMethod method, String uri, HttpHeaders headers, byte[] body) {
+        public OutgoingRequest(HttpMethod method, String uri, HttpHeaders headers, byte[] body) {
             this(method, uri, headers, body, null, body.length);
         }
 
@@ -87,13 +87,13 @@
     public static final byte[] NO_BODY = new byte[0];
 
     private final LoadReportParser loadReportParser;
-    private final Outgoing probe;
+    private final OutgoingRequest probe;
 
     /** Creates an upstream without connections. */
     public HttpUpstream(Transport transport, Config config, int maxConnections, ResourceBudget budget) {
         super(transport, maxConnections, config.connectTimeoutMicros(), config.idleCloseMicros(), budget);
         loadReportParser = new LoadReportParser(config.loadFields());
-        probe = new Outgoing(
+        probe = new OutgoingRequest(
                 HttpMethod.GET, config.loadByProbe() ? "/load" : "/healthz", new DefaultHttpHeaders(), NO_BODY);
     }
 
@@ -110,7 +110,7 @@
 
     @Override
     protected Object requestMessage(Payload payload, int attemptNumber, long millisLeft) {
-        Outgoing request = (Outgoing) payload;
+        OutgoingRequest request = (OutgoingRequest) payload;
         HttpHeaders headers = UNVALIDATED_HEADERS.newHeaders().set(request.headers);
         HttpRequest message = request.bodyStream != null
                 ? new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method, request.uri, headers)
@@ -148,7 +148,7 @@
     /** Returns the text of a response's load report, or null. */
     private static String loadReportText(Attempt attempt, HttpHeaders headers, byte[] body) {
         String text = headers.get("Server-Load");
-        boolean loadProbe = ((Outgoing) attempt.request()).uri.equals("/load");
+        boolean loadProbe = ((OutgoingRequest) attempt.request()).uri.equals("/load");
         return text == null && loadProbe ? new String(body, StandardCharsets.US_ASCII) : text;
     }
 
--- a/src/main/java/gatefront/padron/Discovery.java
+++ b/src/main/java/gatefront/padron/Discovery.java
@@ -136,7 +136,7 @@
     public void fetchFullList() {
         index = -1;
         watching = true;
-        dropRequest();
+        abandonRequest();
         scheduleRequest(0);
     }
 
@@ -155,10 +155,10 @@
     /** Stops following the server list and closes the connection to discovery. */
     public void close() {
         closed = true;
-        dropRequest();
+        abandonRequest();
     }
 
-    private void dropRequest() {
+    private void abandonRequest() {
         currentRequest++;
         cancelTimeout();
         if (channel != null) {
@@ -225,7 +225,7 @@
         if (requestNumber != currentRequest || closed) {
             return;
         }
-        dropRequest();
+        abandonRequest();
         if (config.settings().askDiscovery()) {
             // The policy decides when to send the next request.
             watching = false;
@@ -274,7 +274,7 @@
         // Halves the backoff instead of resetting it: one response does not mean that the overload has ended.
         backoffMs = Math.max(MIN_BACKOFF_MS, backoffMs / 2);
         if (!HttpUtil.isKeepAlive(response)) {
-            dropRequest();
+            abandonRequest();
         }
         boolean hasChanges = list.snapshot() || !list.endpoints().isEmpty();
         scheduleRequest(hasChanges ? CHANGE_PAUSE_MS + jitter.nextLong(CHANGE_PAUSE_MS) : EMPTY_PAUSE_MS);
--- a/src/main/java/gatefront/policy/AdaptiveBalancer.java
+++ b/src/main/java/gatefront/policy/AdaptiveBalancer.java
@@ -128,7 +128,7 @@
     // ---- Restarts ----
 
     /**
-     * Time in microseconds for which a server that answers again after an outage is treated as cold unless the server
+     * Time in microseconds for which a server that responds again after an outage is treated as cold unless the server
      * list confirms the restart. The list lags by seconds.
      */
     private static final long SUSPECTED_RESTART_COLD_TIME = 5 * SECOND;
@@ -331,7 +331,7 @@
         long aim = requestClass.aim() + (long) (requestClass.aimStretch() * request.cost());
         Long firstTryAt = request.cost() == 0 ? null : unservedArrivals.remove(fingerprint(request));
         long elapsed = firstTryAt != null ? now - firstTryAt : timeAlreadySpent(request, state, now);
-        // A request that cannot be answered in time would only waste the servers' work. If that is only an estimate,
+        // A request that cannot be served in time would only waste the servers' work. If that is only an estimate,
         // it is still served while there is capacity.
         long latestEnd = request.deadline() - settings.tick();
         long remaining = aim - elapsed;
@@ -928,7 +928,7 @@
     }
 
     /**
-     * Returns whether the server has recently answered other classes and failed none of them. Without this
+     * Returns whether the server has recently served other classes and failed none of them. Without this
      * distinction a release that breaks one class would take the server's capacity from all classes. If requests of
      * every class fail, the server itself is at fault.
      */
@@ -1136,7 +1136,7 @@
             }
             server.activeHealth = Health.HEALTHY;
         } else if ((outcome == Outcome.TIMEOUT || outcome == Outcome.RESET) && server.answeredSinceProbe) {
-            // A busy server may answer probes late, or a connection may break. Its responses to requests prove that
+            // A busy server may respond to probes late, or a connection may break. Its responses to requests prove that
             // it is alive, so it must not become Unhealthy.
             server.probeFailures = 0;
         } else {
@@ -1162,7 +1162,7 @@
     }
 
     /**
-     * Treats a server that answers for the first time after an outage as cold, since it may have restarted. Short
+     * Treats a server that responds for the first time after an outage as cold, since it may have restarted. Short
      * outages do not count, as a process does not restart within the time of one retry; otherwise a network that
      * resets connections now and then would repeatedly make every server cold.
      */
--- a/src/main/java/gatefront/policy/ServerState.java
+++ b/src/main/java/gatefront/policy/ServerState.java
@@ -63,7 +63,7 @@
     long coldTokensAt;
     /** Rate at which requests are sent to the server while it is cold, as a multiple of its warm share. */
     double coldRateMultiple;
-    /** Whether a connection or probe has failed and the server has not answered since. */
+    /** Whether a connection or probe has failed and the server has not responded since. */
     boolean broken;
 
     /** When the outage was first noticed. */
--- a/src/main/java/gatefront/registry/EtcdConnector.java
+++ b/src/main/java/gatefront/registry/EtcdConnector.java
@@ -166,9 +166,10 @@
         startCall(
                 call,
                 EtcdMessages.RANGE,
-                EtcdMessages.range(from, EtcdMessages.prefixEnd(settings.prefix()), PAGE_KEYS, revision, !linearizable),
+                EtcdMessages.rangeRequest(
+                        from, EtcdMessages.prefixEnd(settings.prefix()), PAGE_KEYS, revision, !linearizable),
                 true,
-                message -> responses.add(EtcdMessages.range(message)),
+                message -> responses.add(EtcdMessages.decodeRangeResponse(message)),
                 (status, reason) -> {
                     if (status != GrpcConnection.OK || responses.size() != 1) {
                         callFailed(call, status, reason.isEmpty() ? "the read returned no response" : reason);
--- a/src/main/java/gatefront/registry/EtcdMessages.java
+++ b/src/main/java/gatefront/registry/EtcdMessages.java
@@ -57,7 +57,7 @@
     }
 
     /** Encodes a request for a page of keys, at the newest revision if {@code revision} is 0. */
-    static byte[] range(byte[] from, byte[] to, int limit, long revision, boolean serializable) {
+    static byte[] rangeRequest(byte[] from, byte[] to, int limit, long revision, boolean serializable) {
         return Protobuf.message(out -> {
             out.writeByteArray(1, from);
             out.writeByteArray(2, to);
@@ -113,7 +113,7 @@
         return token;
     }
 
-    static RangeResponse range(byte[] message) throws IOException {
+    static RangeResponse decodeRangeResponse(byte[] message) throws IOException {
         CodedInputStream in = CodedInputStream.newInstance(message);
         Header header = null;
         List<KeyEntry> entries = new ArrayList<>();
--- a/src/main/java/gatefront/status/OperatorHttpServer.java
+++ b/src/main/java/gatefront/status/OperatorHttpServer.java
@@ -49,9 +49,9 @@
     private final int maxConnections;
     private final long requestTimeoutMs;
     /** Open connections, oldest first. Each is closed after its response, on timeout, or to admit a newer one. */
-    private final Set<Channel> open = new LinkedHashSet<>();
+    private final Set<Channel> openConnections = new LinkedHashSet<>();
 
-    private Channel server;
+    private Channel serverChannel;
 
     /**
      * Creates a server that does not listen until {@link #listen()} is called.
@@ -84,29 +84,29 @@
                     }
                 })
                 .bind(listen);
-        server = bound.channel();
+        serverChannel = bound.channel();
         return bound;
     }
 
     /** Returns the address on which the server listens. */
     public final InetSocketAddress address() {
-        return (InetSocketAddress) server.localAddress();
+        return (InetSocketAddress) serverChannel.localAddress();
     }
 
     /** Closes the listener and all connections. */
     public final void close() {
-        server.close();
-        List.copyOf(open).forEach(Channel::close);
+        serverChannel.close();
+        List.copyOf(openConnections).forEach(Channel::close);
     }
 
     private void accept(Channel ch) {
-        if (open.size() >= maxConnections) {
-            open.iterator().next().close();
+        if (openConnections.size() >= maxConnections) {
+            openConnections.iterator().next().close();
         }
-        open.add(ch);
+        openConnections.add(ch);
         var timeout = transport.loop().schedule(() -> ch.close(), requestTimeoutMs, TimeUnit.MILLISECONDS);
         ch.closeFuture().addListener(closed -> {
-            open.remove(ch);
+            openConnections.remove(ch);
             timeout.cancel(false);
         });
         ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new RequestHandler());
--- a/src/main/java/gatefront/status/ProcessMetrics.java
+++ b/src/main/java/gatefront/status/ProcessMetrics.java
@@ -22,7 +22,7 @@
     private static final Path MEMORY = Path.of("/proc/self/statm");
     private static final Path DESCRIPTORS = Path.of("/proc/self/fd");
     /** Bytes of a memory page. */
-    private static final long PAGE = 4_096;
+    private static final long PAGE_BYTES = 4_096;
 
     /** Reads the current values. */
     public static ProcessMetrics now() {
@@ -38,7 +38,7 @@
 
     private static long residentNow() {
         try {
-            return PAGE * Long.parseLong(Files.readString(MEMORY).split(" ")[1]);
+            return PAGE_BYTES * Long.parseLong(Files.readString(MEMORY).split(" ")[1]);
         } catch (IOException | RuntimeException e) {
             return -1;
         }
--- a/src/main/java/gatefront/storage/Store.java
+++ b/src/main/java/gatefront/storage/Store.java
@@ -225,7 +225,7 @@
                 markDurable();
             }
         } catch (IOException e) {
-            throw fail(e);
+            throw recordFailure(e);
         }
     }
 
@@ -263,7 +263,7 @@
                 markDurable();
             }
         } catch (IOException e) {
-            throw fail(e);
+            throw recordFailure(e);
         }
     }
 
@@ -275,7 +275,7 @@
         beginSegment(segmentNumber + 1, durableEnd, List.of());
     }
 
-    private StoreFailedException fail(IOException e) {
+    private StoreFailedException recordFailure(IOException e) {
         lastFailure = e;
         nextRecord = durableNextRecord;
         return new StoreFailedException(
@@ -293,7 +293,7 @@
             beginSegment(segmentNumber + 1, durableEnd, List.of());
             lastFailure = null;
         } catch (IOException e) {
-            throw fail(e);
+            throw recordFailure(e);
         }
     }
 
@@ -313,7 +313,7 @@
                 rotate(); // so that all earlier segments can be deleted when the snapshot is finished
             }
         } catch (IOException e) {
-            throw fail(e);
+            throw recordFailure(e);
         }
         pendingSnapshot = new Snapshot();
         try {
--- a/src/main/java/gatefront/thrift/codec/MessageDecoder.java
+++ b/src/main/java/gatefront/thrift/codec/MessageDecoder.java
@@ -75,36 +75,36 @@
     }
 
     private MessageFormat detectFormat(ByteBuf in) throws MalformedMessageException {
-        int first = in.getUnsignedByte(in.readerIndex());
-        if (first == ThriftEncoding.BINARY_FIRST_BYTE) {
+        int firstByte = in.getUnsignedByte(in.readerIndex());
+        if (firstByte == ThriftEncoding.BINARY_FIRST_BYTE) {
             return new MessageFormat(false, ThriftEncoding.BINARY);
         }
-        if (first == ThriftEncoding.COMPACT_FIRST_BYTE) {
+        if (firstByte == ThriftEncoding.COMPACT_FIRST_BYTE) {
             return new MessageFormat(false, ThriftEncoding.COMPACT);
         }
-        if (first > 0x7f) {
+        if (firstByte > 0x7f) {
             throw new MalformedMessageException(
-                    String.format("first byte 0x%02x begins neither a message nor a frame length", first));
+                    String.format("first byte 0x%02x begins neither a message nor a frame length", firstByte));
         }
         if (in.readableBytes() <= LENGTH_BYTES) {
             return null;
         }
         int length = in.getInt(in.readerIndex());
-        int fifth = in.getUnsignedByte(in.readerIndex() + LENGTH_BYTES);
-        if (fifth == ThriftEncoding.BINARY_FIRST_BYTE) {
+        int formatByte = in.getUnsignedByte(in.readerIndex() + LENGTH_BYTES);
+        if (formatByte == ThriftEncoding.BINARY_FIRST_BYTE) {
             return new MessageFormat(true, ThriftEncoding.BINARY);
         }
-        if (fifth == ThriftEncoding.COMPACT_FIRST_BYTE) {
+        if (formatByte == ThriftEncoding.COMPACT_FIRST_BYTE) {
             return new MessageFormat(true, ThriftEncoding.COMPACT);
         }
-        if (fifth == 0) {
+        if (formatByte == 0) {
             return new MessageFormat(true, ThriftEncoding.BINARY_OLD);
         }
-        if (length <= limits.maxNameBytes() && fifth > ' ' && fifth <= '~') {
+        if (length <= limits.maxNameBytes() && formatByte > ' ' && formatByte <= '~') {
             return new MessageFormat(false, ThriftEncoding.BINARY_OLD);
         }
         throw new MalformedMessageException(
-                String.format("unknown message format: length %d followed by byte 0x%02x", length, fifth));
+                String.format("unknown message format: length %d followed by byte 0x%02x", length, formatByte));
     }
 
     private ThriftMessage decodeUnframed(ByteBuf in) throws MalformedMessageException {
--- a/src/test/java/gatefront/http/HttpUpstreamTest.java
+++ b/src/test/java/gatefront/http/HttpUpstreamTest.java
@@ -28,7 +28,7 @@
 
     @Override
     protected Payload newRequest() {
-        return new HttpUpstream.Outgoing(
+        return new HttpUpstream.OutgoingRequest(
                 HttpMethod.POST, "/order?q=1", new DefaultHttpHeaders(), "cuerpo".getBytes(StandardCharsets.US_ASCII));
     }
 
