--- a/src/main/java/gatefront/cli/ProcessesCommand.java
+++ b/src/main/java/gatefront/cli/ProcessesCommand.java
@@ -114,37 +114,37 @@
                         into == null ? null : into.resolve("history.jsonl"))
                 .play(done -> {});
         if (into != null) {
-            JsonReport.write(outcome.outcome(), into);
+            JsonReport.write(outcome.result(), into);
         }
-        out.println(outcome.line());
+        out.println(outcome.summary());
         outcome.breaches().stream().limit(LINES).forEach(each -> out.println("  BROKEN " + each));
-        out.println("  " + outcome.timeline().line());
+        out.println("  " + outcome.timeline().summary());
         out.printf(
                 Locale.ROOT,
                 "  after the first fault: %d list calls in the fullest second (the padron bears %.0f), "
                         + "%d connections at the fullest nodo (of %d); "
                         + "the nearest cold nodo got %.2f of what topples it%n",
-                outcome.listCallsMost(),
-                read.day().padron().callsPerSecond(),
-                outcome.connectionsMost(),
-                read.day().nodos().connections(),
-                outcome.coldMost());
+                outcome.maxListCalls(),
+                read.basePlan().padron().maxCallsPerSecond(),
+                outcome.maxConnections(),
+                read.basePlan().nodos().maxConnections(),
+                outcome.maxColdLoad());
         out.flush();
         double full = -1;
-        if (!noTwin && read.firstFault() >= 0) {
+        if (!noTwin && read.firstFaultSecond() >= 0) {
             ProcessRehearsalResult twin = new ProcessRehearsal(
-                            read.twin(), with, RealRehearsal.ownCommand(), Set.of(), null)
+                            read.baseline(), with, RealRehearsal.ownCommand(), Set.of(), null)
                     .play(done -> {});
-            full = outcome.fullAfter(twin);
+            full = outcome.recoverySeconds(twin);
             out.println("  "
                     + (full < 0
                             ? "service was not full again within the day"
                             : String.format(Locale.ROOT, "full service %.2f s after the first fault", full))
                     + String.format(
-                            Locale.ROOT, "; without faults %.4f", twin.outcome().service()));
+                            Locale.ROOT, "; without faults %.4f", twin.result().service()));
             out.flush();
         }
-        return new Played(outcome.broken(), full, outcome.lateness().worst());
+        return new Played(outcome.broken(), full, outcome.lateness().maxMicros());
     }
 
     private static void summary(List<Played> all, PrintWriter out) {
@@ -158,9 +158,9 @@
                 "%d plays: rules kept on %d; the rig was late by over %d ms on %d%n",
                 all.size(),
                 all.stream().filter(each -> each.broken == 0).count(),
-                ProcessRehearsalResult.LATE_MOST / 1000,
+                ProcessRehearsalResult.MAX_LATENESS_MICROS / 1000,
                 all.stream()
-                        .filter(each -> each.late > ProcessRehearsalResult.LATE_MOST)
+                        .filter(each -> each.late > ProcessRehearsalResult.MAX_LATENESS_MICROS)
                         .count());
         if (full.length > 0) {
             out.printf(
--- a/src/main/java/gatefront/cli/RehearseCommand.java
+++ b/src/main/java/gatefront/cli/RehearseCommand.java
@@ -136,11 +136,11 @@
         if (agents == null && nodos == null) {
             return read;
         }
-        Plan sized = read.sized(
+        Plan sized = read.scaledTo(
                 size("--agents", agents, read.agents().count()),
                 size("--nodos", nodos, read.nodos().count()));
         for (Fault each : sized.faults()) {
-            int most = each.kind().whom() == Fault.Kind.Whom.AGENTS
+            int most = each.kind().target() == Fault.Kind.Target.AGENTS
                     ? sized.agents().count()
                     : sized.nodos().count();
             for (String name : each.names()) {
@@ -154,9 +154,9 @@
     }
 
     private int size(String option, Integer asked, int usual) {
-        if (asked != null && (asked < 1 || asked > PlanReader.COUNT_MOST)) {
+        if (asked != null && (asked < 1 || asked > PlanReader.MAX_COUNT)) {
             throw new ParameterException(
-                    spec.commandLine(), option + " is a number from 1 to " + PlanReader.COUNT_MOST + ", not " + asked);
+                    spec.commandLine(), option + " is a number from 1 to " + PlanReader.MAX_COUNT + ", not " + asked);
         }
         return asked == null ? usual : asked;
     }
@@ -212,9 +212,9 @@
         boolean watched = System.console() != null;
         SeedCampaign.Summary summary = SeedCampaign.play(
                 read, from, until, done -> progress(watched, done), outcome -> out.println(outcome.line()));
-        out.print(summary.text());
+        out.print(summary.format());
         out.flush();
-        return summary.broken() == 0 ? 0 : Commands.BROKEN;
+        return summary.brokenRuns() == 0 ? 0 : Commands.BROKEN;
     }
 
     private int shrink(Plan read, PrintWriter out) throws IOException {
--- a/src/main/java/gatefront/rehearsal/AgentStandIn.java
+++ b/src/main/java/gatefront/rehearsal/AgentStandIn.java
@@ -123,7 +123,7 @@
         root.putObject("limits")
                 .put("cores", 1.0)
                 .put("memory_mb", plan.agents().memoryMb())
-                .put("sockets", plan.agents().sockets());
+                .put("sockets", plan.agents().maxSockets());
         root.set("known", day.padron.whole(number));
         settings(root.putObject("settings"));
         return root;
@@ -135,20 +135,20 @@
         s.putObject("caps")
                 .put("cancel", true)
                 .put("dial-timeout-us", 200_000)
-                .put("idle-close-us", micros(1000 * nodos.idleSeconds()))
+                .put("idle-close-us", micros(1000 * nodos.idleTimeoutSeconds()))
                 .put("max-attempts", plan.rules().maxAttempts())
                 .put("may-duplicate", false)
                 .put("peers", false)
                 .put("probes", true)
-                .put("retry-after", plan.callers().retryAfterMs() > 0)
-                .put("max-retry-after-us", micros(plan.callers().retryAfterMs()));
+                .put("retry-after", plan.clients().retryAfterMs() > 0)
+                .put("max-retry-after-us", micros(plan.clients().retryAfterMs()));
         ArrayNode classes = s.putArray("classes");
-        for (Plan.Kind each : plan.classes()) {
+        for (Plan.RequestClass each : plan.classes()) {
             ObjectNode node = classes.addObject()
                     .put("name", each.name())
                     .put("semantics", each.semantics().name().toLowerCase(Locale.ROOT))
-                    .put("aim-us", micros(each.aimMs()))
-                    .put("give-up-us", micros(each.giveUpMs()))
+                    .put("aim-us", micros(each.targetMs()))
+                    .put("give-up-us", micros(each.timeoutMs()))
                     .put("worth", each.worth())
                     .put("late-share", 0.0)
                     .put("stream", false);
@@ -157,7 +157,7 @@
                         .put("window-us", micros(each.windowMs()));
             }
         }
-        s.putObject("clients").put("marks-retry", plan.callers().marksRetry());
+        s.putObject("clients").put("marks-retry", plan.clients().marksRetry());
         s.putObject("deductions")
                 .put("cross-zone", 0.03)
                 .put("late-fail", 0.08)
@@ -173,7 +173,7 @@
         ArrayNode zones = s.putArray("zones");
         plan.zones().forEach(zones::add);
         ArrayNode kinds = s.putArray("kinds");
-        nodos.kinds().forEach(each -> kinds.add(each.name()));
+        nodos.machines().forEach(each -> kinds.add(each.name()));
         s.putObject("load-info")
                 .put("via", "answers")
                 .putArray("fields")
@@ -185,20 +185,20 @@
                 .put("worst-tenant", 0.1)
                 .put("worst-window", 0.15);
         s.putObject("obligations")
-                .put("answer-slack-us", micros(plan.rules().slackMs()))
+                .put("answer-slack-us", micros(plan.rules().answerSlackMs()))
                 .put("ask-within-us", 10_000_000)
                 .put("cold-from", nodos.coldFrom().low())
                 .put("cold-us", micros(1000 * nodos.coldSeconds().high()))
                 .put("fall-multiple", plan.rules().fallMultiple())
                 .put("overload-for-us", micros(1000 * plan.rules().fallSeconds()))
-                .put("stop-sending-within-us", micros(plan.rules().drainMs()));
+                .put("stop-sending-within-us", micros(plan.rules().drainGraceMs()));
         ArrayNode tenants = s.putArray("realms");
         double all = plan.tenants().stream().mapToDouble(Plan.Tenant::share).sum();
         for (Plan.Tenant each : plan.tenants()) {
             tenants.addObject()
                     .put("name", each.name())
                     .put("fraction", each.share() / all)
-                    .put("quota-per-s", plan.callers().rate() * each.share() / all);
+                    .put("quota-per-s", plan.clients().rate() * each.share() / all);
         }
     }
 
--- a/src/main/java/gatefront/rehearsal/ClientStandIn.java
+++ b/src/main/java/gatefront/rehearsal/ClientStandIn.java
@@ -69,7 +69,7 @@
     /** What one caller wants, over all its tries. */
     private final class Wish {
         final Demand.Want want;
-        final Plan.Kind kind;
+        final Plan.RequestClass kind;
         final long giveUp;
         final String key;
         int tries;
@@ -82,8 +82,8 @@
             this.want = want;
             this.kind = day.plan.classes().get(want.kind());
             this.eachTry = (long)
-                    (hurried(want) ? HURRIED * 1000 * kind.aimMs() : 1000 * kind.giveUpMs() * day.cast.tryShare());
-            this.giveUp = want.at() + (long) (1000 * kind.giveUpMs());
+                    (hurried(want) ? HURRIED * 1000 * kind.targetMs() : 1000 * kind.timeoutMs() * day.cast.tryShare());
+            this.giveUp = want.at() + (long) (1000 * kind.timeoutMs());
             this.key = "k" + want.number();
         }
     }
@@ -114,9 +114,12 @@
         this.day = day;
         this.agent = agent;
         this.machine = machine;
-        Plan.Callers callers = day.plan.callers();
+        Plan.Clients callers = day.plan.clients();
         this.patience = new RetryBehavior(
-                callers.retries(), 1000 * callers.backoffMs(), callers.honour(), day.draw("callers " + agent));
+                callers.retries(),
+                1000 * callers.backoffMs(),
+                callers.retryAfterCompliance(),
+                day.draw("callers " + agent));
         this.hurry = day.draw("hurry " + agent);
         this.bootstrap = new Bootstrap()
                 .group(machine.transport().loop())
@@ -155,7 +158,7 @@
                 .loop()
                 .schedule(
                         () -> timeUp(made),
-                        made.deadline - now + (long) (1000 * day.plan.rules().slackMs()) + ON_ITS_WAY + day.slack,
+                        made.deadline - now + (long) (1000 * day.plan.rules().answerSlackMs()) + ON_ITS_WAY + day.slack,
                         TimeUnit.MICROSECONDS);
         place(made);
     }
@@ -170,7 +173,7 @@
             line.send(made);
             return;
         }
-        if (lines >= day.plan.agents().sockets() / SOCKETS_PART) {
+        if (lines >= day.plan.agents().maxSockets() / SOCKETS_PART) {
             end(made, RetryBehavior.Fate.UNREACHED, 0);
             return;
         }
@@ -241,7 +244,7 @@
         Wish wish = made.wish;
         // Its attempts may still run, and must be known by what they take.
         day.at(now + 60_000_000, () -> day.wants.remove(made.id));
-        Plan.Kind kind = wish.kind;
+        Plan.RequestClass kind = wish.kind;
         RetryBehavior.Repeat repeat = kind.semantics() == Semantics.SAFE
                 ? RetryBehavior.Repeat.SAFE
                 : kind.semantics() == Semantics.KEYED && kind.scope() == Scope.ALL
@@ -312,7 +315,7 @@
                 day.record.crowd.refused(day.idlePart());
             }
             end(made, fate, Math.min(retryAfterMicros, (long)
-                    (1000 * day.plan.callers().retryAfterMs())));
+                    (1000 * day.plan.clients().retryAfterMs())));
         }
 
         @Override
@@ -455,6 +458,6 @@
     }
 
     private boolean repeats(Wish wish) {
-        return wish.tries > 1 && day.plan.callers().marksRetry();
+        return wish.tries > 1 && day.plan.clients().marksRetry();
     }
 }
--- a/src/main/java/gatefront/rehearsal/FaultScheduler.java
+++ b/src/main/java/gatefront/rehearsal/FaultScheduler.java
@@ -36,8 +36,8 @@
 
     private void schedule(ResolvedPlan.Trouble trouble) {
         Fault.Kind kind = trouble.fault().kind();
-        day.record.band(kind.word(), trouble.at(), MOMENTS.contains(kind) ? trouble.at() + SECOND : trouble.until());
-        switch (kind.whom()) {
+        day.record.band(kind.keyword(), trouble.at(), MOMENTS.contains(kind) ? trouble.at() + SECOND : trouble.until());
+        switch (kind.target()) {
             case NODOS -> {
                 for (int i = 0; i < trouble.targets().length; i++) {
                     int target = trouble.targets()[i];
@@ -56,7 +56,7 @@
                     day.at(opensAt + trouble.at(), day.padron::move);
                 }
             }
-            case NOBODY -> {
+            case NONE -> {
                 if (kind == Fault.Kind.PADRON_SILENT) {
                     day.at(opensAt + trouble.at(), () -> day.padron.silent(true));
                     day.at(opensAt + trouble.until(), () -> day.padron.silent(false));
@@ -108,7 +108,7 @@
                     });
                 }
             }
-            default -> throw new IllegalStateException(trouble.fault().kind().word());
+            default -> throw new IllegalStateException(trouble.fault().kind().keyword());
         }
     }
 
@@ -183,7 +183,7 @@
             }
             case AGENT_RESTART -> restart(agent);
             case AGENT_RELOAD -> day.at(day.now() + 10_000, agent::reload);
-            default -> throw new IllegalStateException(trouble.fault().kind().word());
+            default -> throw new IllegalStateException(trouble.fault().kind().keyword());
         }
     }
 
@@ -193,7 +193,7 @@
         }
         long longest = (long) (1000
                 * day.plan.classes().stream()
-                        .mapToDouble(each -> each.giveUpMs())
+                        .mapToDouble(each -> each.timeoutMs())
                         .max()
                         .orElse(0));
         int mine = agent.processes();
--- a/src/main/java/gatefront/rehearsal/HtmlReport.java
+++ b/src/main/java/gatefront/rehearsal/HtmlReport.java
@@ -75,9 +75,9 @@
                 plain(plan.seconds()),
                 plan.agents().count(),
                 plan.nodos().count(),
-                plain(plan.callers().rate()),
+                plain(plan.clients().rate()),
                 100
-                        * outcome.cast().demand(plan.callers().rate())
+                        * outcome.cast().demand(plan.clients().rate())
                         / outcome.cast().capacity());
         int worst = record.worstFrom();
         add(
@@ -184,7 +184,7 @@
 
     private void classes() {
         out.append("<h2>Service by class: part of the worth answered in time, mean of three seconds</h2>");
-        key(plan.classes().stream().map(Plan.Kind::name).toArray(String[]::new), LINES);
+        key(plan.classes().stream().map(Plan.RequestClass::name).toArray(String[]::new), LINES);
         int bottom = 170;
         open(bottom + 22, 0);
         axis(10, bottom, "100%");
--- a/src/main/java/gatefront/rehearsal/JsonReport.java
+++ b/src/main/java/gatefront/rehearsal/JsonReport.java
@@ -48,10 +48,10 @@
                 .put("seconds", plan.seconds())
                 .put("agents", plan.agents().count())
                 .put("nodos", plan.nodos().count())
-                .put("rate", plan.callers().rate())
+                .put("rate", plan.clients().rate())
                 .put(
                         "load",
-                        round(outcome.cast().demand(plan.callers().rate())
+                        round(outcome.cast().demand(plan.clients().rate())
                                 / outcome.cast().capacity()));
         int worst = record.worstFrom();
         ObjectNode service = root.putObject("service");
@@ -80,7 +80,7 @@
                 .put(
                         "connections_of_the_fullest",
                         Arrays.stream(record.fullest).max().orElse(0))
-                .put("connections_most", plan.nodos().connections())
+                .put("connections_most", plan.nodos().maxConnections())
                 .put(
                         "part_of_what_topples",
                         round(Arrays.stream(record.coldest).max().orElse(0)));
@@ -89,7 +89,7 @@
         ArrayNode troubles = root.putArray("troubles");
         for (ResolvedPlan.Trouble each : outcome.cast().troubles()) {
             ObjectNode trouble = troubles.addObject()
-                    .put("kind", each.fault().kind().word())
+                    .put("kind", each.fault().kind().keyword())
                     .put("at", round(each.at() / 1e6))
                     .put("until", round(each.until() / 1e6))
                     .put("size", round(each.size()));
--- a/src/main/java/gatefront/rehearsal/NodoStandIn.java
+++ b/src/main/java/gatefront/rehearsal/NodoStandIn.java
@@ -270,7 +270,7 @@
     }
 
     private long idleMicros() {
-        return (long) (1e6 * day.plan.nodos().idleSeconds());
+        return (long) (1e6 * day.plan.nodos().idleTimeoutSeconds());
     }
 
     // ---- Work ----
@@ -369,7 +369,7 @@
         public void channelActive(ChannelHandlerContext context) {
             ctx = context;
             openedAt = day.now();
-            if (process != model || ++connections > day.plan.nodos().connections()) {
+            if (process != model || ++connections > day.plan.nodos().maxConnections()) {
                 ctx.close();
             } else {
                 work();
@@ -443,7 +443,7 @@
 
         private void arrived(String kind, String key) {
             Demand.Want want = day.want(id, kind);
-            Plan.Kind type = want == null ? null : day.plan.classes().get(want.kind());
+            Plan.RequestClass type = want == null ? null : day.plan.classes().get(want.kind());
             if (want == null) {
                 reject();
                 over(Ending.TURNED_AWAY);
--- a/src/main/java/gatefront/rehearsal/PadronStandIn.java
+++ b/src/main/java/gatefront/rehearsal/PadronStandIn.java
@@ -304,7 +304,7 @@
 
     /** Learns of something, some time after it has happened, and tells it. */
     void learns(Runnable change) {
-        day.at(day.now() + (long) (1e6 * day.plan.padron().noticeSeconds().draw(draw::between)), () -> {
+        day.at(day.now() + (long) (1e6 * day.plan.padron().noticeDelaySeconds().draw(draw::between)), () -> {
             change.run();
             news();
         });
@@ -431,7 +431,7 @@
 
     /** Whether this call is one more than it can take. */
     private boolean overbooked() {
-        double most = day.plan.padron().callsPerSecond();
+        double most = day.plan.padron().maxCallsPerSecond();
         if (most == 0) {
             return false;
         }
--- a/src/main/java/gatefront/rehearsal/PlanShrinker.java
+++ b/src/main/java/gatefront/rehearsal/PlanShrinker.java
@@ -46,7 +46,7 @@
     }
 
     static Plan shrink(Plan plan, long seed, Function<Engine, Balancer> module, Consumer<String> listener) {
-        Plan fixed = plan.with(frozen(plan, seed));
+        Plan fixed = plan.withFaults(frozen(plan, seed));
         RehearsalResult whole = new Rehearsal(fixed, seed, module).play();
         if (whole.broken() == 0) {
             return null;
@@ -58,7 +58,7 @@
         double end = (whole.breaches().get(0).at() - Rehearsal.OPENS_AT) / 1e6 + 1;
         Plan smallest = shrink.callers(shrink.targets(shrink.faults(shrink.shorter(fixed, end))));
         listener.accept("left are " + smallest.faults().size() + " faults, " + smallest.seconds() + " s and "
-                + smallest.callers().rate() + " requests a second");
+                + smallest.clients().rate() + " requests a second");
         return smallest;
     }
 
@@ -66,13 +66,13 @@
     static List<Fault> frozen(Plan plan, long seed) {
         List<Fault> frozen = new ArrayList<>();
         for (ResolvedPlan.Trouble each : ResolvedPlan.of(plan, seed).troubles()) {
-            String prefix = each.fault().kind().whom() == Fault.Kind.Whom.AGENTS ? "agent-" : "nodo-";
+            String prefix = each.fault().kind().target() == Fault.Kind.Target.AGENTS ? "agent-" : "nodo-";
             List<String> names = new ArrayList<>();
             for (int target : each.targets()) {
                 names.add(prefix + (target + 1));
             }
             frozen.add(each.fault()
-                    .frozen(
+                    .withFixedValues(
                             fixed(each.at() / 1e6),
                             fixed(each.lasts() / 1e6),
                             names,
@@ -115,8 +115,8 @@
             Fault out = fewer.remove(i);
             smallest = keep(
                     smallest,
-                    smallest.with(fewer),
-                    out.kind().word() + " at " + out.at().low() + " s");
+                    smallest.withFaults(fewer),
+                    out.kind().keyword() + " at " + out.at().low() + " s");
         }
         return smallest;
     }
@@ -132,9 +132,10 @@
                     List<Fault> fewer = new ArrayList<>(smallest.faults());
                     fewer.set(
                             i,
-                            fault.frozen(
-                                    fault.at(), fault.lasts(), names, fault.size(), fault.every(), fault.spread()));
-                    smallest = keep(smallest, smallest.with(fewer), fault.kind().word() + " of " + name);
+                            fault.withFixedValues(
+                                    fault.at(), fault.duration(), names, fault.size(), fault.period(), fault.spread()));
+                    smallest = keep(
+                            smallest, smallest.withFaults(fewer), fault.kind().keyword() + " of " + name);
                 }
             }
         }
@@ -144,9 +145,9 @@
     private Plan callers(Plan plan) {
         Plan smallest = plan;
         for (double part = 0.5; part < 0.95; part += 0.2) {
-            while (part * smallest.callers().rate() >= RATE_LEAST) {
+            while (part * smallest.clients().rate() >= RATE_LEAST) {
                 Plan fewer = smallest.withRate(
-                        JsonReport.round(part * smallest.callers().rate()));
+                        JsonReport.round(part * smallest.clients().rate()));
                 Plan kept = keep(smallest, fewer, "some of the callers");
                 if (kept == smallest) {
                     break;
--- a/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
+++ b/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
@@ -98,7 +98,8 @@
         this.command = List.copyOf(command);
         this.without = Set.copyOf(without);
         this.history = history;
-        this.hand = new ManualDrainChecker((long) (1000 * plan.day().rules().drainMs()) + SLACK);
+        this.hand =
+                new ManualDrainChecker((long) (1000 * plan.basePlan().rules().drainGraceMs()) + SLACK);
     }
 
     /**
@@ -124,16 +125,16 @@
             awaitReady();
             opensAt = on(() -> {
                 long now = day.now() + 100_000;
-                chronicle.opens(now);
-                lateness.opens();
-                timeline.opens();
+                chronicle.setOrigin(now);
+                lateness.reset();
+                timeline.reset();
                 Rehearsal.open(day, now);
                 for (int i = 0; i < plan.faults().size(); i++) {
                     schedule(plan.faults().get(i), new RandomStream(seed, "process fault " + i), now);
                 }
                 return now;
             });
-            long lengthMs = (long) (1000 * plan.day().seconds());
+            long lengthMs = (long) (1000 * plan.basePlan().seconds());
             for (long passed = 0; passed < lengthMs; passed += 250) {
                 progress.accept((double) passed / lengthMs);
                 Thread.sleep(250);
@@ -159,7 +160,8 @@
                 day.checker.close(day.now());
                 return new ProcessRehearsalResult(
                         plan,
-                        new RehearsalResult(plan.day(), seed, day.cast, day.record, day.checker, List.copyOf(log), 0),
+                        new RehearsalResult(
+                                plan.basePlan(), seed, day.cast, day.record, day.checker, List.copyOf(log), 0),
                         hand,
                         lateness,
                         timeline);
@@ -174,7 +176,7 @@
 
     private RunContext made(LoopbackAddresses addresses) {
         RunContext made = new RunContext(
-                plan.day(),
+                plan.basePlan(),
                 seed,
                 SLACK,
                 addresses,
@@ -188,7 +190,7 @@
                             root,
                             hands,
                             line -> said(i, line),
-                            plan.keeps(),
+                            plan.recoveryEnabled(),
                             without,
                             process -> begun(i, process));
                     agent.front(ways.relay(i, Links.CALLERS, agent.address()).address());
@@ -216,7 +218,7 @@
         relayLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         hands.shutdownNow();
         chronicle.close();
-        FolderFaults.remove(root);
+        FolderFaults.delete(root);
     }
 
     private double second() {
@@ -242,11 +244,11 @@
     /** A process has been started: the warden answers for it, and somebody looks when it is ready. */
     private void begun(int agent, Process process) {
         long pid = process.pid();
-        warden.charge(pid);
+        warden.watch(pid);
         long at = System.nanoTime();
         starting.put(pid, at);
         process.onExit().thenRun(() -> {
-            warden.discharge(pid);
+            warden.unwatch(pid);
             starting.remove(pid);
             onLoop(() -> event("exit", "agent-" + (agent + 1), "process " + pid + ", status " + process.exitValue()));
         });
@@ -310,19 +312,19 @@
 
     private void schedule(ProcessFault fault, RandomStream draw, long from) {
         long at = from + (long) (MICROS * fault.at().draw(draw::between));
-        long lasts = (long) (MICROS * fault.lasts().draw(draw::between));
+        long lasts = (long) (MICROS * fault.duration().draw(draw::between));
         double spread = MICROS * fault.spread().draw(draw::between);
         double size = fault.size().draw(draw::between);
         long number = draw.number();
         int[] targets = targets(fault, draw);
-        day.record.band(fault.kind().word(), at - from, at - from + Math.max(lasts, 1_000_000));
+        day.record.band(fault.kind().keyword(), at - from, at - from + Math.max(lasts, 1_000_000));
         for (int i = 0; i < targets.length; i++) {
             PersistentAgent agent = agents.get(targets[i]);
             PersistentAgent next = agents.get(targets[(i + 1) % targets.length]);
             long when = at + (long) (targets.length < 2 ? 0 : spread * i / (targets.length - 1));
             if (fault.state() == ProcessFault.State.OLDER) {
                 day.at(
-                        from + (long) (MICROS * fault.saved()),
+                        from + (long) (MICROS * fault.copiedAtSecond()),
                         () -> hands.execute(
                                 () -> quietly(agent, "copied", () -> FolderFaults.copy(agent.folder(), copy(agent)))));
             }
@@ -350,10 +352,10 @@
 
     private void happens(
             ProcessFault fault, PersistentAgent agent, PersistentAgent next, long lasts, double size, long number) {
-        event("fault", agent.name(), fault.kind().word());
+        event("fault", agent.name(), fault.kind().keyword());
         if (fault.kind() == ProcessFault.Kind.KILL || fault.kind() == ProcessFault.Kind.TERM) {
-            agent.clockOff(fault.clock());
-            agent.diskMost(fault.disk());
+            agent.clockOff(fault.clockOffsetSeconds());
+            agent.diskMost(fault.maxFileKilobytes());
         }
         switch (fault.kind()) {
             case KILL -> {
@@ -381,7 +383,7 @@
                 });
             }
             case CRASH_LOOP -> crash(agent, lasts, (int) size);
-            case CUT -> shape(fault, agent, lasts, LinkConditions.HELD);
+            case CUT -> shape(fault, agent, lasts, LinkConditions.BLOCKED);
             case DELAY -> shape(fault, agent, lasts, new LinkConditions(false, (long) (1000 * size), 0));
             case THROTTLE -> shape(fault, agent, lasts, new LinkConditions(false, 0, (long) (1000 * size)));
             case RESET, HALF_OPEN -> ways.breaks(
@@ -472,10 +474,11 @@
         String what = state.name().toLowerCase(Locale.ROOT).replace('_', '-');
         switch (state) {
             case KEPT -> {}
-            case WIPED -> quietly(agent, what, () -> FolderFaults.remove(folder));
+            case WIPED -> quietly(agent, what, () -> FolderFaults.delete(folder));
             case OLDER, ANOTHERS -> quietly(agent, what, () -> FolderFaults.copy(copy(agent), folder));
-            case TORN -> quietly(agent, what, () -> FolderFaults.tear(folder.resolve("kept")));
-            case FLIPPED -> quietly(agent, what, () -> FolderFaults.flip(folder.resolve("kept"), number));
+            case TORN -> quietly(agent, what, () -> FolderFaults.truncateNewestFile(folder.resolve("kept")));
+            case FLIPPED -> quietly(
+                    agent, what, () -> FolderFaults.flipBitInNewestFile(folder.resolve("kept"), number));
             case READ_ONLY -> quietly(
                     agent, what, () -> folder.resolve("kept").toFile().setWritable(false));
         }
--- a/src/main/java/gatefront/rehearsal/ProcessRehearsalResult.java
+++ b/src/main/java/gatefront/rehearsal/ProcessRehearsalResult.java
@@ -15,80 +15,80 @@
  * What came of a rehearsal with several processes.
  *
  * @param plan what was played
- * @param outcome the day, as any other rehearsal has it
- * @param hand what was done by hand, and whether it held
+ * @param result the day, as any other rehearsal has it
+ * @param manualDrains what was done by hand, and whether it held
  * @param lateness of the rig
  * @param timeline how starts under way went
  */
 public record ProcessRehearsalResult(
         ProcessPlan plan,
-        RehearsalResult outcome,
-        ManualDrainChecker hand,
+        RehearsalResult result,
+        ManualDrainChecker manualDrains,
         LoopLateness lateness,
         StartTimeline timeline) {
     /** The rig is to be late by no more, in microseconds. */
-    public static final long LATE_MOST = 20_000;
+    public static final long MAX_LATENESS_MICROS = 20_000;
 
     /** How many times a rule was broken. */
     public int broken() {
-        return outcome.broken() + hand.count();
+        return result.broken() + manualDrains.count();
     }
 
     /** All that was broken, a line each. */
     public List<String> breaches() {
         List<String> lines = new ArrayList<>();
-        for (RuleChecker.Breach each : outcome.breaches()) {
+        for (RuleChecker.Breach each : result.breaches()) {
             lines.add(each.rule().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + each.what()
                     + (each.request().isEmpty() ? "" : " (request " + each.request() + ")"));
         }
-        hand.breaches().forEach(each -> lines.add("by hand: " + each));
+        manualDrains.breaches().forEach(each -> lines.add("by hand: " + each));
         return lines;
     }
 
     /** When service was full again, in seconds after the first fault; negative if it never was. */
-    public double fullAfter(ProcessRehearsalResult twin) {
-        double first = plan.firstFault();
+    public double recoverySeconds(ProcessRehearsalResult twin) {
+        double first = plan.firstFaultSecond();
         return first < 0 ? 0 : curve().fullAfter(first, twin.curve());
     }
 
     ServiceCurve curve() {
-        return outcome.record().curve;
+        return result.record().curve;
     }
 
-    private static int most(int[] bySecond, double from, double until) {
+    private static int maxBetween(int[] bySecond, double from, double until) {
         return Arrays.stream(bySecond, (int) Math.max(0, from), (int) Math.min(bySecond.length, Math.ceil(until)))
                 .max()
                 .orElse(0);
     }
 
     /** Calls for the list in the fullest second of the five after the first fault. */
-    public int listCallsMost() {
-        return most(outcome.record().listCalls, plan.firstFault(), plan.firstFault() + 5);
+    public int maxListCalls() {
+        return maxBetween(result.record().listCalls, plan.firstFaultSecond(), plan.firstFaultSecond() + 5);
     }
 
     /** Connections of the fullest nodo in the five seconds after the first fault. */
-    public int connectionsMost() {
-        return most(outcome.record().fullest, plan.firstFault(), plan.firstFault() + 5);
+    public int maxConnections() {
+        return maxBetween(result.record().fullest, plan.firstFaultSecond(), plan.firstFaultSecond() + 5);
     }
 
     /** How much of what topples it the nearest cold nodo was sent, on the whole day. */
-    public double coldMost() {
-        return Arrays.stream(outcome.record().coldest).max().orElse(0);
+    public double maxColdLoad() {
+        return Arrays.stream(result.record().coldest).max().orElse(0);
     }
 
     /** One line: service, rules, and how late the rig was. */
-    public String line() {
+    public String summary() {
         return String.format(
                 Locale.ROOT,
                 "%s, seed %d, %d agents: service %.4f, %s; the rig was late by %.1f ms "
                         + "at the most, %d times by over %d ms",
                 plan.name(),
-                outcome.seed(),
-                plan.day().agents().count(),
-                outcome.service(),
+                result.seed(),
+                plan.basePlan().agents().count(),
+                result.service(),
                 broken() == 0 ? "all rules kept" : "RULES BROKEN " + broken() + " times",
-                lateness.worst() / 1e3,
-                lateness.over(LATE_MOST),
-                LATE_MOST / 1000);
+                lateness.maxMicros() / 1e3,
+                lateness.countOver(MAX_LATENESS_MICROS),
+                MAX_LATENESS_MICROS / 1000);
     }
 }
--- a/src/main/java/gatefront/rehearsal/RealRehearsal.java
+++ b/src/main/java/gatefront/rehearsal/RealRehearsal.java
@@ -124,7 +124,7 @@
             awaitReady(day);
             opensAt = on(() -> {
                 long now = day.now() + 100_000;
-                lateness.opens();
+                lateness.reset();
                 Rehearsal.open(day, now);
                 return now;
             });
@@ -152,8 +152,8 @@
                 log.add(String.format(
                         Locale.ROOT,
                         "the rig was late by %.1f ms at the most, and %d times by over %d " + "ms",
-                        lateness.worst() / 1e3,
-                        lateness.over(LATE_MOST),
+                        lateness.maxMicros() / 1e3,
+                        lateness.countOver(LATE_MOST),
                         LATE_MOST / 1000));
                 return new RehearsalResult(plan, seed, day.cast, day.record, day.checker, List.copyOf(log), 0);
             });
--- a/src/main/java/gatefront/rehearsal/RealTimeRig.java
+++ b/src/main/java/gatefront/rehearsal/RealTimeRig.java
@@ -15,7 +15,7 @@
 
     @Override
     public final long late(long from, long until) {
-        return lateness.between(day.clock(from), day.clock(until));
+        return lateness.maxBetween(day.clock(from), day.clock(until));
     }
 
     @Override
--- a/src/main/java/gatefront/rehearsal/Rehearsal.java
+++ b/src/main/java/gatefront/rehearsal/Rehearsal.java
@@ -150,11 +150,11 @@
         }
         Demand demand = new Demand(
                 day.draw("demand"),
-                day.plan.callers().rate(),
+                day.plan.clients().rate(),
                 day.cast.kinds(),
                 day.plan.tenants().stream().mapToDouble(Plan.Tenant::share).toArray(),
                 day.cast.agentShares(),
-                day.plan.callers().hintError(),
+                day.plan.clients().hintError(),
                 jumps);
         next(day, demand, opensAt);
         FaultScheduler.schedule(day, opensAt);
@@ -238,14 +238,14 @@
 
     private LatencyModel links(ResolvedPlan cast) {
         RandomStream draw = new RandomStream(seed, "links");
-        Plan.Net net = plan.network();
-        double nanosAByte = 8_000 / net.megabits();
+        Plan.Network net = plan.network();
+        double nanosAByte = 8_000 / net.megabitsPerSecond();
         return (from, to, bytes) -> {
             double oneWay = from == to
                     ? 0.02
                     : isCaller(from) || isCaller(to)
                             ? net.clientMs()
-                            : from.zone() == to.zone() ? net.sameMs() : cast.crossMicros() / 1000;
+                            : from.zone() == to.zone() ? net.sameZoneMs() : cast.crossMicros() / 1000;
             double jitter = 1 + net.jitter() * (2 * draw.unit() - 1);
             return (long) (1e6 * oneWay * jitter + bytes * nanosAByte);
         };
--- a/src/main/java/gatefront/rehearsal/RelayNetwork.java
+++ b/src/main/java/gatefront/rehearsal/RelayNetwork.java
@@ -7,7 +7,7 @@
 import gatefront.rehearsal.processes.ProcessFault.Direction;
 import gatefront.rehearsal.processes.ProcessFault.Links;
 import gatefront.rehearsal.processes.Relay;
-import gatefront.rehearsal.processes.Relay.Way;
+import gatefront.rehearsal.processes.Relay.Flow;
 import gatefront.rehearsal.processes.StartTimeline;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -82,7 +82,7 @@
         return kind + " " + agent;
     }
 
-    private static String at(int agent, Links kind, Way way) {
+    private static String at(int agent, Links kind, Flow way) {
         return at(agent, kind) + " " + way;
     }
 
@@ -92,10 +92,10 @@
             try {
                 EventLoop loop = loops.next();
                 Relay made = new Relay(loop, host, to);
-                for (Way way : Way.values()) {
+                for (Flow way : Flow.values()) {
                     LinkConditions shape = shapes.get(at(agent, kind, way));
                     if (shape != null) {
-                        made.shape(way, shape);
+                        made.setConditions(way, shape);
                     }
                 }
                 return made;
@@ -120,25 +120,25 @@
     }
 
     /** The ways of a link that a direction, as the agent sees it, means. */
-    private static List<Way> ways(Links kind, Direction direction) {
+    private static List<Flow> ways(Links kind, Direction direction) {
         if (direction == Direction.BOTH) {
-            return List.of(Way.values());
+            return List.of(Flow.values());
         }
         boolean dials = kind == Links.NODOS || kind == Links.PADRON;
-        return List.of(dials == (direction == Direction.OUT) ? Way.FORTH : Way.BACK);
+        return List.of(dials == (direction == Direction.OUT) ? Flow.UPSTREAM : Flow.DOWNSTREAM);
     }
 
     /** Shapes links of an agent, or heals them. */
     void shape(int agent, Links links, Direction direction, LinkConditions shape) {
         for (Links kind : kinds(links)) {
             Span span = troubled.computeIfAbsent(at(agent, kind), key -> new Span());
-            for (Way way : ways(kind, direction)) {
+            for (Flow way : ways(kind, direction)) {
                 if (shape == LinkConditions.CLEAR) {
                     shapes.remove(at(agent, kind, way));
                 } else {
                     shapes.put(at(agent, kind, way), shape);
                 }
-                of(agent, kind).forEach(each -> each.shape(way, shape));
+                of(agent, kind).forEach(each -> each.setConditions(way, shape));
             }
             if (shape == LinkConditions.CLEAR) {
                 span.ends(day.now());
--- a/src/main/java/gatefront/rehearsal/ResolvedPlan.java
+++ b/src/main/java/gatefront/rehearsal/ResolvedPlan.java
@@ -55,7 +55,7 @@
         RandomStream draw = new RandomStream(seed, "cast");
         Plan.Nodos told = plan.nodos();
         List<Demand.Kind> kinds = new ArrayList<>();
-        for (Plan.Kind each : plan.classes()) {
+        for (Plan.RequestClass each : plan.classes()) {
             kinds.add(new Demand.Kind(
                     each.name(), each.share(), 1000 * each.workMs().draw(draw::between), each.variation()));
         }
@@ -72,8 +72,8 @@
                 List.copyOf(kinds),
                 zones,
                 shares,
-                plan.callers().tryShare().draw(draw::between),
-                1000 * plan.network().crossMs().draw(draw::between),
+                plan.clients().tryTimeoutShare().draw(draw::between),
+                1000 * plan.network().crossZoneMs().draw(draw::between),
                 (long) (1000 * told.reportMs().draw(draw::between)),
                 1000 * told.probeMs().draw(draw::between),
                 1000 * told.connectionMs().draw(draw::between),
@@ -86,7 +86,8 @@
 
     private static List<Nodo> nodos(Plan plan, RandomStream draw, RandomStream starts) {
         Plan.Nodos told = plan.nodos();
-        double[] shares = told.kinds().stream().mapToDouble(Plan.Machine::share).toArray();
+        double[] shares =
+                told.machines().stream().mapToDouble(Plan.Machine::share).toArray();
         double limitedShare = told.limited().draw(draw::between);
         List<Nodo> nodos = new ArrayList<>();
         int[] left = new int[plan.zones().size()];
@@ -102,13 +103,13 @@
                 limits[zone] = draw.unit() < limitedShare ? told.limit().draw(draw::between) : 1;
             }
             left[zone]--;
-            Plan.Machine kind = told.kinds().get(kinds[i]);
+            Plan.Machine kind = told.machines().get(kinds[i]);
             double speed = kind.speed().draw(draw::between);
             NodoModel.Machine machine = new NodoModel.Machine(
                     kind.cores(),
                     speed,
                     kind.slots(),
-                    kind.room(),
+                    kind.queueCapacity(),
                     kind.thrash(),
                     kind.thrashAt(),
                     warmth(
@@ -168,18 +169,18 @@
             Fault fault = plan.faults().get(i);
             RandomStream draw = new RandomStream(seed, "fault " + i + " " + fault.kind());
             int most =
-                    switch (fault.kind().whom()) {
+                    switch (fault.kind().target()) {
                         case NODOS -> plan.nodos().count();
                         case AGENTS -> plan.agents().count();
-                        case NOBODY -> 0;
+                        case NONE -> 0;
                     };
             troubles.add(new Trouble(
                     fault,
                     (long) (1e6 * fault.at().draw(draw::between)),
-                    (long) (1e6 * fault.lasts().draw(draw::between)),
+                    (long) (1e6 * fault.duration().draw(draw::between)),
                     targets(plan, fault, most, draw),
                     fault.size().draw(draw::between),
-                    (long) (1e6 * fault.every().draw(draw::between)),
+                    (long) (1e6 * fault.period().draw(draw::between)),
                     (long) (1e6 * fault.spread().draw(draw::between))));
         }
         troubles.sort((a, b) -> Long.compare(a.at, b.at));
--- a/src/main/java/gatefront/rehearsal/RunContext.java
+++ b/src/main/java/gatefront/rehearsal/RunContext.java
@@ -127,8 +127,8 @@
         this.form = ThriftPayloads.form(plan.network().protocol());
         this.checker = new RuleChecker(
                 new RuleChecker.Limits(
-                        (long) (1000 * plan.rules().slackMs()),
-                        (long) (1000 * plan.rules().drainMs()),
+                        (long) (1000 * plan.rules().answerSlackMs()),
+                        (long) (1000 * plan.rules().drainGraceMs()),
                         slack),
                 plan.classes().stream()
                         .map(each -> new RuleChecker.Kind(
@@ -182,7 +182,8 @@
     /** What a request takes, or null if nobody here has sent it. */
     Demand.Want want(String id, String kind) {
         Demand.Want want = wants.get(id);
-        int index = plan.classes().stream().map(Plan.Kind::name).toList().indexOf(kind);
+        int index =
+                plan.classes().stream().map(Plan.RequestClass::name).toList().indexOf(kind);
         return want != null || !strangers || index < 0
                 ? want
                 : new Demand.Want(0, now(), index, 0, 0, cast.kinds().get(index).meanWork(), 1);
@@ -252,7 +253,7 @@
 
     /** What the group of a nodo remembers of one class's keyed requests. */
     IdempotencyWindow repeats(int kind, ResolvedPlan.Nodo nodo) {
-        Plan.Kind type = plan.classes().get(kind);
+        Plan.RequestClass type = plan.classes().get(kind);
         int group =
                 switch (type.scope()) {
                     case ALL -> 0;
--- a/src/main/java/gatefront/rehearsal/RunRecorder.java
+++ b/src/main/java/gatefront/rehearsal/RunRecorder.java
@@ -166,10 +166,10 @@
 
     void settled(Demand.Want want, long now, RetryBehavior.Fate how) {
         open--;
-        Plan.Kind kind = plan.classes().get(want.kind());
+        Plan.RequestClass kind = plan.classes().get(want.kind());
         Fate fate =
                 switch (how) {
-                    case SERVED -> now - want.at() <= (long) (1000 * kind.aimMs()) ? Fate.IN_TIME : Fate.LATE;
+                    case SERVED -> now - want.at() <= (long) (1000 * kind.targetMs()) ? Fate.IN_TIME : Fate.LATE;
                     case REFUSED -> Fate.REFUSED;
                     case FAILED -> Fate.FAILED;
                     case TIMED_OUT, UNREACHED -> Fate.UNANSWERED;
--- a/src/main/java/gatefront/rehearsal/SeedCampaign.java
+++ b/src/main/java/gatefront/rehearsal/SeedCampaign.java
@@ -16,9 +16,9 @@
 /** Plays one plan with many seeds, on all cores. */
 public final class SeedCampaign {
     /** What many seeds came to. */
-    public record Summary(String plan, int played, int broken, List<Double> services, List<Long> brokenSeeds) {
+    public record Summary(String plan, int runs, int brokenRuns, List<Double> services, List<Long> brokenSeeds) {
         /** Some lines for a person. */
-        public String text() {
+        public String format() {
             double mean =
                     services.stream().mapToDouble(Double::doubleValue).average().orElse(0);
             return String.format(
@@ -26,14 +26,14 @@
                     "%s: %d seeds; service %.4f on average, lowest %.4f, a tenth below %.4f, "
                             + "half below %.4f%n%s%n",
                     plan,
-                    played,
+                    runs,
                     mean,
                     services.get(0),
                     services.get(services.size() / 10),
                     services.get(services.size() / 2),
-                    broken == 0
+                    brokenRuns == 0
                             ? "all rules kept on all of them"
-                            : "RULES BROKEN on " + broken + " of them: seeds " + brokenSeeds);
+                            : "RULES BROKEN on " + brokenRuns + " of them: seeds " + brokenSeeds);
         }
     }
 
--- a/src/main/java/gatefront/rehearsal/plan/Plan.java
+++ b/src/main/java/gatefront/rehearsal/plan/Plan.java
@@ -16,7 +16,7 @@
  * @param nodos the nodos
  * @param rules what the four rules say
  * @param padron the server list
- * @param callers who asks
+ * @param clients who asks
  * @param classes what for
  * @param tenants the municipios
  * @param faults what goes wrong
@@ -26,21 +26,26 @@
         double seconds,
         List<String> zones,
         boolean worthByWork,
-        Net network,
+        Network network,
         Agents agents,
         Nodos nodos,
         Rules rules,
-        Registry padron,
-        Callers callers,
-        List<Kind> classes,
+        Discovery padron,
+        Clients clients,
+        List<RequestClass> classes,
         List<Tenant> tenants,
         List<Fault> faults) {
     /** One way in milliseconds, its relative jitter, the speed of each link, and what is spoken on them. */
-    public record Net(
-            double clientMs, double sameMs, NumberRange crossMs, double jitter, double megabits, String protocol) {}
+    public record Network(
+            double clientMs,
+            double sameZoneMs,
+            NumberRange crossZoneMs,
+            double jitter,
+            double megabitsPerSecond,
+            String protocol) {}
 
     /** How many agents there are and what each may hold. */
-    public record Agents(int count, int sockets, int memoryMb, double skew) {}
+    public record Agents(int count, int maxSockets, int memoryMb, double skew) {}
 
     /** The nodos. Each draws its own cold start from the ranges; agents are told the worst of both. */
     public record Nodos(
@@ -54,9 +59,9 @@
             double noise,
             NumberRange probeMs,
             NumberRange connectionMs,
-            int connections,
-            double idleSeconds,
-            List<Machine> kinds) {}
+            int maxConnections,
+            double idleTimeoutSeconds,
+            List<Machine> machines) {}
 
     /** A kind of machine. */
     public record Machine(
@@ -65,29 +70,30 @@
             int cores,
             NumberRange speed,
             int slots,
-            int room,
+            int queueCapacity,
             double thrash,
             double thrashAt) {}
 
     /** What the rules say. */
-    public record Rules(double slackMs, double drainMs, double fallMultiple, double fallSeconds, int maxAttempts) {}
+    public record Rules(
+            double answerSlackMs, double drainGraceMs, double fallMultiple, double fallSeconds, int maxAttempts) {}
 
     /** How late the padrón tells, how many calls a second it can take (0 for any number), and what stands for it. */
-    public record Registry(NumberRange noticeSeconds, double callsPerSecond, String source) {}
+    public record Discovery(NumberRange noticeDelaySeconds, double maxCallsPerSecond, String source) {}
 
     /** The callers. */
-    public record Callers(
+    public record Clients(
             double rate,
             int retries,
             double backoffMs,
-            double honour,
-            NumberRange tryShare,
+            double retryAfterCompliance,
+            NumberRange tryTimeoutShare,
             double hintError,
             boolean marksRetry,
             double retryAfterMs) {}
 
     /** A class of requests. */
-    public record Kind(
+    public record RequestClass(
             String name,
             Balancer.Semantics semantics,
             Balancer.Scope scope,
@@ -95,15 +101,15 @@
             double share,
             NumberRange workMs,
             double variation,
-            double aimMs,
-            double giveUpMs,
+            double targetMs,
+            double timeoutMs,
             double worth) {}
 
     /** A municipio. */
     public record Tenant(String name, double share) {}
 
     /** The same day with other faults. */
-    public Plan with(List<Fault> others) {
+    public Plan withFaults(List<Fault> others) {
         return new Plan(
                 name,
                 seconds,
@@ -114,7 +120,7 @@
                 nodos,
                 rules,
                 padron,
-                callers,
+                clients,
                 classes,
                 tenants,
                 List.copyOf(others));
@@ -127,12 +133,18 @@
                 seconds,
                 zones,
                 worthByWork,
-                new Net(network.clientMs, network.sameMs, network.crossMs, network.jitter, network.megabits, protocol),
+                new Network(
+                        network.clientMs,
+                        network.sameZoneMs,
+                        network.crossZoneMs,
+                        network.jitter,
+                        network.megabitsPerSecond,
+                        protocol),
                 agents,
                 nodos,
                 rules,
                 padron,
-                callers,
+                clients,
                 classes,
                 tenants,
                 faults);
@@ -149,8 +161,8 @@
                 agents,
                 nodos,
                 rules,
-                new Registry(padron.noticeSeconds, padron.callsPerSecond, source),
-                callers,
+                new Discovery(padron.noticeDelaySeconds, padron.maxCallsPerSecond, source),
+                clients,
                 classes,
                 tenants,
                 faults);
@@ -168,23 +180,23 @@
                 nodos,
                 rules,
                 padron,
-                new Callers(
+                new Clients(
                         rate,
-                        callers.retries,
-                        callers.backoffMs,
-                        callers.honour,
-                        callers.tryShare,
-                        callers.hintError,
-                        callers.marksRetry,
-                        callers.retryAfterMs),
+                        clients.retries,
+                        clients.backoffMs,
+                        clients.retryAfterCompliance,
+                        clients.tryTimeoutShare,
+                        clients.hintError,
+                        clients.marksRetry,
+                        clients.retryAfterMs),
                 classes,
                 tenants,
                 faults);
     }
 
     /** The same day at another size: so many agents and nodos, and as many requests for each nodo as before. */
-    public Plan sized(int agentCount, int nodoCount) {
-        Agents agentsNow = new Agents(agentCount, agents.sockets, agents.memoryMb, agents.skew);
+    public Plan scaledTo(int agentCount, int nodoCount) {
+        Agents agentsNow = new Agents(agentCount, agents.maxSockets, agents.memoryMb, agents.skew);
         Nodos nodosNow = new Nodos(
                 nodoCount,
                 nodos.bloque,
@@ -196,9 +208,9 @@
                 nodos.noise,
                 nodos.probeMs,
                 nodos.connectionMs,
-                nodos.connections,
-                nodos.idleSeconds,
-                nodos.kinds);
+                nodos.maxConnections,
+                nodos.idleTimeoutSeconds,
+                nodos.machines);
         return new Plan(
                         name,
                         seconds,
@@ -209,18 +221,18 @@
                         nodosNow,
                         rules,
                         padron,
-                        callers,
+                        clients,
                         classes,
                         tenants,
                         faults)
-                .withRate(callers.rate * nodoCount / nodos.count);
+                .withRate(clients.rate * nodoCount / nodos.count);
     }
 
     /** The same day cut to another length; faults that would come after it are left out. */
     public Plan withSeconds(double length) {
         List<Fault> within = faults.stream()
                 .filter(each -> each.at().low() < length)
-                .map(each -> each.until(length))
+                .map(each -> each.startingAtLatest(length))
                 .toList();
         return new Plan(
                 name,
@@ -232,7 +244,7 @@
                 nodos,
                 rules,
                 padron,
-                callers,
+                clients,
                 classes,
                 tenants,
                 within);
--- a/src/main/java/gatefront/rehearsal/plan/PlanReader.java
+++ b/src/main/java/gatefront/rehearsal/plan/PlanReader.java
@@ -40,9 +40,9 @@
     /** Where agents may have the server list from. */
     public static final List<String> SOURCES = List.of("padron", "etcd", "consul");
     /** Agents, and nodos, of a plan at the most. */
-    public static final int COUNT_MOST = 10_000;
+    public static final int MAX_COUNT = 10_000;
 
-    private static final double MANY = 1e9;
+    private static final double MAX_WEIGHT = 1e9;
 
     private final String file;
 
@@ -97,28 +97,28 @@
         distinct(top, "zones", zones);
         boolean byWork =
                 top.word("worth_by", "request", List.of("request", "work")).equals("work");
-        Plan.Net network = network(top.table("network"));
+        Plan.Network network = network(top.table("network"));
         Plan.Agents agents = agents(top.table("agents"));
         Plan.Nodos nodos = nodos(top.table("nodos"));
         Plan.Rules rules = rules(top.table("rules"));
         TomlTable list = top.table("padron");
-        Plan.Registry padron = new Plan.Registry(
+        Plan.Discovery padron = new Plan.Discovery(
                 list.range("notice_s", new NumberRange(0.5, 2), 0, 60),
                 list.number("calls_s", 0.0, 0, 1e6),
                 list.word("source", "padron", SOURCES));
-        List<Plan.Kind> classes = classes(top);
-        Plan.Callers callers = callers(top.table("callers"), classes);
+        List<Plan.RequestClass> classes = classes(top);
+        Plan.Clients callers = callers(top.table("callers"), classes);
         List<Plan.Tenant> tenants = new ArrayList<>();
         for (TomlTable each : top.tables("tenants")) {
-            tenants.add(new Plan.Tenant(each.text("name", null), each.number("share", null, 0, MANY)));
+            tenants.add(new Plan.Tenant(each.text("name", null), each.number("share", null, 0, MAX_WEIGHT)));
         }
         distinct(top, "tenants", tenants.stream().map(Plan.Tenant::name).toList());
         List<Fault> faults = new ArrayList<>();
         for (TomlTable each : top.tables("faults")) {
             Fault fault = fault(each, seconds, agents.count(), nodos.count(), zones);
-            if (fault.kind().ofRegistry() && padron.source().equals("padron")) {
+            if (fault.kind().needsRegistry() && padron.source().equals("padron")) {
                 throw each.bad(
-                        "kind", fault.kind().word() + " needs a registry: [padron] source = \"etcd\" or \"consul\"");
+                        "kind", fault.kind().keyword() + " needs a registry: [padron] source = \"etcd\" or \"consul\"");
             }
             faults.add(fault);
         }
@@ -151,8 +151,8 @@
         }
     }
 
-    private static Plan.Net network(TomlTable t) throws TomlException {
-        return new Plan.Net(
+    private static Plan.Network network(TomlTable t) throws TomlException {
+        return new Plan.Network(
                 t.number("client_ms", 0.3, 0, 1000),
                 t.number("same_ms", 0.3, 0, 1000),
                 t.range("cross_ms", new NumberRange(2, 2), 0, 1000),
@@ -163,7 +163,7 @@
 
     private static Plan.Agents agents(TomlTable t) throws TomlException {
         return new Plan.Agents(
-                t.whole("count", 5, 1, COUNT_MOST),
+                t.whole("count", 5, 1, MAX_COUNT),
                 t.whole("sockets", 384, 64, 1 << 20),
                 t.whole("memory_mb", 128, 16, 1 << 20),
                 t.number("skew", 0.5, 0, 3));
@@ -175,7 +175,7 @@
             int cores = each.whole("cores", 2, 1, 1024);
             kinds.add(new Plan.Machine(
                     each.text("name", null),
-                    each.number("share", 1.0, 0, MANY),
+                    each.number("share", 1.0, 0, MAX_WEIGHT),
                     cores,
                     each.range("speed", new NumberRange(1, 1), 0.01, 100),
                     each.whole("slots", 2 * cores, 1, 100_000),
@@ -185,7 +185,7 @@
         }
         distinct(t, "kinds", kinds.stream().map(Plan.Machine::name).toList());
         return new Plan.Nodos(
-                t.whole("count", 14, 1, COUNT_MOST),
+                t.whole("count", 14, 1, MAX_COUNT),
                 t.range("bloque", new NumberRange(6, 10), 1, 10_000),
                 t.range("limited", new NumberRange(0, 0), 0, 1),
                 t.range("limit", new NumberRange(0.6, 0.6), 0.01, 1),
@@ -209,8 +209,8 @@
                 t.whole("max_attempts", 6, 1, 60));
     }
 
-    private static Plan.Callers callers(TomlTable t, List<Plan.Kind> classes) throws TomlException {
-        return new Plan.Callers(
+    private static Plan.Clients callers(TomlTable t, List<Plan.RequestClass> classes) throws TomlException {
+        return new Plan.Clients(
                 t.number("rate", null, 0.01, 1e6),
                 t.whole("retries", 2, 0, 20),
                 t.number("backoff_ms", 50.0, 1, 60_000),
@@ -221,8 +221,8 @@
                 t.number("retry_after_ms", 1000.0, 0, 60_000));
     }
 
-    private static List<Plan.Kind> classes(TomlTable top) throws TomlException {
-        List<Plan.Kind> classes = new ArrayList<>();
+    private static List<Plan.RequestClass> classes(TomlTable top) throws TomlException {
+        List<Plan.RequestClass> classes = new ArrayList<>();
         for (TomlTable t : top.tables("classes")) {
             Semantics semantics = Semantics.valueOf(
                     t.word("repeats", null, List.of("safe", "keyed", "unsafe")).toUpperCase(Locale.ROOT));
@@ -239,19 +239,19 @@
             if (aim > giveUp) {
                 throw t.bad("aim_ms", "is later than give_up_ms, when nobody waits any more");
             }
-            classes.add(new Plan.Kind(
+            classes.add(new Plan.RequestClass(
                     t.text("name", null),
                     semantics,
                     scope,
                     keyed ? t.number("window_ms", null, 1, 3_600_000) : 0,
-                    t.number("share", 1.0, 0, MANY),
+                    t.number("share", 1.0, 0, MAX_WEIGHT),
                     t.range("work_ms", null, 0.001, 3_600_000),
                     t.number("variation", 0.5, 0, 10),
                     aim,
                     giveUp,
-                    t.number("worth", 1.0, 0, MANY)));
+                    t.number("worth", 1.0, 0, MAX_WEIGHT)));
         }
-        distinct(top, "classes", classes.stream().map(Plan.Kind::name).toList());
+        distinct(top, "classes", classes.stream().map(Plan.RequestClass::name).toList());
         return List.copyOf(classes);
     }
 
@@ -259,22 +259,22 @@
     public static Fault fault(TomlTable t, double seconds, int agents, int nodos, List<String> zones)
             throws TomlException {
         List<String> words =
-                Arrays.stream(Fault.Kind.values()).map(Fault.Kind::word).toList();
+                Arrays.stream(Fault.Kind.values()).map(Fault.Kind::keyword).toList();
         String word = t.word("kind", null, words);
         Fault.Kind kind = Fault.Kind.values()[words.indexOf(word)];
         NumberRange at = t.range("at_s", null, 0, seconds);
         List<String> names = t.texts("names");
-        if (kind.whom() == Fault.Kind.Whom.NOBODY && (t.has("names") || t.has("share"))) {
+        if (kind.target() == Fault.Kind.Target.NONE && (t.has("names") || t.has("share"))) {
             throw t.bad(t.has("names") ? "names" : "share", "means nothing for " + word + ": it meets all");
         }
-        String prefix = kind.whom() == Fault.Kind.Whom.AGENTS ? "agent-" : "nodo-";
-        int most = kind.whom() == Fault.Kind.Whom.AGENTS ? agents : nodos;
+        String prefix = kind.target() == Fault.Kind.Target.AGENTS ? "agent-" : "nodo-";
+        int most = kind.target() == Fault.Kind.Target.AGENTS ? agents : nodos;
         for (String name : names) {
             if (!name.matches(prefix + "[1-9][0-9]{0,5}") || Integer.parseInt(name.substring(prefix.length())) > most) {
                 throw t.bad("names", "\"" + name + "\" is none of " + prefix + "1 to " + prefix + most);
             }
         }
-        NumberRange size = kind.sized() ? t.range("size", null, 0, 1000) : new NumberRange(1, 1);
+        NumberRange size = kind.needsSize() ? t.range("size", null, 0, 1000) : new NumberRange(1, 1);
         boolean part = kind == Fault.Kind.FAIL
                 || kind == Fault.Kind.TAKEN
                 || kind == Fault.Kind.BREAK_OFF
@@ -287,7 +287,7 @@
         }
         for (String key : List.of("zone", "spread_s")) {
             if (t.has(key)
-                    && (kind.whom() == Fault.Kind.Whom.NOBODY
+                    && (kind.target() == Fault.Kind.Target.NONE
                             || kind == Fault.Kind.AGENT_RESTART && key.equals("spread_s"))) {
                 throw t.bad(
                         key,
--- a/src/main/java/gatefront/rehearsal/plan/PlanWriter.java
+++ b/src/main/java/gatefront/rehearsal/plan/PlanWriter.java
@@ -26,36 +26,36 @@
         put("worth_by", quoted(p.worthByWork() ? "work" : "request"));
         out.append("\n[network]\n");
         put("client_ms", p.network().clientMs());
-        put("same_ms", p.network().sameMs());
-        put("cross_ms", p.network().crossMs());
+        put("same_ms", p.network().sameZoneMs());
+        put("cross_ms", p.network().crossZoneMs());
         put("jitter", p.network().jitter());
-        put("megabits", p.network().megabits());
+        put("megabits", p.network().megabitsPerSecond());
         put("protocol", quoted(p.network().protocol()));
         out.append("\n[agents]\n");
         put("count", p.agents().count());
-        put("sockets", p.agents().sockets());
+        put("sockets", p.agents().maxSockets());
         put("memory_mb", p.agents().memoryMb());
         put("skew", p.agents().skew());
         nodos(p.nodos());
         out.append("\n[rules]\n");
-        put("slack_ms", p.rules().slackMs());
-        put("drain_ms", p.rules().drainMs());
+        put("slack_ms", p.rules().answerSlackMs());
+        put("drain_ms", p.rules().drainGraceMs());
         put("fall_multiple", p.rules().fallMultiple());
         put("fall_s", p.rules().fallSeconds());
         put("max_attempts", p.rules().maxAttempts());
         out.append("\n[padron]\n");
-        put("notice_s", p.padron().noticeSeconds());
-        put("calls_s", p.padron().callsPerSecond());
+        put("notice_s", p.padron().noticeDelaySeconds());
+        put("calls_s", p.padron().maxCallsPerSecond());
         put("source", quoted(p.padron().source()));
         out.append("\n[callers]\n");
-        put("rate", p.callers().rate());
-        put("retries", p.callers().retries());
-        put("backoff_ms", p.callers().backoffMs());
-        put("honour", p.callers().honour());
-        put("try_share", p.callers().tryShare());
-        put("hint_error", p.callers().hintError());
-        put("marks_retry", p.callers().marksRetry());
-        put("retry_after_ms", p.callers().retryAfterMs());
+        put("rate", p.clients().rate());
+        put("retries", p.clients().retries());
+        put("backoff_ms", p.clients().backoffMs());
+        put("honour", p.clients().retryAfterCompliance());
+        put("try_share", p.clients().tryTimeoutShare());
+        put("hint_error", p.clients().hintError());
+        put("marks_retry", p.clients().marksRetry());
+        put("retry_after_ms", p.clients().retryAfterMs());
         p.classes().forEach(this::kind);
         for (Plan.Tenant each : p.tenants()) {
             out.append("\n[[tenants]]\n");
@@ -77,22 +77,22 @@
         put("noise", n.noise());
         put("probe_ms", n.probeMs());
         put("connection_ms", n.connectionMs());
-        put("connections", n.connections());
-        put("idle_s", n.idleSeconds());
-        for (Plan.Machine each : n.kinds()) {
+        put("connections", n.maxConnections());
+        put("idle_s", n.idleTimeoutSeconds());
+        for (Plan.Machine each : n.machines()) {
             out.append("\n[[nodos.kinds]]\n");
             put("name", quoted(each.name()));
             put("share", each.share());
             put("cores", each.cores());
             put("speed", each.speed());
             put("slots", each.slots());
-            put("room", each.room());
+            put("room", each.queueCapacity());
             put("thrash", each.thrash());
             put("thrash_at", each.thrashAt());
         }
     }
 
-    private void kind(Plan.Kind k) {
+    private void kind(Plan.RequestClass k) {
         out.append("\n[[classes]]\n");
         put("name", quoted(k.name()));
         put("repeats", quoted(k.semantics().name().toLowerCase(Locale.ROOT)));
@@ -103,32 +103,32 @@
         put("share", k.share());
         put("work_ms", k.workMs());
         put("variation", k.variation());
-        put("aim_ms", k.aimMs());
-        put("give_up_ms", k.giveUpMs());
+        put("aim_ms", k.targetMs());
+        put("give_up_ms", k.timeoutMs());
         put("worth", k.worth());
     }
 
     private void fault(Fault f, List<String> zones) {
         out.append("\n[[faults]]\n");
-        put("kind", quoted(f.kind().word()));
+        put("kind", quoted(f.kind().keyword()));
         put("at_s", f.at());
-        put("for_s", f.lasts());
-        if (f.kind().whom() != Fault.Kind.Whom.NOBODY && f.names().isEmpty()) {
+        put("for_s", f.duration());
+        if (f.kind().target() != Fault.Kind.Target.NONE && f.names().isEmpty()) {
             put("share", f.share());
             if (f.zone() >= 0) {
                 put("zone", quoted(zones.get(f.zone())));
             }
-        } else if (f.kind().whom() != Fault.Kind.Whom.NOBODY) {
+        } else if (f.kind().target() != Fault.Kind.Target.NONE) {
             put("names", list(f.names()));
         }
-        if (f.kind().sized()) {
+        if (f.kind().needsSize()) {
             put("size", f.size());
         }
         if (f.spread().high() > 0) {
             put("spread_s", f.spread());
         }
         if (f.kind() == Fault.Kind.TAKEN) {
-            put("every_s", f.every());
+            put("every_s", f.period());
         }
     }
 
--- a/src/main/java/gatefront/rehearsal/processes/EventHistory.java
+++ b/src/main/java/gatefront/rehearsal/processes/EventHistory.java
@@ -16,39 +16,39 @@
 public final class EventHistory implements Closeable {
     private static final double MICROS = 1e6;
 
-    private final JsonGenerator to;
-    private long opensAt;
+    private final JsonGenerator generator;
+    private long originMicros;
 
     /** Written to a file; nowhere where that is null. */
     public EventHistory(Path file) throws IOException {
         Writer writer = file == null ? Writer.nullWriter() : Files.newBufferedWriter(file);
-        to = new JsonFactory().createGenerator(writer);
-        to.setRootValueSeparator(new com.fasterxml.jackson.core.io.SerializedString("\n"));
+        generator = new JsonFactory().createGenerator(writer);
+        generator.setRootValueSeparator(new com.fasterxml.jackson.core.io.SerializedString("\n"));
     }
 
     /** Seconds count from here on. */
-    public void opens(long at) {
-        opensAt = at;
+    public void setOrigin(long at) {
+        originMicros = at;
     }
 
     /** Something happened to a request. */
     public void request(long at, String request, String what) {
-        line(at, "request", request, what);
+        write(at, "request", request, what);
     }
 
     /** Something was done to, or said by, somebody. */
     public void event(long at, String kind, String who, String what) {
-        line(at, kind, who, what);
+        write(at, kind, who, what);
     }
 
-    private void line(long at, String kind, String who, String what) {
+    private void write(long at, String kind, String who, String what) {
         try {
-            to.writeStartObject();
-            to.writeNumberField("at", Math.rint(at - opensAt) / MICROS);
-            to.writeStringField("kind", kind);
-            to.writeStringField("who", who);
-            to.writeStringField("what", what);
-            to.writeEndObject();
+            generator.writeStartObject();
+            generator.writeNumberField("at", Math.rint(at - originMicros) / MICROS);
+            generator.writeStringField("kind", kind);
+            generator.writeStringField("who", who);
+            generator.writeStringField("what", what);
+            generator.writeEndObject();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -56,6 +56,6 @@
 
     @Override
     public void close() throws IOException {
-        to.close();
+        generator.close();
     }
 }
--- a/src/main/java/gatefront/rehearsal/processes/FolderFaults.java
+++ b/src/main/java/gatefront/rehearsal/processes/FolderFaults.java
@@ -16,7 +16,7 @@
     private FolderFaults() {}
 
     /** Removes a folder with all that is in it. */
-    public static void remove(Path folder) throws IOException {
+    public static void delete(Path folder) throws IOException {
         if (!Files.exists(folder)) {
             return;
         }
@@ -43,7 +43,7 @@
 
     /** Makes one folder as another is; a file that goes meanwhile is left out, as a copy of a folder in use has it. */
     public static void copy(Path from, Path to) throws IOException {
-        remove(to);
+        delete(to);
         List<Path> all;
         try (Stream<Path> files = Files.walk(from)) {
             all = files.toList();
@@ -59,7 +59,7 @@
     }
 
     /** Its newest file that holds something, or null. */
-    public static Path newest(Path folder) throws IOException {
+    public static Path newestFile(Path folder) throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
             return files.filter(
                             each -> Files.isRegularFile(each) && each.toFile().length() > 0)
@@ -70,8 +70,8 @@
     }
 
     /** The last quarter of its newest file is missing. */
-    public static void tear(Path folder) throws IOException {
-        Path file = newest(folder);
+    public static void truncateNewestFile(Path folder) throws IOException {
+        Path file = newestFile(folder);
         if (file != null) {
             byte[] bytes = Files.readAllBytes(file);
             Files.write(file, java.util.Arrays.copyOf(bytes, bytes.length - Math.max(1, bytes.length / 4)));
@@ -79,8 +79,8 @@
     }
 
     /** One bit of its newest file is another; which one follows from a number. */
-    public static void flip(Path folder, long which) throws IOException {
-        Path file = newest(folder);
+    public static void flipBitInNewestFile(Path folder, long which) throws IOException {
+        Path file = newestFile(folder);
         if (file != null) {
             byte[] bytes = Files.readAllBytes(file);
             bytes[(int) Math.floorMod(which, (long) bytes.length)] ^= (byte) (1 << Math.floorMod(which, 8));
--- a/src/main/java/gatefront/rehearsal/processes/ProcessFault.java
+++ b/src/main/java/gatefront/rehearsal/processes/ProcessFault.java
@@ -9,14 +9,14 @@
  *
  * @param kind what
  * @param at when, in seconds
- * @param lasts how long, in seconds: until a killed process starts again, a stopped one wakes, a link is healed
+ * @param duration how long, in seconds: until a killed process starts again, a stopped one wakes, a link is healed
  * @param share of the agents that it meets; at least one where above 0
  * @param names the agents that it meets, instead of a share
  * @param spread over how many seconds they are met, one after the other
  * @param state what becomes of the folder of a process that is killed
- * @param clock by how many seconds the time of day of the next process is off
- * @param disk of how many kilobytes the next process can write a file at the most; 0 for any
- * @param saved of {@link State#OLDER}: the second of which the copy is
+ * @param clockOffsetSeconds by how many seconds the time of day of the next process is off
+ * @param maxFileKilobytes of how many kilobytes the next process can write a file at the most; 0 for any
+ * @param copiedAtSecond of {@link State#OLDER}: the second of which the copy is
  * @param links which links, for what happens to those
  * @param direction which of their directions
  * @param size how bad: milliseconds of delay, kilobytes a second, how many starts
@@ -25,14 +25,14 @@
 public record ProcessFault(
         Kind kind,
         NumberRange at,
-        NumberRange lasts,
+        NumberRange duration,
         double share,
         List<String> names,
         NumberRange spread,
         State state,
-        double clock,
-        int disk,
-        double saved,
+        double clockOffsetSeconds,
+        int maxFileKilobytes,
+        double copiedAtSecond,
         Links links,
         Direction direction,
         NumberRange size,
@@ -63,22 +63,22 @@
         BACK;
 
         /** As it stands in a plan. */
-        public String word() {
+        public String keyword() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
 
         /** Whether it happens to links. */
-        public boolean ofLinks() {
+        public boolean affectsLinks() {
             return this == CUT || this == DELAY || this == THROTTLE || this == RESET || this == HALF_OPEN;
         }
 
         /** Whether somebody calls at doors. */
-        public boolean byHand() {
+        public boolean isOperatorCall() {
             return this == OUT || this == BACK;
         }
 
         /** Whether it needs a size. */
-        public boolean sized() {
+        public boolean needsSize() {
             return this == DELAY || this == THROTTLE || this == CRASH_LOOP;
         }
     }
--- a/src/main/java/gatefront/rehearsal/processes/ProcessPlanReader.java
+++ b/src/main/java/gatefront/rehearsal/processes/ProcessPlanReader.java
@@ -23,10 +23,10 @@
     public static final List<String> BUILT_IN =
             List.of("restart-most", "state-lost", "stopped-and-woken", "crash-loop");
     /** Agents at the most: each is a process of some 60 MB. */
-    public static final int AGENTS_MOST = 200;
+    public static final int MAX_AGENTS = 200;
 
-    private static final String FOLDER = "processes/";
-    private static final double DAYS = 30 * 86_400;
+    private static final String PLAN_FOLDER = "processes/";
+    private static final double MAX_CLOCK_OFFSET_SECONDS = 30 * 86_400;
 
     private ProcessPlanReader() {}
 
@@ -42,7 +42,7 @@
 
     /** Its text, as a start for plans of one's own. */
     public static String builtInText(String name) throws TomlException {
-        return PlanReader.builtInText(FOLDER + name);
+        return PlanReader.builtInText(PLAN_FOLDER + name);
     }
 
     /** Reads a plan's text. */
@@ -51,23 +51,24 @@
         String name = top.text("name", null);
         String base = top.word("day", "processes", List.of("processes"));
         double seconds = top.number("seconds", null, 2, 3_600);
-        int usual = top.whole("agents", 24, 1, AGENTS_MOST);
-        int nodos = top.whole("nodos", usual, 1, PlanReader.COUNT_MOST);
+        int usual = top.whole("agents", 24, 1, MAX_AGENTS);
+        int nodos = top.whole("nodos", usual, 1, PlanReader.MAX_COUNT);
         boolean keeps = top.flag("keeps", true);
         double load = top.number("load", 0.5, 0.01, 2);
         int agents = asked == null ? usual : asked;
-        if (agents < 1 || agents > AGENTS_MOST) {
-            throw top.bad("agents", "is to be 1 to " + AGENTS_MOST);
+        if (agents < 1 || agents > MAX_AGENTS) {
+            throw top.bad("agents", "is to be 1 to " + MAX_AGENTS);
         }
-        Plan day = PlanReader.parse(base + ".toml", PlanReader.builtInText(FOLDER + base));
-        Plan sized = day.sized(agents, Math.max(1, (nodos * agents + usual - 1) / usual))
+        Plan day = PlanReader.parse(base + ".toml", PlanReader.builtInText(PLAN_FOLDER + base));
+        Plan sized = day.scaledTo(agents, Math.max(1, (nodos * agents + usual - 1) / usual))
                 .withSeconds(seconds);
-        sized = sized.withRate(sized.callers().rate() * load);
+        sized = sized.withRate(sized.clients().rate() * load);
         List<Fault> world = new ArrayList<>();
         for (TomlTable each : top.tables("world")) {
             Fault fault = PlanReader.fault(
                     each, seconds, sized.agents().count(), sized.nodos().count(), sized.zones());
-            if (fault.kind().whom() == Fault.Kind.Whom.AGENTS || fault.kind().ofRegistry()) {
+            if (fault.kind().target() == Fault.Kind.Target.AGENTS
+                    || fault.kind().needsRegistry()) {
                 throw each.bad("kind", "is not of the world; [[faults]] has what happens to processes");
             }
             world.add(fault);
@@ -77,19 +78,19 @@
             faults.add(fault(each, seconds, sized));
         }
         top.finish();
-        return new ProcessPlan(name, sized.with(world), keeps, List.copyOf(faults));
+        return new ProcessPlan(name, sized.withFaults(world), keeps, List.copyOf(faults));
     }
 
     private static ProcessFault fault(TomlTable t, double seconds, Plan day) throws TomlException {
         Kind kind = word(t, "kind", null, Kind.values());
         List<String> names = names(t, "names", "agent-", day.agents().count());
         List<String> nodos = names(t, "nodos", "nodo-", day.nodos().count());
-        if (kind.byHand() == nodos.isEmpty()) {
+        if (kind.isOperatorCall() == nodos.isEmpty()) {
             throw t.bad(
                     "nodos",
-                    kind.byHand()
+                    kind.isOperatorCall()
                             ? "is missing; it says who is taken out or put back"
-                            : "means nothing for " + kind.word());
+                            : "means nothing for " + kind.keyword());
         }
         if (t.has("state") && kind != Kind.KILL) {
             throw t.bad("state", "goes with kind = \"kill\": a folder is changed while its process is dead");
@@ -99,12 +100,12 @@
                 throw t.bad(key, "goes with kind = \"kill\" or \"term\": it is for the next process");
             }
         }
-        if (t.has("links") != kind.ofLinks()) {
+        if (t.has("links") != kind.affectsLinks()) {
             throw t.bad(
                     "links",
-                    kind.ofLinks()
+                    kind.affectsLinks()
                             ? "is missing; it says which links: nodos, padron, callers, door, all"
-                            : "means nothing for " + kind.word());
+                            : "means nothing for " + kind.keyword());
         }
         State state = word(t, "state", State.KEPT, State.values());
         if (t.has("saved_s") != (state == State.OLDER)) {
@@ -124,12 +125,12 @@
                 names,
                 t.range("spread_s", new NumberRange(0, 0), 0, 3600),
                 state,
-                t.number("clock_s", 0.0, -DAYS, DAYS),
+                t.number("clock_s", 0.0, -MAX_CLOCK_OFFSET_SECONDS, MAX_CLOCK_OFFSET_SECONDS),
                 t.whole("disk_kb", 0, 0, 1 << 20),
                 saved,
                 word(t, "links", Links.ALL, Links.values()),
                 word(t, "direction", Direction.BOTH, Direction.values()),
-                kind.sized() ? t.range("size", null, 0.001, 1e6) : new NumberRange(1, 1),
+                kind.needsSize() ? t.range("size", null, 0.001, 1e6) : new NumberRange(1, 1),
                 nodos);
     }
 
--- a/src/main/java/gatefront/rehearsal/processes/ProcessReaper.java
+++ b/src/main/java/gatefront/rehearsal/processes/ProcessReaper.java
@@ -19,11 +19,11 @@
  */
 public final class ProcessReaper implements Closeable {
     private final Process process;
-    private final PrintStream tell;
+    private final PrintStream commands;
 
     private ProcessReaper(Process process) {
         this.process = process;
-        this.tell = new PrintStream(process.getOutputStream(), true, StandardCharsets.US_ASCII);
+        this.commands = new PrintStream(process.getOutputStream(), true, StandardCharsets.US_ASCII);
     }
 
     /** Starts one. */
@@ -43,13 +43,13 @@
     }
 
     /** From now on it answers for a process. */
-    public synchronized void charge(long pid) {
-        tell.println("+ " + pid);
+    public synchronized void watch(long pid) {
+        commands.println("+ " + pid);
     }
 
     /** A process has ended. */
-    public synchronized void discharge(long pid) {
-        tell.println("- " + pid);
+    public synchronized void unwatch(long pid) {
+        commands.println("- " + pid);
     }
 
     /** Its own id. */
@@ -60,7 +60,7 @@
     /** Ends what is left, and itself. */
     @Override
     public void close() {
-        tell.close();
+        commands.close();
         try {
             process.waitFor();
         } catch (InterruptedException e) {
--- a/src/main/java/gatefront/rehearsal/processes/Relay.java
+++ b/src/main/java/gatefront/rehearsal/processes/Relay.java
@@ -34,28 +34,28 @@
  */
 public final class Relay {
     /** Held back for one direction of a connection before reading stops, so that senders feel it. */
-    private static final int QUEUE_MOST = 256 << 10;
+    private static final int MAX_QUEUED_BYTES = 256 << 10;
 
     private static final int BACKLOG = 1_024;
-    private static final int DIAL_MS = 3_000;
+    private static final int CONNECT_TIMEOUT_MS = 3_000;
 
     /** The two directions of a link. */
-    public enum Way {
+    public enum Flow {
         /** From whoever dials to whoever listens. */
-        FORTH,
+        UPSTREAM,
         /** The other way. */
-        BACK
+        DOWNSTREAM
     }
 
     private final EventLoop loop;
-    private final InetSocketAddress target;
-    private final Channel server;
-    private final LinkConditions[] shapes = {LinkConditions.CLEAR, LinkConditions.CLEAR};
+    private final InetSocketAddress destination;
+    private final Channel listener;
+    private final LinkConditions[] conditions = {LinkConditions.CLEAR, LinkConditions.CLEAR};
     /** Connections through it; each removes itself when both of its ends have closed. */
-    private final Set<Pair> pairs = new LinkedHashSet<>();
+    private final Set<Connection> connections = new LinkedHashSet<>();
 
     private volatile boolean clear = true;
-    private long made;
+    private long connectionCount;
 
     /**
      * Listens from now on.
@@ -67,7 +67,7 @@
      */
     public Relay(EventLoop loop, InetAddress host, InetSocketAddress target) throws IOException {
         this.loop = loop;
-        this.target = target;
+        this.destination = target;
         var bound = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -78,8 +78,8 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel near) {
-                        Pair pair = new Pair(near);
-                        pairs.add(pair);
+                        Connection pair = new Connection(near);
+                        connections.add(pair);
                         near.pipeline().addLast(pair.ends[0]);
                     }
                 })
@@ -88,53 +88,53 @@
         if (!bound.isSuccess()) {
             throw new IOException("a relay cannot listen: " + bound.cause().getMessage(), bound.cause());
         }
-        server = bound.channel();
+        listener = bound.channel();
     }
 
     /** Where it listens. */
     public InetSocketAddress address() {
-        return (InetSocketAddress) server.localAddress();
+        return (InetSocketAddress) listener.localAddress();
     }
 
     /** Whether nothing is done to it now, so that what is written arrives; from any thread. */
-    public boolean clear() {
+    public boolean isClear() {
         return clear;
     }
 
     /** Shapes one direction, from now on; from any thread. */
-    public void shape(Way way, LinkConditions shape) {
+    public void setConditions(Flow way, LinkConditions shape) {
         if (shape != LinkConditions.CLEAR) {
             clear = false;
         }
         loop.execute(() -> {
-            shapes[way.ordinal()] = shape;
-            clear = shapes[0] == LinkConditions.CLEAR && shapes[1] == LinkConditions.CLEAR;
-            List.copyOf(pairs).forEach(Pair::go);
+            conditions[way.ordinal()] = shape;
+            clear = conditions[0] == LinkConditions.CLEAR && conditions[1] == LinkConditions.CLEAR;
+            List.copyOf(connections).forEach(Connection::connectAndForward);
         });
     }
 
     /** Resets all its connections, at both ends; from any thread. */
     public void reset() {
-        loop.execute(() -> List.copyOf(pairs).forEach(Pair::reset));
+        loop.execute(() -> List.copyOf(connections).forEach(Connection::reset));
     }
 
     /** Ends the far ends of its connections; the near ones are told nothing, as when a machine loses its state. */
     public void halfOpen() {
-        loop.execute(() -> List.copyOf(pairs).forEach(Pair::halfOpen));
+        loop.execute(() -> List.copyOf(connections).forEach(Connection::halfOpen));
     }
 
     /** Ends it; from any thread. */
     public void close() {
-        server.close();
+        listener.close();
         reset();
     }
 
     /** How many connections it has carried; to be asked on its loop. */
-    long made() {
-        return made;
+    long connectionCount() {
+        return connectionCount;
     }
 
-    private long now() {
+    private long nowMicros() {
         return TimeUnit.NANOSECONDS.toMicros(loop.ticker().nanoTime());
     }
 
@@ -146,28 +146,28 @@
     }
 
     /** What passes in one direction: bytes, the end of them, or a reset in their place. */
-    private record Piece(long due, ByteBuf bytes, boolean reset) {}
+    private record Chunk(long dueMicros, ByteBuf bytes, boolean reset) {}
 
     /** One connection and the one that goes on from it. */
-    private final class Pair {
-        final End[] ends = {new End(Way.FORTH), new End(Way.BACK)};
+    private final class Connection {
+        final End[] ends = {new End(Flow.UPSTREAM), new End(Flow.DOWNSTREAM)};
         private boolean dialled;
         private boolean halfOpen;
 
-        Pair(Channel near) {
+        Connection(Channel near) {
             ends[0].channel = near;
-            made++;
+            connectionCount++;
         }
 
         /** Dials where that has not been, and passes on what may pass. */
-        void go() {
-            if (!dialled && !shapes[0].held() && !shapes[1].held()) {
+        void connectAndForward() {
+            if (!dialled && !conditions[0].blocked() && !conditions[1].blocked()) {
                 dialled = true;
                 new Bootstrap()
                         .group(loop)
                         .channel(NioSocketChannel.class)
                         .disableResolver()
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DIAL_MS)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                         .option(ChannelOption.AUTO_READ, false)
                         .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
                         .option(ChannelOption.TCP_NODELAY, true)
@@ -178,7 +178,7 @@
                                 far.pipeline().addLast(ends[1]);
                             }
                         })
-                        .connect(target)
+                        .connect(destination)
                         .addListener(done -> {
                             if (halfOpen) {
                                 return; // the far end has gone while it came up, and the near one is not to know
@@ -186,26 +186,26 @@
                             if (!done.isSuccess() || !ends[0].channel.isOpen()) {
                                 reset();
                             } else {
-                                ends[0].reads(true);
-                                ends[1].reads(true);
+                                ends[0].setReading(true);
+                                ends[1].setReading(true);
                             }
                         });
             }
-            ends[0].pass();
-            ends[1].pass();
+            ends[0].forward();
+            ends[1].forward();
         }
 
         void reset() {
             for (End each : ends) {
-                each.drop();
+                each.discardQueue();
                 Relay.reset(each.channel);
             }
-            pairs.remove(this);
+            connections.remove(this);
         }
 
         void halfOpen() {
             halfOpen = true;
-            ends[0].drop();
+            ends[0].discardQueue();
             Relay.reset(ends[1].channel);
         }
 
@@ -214,40 +214,40 @@
         }
 
         /** Both ends are done: nothing waits and nothing more comes. */
-        void over() {
+        void removeIfClosed() {
             boolean closed = true;
             for (End each : ends) {
                 closed &= each.channel == null || !each.channel.isOpen();
             }
             if (closed) {
-                ends[0].drop();
-                ends[1].drop();
-                pairs.remove(this);
+                ends[0].discardQueue();
+                ends[1].discardQueue();
+                connections.remove(this);
             }
         }
 
         /** One of its ends, and what has been read there and not yet been written to the other. */
         private final class End extends ChannelInboundHandlerAdapter {
-            private final Way way;
-            private final TrafficShaper conduit = new TrafficShaper();
-            private final Deque<Piece> queue = new ArrayDeque<>();
+            private final Flow flow;
+            private final TrafficShaper shaper = new TrafficShaper();
+            private final Deque<Chunk> queue = new ArrayDeque<>();
             private Channel channel;
-            private int queued;
-            private boolean ended;
-            private boolean waking;
+            private int queuedBytes;
+            private boolean inputEnded;
+            private boolean forwardScheduled;
 
-            End(Way way) {
-                this.way = way;
+            End(Flow way) {
+                this.flow = way;
             }
 
-            private void reads(boolean on) {
+            private void setReading(boolean on) {
                 channel.config().setAutoRead(on);
             }
 
             @Override
             public void channelActive(ChannelHandlerContext ctx) {
-                if (way == Way.FORTH) {
-                    go();
+                if (flow == Flow.UPSTREAM) {
+                    connectAndForward();
                 }
             }
 
@@ -259,54 +259,56 @@
                     return;
                 }
                 int size = bytes.readableBytes();
-                queued += size;
-                queue.addLast(new Piece(conduit.due(now(), size, shapes[way.ordinal()]), bytes, false));
-                if (queued > QUEUE_MOST) {
-                    reads(false);
+                queuedBytes += size;
+                queue.addLast(
+                        new Chunk(shaper.departureTime(nowMicros(), size, conditions[flow.ordinal()]), bytes, false));
+                if (queuedBytes > MAX_QUEUED_BYTES) {
+                    setReading(false);
                 }
-                pass();
+                forward();
             }
 
             @Override
             public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
                 if (event instanceof ChannelInputShutdownEvent) {
-                    ends(false);
+                    endInput(false);
                 }
             }
 
             @Override
             public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                ends(true);
+                endInput(true);
                 ctx.close();
             }
 
             @Override
             public void channelInactive(ChannelHandlerContext ctx) {
-                ends(true);
-                over();
+                endInput(true);
+                removeIfClosed();
             }
 
             /** Nothing more comes from here. */
-            private void ends(boolean reset) {
-                if (!ended && !halfOpen) {
-                    ended = true;
-                    queue.addLast(new Piece(conduit.due(now(), 0, shapes[way.ordinal()]), null, reset));
-                    pass();
+            private void endInput(boolean reset) {
+                if (!inputEnded && !halfOpen) {
+                    inputEnded = true;
+                    queue.addLast(
+                            new Chunk(shaper.departureTime(nowMicros(), 0, conditions[flow.ordinal()]), null, reset));
+                    forward();
                 }
             }
 
             /** Writes to the other end what is due, and wakes up for the next. */
-            void pass() {
+            void forward() {
                 Channel to = other(this).channel;
                 boolean wrote = false;
                 while (!queue.isEmpty()
-                        && !shapes[way.ordinal()].held()
+                        && !conditions[flow.ordinal()].blocked()
                         && to != null
                         && to.isActive()
-                        && queue.peekFirst().due() <= now()) {
-                    Piece piece = queue.removeFirst();
+                        && queue.peekFirst().dueMicros() <= nowMicros()) {
+                    Chunk piece = queue.removeFirst();
                     if (piece.bytes() != null) {
-                        queued -= piece.bytes().readableBytes();
+                        queuedBytes -= piece.bytes().readableBytes();
                         to.write(piece.bytes());
                         wrote = true;
                     } else if (piece.reset()) {
@@ -314,44 +316,44 @@
                         Relay.reset(to);
                     } else {
                         to.flush();
-                        ((DuplexChannel) to).shutdownOutput().addListener(done -> over());
+                        ((DuplexChannel) to).shutdownOutput().addListener(done -> removeIfClosed());
                     }
                 }
                 if (wrote) {
                     to.flush();
                 }
-                if (queued <= QUEUE_MOST / 2
-                        && !ended
+                if (queuedBytes <= MAX_QUEUED_BYTES / 2
+                        && !inputEnded
                         && dialled
                         && channel.isOpen()
                         && to != null
                         && to.isActive()
                         && !channel.config().isAutoRead()) {
-                    reads(true);
+                    setReading(true);
                 }
                 if (to != null && !to.isOpen()) {
-                    drop();
-                } else if (!queue.isEmpty() && !shapes[way.ordinal()].held() && !waking) {
-                    waking = true;
-                    long wait = Math.max(0, queue.peekFirst().due() - now());
+                    discardQueue();
+                } else if (!queue.isEmpty() && !conditions[flow.ordinal()].blocked() && !forwardScheduled) {
+                    forwardScheduled = true;
+                    long wait = Math.max(0, queue.peekFirst().dueMicros() - nowMicros());
                     loop.schedule(
                             () -> {
-                                waking = false;
-                                pass();
+                                forwardScheduled = false;
+                                forward();
                             },
                             Math.max(wait, 100),
                             TimeUnit.MICROSECONDS);
                 }
             }
 
-            void drop() {
-                for (Piece each : new ArrayList<>(queue)) {
+            void discardQueue() {
+                for (Chunk each : new ArrayList<>(queue)) {
                     if (each.bytes() != null) {
                         each.bytes().release();
                     }
                 }
                 queue.clear();
-                queued = 0;
+                queuedBytes = 0;
             }
         }
     }
--- a/src/main/java/gatefront/rehearsal/processes/StartTimeline.java
+++ b/src/main/java/gatefront/rehearsal/processes/StartTimeline.java
@@ -24,42 +24,42 @@
     private static final double MILLIS = 1e3;
 
     private static final class Start {
-        private final long at;
-        private final long[] marks = {-1, -1, -1};
+        private final long startedAt;
+        private final long[] elapsedMicros = {-1, -1, -1};
 
         Start(long at) {
-            this.at = at;
+            this.startedAt = at;
         }
     }
 
-    private final Map<Integer, Start> now = new HashMap<>();
-    private final List<Start> all = new ArrayList<>();
+    private final Map<Integer, Start> latestStarts = new HashMap<>();
+    private final List<Start> starts = new ArrayList<>();
 
     /** A process of an agent has been started. */
     public void started(int agent, long at) {
         Start start = new Start(at);
-        now.put(agent, start);
-        all.add(start);
+        latestStarts.put(agent, start);
+        starts.add(start);
     }
 
     /** It has come so far; only the first time counts. */
     public void reached(int agent, Mark mark, long at) {
-        Start start = now.get(agent);
-        if (start != null && start.marks[mark.ordinal()] < 0) {
-            start.marks[mark.ordinal()] = at - start.at;
+        Start start = latestStarts.get(agent);
+        if (start != null && start.elapsedMicros[mark.ordinal()] < 0) {
+            start.elapsedMicros[mark.ordinal()] = at - start.startedAt;
         }
     }
 
     /** Only what starts from now on counts. */
-    public void opens() {
-        all.clear();
-        now.clear();
+    public void reset() {
+        starts.clear();
+        latestStarts.clear();
     }
 
     /** Milliseconds until a mark, of all starts that reached it, the shortest first. */
-    public double[] until(Mark mark) {
-        return all.stream()
-                .mapToLong(each -> each.marks[mark.ordinal()])
+    public double[] millisUntil(Mark mark) {
+        return starts.stream()
+                .mapToLong(each -> each.elapsedMicros[mark.ordinal()])
                 .filter(each -> each >= 0)
                 .mapToDouble(each -> each / MILLIS)
                 .sorted()
@@ -67,10 +67,10 @@
     }
 
     /** One line: medians and worst. */
-    public String line() {
-        StringBuilder line = new StringBuilder(all.size() + " starts under way");
+    public String summary() {
+        StringBuilder line = new StringBuilder(starts.size() + " starts under way");
         for (Mark each : Mark.values()) {
-            double[] until = until(each);
+            double[] until = millisUntil(each);
             line.append(
                     until.length == 0
                             ? ""
--- a/src/main/java/gatefront/rehearsal/processes/TrafficShaper.java
+++ b/src/main/java/gatefront/rehearsal/processes/TrafficShaper.java
@@ -7,17 +7,17 @@
 final class TrafficShaper {
     private static final double MICROS = 1e6;
 
-    private long last = Long.MIN_VALUE;
-    private double free = Double.NEGATIVE_INFINITY;
+    private long lastDeparture = Long.MIN_VALUE;
+    private double linkFreeAt = Double.NEGATIVE_INFINITY;
 
     /** When bytes that have come now may leave, as the link is shaped now. */
-    long due(long now, int bytes, LinkConditions shape) {
+    long departureTime(long now, int bytes, LinkConditions shape) {
         long due = now + shape.delayMicros();
-        if (shape.bytesASecond() > 0) {
-            free = Math.max(free, now) + MICROS * bytes / shape.bytesASecond();
-            due = Math.max(due, (long) free);
+        if (shape.bytesPerSecond() > 0) {
+            linkFreeAt = Math.max(linkFreeAt, now) + MICROS * bytes / shape.bytesPerSecond();
+            due = Math.max(due, (long) linkFreeAt);
         }
-        last = Math.max(last, due);
-        return last;
+        lastDeparture = Math.max(lastDeparture, due);
+        return lastDeparture;
     }
 }
--- a/src/test/java/gatefront/rehearsal/FaultsTest.java
+++ b/src/test/java/gatefront/rehearsal/FaultsTest.java
@@ -31,7 +31,7 @@
     }
 
     private static RehearsalResult play(Fault... faults) throws Exception {
-        Plan plan = PlanReader.builtIn("calm").withSeconds(SECONDS).with(List.of(faults));
+        Plan plan = PlanReader.builtIn("calm").withSeconds(SECONDS).withFaults(List.of(faults));
         RehearsalResult outcome = new Rehearsal(plan, 2).play();
         assertEquals(List.of(), outcome.breaches());
         return outcome;
@@ -243,8 +243,9 @@
                     "nodo-" + (first + 2),
                     "nodo-" + (first + 3)));
         }
-        Plan plan = PlanReader.builtIn("calm").withSeconds(SECONDS).with(waves);
-        int keyed = plan.classes().stream().map(Plan.Kind::name).toList().indexOf("pago-recibo");
+        Plan plan = PlanReader.builtIn("calm").withSeconds(SECONDS).withFaults(waves);
+        int keyed =
+                plan.classes().stream().map(Plan.RequestClass::name).toList().indexOf("pago-recibo");
         long window = (long) (1000 * plan.classes().get(keyed).windowMs());
         RehearsalResult outcome = new Rehearsal(plan, 2, agent -> new FaultyAgentTest.Faulty(agent) {
                     private final Map<Long, Integer> zones = new HashMap<>();
--- a/src/test/java/gatefront/rehearsal/FaultyAgentTest.java
+++ b/src/test/java/gatefront/rehearsal/FaultyAgentTest.java
@@ -96,7 +96,7 @@
     private static Plan failing() throws Exception {
         return PlanReader.builtIn("calm")
                 .withSeconds(15)
-                .with(List.of(
+                .withFaults(List.of(
                         new Fault(Fault.Kind.SLOW, at(1), at(10), 0.2, List.of(), at(2), at(1)),
                         new Fault(Fault.Kind.FAIL, at(2), at(10), 0.5, List.of(), at(0.3), at(1)),
                         new Fault(Fault.Kind.PADRON_SILENT, at(4), at(1), 0, List.of(), at(1), at(1))));
@@ -345,7 +345,7 @@
                 small.faults().stream().map(Fault::kind).toList(),
                 steps.toString());
         assertTrue(small.faults().get(0).names().size() < 7, steps.toString());
-        assertTrue(small.seconds() < 15 && small.callers().rate() <= 210, steps.toString());
+        assertTrue(small.seconds() < 15 && small.clients().rate() <= 210, steps.toString());
         Plan again = PlanReader.parse("again", PlanWriter.text(small));
         assertEquals(
                 "refused, though an attempt may have run",
--- a/src/test/java/gatefront/rehearsal/ProcessRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/ProcessRehearsalTest.java
@@ -39,7 +39,7 @@
     }
 
     private static long broken(ProcessRehearsalResult outcome, Rule rule) {
-        return outcome.outcome().breaches().stream()
+        return outcome.result().breaches().stream()
                 .filter(each -> each.rule() == rule)
                 .count();
     }
@@ -47,8 +47,8 @@
     @Test
     void callsByHandHoldOverDeathsAndALostStoreIsTold() throws Exception {
         ProcessRehearsalResult outcome = play("state-lost", 15);
-        assertEquals(List.of(), outcome.hand().breaches());
-        assertTrue(outcome.hand().held() >= 2 * AGENTS, "every agent said yes to both calls");
+        assertEquals(List.of(), outcome.manualDrains().breaches());
+        assertTrue(outcome.manualDrains().held() >= 2 * AGENTS, "every agent said yes to both calls");
         assertEquals(
                 0, broken(outcome, Rule.NO_EFFECT_TWICE), outcome.breaches().toString());
         String history = Files.readString(dir.resolve("history.jsonl"));
@@ -61,7 +61,8 @@
     @Test
     void withoutWhatKeepsThemTheJudgeFindsIt() throws Exception {
         assertNotEquals(
-                0, play("state-lost", 15, "kept-bans", "named-loss").hand().count());
+                0,
+                play("state-lost", 15, "kept-bans", "named-loss").manualDrains().count());
     }
 
     @Test
--- a/src/test/java/gatefront/rehearsal/RealRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/RealRehearsalTest.java
@@ -23,7 +23,7 @@
         String text = PlanReader.builtInText("demo")
                 .replace("seconds = 1", "seconds = 8")
                 .replace("rate = 1", "rate = 40");
-        return PlanReader.parse("small", text).with(List.of(faults));
+        return PlanReader.parse("small", text).withFaults(List.of(faults));
     }
 
     private static NumberRange at(double figure) {
--- a/src/test/java/gatefront/rehearsal/RehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/RehearsalTest.java
@@ -94,8 +94,8 @@
     @Test
     void seedsAreSummedUpInTheirOrder() throws Exception {
         SeedCampaign.Summary summary = SeedCampaign.play(rough(12), 1, 6, done -> {}, broken -> {});
-        assertEquals(6, summary.played());
-        assertEquals(0, summary.broken(), summary.text());
+        assertEquals(6, summary.runs());
+        assertEquals(0, summary.brokenRuns(), summary.format());
         RehearsalResult third = new Rehearsal(rough(12), 3).play();
         assertTrue(summary.services().contains(third.service()), "threads beside it change nothing");
     }
--- a/src/test/java/gatefront/rehearsal/processes/ProcessPartsTest.java
+++ b/src/test/java/gatefront/rehearsal/processes/ProcessPartsTest.java
@@ -26,9 +26,9 @@
         Process left = new ProcessBuilder("sleep", "600").start();
         Process over = new ProcessBuilder("sleep", "600").start();
         try (ProcessReaper warden = ProcessReaper.start()) {
-            warden.charge(left.pid());
-            warden.charge(over.pid());
-            warden.discharge(over.pid());
+            warden.watch(left.pid());
+            warden.watch(over.pid());
+            warden.unwatch(over.pid());
         }
         assertTrue(left.waitFor(10, TimeUnit.SECONDS), "it is ended");
         assertTrue(over.isAlive(), "what it no longer answers for is left alone");
@@ -40,20 +40,20 @@
         Path from = Files.createDirectories(dir.resolve("a/inner"));
         Path file = Files.write(from.resolve("f"), new byte[100]);
         FolderFaults.copy(dir.resolve("a"), dir.resolve("b"));
-        FolderFaults.flip(dir.resolve("a"), 1234);
+        FolderFaults.flipBitInNewestFile(dir.resolve("a"), 1234);
         byte[] flipped = Files.readAllBytes(file);
         assertEquals(
                 1,
                 java.util.stream.IntStream.range(0, 100)
                         .filter(i -> flipped[i] != 0)
                         .count());
-        FolderFaults.tear(dir.resolve("a"));
+        FolderFaults.truncateNewestFile(dir.resolve("a"));
         assertEquals(75, Files.size(file));
         assertArrayEquals(new byte[100], Files.readAllBytes(dir.resolve("b/inner/f")));
         from.toFile().setWritable(false);
-        FolderFaults.remove(dir.resolve("a"));
+        FolderFaults.delete(dir.resolve("a"));
         assertTrue(!Files.exists(dir.resolve("a")));
-        assertNull(FolderFaults.newest(Files.createDirectory(dir.resolve("c"))));
+        assertNull(FolderFaults.newestFile(Files.createDirectory(dir.resolve("c"))));
     }
 
     @Test
@@ -115,26 +115,27 @@
     @Test
     void latenessIsWhatLiesBetween() {
         LoopLateness late = new LoopLateness();
-        late.seen(1_000, 1_500);
-        assertEquals(0, late.worst(), "what any timer has");
-        late.seen(10_000, 50_000);
-        assertEquals(40_000, late.between(0, 10_000));
-        assertEquals(40_000, late.between(49_000, 90_000));
-        assertEquals(0, late.between(51_000, 90_000));
-        assertEquals(1, late.over(20_000));
-        late.opens();
-        assertEquals(0, late.worst());
+        late.record(1_000, 1_500);
+        assertEquals(0, late.maxMicros(), "what any timer has");
+        late.record(10_000, 50_000);
+        assertEquals(40_000, late.maxBetween(0, 10_000));
+        assertEquals(40_000, late.maxBetween(49_000, 90_000));
+        assertEquals(0, late.maxBetween(51_000, 90_000));
+        assertEquals(1, late.countOver(20_000));
+        late.reset();
+        assertEquals(0, late.maxMicros());
     }
 
     @Test
     void builtInPlansAreReadAtTheirSizeAndSmaller() throws TomlException {
         for (String each : ProcessPlanReader.BUILT_IN) {
             assertEquals(
-                    24, ProcessPlanReader.builtIn(each, null).day().agents().count());
+                    24,
+                    ProcessPlanReader.builtIn(each, null).basePlan().agents().count());
             ProcessPlan small = ProcessPlanReader.builtIn(each, 14);
-            assertEquals(14, small.day().nodos().count());
-            assertTrue(small.firstFault() > 0);
-            assertEquals(0, small.twin().day().faults().size());
+            assertEquals(14, small.basePlan().nodos().count());
+            assertTrue(small.firstFaultSecond() > 0);
+            assertEquals(0, small.baseline().basePlan().faults().size());
         }
     }
 
--- a/src/test/java/gatefront/rehearsal/processes/RelayTest.java
+++ b/src/test/java/gatefront/rehearsal/processes/RelayTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.rehearsal.processes.Relay.Way;
+import gatefront.rehearsal.processes.Relay.Flow;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -48,8 +48,8 @@
     }
 
     /** Shapes it, and waits until the loop has heard: what is read in the same turn would come before. */
-    private void shape(Way way, LinkConditions shape) throws InterruptedException {
-        relay.shape(way, shape);
+    private void shape(Flow way, LinkConditions shape) throws InterruptedException {
+        relay.setConditions(way, shape);
         group.next().submit(() -> {}).sync();
     }
 
@@ -104,26 +104,26 @@
 
     @Test
     void aCutHoldsOneDirectionAndHealingBringsIt() throws Exception {
-        shape(Way.FORTH, LinkConditions.HELD);
+        shape(Flow.UPSTREAM, LinkConditions.BLOCKED);
         near.getOutputStream().write(bytes(5));
         far.setSoTimeout(200);
         assertThrows(SocketTimeoutException.class, () -> far.getInputStream().read());
         far.getOutputStream().write(bytes(4));
         assertArrayEquals(bytes(4), near.getInputStream().readNBytes(4), "the other direction goes on");
-        assertTrue(!relay.clear());
+        assertTrue(!relay.isClear());
         far.setSoTimeout(5_000);
-        shape(Way.FORTH, LinkConditions.CLEAR);
+        shape(Flow.UPSTREAM, LinkConditions.CLEAR);
         assertArrayEquals(bytes(5), far.getInputStream().readNBytes(5));
     }
 
     @Test
     void aConnectionToACutLinkStaysSilentUntilItIsHealed() throws Exception {
-        shape(Way.BACK, LinkConditions.HELD);
+        shape(Flow.DOWNSTREAM, LinkConditions.BLOCKED);
         try (Socket other = dial()) {
             other.getOutputStream().write(bytes(3));
             server.setSoTimeout(200);
             assertThrows(SocketTimeoutException.class, () -> server.accept());
-            shape(Way.BACK, LinkConditions.CLEAR);
+            shape(Flow.DOWNSTREAM, LinkConditions.CLEAR);
             server.setSoTimeout(5_000);
             try (Socket reached = server.accept()) {
                 assertArrayEquals(bytes(3), reached.getInputStream().readNBytes(3));
@@ -133,12 +133,12 @@
 
     @Test
     void delayAndThrottleTakeAtLeastTheirTime() throws Exception {
-        shape(Way.FORTH, new LinkConditions(false, 150_000, 0));
+        shape(Flow.UPSTREAM, new LinkConditions(false, 150_000, 0));
         long at = System.nanoTime();
         near.getOutputStream().write(bytes(5));
         assertArrayEquals(bytes(5), far.getInputStream().readNBytes(5));
         assertTrue(System.nanoTime() - at >= 140_000_000);
-        shape(Way.FORTH, new LinkConditions(false, 0, 100_000));
+        shape(Flow.UPSTREAM, new LinkConditions(false, 0, 100_000));
         at = System.nanoTime();
         near.getOutputStream().write(bytes(30_000));
         assertArrayEquals(bytes(30_000), far.getInputStream().readNBytes(30_000));
@@ -174,14 +174,14 @@
                 now += random.nextInt(2_000);
                 int size = random.nextInt(1_000);
                 bytes += size;
-                long due = conduit.due(now, size, shape);
+                long due = conduit.departureTime(now, size, shape);
                 assertTrue(due >= last && due >= now + shape.delayMicros());
-                assertTrue(due >= 1e6 * bytes / shape.bytesASecond() - 1, "never faster than the link");
+                assertTrue(due >= 1e6 * bytes / shape.bytesPerSecond() - 1, "never faster than the link");
                 last = due;
             }
             assertEquals(
                     Math.max(last, now),
-                    conduit.due(now, 0, LinkConditions.CLEAR),
+                    conduit.departureTime(now, 0, LinkConditions.CLEAR),
                     "what comes later does not overtake");
         }
     }
