--- a/src/main/java/gatefront/cli/DemoCommand.java
+++ b/src/main/java/gatefront/cli/DemoCommand.java
@@ -22,7 +22,7 @@
     @Override
     public Integer call() throws Exception {
         PrintWriter out = spec.commandLine().getOut();
-        Demo demo = new Demo(PlanReader.builtIn("demo"), RealRehearsal.ownCommand(), line -> {
+        Demo demo = new Demo(PlanReader.builtIn("demo"), RealRehearsal.currentJvmCommand(), line -> {
             out.println("agent: " + line);
             out.flush();
         });
--- a/src/main/java/gatefront/cli/ProcessesCommand.java
+++ b/src/main/java/gatefront/cli/ProcessesCommand.java
@@ -109,7 +109,7 @@
         ProcessRehearsalResult outcome = new ProcessRehearsal(
                         read,
                         with,
-                        RealRehearsal.ownCommand(),
+                        RealRehearsal.currentJvmCommand(),
                         without,
                         into == null ? null : into.resolve("history.jsonl"))
                 .play(done -> {});
@@ -133,7 +133,7 @@
         double full = -1;
         if (!noTwin && read.firstFaultSecond() >= 0) {
             ProcessRehearsalResult twin = new ProcessRehearsal(
-                            read.baseline(), with, RealRehearsal.ownCommand(), Set.of(), null)
+                            read.baseline(), with, RealRehearsal.currentJvmCommand(), Set.of(), null)
                     .play(done -> {});
             full = outcome.recoverySeconds(twin);
             out.println("  "
--- a/src/main/java/gatefront/cli/RehearseCommand.java
+++ b/src/main/java/gatefront/cli/RehearseCommand.java
@@ -109,7 +109,7 @@
         boolean watched = System.console() != null && !json;
         long began = System.nanoTime();
         RehearsalResult outcome = real
-                ? new RealRehearsal(read, seed, RealRehearsal.ownCommand()).play(done -> progress(watched, done))
+                ? new RealRehearsal(read, seed, RealRehearsal.currentJvmCommand()).play(done -> progress(watched, done))
                 : new Rehearsal(read, seed)
                         .progress(done -> progress(watched, done))
                         .play();
@@ -117,7 +117,7 @@
             JsonReport.write(outcome, report);
         }
         if (json) {
-            out.print(new String(JsonReport.bytes(outcome), StandardCharsets.UTF_8));
+            out.print(new String(JsonReport.toBytes(outcome), StandardCharsets.UTF_8));
         } else {
             summary(outcome, (System.nanoTime() - began) / 1e9, out);
         }
--- a/src/main/java/gatefront/rehearsal/Demo.java
+++ b/src/main/java/gatefront/rehearsal/Demo.java
@@ -16,7 +16,7 @@
 
 /** One agent in a process of its own and stand-in nodos on loopback, to be tried by hand. */
 public final class Demo implements AutoCloseable {
-    private static final long READY_MS = 30_000;
+    private static final long READY_TIMEOUT_MS = 30_000;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Path folder;
@@ -33,7 +33,7 @@
     public Demo(Plan plan, List<String> command, Consumer<String> log) throws IOException {
         folder = Files.createTempDirectory("gatefront-demo");
         EventLoop loop = group.next();
-        LoopbackAddresses addresses = LoopbackAddresses.ofProcess();
+        LoopbackAddresses addresses = LoopbackAddresses.forThisProcess();
         try {
             day = loop.submit(() -> {
                         RunContext made = new RunContext(
@@ -49,7 +49,7 @@
                         return made;
                     })
                     .get();
-            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
+            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
             while (!day.agents.get(0).ready()) {
                 if (System.nanoTime() > end) {
                     throw new IOException("the agent did not get ready");
--- a/src/main/java/gatefront/rehearsal/HtmlReport.java
+++ b/src/main/java/gatefront/rehearsal/HtmlReport.java
@@ -8,14 +8,14 @@
 /** The report as one self-contained page: plots in SVG, no scripts, nothing loaded from elsewhere. */
 final class HtmlReport {
     private static final int WIDTH = 980;
-    private static final int LEFT = 64;
-    private static final int PLOT = WIDTH - LEFT - 16;
+    private static final int PLOT_LEFT = 64;
+    private static final int PLOT_WIDTH = WIDTH - PLOT_LEFT - 16;
     private static final String[] FATE_COLOURS = {"#2a7f62", "#e0b040", "#5b7db1", "#c0504d", "#7f7f7f"};
     private static final String[] FATE_WORDS = {"in time", "late", "refused", "failed", "no answer"};
-    private static final String[] LINES = {"#1b6ca8", "#d1495b", "#2e933c", "#8e5ea2", "#c77d0a", "#3b3b3b"};
+    private static final String[] LINE_COLOURS = {"#1b6ca8", "#d1495b", "#2e933c", "#8e5ea2", "#c77d0a", "#3b3b3b"};
 
-    private static final String[] TOLD = {"Ready", "Terminating", "Gone"};
-    private static final String[] TOLD_COLOURS = {"#2e933c", "#e0a000", "#c01010"};
+    private static final String[] STATUSES = {"Ready", "Terminating", "Gone"};
+    private static final String[] STATUS_COLOURS = {"#2e933c", "#e0a000", "#c01010"};
 
     private final RehearsalResult outcome;
     private final RunRecorder record;
@@ -30,29 +30,29 @@
 
     static String of(RehearsalResult outcome) {
         HtmlReport page = new HtmlReport(outcome);
-        page.head();
-        page.worth();
-        page.classes();
-        page.attempts();
-        page.nodos();
-        page.tables();
-        page.breaches();
+        page.writeHeader();
+        page.writeOutcomePlot();
+        page.writeClassPlot();
+        page.writeAttemptPlots();
+        page.writeNodoPlot();
+        page.writeTables();
+        page.writeBreaches();
         page.out.append("</main></body></html>\n");
         return page.out.toString();
     }
 
-    private void add(String format, Object... values) {
+    private void append(String format, Object... values) {
         out.append(String.format(Locale.ROOT, format, values));
     }
 
-    private static String text(String raw) {
+    private static String escape(String raw) {
         return raw.replace("&", "&amp;")
                 .replace("<", "&lt;")
                 .replace(">", "&gt;")
                 .replace("\"", "&quot;");
     }
 
-    private void head() {
+    private void writeHeader() {
         out.append(
                 """
             <!DOCTYPE html><html lang="en"><head><meta charset="utf-8"><title>Rehearsal</title><style>
@@ -67,20 +67,20 @@
             .row{display:flex;gap:48px;margin:10px 0}.grey{color:#666}
             </style></head><body><main>
             """);
-        add(
+        append(
                 "<h1>Rehearsal: %s</h1><p class=\"grey\">seed %d · %s s · %d agents · %d nodos · %s requests a "
                         + "second, %.0f%% of what the nodos can do when nothing is wrong</p>",
-                text(plan.name()),
+                escape(plan.name()),
                 outcome.seed(),
-                plain(plan.seconds()),
+                number(plan.seconds()),
                 plan.agents().count(),
                 plan.nodos().count(),
-                plain(plan.clients().rate()),
+                number(plan.clients().rate()),
                 100
                         * outcome.cast().demand(plan.clients().rate())
                         / outcome.cast().capacity());
         int worst = record.worstFrom();
-        add(
+        append(
                 "<div class=\"row\"><div><div class=\"big\">%.1f%%</div>service: worth answered in time, of what was "
                         + "asked for</div><div><div class=\"big\">%.1f%%</div>in the worst ten seconds, from %d s</div>"
                         + "<div><div class=\"big %s\">%s</div>the four rules</div></div>",
@@ -91,18 +91,18 @@
                 outcome.broken() == 0 ? "kept" : "broken " + outcome.broken() + "×");
     }
 
-    private static String plain(double value) {
+    private static String number(double value) {
         return value == Math.rint(value) ? String.valueOf((long) value) : String.valueOf(value);
     }
 
     private double x(double second) {
-        return LEFT + PLOT * second / record.seconds;
+        return PLOT_LEFT + PLOT_WIDTH * second / record.seconds;
     }
 
-    private void open(int height, int bandRows) {
-        add("<svg viewBox=\"0 0 %d %d\" width=\"%d\" height=\"%d\" role=\"img\">", WIDTH, height, WIDTH, height);
+    private void openSvg(int height, int bandRows) {
+        append("<svg viewBox=\"0 0 %d %d\" width=\"%d\" height=\"%d\" role=\"img\">", WIDTH, height, WIDTH, height);
         if (bandRows > 0) {
-            bands(height - 22);
+            writeBands(height - 22);
         }
     }
 
@@ -111,52 +111,54 @@
     }
 
     /** Each trouble as a band behind the plot and its name in a row of its own above. */
-    private void bands(int bottom) {
+    private void writeBands(int bottom) {
         int row = 0;
         for (RunRecorder.Band each : record.bands) {
             double from = x(each.from());
             double wide = Math.max(2, x(each.until()) - from);
             int y = 12 + 13 * row++;
-            add(
+            append(
                     "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"#b58900\" opacity=\"0.09\"/>",
                     from, y, wide, bottom - y);
-            add(
+            append(
                     "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"3\" fill=\"#b58900\" opacity=\"0.8\"/>",
                     from, y - 3, wide);
-            boolean right = from > LEFT + PLOT * 0.85;
-            add(
+            boolean right = from > PLOT_LEFT + PLOT_WIDTH * 0.85;
+            append(
                     "<text x=\"%.1f\" y=\"%d\" text-anchor=\"%s\">%s</text>",
-                    right ? from - 4 : from + wide + 4, y + 1, right ? "end" : "start", text(each.name()));
+                    right ? from - 4 : from + wide + 4, y + 1, right ? "end" : "start", escape(each.name()));
         }
     }
 
-    private void axis(int top, int bottom, String most) {
+    private void writeAxes(int top, int bottom, String most) {
         for (int i = 0; i <= 4; i++) {
             double y = bottom - (bottom - top) * i / 4.0;
-            add("<line x1=\"%d\" x2=\"%d\" y1=\"%.1f\" y2=\"%.1f\" stroke=\"#ddd\"/>", LEFT, LEFT + PLOT, y, y);
+            append(
+                    "<line x1=\"%d\" x2=\"%d\" y1=\"%.1f\" y2=\"%.1f\" stroke=\"#ddd\"/>",
+                    PLOT_LEFT, PLOT_LEFT + PLOT_WIDTH, y, y);
         }
-        add("<text x=\"%d\" y=\"%d\" text-anchor=\"end\">%s</text>", LEFT - 6, top + 4, text(most));
-        add("<text x=\"%d\" y=\"%d\" text-anchor=\"end\">0</text>", LEFT - 6, bottom + 4);
+        append("<text x=\"%d\" y=\"%d\" text-anchor=\"end\">%s</text>", PLOT_LEFT - 6, top + 4, escape(most));
+        append("<text x=\"%d\" y=\"%d\" text-anchor=\"end\">0</text>", PLOT_LEFT - 6, bottom + 4);
         int step = Math.max(1, (int) Math.ceil(record.seconds / 120.0) * 10);
         for (int s = 0; s <= record.seconds; s += step) {
-            add("<text x=\"%.1f\" y=\"%d\" text-anchor=\"middle\">%d s</text>", x(s), bottom + 16, s);
+            append("<text x=\"%.1f\" y=\"%d\" text-anchor=\"middle\">%d s</text>", x(s), bottom + 16, s);
         }
     }
 
-    private void key(String[] words, String[] colours) {
+    private void writeLegend(String[] words, String[] colours) {
         out.append("<p class=\"key\">");
         for (int i = 0; i < words.length; i++) {
-            add("<span><i style=\"background:%s\"></i>%s</span>", colours[i % colours.length], text(words[i]));
+            append("<span><i style=\"background:%s\"></i>%s</span>", colours[i % colours.length], escape(words[i]));
         }
         out.append("</p>");
     }
 
-    private void worth() {
+    private void writeOutcomePlot() {
         out.append("<h2>Worth asked for, by what became of it (second of the first try)</h2>");
-        key(FATE_WORDS, FATE_COLOURS);
+        writeLegend(FATE_WORDS, FATE_COLOURS);
         int top = 16 + 13 * bandRows();
         int bottom = top + 220;
-        open(bottom + 22, bandRows());
+        openSvg(bottom + 22, bandRows());
         double most = 1e-9;
         for (int s = 0; s < record.seconds; s++) {
             double all = 0;
@@ -165,7 +167,7 @@
             }
             most = Math.max(most, all);
         }
-        axis(top, bottom, String.format(Locale.ROOT, "%.0f", most));
+        writeAxes(top, bottom, String.format(Locale.ROOT, "%.0f", most));
         for (int s = 0; s < record.seconds; s++) {
             double at = bottom;
             double[] fates = record.ofSecond(s);
@@ -173,7 +175,7 @@
                 double high = (bottom - top) * fates[f] / most;
                 if (high > 0.05) {
                     at -= high;
-                    add(
+                    append(
                             "<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\" fill=\"%s\"/>",
                             x(s) + 0.5, at, Math.max(0.5, x(s + 1) - x(s) - 1), high, FATE_COLOURS[f]);
                 }
@@ -182,12 +184,12 @@
         out.append("</svg>");
     }
 
-    private void classes() {
+    private void writeClassPlot() {
         out.append("<h2>Service by class: part of the worth answered in time, mean of three seconds</h2>");
-        key(plan.classes().stream().map(Plan.RequestClass::name).toArray(String[]::new), LINES);
+        writeLegend(plan.classes().stream().map(Plan.RequestClass::name).toArray(String[]::new), LINE_COLOURS);
         int bottom = 170;
-        open(bottom + 22, 0);
-        axis(10, bottom, "100%");
+        openSvg(bottom + 22, 0);
+        writeAxes(10, bottom, "100%");
         for (int k = 0; k < plan.classes().size(); k++) {
             StringBuilder points = new StringBuilder();
             for (int s = 0; s < record.seconds; s++) {
@@ -203,20 +205,20 @@
                             String.format(Locale.ROOT, "%.1f,%.1f ", x(s + 0.5), bottom - (bottom - 10) * sum / n));
                 }
             }
-            add(
+            append(
                     "<polyline fill=\"none\" stroke=\"%s\" stroke-width=\"1.8\" points=\"%s\"/>",
-                    LINES[k % LINES.length], points);
+                    LINE_COLOURS[k % LINE_COLOURS.length], points);
         }
         out.append("</svg>");
     }
 
-    private void attempts() {
-        plot(
+    private void writeAttemptPlots() {
+        writePlot(
                 "Tries of callers and attempts at nodos, a second",
                 new String[] {"tries", "attempts"},
                 record.tries,
                 record.attempts);
-        plot(
+        writePlot(
                 "What the fleet costs beside its requests, a second",
                 new String[] {"probes", "handshakes", "list calls"},
                 record.probes,
@@ -224,64 +226,66 @@
                 record.listCalls);
     }
 
-    private void plot(String title, String[] names, int[]... lines) {
+    private void writePlot(String title, String[] names, int[]... lines) {
         out.append("<h2>").append(title).append("</h2>");
-        key(names, LINES);
+        writeLegend(names, LINE_COLOURS);
         int bottom = 130;
-        open(bottom + 22, 0);
+        openSvg(bottom + 22, 0);
         int most = 1;
         for (int s = 0; s < record.seconds; s++) {
             for (int[] line : lines) {
                 most = Math.max(most, line[s]);
             }
         }
-        axis(10, bottom, String.valueOf(most));
+        writeAxes(10, bottom, String.valueOf(most));
         for (int i = 0; i < lines.length; i++) {
             StringBuilder points = new StringBuilder();
             for (int s = 0; s < record.seconds; s++) {
                 points.append(String.format(
                         Locale.ROOT, "%.1f,%.1f ", x(s + 0.5), bottom - (bottom - 10.0) * lines[i][s] / most));
             }
-            add("<polyline fill=\"none\" stroke=\"%s\" stroke-width=\"1.8\" points=\"%s\"/>", LINES[i], points);
+            append(
+                    "<polyline fill=\"none\" stroke=\"%s\" stroke-width=\"1.8\" points=\"%s\"/>",
+                    LINE_COLOURS[i], points);
         }
         out.append("</svg>");
     }
 
-    private void nodos() {
+    private void writeNodoPlot() {
         out.append("<h2>Nodos: requests held a core (white 0, dark 8 or more, striped: not running), and what the "
                 + "first agent was told</h2>");
-        key(TOLD, TOLD_COLOURS);
+        writeLegend(STATUSES, STATUS_COLOURS);
         int shown = Math.min(record.load.size(), 120);
         int high = shown > 40 ? 8 : 14;
         int bottom = 6 + high * shown;
-        open(bottom + 22, 0);
+        openSvg(bottom + 22, 0);
         out.append("<defs><pattern id=\"down\" width=\"5\" height=\"5\" patternUnits=\"userSpaceOnUse\" "
                 + "patternTransform=\"rotate(45)\"><rect width=\"5\" height=\"5\" fill=\"#fff\"/><rect width=\"2\" "
                 + "height=\"5\" fill=\"#b3261e\"/></pattern></defs>");
         for (int i = 0; i < shown; i++) {
             if (high > 10 || i % 5 == 0) {
-                add(
+                append(
                         "<text x=\"%d\" y=\"%d\" text-anchor=\"end\">%s</text>",
-                        LEFT - 6, 6 + high * i + high - 3, record.nodoNames.get(i));
+                        PLOT_LEFT - 6, 6 + high * i + high - 3, record.nodoNames.get(i));
             }
             double[] load = record.load.get(i);
             for (int s = 0; s < load.length; s++) {
                 String fill = load[s] < 0 ? "url(#down)" : shade(load[s] / 8);
-                add(
+                append(
                         "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"%s\"/>",
                         x(s), 6 + high * i, x(s + 1) - x(s) + 0.2, high - 1, fill);
             }
         }
         for (RunRecorder.Told each : record.told) {
-            int status = List.of(TOLD).indexOf(each.status());
+            int status = List.of(STATUSES).indexOf(each.status());
             if (each.nodo() < shown && status >= 0) {
-                add(
+                append(
                         "<rect x=\"%.1f\" y=\"%d\" width=\"3\" height=\"%d\" fill=\"%s\"/>",
-                        x(each.at()), 6 + high * each.nodo() - 1, high + 1, TOLD_COLOURS[status]);
+                        x(each.at()), 6 + high * each.nodo() - 1, high + 1, STATUS_COLOURS[status]);
             }
         }
         for (int s = 0; s <= record.seconds; s += Math.max(1, (int) Math.ceil(record.seconds / 120.0) * 10)) {
-            add("<text x=\"%.1f\" y=\"%d\" text-anchor=\"middle\">%d s</text>", x(s), bottom + 16, s);
+            append("<text x=\"%.1f\" y=\"%d\" text-anchor=\"middle\">%d s</text>", x(s), bottom + 16, s);
         }
         out.append("</svg>");
     }
@@ -293,16 +297,18 @@
                 Locale.ROOT, "#%02x%02x%02x", (int) (248 - 230 * p), (int) (250 - 205 * p), (int) (252 - 140 * p));
     }
 
-    private void tables() {
+    private void writeTables() {
         out.append("<h2>By class</h2><table><tr><th>class</th><th>service</th>");
         for (String each : FATE_WORDS) {
-            add("<th>%s</th>", each);
+            append("<th>%s</th>", each);
         }
         out.append("</tr>");
         for (int k = 0; k < plan.classes().size(); k++) {
-            add("<tr><td>%s</td><td>%.1f%%</td>", text(plan.classes().get(k).name()), 100 * record.serviceOfClass(k));
+            append(
+                    "<tr><td>%s</td><td>%.1f%%</td>",
+                    escape(plan.classes().get(k).name()), 100 * record.serviceOfClass(k));
             for (int count : record.counts[k]) {
-                add("<td>%d</td>", count);
+                append("<td>%d</td>", count);
             }
             out.append("</tr>");
         }
@@ -310,32 +316,32 @@
         if (!plan.tenants().isEmpty()) {
             out.append("<h2>By municipio</h2><table>");
             for (int i = 0; i < plan.tenants().size(); i++) {
-                add(
+                append(
                         "<tr><td>%s</td><td>%.1f%%</td></tr>",
-                        text(plan.tenants().get(i).name()), 100 * record.serviceOfTenant(i));
+                        escape(plan.tenants().get(i).name()), 100 * record.serviceOfTenant(i));
             }
             out.append("</table>");
         }
         for (RunRecorder.Note each : record.notes) {
-            add("<p>%.2f s: %s</p>", each.at(), text(each.text()));
+            append("<p>%.2f s: %s</p>", each.at(), escape(each.text()));
         }
     }
 
-    private void breaches() {
+    private void writeBreaches() {
         if (outcome.broken() > 0) {
-            add(
+            append(
                     "<h2 class=\"no\">Rules broken (%d; the first %d)</h2>",
                     outcome.broken(), outcome.breaches().size());
         }
         for (RuleChecker.Breach each : outcome.breaches()) {
-            add(
+            append(
                     "<p><b>%.3f s, %s</b>: %s %s</p>",
                     (each.at() - Rehearsal.OPENS_AT) / 1e6,
                     each.rule().name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                    text(each.what()),
-                    each.request().isEmpty() ? "" : "(request " + text(each.request()) + ")");
+                    escape(each.what()),
+                    each.request().isEmpty() ? "" : "(request " + escape(each.request()) + ")");
             if (!each.history().isEmpty()) {
-                add("<pre>%s</pre>", text(String.join("\n", each.history())));
+                append("<pre>%s</pre>", escape(String.join("\n", each.history())));
             }
         }
     }
--- a/src/main/java/gatefront/rehearsal/JsonReport.java
+++ b/src/main/java/gatefront/rehearsal/JsonReport.java
@@ -25,20 +25,20 @@
     /** Writes {@code report.json} and {@code report.html} into a folder, which is made if need be. */
     public static void write(RehearsalResult outcome, Path folder) throws IOException {
         Files.createDirectories(folder);
-        Files.write(folder.resolve("report.json"), bytes(outcome));
+        Files.write(folder.resolve("report.json"), toBytes(outcome));
         Files.writeString(folder.resolve("report.html"), HtmlReport.of(outcome));
     }
 
     /** The JSON's bytes. */
-    public static byte[] bytes(RehearsalResult outcome) throws IOException {
+    public static byte[] toBytes(RehearsalResult outcome) throws IOException {
         DefaultPrettyPrinter printer = new DefaultPrettyPrinter();
         printer.indentObjectsWith(new DefaultIndenter(" ", "\n"));
-        return (new ObjectMapper().writer(printer).writeValueAsString(json(outcome)) + "\n")
+        return (new ObjectMapper().writer(printer).writeValueAsString(toTree(outcome)) + "\n")
                 .getBytes(StandardCharsets.UTF_8);
     }
 
     /** The report as a tree; its fields are in a fixed order. */
-    public static ObjectNode json(RehearsalResult outcome) {
+    public static ObjectNode toTree(RehearsalResult outcome) {
         Plan plan = outcome.plan();
         RunRecorder record = outcome.record();
         ObjectNode root = JsonNodeFactory.instance.objectNode();
@@ -69,7 +69,7 @@
         for (int i = 0; i < plan.classes().size(); i++) {
             ObjectNode counts = requests.putObject(plan.classes().get(i).name());
             for (RunRecorder.Fate fate : RunRecorder.Fate.values()) {
-                counts.put(word(fate), record.counts[i][fate.ordinal()]);
+                counts.put(keyword(fate), record.counts[i][fate.ordinal()]);
             }
         }
         root.putObject("fleet")
@@ -85,7 +85,7 @@
                         "part_of_what_topples",
                         round(Arrays.stream(record.coldest).max().orElse(0)));
         record.crowd.json(root.putObject("crowd"));
-        rules(root.putObject("rules"), outcome);
+        writeRules(root.putObject("rules"), outcome);
         ArrayNode troubles = root.putArray("troubles");
         for (ResolvedPlan.Trouble each : outcome.cast().troubles()) {
             ObjectNode trouble = troubles.addObject()
@@ -99,8 +99,8 @@
             }
         }
         record.held.json(root.putObject("held"));
-        seconds(root, record);
-        nodos(root, record);
+        writeSeconds(root, record);
+        writeNodos(root, record);
         ArrayNode notes = root.putArray("notes");
         record.notes.forEach(
                 each -> notes.addObject().put("at", round(each.at())).put("text", each.text()));
@@ -110,7 +110,7 @@
         return root;
     }
 
-    private static void rules(ObjectNode rules, RehearsalResult outcome) {
+    private static void writeRules(ObjectNode rules, RehearsalResult outcome) {
         rules.put("kept", outcome.broken() == 0).put("broken", outcome.broken());
         ArrayNode breaches = rules.putArray("breaches");
         for (RuleChecker.Breach each : outcome.breaches()) {
@@ -124,13 +124,13 @@
         }
     }
 
-    private static void seconds(ObjectNode root, RunRecorder record) {
+    private static void writeSeconds(ObjectNode root, RunRecorder record) {
         ArrayNode seconds = root.putArray("by_second");
         for (int s = 0; s < record.seconds; s++) {
             ObjectNode second = seconds.addObject().put("second", s);
             double[] fates = record.ofSecond(s);
             for (RunRecorder.Fate fate : RunRecorder.Fate.values()) {
-                second.put(word(fate), round(fates[fate.ordinal()]));
+                second.put(keyword(fate), round(fates[fate.ordinal()]));
             }
             second.put("tries", record.tries[s])
                     .put("attempts", record.attempts[s])
@@ -150,7 +150,7 @@
         }
     }
 
-    private static void nodos(ObjectNode root, RunRecorder record) {
+    private static void writeNodos(ObjectNode root, RunRecorder record) {
         ObjectNode served = root.putObject("served");
         for (int i = 0; i < record.served.size(); i++) {
             ArrayNode nodo = served.putArray(record.nodoNames.get(i));
@@ -165,7 +165,7 @@
                 .put("status", each.status()));
     }
 
-    static String word(RunRecorder.Fate fate) {
+    static String keyword(RunRecorder.Fate fate) {
         return fate.name().toLowerCase(Locale.ROOT);
     }
 
--- a/src/main/java/gatefront/rehearsal/LoopbackAddresses.java
+++ b/src/main/java/gatefront/rehearsal/LoopbackAddresses.java
@@ -14,12 +14,12 @@
     }
 
     /** Those of a network of one's own. */
-    static LoopbackAddresses virtual() {
+    static LoopbackAddresses forVirtualNetwork() {
         return new LoopbackAddresses(0);
     }
 
     /** Those of this process: two that rehearse on one machine should not meet. */
-    static LoopbackAddresses ofProcess() {
+    static LoopbackAddresses forThisProcess() {
         return new LoopbackAddresses(
                 GROUPS * (1 + (int) (ProcessHandle.current().pid() % 14)));
     }
--- a/src/main/java/gatefront/rehearsal/LoopbackMachine.java
+++ b/src/main/java/gatefront/rehearsal/LoopbackMachine.java
@@ -22,7 +22,7 @@
  */
 final class LoopbackMachine implements Machine, Transport {
     /** After this all that had been held back has been read. */
-    private static final long CATCHING_UP_NANOS = 500_000_000;
+    private static final long CATCH_UP_NANOS = 500_000_000;
 
     private final String name;
     private final InetAddress address;
@@ -59,7 +59,7 @@
     /** Guards against blaming an agent for what it sent while this machine read nothing. */
     @Override
     public long sentAt(Channel channel) {
-        boolean heldBack = vanishedAt != 0 && (vanished || nanos() - appearedAt < CATCHING_UP_NANOS);
+        boolean heldBack = vanishedAt != 0 && (vanished || nanos() - appearedAt < CATCH_UP_NANOS);
         return heldBack ? vanishedAt : nanos();
     }
 
--- a/src/main/java/gatefront/rehearsal/PersistentAgent.java
+++ b/src/main/java/gatefront/rehearsal/PersistentAgent.java
@@ -16,17 +16,17 @@
 
 /** An agent whose folder outlives its process, with a door for staff, reached over relays. */
 final class PersistentAgent extends ProcessAgent {
-    private static final int DOOR_PORT = 3002;
+    private static final int MANAGEMENT_PORT = 3002;
 
     private final Path folder;
-    private final boolean keeps;
-    private final Set<String> without;
-    private final Consumer<Process> begun;
-    private InetSocketAddress front;
-    private double clockOff;
-    private int diskMost;
+    private final boolean recoveryEnabled;
+    private final Set<String> disabledGuards;
+    private final Consumer<Process> onProcessStarted;
+    private InetSocketAddress clientAddress;
+    private double clockOffsetSeconds;
+    private int maxFileKilobytes;
     /** The list in the file that staff wrote: as it was at the first start. */
-    private JsonNode known;
+    private JsonNode initialServerList;
 
     /**
      * Not started yet.
@@ -48,19 +48,19 @@
             Consumer<Process> begun) {
         super(day, number, address, command, root, starter, log);
         this.folder = root.resolve(name());
-        this.keeps = keeps;
-        this.without = without;
-        this.begun = begun;
+        this.recoveryEnabled = keeps;
+        this.disabledGuards = without;
+        this.onProcessStarted = begun;
     }
 
     /** The time of day of its next process is off by so many seconds. */
-    void clockOff(double seconds) {
-        clockOff = seconds;
+    void setClockOffset(double seconds) {
+        clockOffsetSeconds = seconds;
     }
 
     /** Its next process may write no file longer than so many kilobytes; 0 for any. */
-    void diskMost(int kilobytes) {
-        diskMost = kilobytes;
+    void setMaxFileSize(int kilobytes) {
+        maxFileKilobytes = kilobytes;
     }
 
     /** All that it keeps. */
@@ -69,56 +69,57 @@
     }
 
     /** Where staff reach it, without a relay. */
-    InetSocketAddress door() {
-        return machine().at(DOOR_PORT);
+    InetSocketAddress managementAddress() {
+        return machine().at(MANAGEMENT_PORT);
     }
 
     /** Its callers come over a relay from now on. */
-    void front(InetSocketAddress at) {
-        front = at;
+    void setClientAddress(InetSocketAddress at) {
+        clientAddress = at;
     }
 
     @Override
     InetSocketAddress callers() {
-        return front;
+        return clientAddress;
     }
 
     @Override
-    Path configuration(Path to) throws IOException {
+    Path writeConfiguration(Path to) throws IOException {
         ObjectNode root = config();
-        known = known == null ? root.get("known") : known;
-        root.set("known", known);
+        initialServerList = initialServerList == null ? root.get("known") : initialServerList;
+        root.set("known", initialServerList);
         return Files.writeString(to, root.toString());
     }
 
     @Override
-    void prepare(ProcessBuilder builder) throws IOException {
-        if (diskMost > 0) { // the system refuses what is beyond, as a full disk does
+    void customize(ProcessBuilder builder) throws IOException {
+        if (maxFileKilobytes > 0) { // the system refuses what is beyond, as a full disk does
             List<String> limited =
-                    new ArrayList<>(List.of("bash", "-c", "ulimit -f " + diskMost + "; exec \"$@\"", "bash"));
+                    new ArrayList<>(List.of("bash", "-c", "ulimit -f " + maxFileKilobytes + "; exec \"$@\"", "bash"));
             limited.addAll(builder.command());
             builder.command(limited);
         }
         builder.environment()
                 .put("TMPDIR", Files.createDirectories(folder.resolve("tmp")).toString());
-        builder.environment().put("RELAY_MANAGEMENT", door().getAddress().getHostAddress() + ":" + DOOR_PORT);
+        builder.environment()
+                .put("RELAY_MANAGEMENT", managementAddress().getAddress().getHostAddress() + ":" + MANAGEMENT_PORT);
     }
 
     @Override
     String extensions() {
         StringBuilder own = new StringBuilder(super.extensions());
-        if (keeps) {
+        if (recoveryEnabled) {
             own.append("[recovery]\nfolder = \"")
                     .append(folder.resolve("kept"))
                     .append("\"\ninstance = \"")
                     .append(name())
                     .append("\"\nmark_s = 0.5\ndoubt_s = 4\n");
         }
-        if (!without.isEmpty() || clockOff != 0) {
+        if (!disabledGuards.isEmpty() || clockOffsetSeconds != 0) {
             own.append("[rehearsal]\nclock_s = ")
-                    .append(clockOff)
+                    .append(clockOffsetSeconds)
                     .append("\nwithout = [")
-                    .append(without.stream()
+                    .append(disabledGuards.stream()
                             .sorted()
                             .map(each -> '"' + each + '"')
                             .collect(Collectors.joining(", ")))
@@ -128,7 +129,7 @@
     }
 
     @Override
-    void started(Process fresh) {
-        begun.accept(fresh);
+    void onStarted(Process fresh) {
+        onProcessStarted.accept(fresh);
     }
 }
--- a/src/main/java/gatefront/rehearsal/PlanShrinker.java
+++ b/src/main/java/gatefront/rehearsal/PlanShrinker.java
@@ -19,16 +19,16 @@
  * shortened and callers are taken away, as long as one of the same rules still breaks.
  */
 public final class PlanShrinker {
-    private static final double RATE_LEAST = 1;
+    private static final double MIN_RATE = 1;
 
     private final long seed;
-    private final Function<Engine, Balancer> module;
+    private final Function<Engine, Balancer> balancerFactory;
     private final Set<Rule> rules;
     private final Consumer<String> listener;
 
     private PlanShrinker(long seed, Function<Engine, Balancer> module, Set<Rule> rules, Consumer<String> listener) {
         this.seed = seed;
-        this.module = module;
+        this.balancerFactory = module;
         this.rules = rules;
         this.listener = listener;
     }
@@ -46,7 +46,7 @@
     }
 
     static Plan shrink(Plan plan, long seed, Function<Engine, Balancer> module, Consumer<String> listener) {
-        Plan fixed = plan.withFaults(frozen(plan, seed));
+        Plan fixed = plan.withFaults(resolveFaults(plan, seed));
         RehearsalResult whole = new Rehearsal(fixed, seed, module).play();
         if (whole.broken() == 0) {
             return null;
@@ -56,14 +56,14 @@
         listener.accept(
                 "breaks " + rules.size() + " rule(s) with " + fixed.faults().size() + " faults");
         double end = (whole.breaches().get(0).at() - Rehearsal.OPENS_AT) / 1e6 + 1;
-        Plan smallest = shrink.callers(shrink.targets(shrink.faults(shrink.shorter(fixed, end))));
+        Plan smallest = shrink.reduceRate(shrink.removeTargets(shrink.removeFaults(shrink.shorten(fixed, end))));
         listener.accept("left are " + smallest.faults().size() + " faults, " + smallest.seconds() + " s and "
                 + smallest.clients().rate() + " requests a second");
         return smallest;
     }
 
     /** The faults as the seed draws them. */
-    static List<Fault> frozen(Plan plan, long seed) {
+    static List<Fault> resolveFaults(Plan plan, long seed) {
         List<Fault> frozen = new ArrayList<>();
         for (ResolvedPlan.Trouble each : ResolvedPlan.of(plan, seed).troubles()) {
             String prefix = each.fault().kind().target() == Fault.Kind.Target.AGENTS ? "agent-" : "nodo-";
@@ -73,47 +73,47 @@
             }
             frozen.add(each.fault()
                     .withFixedValues(
-                            fixed(each.at() / 1e6),
-                            fixed(each.lasts() / 1e6),
+                            fixedRange(each.at() / 1e6),
+                            fixedRange(each.lasts() / 1e6),
                             names,
-                            fixed(each.size()),
-                            fixed(each.every() / 1e6),
-                            fixed(each.spread() / 1e6)));
+                            fixedRange(each.size()),
+                            fixedRange(each.every() / 1e6),
+                            fixedRange(each.spread() / 1e6)));
         }
         return frozen;
     }
 
-    private static NumberRange fixed(double figure) {
+    private static NumberRange fixedRange(double figure) {
         return new NumberRange(figure, figure);
     }
 
-    private boolean breaks(Plan plan) {
-        return new Rehearsal(plan, seed, module)
+    private boolean stillBreaks(Plan plan) {
+        return new Rehearsal(plan, seed, balancerFactory)
                 .play().breaches().stream().anyMatch(each -> rules.contains(each.rule()));
     }
 
-    private Plan keep(Plan before, Plan smaller, String what) {
-        if (!breaks(smaller)) {
+    private Plan smallerIfBreaking(Plan before, Plan smaller, String what) {
+        if (!stillBreaks(smaller)) {
             return before;
         }
         listener.accept("still breaks without " + what);
         return smaller;
     }
 
-    private Plan shorter(Plan plan, double seconds) {
+    private Plan shorten(Plan plan, double seconds) {
         double length = Math.max(1, Math.ceil(seconds));
         if (length >= plan.seconds()) {
             return plan;
         }
-        return keep(plan, plan.withSeconds(length), "what comes after " + (int) length + " s");
+        return smallerIfBreaking(plan, plan.withSeconds(length), "what comes after " + (int) length + " s");
     }
 
-    private Plan faults(Plan plan) {
+    private Plan removeFaults(Plan plan) {
         Plan smallest = plan;
         for (int i = plan.faults().size() - 1; i >= 0; i--) {
             List<Fault> fewer = new ArrayList<>(smallest.faults());
             Fault out = fewer.remove(i);
-            smallest = keep(
+            smallest = smallerIfBreaking(
                     smallest,
                     smallest.withFaults(fewer),
                     out.kind().keyword() + " at " + out.at().low() + " s");
@@ -121,7 +121,7 @@
         return smallest;
     }
 
-    private Plan targets(Plan plan) {
+    private Plan removeTargets(Plan plan) {
         Plan smallest = plan;
         for (int i = 0; i < plan.faults().size(); i++) {
             for (String name : plan.faults().get(i).names()) {
@@ -134,7 +134,7 @@
                             i,
                             fault.withFixedValues(
                                     fault.at(), fault.duration(), names, fault.size(), fault.period(), fault.spread()));
-                    smallest = keep(
+                    smallest = smallerIfBreaking(
                             smallest, smallest.withFaults(fewer), fault.kind().keyword() + " of " + name);
                 }
             }
@@ -142,13 +142,13 @@
         return smallest;
     }
 
-    private Plan callers(Plan plan) {
+    private Plan reduceRate(Plan plan) {
         Plan smallest = plan;
         for (double part = 0.5; part < 0.95; part += 0.2) {
-            while (part * smallest.clients().rate() >= RATE_LEAST) {
+            while (part * smallest.clients().rate() >= MIN_RATE) {
                 Plan fewer = smallest.withRate(
                         JsonReport.round(part * smallest.clients().rate()));
-                Plan kept = keep(smallest, fewer, "some of the callers");
+                Plan kept = smallerIfBreaking(smallest, fewer, "some of the callers");
                 if (kept == smallest) {
                     break;
                 }
--- a/src/main/java/gatefront/rehearsal/ProcessAgent.java
+++ b/src/main/java/gatefront/rehearsal/ProcessAgent.java
@@ -26,10 +26,10 @@
  * threads than the loop: a start takes milliseconds, and with twenty of them the loop would be late for all others.
  */
 class ProcessAgent extends AgentStandIn {
-    private static final int HEALTH_MS = 500;
+    private static final int HEALTH_TIMEOUT_MS = 500;
 
     private final InetAddress address;
-    private final Path file;
+    private final Path configFile;
     private final List<String> command;
     private final Consumer<String> log;
     private final Executor starter;
@@ -55,7 +55,7 @@
         this.starter = starter;
         this.address = address;
         this.command = command;
-        this.file = folder.resolve(name() + ".json");
+        this.configFile = folder.resolve(name() + ".json");
         this.log = log;
     }
 
@@ -119,25 +119,26 @@
         process = fresh;
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         try {
-            builder.environment().put("RELAY_CONFIG", configuration(file).toString());
+            builder.environment()
+                    .put("RELAY_CONFIG", writeConfiguration(configFile).toString());
             String own = extensions();
             if (!own.isEmpty()) {
                 builder.environment()
                         .put(
                                 "GATEFRONT_EXTENSIONS",
-                                Files.writeString(file.resolveSibling(name() + ".toml"), own)
+                                Files.writeString(configFile.resolveSibling(name() + ".toml"), own)
                                         .toString());
             }
-            prepare(builder);
+            customize(builder);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         starter.execute(() -> {
             try {
                 Process started = builder.start();
-                started(started);
+                onStarted(started);
                 fresh.complete(started);
-                follow(started);
+                forwardOutput(started);
             } catch (IOException e) {
                 fresh.completeExceptionally(e);
                 day.loop().execute(() -> day.checker.left(day.now(), name() + " cannot be started: " + e.getMessage()));
@@ -146,24 +147,24 @@
     }
 
     /** Writes the configuration, and tells where. */
-    Path configuration(Path to) throws IOException {
+    Path writeConfiguration(Path to) throws IOException {
         return Files.writeString(to, config().toString());
     }
 
     /** More of what a process is started with. */
-    void prepare(ProcessBuilder builder) throws IOException {}
+    void customize(ProcessBuilder builder) throws IOException {}
 
     /** A process has been started; not on the loop. */
-    void started(Process fresh) {}
+    void onStarted(Process fresh) {}
 
     /** Has something done with the process as soon as it has been started; not on the loop. */
-    final void signalled(Consumer<Process> what) {
+    final void withProcess(Consumer<Process> what) {
         process.thenAcceptAsync(what, starter);
     }
 
     /** Sends the process a signal by its name. */
     final void signal(String name) {
-        signalled(mine -> {
+        withProcess(mine -> {
             try {
                 new ProcessBuilder("kill", "-" + name, String.valueOf(mine.pid())).start();
             } catch (IOException e) {
@@ -172,7 +173,7 @@
         });
     }
 
-    private void follow(Process mine) {
+    private void forwardOutput(Process mine) {
         Thread reader = new Thread(
                 () -> {
                     try (BufferedReader lines = mine.inputReader(StandardCharsets.UTF_8)) {
@@ -217,8 +218,8 @@
     @Override
     boolean ready() {
         try (Socket socket = new Socket()) {
-            socket.connect(address(), HEALTH_MS);
-            socket.setSoTimeout(HEALTH_MS);
+            socket.connect(address(), HEALTH_TIMEOUT_MS);
+            socket.setSoTimeout(HEALTH_TIMEOUT_MS);
             socket.getOutputStream()
                     .write("GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
                             .getBytes(StandardCharsets.US_ASCII));
@@ -239,7 +240,7 @@
             then.run();
             return;
         }
-        signalled(mine -> {
+        withProcess(mine -> {
             mine.onExit().thenRun(() -> day.loop().execute(() -> {
                 day.padron.forgot(number);
                 then.run();
@@ -251,7 +252,7 @@
     @Override
     void reload() {
         try {
-            configuration(file);
+            writeConfiguration(configFile);
             signal("HUP");
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
+++ b/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
@@ -40,48 +40,48 @@
  * the loops were is measured, and taken off before an agent is blamed.
  */
 public final class ProcessRehearsal {
-    private static final long READY_MS = 30_000;
+    private static final long READY_TIMEOUT_MS = 30_000;
     /** What the kernel and the relays may blur, in microseconds, beside the lateness that was measured. */
-    private static final long SLACK = 20_000;
+    private static final long SLACK_MICROS = 20_000;
 
-    private static final long TAIL_MS = 8_000;
+    private static final long COMPLETION_TIMEOUT_MS = 8_000;
     private static final long SETTLE_MS = 1_000;
-    private static final long ENDING_MS = 8_000;
-    private static final int LINES_MOST = 5_000;
+    private static final long EXIT_TIMEOUT_MS = 8_000;
+    private static final int MAX_LOG_LINES = 5_000;
     private static final int RELAY_LOOPS = 2;
-    private static final long LOOK_MS = 10;
-    private static final double MICROS = 1e6;
-    private static final String LOST = "recovery_lost";
+    private static final long POLL_INTERVAL_MS = 10;
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final String RECOVERY_LOST_FIELD = "recovery_lost";
 
     private final ProcessPlan plan;
     private final long seed;
     private final List<String> command;
-    private final Set<String> without;
-    private final Path history;
+    private final Set<String> disabledGuards;
+    private final Path historyFile;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final EventLoopGroup relayLoops = new MultiThreadIoEventLoopGroup(RELAY_LOOPS, NioIoHandler.newFactory());
-    private final ExecutorService hands = Executors.newCachedThreadPool(task -> {
+    private final ExecutorService executor = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "hand");
         thread.setDaemon(true);
         return thread;
     });
     private final LoopLateness lateness = new LoopLateness();
-    private final ManualDrainChecker hand;
+    private final ManualDrainChecker drainChecker;
     /** By process id, when it was started: of those whose start is being watched. */
-    private final Map<Long, Long> starting = new ConcurrentHashMap<>();
+    private final Map<Long, Long> startNanosByPid = new ConcurrentHashMap<>();
     // Of the day's loop:
     private final List<String> log = new ArrayList<>();
     private final StartTimeline timeline = new StartTimeline();
-    private int ready;
+    private int readyCount;
     private final List<PersistentAgent> agents = new ArrayList<>();
-    private EventHistory chronicle;
-    private RelayNetwork ways;
-    private RunContext day;
-    private ProcessReaper warden;
+    private EventHistory history;
+    private RelayNetwork network;
+    private RunContext context;
+    private ProcessReaper reaper;
     private Path root;
     private long opensAt;
-    private volatile boolean over;
+    private volatile boolean finished;
 
     /**
      * A rehearsal with several processes.
@@ -96,10 +96,10 @@
         this.plan = plan;
         this.seed = seed;
         this.command = List.copyOf(command);
-        this.without = Set.copyOf(without);
-        this.history = history;
-        this.hand =
-                new ManualDrainChecker((long) (1000 * plan.basePlan().rules().drainGraceMs()) + SLACK);
+        this.disabledGuards = Set.copyOf(without);
+        this.historyFile = history;
+        this.drainChecker =
+                new ManualDrainChecker((long) (1000 * plan.basePlan().rules().drainGraceMs()) + SLACK_MICROS);
     }
 
     /**
@@ -111,24 +111,24 @@
      */
     public ProcessRehearsalResult play(DoubleConsumer progress) throws IOException {
         root = Files.createTempDirectory("gatefront-processes");
-        warden = ProcessReaper.start();
-        chronicle = new EventHistory(history);
+        reaper = ProcessReaper.start();
+        history = new EventHistory(historyFile);
         try {
-            LoopbackAddresses addresses = LoopbackAddresses.ofProcess();
+            LoopbackAddresses addresses = LoopbackAddresses.forThisProcess();
             relayLoops.forEach(each -> lateness.watch((EventLoop) each));
             lateness.watch(loop);
-            day = on(() -> made(addresses));
-            on(() -> {
-                day.begin();
+            context = callOnLoop(() -> createContext(addresses));
+            callOnLoop(() -> {
+                context.begin();
                 return null;
             });
-            awaitReady();
-            opensAt = on(() -> {
-                long now = day.now() + 100_000;
-                chronicle.setOrigin(now);
+            awaitAllReady();
+            opensAt = callOnLoop(() -> {
+                long now = context.now() + 100_000;
+                history.setOrigin(now);
                 lateness.reset();
                 timeline.reset();
-                Rehearsal.open(day, now);
+                Rehearsal.open(context, now);
                 for (int i = 0; i < plan.faults().size(); i++) {
                     schedule(plan.faults().get(i), new RandomStream(seed, "process fault " + i), now);
                 }
@@ -140,29 +140,35 @@
                 Thread.sleep(250);
             }
             progress.accept(1);
-            await(TAIL_MS, () -> day.record.open() == 0);
+            awaitOnLoop(COMPLETION_TIMEOUT_MS, () -> context.record.open() == 0);
             Thread.sleep(SETTLE_MS);
-            over = true;
-            on(() -> {
-                hand.close(day.now());
+            finished = true;
+            callOnLoop(() -> {
+                drainChecker.close(context.now());
                 agents.forEach(each -> each.signal("CONT"));
                 agents.forEach(each -> each.leave(() -> {}));
                 return null;
             });
-            await(ENDING_MS, () -> agents.stream()
+            awaitOnLoop(EXIT_TIMEOUT_MS, () -> agents.stream()
                     .noneMatch(each -> each.machine().running()));
-            return on(() -> {
+            return callOnLoop(() -> {
                 for (AgentStandIn each : agents) {
                     if (each.machine().running()) {
-                        day.checker.left(day.now(), each.name() + " has not ended");
+                        context.checker.left(context.now(), each.name() + " has not ended");
                     }
                 }
-                day.checker.close(day.now());
+                context.checker.close(context.now());
                 return new ProcessRehearsalResult(
                         plan,
                         new RehearsalResult(
-                                plan.basePlan(), seed, day.cast, day.record, day.checker, List.copyOf(log), 0),
-                        hand,
+                                plan.basePlan(),
+                                seed,
+                                context.cast,
+                                context.record,
+                                context.checker,
+                                List.copyOf(log),
+                                0),
+                        drainChecker,
                         lateness,
                         timeline);
             });
@@ -170,15 +176,15 @@
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
         } finally {
-            end();
+            shutDown();
         }
     }
 
-    private RunContext made(LoopbackAddresses addresses) {
+    private RunContext createContext(LoopbackAddresses addresses) {
         RunContext made = new RunContext(
                 plan.basePlan(),
                 seed,
-                SLACK,
+                SLACK_MICROS,
                 addresses,
                 (name, address, zone, memory, lines) -> new LoopbackMachine(name, address, loop),
                 of -> i -> {
@@ -188,95 +194,97 @@
                             addresses.of(8, i),
                             command,
                             root,
-                            hands,
-                            line -> said(i, line),
+                            executor,
+                            line -> onLogLine(i, line),
                             plan.recoveryEnabled(),
-                            without,
-                            process -> begun(i, process));
-                    agent.front(ways.relay(i, Links.CALLERS, agent.address()).address());
+                            disabledGuards,
+                            process -> onProcessStarted(i, process));
+                    agent.setClientAddress(
+                            network.relay(i, Links.CALLERS, agent.address()).address());
                     agents.add(agent);
                     return agent;
                 });
-        ways = new RelayNetwork(made, lateness, relayLoops, addresses.of(7, 0), hand, chronicle, timeline);
-        made.ways = ways;
-        made.checker.on(ways);
+        network = new RelayNetwork(made, lateness, relayLoops, addresses.of(7, 0), drainChecker, history, timeline);
+        made.ways = network;
+        made.checker.on(network);
         return made;
     }
 
-    private void end() throws IOException {
-        over = true;
+    private void shutDown() throws IOException {
+        finished = true;
         agents.forEach(each -> each.machine().kill());
-        warden.close();
-        if (day != null) {
+        reaper.close();
+        if (context != null) {
             loop.submit(() -> {
-                        day.close();
-                        ways.close();
+                        context.close();
+                        network.close();
                     })
                     .awaitUninterruptibly();
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         relayLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
-        hands.shutdownNow();
-        chronicle.close();
+        executor.shutdownNow();
+        history.close();
         FolderFaults.delete(root);
     }
 
-    private double second() {
-        return (day.now() - opensAt) / MICROS;
+    private double secondsSinceOpening() {
+        return (context.now() - opensAt) / MICROS_PER_SECOND;
     }
 
-    private void said(int agent, String line) {
+    private void onLogLine(int agent, String line) {
         if (line.startsWith("listening on ")) {
-            timeline.reached(agent, StartTimeline.Mark.LISTENS, day.now());
+            timeline.reached(agent, StartTimeline.Mark.LISTENS, context.now());
         }
-        chronicle.event(day.now(), "log", "agent-" + (agent + 1), line);
-        if (log.size() < LINES_MOST) {
-            log.add(String.format(Locale.ROOT, "%.3f agent-%d %s", second(), agent + 1, line));
+        history.event(context.now(), "log", "agent-" + (agent + 1), line);
+        if (log.size() < MAX_LOG_LINES) {
+            log.add(String.format(Locale.ROOT, "%.3f agent-%d %s", secondsSinceOpening(), agent + 1, line));
         }
     }
 
-    private void event(String kind, String who, String what) {
-        chronicle.event(day.now(), kind, who, what);
+    private void recordEvent(String kind, String who, String what) {
+        history.event(context.now(), kind, who, what);
     }
 
     // ---- Processes ----
 
     /** A process has been started: the warden answers for it, and somebody looks when it is ready. */
-    private void begun(int agent, Process process) {
+    private void onProcessStarted(int agent, Process process) {
         long pid = process.pid();
-        warden.watch(pid);
+        reaper.watch(pid);
         long at = System.nanoTime();
-        starting.put(pid, at);
+        startNanosByPid.put(pid, at);
         process.onExit().thenRun(() -> {
-            warden.unwatch(pid);
-            starting.remove(pid);
-            onLoop(() -> event("exit", "agent-" + (agent + 1), "process " + pid + ", status " + process.exitValue()));
+            reaper.unwatch(pid);
+            startNanosByPid.remove(pid);
+            runOnLoop(() ->
+                    recordEvent("exit", "agent-" + (agent + 1), "process " + pid + ", status " + process.exitValue()));
         });
-        onLoop(() -> {
-            timeline.started(agent, day.now());
-            event("start", "agent-" + (agent + 1), "process " + pid);
+        runOnLoop(() -> {
+            timeline.started(agent, context.now());
+            recordEvent("start", "agent-" + (agent + 1), "process " + pid);
         });
-        hands.execute(() -> watch(agent, process, at));
+        executor.execute(() -> awaitProcessReady(agent, process, at));
     }
 
-    private void watch(int agent, Process process, long at) {
+    private void awaitProcessReady(int agent, Process process, long at) {
         PersistentAgent of = agents.get(agent);
         try {
-            while (process.isAlive() && !over && !of.ready()) {
-                Thread.sleep(LOOK_MS);
+            while (process.isAlive() && !finished && !of.ready()) {
+                Thread.sleep(POLL_INTERVAL_MS);
             }
-            if (!process.isAlive() || over) {
+            if (!process.isAlive() || finished) {
                 return;
             }
-            double took = (System.nanoTime() - at) / MICROS;
-            ManagementClient.Answer stats = ManagementClient.call(of.door(), "GET", "/stats");
-            boolean lost = !ManagementClient.figures(stats.text())
-                    .getOrDefault(LOST, "0")
+            double took = (System.nanoTime() - at) / MICROS_PER_SECOND;
+            ManagementClient.Response stats = ManagementClient.call(of.managementAddress(), "GET", "/stats");
+            boolean lost = !ManagementClient.parseStats(stats.text())
+                    .getOrDefault(RECOVERY_LOST_FIELD, "0")
                     .equals("0");
-            onLoop(() -> {
-                ready++;
-                timeline.reached(agent, StartTimeline.Mark.READY, day.now());
-                event(
+            runOnLoop(() -> {
+                readyCount++;
+                timeline.reached(agent, StartTimeline.Mark.READY, context.now());
+                recordEvent(
                         "ready",
                         of.name(),
                         String.format(
@@ -285,7 +293,7 @@
                                 took,
                                 lost ? ", it says that what it kept is lost" : ""));
                 if (lost && of.machine().running()) {
-                    hand.toldLost(day.now(), agent);
+                    drainChecker.toldLost(context.now(), agent);
                 }
             });
         } catch (InterruptedException e) {
@@ -293,9 +301,9 @@
         }
     }
 
-    private void awaitReady() throws InterruptedException, IOException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
-        while (on(() -> ready) < agents.size()) {
+    private void awaitAllReady() throws InterruptedException, IOException {
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
+        while (callOnLoop(() -> readyCount) < agents.size()) {
             if (System.nanoTime() > end) {
                 throw new IOException("not all agents got ready");
             }
@@ -304,35 +312,35 @@
                     throw new IOException(each.name() + " did not get ready");
                 }
             }
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
     // ---- Faults ----
 
     private void schedule(ProcessFault fault, RandomStream draw, long from) {
-        long at = from + (long) (MICROS * fault.at().draw(draw::between));
-        long lasts = (long) (MICROS * fault.duration().draw(draw::between));
-        double spread = MICROS * fault.spread().draw(draw::between);
+        long at = from + (long) (MICROS_PER_SECOND * fault.at().draw(draw::between));
+        long lasts = (long) (MICROS_PER_SECOND * fault.duration().draw(draw::between));
+        double spread = MICROS_PER_SECOND * fault.spread().draw(draw::between);
         double size = fault.size().draw(draw::between);
         long number = draw.number();
-        int[] targets = targets(fault, draw);
-        day.record.band(fault.kind().keyword(), at - from, at - from + Math.max(lasts, 1_000_000));
+        int[] targets = chooseAgents(fault, draw);
+        context.record.band(fault.kind().keyword(), at - from, at - from + Math.max(lasts, 1_000_000));
         for (int i = 0; i < targets.length; i++) {
             PersistentAgent agent = agents.get(targets[i]);
             PersistentAgent next = agents.get(targets[(i + 1) % targets.length]);
             long when = at + (long) (targets.length < 2 ? 0 : spread * i / (targets.length - 1));
             if (fault.state() == ProcessFault.State.OLDER) {
-                day.at(
-                        from + (long) (MICROS * fault.copiedAtSecond()),
-                        () -> hands.execute(
-                                () -> quietly(agent, "copied", () -> FolderFaults.copy(agent.folder(), copy(agent)))));
+                context.at(
+                        from + (long) (MICROS_PER_SECOND * fault.copiedAtSecond()),
+                        () -> executor.execute(() -> changeFolder(
+                                agent, "copied", () -> FolderFaults.copy(agent.folder(), copyFolder(agent)))));
             }
-            day.at(when, () -> happens(fault, agent, next, lasts, size, number));
+            context.at(when, () -> inject(fault, agent, next, lasts, size, number));
         }
     }
 
-    private int[] targets(ProcessFault fault, RandomStream draw) {
+    private int[] chooseAgents(ProcessFault fault, RandomStream draw) {
         if (!fault.names().isEmpty()) {
             return fault.names().stream()
                     .mapToInt(each -> Integer.parseInt(each.substring(6)) - 1)
@@ -350,158 +358,166 @@
         return java.util.Arrays.copyOf(all, n);
     }
 
-    private void happens(
+    private void inject(
             ProcessFault fault, PersistentAgent agent, PersistentAgent next, long lasts, double size, long number) {
-        event("fault", agent.name(), fault.kind().keyword());
+        recordEvent("fault", agent.name(), fault.kind().keyword());
         if (fault.kind() == ProcessFault.Kind.KILL || fault.kind() == ProcessFault.Kind.TERM) {
-            agent.clockOff(fault.clockOffsetSeconds());
-            agent.diskMost(fault.maxFileKilobytes());
+            agent.setClockOffset(fault.clockOffsetSeconds());
+            agent.setMaxFileSize(fault.maxFileKilobytes());
         }
         switch (fault.kind()) {
             case KILL -> {
                 if (fault.state() == ProcessFault.State.ANOTHERS) {
                     // Both are copied before either changes.
-                    hands.execute(() -> quietly(agent, "of another is copied", () -> {
-                        FolderFaults.copy(next.folder(), copy(agent));
-                        onLoop(() -> kill(agent, lasts, () -> state(fault.state(), agent, number)));
+                    executor.execute(() -> changeFolder(agent, "of another is copied", () -> {
+                        FolderFaults.copy(next.folder(), copyFolder(agent));
+                        runOnLoop(() -> kill(agent, lasts, () -> applyFolderState(fault.state(), agent, number)));
                     }));
                 } else {
-                    kill(agent, lasts, () -> state(fault.state(), agent, number));
+                    kill(agent, lasts, () -> applyFolderState(fault.state(), agent, number));
                 }
             }
             case TERM -> agent.leave(() -> {
-                hand.ended(day.now(), agent.number);
-                again(agent, lasts);
+                drainChecker.ended(context.now(), agent.number);
+                restartAfter(agent, lasts);
             });
             case STOP -> {
-                ways.stopped(agent.number, true);
+                network.setPaused(agent.number, true);
                 agent.signal("STOP");
-                day.at(day.now() + lasts, () -> {
-                    event("fault", agent.name(), "wakes");
+                context.at(context.now() + lasts, () -> {
+                    recordEvent("fault", agent.name(), "wakes");
                     agent.signal("CONT");
-                    ways.stopped(agent.number, false);
+                    network.setPaused(agent.number, false);
                 });
             }
-            case CRASH_LOOP -> crash(agent, lasts, (int) size);
-            case CUT -> shape(fault, agent, lasts, LinkConditions.BLOCKED);
-            case DELAY -> shape(fault, agent, lasts, new LinkConditions(false, (long) (1000 * size), 0));
-            case THROTTLE -> shape(fault, agent, lasts, new LinkConditions(false, 0, (long) (1000 * size)));
-            case RESET, HALF_OPEN -> ways.breaks(
+            case CRASH_LOOP -> crashLoop(agent, lasts, (int) size);
+            case CUT -> applyLinkConditions(fault, agent, lasts, LinkConditions.BLOCKED);
+            case DELAY -> applyLinkConditions(fault, agent, lasts, new LinkConditions(false, (long) (1000 * size), 0));
+            case THROTTLE -> applyLinkConditions(
+                    fault, agent, lasts, new LinkConditions(false, 0, (long) (1000 * size)));
+            case RESET, HALF_OPEN -> network.breakConnections(
                     agent.number, fault.links(), fault.kind() == ProcessFault.Kind.HALF_OPEN);
-            case OUT, BACK -> fault.nodos().forEach(each -> byHand(agent, each, fault.kind() == ProcessFault.Kind.OUT));
+            case OUT, BACK -> fault.nodos()
+                    .forEach(each -> sendDrainCommand(agent, each, fault.kind() == ProcessFault.Kind.OUT));
         }
     }
 
-    private void shape(ProcessFault fault, PersistentAgent agent, long lasts, LinkConditions shape) {
-        ways.shape(agent.number, fault.links(), fault.direction(), shape);
-        day.at(day.now() + lasts, () -> {
-            event("fault", agent.name(), "healed");
-            ways.shape(agent.number, fault.links(), fault.direction(), LinkConditions.CLEAR);
+    private void applyLinkConditions(ProcessFault fault, PersistentAgent agent, long lasts, LinkConditions shape) {
+        network.setConditions(agent.number, fault.links(), fault.direction(), shape);
+        context.at(context.now() + lasts, () -> {
+            recordEvent("fault", agent.name(), "healed");
+            network.setConditions(agent.number, fault.links(), fault.direction(), LinkConditions.CLEAR);
         });
     }
 
     private void kill(PersistentAgent agent, long lasts, Runnable whileDead) {
-        long startsAt = day.now() + lasts;
+        long startsAt = context.now() + lasts;
         if (!agent.machine().running()) {
             return;
         }
         int mine = agent.processes();
-        agent.signalled(process -> process.onExit()
+        agent.withProcess(process -> process.onExit()
                 .thenRunAsync(
                         () -> {
                             whileDead.run();
-                            onLoop(() -> {
+                            runOnLoop(() -> {
                                 if (agent.processes() == mine) {
-                                    again(agent, startsAt - day.now());
+                                    restartAfter(agent, startsAt - context.now());
                                 }
                             });
                         },
-                        hands));
+                        executor));
         agent.kill();
-        hand.ended(day.now(), agent.number);
+        drainChecker.ended(context.now(), agent.number);
     }
 
-    private void again(PersistentAgent agent, long inMicros) {
-        day.at(day.now() + inMicros, () -> {
-            if (!agent.machine().running() && !over) {
+    private void restartAfter(PersistentAgent agent, long inMicros) {
+        context.at(context.now() + inMicros, () -> {
+            if (!agent.machine().running() && !finished) {
                 agent.start();
             }
         });
     }
 
     /** Killed as soon as it is ready, over and over; the last time it is left alone. */
-    private void crash(PersistentAgent agent, long pause, int times) {
-        if (times > 0 && !over) {
+    private void crashLoop(PersistentAgent agent, long pause, int times) {
+        if (times > 0 && !finished) {
             kill(agent, pause, () -> {});
             CompletableFuture.runAsync(
                     () -> {
                         try {
                             Thread.sleep(TimeUnit.MICROSECONDS.toMillis(pause));
-                            while (!over && !agent.ready()) {
-                                Thread.sleep(LOOK_MS);
+                            while (!finished && !agent.ready()) {
+                                Thread.sleep(POLL_INTERVAL_MS);
                             }
-                            onLoop(() -> crash(agent, pause, times - 1));
+                            runOnLoop(() -> crashLoop(agent, pause, times - 1));
                         } catch (InterruptedException e) {
                             Thread.currentThread().interrupt();
                         }
                     },
-                    hands);
+                    executor);
         }
     }
 
     // ---- Folders ----
 
-    private interface Change {
-        void make() throws IOException;
+    private interface FolderChange {
+        void apply() throws IOException;
     }
 
-    private Path copy(PersistentAgent agent) {
+    private Path copyFolder(PersistentAgent agent) {
         return root.resolve("copy-of-" + agent.name());
     }
 
-    private void quietly(PersistentAgent agent, String what, Change change) {
+    private void changeFolder(PersistentAgent agent, String what, FolderChange change) {
         try {
-            change.make();
-            onLoop(() -> event("folder", agent.name(), what));
+            change.apply();
+            runOnLoop(() -> recordEvent("folder", agent.name(), what));
         } catch (IOException e) {
-            onLoop(() -> day.checker.left(day.now(), agent.name() + "'s folder could not be " + what + ": " + e));
+            runOnLoop(() ->
+                    context.checker.left(context.now(), agent.name() + "'s folder could not be " + what + ": " + e));
         }
     }
 
     /** Changes the folder of a process that has ended. */
-    private void state(ProcessFault.State state, PersistentAgent agent, long number) {
+    private void applyFolderState(ProcessFault.State state, PersistentAgent agent, long number) {
         Path folder = agent.folder();
         String what = state.name().toLowerCase(Locale.ROOT).replace('_', '-');
         switch (state) {
             case KEPT -> {}
-            case WIPED -> quietly(agent, what, () -> FolderFaults.delete(folder));
-            case OLDER, ANOTHERS -> quietly(agent, what, () -> FolderFaults.copy(copy(agent), folder));
-            case TORN -> quietly(agent, what, () -> FolderFaults.truncateNewestFile(folder.resolve("kept")));
-            case FLIPPED -> quietly(
+            case WIPED -> changeFolder(agent, what, () -> FolderFaults.delete(folder));
+            case OLDER, ANOTHERS -> changeFolder(agent, what, () -> FolderFaults.copy(copyFolder(agent), folder));
+            case TORN -> changeFolder(agent, what, () -> FolderFaults.truncateNewestFile(folder.resolve("kept")));
+            case FLIPPED -> changeFolder(
                     agent, what, () -> FolderFaults.flipBitInNewestFile(folder.resolve("kept"), number));
-            case READ_ONLY -> quietly(
+            case READ_ONLY -> changeFolder(
                     agent, what, () -> folder.resolve("kept").toFile().setWritable(false));
         }
     }
 
     // ---- Staff ----
 
-    private void byHand(PersistentAgent agent, String nodo, boolean out) {
-        var door = ways.relay(agent.number, Links.DOOR, agent.door()).address();
+    private void sendDrainCommand(PersistentAgent agent, String nodo, boolean out) {
+        var door = network.relay(agent.number, Links.DOOR, agent.managementAddress())
+                .address();
         int number = Integer.parseInt(nodo.substring("nodo-".length())) - 1;
         int process = agent.processes();
-        hands.execute(() -> {
-            ManagementClient.Answer answer =
+        executor.execute(() -> {
+            ManagementClient.Response answer =
                     ManagementClient.call(door, "POST", "/backends/" + nodo + (out ? "/maint" : "/ready"));
-            onLoop(() -> {
-                event(
+            runOnLoop(() -> {
+                recordEvent(
                         "staff",
                         agent.name(),
                         nodo + (out ? " out: " : " back: ") + answer.status() + " "
                                 + answer.text().strip());
                 if (answer.status() == 200 && agent.processes() == process) {
-                    hand.yes(
-                            day.now(), agent.number, number, out, !answer.text().contains("not kept"));
+                    drainChecker.yes(
+                            context.now(),
+                            agent.number,
+                            number,
+                            out,
+                            !answer.text().contains("not kept"));
                 }
             });
         });
@@ -509,19 +525,19 @@
 
     // ---- Loops ----
 
-    private void onLoop(Runnable what) {
+    private void runOnLoop(Runnable what) {
         if (!loop.isShuttingDown()) {
             loop.execute(what);
         }
     }
 
-    private void await(long mostMs, Callable<Boolean> what) throws InterruptedException, IOException {
-        for (long passed = 0; passed < mostMs && !on(what); passed += 50) {
+    private void awaitOnLoop(long mostMs, Callable<Boolean> what) throws InterruptedException, IOException {
+        for (long passed = 0; passed < mostMs && !callOnLoop(what); passed += 50) {
             Thread.sleep(50);
         }
     }
 
-    private <T> T on(Callable<T> what) throws InterruptedException, IOException {
+    private <T> T callOnLoop(Callable<T> what) throws InterruptedException, IOException {
         try {
             return loop.submit(what).get();
         } catch (ExecutionException e) {
--- a/src/main/java/gatefront/rehearsal/RealRehearsal.java
+++ b/src/main/java/gatefront/rehearsal/RealRehearsal.java
@@ -24,26 +24,26 @@
  * itself, and the agent where virtual time cannot: its own CPU, the kernel, the JVM. It repeats nothing exactly.
  */
 public final class RealRehearsal {
-    private static final long READY_MS = 30_000;
+    private static final long READY_TIMEOUT_MS = 30_000;
     /** What the kernel's and this process's lateness may blur, in microseconds. */
-    private static final long SLACK = 100_000;
+    private static final long SLACK_MICROS = 100_000;
 
-    private static final long TAIL_MS = 8_000;
+    private static final long COMPLETION_TIMEOUT_MS = 8_000;
     /** What nodos still work on has ended by then, where nothing is wrong with them. */
     private static final long SETTLE_MS = 1_000;
 
-    private static final long ENDING_MS = 6_000;
-    private static final int LINES_MOST = 2_000;
-    private static final int STARTERS = 4;
+    private static final long EXIT_TIMEOUT_MS = 6_000;
+    private static final int MAX_LOG_LINES = 2_000;
+    private static final int STARTER_THREADS = 4;
     /** The rig is to be late by no more, in microseconds. */
-    private static final long LATE_MOST = 20_000;
+    private static final long MAX_LATENESS_MICROS = 20_000;
 
     private final Plan plan;
     private final long seed;
     private final List<String> agentCommand;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final ExecutorService starter = Executors.newFixedThreadPool(STARTERS, task -> {
+    private final ExecutorService starter = Executors.newFixedThreadPool(STARTER_THREADS, task -> {
         Thread thread = new Thread(task, "starter");
         thread.setDaemon(true);
         return thread;
@@ -69,7 +69,7 @@
      * The command that runs an agent with the classes of this very program, and with the archive of classes that lies
      * beside its jar, if one does, as in service: without it a start takes twice the processor.
      */
-    public static List<String> ownCommand() {
+    public static List<String> currentJvmCommand() {
         String classes = System.getProperty("java.class.path");
         Path archive = Path.of(classes.replaceFirst("\\.jar$", ".jsa"));
         List<String> command = new ArrayList<>(List.of(
@@ -99,11 +99,11 @@
         List<AgentStandIn> started = new ArrayList<>();
         RunContext[] played = new RunContext[1];
         try {
-            LoopbackAddresses addresses = LoopbackAddresses.ofProcess();
-            RunContext day = on(() -> new RunContext(
+            LoopbackAddresses addresses = LoopbackAddresses.forThisProcess();
+            RunContext day = callOnLoop(() -> new RunContext(
                     plan,
                     seed,
-                    SLACK,
+                    SLACK_MICROS,
                     addresses,
                     (name, address, zone, memory, lines) -> new LoopbackMachine(name, address, loop),
                     made -> i -> {
@@ -117,12 +117,12 @@
             RealTimeRig rig = new RealTimeRig(day, lateness);
             day.ways = rig;
             day.checker.on(rig);
-            on(() -> {
+            callOnLoop(() -> {
                 day.begin();
                 return null;
             });
             awaitReady(day);
-            opensAt = on(() -> {
+            opensAt = callOnLoop(() -> {
                 long now = day.now() + 100_000;
                 lateness.reset();
                 Rehearsal.open(day, now);
@@ -134,15 +134,15 @@
                 Thread.sleep(250);
             }
             progress.accept(1);
-            await(TAIL_MS, () -> day.record.open() == 0);
+            awaitOnLoop(COMPLETION_TIMEOUT_MS, () -> day.record.open() == 0);
             Thread.sleep(SETTLE_MS);
-            on(() -> {
+            callOnLoop(() -> {
                 day.agents.forEach(each -> each.leave(() -> {}));
                 return null;
             });
-            await(ENDING_MS, () -> day.agents.stream()
+            awaitOnLoop(EXIT_TIMEOUT_MS, () -> day.agents.stream()
                     .noneMatch(each -> each.machine().running()));
-            return on(() -> {
+            return callOnLoop(() -> {
                 for (AgentStandIn each : day.agents) {
                     if (each.machine().running()) {
                         day.checker.left(day.now(), each.name() + " has not ended");
@@ -153,8 +153,8 @@
                         Locale.ROOT,
                         "the rig was late by %.1f ms at the most, and %d times by over %d " + "ms",
                         lateness.maxMicros() / 1e3,
-                        lateness.countOver(LATE_MOST),
-                        LATE_MOST / 1000));
+                        lateness.countOver(MAX_LATENESS_MICROS),
+                        MAX_LATENESS_MICROS / 1000));
                 return new RehearsalResult(plan, seed, day.cast, day.record, day.checker, List.copyOf(log), 0);
             });
         } catch (InterruptedException e) {
@@ -172,19 +172,19 @@
     }
 
     private void log(RunContext day, int agent, String line) {
-        if (log.size() < LINES_MOST) {
+        if (log.size() < MAX_LOG_LINES) {
             log.add(String.format(Locale.ROOT, "%.3f agent-%d %s", (day.now() - opensAt) / 1e6, agent + 1, line));
         }
     }
 
     /** Waits for something on the loop, or until it has taken too long. */
-    private void await(long mostMs, Callable<Boolean> what) throws InterruptedException, IOException {
-        for (long passed = 0; passed < mostMs && !on(what); passed += 50) {
+    private void awaitOnLoop(long mostMs, Callable<Boolean> what) throws InterruptedException, IOException {
+        for (long passed = 0; passed < mostMs && !callOnLoop(what); passed += 50) {
             Thread.sleep(50);
         }
     }
 
-    private <T> T on(Callable<T> what) throws InterruptedException, IOException {
+    private <T> T callOnLoop(Callable<T> what) throws InterruptedException, IOException {
         try {
             return loop.submit(what).get();
         } catch (ExecutionException e) {
@@ -193,7 +193,7 @@
     }
 
     private static void awaitReady(RunContext day) throws InterruptedException, IOException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
         for (AgentStandIn each : day.agents) {
             while (!each.ready()) {
                 if (System.nanoTime() > end || !each.machine().running()) {
--- a/src/main/java/gatefront/rehearsal/Rehearsal.java
+++ b/src/main/java/gatefront/rehearsal/Rehearsal.java
@@ -94,7 +94,7 @@
                 plan,
                 seed,
                 SLACK,
-                LoopbackAddresses.virtual(),
+                LoopbackAddresses.forVirtualNetwork(),
                 (name, address, zone, memory, lines) -> network.host(name, address, zone, memory, lines::line),
                 made -> i -> new VirtualAgent(
                         made,
--- a/src/main/java/gatefront/rehearsal/RelayNetwork.java
+++ b/src/main/java/gatefront/rehearsal/RelayNetwork.java
@@ -26,41 +26,41 @@
  */
 final class RelayNetwork extends RealTimeRig {
     /** After this all that had been held back has arrived. */
-    private static final long CATCHING_UP = 500_000;
+    private static final long CATCH_UP_MICROS = 500_000;
 
     /** A link: whose, which kind, where it leads. */
-    private record Key(int agent, Links kind, InetSocketAddress to) {}
+    private record LinkKey(int agent, Links kind, InetSocketAddress to) {}
 
     /** When something stood in a link's way, or a process did not run. */
-    private static final class Span {
+    private static final class Interval {
         private long from = Long.MIN_VALUE / 2;
         private long until = Long.MIN_VALUE / 2;
 
-        void begins(long now) {
+        void start(long now) {
             from = now;
             until = Long.MAX_VALUE / 2;
         }
 
-        void ends(long now) {
+        void end(long now) {
             until = now;
         }
 
-        boolean meets(long since, long to) {
+        boolean overlaps(long since, long to) {
             return until >= since && from <= to;
         }
     }
 
     private final EventLoopGroup loops;
     private final InetAddress host;
-    private final ManualDrainChecker hand;
-    private final EventHistory chronicle;
+    private final ManualDrainChecker drainChecker;
+    private final EventHistory history;
     private final StartTimeline timeline;
-    private final Map<Key, Relay> relays = new HashMap<>();
+    private final Map<LinkKey, Relay> relays = new HashMap<>();
     /** By agent, kind and direction; one that is clear has none. */
-    private final Map<String, LinkConditions> shapes = new HashMap<>();
+    private final Map<String, LinkConditions> conditions = new HashMap<>();
 
-    private final Map<Integer, Span> stopped = new HashMap<>();
-    private final Map<String, Span> troubled = new HashMap<>();
+    private final Map<Integer, Interval> pauses = new HashMap<>();
+    private final Map<String, Interval> disruptions = new HashMap<>();
 
     RelayNetwork(
             RunContext day,
@@ -73,27 +73,27 @@
         super(day, lateness);
         this.loops = loops;
         this.host = host;
-        this.hand = hand;
-        this.chronicle = chronicle;
+        this.drainChecker = hand;
+        this.history = chronicle;
         this.timeline = timeline;
     }
 
-    private static String at(int agent, Links kind) {
+    private static String key(int agent, Links kind) {
         return kind + " " + agent;
     }
 
-    private static String at(int agent, Links kind, Flow way) {
-        return at(agent, kind) + " " + way;
+    private static String key(int agent, Links kind, Flow way) {
+        return key(agent, kind) + " " + way;
     }
 
     /** The relay of a link, which is made if need be. */
     Relay relay(int agent, Links kind, InetSocketAddress to) {
-        return relays.computeIfAbsent(new Key(agent, kind, to), key -> {
+        return relays.computeIfAbsent(new LinkKey(agent, kind, to), key -> {
             try {
                 EventLoop loop = loops.next();
                 Relay made = new Relay(loop, host, to);
                 for (Flow way : Flow.values()) {
-                    LinkConditions shape = shapes.get(at(agent, kind, way));
+                    LinkConditions shape = conditions.get(key(agent, kind, way));
                     if (shape != null) {
                         made.setConditions(way, shape);
                     }
@@ -105,7 +105,7 @@
         });
     }
 
-    private List<Relay> of(int agent, Links kind) {
+    private List<Relay> relaysOf(int agent, Links kind) {
         List<Relay> those = new ArrayList<>();
         relays.forEach((key, relay) -> {
             if (key.agent == agent && key.kind == kind) {
@@ -115,12 +115,12 @@
         return those;
     }
 
-    private static List<Links> kinds(Links links) {
+    private static List<Links> expand(Links links) {
         return links == Links.ALL ? List.of(Links.NODOS, Links.PADRON, Links.CALLERS, Links.DOOR) : List.of(links);
     }
 
     /** The ways of a link that a direction, as the agent sees it, means. */
-    private static List<Flow> ways(Links kind, Direction direction) {
+    private static List<Flow> flows(Links kind, Direction direction) {
         if (direction == Direction.BOTH) {
             return List.of(Flow.values());
         }
@@ -129,44 +129,44 @@
     }
 
     /** Shapes links of an agent, or heals them. */
-    void shape(int agent, Links links, Direction direction, LinkConditions shape) {
-        for (Links kind : kinds(links)) {
-            Span span = troubled.computeIfAbsent(at(agent, kind), key -> new Span());
-            for (Flow way : ways(kind, direction)) {
+    void setConditions(int agent, Links links, Direction direction, LinkConditions shape) {
+        for (Links kind : expand(links)) {
+            Interval span = disruptions.computeIfAbsent(key(agent, kind), key -> new Interval());
+            for (Flow way : flows(kind, direction)) {
                 if (shape == LinkConditions.CLEAR) {
-                    shapes.remove(at(agent, kind, way));
+                    conditions.remove(key(agent, kind, way));
                 } else {
-                    shapes.put(at(agent, kind, way), shape);
+                    conditions.put(key(agent, kind, way), shape);
                 }
-                of(agent, kind).forEach(each -> each.setConditions(way, shape));
+                relaysOf(agent, kind).forEach(each -> each.setConditions(way, shape));
             }
             if (shape == LinkConditions.CLEAR) {
-                span.ends(day.now());
+                span.end(day.now());
             } else {
-                span.begins(day.now());
+                span.start(day.now());
             }
         }
     }
 
     /** Resets the connections of links, or ends their far ends alone. */
-    void breaks(int agent, Links links, boolean halfOpen) {
-        for (Links kind : kinds(links)) {
-            Span span = troubled.computeIfAbsent(at(agent, kind), key -> new Span());
-            if (!span.meets(day.now(), day.now())) {
-                span.begins(day.now());
-                span.ends(day.now());
+    void breakConnections(int agent, Links links, boolean halfOpen) {
+        for (Links kind : expand(links)) {
+            Interval span = disruptions.computeIfAbsent(key(agent, kind), key -> new Interval());
+            if (!span.overlaps(day.now(), day.now())) {
+                span.start(day.now());
+                span.end(day.now());
             }
-            of(agent, kind).forEach(halfOpen ? Relay::halfOpen : Relay::reset);
+            relaysOf(agent, kind).forEach(halfOpen ? Relay::halfOpen : Relay::reset);
         }
     }
 
     /** A process stands still, or goes on. */
-    void stopped(int agent, boolean now) {
-        Span span = stopped.computeIfAbsent(agent, key -> new Span());
+    void setPaused(int agent, boolean now) {
+        Interval span = pauses.computeIfAbsent(agent, key -> new Interval());
         if (now) {
-            span.begins(day.now());
+            span.start(day.now());
         } else {
-            span.ends(day.now());
+            span.end(day.now());
         }
     }
 
@@ -186,21 +186,21 @@
 
     @Override
     public boolean heard(int agent) {
-        Span span = troubled.get(at(agent, Links.PADRON));
-        return span == null || !span.meets(day.now() - CATCHING_UP, day.now());
+        Interval span = disruptions.get(key(agent, Links.PADRON));
+        return span == null || !span.overlaps(day.now() - CATCH_UP_MICROS, day.now());
     }
 
     @Override
     public long sentAt(int agent, long now) {
-        Span span = troubled.get(at(agent, Links.NODOS));
-        return span != null && span.meets(now - CATCHING_UP, now) ? Math.min(now, span.from) : now;
+        Interval span = disruptions.get(key(agent, Links.NODOS));
+        return span != null && span.overlaps(now - CATCH_UP_MICROS, now) ? Math.min(now, span.from) : now;
     }
 
     @Override
     public boolean owes(int agent, long from, long until) {
-        Span stop = stopped.get(agent);
-        Span link = troubled.get(at(agent, Links.CALLERS));
-        return (stop == null || !stop.meets(from, until)) && (link == null || !link.meets(from, until));
+        Interval stop = pauses.get(agent);
+        Interval link = disruptions.get(key(agent, Links.CALLERS));
+        return (stop == null || !stop.overlaps(from, until)) && (link == null || !link.overlaps(from, until));
     }
 
     @Override
@@ -210,11 +210,11 @@
 
     @Override
     public void begun(long now, int agent, int nodo) {
-        hand.begun(now, agent, nodo);
+        drainChecker.begun(now, agent, nodo);
     }
 
     @Override
     public void note(long at, String request, String what) {
-        chronicle.request(at, request, what);
+        history.request(at, request, what);
     }
 }
--- a/src/main/java/gatefront/rehearsal/plan/PlanReader.java
+++ b/src/main/java/gatefront/rehearsal/plan/PlanReader.java
@@ -94,7 +94,7 @@
         String name = top.text("name", null);
         double seconds = top.number("seconds", null, 1, 86_400);
         List<String> zones = top.texts("zones");
-        distinct(top, "zones", zones);
+        requireDistinct(top, "zones", zones);
         boolean byWork =
                 top.word("worth_by", "request", List.of("request", "work")).equals("work");
         Plan.Network network = network(top.table("network"));
@@ -112,7 +112,7 @@
         for (TomlTable each : top.tables("tenants")) {
             tenants.add(new Plan.Tenant(each.text("name", null), each.number("share", null, 0, MAX_WEIGHT)));
         }
-        distinct(top, "tenants", tenants.stream().map(Plan.Tenant::name).toList());
+        requireDistinct(top, "tenants", tenants.stream().map(Plan.Tenant::name).toList());
         List<Fault> faults = new ArrayList<>();
         for (TomlTable each : top.tables("faults")) {
             Fault fault = fault(each, seconds, agents.count(), nodos.count(), zones);
@@ -139,7 +139,7 @@
                 List.copyOf(faults));
     }
 
-    private static void distinct(TomlTable table, String key, List<String> names) throws TomlException {
+    private static void requireDistinct(TomlTable table, String key, List<String> names) throws TomlException {
         Set<String> seen = new HashSet<>();
         for (String each : names) {
             if (!seen.add(each)) {
@@ -183,7 +183,7 @@
                     each.number("thrash", 0.0, 0, 10),
                     each.number("thrash_at", 4.0, 0, 1000)));
         }
-        distinct(t, "kinds", kinds.stream().map(Plan.Machine::name).toList());
+        requireDistinct(t, "kinds", kinds.stream().map(Plan.Machine::name).toList());
         return new Plan.Nodos(
                 t.whole("count", 14, 1, MAX_COUNT),
                 t.range("bloque", new NumberRange(6, 10), 1, 10_000),
@@ -251,7 +251,8 @@
                     giveUp,
                     t.number("worth", 1.0, 0, MAX_WEIGHT)));
         }
-        distinct(top, "classes", classes.stream().map(Plan.RequestClass::name).toList());
+        requireDistinct(
+                top, "classes", classes.stream().map(Plan.RequestClass::name).toList());
         return List.copyOf(classes);
     }
 
--- a/src/test/java/gatefront/rehearsal/ProcessRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/ProcessRehearsalTest.java
@@ -32,7 +32,7 @@
         return new ProcessRehearsal(
                         ProcessPlanReader.parse(plan, text, AGENTS),
                         1,
-                        RealRehearsal.ownCommand(),
+                        RealRehearsal.currentJvmCommand(),
                         Set.of(without),
                         dir.resolve("history.jsonl"))
                 .play(done -> {});
--- a/src/test/java/gatefront/rehearsal/RealRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/RealRehearsalTest.java
@@ -42,7 +42,7 @@
                                 fault(Fault.Kind.AGENT_RELOAD, 1.5, 0, "agent-1"),
                                 fault(Fault.Kind.AGENT_RESTART, 2, 0, "agent-1")),
                         1,
-                        RealRehearsal.ownCommand())
+                        RealRehearsal.currentJvmCommand())
                 .play(done -> {});
         assertTrue(outcome.service() > 0.3, outcome.line());
         assertEquals(
@@ -72,7 +72,7 @@
     @Test
     void theDemoServesWhatIsTypedByHand() throws Exception {
         List<String> log = new ArrayList<>();
-        try (Demo demo = new Demo(PlanReader.builtIn("demo"), RealRehearsal.ownCommand(), log::add)) {
+        try (Demo demo = new Demo(PlanReader.builtIn("demo"), RealRehearsal.currentJvmCommand(), log::add)) {
             URI uri = URI.create("http://" + demo.address().getAddress().getHostAddress() + ":"
                     + demo.address().getPort() + "/consulta-saldo");
             HttpURLConnection call = (HttpURLConnection) uri.toURL().openConnection();
--- a/src/test/java/gatefront/rehearsal/RegistryRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/RegistryRehearsalTest.java
@@ -36,7 +36,7 @@
     void theSameSeedGivesTheSameReport() throws Exception {
         Plan plan = PlanReader.builtIn("registry").withSeconds(15);
         assertEquals(
-                new String(JsonReport.bytes(new Rehearsal(plan, 3).play())),
-                new String(JsonReport.bytes(new Rehearsal(plan, 3).play())));
+                new String(JsonReport.toBytes(new Rehearsal(plan, 3).play())),
+                new String(JsonReport.toBytes(new Rehearsal(plan, 3).play())));
     }
 }
--- a/src/test/java/gatefront/rehearsal/RehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/RehearsalTest.java
@@ -26,9 +26,9 @@
 
     @Test
     void theSamePlanAndSeedGiveTheSameBytesAndAnotherSeedOthers() throws Exception {
-        byte[] first = JsonReport.bytes(new Rehearsal(rough(20), 7).play());
-        assertArrayEquals(first, JsonReport.bytes(new Rehearsal(rough(20), 7).play()));
-        assertFalse(Arrays.equals(first, JsonReport.bytes(new Rehearsal(rough(20), 8).play())));
+        byte[] first = JsonReport.toBytes(new Rehearsal(rough(20), 7).play());
+        assertArrayEquals(first, JsonReport.toBytes(new Rehearsal(rough(20), 7).play()));
+        assertFalse(Arrays.equals(first, JsonReport.toBytes(new Rehearsal(rough(20), 8).play())));
     }
 
     /** Guards against identity hash codes, salted orders, heap sizes and core counts that find their way in. */
--- a/src/test/java/gatefront/rehearsal/ThriftRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/ThriftRehearsalTest.java
@@ -34,7 +34,7 @@
                     () -> outcome.breaches().get(0).toString());
         }
         assertArrayEquals(
-                JsonReport.bytes(new Rehearsal(plan, 3).play()), JsonReport.bytes(new Rehearsal(plan, 3).play()));
+                JsonReport.toBytes(new Rehearsal(plan, 3).play()), JsonReport.toBytes(new Rehearsal(plan, 3).play()));
         Plan again = PlanReader.parse("again", PlanWriter.text(plan));
         assertEquals("framed-compact", again.network().protocol());
     }
