--- a/src/main/java/gatefront/rehearsal/plan/Fault.java
+++ b/src/main/java/gatefront/rehearsal/plan/Fault.java
@@ -5,17 +5,17 @@
 import java.util.Locale;
 
 /**
- * Something that goes wrong, or is done on purpose, under way.
+ * A fault, or a planned operation such as a restart, that a plan injects during a rehearsal.
  *
- * @param kind what
- * @param at when, in seconds
- * @param duration how long, in seconds; what that means depends on the kind
- * @param share of the nodos or agents that it meets; at least one where above 0
- * @param names those it meets, instead of a share; may be empty
- * @param size how bad: a factor or a part, by kind
- * @param period for what comes and goes, how long each of both takes, in seconds
- * @param zone the one sala whose nodos or agents it meets, or -1 for all
- * @param spread over how many seconds those that it meets are met, one after the other
+ * @param kind what happens
+ * @param at when it begins, in seconds since traffic started
+ * @param duration in seconds; its meaning depends on the kind
+ * @param share the share of the nodos or agents that are affected; at least one if above 0
+ * @param names the affected nodos or agents, instead of a share; may be empty
+ * @param size the severity, a factor or a share, depending on the kind
+ * @param period for an intermittent fault, the length of each on and each off phase in seconds
+ * @param zone the index of the only sala whose nodos or agents are affected, or -1 for all
+ * @param spread the period in seconds over which the affected nodos or agents are hit one after the other
  */
 public record Fault(
         Kind kind,
@@ -27,7 +27,7 @@
         NumberRange period,
         int zone,
         NumberRange spread) {
-    /** One that meets all salas, and those that it meets at once. */
+    /** Creates a fault that affects all salas, and hits all affected nodos or agents at once. */
     public Fault(
             Kind kind,
             NumberRange at,
@@ -39,18 +39,18 @@
         this(kind, at, lasts, share, names, size, every, -1, new NumberRange(0, 0));
     }
 
-    /** The same with these figures, for those of these names, whatever sala they stand in. */
+    /** Returns this fault with the given values, for nodos or agents given by name in any sala. */
     public Fault withFixedValues(
-            NumberRange begins,
-            NumberRange takes,
-            List<String> those,
-            NumberRange how,
-            NumberRange often,
-            NumberRange over) {
-        return new Fault(kind, begins, takes, share, those, how, often, -1, over);
+            NumberRange newAt,
+            NumberRange newDuration,
+            List<String> newNames,
+            NumberRange newSize,
+            NumberRange newPeriod,
+            NumberRange newSpread) {
+        return new Fault(kind, newAt, newDuration, share, newNames, newSize, newPeriod, -1, newSpread);
     }
 
-    /** The same, beginning at this second at the latest. */
+    /** Returns this fault, beginning no later than the given second. */
     Fault startingAtLatest(double seconds) {
         return new Fault(
                 kind,
@@ -64,56 +64,56 @@
                 spread);
     }
 
-    /** What may go wrong. */
+    /** The kinds of faults. Their order is that in which messages list them. */
     public enum Kind {
-        /** Processes die together and come back cold after the time. */
+        /** Server processes die together and start again, cold, after the duration. */
         DIE(Target.NODOS, false),
-        /** Work takes so many times as long. */
+        /** Work takes longer by the factor. */
         SLOW(Target.NODOS, true),
-        /** The part of the requests fails at once. */
+        /** The given share of the requests fails at once. */
         FAIL(Target.NODOS, true),
-        /** Another program takes the part of the machine, on and off. */
+        /** Another program takes the given share of the machine intermittently. */
         TAKEN(Target.NODOS, true),
-        /** Told to drain; ready again after the time. */
+        /** Servers drain, and are ready again after the duration. */
         DRAIN(Target.NODOS, false),
-        /** Told to drain, leaves the list after the time and ends. */
+        /** Servers drain, leave the server list after the duration and exit. */
         LEAVE(Target.NODOS, false),
-        /** The machine says nothing for the time; then it has booted anew. */
+        /** The machine is silent for the duration and has then rebooted. */
         VANISH(Target.NODOS, false),
-        /** Cut off for the time; nothing on the machine notices. */
+        /** The machine is cut off from the network for the duration; its processes keep running. */
         CUT_OFF(Target.NODOS, false),
-        /** Another nodo starts cold at its address, under a new name. */
+        /** Another server starts, cold, at the same address under a new name. */
         REPLACE(Target.NODOS, false),
-        /** A successor starts cold on a machine of its own; the old one drains after a third of the time. */
+        /** A successor starts, cold, on another machine; the old server drains after a third of the duration. */
         SUCCEED(Target.NODOS, false),
-        /** The part of the answers breaks off in the middle. */
+        /** The given share of the responses is cut off in the middle. */
         BREAK_OFF(Target.NODOS, true),
-        /** So many times the usual traffic. */
+        /** Traffic grows by the factor. */
         JUMP(Target.NONE, true),
-        /** The part of the callers gives up each try long before its answer is due, and comes again. */
+        /** The given share of the clients gives up each try long before its response is due, and retries. */
         HURRY(Target.NONE, true),
-        /** The padrón answers nothing. */
+        /** The padrón does not respond. */
         PADRON_SILENT(Target.NONE, false),
-        /** All members of the registry are down for the time. */
+        /** All members of the registry are down for the duration. */
         REGISTRY_DOWN(Target.NONE, false),
-        /** The registry tells changes so many seconds late. */
+        /** The registry reports changes late, by the size in seconds. */
         REGISTRY_SLOW(Target.NONE, true),
-        /** The registry forgets what changed before. */
+        /** The registry compacts its history. */
         REGISTRY_COMPACT(Target.NONE, false),
-        /** Agents are killed outright and start again after the time. */
+        /** Agents are killed with SIGKILL and start again after the duration. */
         AGENT_KILL(Target.AGENTS, false),
-        /** Agents get SIGTERM, one after the other so far apart, and start again when they have ended. */
+        /** Agents get SIGTERM one after the other, at intervals of the duration, and start again once they have exited. */
         AGENT_RESTART(Target.AGENTS, false),
-        /** Agents get a new configuration: the padrón has another address. */
+        /** Agents reload a configuration in which the padrón has another address. */
         AGENT_RELOAD(Target.AGENTS, false);
 
-        /** Who may be met. */
+        /** What a kind of fault affects. */
         public enum Target {
             /** Nodos. */
             NODOS,
             /** Agents. */
             AGENTS,
-            /** No one in particular. */
+            /** No individual nodo or agent; the fault is global. */
             NONE
         }
 
@@ -125,22 +125,22 @@
             this.needsSize = sized;
         }
 
-        /** Who may be met. */
+        /** Returns what the fault affects. */
         public Target target() {
             return target;
         }
 
-        /** Whether it needs a size. */
+        /** Returns whether the plan has to give a size. */
         public boolean needsSize() {
             return needsSize;
         }
 
-        /** Whether it needs a registry to happen to. */
+        /** Returns whether the fault applies only to plans with a registry. */
         public boolean needsRegistry() {
             return this == REGISTRY_DOWN || this == REGISTRY_SLOW || this == REGISTRY_COMPACT;
         }
 
-        /** As it stands in a plan. */
+        /** Returns the name of the kind in plan files. */
         public String keyword() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
--- a/src/main/java/gatefront/rehearsal/plan/Plan.java
+++ b/src/main/java/gatefront/rehearsal/plan/Plan.java
@@ -5,21 +5,22 @@
 import java.util.List;
 
 /**
- * What a rehearsal plays. Times in seconds or milliseconds as the names say.
+ * The plan of a rehearsal: the simulated world, its traffic and its faults. Times are seconds or milliseconds, as the
+ * names say.
  *
- * @param name for the report
- * @param seconds how long callers come
+ * @param name the name in the report
+ * @param seconds how long clients send requests
  * @param zones names of the salas
- * @param worthByWork whether worth counts for each unit of work
- * @param network the ways
+ * @param worthByWork whether the worth of a request is multiplied by its work
+ * @param network latencies, bandwidth and protocol
  * @param agents the agents
- * @param nodos the nodos
- * @param rules what the four rules say
- * @param padron the server list
- * @param clients who asks
- * @param classes what for
+ * @param nodos the servers
+ * @param rules limits of the rules that are checked
+ * @param padron the source of the server list
+ * @param clients the clients
+ * @param classes the classes of requests
  * @param tenants the municipios
- * @param faults what goes wrong
+ * @param faults the faults
  */
 public record Plan(
         String name,
@@ -35,7 +36,16 @@
         List<RequestClass> classes,
         List<Tenant> tenants,
         List<Fault> faults) {
-    /** One way in milliseconds, its relative jitter, the speed of each link, and what is spoken on them. */
+    /**
+     * The network.
+     *
+     * @param clientMs one-way latency between clients and agents
+     * @param sameZoneMs one-way latency within a sala
+     * @param crossZoneMs one-way latency between salas
+     * @param jitter relative jitter of the latencies
+     * @param megabitsPerSecond bandwidth of each link
+     * @param protocol the protocol between clients, agents and servers
+     */
     public record Network(
             double clientMs,
             double sameZoneMs,
@@ -44,10 +54,13 @@
             double megabitsPerSecond,
             String protocol) {}
 
-    /** How many agents there are and what each may hold. */
+    /** The number of agents, the limits of each, and how unevenly requests are spread over them. */
     public record Agents(int count, int maxSockets, int memoryMb, double skew) {}
 
-    /** The nodos. Each draws its own cold start from the ranges; agents are told the worst of both. */
+    /**
+     * The servers. Each draws its own cold start from the ranges; agents are configured with the worst case of both,
+     * the lowest initial capacity and the longest time.
+     */
     public record Nodos(
             int count,
             NumberRange bloque,
@@ -63,7 +76,7 @@
             double idleTimeoutSeconds,
             List<Machine> machines) {}
 
-    /** A kind of machine. */
+    /** A kind of machine that servers run on. */
     public record Machine(
             String name,
             double share,
@@ -74,14 +87,20 @@
             double thrash,
             double thrashAt) {}
 
-    /** What the rules say. */
+    /** Limits of the rules that the rehearsal checks. */
     public record Rules(
             double answerSlackMs, double drainGraceMs, double fallMultiple, double fallSeconds, int maxAttempts) {}
 
-    /** How late the padrón tells, how many calls a second it can take (0 for any number), and what stands for it. */
+    /**
+     * The source of the server list.
+     *
+     * @param noticeDelaySeconds delay between a change and its announcement
+     * @param maxCallsPerSecond calls per second that it can serve; 0 for no limit
+     * @param source which kind of source it is: the padrón or a registry
+     */
     public record Discovery(NumberRange noticeDelaySeconds, double maxCallsPerSecond, String source) {}
 
-    /** The callers. */
+    /** The clients: their rate of requests per second and how they retry. */
     public record Clients(
             double rate,
             int retries,
@@ -108,8 +127,8 @@
     /** A municipio. */
     public record Tenant(String name, double share) {}
 
-    /** The same day with other faults. */
-    public Plan withFaults(List<Fault> others) {
+    /** Returns this plan with other faults. */
+    public Plan withFaults(List<Fault> newFaults) {
         return new Plan(
                 name,
                 seconds,
@@ -123,10 +142,10 @@
                 clients,
                 classes,
                 tenants,
-                List.copyOf(others));
+                List.copyOf(newFaults));
     }
 
-    /** The same day over another protocol. */
+    /** Returns this plan with another protocol. */
     public Plan withProtocol(String protocol) {
         return new Plan(
                 name,
@@ -150,7 +169,7 @@
                 faults);
     }
 
-    /** The same day with another source of the server list. */
+    /** Returns this plan with another source of the server list. */
     public Plan withSource(String source) {
         return new Plan(
                 name,
@@ -168,7 +187,7 @@
                 faults);
     }
 
-    /** The same day with another rate of requests. */
+    /** Returns this plan with another rate of requests. */
     public Plan withRate(double rate) {
         return new Plan(
                 name,
@@ -194,10 +213,10 @@
                 faults);
     }
 
-    /** The same day at another size: so many agents and nodos, and as many requests for each nodo as before. */
+    /** Returns this plan with other numbers of agents and servers, and the same rate of requests per server. */
     public Plan scaledTo(int agentCount, int nodoCount) {
-        Agents agentsNow = new Agents(agentCount, agents.maxSockets, agents.memoryMb, agents.skew);
-        Nodos nodosNow = new Nodos(
+        Agents scaledAgents = new Agents(agentCount, agents.maxSockets, agents.memoryMb, agents.skew);
+        Nodos scaledNodos = new Nodos(
                 nodoCount,
                 nodos.bloque,
                 nodos.limited,
@@ -217,8 +236,8 @@
                         zones,
                         worthByWork,
                         network,
-                        agentsNow,
-                        nodosNow,
+                        scaledAgents,
+                        scaledNodos,
                         rules,
                         padron,
                         clients,
@@ -228,11 +247,11 @@
                 .withRate(clients.rate * nodoCount / nodos.count);
     }
 
-    /** The same day cut to another length; faults that would come after it are left out. */
+    /** Returns this plan with another length; faults that would begin later are left out. */
     public Plan withSeconds(double length) {
-        List<Fault> within = faults.stream()
-                .filter(each -> each.at().low() < length)
-                .map(each -> each.startingAtLatest(length))
+        List<Fault> remaining = faults.stream()
+                .filter(fault -> fault.at().low() < length)
+                .map(fault -> fault.startingAtLatest(length))
                 .toList();
         return new Plan(
                 name,
@@ -247,6 +266,6 @@
                 clients,
                 classes,
                 tenants,
-                within);
+                remaining);
     }
 }
--- a/src/main/java/gatefront/rehearsal/plan/PlanReader.java
+++ b/src/main/java/gatefront/rehearsal/plan/PlanReader.java
@@ -17,9 +17,9 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Reads plans. Whatever is wrong is one line, and nothing is played. */
+/** Reads rehearsal plans. An invalid plan gives an error of one line with file, line and key. */
 public final class PlanReader {
-    /** The plans that come with the jar. */
+    /** Names of the plans that are packaged in the jar. */
     public static final List<String> BUILT_IN = List.of(
             "cashier-rush",
             "calm",
@@ -34,12 +34,12 @@
             "mass-roll",
             "registry",
             "soak");
-    /** What may be spoken between callers, agents and nodos. */
+    /** The protocols between clients, agents and servers. */
     public static final List<String> PROTOCOLS =
             List.of("http", "framed-binary", "framed-compact", "unframed-binary", "unframed-compact");
-    /** Where agents may have the server list from. */
+    /** The sources of the server list. */
     public static final List<String> SOURCES = List.of("padron", "etcd", "consul");
-    /** Agents, and nodos, of a plan at the most. */
+    /** Maximum number of agents, and of nodos, in a plan. */
     public static final int MAX_COUNT = 10_000;
 
     private static final double MAX_WEIGHT = 1e9;
@@ -53,20 +53,20 @@
     /**
      * Reads a plan file.
      *
-     * @param path where it is
+     * @param path the file
      * @return the plan
-     * @throws TomlException if it cannot be played
+     * @throws TomlException if the plan is invalid
      */
     public static Plan read(Path path) throws TomlException {
         return parse(path.toString(), TomlFile.text(path, "; built in are " + String.join(", ", BUILT_IN)));
     }
 
-    /** A plan that comes with the jar. */
+    /** Reads a built-in plan. */
     public static Plan builtIn(String name) throws TomlException {
         return parse(name + ".toml", builtInText(name));
     }
 
-    /** Its text, as a start for plans of one's own. */
+    /** Returns the text of a built-in plan. */
     public static String builtInText(String name) throws TomlException {
         try (InputStream in = PlanReader.class.getResourceAsStream("/gatefront/plans/" + name + ".toml")) {
             if (in == null) {
@@ -79,12 +79,12 @@
     }
 
     /**
-     * Reads a plan's text.
+     * Parses the text of a plan.
      *
-     * @param file its name in messages
+     * @param file its name in error messages
      * @param text the TOML
      * @return the plan
-     * @throws TomlException if it cannot be played
+     * @throws TomlException if the plan is invalid
      */
     public static Plan parse(String file, String text) throws TomlException {
         return new PlanReader(file).plan(TomlFile.parse(file, text));
@@ -95,29 +95,29 @@
         double seconds = top.number("seconds", null, 1, 86_400);
         List<String> zones = top.texts("zones");
         requireDistinct(top, "zones", zones);
-        boolean byWork =
+        boolean worthByWork =
                 top.word("worth_by", "request", List.of("request", "work")).equals("work");
         Plan.Network network = network(top.table("network"));
         Plan.Agents agents = agents(top.table("agents"));
         Plan.Nodos nodos = nodos(top.table("nodos"));
         Plan.Rules rules = rules(top.table("rules"));
-        TomlTable list = top.table("padron");
+        TomlTable source = top.table("padron");
         Plan.Discovery padron = new Plan.Discovery(
-                list.range("notice_s", new NumberRange(0.5, 2), 0, 60),
-                list.number("calls_s", 0.0, 0, 1e6),
-                list.word("source", "padron", SOURCES));
+                source.range("notice_s", new NumberRange(0.5, 2), 0, 60),
+                source.number("calls_s", 0.0, 0, 1e6),
+                source.word("source", "padron", SOURCES));
         List<Plan.RequestClass> classes = classes(top);
-        Plan.Clients callers = callers(top.table("callers"), classes);
+        Plan.Clients clients = clients(top.table("callers"), classes);
         List<Plan.Tenant> tenants = new ArrayList<>();
-        for (TomlTable each : top.tables("tenants")) {
-            tenants.add(new Plan.Tenant(each.text("name", null), each.number("share", null, 0, MAX_WEIGHT)));
+        for (TomlTable table : top.tables("tenants")) {
+            tenants.add(new Plan.Tenant(table.text("name", null), table.number("share", null, 0, MAX_WEIGHT)));
         }
         requireDistinct(top, "tenants", tenants.stream().map(Plan.Tenant::name).toList());
         List<Fault> faults = new ArrayList<>();
-        for (TomlTable each : top.tables("faults")) {
-            Fault fault = fault(each, seconds, agents.count(), nodos.count(), zones);
+        for (TomlTable table : top.tables("faults")) {
+            Fault fault = fault(table, seconds, agents.count(), nodos.count(), zones);
             if (fault.kind().needsRegistry() && padron.source().equals("padron")) {
-                throw each.bad(
+                throw table.bad(
                         "kind", fault.kind().keyword() + " needs a registry: [padron] source = \"etcd\" or \"consul\"");
             }
             faults.add(fault);
@@ -127,13 +127,13 @@
                 name,
                 seconds,
                 zones,
-                byWork,
+                worthByWork,
                 network,
                 agents,
                 nodos,
                 rules,
                 padron,
-                callers,
+                clients,
                 classes,
                 List.copyOf(tenants),
                 List.copyOf(faults));
@@ -141,9 +141,9 @@
 
     private static void requireDistinct(TomlTable table, String key, List<String> names) throws TomlException {
         Set<String> seen = new HashSet<>();
-        for (String each : names) {
-            if (!seen.add(each)) {
-                throw table.bad(key, "\"" + each + "\" stands there twice");
+        for (String name : names) {
+            if (!seen.add(name)) {
+                throw table.bad(key, "\"" + name + "\" is listed twice");
             }
         }
         if (names.isEmpty() && !key.equals("tenants")) {
@@ -151,164 +151,170 @@
         }
     }
 
-    private static Plan.Network network(TomlTable t) throws TomlException {
+    private static Plan.Network network(TomlTable table) throws TomlException {
         return new Plan.Network(
-                t.number("client_ms", 0.3, 0, 1000),
-                t.number("same_ms", 0.3, 0, 1000),
-                t.range("cross_ms", new NumberRange(2, 2), 0, 1000),
-                t.number("jitter", 0.2, 0, 1),
-                t.number("megabits", 1000.0, 0.1, 1e6),
-                t.word("protocol", "http", PROTOCOLS));
+                table.number("client_ms", 0.3, 0, 1000),
+                table.number("same_ms", 0.3, 0, 1000),
+                table.range("cross_ms", new NumberRange(2, 2), 0, 1000),
+                table.number("jitter", 0.2, 0, 1),
+                table.number("megabits", 1000.0, 0.1, 1e6),
+                table.word("protocol", "http", PROTOCOLS));
     }
 
-    private static Plan.Agents agents(TomlTable t) throws TomlException {
+    private static Plan.Agents agents(TomlTable table) throws TomlException {
         return new Plan.Agents(
-                t.whole("count", 5, 1, MAX_COUNT),
-                t.whole("sockets", 384, 64, 1 << 20),
-                t.whole("memory_mb", 128, 16, 1 << 20),
-                t.number("skew", 0.5, 0, 3));
+                table.whole("count", 5, 1, MAX_COUNT),
+                table.whole("sockets", 384, 64, 1 << 20),
+                table.whole("memory_mb", 128, 16, 1 << 20),
+                table.number("skew", 0.5, 0, 3));
     }
 
-    private static Plan.Nodos nodos(TomlTable t) throws TomlException {
-        List<Plan.Machine> kinds = new ArrayList<>();
-        for (TomlTable each : t.tables("kinds")) {
-            int cores = each.whole("cores", 2, 1, 1024);
-            kinds.add(new Plan.Machine(
-                    each.text("name", null),
-                    each.number("share", 1.0, 0, MAX_WEIGHT),
+    private static Plan.Nodos nodos(TomlTable table) throws TomlException {
+        List<Plan.Machine> machines = new ArrayList<>();
+        for (TomlTable kind : table.tables("kinds")) {
+            int cores = kind.whole("cores", 2, 1, 1024);
+            machines.add(new Plan.Machine(
+                    kind.text("name", null),
+                    kind.number("share", 1.0, 0, MAX_WEIGHT),
                     cores,
-                    each.range("speed", new NumberRange(1, 1), 0.01, 100),
-                    each.whole("slots", 2 * cores, 1, 100_000),
-                    each.whole("room", 16 * cores, 0, 1_000_000),
-                    each.number("thrash", 0.0, 0, 10),
-                    each.number("thrash_at", 4.0, 0, 1000)));
+                    kind.range("speed", new NumberRange(1, 1), 0.01, 100),
+                    kind.whole("slots", 2 * cores, 1, 100_000),
+                    kind.whole("room", 16 * cores, 0, 1_000_000),
+                    kind.number("thrash", 0.0, 0, 10),
+                    kind.number("thrash_at", 4.0, 0, 1000)));
         }
-        requireDistinct(t, "kinds", kinds.stream().map(Plan.Machine::name).toList());
+        requireDistinct(
+                table, "kinds", machines.stream().map(Plan.Machine::name).toList());
         return new Plan.Nodos(
-                t.whole("count", 14, 1, MAX_COUNT),
-                t.range("bloque", new NumberRange(6, 10), 1, 10_000),
-                t.range("limited", new NumberRange(0, 0), 0, 1),
-                t.range("limit", new NumberRange(0.6, 0.6), 0.01, 1),
-                t.range("cold_from", new NumberRange(0.13, 0.13), 0.01, 1),
-                t.range("cold_s", new NumberRange(24, 24), 0.1, 3600),
-                t.range("report_ms", new NumberRange(330, 980), 1, 60_000),
-                t.number("noise", 0.1, 0, 1),
-                t.range("probe_ms", new NumberRange(0.51, 1), 0, 1000),
-                t.range("connection_ms", new NumberRange(1, 1), 0, 1000),
-                t.whole("connections", 200, 1, 1 << 20),
-                t.number("idle_s", 60.0, 0.1, 3600),
-                kinds);
+                table.whole("count", 14, 1, MAX_COUNT),
+                table.range("bloque", new NumberRange(6, 10), 1, 10_000),
+                table.range("limited", new NumberRange(0, 0), 0, 1),
+                table.range("limit", new NumberRange(0.6, 0.6), 0.01, 1),
+                table.range("cold_from", new NumberRange(0.13, 0.13), 0.01, 1),
+                table.range("cold_s", new NumberRange(24, 24), 0.1, 3600),
+                table.range("report_ms", new NumberRange(330, 980), 1, 60_000),
+                table.number("noise", 0.1, 0, 1),
+                table.range("probe_ms", new NumberRange(0.51, 1), 0, 1000),
+                table.range("connection_ms", new NumberRange(1, 1), 0, 1000),
+                table.whole("connections", 200, 1, 1 << 20),
+                table.number("idle_s", 60.0, 0.1, 3600),
+                machines);
     }
 
-    private static Plan.Rules rules(TomlTable t) throws TomlException {
+    private static Plan.Rules rules(TomlTable table) throws TomlException {
         return new Plan.Rules(
-                t.number("slack_ms", 20.0, 0, 10_000),
-                t.number("drain_ms", 500.0, 0, 60_000),
-                t.number("fall_multiple", 3.0, 1, 1000),
-                t.number("fall_s", 3.0, 0.1, 600),
-                t.whole("max_attempts", 6, 1, 60));
+                table.number("slack_ms", 20.0, 0, 10_000),
+                table.number("drain_ms", 500.0, 0, 60_000),
+                table.number("fall_multiple", 3.0, 1, 1000),
+                table.number("fall_s", 3.0, 0.1, 600),
+                table.whole("max_attempts", 6, 1, 60));
     }
 
-    private static Plan.Clients callers(TomlTable t, List<Plan.RequestClass> classes) throws TomlException {
+    private static Plan.Clients clients(TomlTable table, List<Plan.RequestClass> classes) throws TomlException {
         return new Plan.Clients(
-                t.number("rate", null, 0.01, 1e6),
-                t.whole("retries", 2, 0, 20),
-                t.number("backoff_ms", 50.0, 1, 60_000),
-                t.number("honour", 0.8, 0, 1),
-                t.range("try_share", new NumberRange(0.5, 0.8), 0.05, 1),
-                t.number("hint_error", 0.4, 0, 5),
-                t.flag("marks_retry", true),
-                t.number("retry_after_ms", 1000.0, 0, 60_000));
+                table.number("rate", null, 0.01, 1e6),
+                table.whole("retries", 2, 0, 20),
+                table.number("backoff_ms", 50.0, 1, 60_000),
+                table.number("honour", 0.8, 0, 1),
+                table.range("try_share", new NumberRange(0.5, 0.8), 0.05, 1),
+                table.number("hint_error", 0.4, 0, 5),
+                table.flag("marks_retry", true),
+                table.number("retry_after_ms", 1000.0, 0, 60_000));
     }
 
     private static List<Plan.RequestClass> classes(TomlTable top) throws TomlException {
         List<Plan.RequestClass> classes = new ArrayList<>();
-        for (TomlTable t : top.tables("classes")) {
-            Semantics semantics = Semantics.valueOf(
-                    t.word("repeats", null, List.of("safe", "keyed", "unsafe")).toUpperCase(Locale.ROOT));
+        for (TomlTable table : top.tables("classes")) {
+            Semantics semantics = Semantics.valueOf(table.word("repeats", null, List.of("safe", "keyed", "unsafe"))
+                    .toUpperCase(Locale.ROOT));
             boolean keyed = semantics == Semantics.KEYED;
-            if (!keyed && (t.has("window_ms") || t.has("dropped_by"))) {
-                throw t.bad(
-                        t.has("window_ms") ? "window_ms" : "dropped_by",
-                        "means something for repeats = \"keyed\" only");
+            if (!keyed && (table.has("window_ms") || table.has("dropped_by"))) {
+                throw table.bad(table.has("window_ms") ? "window_ms" : "dropped_by", "requires repeats = \"keyed\"");
             }
-            Scope scope = Scope.valueOf(
-                    t.word("dropped_by", "all", List.of("all", "zone", "cell")).toUpperCase(Locale.ROOT));
-            double aim = t.number("aim_ms", null, 1, 3_600_000);
-            double giveUp = t.number("give_up_ms", null, 1, 3_600_000);
-            if (aim > giveUp) {
-                throw t.bad("aim_ms", "is later than give_up_ms, when nobody waits any more");
+            Scope scope = Scope.valueOf(table.word("dropped_by", "all", List.of("all", "zone", "cell"))
+                    .toUpperCase(Locale.ROOT));
+            double targetMs = table.number("aim_ms", null, 1, 3_600_000);
+            double timeoutMs = table.number("give_up_ms", null, 1, 3_600_000);
+            if (targetMs > timeoutMs) {
+                throw table.bad("aim_ms", "is later than give_up_ms, when clients stop waiting");
             }
             classes.add(new Plan.RequestClass(
-                    t.text("name", null),
+                    table.text("name", null),
                     semantics,
                     scope,
-                    keyed ? t.number("window_ms", null, 1, 3_600_000) : 0,
-                    t.number("share", 1.0, 0, MAX_WEIGHT),
-                    t.range("work_ms", null, 0.001, 3_600_000),
-                    t.number("variation", 0.5, 0, 10),
-                    aim,
-                    giveUp,
-                    t.number("worth", 1.0, 0, MAX_WEIGHT)));
+                    keyed ? table.number("window_ms", null, 1, 3_600_000) : 0,
+                    table.number("share", 1.0, 0, MAX_WEIGHT),
+                    table.range("work_ms", null, 0.001, 3_600_000),
+                    table.number("variation", 0.5, 0, 10),
+                    targetMs,
+                    timeoutMs,
+                    table.number("worth", 1.0, 0, MAX_WEIGHT)));
         }
         requireDistinct(
                 top, "classes", classes.stream().map(Plan.RequestClass::name).toList());
         return List.copyOf(classes);
     }
 
-    /** Reads one fault of the world. */
-    public static Fault fault(TomlTable t, double seconds, int agents, int nodos, List<String> zones)
+    /** Reads a fault of the simulated world. */
+    public static Fault fault(TomlTable table, double seconds, int agents, int nodos, List<String> zones)
             throws TomlException {
-        List<String> words =
+        List<String> keywords =
                 Arrays.stream(Fault.Kind.values()).map(Fault.Kind::keyword).toList();
-        String word = t.word("kind", null, words);
-        Fault.Kind kind = Fault.Kind.values()[words.indexOf(word)];
-        NumberRange at = t.range("at_s", null, 0, seconds);
-        List<String> names = t.texts("names");
-        if (kind.target() == Fault.Kind.Target.NONE && (t.has("names") || t.has("share"))) {
-            throw t.bad(t.has("names") ? "names" : "share", "means nothing for " + word + ": it meets all");
+        String keyword = table.word("kind", null, keywords);
+        Fault.Kind kind = Fault.Kind.values()[keywords.indexOf(keyword)];
+        NumberRange at = table.range("at_s", null, 0, seconds);
+        List<String> names = table.texts("names");
+        if (kind.target() == Fault.Kind.Target.NONE && (table.has("names") || table.has("share"))) {
+            throw table.bad(
+                    table.has("names") ? "names" : "share",
+                    "does not apply to " + keyword + ", which affects everything");
         }
         String prefix = kind.target() == Fault.Kind.Target.AGENTS ? "agent-" : "nodo-";
-        int most = kind.target() == Fault.Kind.Target.AGENTS ? agents : nodos;
+        int count = kind.target() == Fault.Kind.Target.AGENTS ? agents : nodos;
         for (String name : names) {
-            if (!name.matches(prefix + "[1-9][0-9]{0,5}") || Integer.parseInt(name.substring(prefix.length())) > most) {
-                throw t.bad("names", "\"" + name + "\" is none of " + prefix + "1 to " + prefix + most);
+            if (!name.matches(prefix + "[1-9][0-9]{0,5}")
+                    || Integer.parseInt(name.substring(prefix.length())) > count) {
+                throw table.bad("names", "\"" + name + "\" is none of " + prefix + "1 to " + prefix + count);
             }
         }
-        NumberRange size = kind.needsSize() ? t.range("size", null, 0, 1000) : new NumberRange(1, 1);
-        boolean part = kind == Fault.Kind.FAIL
+        NumberRange size = kind.needsSize() ? table.range("size", null, 0, 1000) : new NumberRange(1, 1);
+        boolean sizeIsShare = kind == Fault.Kind.FAIL
                 || kind == Fault.Kind.TAKEN
                 || kind == Fault.Kind.BREAK_OFF
                 || kind == Fault.Kind.HURRY;
-        if (part && size.high() > 1) {
-            throw t.bad("size", "is a part for " + word + ", from 0 to 1");
+        if (sizeIsShare && size.high() > 1) {
+            throw table.bad("size", "is a share for " + keyword + " and must be within 0 to 1");
         }
         if ((kind == Fault.Kind.SLOW || kind == Fault.Kind.JUMP) && size.low() <= 0) {
-            throw t.bad("size", "is a factor for " + word + ", above 0");
+            throw table.bad("size", "is a factor for " + keyword + " and must be above 0");
         }
         for (String key : List.of("zone", "spread_s")) {
-            if (t.has(key)
+            if (table.has(key)
                     && (kind.target() == Fault.Kind.Target.NONE
                             || kind == Fault.Kind.AGENT_RESTART && key.equals("spread_s"))) {
-                throw t.bad(
+                throw table.bad(
                         key,
-                        "means nothing for " + word
-                                + (kind == Fault.Kind.AGENT_RESTART ? ": for_s says how far apart" : ": it meets all"));
+                        "does not apply to " + keyword
+                                + (kind == Fault.Kind.AGENT_RESTART
+                                        ? ": for_s is the interval between agents"
+                                        : ", which affects everything"));
             }
         }
-        if (t.has("zone") && t.has("names")) {
-            throw t.bad("zone", "cannot stand beside names, which tell already whom it meets");
+        if (table.has("zone") && table.has("names")) {
+            throw table.bad("zone", "cannot be combined with names, which already select what is affected");
         }
-        int zone = t.has("zone") ? zones.indexOf(t.word("zone", null, zones)) : -1;
+        int zone = table.has("zone") ? zones.indexOf(table.word("zone", null, zones)) : -1;
         return new Fault(
                 kind,
                 at,
-                t.range("for_s", new NumberRange(10, 10), 0, 86_400),
-                t.number("share", zone < 0 ? 0.25 : 1, 0, 1),
+                table.range("for_s", new NumberRange(10, 10), 0, 86_400),
+                table.number("share", zone < 0 ? 0.25 : 1, 0, 1),
                 names,
                 size,
-                kind == Fault.Kind.TAKEN ? t.range("every_s", new NumberRange(2, 4), 0.1, 3600) : new NumberRange(1, 1),
+                kind == Fault.Kind.TAKEN
+                        ? table.range("every_s", new NumberRange(2, 4), 0.1, 3600)
+                        : new NumberRange(1, 1),
                 zone,
-                t.range("spread_s", new NumberRange(0, 0), 0, 3600));
+                table.range("spread_s", new NumberRange(0, 0), 0, 3600));
     }
 }
--- a/src/main/java/gatefront/rehearsal/plan/PlanWriter.java
+++ b/src/main/java/gatefront/rehearsal/plan/PlanWriter.java
@@ -6,129 +6,129 @@
 import java.util.Locale;
 import java.util.stream.Collectors;
 
-/** Writes a plan as the file that reads back as the same plan. */
+/** Writes a plan as TOML that reads back as an equal plan. */
 public final class PlanWriter {
     private final StringBuilder out = new StringBuilder();
 
     private PlanWriter() {}
 
-    /** The plan's TOML. */
+    /** Returns the TOML text of a plan. */
     public static String text(Plan plan) {
         PlanWriter writer = new PlanWriter();
         writer.plan(plan);
         return writer.out.toString();
     }
 
-    private void plan(Plan p) {
-        put("name", quoted(p.name()));
-        put("seconds", p.seconds());
-        put("zones", list(p.zones()));
-        put("worth_by", quoted(p.worthByWork() ? "work" : "request"));
+    private void plan(Plan plan) {
+        put("name", quoted(plan.name()));
+        put("seconds", plan.seconds());
+        put("zones", list(plan.zones()));
+        put("worth_by", quoted(plan.worthByWork() ? "work" : "request"));
         out.append("\n[network]\n");
-        put("client_ms", p.network().clientMs());
-        put("same_ms", p.network().sameZoneMs());
-        put("cross_ms", p.network().crossZoneMs());
-        put("jitter", p.network().jitter());
-        put("megabits", p.network().megabitsPerSecond());
-        put("protocol", quoted(p.network().protocol()));
+        put("client_ms", plan.network().clientMs());
+        put("same_ms", plan.network().sameZoneMs());
+        put("cross_ms", plan.network().crossZoneMs());
+        put("jitter", plan.network().jitter());
+        put("megabits", plan.network().megabitsPerSecond());
+        put("protocol", quoted(plan.network().protocol()));
         out.append("\n[agents]\n");
-        put("count", p.agents().count());
-        put("sockets", p.agents().maxSockets());
-        put("memory_mb", p.agents().memoryMb());
-        put("skew", p.agents().skew());
-        nodos(p.nodos());
+        put("count", plan.agents().count());
+        put("sockets", plan.agents().maxSockets());
+        put("memory_mb", plan.agents().memoryMb());
+        put("skew", plan.agents().skew());
+        nodos(plan.nodos());
         out.append("\n[rules]\n");
-        put("slack_ms", p.rules().answerSlackMs());
-        put("drain_ms", p.rules().drainGraceMs());
-        put("fall_multiple", p.rules().fallMultiple());
-        put("fall_s", p.rules().fallSeconds());
-        put("max_attempts", p.rules().maxAttempts());
+        put("slack_ms", plan.rules().answerSlackMs());
+        put("drain_ms", plan.rules().drainGraceMs());
+        put("fall_multiple", plan.rules().fallMultiple());
+        put("fall_s", plan.rules().fallSeconds());
+        put("max_attempts", plan.rules().maxAttempts());
         out.append("\n[padron]\n");
-        put("notice_s", p.padron().noticeDelaySeconds());
-        put("calls_s", p.padron().maxCallsPerSecond());
-        put("source", quoted(p.padron().source()));
+        put("notice_s", plan.padron().noticeDelaySeconds());
+        put("calls_s", plan.padron().maxCallsPerSecond());
+        put("source", quoted(plan.padron().source()));
         out.append("\n[callers]\n");
-        put("rate", p.clients().rate());
-        put("retries", p.clients().retries());
-        put("backoff_ms", p.clients().backoffMs());
-        put("honour", p.clients().retryAfterCompliance());
-        put("try_share", p.clients().tryTimeoutShare());
-        put("hint_error", p.clients().hintError());
-        put("marks_retry", p.clients().marksRetry());
-        put("retry_after_ms", p.clients().retryAfterMs());
-        p.classes().forEach(this::kind);
-        for (Plan.Tenant each : p.tenants()) {
+        put("rate", plan.clients().rate());
+        put("retries", plan.clients().retries());
+        put("backoff_ms", plan.clients().backoffMs());
+        put("honour", plan.clients().retryAfterCompliance());
+        put("try_share", plan.clients().tryTimeoutShare());
+        put("hint_error", plan.clients().hintError());
+        put("marks_retry", plan.clients().marksRetry());
+        put("retry_after_ms", plan.clients().retryAfterMs());
+        plan.classes().forEach(this::requestClass);
+        for (Plan.Tenant tenant : plan.tenants()) {
             out.append("\n[[tenants]]\n");
-            put("name", quoted(each.name()));
-            put("share", each.share());
+            put("name", quoted(tenant.name()));
+            put("share", tenant.share());
         }
-        p.faults().forEach(each -> fault(each, p.zones()));
+        plan.faults().forEach(fault -> fault(fault, plan.zones()));
     }
 
-    private void nodos(Plan.Nodos n) {
+    private void nodos(Plan.Nodos nodos) {
         out.append("\n[nodos]\n");
-        put("count", n.count());
-        put("bloque", n.bloque());
-        put("limited", n.limited());
-        put("limit", n.limit());
-        put("cold_from", n.coldFrom());
-        put("cold_s", n.coldSeconds());
-        put("report_ms", n.reportMs());
-        put("noise", n.noise());
-        put("probe_ms", n.probeMs());
-        put("connection_ms", n.connectionMs());
-        put("connections", n.maxConnections());
-        put("idle_s", n.idleTimeoutSeconds());
-        for (Plan.Machine each : n.machines()) {
+        put("count", nodos.count());
+        put("bloque", nodos.bloque());
+        put("limited", nodos.limited());
+        put("limit", nodos.limit());
+        put("cold_from", nodos.coldFrom());
+        put("cold_s", nodos.coldSeconds());
+        put("report_ms", nodos.reportMs());
+        put("noise", nodos.noise());
+        put("probe_ms", nodos.probeMs());
+        put("connection_ms", nodos.connectionMs());
+        put("connections", nodos.maxConnections());
+        put("idle_s", nodos.idleTimeoutSeconds());
+        for (Plan.Machine machine : nodos.machines()) {
             out.append("\n[[nodos.kinds]]\n");
-            put("name", quoted(each.name()));
-            put("share", each.share());
-            put("cores", each.cores());
-            put("speed", each.speed());
-            put("slots", each.slots());
-            put("room", each.queueCapacity());
-            put("thrash", each.thrash());
-            put("thrash_at", each.thrashAt());
+            put("name", quoted(machine.name()));
+            put("share", machine.share());
+            put("cores", machine.cores());
+            put("speed", machine.speed());
+            put("slots", machine.slots());
+            put("room", machine.queueCapacity());
+            put("thrash", machine.thrash());
+            put("thrash_at", machine.thrashAt());
         }
     }
 
-    private void kind(Plan.RequestClass k) {
+    private void requestClass(Plan.RequestClass requestClass) {
         out.append("\n[[classes]]\n");
-        put("name", quoted(k.name()));
-        put("repeats", quoted(k.semantics().name().toLowerCase(Locale.ROOT)));
-        if (k.semantics() == Semantics.KEYED) {
-            put("dropped_by", quoted(k.scope().name().toLowerCase(Locale.ROOT)));
-            put("window_ms", k.windowMs());
+        put("name", quoted(requestClass.name()));
+        put("repeats", quoted(requestClass.semantics().name().toLowerCase(Locale.ROOT)));
+        if (requestClass.semantics() == Semantics.KEYED) {
+            put("dropped_by", quoted(requestClass.scope().name().toLowerCase(Locale.ROOT)));
+            put("window_ms", requestClass.windowMs());
         }
-        put("share", k.share());
-        put("work_ms", k.workMs());
-        put("variation", k.variation());
-        put("aim_ms", k.targetMs());
-        put("give_up_ms", k.timeoutMs());
-        put("worth", k.worth());
+        put("share", requestClass.share());
+        put("work_ms", requestClass.workMs());
+        put("variation", requestClass.variation());
+        put("aim_ms", requestClass.targetMs());
+        put("give_up_ms", requestClass.timeoutMs());
+        put("worth", requestClass.worth());
     }
 
-    private void fault(Fault f, List<String> zones) {
+    private void fault(Fault fault, List<String> zones) {
         out.append("\n[[faults]]\n");
-        put("kind", quoted(f.kind().keyword()));
-        put("at_s", f.at());
-        put("for_s", f.duration());
-        if (f.kind().target() != Fault.Kind.Target.NONE && f.names().isEmpty()) {
-            put("share", f.share());
-            if (f.zone() >= 0) {
-                put("zone", quoted(zones.get(f.zone())));
+        put("kind", quoted(fault.kind().keyword()));
+        put("at_s", fault.at());
+        put("for_s", fault.duration());
+        if (fault.kind().target() != Fault.Kind.Target.NONE && fault.names().isEmpty()) {
+            put("share", fault.share());
+            if (fault.zone() >= 0) {
+                put("zone", quoted(zones.get(fault.zone())));
             }
-        } else if (f.kind().target() != Fault.Kind.Target.NONE) {
-            put("names", list(f.names()));
+        } else if (fault.kind().target() != Fault.Kind.Target.NONE) {
+            put("names", list(fault.names()));
         }
-        if (f.kind().needsSize()) {
-            put("size", f.size());
+        if (fault.kind().needsSize()) {
+            put("size", fault.size());
         }
-        if (f.spread().high() > 0) {
-            put("spread_s", f.spread());
+        if (fault.spread().high() > 0) {
+            put("spread_s", fault.spread());
         }
-        if (f.kind() == Fault.Kind.TAKEN) {
-            put("every_s", f.period());
+        if (fault.kind() == Fault.Kind.TAKEN) {
+            put("every_s", fault.period());
         }
     }
 
@@ -145,14 +145,14 @@
                 ? range.low() == range.high()
                         ? number(range.low())
                         : "[" + number(range.low()) + ", " + number(range.high()) + "]"
-                : value instanceof Double figure ? number(figure) : String.valueOf(value);
+                : value instanceof Double decimal ? number(decimal) : String.valueOf(value);
         out.append(key).append(" = ").append(text).append('\n');
     }
 
-    /** A figure as TOML has it, whole ones without a point. */
-    private static String number(double figure) {
-        return figure == Math.rint(figure) && Math.abs(figure) < 1e15
-                ? String.valueOf((long) figure)
-                : new java.math.BigDecimal(String.valueOf(figure)).toPlainString();
+    /** Formats a number for TOML; whole numbers have no decimal point. */
+    private static String number(double value) {
+        return value == Math.rint(value) && Math.abs(value) < 1e15
+                ? String.valueOf((long) value)
+                : new java.math.BigDecimal(String.valueOf(value)).toPlainString();
     }
 }
--- a/src/main/java/gatefront/rehearsal/plan/package-info.java
+++ b/src/main/java/gatefront/rehearsal/plan/package-info.java
@@ -1,2 +1,2 @@
-/** Plan files: what a rehearsal plays, read from TOML and checked whole before anything starts. */
+/** Plan files of rehearsals, in TOML. A plan is read and validated as a whole before anything starts. */
 package gatefront.rehearsal.plan;
--- a/src/main/java/gatefront/rehearsal/processes/FolderFaults.java
+++ b/src/main/java/gatefront/rehearsal/processes/FolderFaults.java
@@ -11,65 +11,68 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** What can become of a folder while nobody is there who would notice. */
+/** Faults that are injected into the folder of an agent while its process is not running. */
 public final class FolderFaults {
     private FolderFaults() {}
 
-    /** Removes a folder with all that is in it. */
+    /** Deletes a folder with its contents, read-only folders included. Does nothing if the folder does not exist. */
     public static void delete(Path folder) throws IOException {
         if (!Files.exists(folder)) {
             return;
         }
         Files.walkFileTree(folder, new SimpleFileVisitor<>() {
             @Override
-            public FileVisitResult preVisitDirectory(Path each, BasicFileAttributes of) {
-                each.toFile().setWritable(true);
+            public FileVisitResult preVisitDirectory(Path directory, BasicFileAttributes attributes) {
+                directory.toFile().setWritable(true);
                 return FileVisitResult.CONTINUE;
             }
 
             @Override
-            public FileVisitResult visitFile(Path each, BasicFileAttributes of) throws IOException {
-                Files.delete(each);
+            public FileVisitResult visitFile(Path file, BasicFileAttributes attributes) throws IOException {
+                Files.delete(file);
                 return FileVisitResult.CONTINUE;
             }
 
             @Override
-            public FileVisitResult postVisitDirectory(Path each, IOException failed) throws IOException {
-                Files.delete(each);
+            public FileVisitResult postVisitDirectory(Path directory, IOException failure) throws IOException {
+                Files.delete(directory);
                 return FileVisitResult.CONTINUE;
             }
         });
     }
 
-    /** Makes one folder as another is; a file that goes meanwhile is left out, as a copy of a folder in use has it. */
+    /**
+     * Replaces a folder with a copy of another one. A file that disappears during the copy is left out, as in a copy of
+     * a folder that is in use.
+     */
     public static void copy(Path from, Path to) throws IOException {
         delete(to);
-        List<Path> all;
+        List<Path> paths;
         try (Stream<Path> files = Files.walk(from)) {
-            all = files.toList();
+            paths = files.toList();
         }
-        for (Path each : all) {
-            Path made = to.resolve(from.relativize(each).toString());
-            if (Files.isDirectory(each)) {
-                Files.createDirectories(made);
-            } else if (Files.exists(each)) {
-                Files.copy(each, made, StandardCopyOption.REPLACE_EXISTING);
+        for (Path path : paths) {
+            Path copy = to.resolve(from.relativize(path).toString());
+            if (Files.isDirectory(path)) {
+                Files.createDirectories(copy);
+            } else if (Files.exists(path)) {
+                Files.copy(path, copy, StandardCopyOption.REPLACE_EXISTING);
             }
         }
     }
 
-    /** Its newest file that holds something, or null. */
+    /** Returns the most recently modified file in a folder that is not empty, or null if there is none. */
     public static Path newestFile(Path folder) throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
             return files.filter(
-                            each -> Files.isRegularFile(each) && each.toFile().length() > 0)
-                    .max(Comparator.comparingLong((Path each) -> each.toFile().lastModified())
+                            file -> Files.isRegularFile(file) && file.toFile().length() > 0)
+                    .max(Comparator.comparingLong((Path file) -> file.toFile().lastModified())
                             .thenComparing(Comparator.naturalOrder()))
                     .orElse(null);
         }
     }
 
-    /** The last quarter of its newest file is missing. */
+    /** Cuts the last quarter off the newest file of a folder, as a torn write does. */
     public static void truncateNewestFile(Path folder) throws IOException {
         Path file = newestFile(folder);
         if (file != null) {
@@ -78,12 +81,12 @@
         }
     }
 
-    /** One bit of its newest file is another; which one follows from a number. */
-    public static void flipBitInNewestFile(Path folder, long which) throws IOException {
+    /** Inverts one bit of the newest file of a folder; the number selects the bit. */
+    public static void flipBitInNewestFile(Path folder, long bitSelector) throws IOException {
         Path file = newestFile(folder);
         if (file != null) {
             byte[] bytes = Files.readAllBytes(file);
-            bytes[(int) Math.floorMod(which, (long) bytes.length)] ^= (byte) (1 << Math.floorMod(which, 8));
+            bytes[(int) Math.floorMod(bitSelector, (long) bytes.length)] ^= (byte) (1 << Math.floorMod(bitSelector, 8));
             Files.write(file, bytes);
         }
     }
--- a/src/main/java/gatefront/rehearsal/processes/LinkConditions.java
+++ b/src/main/java/gatefront/rehearsal/processes/LinkConditions.java
@@ -1,15 +1,16 @@
 package gatefront.rehearsal.processes;
 
 /**
- * What is done to one direction of a link.
+ * The network conditions that a relay imposes on one direction of a link.
  *
- * @param blocked whether bytes stay where they are, in silence, as on a cut cable; they arrive after it is healed
- * @param delayMicros by how much later they arrive
- * @param bytesPerSecond how many pass in a second; 0 for any number
+ * @param blocked whether bytes are held back without notice to either side, as on a cut cable; they are delivered once
+ *     the link is restored
+ * @param delayMicros added latency
+ * @param bytesPerSecond bandwidth limit; 0 for none
  */
 public record LinkConditions(boolean blocked, long delayMicros, long bytesPerSecond) {
-    /** As if there were nothing in between. */
+    /** Traffic passes unchanged. */
     public static final LinkConditions CLEAR = new LinkConditions(false, 0, 0);
-    /** Nothing passes. */
+    /** No traffic passes. */
     public static final LinkConditions BLOCKED = new LinkConditions(true, 0, 0);
 }
--- a/src/main/java/gatefront/rehearsal/processes/LoopLateness.java
+++ b/src/main/java/gatefront/rehearsal/processes/LoopLateness.java
@@ -6,25 +6,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How late the rig's own loops are, by a tick on each of them: what they do not do in time must not be blamed on an
- * agent. Times in microseconds of the clock that all processes of the machine share.
+ * Measures how late the event loops of the rig run, with a periodic tick on each of them. The checks allow for these
+ * delays, so that an agent is not blamed for what the rig itself did late. Times are microseconds of the monotonic
+ * clock, which all processes of the machine share.
  *
- * <p>State: spells of lateness, the oldest dropped beyond {@link #MAX_DELAYS}; the worst is kept for good.
+ * <p>Keeps the last {@link #MAX_DELAYS} delays, and the maximum over the whole run.
  */
 public final class LoopLateness {
     private static final long TICK_MICROS = 2_000;
-    /** Less is what any timer has. */
+    /** Shorter delays are ordinary timer inaccuracy and are not recorded. */
     private static final long MIN_DELAY_MICROS = 3_000;
 
     private static final int MAX_DELAYS = 20_000;
 
-    /** From when a tick was due until it came. */
+    /** The time between a tick's due time and the time at which it ran. */
     private record Delay(long from, long until) {}
 
     private final Deque<Delay> delays = new ArrayDeque<>();
     private long maxMicros;
 
-    /** Watches a loop for as long as it runs. */
+    /** Measures a loop until it shuts down. */
     public void watch(EventLoop loop) {
         loop.execute(() -> tick(loop, nowMicros()));
     }
@@ -42,7 +43,7 @@
         }
     }
 
-    /** A tick that was due has come. */
+    /** Records when a tick was due and when it ran. */
     synchronized void record(long due, long ran) {
         if (ran - due >= MIN_DELAY_MICROS) {
             maxMicros = Math.max(maxMicros, ran - due);
@@ -53,30 +54,32 @@
         }
     }
 
-    /** What was before does not count: nobody was served yet. */
+    /** Discards all delays so far; called when traffic starts, since earlier delays affect no request. */
     public synchronized void reset() {
         delays.clear();
         maxMicros = 0;
     }
 
-    /** The longest spell of which a part lies between two times; 0 if none does. */
+    /** Returns the longest delay that overlaps a period, or 0 if none does. */
     public synchronized long maxBetween(long from, long until) {
         long longest = 0;
-        for (Delay each : delays) {
-            if (each.until >= from && each.from <= until) {
-                longest = Math.max(longest, each.until - each.from);
+        for (Delay delay : delays) {
+            if (delay.until >= from && delay.from <= until) {
+                longest = Math.max(longest, delay.until - delay.from);
             }
         }
         return longest;
     }
 
-    /** The worst of all. */
+    /** Returns the longest delay since the last reset. */
     public synchronized long maxMicros() {
         return maxMicros;
     }
 
-    /** How often it was later than that. */
+    /** Returns how many of the kept delays exceeded a threshold. */
     public synchronized long countOver(long micros) {
-        return delays.stream().filter(each -> each.until - each.from > micros).count();
+        return delays.stream()
+                .filter(delay -> delay.until - delay.from > micros)
+                .count();
     }
 }
--- a/src/main/java/gatefront/rehearsal/processes/ProcessFault.java
+++ b/src/main/java/gatefront/rehearsal/processes/ProcessFault.java
@@ -5,22 +5,22 @@
 import java.util.Locale;
 
 /**
- * What goes wrong with processes of the program, their folders and the links between them, or is done by hand.
+ * A fault of agent processes, their folders or their links, or a command of an operator.
  *
- * @param kind what
- * @param at when, in seconds
- * @param duration how long, in seconds: until a killed process starts again, a stopped one wakes, a link is healed
- * @param share of the agents that it meets; at least one where above 0
- * @param names the agents that it meets, instead of a share
- * @param spread over how many seconds they are met, one after the other
- * @param state what becomes of the folder of a process that is killed
- * @param clockOffsetSeconds by how many seconds the time of day of the next process is off
- * @param maxFileKilobytes of how many kilobytes the next process can write a file at the most; 0 for any
- * @param copiedAtSecond of {@link State#OLDER}: the second of which the copy is
- * @param links which links, for what happens to those
- * @param direction which of their directions
- * @param size how bad: milliseconds of delay, kilobytes a second, how many starts
- * @param nodos whom a call by hand is about
+ * @param kind what happens
+ * @param at when it begins, in seconds since traffic started
+ * @param duration in seconds: until a killed process is started again, a stopped one resumes or a link is restored
+ * @param share the share of the agents that are affected; at least one agent if above 0
+ * @param names the agents that are affected, instead of a share
+ * @param spread the period in seconds over which the affected agents are hit one after the other
+ * @param state what happens to the folder of a killed process
+ * @param clockOffsetSeconds the offset of the wall clock of the next process
+ * @param maxFileKilobytes the largest file that the next process can write; 0 for no limit
+ * @param copiedAtSecond for {@link State#OLDER}: when the copy is taken, in seconds since traffic started
+ * @param links the affected links, for faults of links
+ * @param direction the affected directions of those links
+ * @param size milliseconds of delay, kilobytes per second or number of kills, depending on the kind
+ * @param nodos the servers that an operator command names
  */
 public record ProcessFault(
         Kind kind,
@@ -37,91 +37,91 @@
         Direction direction,
         NumberRange size,
         List<String> nodos) {
-    /** What may happen. */
+    /** The kinds of faults. */
     public enum Kind {
-        /** SIGKILL, and a start after the time. */
+        /** SIGKILL; the process is started again after the duration. */
         KILL,
-        /** SIGTERM, and a start when it has ended. */
+        /** SIGTERM; the process is started again after its exit plus the duration. */
         TERM,
-        /** SIGSTOP, and SIGCONT after the time. */
+        /** SIGSTOP, then SIGCONT after the duration. */
         STOP,
-        /** Killed as soon as it is there, as many times as the size says; then left alone. */
+        /** The process is killed as soon as it is ready, as many times as the size says. */
         CRASH_LOOP,
-        /** Links pass nothing. */
+        /** Links pass no traffic. */
         CUT,
-        /** Links are late by the size. */
+        /** Links add a latency of the size, in milliseconds. */
         DELAY,
-        /** Links pass so many kilobytes a second. */
+        /** Links are limited to the size, in kilobytes per second. */
         THROTTLE,
         /** Connections are reset. */
         RESET,
-        /** The far ends of connections are gone, and the near ones are not told. */
+        /** The far ends of connections are closed without notice to the near ends. */
         HALF_OPEN,
-        /** Staff take nodos out at agents. */
+        /** An operator drains servers at agents. */
         OUT,
-        /** And put them back. */
+        /** An operator puts drained servers back. */
         BACK;
 
-        /** As it stands in a plan. */
+        /** Returns the name of the kind in plan files. */
         public String keyword() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
 
-        /** Whether it happens to links. */
+        /** Returns whether the fault affects links. */
         public boolean affectsLinks() {
             return this == CUT || this == DELAY || this == THROTTLE || this == RESET || this == HALF_OPEN;
         }
 
-        /** Whether somebody calls at doors. */
+        /** Returns whether it is an operator command, sent to the management endpoint of an agent. */
         public boolean isOperatorCall() {
             return this == OUT || this == BACK;
         }
 
-        /** Whether it needs a size. */
+        /** Returns whether the plan has to give a size. */
         public boolean needsSize() {
             return this == DELAY || this == THROTTLE || this == CRASH_LOOP;
         }
     }
 
-    /** What becomes of a folder while its process is dead. */
+    /** What happens to the folder of a killed process before the next start. */
     public enum State {
-        /** Nothing. */
+        /** Nothing changes. */
         KEPT,
-        /** All of it is gone. */
+        /** The folder is deleted. */
         WIPED,
-        /** A copy of an earlier time stands there. */
+        /** The folder is replaced by an earlier copy of itself. */
         OLDER,
         /** The last quarter of its newest file is missing. */
         TORN,
-        /** One bit of its newest file is another. */
+        /** One bit of its newest file is inverted. */
         FLIPPED,
-        /** It has the files of another agent. */
+        /** The folder is replaced by a copy of that of another agent. */
         ANOTHERS,
-        /** Nothing can be written there. */
+        /** The folder is read-only. */
         READ_ONLY
     }
 
-    /** Which links of an agent. */
+    /** The links of an agent. */
     public enum Links {
-        /** To its nodos. */
+        /** To the servers. */
         NODOS,
-        /** To its padrón. */
+        /** To the padrón. */
         PADRON,
-        /** From its callers. */
+        /** From the clients. */
         CALLERS,
-        /** From staff. */
+        /** From operators, to the management endpoint. */
         DOOR,
-        /** All of them. */
+        /** All links. */
         ALL
     }
 
-    /** Seen from the agent. */
+    /** Directions of a link, as the agent sees it. */
     public enum Direction {
-        /** Both. */
+        /** Both directions. */
         BOTH,
-        /** What comes to it. */
+        /** Traffic to the agent. */
         IN,
-        /** What it sends. */
+        /** Traffic from the agent. */
         OUT
     }
 }
--- a/src/main/java/gatefront/rehearsal/processes/ProcessPlan.java
+++ b/src/main/java/gatefront/rehearsal/processes/ProcessPlan.java
@@ -4,28 +4,28 @@
 import java.util.List;
 
 /**
- * What a rehearsal with several processes plays.
+ * The plan of a rehearsal with several processes.
  *
- * @param name for the report
- * @param basePlan the world: nodos, callers, rules, and what goes wrong there
- * @param recoveryEnabled whether agents keep what they are to know again after a restart
- * @param faults what goes wrong with the processes, their folders and links
+ * @param name the name in the report
+ * @param basePlan servers, clients, rules, and the faults of the simulated world
+ * @param recoveryEnabled whether agents store the state that they recover after a restart
+ * @param faults the faults of the processes, their folders and their links, and the operator commands
  */
 public record ProcessPlan(String name, Plan basePlan, boolean recoveryEnabled, List<ProcessFault> faults) {
-    /** The same day with nothing going wrong: what it is compared with. */
+    /** Returns the same plan without faults, for comparison; operator commands stay. */
     public ProcessPlan baseline() {
         return new ProcessPlan(
                 name,
                 basePlan.withFaults(List.of()),
                 recoveryEnabled,
-                faults.stream().filter(each -> each.kind().isOperatorCall()).toList());
+                faults.stream().filter(fault -> fault.kind().isOperatorCall()).toList());
     }
 
-    /** When the first fault comes that is no call by hand, in seconds; negative if none does. */
+    /** Returns when the first fault begins that is no operator command, in seconds; negative if there is none. */
     public double firstFaultSecond() {
         return faults.stream()
-                .filter(each -> !each.kind().isOperatorCall())
-                .mapToDouble(each -> each.at().low())
+                .filter(fault -> !fault.kind().isOperatorCall())
+                .mapToDouble(fault -> fault.at().low())
                 .min()
                 .orElse(-1);
     }
--- a/src/main/java/gatefront/rehearsal/processes/ProcessPlanReader.java
+++ b/src/main/java/gatefront/rehearsal/processes/ProcessPlanReader.java
@@ -17,12 +17,12 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Reads plans with several processes. Whatever is wrong is one line, and nothing is started. */
+/** Reads the plans of rehearsals with several processes. An invalid plan gives an error of one line. */
 public final class ProcessPlanReader {
-    /** The plans that come with the jar. */
+    /** Names of the plans that are packaged in the jar. */
     public static final List<String> BUILT_IN =
             List.of("restart-most", "state-lost", "stopped-and-woken", "crash-loop");
-    /** Agents at the most: each is a process of some 60 MB. */
+    /** Maximum number of agents; each is a process of about 60 MB. */
     public static final int MAX_AGENTS = 200;
 
     private static final String PLAN_FOLDER = "processes/";
@@ -30,130 +30,132 @@
 
     private ProcessPlanReader() {}
 
-    /** Reads a plan file; {@code agents} in place of the plan's, where it is not null. */
+    /** Reads a plan file. If {@code agents} is not null, it replaces the plan's number of agents. */
     public static ProcessPlan read(Path path, Integer agents) throws TomlException {
         return parse(path.toString(), TomlFile.text(path, "; built in are " + String.join(", ", BUILT_IN)), agents);
     }
 
-    /** A plan that comes with the jar. */
+    /** Reads a built-in plan. If {@code agents} is not null, it replaces the plan's number of agents. */
     public static ProcessPlan builtIn(String name, Integer agents) throws TomlException {
         return parse(name + ".toml", builtInText(name), agents);
     }
 
-    /** Its text, as a start for plans of one's own. */
+    /** Returns the text of a built-in plan. */
     public static String builtInText(String name) throws TomlException {
         return PlanReader.builtInText(PLAN_FOLDER + name);
     }
 
-    /** Reads a plan's text. */
-    public static ProcessPlan parse(String file, String text, Integer asked) throws TomlException {
+    /** Parses the text of a plan; {@code file} is its name in error messages. */
+    public static ProcessPlan parse(String file, String text, Integer agentOverride) throws TomlException {
         TomlTable top = TomlFile.parse(file, text);
         String name = top.text("name", null);
         String base = top.word("day", "processes", List.of("processes"));
         double seconds = top.number("seconds", null, 2, 3_600);
-        int usual = top.whole("agents", 24, 1, MAX_AGENTS);
-        int nodos = top.whole("nodos", usual, 1, PlanReader.MAX_COUNT);
-        boolean keeps = top.flag("keeps", true);
+        int planAgents = top.whole("agents", 24, 1, MAX_AGENTS);
+        int nodos = top.whole("nodos", planAgents, 1, PlanReader.MAX_COUNT);
+        boolean recoveryEnabled = top.flag("keeps", true);
         double load = top.number("load", 0.5, 0.01, 2);
-        int agents = asked == null ? usual : asked;
+        int agents = agentOverride == null ? planAgents : agentOverride;
         if (agents < 1 || agents > MAX_AGENTS) {
-            throw top.bad("agents", "is to be 1 to " + MAX_AGENTS);
+            throw top.bad("agents", "must be within 1 to " + MAX_AGENTS + ", not " + agents);
         }
-        Plan day = PlanReader.parse(base + ".toml", PlanReader.builtInText(PLAN_FOLDER + base));
-        Plan sized = day.scaledTo(agents, Math.max(1, (nodos * agents + usual - 1) / usual))
+        Plan basePlan = PlanReader.parse(base + ".toml", PlanReader.builtInText(PLAN_FOLDER + base));
+        Plan sized = basePlan.scaledTo(agents, Math.max(1, (nodos * agents + planAgents - 1) / planAgents))
                 .withSeconds(seconds);
         sized = sized.withRate(sized.clients().rate() * load);
         List<Fault> world = new ArrayList<>();
-        for (TomlTable each : top.tables("world")) {
+        for (TomlTable table : top.tables("world")) {
             Fault fault = PlanReader.fault(
-                    each, seconds, sized.agents().count(), sized.nodos().count(), sized.zones());
+                    table, seconds, sized.agents().count(), sized.nodos().count(), sized.zones());
             if (fault.kind().target() == Fault.Kind.Target.AGENTS
                     || fault.kind().needsRegistry()) {
-                throw each.bad("kind", "is not of the world; [[faults]] has what happens to processes");
+                throw table.bad("kind", "does not apply to [[world]]; faults of processes belong to [[faults]]");
             }
             world.add(fault);
         }
         List<ProcessFault> faults = new ArrayList<>();
-        for (TomlTable each : top.tables("faults")) {
-            faults.add(fault(each, seconds, sized));
+        for (TomlTable table : top.tables("faults")) {
+            faults.add(fault(table, seconds, sized));
         }
         top.finish();
-        return new ProcessPlan(name, sized.withFaults(world), keeps, List.copyOf(faults));
+        return new ProcessPlan(name, sized.withFaults(world), recoveryEnabled, List.copyOf(faults));
     }
 
-    private static ProcessFault fault(TomlTable t, double seconds, Plan day) throws TomlException {
-        Kind kind = word(t, "kind", null, Kind.values());
-        List<String> names = names(t, "names", "agent-", day.agents().count());
-        List<String> nodos = names(t, "nodos", "nodo-", day.nodos().count());
+    private static ProcessFault fault(TomlTable table, double seconds, Plan plan) throws TomlException {
+        Kind kind = constant(table, "kind", null, Kind.values());
+        List<String> names = names(table, "names", "agent-", plan.agents().count());
+        List<String> nodos = names(table, "nodos", "nodo-", plan.nodos().count());
         if (kind.isOperatorCall() == nodos.isEmpty()) {
-            throw t.bad(
+            throw table.bad(
                     "nodos",
                     kind.isOperatorCall()
-                            ? "is missing; it says who is taken out or put back"
-                            : "means nothing for " + kind.keyword());
+                            ? "is missing; it names the nodos that are drained or put back"
+                            : "does not apply to " + kind.keyword());
         }
-        if (t.has("state") && kind != Kind.KILL) {
-            throw t.bad("state", "goes with kind = \"kill\": a folder is changed while its process is dead");
+        if (table.has("state") && kind != Kind.KILL) {
+            throw table.bad("state", "requires kind = \"kill\": a folder is changed while its process is not running");
         }
         for (String key : List.of("clock_s", "disk_kb")) {
-            if (t.has(key) && kind != Kind.KILL && kind != Kind.TERM) {
-                throw t.bad(key, "goes with kind = \"kill\" or \"term\": it is for the next process");
+            if (table.has(key) && kind != Kind.KILL && kind != Kind.TERM) {
+                throw table.bad(key, "requires kind = \"kill\" or \"term\": it applies to the next process");
             }
         }
-        if (t.has("links") != kind.affectsLinks()) {
-            throw t.bad(
+        if (table.has("links") != kind.affectsLinks()) {
+            throw table.bad(
                     "links",
                     kind.affectsLinks()
-                            ? "is missing; it says which links: nodos, padron, callers, door, all"
-                            : "means nothing for " + kind.keyword());
+                            ? "is missing; it is one of nodos, padron, callers, door, all"
+                            : "does not apply to " + kind.keyword());
         }
-        State state = word(t, "state", State.KEPT, State.values());
-        if (t.has("saved_s") != (state == State.OLDER)) {
-            throw t.bad(
+        State state = constant(table, "state", State.KEPT, State.values());
+        if (table.has("saved_s") != (state == State.OLDER)) {
+            throw table.bad(
                     "saved_s",
                     state == State.OLDER
-                            ? "is missing; it is the second of which the older copy is"
-                            : "goes with state = \"older\"");
+                            ? "is missing; it is the second at which the older copy is taken"
+                            : "requires state = \"older\"");
         }
-        NumberRange at = t.range("at_s", null, 0, seconds);
-        double saved = t.number("saved_s", 0.0, 0, at.low());
+        NumberRange at = table.range("at_s", null, 0, seconds);
+        double copiedAt = table.number("saved_s", 0.0, 0, at.low());
         return new ProcessFault(
                 kind,
                 at,
-                t.range("for_s", new NumberRange(0, 0), 0, seconds),
-                t.number("share", names.isEmpty() ? 1.0 : 0.0, 0, 1),
+                table.range("for_s", new NumberRange(0, 0), 0, seconds),
+                table.number("share", names.isEmpty() ? 1.0 : 0.0, 0, 1),
                 names,
-                t.range("spread_s", new NumberRange(0, 0), 0, 3600),
+                table.range("spread_s", new NumberRange(0, 0), 0, 3600),
                 state,
-                t.number("clock_s", 0.0, -MAX_CLOCK_OFFSET_SECONDS, MAX_CLOCK_OFFSET_SECONDS),
-                t.whole("disk_kb", 0, 0, 1 << 20),
-                saved,
-                word(t, "links", Links.ALL, Links.values()),
-                word(t, "direction", Direction.BOTH, Direction.values()),
-                kind.needsSize() ? t.range("size", null, 0.001, 1e6) : new NumberRange(1, 1),
+                table.number("clock_s", 0.0, -MAX_CLOCK_OFFSET_SECONDS, MAX_CLOCK_OFFSET_SECONDS),
+                table.whole("disk_kb", 0, 0, 1 << 20),
+                copiedAt,
+                constant(table, "links", Links.ALL, Links.values()),
+                constant(table, "direction", Direction.BOTH, Direction.values()),
+                kind.needsSize() ? table.range("size", null, 0.001, 1e6) : new NumberRange(1, 1),
                 nodos);
     }
 
-    private static List<String> names(TomlTable t, String key, String prefix, int most) throws TomlException {
-        List<String> names = t.texts(key);
+    private static List<String> names(TomlTable table, String key, String prefix, int count) throws TomlException {
+        List<String> names = table.texts(key);
         for (String name : names) {
-            if (!name.matches(prefix + "[1-9][0-9]{0,5}") || Integer.parseInt(name.substring(prefix.length())) > most) {
-                throw t.bad(key, "\"" + name + "\" is none of " + prefix + "1 to " + prefix + most);
+            if (!name.matches(prefix + "[1-9][0-9]{0,5}")
+                    || Integer.parseInt(name.substring(prefix.length())) > count) {
+                throw table.bad(key, "\"" + name + "\" is none of " + prefix + "1 to " + prefix + count);
             }
         }
         return names;
     }
 
-    private static <E extends Enum<E>> E word(TomlTable t, String key, E otherwise, E[] all) throws TomlException {
-        List<String> words = Arrays.stream(all)
-                .map(each -> each.name().toLowerCase(Locale.ROOT).replace('_', '-'))
+    private static <E extends Enum<E>> E constant(TomlTable table, String key, E defaultValue, E[] values)
+            throws TomlException {
+        List<String> words = Arrays.stream(values)
+                .map(value -> value.name().toLowerCase(Locale.ROOT).replace('_', '-'))
                 .toList();
-        return all[
-                words.indexOf(t.word(
+        return values[
+                words.indexOf(table.word(
                         key,
-                        otherwise == null
+                        defaultValue == null
                                 ? null
-                                : otherwise.name().toLowerCase(Locale.ROOT).replace('_', '-'),
+                                : defaultValue.name().toLowerCase(Locale.ROOT).replace('_', '-'),
                         words))];
     }
 }
--- a/src/main/java/gatefront/rehearsal/processes/ProcessReaper.java
+++ b/src/main/java/gatefront/rehearsal/processes/ProcessReaper.java
@@ -13,9 +13,9 @@
 import java.util.Optional;
 
 /**
- * Ends the processes of a rehearsal when the rehearsal ends, however that comes: a process of its own, told of each of
- * them over its input, which ends with whoever wrote to it. A process is known by its id and the time of its start,
- * since ids are given again.
+ * Kills the remaining processes of a rehearsal when the rehearsal ends, even if the rehearsal itself is killed. The
+ * reaper is a process of its own, which reads the process ids from its standard input and acts at the end of that input.
+ * A process is identified by its id and its start time, since the system reuses ids.
  */
 public final class ProcessReaper implements Closeable {
     private final Process process;
@@ -26,7 +26,7 @@
         this.commands = new PrintStream(process.getOutputStream(), true, StandardCharsets.US_ASCII);
     }
 
-    /** Starts one. */
+    /** Starts a reaper process. */
     public static ProcessReaper start() throws IOException {
         return new ProcessReaper(new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -42,22 +42,22 @@
                 .start());
     }
 
-    /** From now on it answers for a process. */
+    /** Has a process killed at the end of the rehearsal. */
     public synchronized void watch(long pid) {
         commands.println("+ " + pid);
     }
 
-    /** A process has ended. */
+    /** Stops watching a process that has exited. */
     public synchronized void unwatch(long pid) {
         commands.println("- " + pid);
     }
 
-    /** Its own id. */
+    /** Returns the process id of the reaper. */
     public long pid() {
         return process.pid();
     }
 
-    /** Ends what is left, and itself. */
+    /** Kills the watched processes that still run, and waits for the reaper to exit. */
     @Override
     public void close() {
         commands.close();
@@ -69,21 +69,21 @@
         }
     }
 
-    /** The process itself. */
+    /** Entry point of the reaper process. Reads lines {@code + pid} and {@code - pid} until the end of the input. */
     public static void main(String[] args) throws IOException {
-        Map<Long, Optional<Instant>> charged = new HashMap<>();
-        BufferedReader told = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
-        for (String line = told.readLine(); line != null; line = told.readLine()) {
+        Map<Long, Optional<Instant>> watched = new HashMap<>();
+        BufferedReader input = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
+        for (String line = input.readLine(); line != null; line = input.readLine()) {
             long pid = Long.parseLong(line.substring(2));
             if (line.charAt(0) == '+') {
                 ProcessHandle.of(pid)
-                        .ifPresent(each -> charged.put(pid, each.info().startInstant()));
+                        .ifPresent(handle -> watched.put(pid, handle.info().startInstant()));
             } else {
-                charged.remove(pid);
+                watched.remove(pid);
             }
         }
-        charged.forEach((pid, since) -> ProcessHandle.of(pid)
-                .filter(each -> each.info().startInstant().equals(since))
+        watched.forEach((pid, startedAt) -> ProcessHandle.of(pid)
+                .filter(handle -> handle.info().startInstant().equals(startedAt))
                 .ifPresent(ProcessHandle::destroyForcibly));
     }
 }
--- a/src/main/java/gatefront/rehearsal/processes/Relay.java
+++ b/src/main/java/gatefront/rehearsal/processes/Relay.java
@@ -25,15 +25,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One link between two processes: a port of its own, behind which bytes go on to the other side, and what a plan does
- * to each direction. All of it runs on the loop given.
+ * A TCP relay that represents one link between two processes. It listens on a port of its own, forwards each connection
+ * to the destination, and applies the {@link LinkConditions} of a plan to each direction. Everything runs on the given
+ * event loop.
  *
- * <p>As near as loopback comes without privileges: a cut link holds bytes back and brings them when it is healed, as
- * TCP sends again what was lost; a connection to a cut link comes up, since this system's own kernel answers it, and
- * stays silent. Where the other side refuses a connection, this one is made and reset at once.
+ * <p>This is as close to a faulty network as loopback comes without privileges. A blocked link holds bytes back and
+ * delivers them once it is restored, as TCP retransmits lost segments. A connection over a blocked link is established,
+ * since the local kernel accepts it, but stays silent. If the destination refuses the connection, the accepted one is
+ * reset at once.
  */
 public final class Relay {
-    /** Held back for one direction of a connection before reading stops, so that senders feel it. */
+    /** Bytes queued for one direction of a connection before reading stops, so that the sender sees backpressure. */
     private static final int MAX_QUEUED_BYTES = 256 << 10;
 
     private static final int BACKLOG = 1_024;
@@ -41,9 +43,9 @@
 
     /** The two directions of a link. */
     public enum Flow {
-        /** From whoever dials to whoever listens. */
+        /** From the side that connects to the side that listens. */
         UPSTREAM,
-        /** The other way. */
+        /** From the side that listens to the side that connects. */
         DOWNSTREAM
     }
 
@@ -51,23 +53,23 @@
     private final InetSocketAddress destination;
     private final Channel listener;
     private final LinkConditions[] conditions = {LinkConditions.CLEAR, LinkConditions.CLEAR};
-    /** Connections through it; each removes itself when both of its ends have closed. */
+    /** Open connections; each removes itself when both of its ends have closed. */
     private final Set<Connection> connections = new LinkedHashSet<>();
 
     private volatile boolean clear = true;
     private long connectionCount;
 
     /**
-     * Listens from now on.
+     * Creates a relay and starts to listen.
      *
-     * @param loop on which it runs
-     * @param host the address to listen on; the system finds the port
-     * @param target where connections go on to
+     * @param loop the event loop that it runs on
+     * @param host the address to listen on; the system chooses the port
+     * @param destination where connections are forwarded to
      * @throws IOException if it cannot listen
      */
-    public Relay(EventLoop loop, InetAddress host, InetSocketAddress target) throws IOException {
+    public Relay(EventLoop loop, InetAddress host, InetSocketAddress destination) throws IOException {
         this.loop = loop;
-        this.destination = target;
+        this.destination = destination;
         var bound = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -78,58 +80,62 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel near) {
-                        Connection pair = new Connection(near);
-                        connections.add(pair);
-                        near.pipeline().addLast(pair.ends[0]);
+                        Connection connection = new Connection(near);
+                        connections.add(connection);
+                        near.pipeline().addLast(connection.ends[0]);
                     }
                 })
                 .bind(new InetSocketAddress(host, 0))
                 .awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            throw new IOException("a relay cannot listen: " + bound.cause().getMessage(), bound.cause());
+            throw new IOException(
+                    "relay cannot listen on " + host + ": " + bound.cause().getMessage(), bound.cause());
         }
         listener = bound.channel();
     }
 
-    /** Where it listens. */
+    /** Returns the address that it listens on. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Whether nothing is done to it now, so that what is written arrives; from any thread. */
+    /** Returns whether both directions pass traffic unchanged. Thread-safe. */
     public boolean isClear() {
         return clear;
     }
 
-    /** Shapes one direction, from now on; from any thread. */
-    public void setConditions(Flow way, LinkConditions shape) {
-        if (shape != LinkConditions.CLEAR) {
+    /** Sets the conditions of one direction. Thread-safe. */
+    public void setConditions(Flow flow, LinkConditions flowConditions) {
+        if (flowConditions != LinkConditions.CLEAR) {
             clear = false;
         }
         loop.execute(() -> {
-            conditions[way.ordinal()] = shape;
+            conditions[flow.ordinal()] = flowConditions;
             clear = conditions[0] == LinkConditions.CLEAR && conditions[1] == LinkConditions.CLEAR;
             List.copyOf(connections).forEach(Connection::connectAndForward);
         });
     }
 
-    /** Resets all its connections, at both ends; from any thread. */
+    /** Resets all connections at both ends. Thread-safe. */
     public void reset() {
         loop.execute(() -> List.copyOf(connections).forEach(Connection::reset));
     }
 
-    /** Ends the far ends of its connections; the near ones are told nothing, as when a machine loses its state. */
+    /**
+     * Closes the far ends of all connections without notice to the near ends, as when a machine loses its state.
+     * Thread-safe.
+     */
     public void halfOpen() {
         loop.execute(() -> List.copyOf(connections).forEach(Connection::halfOpen));
     }
 
-    /** Ends it; from any thread. */
+    /** Stops listening and resets all connections. Thread-safe. */
     public void close() {
         listener.close();
         reset();
     }
 
-    /** How many connections it has carried; to be asked on its loop. */
+    /** Returns how many connections were accepted. To be called on the event loop. */
     long connectionCount() {
         return connectionCount;
     }
@@ -145,13 +151,13 @@
         }
     }
 
-    /** What passes in one direction: bytes, the end of them, or a reset in their place. */
+    /** An item of one direction: bytes, or if they are null, the end of the stream or a reset. */
     private record Chunk(long dueMicros, ByteBuf bytes, boolean reset) {}
 
-    /** One connection and the one that goes on from it. */
+    /** An accepted connection and its counterpart to the destination. */
     private final class Connection {
         final End[] ends = {new End(Flow.UPSTREAM), new End(Flow.DOWNSTREAM)};
-        private boolean dialled;
+        private boolean connectStarted;
         private boolean halfOpen;
 
         Connection(Channel near) {
@@ -159,10 +165,10 @@
             connectionCount++;
         }
 
-        /** Dials where that has not been, and passes on what may pass. */
+        /** Connects to the destination, unless that was done or the link is blocked, and forwards what is due. */
         void connectAndForward() {
-            if (!dialled && !conditions[0].blocked() && !conditions[1].blocked()) {
-                dialled = true;
+            if (!connectStarted && !conditions[0].blocked() && !conditions[1].blocked()) {
+                connectStarted = true;
                 new Bootstrap()
                         .group(loop)
                         .channel(NioSocketChannel.class)
@@ -181,7 +187,7 @@
                         .connect(destination)
                         .addListener(done -> {
                             if (halfOpen) {
-                                return; // the far end has gone while it came up, and the near one is not to know
+                                return; // closed while connecting; the near end must not notice
                             }
                             if (!done.isSuccess() || !ends[0].channel.isOpen()) {
                                 reset();
@@ -196,9 +202,9 @@
         }
 
         void reset() {
-            for (End each : ends) {
-                each.discardQueue();
-                Relay.reset(each.channel);
+            for (End end : ends) {
+                end.discardQueue();
+                Relay.reset(end.channel);
             }
             connections.remove(this);
         }
@@ -213,11 +219,11 @@
             return end == ends[0] ? ends[1] : ends[0];
         }
 
-        /** Both ends are done: nothing waits and nothing more comes. */
+        /** Removes the connection once both ends are closed, so that nothing more can arrive or be written. */
         void removeIfClosed() {
             boolean closed = true;
-            for (End each : ends) {
-                closed &= each.channel == null || !each.channel.isOpen();
+            for (End end : ends) {
+                closed &= end.channel == null || !end.channel.isOpen();
             }
             if (closed) {
                 ends[0].discardQueue();
@@ -226,7 +232,7 @@
             }
         }
 
-        /** One of its ends, and what has been read there and not yet been written to the other. */
+        /** One end of the connection, with the queue of what was read there and not yet written to the other end. */
         private final class End extends ChannelInboundHandlerAdapter {
             private final Flow flow;
             private final TrafficShaper shaper = new TrafficShaper();
@@ -240,8 +246,8 @@
                 this.flow = way;
             }
 
-            private void setReading(boolean on) {
-                channel.config().setAutoRead(on);
+            private void setReading(boolean enabled) {
+                channel.config().setAutoRead(enabled);
             }
 
             @Override
@@ -252,10 +258,10 @@
             }
 
             @Override
-            public void channelRead(ChannelHandlerContext ctx, Object read) {
-                ByteBuf bytes = (ByteBuf) read;
+            public void channelRead(ChannelHandlerContext ctx, Object message) {
+                ByteBuf bytes = (ByteBuf) message;
                 if (halfOpen) {
-                    bytes.release(); // its peer is gone, and nobody says so
+                    bytes.release(); // the far end is gone, and the near end must not notice
                     return;
                 }
                 int size = bytes.readableBytes();
@@ -287,7 +293,7 @@
                 removeIfClosed();
             }
 
-            /** Nothing more comes from here. */
+            /** Queues the end of the stream or a reset; nothing more is read from this end. */
             private void endInput(boolean reset) {
                 if (!inputEnded && !halfOpen) {
                     inputEnded = true;
@@ -297,7 +303,7 @@
                 }
             }
 
-            /** Writes to the other end what is due, and wakes up for the next. */
+            /** Writes what is due to the other end, and schedules the next call for what is not. */
             void forward() {
                 Channel to = other(this).channel;
                 boolean wrote = false;
@@ -306,12 +312,12 @@
                         && to != null
                         && to.isActive()
                         && queue.peekFirst().dueMicros() <= nowMicros()) {
-                    Chunk piece = queue.removeFirst();
-                    if (piece.bytes() != null) {
-                        queuedBytes -= piece.bytes().readableBytes();
-                        to.write(piece.bytes());
+                    Chunk chunk = queue.removeFirst();
+                    if (chunk.bytes() != null) {
+                        queuedBytes -= chunk.bytes().readableBytes();
+                        to.write(chunk.bytes());
                         wrote = true;
-                    } else if (piece.reset()) {
+                    } else if (chunk.reset()) {
                         to.flush();
                         Relay.reset(to);
                     } else {
@@ -324,7 +330,7 @@
                 }
                 if (queuedBytes <= MAX_QUEUED_BYTES / 2
                         && !inputEnded
-                        && dialled
+                        && connectStarted
                         && channel.isOpen()
                         && to != null
                         && to.isActive()
@@ -347,9 +353,9 @@
             }
 
             void discardQueue() {
-                for (Chunk each : new ArrayList<>(queue)) {
-                    if (each.bytes() != null) {
-                        each.bytes().release();
+                for (Chunk chunk : new ArrayList<>(queue)) {
+                    if (chunk.bytes() != null) {
+                        chunk.bytes().release();
                     }
                 }
                 queue.clear();
--- a/src/main/java/gatefront/rehearsal/processes/StartTimeline.java
+++ b/src/main/java/gatefront/rehearsal/processes/StartTimeline.java
@@ -7,21 +7,22 @@
 import java.util.Map;
 
 /**
- * How starts of agents went, seen from outside: from the start of the process until it listened, said that it was
- * ready, and gave its first answer in service. One loop owns it; an entry for each agent, replaced by its next start.
+ * Measures the starts of agents from outside: the time from the start of the process until it listens, reports that it
+ * is ready, and sends its first successful response. Owned by one event loop. Marks are attributed to the latest start
+ * of an agent.
  */
 public final class StartTimeline {
-    /** What is reached on the way. */
+    /** The milestones of a start, in their order. */
     public enum Mark {
-        /** Its line that it listens has come. */
+        /** The agent has logged that it listens. */
         LISTENS,
-        /** It says that it is ready. */
+        /** The readiness check of the agent succeeds. */
         READY,
-        /** A caller has been served. */
+        /** A client has received a successful response. */
         SERVES
     }
 
-    private static final double MILLIS = 1e3;
+    private static final double MICROS_PER_MILLI = 1e3;
 
     private static final class Start {
         private final long startedAt;
@@ -35,14 +36,14 @@
     private final Map<Integer, Start> latestStarts = new HashMap<>();
     private final List<Start> starts = new ArrayList<>();
 
-    /** A process of an agent has been started. */
+    /** Records that the process of an agent was started; {@code at} is in microseconds. */
     public void started(int agent, long at) {
         Start start = new Start(at);
         latestStarts.put(agent, start);
         starts.add(start);
     }
 
-    /** It has come so far; only the first time counts. */
+    /** Records that the latest start of an agent reached a mark; only the first time counts. */
     public void reached(int agent, Mark mark, long at) {
         Start start = latestStarts.get(agent);
         if (start != null && start.elapsedMicros[mark.ordinal()] < 0) {
@@ -50,36 +51,36 @@
         }
     }
 
-    /** Only what starts from now on counts. */
+    /** Discards all starts so far. */
     public void reset() {
         starts.clear();
         latestStarts.clear();
     }
 
-    /** Milliseconds until a mark, of all starts that reached it, the shortest first. */
+    /** Returns the milliseconds until a mark for all starts that reached it, in ascending order. */
     public double[] millisUntil(Mark mark) {
         return starts.stream()
-                .mapToLong(each -> each.elapsedMicros[mark.ordinal()])
-                .filter(each -> each >= 0)
-                .mapToDouble(each -> each / MILLIS)
+                .mapToLong(start -> start.elapsedMicros[mark.ordinal()])
+                .filter(micros -> micros >= 0)
+                .mapToDouble(micros -> micros / MICROS_PER_MILLI)
                 .sorted()
                 .toArray();
     }
 
-    /** One line: medians and worst. */
+    /** Returns a line with the median and the maximum for each mark. */
     public String summary() {
-        StringBuilder line = new StringBuilder(starts.size() + " starts under way");
-        for (Mark each : Mark.values()) {
-            double[] until = millisUntil(each);
+        StringBuilder line = new StringBuilder(starts.size() + " starts during the run");
+        for (Mark mark : Mark.values()) {
+            double[] millis = millisUntil(mark);
             line.append(
-                    until.length == 0
+                    millis.length == 0
                             ? ""
                             : String.format(
                                     Locale.ROOT,
                                     "; %s after %.0f ms (median), %.0f ms " + "(worst)",
-                                    each.name().toLowerCase(Locale.ROOT),
-                                    until[until.length / 2],
-                                    until[until.length - 1]));
+                                    mark.name().toLowerCase(Locale.ROOT),
+                                    millis[millis.length / 2],
+                                    millis[millis.length - 1]));
         }
         return line.toString();
     }
--- a/src/main/java/gatefront/rehearsal/processes/package-info.java
+++ b/src/main/java/gatefront/rehearsal/processes/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What a rehearsal with several processes is made of, apart from the world that is played: relays on the links between
- * processes, faults of folders, a warden that ends what is left, the rig's own lateness, plans and the judge of what
- * operators did by hand. {@code gatefront.rehearsal.ProcessRehearsal} puts it together. Relays run on loops of their
- * own; what judges is pure.
+ * The parts of a rehearsal with several processes, apart from the simulated world: plans and their faults, relays on the
+ * links between processes, faults of folders, a reaper that kills remaining processes, the lateness of the rig's event
+ * loops, the timeline of process starts and the event history. {@code gatefront.rehearsal.ProcessRehearsal} puts them
+ * together. Relays run on event loops of their own.
  */
 package gatefront.rehearsal.processes;
--- a/src/test/java/gatefront/rehearsal/plan/PlanReaderTest.java
+++ b/src/test/java/gatefront/rehearsal/plan/PlanReaderTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is wrong with a plan is one line with file, line, key and what was meant. */
+/** Tests that an invalid plan gives an error of one line with file, line, key and expected value. */
 class PlanReaderTest {
     @TempDir
     private Path dir;
@@ -33,13 +33,13 @@
                 "mass-herd",
                 "mass-roll"
             })
-    void theBuiltInPlansAreReadAndComeBackFromWhatIsWritten(String name) throws Exception {
+    void builtInPlansSurviveWritingAndReading(String name) throws Exception {
         Plan plan = PlanReader.builtIn(name);
         assertEquals(name, plan.name());
         assertEquals(plan, PlanReader.parse("written", PlanWriter.text(plan)));
     }
 
-    /** A line of the rush is replaced by a wrong one; the message is that of the line. */
+    /** Replaces a line of the plan cashier-rush with an invalid one; the error names that line. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -63,10 +63,10 @@
                         + "registry-compact, agent-kill, agent-restart, "
                         + "agent-reload; is \"leave\" meant?",
                 "window_ms = 4000 | # none | classes.2.window_ms: is missing; it is a number from 1 to 3600000",
-                "aim_ms = 400 | aim_ms = 4000 | classes.1.aim_ms: is later than give_up_ms, when nobody waits any more",
-                "name = \"etla\" | name = \"zaachila\" | tenants: \"zaachila\" stands there twice",
-                "size = [0.4, 0.9] | size = [0.4, 9] | faults.3.size: is a part for fail, from 0 to 1",
-                "kind = \"jump\" | kind = \"jump\"~zone = \"sala-norte\" | zone: means nothing for jump: it meets all",
+                "aim_ms = 400 | aim_ms = 4000 | classes.1.aim_ms: is later than give_up_ms, when clients stop waiting",
+                "name = \"etla\" | name = \"zaachila\" | tenants: \"zaachila\" is listed twice",
+                "size = [0.4, 0.9] | size = [0.4, 9] | faults.3.size: is a share for fail and must be within 0 to 1",
+                "kind = \"jump\" | kind = \"jump\"~zone = \"sala-norte\" | zone: does not apply to jump, which affects everything",
                 "names = [\"nodo-2\"] | zone = \"sala-nort\" | faults.5.zone: \"sala-nort\" is none of sala-centro, "
                         + "sala-norte; is \"sala-norte\" meant?",
                 "names = [\"nodo-2\"] | spread_s = -1 | faults.5.spread_s: -1 is not within 0 to 3600",
@@ -75,31 +75,34 @@
                 "worth_by = \"work\" | worth_by = \"wrk\" | worth_by: \"wrk\" is none of request, work; is \"work\" meant?",
                 "[padron] | [padrón] | is not TOML"
             })
-    void aFaultyPlanGivesOneLine(String right, String wrong, String message) throws Exception {
+    void invalidPlanGivesOneLine(String validLine, String invalidLine, String message) throws Exception {
         String text = PlanReader.builtInText("cashier-rush");
-        boolean mark = right.equals("marks = 1");
-        assertTrue(mark || text.contains(right), "the plan has that line");
-        String broken = mark
+        boolean removesName = validLine.equals("marks = 1");
+        assertTrue(removesName || text.contains(validLine), "the plan contains the line");
+        String invalidText = removesName
                 ? text.replaceFirst("name = \"cashier-rush\"\n", "")
-                : text.replace(right, wrong.replace('~', '\n'));
-        String said = assertThrows(TomlException.class, () -> PlanReader.parse("plan.toml", broken))
+                : text.replace(validLine, invalidLine.replace('~', '\n'));
+        String error = assertThrows(TomlException.class, () -> PlanReader.parse("plan.toml", invalidText))
                 .getMessage();
-        assertEquals(1, said.lines().count(), said);
-        assertTrue(said.contains(message), said);
-        assertTrue(said.matches("plan\\.toml:[0-9]+: .*"), said);
-        int line = Integer.parseInt(said.split(":")[1]);
-        if (!wrong.startsWith("#") && !mark && !message.startsWith("tenants")) {
+        assertEquals(1, error.lines().count(), error);
+        assertTrue(error.contains(message), error);
+        assertTrue(error.matches("plan\\.toml:[0-9]+: .*"), error);
+        int line = Integer.parseInt(error.split(":")[1]);
+        if (!invalidLine.startsWith("#") && !removesName && !message.startsWith("tenants")) {
             assertTrue(
-                    broken.lines()
+                    invalidText
+                            .lines()
                             .toList()
                             .get(line - 1)
-                            .contains(wrong.substring(wrong.indexOf('~') + 1).replaceAll("^\\[padr.*", "[padr")),
-                    said);
+                            .contains(invalidLine
+                                    .substring(invalidLine.indexOf('~') + 1)
+                                    .replaceAll("^\\[padr.*", "[padr")),
+                    error);
         }
     }
 
     @Test
-    void aFileThatIsMissingOrNoTextSaysSo() throws Exception {
+    void missingAndBinaryAndOversizedFilesAreReported() throws Exception {
         assertTrue(assertThrows(TomlException.class, () -> PlanReader.read(dir.resolve("none")))
                 .getMessage()
                 .contains("no such file; built in are cashier-rush"));
--- a/src/test/java/gatefront/rehearsal/processes/ProcessPartsTest.java
+++ b/src/test/java/gatefront/rehearsal/processes/ProcessPartsTest.java
@@ -16,27 +16,27 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The rig's parts that need no agent. */
+/** Tests the parts of the process rig that need no agent. */
 class ProcessPartsTest {
     @TempDir
     private Path dir;
 
     @Test
-    void theWardenEndsWhatIsLeftWhenItsMasterIsGone() throws Exception {
-        Process left = new ProcessBuilder("sleep", "600").start();
-        Process over = new ProcessBuilder("sleep", "600").start();
-        try (ProcessReaper warden = ProcessReaper.start()) {
-            warden.watch(left.pid());
-            warden.watch(over.pid());
-            warden.unwatch(over.pid());
+    void reaperKillsWatchedProcessesWhenItsInputEnds() throws Exception {
+        Process watched = new ProcessBuilder("sleep", "600").start();
+        Process unwatched = new ProcessBuilder("sleep", "600").start();
+        try (ProcessReaper reaper = ProcessReaper.start()) {
+            reaper.watch(watched.pid());
+            reaper.watch(unwatched.pid());
+            reaper.unwatch(unwatched.pid());
         }
-        assertTrue(left.waitFor(10, TimeUnit.SECONDS), "it is ended");
-        assertTrue(over.isAlive(), "what it no longer answers for is left alone");
-        over.destroyForcibly();
+        assertTrue(watched.waitFor(10, TimeUnit.SECONDS), "the watched process is killed");
+        assertTrue(unwatched.isAlive(), "a process that is no longer watched keeps running");
+        unwatched.destroyForcibly();
     }
 
     @Test
-    void foldersAreCopiedTornFlippedAndRemoved() throws IOException {
+    void foldersAreCopiedTruncatedBitFlippedAndDeleted() throws IOException {
         Path from = Files.createDirectories(dir.resolve("a/inner"));
         Path file = Files.write(from.resolve("f"), new byte[100]);
         FolderFaults.copy(dir.resolve("a"), dir.resolve("b"));
@@ -57,82 +57,82 @@
     }
 
     @Test
-    void aCallByHandHoldsOverProcessesUntilTheCallBackOrATellingLoss() {
-        ManualDrainChecker hand = new ManualDrainChecker(500_000);
-        hand.yes(0, 1, 7, true, true);
-        hand.begun(400_000, 1, 7);
-        hand.close(9_000_000);
-        assertEquals(0, hand.count(), "within the grace");
-        hand.begun(600_000, 2, 7);
-        hand.begun(600_000, 1, 8);
-        hand.close(9_000_000);
-        assertEquals(0, hand.count(), "nobody took these out");
-        hand.begun(5_000_000, 1, 7);
-        hand.begun(5_100_000, 1, 7);
-        hand.close(9_000_000);
-        assertEquals(1, hand.count(), hand.breaches().toString());
-        hand.ended(10_000_000, 1);
-        hand.begun(11_000_000, 1, 7);
-        hand.toldLost(11_500_000, 1);
-        hand.begun(15_000_000, 1, 7);
-        hand.close(20_000_000);
-        assertEquals(1, hand.count(), "it said in time that it does not know");
-        hand.ended(20_000_000, 1);
-        hand.begun(21_000_000, 1, 7);
-        hand.toldLost(24_000_000, 1);
-        assertEquals(2, hand.count(), "it said so too late");
-        hand.ended(25_000_000, 1);
-        hand.yes(26_000_000, 1, 7, false, true);
-        hand.begun(27_000_000, 1, 7);
-        hand.close(40_000_000);
-        assertEquals(2, hand.count(), "put back");
-        hand.yes(50_000_000, 1, 7, true, false);
-        hand.begun(51_000_000, 1, 7);
-        hand.close(60_000_000);
-        assertEquals(3, hand.count(), "it holds as long as the process does");
-        hand.ended(61_000_000, 1);
-        hand.begun(62_000_000, 1, 7);
-        hand.close(70_000_000);
-        assertEquals(3, hand.count(), "and staff were told that it ends with it");
+    void manualDrainHoldsAcrossRestartsUntilUndoneOrReportedLost() {
+        ManualDrainChecker checker = new ManualDrainChecker(500_000);
+        checker.yes(0, 1, 7, true, true);
+        checker.begun(400_000, 1, 7);
+        checker.close(9_000_000);
+        assertEquals(0, checker.count(), "within the grace period");
+        checker.begun(600_000, 2, 7);
+        checker.begun(600_000, 1, 8);
+        checker.close(9_000_000);
+        assertEquals(0, checker.count(), "these pairs are not drained");
+        checker.begun(5_000_000, 1, 7);
+        checker.begun(5_100_000, 1, 7);
+        checker.close(9_000_000);
+        assertEquals(1, checker.count(), checker.breaches().toString());
+        checker.ended(10_000_000, 1);
+        checker.begun(11_000_000, 1, 7);
+        checker.toldLost(11_500_000, 1);
+        checker.begun(15_000_000, 1, 7);
+        checker.close(20_000_000);
+        assertEquals(1, checker.count(), "the agent reported the loss in time");
+        checker.ended(20_000_000, 1);
+        checker.begun(21_000_000, 1, 7);
+        checker.toldLost(24_000_000, 1);
+        assertEquals(2, checker.count(), "the agent reported the loss too late");
+        checker.ended(25_000_000, 1);
+        checker.yes(26_000_000, 1, 7, false, true);
+        checker.begun(27_000_000, 1, 7);
+        checker.close(40_000_000);
+        assertEquals(2, checker.count(), "the server was put back");
+        checker.yes(50_000_000, 1, 7, true, false);
+        checker.begun(51_000_000, 1, 7);
+        checker.close(60_000_000);
+        assertEquals(3, checker.count(), "a drain that is not stored holds while the process runs");
+        checker.ended(61_000_000, 1);
+        checker.begun(62_000_000, 1, 7);
+        checker.close(70_000_000);
+        assertEquals(3, checker.count(), "the operator was told that the drain ends with the process");
     }
 
     @Test
-    void fullServiceIsFiveSecondsAtTheTwins() {
-        ServiceCurve twin = new ServiceCurve(30);
-        ServiceCurve day = new ServiceCurve(30);
+    void serviceIsFullAfterFiveSecondsAtTheLevelOfTheBaseline() {
+        ServiceCurve baseline = new ServiceCurve(30);
+        ServiceCurve faulty = new ServiceCurve(30);
         for (int i = 0; i < 300; i++) {
             long at = i * 100_000L;
-            twin.settled(at, 1, i % 50 != 0);
-            day.settled(at, 1, i < 100 || i >= 145 && i % 50 != 0);
+            baseline.settled(at, 1, i % 50 != 0);
+            faulty.settled(at, 1, i < 100 || i >= 145 && i % 50 != 0);
         }
-        assertEquals(4.25, day.fullAfter(10, twin), 0.26);
-        assertEquals(0, twin.fullAfter(10, twin), 0);
-        assertEquals(-1, new ServiceCurve(30).fullAfter(10, twin), 0);
-        assertEquals(0, day.part(10, 14), 0);
-        assertEquals(1, day.part(0, 10), 0);
+        assertEquals(4.25, faulty.fullAfter(10, baseline), 0.26);
+        assertEquals(0, baseline.fullAfter(10, baseline), 0);
+        assertEquals(-1, new ServiceCurve(30).fullAfter(10, baseline), 0);
+        assertEquals(0, faulty.part(10, 14), 0);
+        assertEquals(1, faulty.part(0, 10), 0);
     }
 
     @Test
-    void latenessIsWhatLiesBetween() {
-        LoopLateness late = new LoopLateness();
-        late.record(1_000, 1_500);
-        assertEquals(0, late.maxMicros(), "what any timer has");
-        late.record(10_000, 50_000);
-        assertEquals(40_000, late.maxBetween(0, 10_000));
-        assertEquals(40_000, late.maxBetween(49_000, 90_000));
-        assertEquals(0, late.maxBetween(51_000, 90_000));
-        assertEquals(1, late.countOver(20_000));
-        late.reset();
-        assertEquals(0, late.maxMicros());
+    void latenessIsTheLongestDelayThatOverlapsThePeriod() {
+        LoopLateness lateness = new LoopLateness();
+        lateness.record(1_000, 1_500);
+        assertEquals(0, lateness.maxMicros(), "ordinary timer inaccuracy");
+        lateness.record(10_000, 50_000);
+        assertEquals(40_000, lateness.maxBetween(0, 10_000));
+        assertEquals(40_000, lateness.maxBetween(49_000, 90_000));
+        assertEquals(0, lateness.maxBetween(51_000, 90_000));
+        assertEquals(1, lateness.countOver(20_000));
+        lateness.reset();
+        assertEquals(0, lateness.maxMicros());
     }
 
     @Test
-    void builtInPlansAreReadAtTheirSizeAndSmaller() throws TomlException {
-        for (String each : ProcessPlanReader.BUILT_IN) {
+    void builtInPlansAreReadAtTheirOwnSizeAndScaledDown() throws TomlException {
+        for (String name : ProcessPlanReader.BUILT_IN) {
             assertEquals(
                     24,
-                    ProcessPlanReader.builtIn(each, null).basePlan().agents().count());
-            ProcessPlan small = ProcessPlanReader.builtIn(each, 14);
+                    ProcessPlanReader.builtIn(name, null).basePlan().agents().count());
+            ProcessPlan small = ProcessPlanReader.builtIn(name, 14);
             assertEquals(14, small.basePlan().nodos().count());
             assertTrue(small.firstFaultSecond() > 0);
             assertEquals(0, small.baseline().basePlan().faults().size());
@@ -140,25 +140,27 @@
     }
 
     @Test
-    void whatIsWrongWithAPlanIsOneLineAndItsPlace() {
+    void invalidPlanGivesOneLineWithItsPlace() {
         assertEquals(
-                "p:6: faults.0.state: goes with kind = \"kill\": a folder is changed while its process is dead",
-                wrong("kind = \"term\"\nat_s = 1\nstate = \"wiped\"\n"));
+                "p:6: faults.0.state: requires kind = \"kill\": a folder is changed while its process is not running",
+                errorOf("kind = \"term\"\nat_s = 1\nstate = \"wiped\"\n"));
         assertEquals(
                 "p:4: faults.0.kind: \"kil\" is none of kill, term, stop, crash-loop, cut, delay, throttle, "
                         + "reset, half-open, out, back; is \"kill\" meant?",
-                wrong("kind = \"kil\"\nat_s = 1\n"));
-        assertTrue(wrong("kind = \"out\"\nat_s = 1\n").contains("says who is taken out"));
-        assertTrue(wrong("kind = \"kill\"\nat_s = 1\nnodos = [\"nodo-1\"]\n").contains("means nothing for kill"));
-        assertTrue(wrong("kind = \"cut\"\nat_s = 1\n").contains("says which links"));
-        assertTrue(wrong("kind = \"delay\"\nat_s = 1\nlinks = \"all\"\n").contains("size"));
-        assertTrue(wrong("kind = \"kill\"\nat_s = 1\nstate = \"older\"\n").contains("saved_s"));
-        assertTrue(wrong("kind = \"kill\"\nat_s = 1\nnames = [\"agent-99\"]\n").contains("agent-1 to agent-24"));
-        assertTrue(wrong("kind = \"kill\"\nat_s = 1\n[[world]]\nkind = \"agent-kill\"\nat_s = 1\n")
-                .contains("not of the world"));
+                errorOf("kind = \"kil\"\nat_s = 1\n"));
+        assertTrue(errorOf("kind = \"out\"\nat_s = 1\n").contains("names the nodos that are drained"));
+        assertTrue(errorOf("kind = \"kill\"\nat_s = 1\nnodos = [\"nodo-1\"]\n").contains("does not apply to kill"));
+        assertTrue(errorOf("kind = \"cut\"\nat_s = 1\n")
+                .contains("is missing; it is one of nodos, padron, callers, door, all"));
+        assertTrue(errorOf("kind = \"delay\"\nat_s = 1\nlinks = \"all\"\n").contains("size"));
+        assertTrue(errorOf("kind = \"kill\"\nat_s = 1\nstate = \"older\"\n").contains("saved_s"));
+        assertTrue(
+                errorOf("kind = \"kill\"\nat_s = 1\nnames = [\"agent-99\"]\n").contains("agent-1 to agent-24"));
+        assertTrue(errorOf("kind = \"kill\"\nat_s = 1\n[[world]]\nkind = \"agent-kill\"\nat_s = 1\n")
+                .contains("does not apply to [[world]]"));
     }
 
-    private static String wrong(String fault) {
+    private static String errorOf(String fault) {
         return assertThrows(
                         TomlException.class,
                         () -> ProcessPlanReader.parse("p", "name = \"p\"\nseconds = 10\n[[faults]]\n" + fault, null))
--- a/src/test/java/gatefront/rehearsal/processes/RelayTest.java
+++ b/src/test/java/gatefront/rehearsal/processes/RelayTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a relay does to the bytes of one connection, on loopback. */
+/** Tests what a relay does to the bytes of a connection, on loopback. */
 class RelayTest {
     private static final InetAddress HOST = InetAddress.getLoopbackAddress();
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -47,14 +47,14 @@
         return socket;
     }
 
-    /** Shapes it, and waits until the loop has heard: what is read in the same turn would come before. */
-    private void shape(Flow way, LinkConditions shape) throws InterruptedException {
-        relay.setConditions(way, shape);
+    /** Sets the conditions and waits until the event loop has applied them, so that later bytes are subject to them. */
+    private void setConditions(Flow flow, LinkConditions conditions) throws InterruptedException {
+        relay.setConditions(flow, conditions);
         group.next().submit(() -> {}).sync();
     }
 
     @AfterEach
-    void end() throws IOException {
+    void tearDown() throws IOException {
         relay.close();
         near.close();
         far.close();
@@ -69,61 +69,61 @@
     }
 
     @Test
-    void everyByteAndBothEndsPassInTheirOrder() throws Exception {
-        byte[] much = bytes(3 << 20);
+    void bytesAndHalfClosesPassInOrder() throws Exception {
+        byte[] payload = bytes(3 << 20);
         Thread writer = new Thread(() -> {
             try {
-                near.getOutputStream().write(much);
+                near.getOutputStream().write(payload);
                 near.shutdownOutput();
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
         });
         writer.start();
-        assertArrayEquals(much, far.getInputStream().readAllBytes());
-        far.getOutputStream().write(bytes(7)); // after the other direction has ended
+        assertArrayEquals(payload, far.getInputStream().readAllBytes());
+        far.getOutputStream().write(bytes(7)); // the other direction is closed already
         far.close();
         assertArrayEquals(bytes(7), near.getInputStream().readAllBytes());
         writer.join();
     }
 
     @Test
-    void aResetArrivesAsAReset() throws Exception {
+    void resetIsForwardedAsReset() throws Exception {
         far.setSoLinger(true, 0);
         far.close();
         assertThrows(SocketException.class, () -> near.getInputStream().read());
     }
 
     @Test
-    void aSideThatRefusesIsToldByAReset() throws Exception {
+    void refusedConnectionIsForwardedAsReset() throws Exception {
         server.close();
-        try (Socket late = dial()) {
-            assertThrows(SocketException.class, () -> late.getInputStream().read());
+        try (Socket refused = dial()) {
+            assertThrows(SocketException.class, () -> refused.getInputStream().read());
         }
     }
 
     @Test
-    void aCutHoldsOneDirectionAndHealingBringsIt() throws Exception {
-        shape(Flow.UPSTREAM, LinkConditions.BLOCKED);
+    void blockedDirectionIsDeliveredOnceRestored() throws Exception {
+        setConditions(Flow.UPSTREAM, LinkConditions.BLOCKED);
         near.getOutputStream().write(bytes(5));
         far.setSoTimeout(200);
         assertThrows(SocketTimeoutException.class, () -> far.getInputStream().read());
         far.getOutputStream().write(bytes(4));
-        assertArrayEquals(bytes(4), near.getInputStream().readNBytes(4), "the other direction goes on");
+        assertArrayEquals(bytes(4), near.getInputStream().readNBytes(4), "the other direction is not blocked");
         assertTrue(!relay.isClear());
         far.setSoTimeout(5_000);
-        shape(Flow.UPSTREAM, LinkConditions.CLEAR);
+        setConditions(Flow.UPSTREAM, LinkConditions.CLEAR);
         assertArrayEquals(bytes(5), far.getInputStream().readNBytes(5));
     }
 
     @Test
-    void aConnectionToACutLinkStaysSilentUntilItIsHealed() throws Exception {
-        shape(Flow.DOWNSTREAM, LinkConditions.BLOCKED);
+    void connectionOverBlockedLinkStaysSilentUntilRestored() throws Exception {
+        setConditions(Flow.DOWNSTREAM, LinkConditions.BLOCKED);
         try (Socket other = dial()) {
             other.getOutputStream().write(bytes(3));
             server.setSoTimeout(200);
             assertThrows(SocketTimeoutException.class, () -> server.accept());
-            shape(Flow.DOWNSTREAM, LinkConditions.CLEAR);
+            setConditions(Flow.DOWNSTREAM, LinkConditions.CLEAR);
             server.setSoTimeout(5_000);
             try (Socket reached = server.accept()) {
                 assertArrayEquals(bytes(3), reached.getInputStream().readNBytes(3));
@@ -133,20 +133,20 @@
 
     @Test
     void delayAndThrottleTakeAtLeastTheirTime() throws Exception {
-        shape(Flow.UPSTREAM, new LinkConditions(false, 150_000, 0));
-        long at = System.nanoTime();
+        setConditions(Flow.UPSTREAM, new LinkConditions(false, 150_000, 0));
+        long startNanos = System.nanoTime();
         near.getOutputStream().write(bytes(5));
         assertArrayEquals(bytes(5), far.getInputStream().readNBytes(5));
-        assertTrue(System.nanoTime() - at >= 140_000_000);
-        shape(Flow.UPSTREAM, new LinkConditions(false, 0, 100_000));
-        at = System.nanoTime();
+        assertTrue(System.nanoTime() - startNanos >= 140_000_000);
+        setConditions(Flow.UPSTREAM, new LinkConditions(false, 0, 100_000));
+        startNanos = System.nanoTime();
         near.getOutputStream().write(bytes(30_000));
         assertArrayEquals(bytes(30_000), far.getInputStream().readNBytes(30_000));
-        assertTrue(System.nanoTime() - at >= 200_000_000);
+        assertTrue(System.nanoTime() - startNanos >= 200_000_000);
     }
 
     @Test
-    void halfOpenEndsTheFarSideAndTellsTheNearOneNothing() throws Exception {
+    void halfOpenClosesTheFarEndWithoutNoticeToTheNearEnd() throws Exception {
         relay.halfOpen();
         assertThrows(SocketException.class, () -> far.getInputStream().read());
         near.setSoTimeout(200);
@@ -155,34 +155,34 @@
     }
 
     @Test
-    void resetEndsBothSides() {
+    void resetClosesBothEnds() {
         relay.reset();
         assertThrows(SocketException.class, () -> near.getInputStream().read());
         assertThrows(SocketException.class, () -> far.getInputStream().read());
     }
 
     @Test
-    void aConduitKeepsOrderAndRate() {
+    void shaperKeepsOrderAndRate() {
         Random random = new Random(7);
         for (int run = 0; run < 1_000; run++) {
-            TrafficShaper conduit = new TrafficShaper();
+            TrafficShaper shaper = new TrafficShaper();
             long now = 0;
             long last = 0;
             long bytes = 0;
-            LinkConditions shape = new LinkConditions(false, random.nextInt(1_000), 1 + random.nextInt(100_000));
+            LinkConditions conditions = new LinkConditions(false, random.nextInt(1_000), 1 + random.nextInt(100_000));
             for (int i = 0; i < 50; i++) {
                 now += random.nextInt(2_000);
                 int size = random.nextInt(1_000);
                 bytes += size;
-                long due = conduit.departureTime(now, size, shape);
-                assertTrue(due >= last && due >= now + shape.delayMicros());
-                assertTrue(due >= 1e6 * bytes / shape.bytesPerSecond() - 1, "never faster than the link");
+                long due = shaper.departureTime(now, size, conditions);
+                assertTrue(due >= last && due >= now + conditions.delayMicros());
+                assertTrue(due >= 1e6 * bytes / conditions.bytesPerSecond() - 1, "never faster than the bandwidth");
                 last = due;
             }
             assertEquals(
                     Math.max(last, now),
-                    conduit.departureTime(now, 0, LinkConditions.CLEAR),
-                    "what comes later does not overtake");
+                    shaper.departureTime(now, 0, LinkConditions.CLEAR),
+                    "later bytes do not overtake");
         }
     }
 }
