--- a/src/main/java/gatefront/rehearsal/Demo.java
+++ b/src/main/java/gatefront/rehearsal/Demo.java
@@ -14,45 +14,45 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** One agent in a process of its own and stand-in nodos on loopback, to be tried by hand. */
+/** Runs an agent in a process of its own and stand-in servers on loopback, for manual experiments. */
 public final class Demo implements AutoCloseable {
     private static final long READY_TIMEOUT_MS = 30_000;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Path folder;
-    private final RunContext day;
+    private final RunContext context;
 
     /**
-     * Starts and returns when the agent is ready.
+     * Starts the servers and the agent, and returns when the agent is ready.
      *
-     * @param plan says which nodos there are; its callers and faults stay away
-     * @param command runs an agent
-     * @param log gets the agent's lines
-     * @throws IOException if it cannot be started
+     * @param plan defines the servers; its clients and faults are not used
+     * @param command the command that runs an agent
+     * @param log receives the log lines of the agent
+     * @throws IOException if the agent cannot be started or does not become ready
      */
     public Demo(Plan plan, List<String> command, Consumer<String> log) throws IOException {
         folder = Files.createTempDirectory("gatefront-demo");
         EventLoop loop = group.next();
         LoopbackAddresses addresses = LoopbackAddresses.forThisProcess();
         try {
-            day = loop.submit(() -> {
-                        RunContext made = new RunContext(
+            context = loop.submit(() -> {
+                        RunContext created = new RunContext(
                                 plan,
                                 1,
                                 0,
                                 addresses,
                                 (name, address, zone, memory, lines) -> new LoopbackMachine(name, address, loop),
-                                it -> i -> new ProcessAgent(
-                                        it, i, addresses.of(8, i), command, folder, Runnable::run, log));
-                        made.takeStrangers();
-                        made.begin();
-                        return made;
+                                owner -> i -> new ProcessAgent(
+                                        owner, i, addresses.of(8, i), command, folder, Runnable::run, log));
+                        created.takeStrangers();
+                        created.begin();
+                        return created;
                     })
                     .get();
             long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
-            while (!day.agents.get(0).ready()) {
+            while (!context.agents.get(0).ready()) {
                 if (System.nanoTime() > end) {
-                    throw new IOException("the agent did not get ready");
+                    throw new IOException("the agent did not become ready within " + READY_TIMEOUT_MS + " ms");
                 }
                 Thread.sleep(20);
             }
@@ -60,26 +60,26 @@
             throw new IOException(String.valueOf(e.getCause().getMessage()), e.getCause());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted", e);
+            throw new IOException("interrupted while the agent was starting", e);
         }
     }
 
-    /** Where the agent listens. */
+    /** Returns the address that the agent listens on. */
     public InetSocketAddress address() {
-        return day.agents.get(0).address();
+        return context.agents.get(0).address();
     }
 
-    /** Ends the agent and the nodos. */
+    /** Kills the agent and stops the servers. */
     @Override
     public void close() {
-        day.agents.forEach(each -> each.machine().kill());
-        day.loop().submit(day::close).awaitUninterruptibly();
+        context.agents.forEach(agent -> agent.machine().kill());
+        context.loop().submit(context::close).awaitUninterruptibly();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         try {
-            Files.deleteIfExists(folder.resolve(day.agents.get(0).name() + ".json"));
+            Files.deleteIfExists(folder.resolve(context.agents.get(0).name() + ".json"));
             Files.deleteIfExists(folder);
         } catch (IOException e) {
-            // a temporary folder that stays does no harm
+            // a temporary folder that remains does no harm
         }
     }
 }
--- a/src/main/java/gatefront/rehearsal/HtmlReport.java
+++ b/src/main/java/gatefront/rehearsal/HtmlReport.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The report as one self-contained page: plots in SVG, no scripts, nothing loaded from elsewhere. */
+/** Writes the report as one self-contained page: plots in SVG, no scripts, and nothing loaded from elsewhere. */
 final class HtmlReport {
     private static final int WIDTH = 980;
     private static final int PLOT_LEFT = 64;
     private static final int PLOT_WIDTH = WIDTH - PLOT_LEFT - 16;
     private static final String[] FATE_COLOURS = {"#2a7f62", "#e0b040", "#5b7db1", "#c0504d", "#7f7f7f"};
-    private static final String[] FATE_WORDS = {"in time", "late", "refused", "failed", "no answer"};
+    private static final String[] FATE_LABELS = {"in time", "late", "refused", "failed", "no answer"};
     private static final String[] LINE_COLOURS = {"#1b6ca8", "#d1495b", "#2e933c", "#8e5ea2", "#c77d0a", "#3b3b3b"};
 
     private static final String[] STATUSES = {"Ready", "Terminating", "Gone"};
@@ -110,34 +110,34 @@
         return record.bands.size();
     }
 
-    /** Each trouble as a band behind the plot and its name in a row of its own above. */
+    /** Draws each fault as a band behind the plot, with its name in a row of its own above. */
     private void writeBands(int bottom) {
         int row = 0;
-        for (RunRecorder.Band each : record.bands) {
-            double from = x(each.from());
-            double wide = Math.max(2, x(each.until()) - from);
+        for (RunRecorder.Band band : record.bands) {
+            double from = x(band.from());
+            double width = Math.max(2, x(band.until()) - from);
             int y = 12 + 13 * row++;
             append(
                     "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"#b58900\" opacity=\"0.09\"/>",
-                    from, y, wide, bottom - y);
+                    from, y, width, bottom - y);
             append(
                     "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"3\" fill=\"#b58900\" opacity=\"0.8\"/>",
-                    from, y - 3, wide);
+                    from, y - 3, width);
             boolean right = from > PLOT_LEFT + PLOT_WIDTH * 0.85;
             append(
                     "<text x=\"%.1f\" y=\"%d\" text-anchor=\"%s\">%s</text>",
-                    right ? from - 4 : from + wide + 4, y + 1, right ? "end" : "start", escape(each.name()));
+                    right ? from - 4 : from + width + 4, y + 1, right ? "end" : "start", escape(band.name()));
         }
     }
 
-    private void writeAxes(int top, int bottom, String most) {
+    private void writeAxes(int top, int bottom, String maxLabel) {
         for (int i = 0; i <= 4; i++) {
             double y = bottom - (bottom - top) * i / 4.0;
             append(
                     "<line x1=\"%d\" x2=\"%d\" y1=\"%.1f\" y2=\"%.1f\" stroke=\"#ddd\"/>",
                     PLOT_LEFT, PLOT_LEFT + PLOT_WIDTH, y, y);
         }
-        append("<text x=\"%d\" y=\"%d\" text-anchor=\"end\">%s</text>", PLOT_LEFT - 6, top + 4, escape(most));
+        append("<text x=\"%d\" y=\"%d\" text-anchor=\"end\">%s</text>", PLOT_LEFT - 6, top + 4, escape(maxLabel));
         append("<text x=\"%d\" y=\"%d\" text-anchor=\"end\">0</text>", PLOT_LEFT - 6, bottom + 4);
         int step = Math.max(1, (int) Math.ceil(record.seconds / 120.0) * 10);
         for (int s = 0; s <= record.seconds; s += step) {
@@ -145,39 +145,39 @@
         }
     }
 
-    private void writeLegend(String[] words, String[] colours) {
+    private void writeLegend(String[] labels, String[] colours) {
         out.append("<p class=\"key\">");
-        for (int i = 0; i < words.length; i++) {
-            append("<span><i style=\"background:%s\"></i>%s</span>", colours[i % colours.length], escape(words[i]));
+        for (int i = 0; i < labels.length; i++) {
+            append("<span><i style=\"background:%s\"></i>%s</span>", colours[i % colours.length], escape(labels[i]));
         }
         out.append("</p>");
     }
 
     private void writeOutcomePlot() {
         out.append("<h2>Worth asked for, by what became of it (second of the first try)</h2>");
-        writeLegend(FATE_WORDS, FATE_COLOURS);
+        writeLegend(FATE_LABELS, FATE_COLOURS);
         int top = 16 + 13 * bandRows();
         int bottom = top + 220;
         openSvg(bottom + 22, bandRows());
-        double most = 1e-9;
+        double max = 1e-9;
         for (int s = 0; s < record.seconds; s++) {
-            double all = 0;
-            for (double each : record.ofSecond(s)) {
-                all += each;
+            double total = 0;
+            for (double worth : record.ofSecond(s)) {
+                total += worth;
             }
-            most = Math.max(most, all);
+            max = Math.max(max, total);
         }
-        writeAxes(top, bottom, String.format(Locale.ROOT, "%.0f", most));
+        writeAxes(top, bottom, String.format(Locale.ROOT, "%.0f", max));
         for (int s = 0; s < record.seconds; s++) {
-            double at = bottom;
+            double y = bottom;
             double[] fates = record.ofSecond(s);
             for (int f = 0; f < fates.length; f++) {
-                double high = (bottom - top) * fates[f] / most;
-                if (high > 0.05) {
-                    at -= high;
+                double height = (bottom - top) * fates[f] / max;
+                if (height > 0.05) {
+                    y -= height;
                     append(
                             "<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\" fill=\"%s\"/>",
-                            x(s) + 0.5, at, Math.max(0.5, x(s + 1) - x(s) - 1), high, FATE_COLOURS[f]);
+                            x(s) + 0.5, y, Math.max(0.5, x(s + 1) - x(s) - 1), height, FATE_COLOURS[f]);
                 }
             }
         }
@@ -196,9 +196,9 @@
                 double sum = 0;
                 int n = 0;
                 for (int t = Math.max(0, s - 1); t <= Math.min(record.seconds - 1, s + 1); t++) {
-                    double each = record.serviceOf(t, k);
-                    sum += Double.isNaN(each) ? 0 : each;
-                    n += Double.isNaN(each) ? 0 : 1;
+                    double service = record.serviceOf(t, k);
+                    sum += Double.isNaN(service) ? 0 : service;
+                    n += Double.isNaN(service) ? 0 : 1;
                 }
                 if (n > 0) {
                     points.append(
@@ -231,18 +231,18 @@
         writeLegend(names, LINE_COLOURS);
         int bottom = 130;
         openSvg(bottom + 22, 0);
-        int most = 1;
+        int max = 1;
         for (int s = 0; s < record.seconds; s++) {
             for (int[] line : lines) {
-                most = Math.max(most, line[s]);
+                max = Math.max(max, line[s]);
             }
         }
-        writeAxes(10, bottom, String.valueOf(most));
+        writeAxes(10, bottom, String.valueOf(max));
         for (int i = 0; i < lines.length; i++) {
             StringBuilder points = new StringBuilder();
             for (int s = 0; s < record.seconds; s++) {
                 points.append(String.format(
-                        Locale.ROOT, "%.1f,%.1f ", x(s + 0.5), bottom - (bottom - 10.0) * lines[i][s] / most));
+                        Locale.ROOT, "%.1f,%.1f ", x(s + 0.5), bottom - (bottom - 10.0) * lines[i][s] / max));
             }
             append(
                     "<polyline fill=\"none\" stroke=\"%s\" stroke-width=\"1.8\" points=\"%s\"/>",
@@ -256,32 +256,35 @@
                 + "first agent was told</h2>");
         writeLegend(STATUSES, STATUS_COLOURS);
         int shown = Math.min(record.load.size(), 120);
-        int high = shown > 40 ? 8 : 14;
-        int bottom = 6 + high * shown;
+        int rowHeight = shown > 40 ? 8 : 14;
+        int bottom = 6 + rowHeight * shown;
         openSvg(bottom + 22, 0);
         out.append("<defs><pattern id=\"down\" width=\"5\" height=\"5\" patternUnits=\"userSpaceOnUse\" "
                 + "patternTransform=\"rotate(45)\"><rect width=\"5\" height=\"5\" fill=\"#fff\"/><rect width=\"2\" "
                 + "height=\"5\" fill=\"#b3261e\"/></pattern></defs>");
         for (int i = 0; i < shown; i++) {
-            if (high > 10 || i % 5 == 0) {
+            if (rowHeight > 10 || i % 5 == 0) {
                 append(
                         "<text x=\"%d\" y=\"%d\" text-anchor=\"end\">%s</text>",
-                        PLOT_LEFT - 6, 6 + high * i + high - 3, record.nodoNames.get(i));
+                        PLOT_LEFT - 6, 6 + rowHeight * i + rowHeight - 3, record.nodoNames.get(i));
             }
             double[] load = record.load.get(i);
             for (int s = 0; s < load.length; s++) {
                 String fill = load[s] < 0 ? "url(#down)" : shade(load[s] / 8);
                 append(
                         "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"%s\"/>",
-                        x(s), 6 + high * i, x(s + 1) - x(s) + 0.2, high - 1, fill);
+                        x(s), 6 + rowHeight * i, x(s + 1) - x(s) + 0.2, rowHeight - 1, fill);
             }
         }
-        for (RunRecorder.Told each : record.told) {
-            int status = List.of(STATUSES).indexOf(each.status());
-            if (each.nodo() < shown && status >= 0) {
+        for (RunRecorder.Told announcement : record.told) {
+            int status = List.of(STATUSES).indexOf(announcement.status());
+            if (announcement.nodo() < shown && status >= 0) {
                 append(
                         "<rect x=\"%.1f\" y=\"%d\" width=\"3\" height=\"%d\" fill=\"%s\"/>",
-                        x(each.at()), 6 + high * each.nodo() - 1, high + 1, STATUS_COLOURS[status]);
+                        x(announcement.at()),
+                        6 + rowHeight * announcement.nodo() - 1,
+                        rowHeight + 1,
+                        STATUS_COLOURS[status]);
             }
         }
         for (int s = 0; s <= record.seconds; s += Math.max(1, (int) Math.ceil(record.seconds / 120.0) * 10)) {
@@ -290,17 +293,17 @@
         out.append("</svg>");
     }
 
-    /** From white over blue to nearly black. */
-    private static String shade(double part) {
-        double p = Math.max(0, Math.min(1, part));
+    /** Returns a colour for a share from 0 to 1: from white through blue to nearly black. */
+    private static String shade(double share) {
+        double p = Math.max(0, Math.min(1, share));
         return String.format(
                 Locale.ROOT, "#%02x%02x%02x", (int) (248 - 230 * p), (int) (250 - 205 * p), (int) (252 - 140 * p));
     }
 
     private void writeTables() {
         out.append("<h2>By class</h2><table><tr><th>class</th><th>service</th>");
-        for (String each : FATE_WORDS) {
-            append("<th>%s</th>", each);
+        for (String fate : FATE_LABELS) {
+            append("<th>%s</th>", fate);
         }
         out.append("</tr>");
         for (int k = 0; k < plan.classes().size(); k++) {
@@ -322,8 +325,8 @@
             }
             out.append("</table>");
         }
-        for (RunRecorder.Note each : record.notes) {
-            append("<p>%.2f s: %s</p>", each.at(), escape(each.text()));
+        for (RunRecorder.Note note : record.notes) {
+            append("<p>%.2f s: %s</p>", note.at(), escape(note.text()));
         }
     }
 
@@ -333,15 +336,15 @@
                     "<h2 class=\"no\">Rules broken (%d; the first %d)</h2>",
                     outcome.broken(), outcome.breaches().size());
         }
-        for (RuleChecker.Breach each : outcome.breaches()) {
+        for (RuleChecker.Breach breach : outcome.breaches()) {
             append(
                     "<p><b>%.3f s, %s</b>: %s %s</p>",
-                    (each.at() - Rehearsal.OPENS_AT) / 1e6,
-                    each.rule().name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                    escape(each.what()),
-                    each.request().isEmpty() ? "" : "(request " + escape(each.request()) + ")");
-            if (!each.history().isEmpty()) {
-                append("<pre>%s</pre>", escape(String.join("\n", each.history())));
+                    (breach.at() - Rehearsal.OPENS_AT) / 1e6,
+                    breach.rule().name().toLowerCase(Locale.ROOT).replace('_', ' '),
+                    escape(breach.what()),
+                    breach.request().isEmpty() ? "" : "(request " + escape(breach.request()) + ")");
+            if (!breach.history().isEmpty()) {
+                append("<pre>%s</pre>", escape(String.join("\n", breach.history())));
             }
         }
     }
--- a/src/main/java/gatefront/rehearsal/JsonReport.java
+++ b/src/main/java/gatefront/rehearsal/JsonReport.java
@@ -15,21 +15,21 @@
 import java.util.Arrays;
 import java.util.Locale;
 
-/** The report of a rehearsal as JSON. The same plan and seed give the same bytes, in any JVM. */
+/** Writes the report of a rehearsal as JSON. The same plan and seed give the same bytes in any JVM. */
 public final class JsonReport {
-    /** Grows when a field changes its meaning or goes. */
+    /** Version of the format; incremented when a field is removed or changes its meaning. */
     static final int VERSION = 1;
 
     private JsonReport() {}
 
-    /** Writes {@code report.json} and {@code report.html} into a folder, which is made if need be. */
+    /** Writes {@code report.json} and {@code report.html} into a folder, which is created if it does not exist. */
     public static void write(RehearsalResult outcome, Path folder) throws IOException {
         Files.createDirectories(folder);
         Files.write(folder.resolve("report.json"), toBytes(outcome));
         Files.writeString(folder.resolve("report.html"), HtmlReport.of(outcome));
     }
 
-    /** The JSON's bytes. */
+    /** Returns the report as encoded JSON. */
     public static byte[] toBytes(RehearsalResult outcome) throws IOException {
         DefaultPrettyPrinter printer = new DefaultPrettyPrinter();
         printer.indentObjectsWith(new DefaultIndenter(" ", "\n"));
@@ -37,7 +37,7 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The report as a tree; its fields are in a fixed order. */
+    /** Returns the report as a tree with its fields in a fixed order. */
     public static ObjectNode toTree(RehearsalResult outcome) {
         Plan plan = outcome.plan();
         RunRecorder record = outcome.record();
@@ -87,14 +87,14 @@
         record.crowd.json(root.putObject("crowd"));
         writeRules(root.putObject("rules"), outcome);
         ArrayNode troubles = root.putArray("troubles");
-        for (ResolvedPlan.Trouble each : outcome.cast().troubles()) {
+        for (ResolvedPlan.Trouble fault : outcome.cast().troubles()) {
             ObjectNode trouble = troubles.addObject()
-                    .put("kind", each.fault().kind().keyword())
-                    .put("at", round(each.at() / 1e6))
-                    .put("until", round(each.until() / 1e6))
-                    .put("size", round(each.size()));
+                    .put("kind", fault.fault().kind().keyword())
+                    .put("at", round(fault.at() / 1e6))
+                    .put("until", round(fault.until() / 1e6))
+                    .put("size", round(fault.size()));
             ArrayNode targets = trouble.putArray("targets");
-            for (int target : each.targets()) {
+            for (int target : fault.targets()) {
                 targets.add(target + 1);
             }
         }
@@ -103,7 +103,7 @@
         writeNodos(root, record);
         ArrayNode notes = root.putArray("notes");
         record.notes.forEach(
-                each -> notes.addObject().put("at", round(each.at())).put("text", each.text()));
+                note -> notes.addObject().put("at", round(note.at())).put("text", note.text()));
         ArrayNode log = root.putArray("log");
         outcome.log().forEach(log::add);
         root.put("closed_idle", record.closedIdle).put("tasks", outcome.tasks());
@@ -113,14 +113,14 @@
     private static void writeRules(ObjectNode rules, RehearsalResult outcome) {
         rules.put("kept", outcome.broken() == 0).put("broken", outcome.broken());
         ArrayNode breaches = rules.putArray("breaches");
-        for (RuleChecker.Breach each : outcome.breaches()) {
-            ObjectNode breach = breaches.addObject()
-                    .put("at", round((each.at() - Rehearsal.OPENS_AT) / 1e6))
-                    .put("rule", each.rule().name().toLowerCase(Locale.ROOT).replace('_', ' '))
-                    .put("request", each.request())
-                    .put("what", each.what());
-            ArrayNode history = breach.putArray("history");
-            each.history().forEach(history::add);
+        for (RuleChecker.Breach breach : outcome.breaches()) {
+            ObjectNode node = breaches.addObject()
+                    .put("at", round((breach.at() - Rehearsal.OPENS_AT) / 1e6))
+                    .put("rule", breach.rule().name().toLowerCase(Locale.ROOT).replace('_', ' '))
+                    .put("request", breach.request())
+                    .put("what", breach.what());
+            ArrayNode history = node.putArray("history");
+            breach.history().forEach(history::add);
         }
     }
 
@@ -144,8 +144,8 @@
         ObjectNode load = root.putObject("held_a_core");
         for (int i = 0; i < record.load.size(); i++) {
             ArrayNode nodo = load.putArray(record.nodoNames.get(i));
-            for (double each : record.load.get(i)) {
-                nodo.add(round(each));
+            for (double value : record.load.get(i)) {
+                nodo.add(round(value));
             }
         }
     }
@@ -154,22 +154,22 @@
         ObjectNode served = root.putObject("served");
         for (int i = 0; i < record.served.size(); i++) {
             ArrayNode nodo = served.putArray(record.nodoNames.get(i));
-            for (int each : record.served.get(i)) {
-                nodo.add(each);
+            for (int count : record.served.get(i)) {
+                nodo.add(count);
             }
         }
         ArrayNode told = root.putArray("told");
-        record.told.forEach(each -> told.addObject()
-                .put("at", round(each.at()))
-                .put("nodo", each.nodo() + 1)
-                .put("status", each.status()));
+        record.told.forEach(announcement -> told.addObject()
+                .put("at", round(announcement.at()))
+                .put("nodo", announcement.nodo() + 1)
+                .put("status", announcement.status()));
     }
 
     static String keyword(RunRecorder.Fate fate) {
         return fate.name().toLowerCase(Locale.ROOT);
     }
 
-    /** To four places: what is beyond says nothing, and a last bit must not make two reports differ. */
+    /** Rounds to four decimal places, so that a difference in the last bit does not make two reports differ. */
     static double round(double value) {
         return Math.rint(value * 1e4) / 1e4;
     }
--- a/src/main/java/gatefront/rehearsal/LoopbackAddresses.java
+++ b/src/main/java/gatefront/rehearsal/LoopbackAddresses.java
@@ -3,7 +3,7 @@
 import java.net.InetAddress;
 import java.net.UnknownHostException;
 
-/** The machines' addresses, all of them loopback ones: 127.(BASE + GROUP).x.y. */
+/** Assigns loopback addresses to machines: 127.(base + group).x.y. */
 final class LoopbackAddresses {
     private static final int GROUPS = 16;
 
@@ -13,12 +13,12 @@
         this.base = base;
     }
 
-    /** Those of a network of one's own. */
+    /** Returns the addresses of a virtual network, which cannot collide with others. */
     static LoopbackAddresses forVirtualNetwork() {
         return new LoopbackAddresses(0);
     }
 
-    /** Those of this process: two that rehearse on one machine should not meet. */
+    /** Returns addresses that depend on the process id, so that two rehearsals on one machine rarely collide. */
     static LoopbackAddresses forThisProcess() {
         return new LoopbackAddresses(
                 GROUPS * (1 + (int) (ProcessHandle.current().pid() % 14)));
@@ -29,7 +29,7 @@
             return InetAddress.getByAddress(
                     new byte[] {127, (byte) (base + group), (byte) (number / 250), (byte) (number % 250 + 1)});
         } catch (UnknownHostException e) {
-            throw new AssertionError(e); // four bytes are always an address
+            throw new AssertionError(e); // an address of four bytes is always valid
         }
     }
 }
--- a/src/main/java/gatefront/rehearsal/LoopbackMachine.java
+++ b/src/main/java/gatefront/rehearsal/LoopbackMachine.java
@@ -16,18 +16,18 @@
 import java.util.Set;
 
 /**
- * A stand-in's machine on loopback sockets, on a loop that it shares with the other stand-ins. A machine that has
- * vanished reads nothing; its kernel is that of all, so connections to it still come up, and what it had written
- * still leaves. That is as near as loopback comes without privileges.
+ * A machine of a stand-in on loopback sockets, on an event loop that all stand-ins share. A machine that has vanished
+ * reads nothing. Since all machines share one kernel, connections to it are still established, and bytes that it wrote
+ * before are still delivered. That is as close as loopback comes without privileges.
  */
 final class LoopbackMachine implements Machine, Transport {
-    /** After this all that had been held back has been read. */
+    /** Time after a machine reappears by which everything that was held back has been read, in nanoseconds. */
     private static final long CATCH_UP_NANOS = 500_000_000;
 
     private final String name;
     private final InetAddress address;
     private final EventLoop loop;
-    /** Of the process that runs; each removes itself when it closes. */
+    /** Open channels of the running process; each removes itself when it closes. */
     private final Set<Channel> channels = new LinkedHashSet<>();
 
     private boolean running = true;
@@ -56,7 +56,10 @@
         return new InetSocketAddress(address, port);
     }
 
-    /** Guards against blaming an agent for what it sent while this machine read nothing. */
+    /**
+     * Returns the earliest time at which a message that is read now can have been sent, so that an agent is not blamed
+     * for what it sent while this machine read nothing.
+     */
     @Override
     public long sentAt(Channel channel) {
         boolean heldBack = vanishedAt != 0 && (vanished || nanos() - appearedAt < CATCH_UP_NANOS);
@@ -77,11 +80,11 @@
     }
 
     private void reset() {
-        for (Channel each : List.copyOf(channels)) {
-            if (!(each instanceof ServerChannel)) {
-                each.config().setOption(ChannelOption.SO_LINGER, 0);
+        for (Channel channel : List.copyOf(channels)) {
+            if (!(channel instanceof ServerChannel)) {
+                channel.config().setOption(ChannelOption.SO_LINGER, 0);
             }
-            each.close();
+            channel.close();
         }
         channels.clear();
     }
@@ -96,7 +99,7 @@
     public void vanish() {
         vanished = true;
         vanishedAt = nanos();
-        channels.forEach(each -> each.config().setAutoRead(false));
+        channels.forEach(channel -> channel.config().setAutoRead(false));
     }
 
     @Override
@@ -104,7 +107,7 @@
         vanished = false;
         appearedAt = nanos();
         if (running) {
-            channels.forEach(each -> each.config().setAutoRead(true));
+            channels.forEach(channel -> channel.config().setAutoRead(true));
         } else {
             reset();
         }
@@ -131,9 +134,9 @@
         return () -> track(new NioServerSocketChannel() {
             @Override
             protected int doReadMessages(List<Object> accepted) throws Exception {
-                int n = super.doReadMessages(accepted);
-                accepted.forEach(each -> track((Channel) each));
-                return n;
+                int count = super.doReadMessages(accepted);
+                accepted.forEach(channel -> track((Channel) channel));
+                return count;
             }
         });
     }
@@ -145,7 +148,7 @@
 
     @Override
     public boolean silent(Channel channel) {
-        throw new UnsupportedOperationException("no stand-in asks that");
+        throw new UnsupportedOperationException("stand-ins do not check for silent channels");
     }
 
     @Override
--- a/src/main/java/gatefront/rehearsal/PersistentAgent.java
+++ b/src/main/java/gatefront/rehearsal/PersistentAgent.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 
-/** An agent whose folder outlives its process, with a door for staff, reached over relays. */
+/** An agent with a folder that outlives its process and a management endpoint, reached over relays. */
 final class PersistentAgent extends ProcessAgent {
     private static final int MANAGEMENT_PORT = 3002;
 
@@ -25,15 +25,15 @@
     private InetSocketAddress clientAddress;
     private double clockOffsetSeconds;
     private int maxFileKilobytes;
-    /** The list in the file that staff wrote: as it was at the first start. */
+    /** The server list of the configuration file; stays as it was at the first start. */
     private JsonNode initialServerList;
 
     /**
-     * Not started yet.
+     * Creates an agent that is not started yet.
      *
-     * @param keeps whether it keeps what it is to know again
-     * @param without guards that are switched off
-     * @param begun is told of each process, on no loop
+     * @param recoveryEnabled whether it stores the state that it recovers after a restart
+     * @param disabledGuards safeguards that are switched off
+     * @param onProcessStarted receives each new process, not on the event loop
      */
     PersistentAgent(
             RunContext day,
@@ -43,39 +43,39 @@
             Path root,
             Executor starter,
             Consumer<String> log,
-            boolean keeps,
-            Set<String> without,
-            Consumer<Process> begun) {
+            boolean recoveryEnabled,
+            Set<String> disabledGuards,
+            Consumer<Process> onProcessStarted) {
         super(day, number, address, command, root, starter, log);
         this.folder = root.resolve(name());
-        this.recoveryEnabled = keeps;
-        this.disabledGuards = without;
-        this.onProcessStarted = begun;
+        this.recoveryEnabled = recoveryEnabled;
+        this.disabledGuards = disabledGuards;
+        this.onProcessStarted = onProcessStarted;
     }
 
-    /** The time of day of its next process is off by so many seconds. */
+    /** Sets the offset of the wall clock of the next process. */
     void setClockOffset(double seconds) {
         clockOffsetSeconds = seconds;
     }
 
-    /** Its next process may write no file longer than so many kilobytes; 0 for any. */
+    /** Sets the largest file that the next process can write; 0 for no limit. */
     void setMaxFileSize(int kilobytes) {
         maxFileKilobytes = kilobytes;
     }
 
-    /** All that it keeps. */
+    /** Returns the folder with the stored state. */
     Path folder() {
         return folder;
     }
 
-    /** Where staff reach it, without a relay. */
+    /** Returns the address of the management endpoint, without a relay. */
     InetSocketAddress managementAddress() {
         return machine().at(MANAGEMENT_PORT);
     }
 
-    /** Its callers come over a relay from now on. */
-    void setClientAddress(InetSocketAddress at) {
-        clientAddress = at;
+    /** Sets the address that clients connect to, that of a relay. */
+    void setClientAddress(InetSocketAddress address) {
+        clientAddress = address;
     }
 
     @Override
@@ -93,7 +93,7 @@
 
     @Override
     void customize(ProcessBuilder builder) throws IOException {
-        if (maxFileKilobytes > 0) { // the system refuses what is beyond, as a full disk does
+        if (maxFileKilobytes > 0) { // the system refuses to write beyond the limit, as with a full disk
             List<String> limited =
                     new ArrayList<>(List.of("bash", "-c", "ulimit -f " + maxFileKilobytes + "; exec \"$@\"", "bash"));
             limited.addAll(builder.command());
@@ -107,29 +107,29 @@
 
     @Override
     String extensions() {
-        StringBuilder own = new StringBuilder(super.extensions());
+        StringBuilder text = new StringBuilder(super.extensions());
         if (recoveryEnabled) {
-            own.append("[recovery]\nfolder = \"")
+            text.append("[recovery]\nfolder = \"")
                     .append(folder.resolve("kept"))
                     .append("\"\ninstance = \"")
                     .append(name())
                     .append("\"\nmark_s = 0.5\ndoubt_s = 4\n");
         }
         if (!disabledGuards.isEmpty() || clockOffsetSeconds != 0) {
-            own.append("[rehearsal]\nclock_s = ")
+            text.append("[rehearsal]\nclock_s = ")
                     .append(clockOffsetSeconds)
                     .append("\nwithout = [")
                     .append(disabledGuards.stream()
                             .sorted()
-                            .map(each -> '"' + each + '"')
+                            .map(guard -> '"' + guard + '"')
                             .collect(Collectors.joining(", ")))
                     .append("]\n");
         }
-        return own.toString();
+        return text.toString();
     }
 
     @Override
-    void onStarted(Process fresh) {
-        onProcessStarted.accept(fresh);
+    void onStarted(Process started) {
+        onProcessStarted.accept(started);
     }
 }
--- a/src/main/java/gatefront/rehearsal/PlanShrinker.java
+++ b/src/main/java/gatefront/rehearsal/PlanShrinker.java
@@ -14,11 +14,12 @@
 import java.util.stream.Collectors;
 
 /**
- * Cuts a plan whose seed breaks a rule down to what it takes to break it: faults are made fixed (else each would
- * draw other figures without its neighbours), then taken out one by one, their targets too, then the day is
- * shortened and callers are taken away, as long as one of the same rules still breaks.
+ * Reduces a plan that breaks a rule with some seed to a small plan that still breaks one of the same rules. Faults are
+ * first given fixed values, since each would draw other values once its neighbours are gone. Then the run is shortened,
+ * faults and their targets are removed one by one, and the rate of requests is lowered.
  */
 public final class PlanShrinker {
+    /** Requests per second. */
     private static final double MIN_RATE = 1;
 
     private final long seed;
@@ -26,77 +27,80 @@
     private final Set<Rule> rules;
     private final Consumer<String> listener;
 
-    private PlanShrinker(long seed, Function<Engine, Balancer> module, Set<Rule> rules, Consumer<String> listener) {
+    private PlanShrinker(
+            long seed, Function<Engine, Balancer> balancerFactory, Set<Rule> rules, Consumer<String> listener) {
         this.seed = seed;
-        this.balancerFactory = module;
+        this.balancerFactory = balancerFactory;
         this.rules = rules;
         this.listener = listener;
     }
 
     /**
-     * Shrinks.
+     * Reduces a plan.
      *
-     * @param plan what is played
-     * @param seed that breaks a rule
-     * @param listener is told each step, a line each
+     * @param plan the plan
+     * @param seed a seed with which the plan breaks a rule
+     * @param listener receives a line of text for each step
      * @return the smallest plan found that still breaks one of the rules, or null if the seed breaks none
      */
     public static Plan shrink(Plan plan, long seed, Consumer<String> listener) {
         return shrink(plan, seed, Engine::createDefaultBalancer, listener);
     }
 
-    static Plan shrink(Plan plan, long seed, Function<Engine, Balancer> module, Consumer<String> listener) {
+    static Plan shrink(Plan plan, long seed, Function<Engine, Balancer> balancerFactory, Consumer<String> listener) {
         Plan fixed = plan.withFaults(resolveFaults(plan, seed));
-        RehearsalResult whole = new Rehearsal(fixed, seed, module).play();
-        if (whole.broken() == 0) {
+        RehearsalResult result = new Rehearsal(fixed, seed, balancerFactory).play();
+        if (result.broken() == 0) {
             return null;
         }
-        Set<Rule> rules = whole.breaches().stream().map(each -> each.rule()).collect(Collectors.toSet());
-        PlanShrinker shrink = new PlanShrinker(seed, module, rules, listener);
-        listener.accept(
-                "breaks " + rules.size() + " rule(s) with " + fixed.faults().size() + " faults");
-        double end = (whole.breaches().get(0).at() - Rehearsal.OPENS_AT) / 1e6 + 1;
-        Plan smallest = shrink.reduceRate(shrink.removeTargets(shrink.removeFaults(shrink.shorten(fixed, end))));
-        listener.accept("left are " + smallest.faults().size() + " faults, " + smallest.seconds() + " s and "
-                + smallest.clients().rate() + " requests a second");
+        Set<Rule> rules =
+                result.breaches().stream().map(breach -> breach.rule()).collect(Collectors.toSet());
+        PlanShrinker shrinker = new PlanShrinker(seed, balancerFactory, rules, listener);
+        listener.accept("the plan breaks " + rules.size() + " rule(s) with "
+                + fixed.faults().size() + " faults");
+        double end = (result.breaches().get(0).at() - Rehearsal.OPENS_AT) / 1e6 + 1;
+        Plan smallest =
+                shrinker.reduceRate(shrinker.removeTargets(shrinker.removeFaults(shrinker.shorten(fixed, end))));
+        listener.accept("smallest plan found: " + smallest.faults().size() + " faults, " + smallest.seconds()
+                + " s and " + smallest.clients().rate() + " requests a second");
         return smallest;
     }
 
-    /** The faults as the seed draws them. */
+    /** Returns the faults of a plan with the values that a seed draws for them. */
     static List<Fault> resolveFaults(Plan plan, long seed) {
-        List<Fault> frozen = new ArrayList<>();
-        for (ResolvedPlan.Trouble each : ResolvedPlan.of(plan, seed).troubles()) {
-            String prefix = each.fault().kind().target() == Fault.Kind.Target.AGENTS ? "agent-" : "nodo-";
+        List<Fault> resolved = new ArrayList<>();
+        for (ResolvedPlan.Trouble fault : ResolvedPlan.of(plan, seed).troubles()) {
+            String prefix = fault.fault().kind().target() == Fault.Kind.Target.AGENTS ? "agent-" : "nodo-";
             List<String> names = new ArrayList<>();
-            for (int target : each.targets()) {
+            for (int target : fault.targets()) {
                 names.add(prefix + (target + 1));
             }
-            frozen.add(each.fault()
+            resolved.add(fault.fault()
                     .withFixedValues(
-                            fixedRange(each.at() / 1e6),
-                            fixedRange(each.lasts() / 1e6),
+                            fixedRange(fault.at() / 1e6),
+                            fixedRange(fault.lasts() / 1e6),
                             names,
-                            fixedRange(each.size()),
-                            fixedRange(each.every() / 1e6),
-                            fixedRange(each.spread() / 1e6)));
+                            fixedRange(fault.size()),
+                            fixedRange(fault.every() / 1e6),
+                            fixedRange(fault.spread() / 1e6)));
         }
-        return frozen;
+        return resolved;
     }
 
-    private static NumberRange fixedRange(double figure) {
-        return new NumberRange(figure, figure);
+    private static NumberRange fixedRange(double value) {
+        return new NumberRange(value, value);
     }
 
     private boolean stillBreaks(Plan plan) {
         return new Rehearsal(plan, seed, balancerFactory)
-                .play().breaches().stream().anyMatch(each -> rules.contains(each.rule()));
+                .play().breaches().stream().anyMatch(breach -> rules.contains(breach.rule()));
     }
 
-    private Plan smallerIfBreaking(Plan before, Plan smaller, String what) {
+    private Plan smallerIfBreaking(Plan current, Plan smaller, String removed) {
         if (!stillBreaks(smaller)) {
-            return before;
+            return current;
         }
-        listener.accept("still breaks without " + what);
+        listener.accept("still breaks without " + removed);
         return smaller;
     }
 
@@ -105,18 +109,18 @@
         if (length >= plan.seconds()) {
             return plan;
         }
-        return smallerIfBreaking(plan, plan.withSeconds(length), "what comes after " + (int) length + " s");
+        return smallerIfBreaking(plan, plan.withSeconds(length), "the time after " + (int) length + " s");
     }
 
     private Plan removeFaults(Plan plan) {
         Plan smallest = plan;
         for (int i = plan.faults().size() - 1; i >= 0; i--) {
             List<Fault> fewer = new ArrayList<>(smallest.faults());
-            Fault out = fewer.remove(i);
+            Fault removed = fewer.remove(i);
             smallest = smallerIfBreaking(
                     smallest,
                     smallest.withFaults(fewer),
-                    out.kind().keyword() + " at " + out.at().low() + " s");
+                    removed.kind().keyword() + " at " + removed.at().low() + " s");
         }
         return smallest;
     }
@@ -144,15 +148,15 @@
 
     private Plan reduceRate(Plan plan) {
         Plan smallest = plan;
-        for (double part = 0.5; part < 0.95; part += 0.2) {
-            while (part * smallest.clients().rate() >= MIN_RATE) {
+        for (double share = 0.5; share < 0.95; share += 0.2) {
+            while (share * smallest.clients().rate() >= MIN_RATE) {
                 Plan fewer = smallest.withRate(
-                        JsonReport.round(part * smallest.clients().rate()));
-                Plan kept = smallerIfBreaking(smallest, fewer, "some of the callers");
-                if (kept == smallest) {
+                        JsonReport.round(share * smallest.clients().rate()));
+                Plan reduced = smallerIfBreaking(smallest, fewer, "some of the requests");
+                if (reduced == smallest) {
                     break;
                 }
-                smallest = kept;
+                smallest = reduced;
             }
         }
         return smallest;
--- a/src/main/java/gatefront/rehearsal/ProcessAgent.java
+++ b/src/main/java/gatefront/rehearsal/ProcessAgent.java
@@ -22,8 +22,9 @@
 import java.util.stream.Collectors;
 
 /**
- * An agent in a process of its own, as in service, on loopback sockets. Processes are started and signalled on other
- * threads than the loop: a start takes milliseconds, and with twenty of them the loop would be late for all others.
+ * An agent in a process of its own, as in production, on loopback sockets. Processes are started and signalled on other
+ * threads than the event loop: a start takes milliseconds, and twenty of them would make the loop late for everything
+ * else.
  */
 class ProcessAgent extends AgentStandIn {
     private static final int HEALTH_TIMEOUT_MS = 500;
@@ -33,15 +34,16 @@
     private final List<String> command;
     private final Consumer<String> log;
     private final Executor starter;
-    /** The newest one, as soon as it has been started; null before the first. */
+    /** The latest process, completed when it has been started; null before the first start. */
     private volatile CompletableFuture<Process> process;
 
     /**
-     * Not started yet.
+     * Creates an agent that is not started yet.
      *
-     * @param command how a java program is run, up to the command of the command line
-     * @param folder where its configuration is written
-     * @param starter starts processes and sends signals
+     * @param command the command that runs an agent
+     * @param folder the folder that its configuration is written to
+     * @param starter the executor that starts processes and sends signals
+     * @param log receives the log lines of the process, on the event loop
      */
     ProcessAgent(
             RunContext day,
@@ -67,7 +69,7 @@
 
         @Override
         public Transport transport() {
-            throw new UnsupportedOperationException("it is another process's");
+            throw new UnsupportedOperationException("the transport belongs to another process");
         }
 
         @Override
@@ -77,7 +79,7 @@
 
         @Override
         public long sentAt(Channel channel) {
-            throw new UnsupportedOperationException("its channels are another process's");
+            throw new UnsupportedOperationException("the channels belong to another process");
         }
 
         @Override
@@ -115,18 +117,18 @@
 
     @Override
     void begin() {
-        CompletableFuture<Process> fresh = new CompletableFuture<>();
-        process = fresh;
+        CompletableFuture<Process> starting = new CompletableFuture<>();
+        process = starting;
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         try {
             builder.environment()
                     .put("RELAY_CONFIG", writeConfiguration(configFile).toString());
-            String own = extensions();
-            if (!own.isEmpty()) {
+            String extensions = extensions();
+            if (!extensions.isEmpty()) {
                 builder.environment()
                         .put(
                                 "GATEFRONT_EXTENSIONS",
-                                Files.writeString(configFile.resolveSibling(name() + ".toml"), own)
+                                Files.writeString(configFile.resolveSibling(name() + ".toml"), extensions)
                                         .toString());
             }
             customize(builder);
@@ -137,49 +139,49 @@
             try {
                 Process started = builder.start();
                 onStarted(started);
-                fresh.complete(started);
+                starting.complete(started);
                 forwardOutput(started);
             } catch (IOException e) {
-                fresh.completeExceptionally(e);
+                starting.completeExceptionally(e);
                 day.loop().execute(() -> day.checker.left(day.now(), name() + " cannot be started: " + e.getMessage()));
             }
         });
     }
 
-    /** Writes the configuration, and tells where. */
+    /** Writes the configuration and returns its path. */
     Path writeConfiguration(Path to) throws IOException {
         return Files.writeString(to, config().toString());
     }
 
-    /** More of what a process is started with. */
+    /** Adds to the environment and the command of a process before its start. */
     void customize(ProcessBuilder builder) throws IOException {}
 
-    /** A process has been started; not on the loop. */
-    void onStarted(Process fresh) {}
+    /** Called when a process has been started, not on the event loop. */
+    void onStarted(Process started) {}
 
-    /** Has something done with the process as soon as it has been started; not on the loop. */
-    final void withProcess(Consumer<Process> what) {
-        process.thenAcceptAsync(what, starter);
+    /** Runs an action with the process once it has been started, not on the event loop. */
+    final void withProcess(Consumer<Process> action) {
+        process.thenAcceptAsync(action, starter);
     }
 
-    /** Sends the process a signal by its name. */
+    /** Sends a signal to the process; the name is one that {@code kill} accepts. */
     final void signal(String name) {
-        withProcess(mine -> {
+        withProcess(running -> {
             try {
-                new ProcessBuilder("kill", "-" + name, String.valueOf(mine.pid())).start();
+                new ProcessBuilder("kill", "-" + name, String.valueOf(running.pid())).start();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         });
     }
 
-    private void forwardOutput(Process mine) {
+    private void forwardOutput(Process running) {
         Thread reader = new Thread(
                 () -> {
-                    try (BufferedReader lines = mine.inputReader(StandardCharsets.UTF_8)) {
+                    try (BufferedReader lines = running.inputReader(StandardCharsets.UTF_8)) {
                         lines.lines().forEach(line -> day.loop().execute(() -> log.accept(line)));
                     } catch (IOException | UncheckedIOException | RejectedExecutionException e) {
-                        // it has been killed, or the day is over
+                        // the process was killed, or the rehearsal is over
                     }
                 },
                 name() + " log");
@@ -187,7 +189,7 @@
         reader.start();
     }
 
-    /** {@link #besides()} as the agent's file has it. */
+    /** Returns {@link #besides()} as the text of the extensions file. */
     String extensions() {
         return (day.form == null ? "" : thriftTable()) + (day.padron.registry(number) == null ? "" : registryTable());
     }
@@ -195,7 +197,7 @@
     private String registryTable() {
         RegistrySettings settings = day.padron.registry(number);
         String members = settings.endpoints().stream()
-                .map(each -> '"' + each.getAddress().getHostAddress() + ":" + each.getPort() + '"')
+                .map(member -> '"' + member.getAddress().getHostAddress() + ":" + member.getPort() + '"')
                 .collect(Collectors.joining(", "));
         return "\n[registry]\nkind = \"" + settings.kind().name().toLowerCase(Locale.ROOT) + "\"\nendpoints = ["
                 + members + "]\nprefix = \"" + settings.prefix() + "\"\npadron = \"instead\"\n";
@@ -209,12 +211,12 @@
                 + "\nprobes = \"thrift\"\n");
         day.plan
                 .classes()
-                .forEach(each -> text.append("\n[[thrift.methods]]\nname = \"" + each.name() + "\"\nclass = \""
-                        + each.name() + "\"\ndeclares = true\n"));
+                .forEach(requestClass -> text.append("\n[[thrift.methods]]\nname = \"" + requestClass.name()
+                        + "\"\nclass = \"" + requestClass.name() + "\"\ndeclares = true\n"));
         return text.toString();
     }
 
-    /** Blocks for a moment; not to be asked on the loop. */
+    /** Returns whether the health check succeeds. Blocks for up to a second; not for use on the event loop. */
     @Override
     boolean ready() {
         try (Socket socket = new Socket()) {
@@ -240,12 +242,12 @@
             then.run();
             return;
         }
-        withProcess(mine -> {
-            mine.onExit().thenRun(() -> day.loop().execute(() -> {
+        withProcess(running -> {
+            running.onExit().thenRun(() -> day.loop().execute(() -> {
                 day.padron.forgot(number);
                 then.run();
             }));
-            mine.destroy();
+            running.destroy();
         });
     }
 
--- a/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
+++ b/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
@@ -34,23 +34,31 @@
 import java.util.stream.IntStream;
 
 /**
- * Plays a day with several processes of the program: agents in processes of their own, each with its folder and door,
- * every link over a relay, and faults of processes, folders and links by plan. The world (nodos, padrón, callers) runs
- * on one loop of this process, the relays on others, processes are started and called from threads besides; how late
- * the loops were is measured, and taken off before an agent is blamed.
+ * Runs a rehearsal in real time with agents in processes of their own. Each agent has a folder and a management
+ * endpoint, each link goes over a relay, and the plan injects faults of processes, folders and links. The simulated
+ * world (servers, padrón, clients) runs on one event loop of this process and the relays on others; processes are
+ * started and called from worker threads. The lateness of the loops is measured and allowed for before an agent is
+ * blamed.
  */
 public final class ProcessRehearsal {
     private static final long READY_TIMEOUT_MS = 30_000;
-    /** What the kernel and the relays may blur, in microseconds, beside the lateness that was measured. */
+    /** Tolerance for delays in the kernel and the relays, in microseconds, in addition to the measured lateness. */
     private static final long SLACK_MICROS = 20_000;
 
+    /** Maximum wait for the outstanding requests after traffic has ended. */
     private static final long COMPLETION_TIMEOUT_MS = 8_000;
+
+    /** Wait for work that servers still do for abandoned attempts. */
     private static final long SETTLE_MS = 1_000;
+
+    /** Maximum wait for the agents to exit after SIGTERM. */
     private static final long EXIT_TIMEOUT_MS = 8_000;
+
     private static final int MAX_LOG_LINES = 5_000;
     private static final int RELAY_LOOPS = 2;
     private static final long POLL_INTERVAL_MS = 10;
     private static final double MICROS_PER_SECOND = 1e6;
+    /** The field of {@code /stats} by which an agent reports that it lost its stored state. */
     private static final String RECOVERY_LOST_FIELD = "recovery_lost";
 
     private final ProcessPlan plan;
@@ -68,9 +76,9 @@
     });
     private final LoopLateness lateness = new LoopLateness();
     private final ManualDrainChecker drainChecker;
-    /** By process id, when it was started: of those whose start is being watched. */
+    /** Start times of the running processes by process id. */
     private final Map<Long, Long> startNanosByPid = new ConcurrentHashMap<>();
-    // Of the day's loop:
+    // Owned by the event loop:
     private final List<String> log = new ArrayList<>();
     private final StartTimeline timeline = new StartTimeline();
     private int readyCount;
@@ -80,34 +88,37 @@
     private RunContext context;
     private ProcessReaper reaper;
     private Path root;
+    /** When traffic starts, in microseconds of rehearsal time. */
     private long opensAt;
+
     private volatile boolean finished;
 
     /**
-     * A rehearsal with several processes.
+     * Creates a rehearsal with several processes.
      *
-     * @param plan what is played
-     * @param seed for what is drawn
-     * @param command runs one agent, as its RELAY_CONFIG says
-     * @param without guards of the program that are switched off, to see that the judge finds it
-     * @param history where all that was asked, done and seen is written; null for nowhere
+     * @param plan the plan
+     * @param seed the seed of all random choices
+     * @param command the command that runs an agent, which is configured by RELAY_CONFIG
+     * @param disabledGuards safeguards of the agents that are switched off, to test the checks themselves
+     * @param historyFile the file that the event history is written to; null for none
      */
-    public ProcessRehearsal(ProcessPlan plan, long seed, List<String> command, Set<String> without, Path history) {
+    public ProcessRehearsal(
+            ProcessPlan plan, long seed, List<String> command, Set<String> disabledGuards, Path historyFile) {
         this.plan = plan;
         this.seed = seed;
         this.command = List.copyOf(command);
-        this.disabledGuards = Set.copyOf(without);
-        this.historyFile = history;
+        this.disabledGuards = Set.copyOf(disabledGuards);
+        this.historyFile = historyFile;
         this.drainChecker =
                 new ManualDrainChecker((long) (1000 * plan.basePlan().rules().drainGraceMs()) + SLACK_MICROS);
     }
 
     /**
-     * Plays the day.
+     * Runs the rehearsal.
      *
-     * @param progress is told now and then which part has passed
-     * @return what came of it
-     * @throws IOException if an agent cannot be started or does not get ready
+     * @param progress receives the elapsed share of the run, several times a second
+     * @return the result
+     * @throws IOException if an agent cannot be started or does not become ready
      */
     public ProcessRehearsalResult play(DoubleConsumer progress) throws IOException {
         root = Files.createTempDirectory("gatefront-processes");
@@ -115,7 +126,7 @@
         history = new EventHistory(historyFile);
         try {
             LoopbackAddresses addresses = LoopbackAddresses.forThisProcess();
-            relayLoops.forEach(each -> lateness.watch((EventLoop) each));
+            relayLoops.forEach(relayLoop -> lateness.watch((EventLoop) relayLoop));
             lateness.watch(loop);
             context = callOnLoop(() -> createContext(addresses));
             callOnLoop(() -> {
@@ -145,16 +156,16 @@
             finished = true;
             callOnLoop(() -> {
                 drainChecker.close(context.now());
-                agents.forEach(each -> each.signal("CONT"));
-                agents.forEach(each -> each.leave(() -> {}));
+                agents.forEach(agent -> agent.signal("CONT"));
+                agents.forEach(agent -> agent.leave(() -> {}));
                 return null;
             });
             awaitOnLoop(EXIT_TIMEOUT_MS, () -> agents.stream()
-                    .noneMatch(each -> each.machine().running()));
+                    .noneMatch(agent -> agent.machine().running()));
             return callOnLoop(() -> {
-                for (AgentStandIn each : agents) {
-                    if (each.machine().running()) {
-                        context.checker.left(context.now(), each.name() + " has not ended");
+                for (AgentStandIn agent : agents) {
+                    if (agent.machine().running()) {
+                        context.checker.left(context.now(), agent.name() + " has not ended");
                     }
                 }
                 context.checker.close(context.now());
@@ -174,22 +185,22 @@
             });
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted", e);
+            throw new IOException("rehearsal interrupted", e);
         } finally {
             shutDown();
         }
     }
 
     private RunContext createContext(LoopbackAddresses addresses) {
-        RunContext made = new RunContext(
+        RunContext created = new RunContext(
                 plan.basePlan(),
                 seed,
                 SLACK_MICROS,
                 addresses,
                 (name, address, zone, memory, lines) -> new LoopbackMachine(name, address, loop),
-                of -> i -> {
+                owner -> i -> {
                     PersistentAgent agent = new PersistentAgent(
-                            of,
+                            owner,
                             i,
                             addresses.of(8, i),
                             command,
@@ -204,15 +215,15 @@
                     agents.add(agent);
                     return agent;
                 });
-        network = new RelayNetwork(made, lateness, relayLoops, addresses.of(7, 0), drainChecker, history, timeline);
-        made.ways = network;
-        made.checker.on(network);
-        return made;
+        network = new RelayNetwork(created, lateness, relayLoops, addresses.of(7, 0), drainChecker, history, timeline);
+        created.ways = network;
+        created.checker.on(network);
+        return created;
     }
 
     private void shutDown() throws IOException {
         finished = true;
-        agents.forEach(each -> each.machine().kill());
+        agents.forEach(agent -> agent.machine().kill());
         reaper.close();
         if (context != null) {
             loop.submit(() -> {
@@ -248,12 +259,12 @@
 
     // ---- Processes ----
 
-    /** A process has been started: the warden answers for it, and somebody looks when it is ready. */
+    /** Registers a new process with the reaper and waits, on a worker thread, until it is ready. */
     private void onProcessStarted(int agent, Process process) {
         long pid = process.pid();
         reaper.watch(pid);
-        long at = System.nanoTime();
-        startNanosByPid.put(pid, at);
+        long startNanos = System.nanoTime();
+        startNanosByPid.put(pid, startNanos);
         process.onExit().thenRun(() -> {
             reaper.unwatch(pid);
             startNanosByPid.remove(pid);
@@ -264,36 +275,36 @@
             timeline.started(agent, context.now());
             recordEvent("start", "agent-" + (agent + 1), "process " + pid);
         });
-        executor.execute(() -> awaitProcessReady(agent, process, at));
+        executor.execute(() -> awaitProcessReady(agent, process, startNanos));
     }
 
-    private void awaitProcessReady(int agent, Process process, long at) {
-        PersistentAgent of = agents.get(agent);
+    private void awaitProcessReady(int number, Process process, long startNanos) {
+        PersistentAgent agent = agents.get(number);
         try {
-            while (process.isAlive() && !finished && !of.ready()) {
+            while (process.isAlive() && !finished && !agent.ready()) {
                 Thread.sleep(POLL_INTERVAL_MS);
             }
             if (!process.isAlive() || finished) {
                 return;
             }
-            double took = (System.nanoTime() - at) / MICROS_PER_SECOND;
-            ManagementClient.Response stats = ManagementClient.call(of.managementAddress(), "GET", "/stats");
+            double tookMillis = (System.nanoTime() - startNanos) / MICROS_PER_SECOND;
+            ManagementClient.Response stats = ManagementClient.call(agent.managementAddress(), "GET", "/stats");
             boolean lost = !ManagementClient.parseStats(stats.text())
                     .getOrDefault(RECOVERY_LOST_FIELD, "0")
                     .equals("0");
             runOnLoop(() -> {
                 readyCount++;
-                timeline.reached(agent, StartTimeline.Mark.READY, context.now());
+                timeline.reached(number, StartTimeline.Mark.READY, context.now());
                 recordEvent(
                         "ready",
-                        of.name(),
+                        agent.name(),
                         String.format(
                                 Locale.ROOT,
                                 "after %.0f ms%s",
-                                took,
+                                tookMillis,
                                 lost ? ", it says that what it kept is lost" : ""));
-                if (lost && of.machine().running()) {
-                    drainChecker.toldLost(context.now(), agent);
+                if (lost && agent.machine().running()) {
+                    drainChecker.toldLost(context.now(), number);
                 }
             });
         } catch (InterruptedException e) {
@@ -305,11 +316,11 @@
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
         while (callOnLoop(() -> readyCount) < agents.size()) {
             if (System.nanoTime() > end) {
-                throw new IOException("not all agents got ready");
+                throw new IOException("not all agents became ready within " + READY_TIMEOUT_MS + " ms");
             }
-            for (PersistentAgent each : agents) {
-                if (!each.machine().running()) {
-                    throw new IOException(each.name() + " did not get ready");
+            for (PersistentAgent agent : agents) {
+                if (!agent.machine().running()) {
+                    throw new IOException(agent.name() + " exited before it was ready");
                 }
             }
             Thread.sleep(POLL_INTERVAL_MS);
@@ -318,48 +329,48 @@
 
     // ---- Faults ----
 
-    private void schedule(ProcessFault fault, RandomStream draw, long from) {
-        long at = from + (long) (MICROS_PER_SECOND * fault.at().draw(draw::between));
-        long lasts = (long) (MICROS_PER_SECOND * fault.duration().draw(draw::between));
+    private void schedule(ProcessFault fault, RandomStream draw, long start) {
+        long at = start + (long) (MICROS_PER_SECOND * fault.at().draw(draw::between));
+        long duration = (long) (MICROS_PER_SECOND * fault.duration().draw(draw::between));
         double spread = MICROS_PER_SECOND * fault.spread().draw(draw::between);
         double size = fault.size().draw(draw::between);
         long number = draw.number();
         int[] targets = chooseAgents(fault, draw);
-        context.record.band(fault.kind().keyword(), at - from, at - from + Math.max(lasts, 1_000_000));
+        context.record.band(fault.kind().keyword(), at - start, at - start + Math.max(duration, 1_000_000));
         for (int i = 0; i < targets.length; i++) {
             PersistentAgent agent = agents.get(targets[i]);
             PersistentAgent next = agents.get(targets[(i + 1) % targets.length]);
             long when = at + (long) (targets.length < 2 ? 0 : spread * i / (targets.length - 1));
             if (fault.state() == ProcessFault.State.OLDER) {
                 context.at(
-                        from + (long) (MICROS_PER_SECOND * fault.copiedAtSecond()),
+                        start + (long) (MICROS_PER_SECOND * fault.copiedAtSecond()),
                         () -> executor.execute(() -> changeFolder(
-                                agent, "copied", () -> FolderFaults.copy(agent.folder(), copyFolder(agent)))));
+                                agent, "copied", () -> FolderFaults.copy(agent.folder(), copyLocation(agent)))));
             }
-            context.at(when, () -> inject(fault, agent, next, lasts, size, number));
+            context.at(when, () -> inject(fault, agent, next, duration, size, number));
         }
     }
 
     private int[] chooseAgents(ProcessFault fault, RandomStream draw) {
         if (!fault.names().isEmpty()) {
             return fault.names().stream()
-                    .mapToInt(each -> Integer.parseInt(each.substring(6)) - 1)
+                    .mapToInt(name -> Integer.parseInt(name.substring("agent-".length())) - 1)
                     .toArray();
         }
         int count = agents.size();
-        int n = fault.share() == 0 ? 0 : Math.max(1, (int) Math.rint(fault.share() * count));
+        int chosen = fault.share() == 0 ? 0 : Math.max(1, (int) Math.rint(fault.share() * count));
         int[] all = IntStream.range(0, count).toArray();
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < chosen; i++) {
             int j = i + draw.below(count - i);
             int swap = all[i];
             all[i] = all[j];
             all[j] = swap;
         }
-        return java.util.Arrays.copyOf(all, n);
+        return java.util.Arrays.copyOf(all, chosen);
     }
 
     private void inject(
-            ProcessFault fault, PersistentAgent agent, PersistentAgent next, long lasts, double size, long number) {
+            ProcessFault fault, PersistentAgent agent, PersistentAgent next, long duration, double size, long number) {
         recordEvent("fault", agent.name(), fault.kind().keyword());
         if (fault.kind() == ProcessFault.Kind.KILL || fault.kind() == ProcessFault.Kind.TERM) {
             agent.setClockOffset(fault.clockOffsetSeconds());
@@ -368,60 +379,63 @@
         switch (fault.kind()) {
             case KILL -> {
                 if (fault.state() == ProcessFault.State.ANOTHERS) {
-                    // Both are copied before either changes.
+                    // The folder of the other agent is copied before this agent is killed, so that neither has changed
+                    // yet.
                     executor.execute(() -> changeFolder(agent, "of another is copied", () -> {
-                        FolderFaults.copy(next.folder(), copyFolder(agent));
-                        runOnLoop(() -> kill(agent, lasts, () -> applyFolderState(fault.state(), agent, number)));
+                        FolderFaults.copy(next.folder(), copyLocation(agent));
+                        runOnLoop(() -> kill(agent, duration, () -> applyFolderState(fault.state(), agent, number)));
                     }));
                 } else {
-                    kill(agent, lasts, () -> applyFolderState(fault.state(), agent, number));
+                    kill(agent, duration, () -> applyFolderState(fault.state(), agent, number));
                 }
             }
             case TERM -> agent.leave(() -> {
                 drainChecker.ended(context.now(), agent.number);
-                restartAfter(agent, lasts);
+                restartAfter(agent, duration);
             });
             case STOP -> {
                 network.setPaused(agent.number, true);
                 agent.signal("STOP");
-                context.at(context.now() + lasts, () -> {
+                context.at(context.now() + duration, () -> {
                     recordEvent("fault", agent.name(), "wakes");
                     agent.signal("CONT");
                     network.setPaused(agent.number, false);
                 });
             }
-            case CRASH_LOOP -> crashLoop(agent, lasts, (int) size);
-            case CUT -> applyLinkConditions(fault, agent, lasts, LinkConditions.BLOCKED);
-            case DELAY -> applyLinkConditions(fault, agent, lasts, new LinkConditions(false, (long) (1000 * size), 0));
+            case CRASH_LOOP -> crashLoop(agent, duration, (int) size);
+            case CUT -> applyLinkConditions(fault, agent, duration, LinkConditions.BLOCKED);
+            case DELAY -> applyLinkConditions(
+                    fault, agent, duration, new LinkConditions(false, (long) (1000 * size), 0));
             case THROTTLE -> applyLinkConditions(
-                    fault, agent, lasts, new LinkConditions(false, 0, (long) (1000 * size)));
+                    fault, agent, duration, new LinkConditions(false, 0, (long) (1000 * size)));
             case RESET, HALF_OPEN -> network.breakConnections(
                     agent.number, fault.links(), fault.kind() == ProcessFault.Kind.HALF_OPEN);
             case OUT, BACK -> fault.nodos()
-                    .forEach(each -> sendDrainCommand(agent, each, fault.kind() == ProcessFault.Kind.OUT));
+                    .forEach(nodo -> sendDrainCommand(agent, nodo, fault.kind() == ProcessFault.Kind.OUT));
         }
     }
 
-    private void applyLinkConditions(ProcessFault fault, PersistentAgent agent, long lasts, LinkConditions shape) {
-        network.setConditions(agent.number, fault.links(), fault.direction(), shape);
-        context.at(context.now() + lasts, () -> {
+    private void applyLinkConditions(
+            ProcessFault fault, PersistentAgent agent, long duration, LinkConditions conditions) {
+        network.setConditions(agent.number, fault.links(), fault.direction(), conditions);
+        context.at(context.now() + duration, () -> {
             recordEvent("fault", agent.name(), "healed");
             network.setConditions(agent.number, fault.links(), fault.direction(), LinkConditions.CLEAR);
         });
     }
 
-    private void kill(PersistentAgent agent, long lasts, Runnable whileDead) {
-        long startsAt = context.now() + lasts;
+    private void kill(PersistentAgent agent, long duration, Runnable beforeRestart) {
+        long startsAt = context.now() + duration;
         if (!agent.machine().running()) {
             return;
         }
-        int mine = agent.processes();
+        int processNumber = agent.processes();
         agent.withProcess(process -> process.onExit()
                 .thenRunAsync(
                         () -> {
-                            whileDead.run();
+                            beforeRestart.run();
                             runOnLoop(() -> {
-                                if (agent.processes() == mine) {
+                                if (agent.processes() == processNumber) {
                                     restartAfter(agent, startsAt - context.now());
                                 }
                             });
@@ -431,15 +445,15 @@
         drainChecker.ended(context.now(), agent.number);
     }
 
-    private void restartAfter(PersistentAgent agent, long inMicros) {
-        context.at(context.now() + inMicros, () -> {
+    private void restartAfter(PersistentAgent agent, long delayMicros) {
+        context.at(context.now() + delayMicros, () -> {
             if (!agent.machine().running() && !finished) {
                 agent.start();
             }
         });
     }
 
-    /** Killed as soon as it is ready, over and over; the last time it is left alone. */
+    /** Kills an agent as soon as it is ready, the given number of times. */
     private void crashLoop(PersistentAgent agent, long pause, int times) {
         if (times > 0 && !finished) {
             kill(agent, pause, () -> {});
@@ -465,7 +479,7 @@
         void apply() throws IOException;
     }
 
-    private Path copyFolder(PersistentAgent agent) {
+    private Path copyLocation(PersistentAgent agent) {
         return root.resolve("copy-of-" + agent.name());
     }
 
@@ -479,14 +493,14 @@
         }
     }
 
-    /** Changes the folder of a process that has ended. */
+    /** Applies a fault to the folder of an agent whose process has exited. */
     private void applyFolderState(ProcessFault.State state, PersistentAgent agent, long number) {
         Path folder = agent.folder();
         String what = state.name().toLowerCase(Locale.ROOT).replace('_', '-');
         switch (state) {
             case KEPT -> {}
             case WIPED -> changeFolder(agent, what, () -> FolderFaults.delete(folder));
-            case OLDER, ANOTHERS -> changeFolder(agent, what, () -> FolderFaults.copy(copyFolder(agent), folder));
+            case OLDER, ANOTHERS -> changeFolder(agent, what, () -> FolderFaults.copy(copyLocation(agent), folder));
             case TORN -> changeFolder(agent, what, () -> FolderFaults.truncateNewestFile(folder.resolve("kept")));
             case FLIPPED -> changeFolder(
                     agent, what, () -> FolderFaults.flipBitInNewestFile(folder.resolve("kept"), number));
@@ -495,51 +509,51 @@
         }
     }
 
-    // ---- Staff ----
+    // ---- Operators ----
 
-    private void sendDrainCommand(PersistentAgent agent, String nodo, boolean out) {
-        var door = network.relay(agent.number, Links.DOOR, agent.managementAddress())
+    private void sendDrainCommand(PersistentAgent agent, String nodo, boolean drain) {
+        var address = network.relay(agent.number, Links.DOOR, agent.managementAddress())
                 .address();
         int number = Integer.parseInt(nodo.substring("nodo-".length())) - 1;
-        int process = agent.processes();
+        int processNumber = agent.processes();
         executor.execute(() -> {
-            ManagementClient.Response answer =
-                    ManagementClient.call(door, "POST", "/backends/" + nodo + (out ? "/maint" : "/ready"));
+            ManagementClient.Response response =
+                    ManagementClient.call(address, "POST", "/backends/" + nodo + (drain ? "/maint" : "/ready"));
             runOnLoop(() -> {
                 recordEvent(
                         "staff",
                         agent.name(),
-                        nodo + (out ? " out: " : " back: ") + answer.status() + " "
-                                + answer.text().strip());
-                if (answer.status() == 200 && agent.processes() == process) {
+                        nodo + (drain ? " out: " : " back: ") + response.status() + " "
+                                + response.text().strip());
+                if (response.status() == 200 && agent.processes() == processNumber) {
                     drainChecker.yes(
                             context.now(),
                             agent.number,
                             number,
-                            out,
-                            !answer.text().contains("not kept"));
+                            drain,
+                            !response.text().contains("not kept"));
                 }
             });
         });
     }
 
-    // ---- Loops ----
+    // ---- Event loop ----
 
-    private void runOnLoop(Runnable what) {
+    private void runOnLoop(Runnable task) {
         if (!loop.isShuttingDown()) {
-            loop.execute(what);
+            loop.execute(task);
         }
     }
 
-    private void awaitOnLoop(long mostMs, Callable<Boolean> what) throws InterruptedException, IOException {
-        for (long passed = 0; passed < mostMs && !callOnLoop(what); passed += 50) {
+    private void awaitOnLoop(long timeoutMs, Callable<Boolean> condition) throws InterruptedException, IOException {
+        for (long passed = 0; passed < timeoutMs && !callOnLoop(condition); passed += 50) {
             Thread.sleep(50);
         }
     }
 
-    private <T> T callOnLoop(Callable<T> what) throws InterruptedException, IOException {
+    private <T> T callOnLoop(Callable<T> task) throws InterruptedException, IOException {
         try {
-            return loop.submit(what).get();
+            return loop.submit(task).get();
         } catch (ExecutionException e) {
             throw new IOException(String.valueOf(e.getCause().getMessage()), e.getCause());
         }
--- a/src/main/java/gatefront/rehearsal/ProcessRehearsalResult.java
+++ b/src/main/java/gatefront/rehearsal/ProcessRehearsalResult.java
@@ -12,13 +12,13 @@
 import java.util.Locale;
 
 /**
- * What came of a rehearsal with several processes.
+ * The result of a rehearsal with several processes.
  *
- * @param plan what was played
- * @param result the day, as any other rehearsal has it
- * @param manualDrains what was done by hand, and whether it held
- * @param lateness of the rig
- * @param timeline how starts under way went
+ * @param plan the plan
+ * @param result the result of the simulated world and its rules
+ * @param manualDrains the check of manual drains
+ * @param lateness the lateness of the rig's event loops
+ * @param timeline the starts of agents during the run
  */
 public record ProcessRehearsalResult(
         ProcessPlan plan,
@@ -26,29 +26,29 @@
         ManualDrainChecker manualDrains,
         LoopLateness lateness,
         StartTimeline timeline) {
-    /** The rig is to be late by no more, in microseconds. */
+    /** Delays of the rig beyond this make a run doubtful, in microseconds. */
     public static final long MAX_LATENESS_MICROS = 20_000;
 
-    /** How many times a rule was broken. */
+    /** Returns how many times a rule was broken. */
     public int broken() {
         return result.broken() + manualDrains.count();
     }
 
-    /** All that was broken, a line each. */
+    /** Returns the recorded breaches, one line for each. */
     public List<String> breaches() {
         List<String> lines = new ArrayList<>();
-        for (RuleChecker.Breach each : result.breaches()) {
-            lines.add(each.rule().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + each.what()
-                    + (each.request().isEmpty() ? "" : " (request " + each.request() + ")"));
+        for (RuleChecker.Breach breach : result.breaches()) {
+            lines.add(breach.rule().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + breach.what()
+                    + (breach.request().isEmpty() ? "" : " (request " + breach.request() + ")"));
         }
-        manualDrains.breaches().forEach(each -> lines.add("by hand: " + each));
+        manualDrains.breaches().forEach(breach -> lines.add("manual drain: " + breach));
         return lines;
     }
 
-    /** When service was full again, in seconds after the first fault; negative if it never was. */
-    public double recoverySeconds(ProcessRehearsalResult twin) {
+    /** Returns when service was full again, in seconds after the first fault; negative if it never was. */
+    public double recoverySeconds(ProcessRehearsalResult baseline) {
         double first = plan.firstFaultSecond();
-        return first < 0 ? 0 : curve().fullAfter(first, twin.curve());
+        return first < 0 ? 0 : curve().fullAfter(first, baseline.curve());
     }
 
     ServiceCurve curve() {
@@ -61,22 +61,25 @@
                 .orElse(0);
     }
 
-    /** Calls for the list in the fullest second of the five after the first fault. */
+    /** Returns the maximum number of server list calls per second within five seconds of the first fault. */
     public int maxListCalls() {
         return maxBetween(result.record().listCalls, plan.firstFaultSecond(), plan.firstFaultSecond() + 5);
     }
 
-    /** Connections of the fullest nodo in the five seconds after the first fault. */
+    /** Returns the maximum number of connections of any server within five seconds of the first fault. */
     public int maxConnections() {
         return maxBetween(result.record().fullest, plan.firstFaultSecond(), plan.firstFaultSecond() + 5);
     }
 
-    /** How much of what topples it the nearest cold nodo was sent, on the whole day. */
+    /**
+     * Returns the highest load that any cold server was sent during the run, as a share of the load at which it
+     * fails.
+     */
     public double maxColdLoad() {
         return Arrays.stream(result.record().coldest).max().orElse(0);
     }
 
-    /** One line: service, rules, and how late the rig was. */
+    /** Returns a line with service, broken rules and the lateness of the rig. */
     public String summary() {
         return String.format(
                 Locale.ROOT,
--- a/src/main/java/gatefront/rehearsal/RealRehearsal.java
+++ b/src/main/java/gatefront/rehearsal/RealRehearsal.java
@@ -20,22 +20,25 @@
 import java.util.function.DoubleConsumer;
 
 /**
- * Plays a plan in real time, on loopback sockets, against agents in processes of their own. It checks the rig
- * itself, and the agent where virtual time cannot: its own CPU, the kernel, the JVM. It repeats nothing exactly.
+ * Runs a plan in real time, on loopback sockets, against agents in processes of their own. This tests the rig itself,
+ * and what virtual time cannot show of an agent: its CPU use, the kernel and the JVM. Runs are not reproducible.
  */
 public final class RealRehearsal {
     private static final long READY_TIMEOUT_MS = 30_000;
-    /** What the kernel's and this process's lateness may blur, in microseconds. */
+    /** Tolerance for delays in the kernel and in this process, in microseconds. */
     private static final long SLACK_MICROS = 100_000;
 
+    /** Maximum wait for the outstanding requests after traffic has ended. */
     private static final long COMPLETION_TIMEOUT_MS = 8_000;
-    /** What nodos still work on has ended by then, where nothing is wrong with them. */
+    /** Wait for work that healthy servers still do for abandoned attempts. */
     private static final long SETTLE_MS = 1_000;
 
+    /** Maximum wait for the agents to exit after SIGTERM. */
     private static final long EXIT_TIMEOUT_MS = 6_000;
+
     private static final int MAX_LOG_LINES = 2_000;
     private static final int STARTER_THREADS = 4;
-    /** The rig is to be late by no more, in microseconds. */
+    /** Delays of the rig beyond this make a run doubtful, in microseconds. */
     private static final long MAX_LATENESS_MICROS = 20_000;
 
     private final Plan plan;
@@ -50,14 +53,15 @@
     });
     private final LoopLateness lateness = new LoopLateness();
     private final List<String> log = new ArrayList<>();
+    /** When traffic starts, in microseconds of rehearsal time. */
     private long opensAt;
 
     /**
-     * A rehearsal in real time.
+     * Creates a rehearsal in real time.
      *
-     * @param plan what is played
-     * @param seed for what is drawn
-     * @param agentCommand runs one agent, as its RELAY_CONFIG says
+     * @param plan the plan
+     * @param seed the seed of all random choices
+     * @param agentCommand the command that runs an agent, which is configured by RELAY_CONFIG
      */
     public RealRehearsal(Plan plan, long seed, List<String> agentCommand) {
         this.plan = plan;
@@ -66,8 +70,8 @@
     }
 
     /**
-     * The command that runs an agent with the classes of this very program, and with the archive of classes that lies
-     * beside its jar, if one does, as in service: without it a start takes twice the processor.
+     * Returns the command that runs an agent with the class path of this process. If a class data sharing archive lies
+     * next to the jar, it is used as in production; without it a start takes twice the CPU time.
      */
     public static List<String> currentJvmCommand() {
         String classes = System.getProperty("java.class.path");
@@ -88,44 +92,50 @@
     }
 
     /**
-     * Plays the day.
+     * Runs the rehearsal.
      *
-     * @param progress is told now and then which part has passed
-     * @return what came of it
-     * @throws IOException if an agent cannot be started or does not get ready
+     * @param progress receives the elapsed share of the run, several times a second
+     * @return the result
+     * @throws IOException if an agent cannot be started or does not become ready
      */
     public RehearsalResult play(DoubleConsumer progress) throws IOException {
         Path folder = Files.createTempDirectory("gatefront-rehearsal");
         List<AgentStandIn> started = new ArrayList<>();
-        RunContext[] played = new RunContext[1];
+        RunContext[] created = new RunContext[1];
         try {
             LoopbackAddresses addresses = LoopbackAddresses.forThisProcess();
-            RunContext day = callOnLoop(() -> new RunContext(
+            RunContext context = callOnLoop(() -> new RunContext(
                     plan,
                     seed,
                     SLACK_MICROS,
                     addresses,
                     (name, address, zone, memory, lines) -> new LoopbackMachine(name, address, loop),
-                    made -> i -> {
+                    owner -> i -> {
                         AgentStandIn agent = new ProcessAgent(
-                                made, i, addresses.of(8, i), agentCommand, folder, starter, line -> log(made, i, line));
+                                owner,
+                                i,
+                                addresses.of(8, i),
+                                agentCommand,
+                                folder,
+                                starter,
+                                line -> log(owner, i, line));
                         started.add(agent);
                         return agent;
                     }));
-            played[0] = day;
+            created[0] = context;
             lateness.watch(loop);
-            RealTimeRig rig = new RealTimeRig(day, lateness);
-            day.ways = rig;
-            day.checker.on(rig);
+            RealTimeRig rig = new RealTimeRig(context, lateness);
+            context.ways = rig;
+            context.checker.on(rig);
             callOnLoop(() -> {
-                day.begin();
+                context.begin();
                 return null;
             });
-            awaitReady(day);
+            awaitReady(context);
             opensAt = callOnLoop(() -> {
-                long now = day.now() + 100_000;
+                long now = context.now() + 100_000;
                 lateness.reset();
-                Rehearsal.open(day, now);
+                Rehearsal.open(context, now);
                 return now;
             });
             long lengthMs = (long) (1000 * plan.seconds());
@@ -134,36 +144,37 @@
                 Thread.sleep(250);
             }
             progress.accept(1);
-            awaitOnLoop(COMPLETION_TIMEOUT_MS, () -> day.record.open() == 0);
+            awaitOnLoop(COMPLETION_TIMEOUT_MS, () -> context.record.open() == 0);
             Thread.sleep(SETTLE_MS);
             callOnLoop(() -> {
-                day.agents.forEach(each -> each.leave(() -> {}));
+                context.agents.forEach(agent -> agent.leave(() -> {}));
                 return null;
             });
-            awaitOnLoop(EXIT_TIMEOUT_MS, () -> day.agents.stream()
-                    .noneMatch(each -> each.machine().running()));
+            awaitOnLoop(EXIT_TIMEOUT_MS, () -> context.agents.stream()
+                    .noneMatch(agent -> agent.machine().running()));
             return callOnLoop(() -> {
-                for (AgentStandIn each : day.agents) {
-                    if (each.machine().running()) {
-                        day.checker.left(day.now(), each.name() + " has not ended");
+                for (AgentStandIn agent : context.agents) {
+                    if (agent.machine().running()) {
+                        context.checker.left(context.now(), agent.name() + " has not ended");
                     }
                 }
-                day.checker.close(day.now());
+                context.checker.close(context.now());
                 log.add(String.format(
                         Locale.ROOT,
-                        "the rig was late by %.1f ms at the most, and %d times by over %d " + "ms",
+                        "the rig was late by %.1f ms at the most, and %d times by over %d ms",
                         lateness.maxMicros() / 1e3,
                         lateness.countOver(MAX_LATENESS_MICROS),
                         MAX_LATENESS_MICROS / 1000));
-                return new RehearsalResult(plan, seed, day.cast, day.record, day.checker, List.copyOf(log), 0);
+                return new RehearsalResult(
+                        plan, seed, context.cast, context.record, context.checker, List.copyOf(log), 0);
             });
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted", e);
+            throw new IOException("rehearsal interrupted", e);
         } finally {
-            started.forEach(each -> each.machine().kill());
-            if (played[0] != null) {
-                loop.submit(played[0]::close).awaitUninterruptibly();
+            started.forEach(agent -> agent.machine().kill());
+            if (created[0] != null) {
+                loop.submit(created[0]::close).awaitUninterruptibly();
             }
             starter.shutdown();
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -171,33 +182,33 @@
         }
     }
 
-    private void log(RunContext day, int agent, String line) {
+    private void log(RunContext context, int agent, String line) {
         if (log.size() < MAX_LOG_LINES) {
-            log.add(String.format(Locale.ROOT, "%.3f agent-%d %s", (day.now() - opensAt) / 1e6, agent + 1, line));
+            log.add(String.format(Locale.ROOT, "%.3f agent-%d %s", (context.now() - opensAt) / 1e6, agent + 1, line));
         }
     }
 
-    /** Waits for something on the loop, or until it has taken too long. */
-    private void awaitOnLoop(long mostMs, Callable<Boolean> what) throws InterruptedException, IOException {
-        for (long passed = 0; passed < mostMs && !callOnLoop(what); passed += 50) {
+    /** Polls a condition on the event loop until it holds or the timeout has passed. */
+    private void awaitOnLoop(long timeoutMs, Callable<Boolean> condition) throws InterruptedException, IOException {
+        for (long passed = 0; passed < timeoutMs && !callOnLoop(condition); passed += 50) {
             Thread.sleep(50);
         }
     }
 
-    private <T> T callOnLoop(Callable<T> what) throws InterruptedException, IOException {
+    private <T> T callOnLoop(Callable<T> task) throws InterruptedException, IOException {
         try {
-            return loop.submit(what).get();
+            return loop.submit(task).get();
         } catch (ExecutionException e) {
             throw new IOException(String.valueOf(e.getCause().getMessage()), e.getCause());
         }
     }
 
-    private static void awaitReady(RunContext day) throws InterruptedException, IOException {
+    private static void awaitReady(RunContext context) throws InterruptedException, IOException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
-        for (AgentStandIn each : day.agents) {
-            while (!each.ready()) {
-                if (System.nanoTime() > end || !each.machine().running()) {
-                    throw new IOException(each.name() + " did not get ready");
+        for (AgentStandIn agent : context.agents) {
+            while (!agent.ready()) {
+                if (System.nanoTime() > end || !agent.machine().running()) {
+                    throw new IOException(agent.name() + " did not become ready");
                 }
                 Thread.sleep(20);
             }
@@ -206,8 +217,8 @@
 
     private static void delete(Path folder) throws IOException {
         try (var files = Files.list(folder)) {
-            for (Path each : files.toList()) {
-                Files.delete(each);
+            for (Path file : files.toList()) {
+                Files.delete(file);
             }
         }
         Files.delete(folder);
--- a/src/main/java/gatefront/rehearsal/RealTimeRig.java
+++ b/src/main/java/gatefront/rehearsal/RealTimeRig.java
@@ -3,19 +3,19 @@
 import gatefront.rehearsal.check.RuleChecker;
 import gatefront.rehearsal.processes.LoopLateness;
 
-/** What a rig in real time tells the judge of itself; nothing stands between the processes. */
+/** Reports the lateness of a real-time rig to the checks. Processes reach each other directly. */
 class RealTimeRig implements RunContext.Ways, RuleChecker.Rig {
-    final RunContext day;
+    final RunContext context;
     final LoopLateness lateness;
 
-    RealTimeRig(RunContext day, LoopLateness lateness) {
-        this.day = day;
+    RealTimeRig(RunContext context, LoopLateness lateness) {
+        this.context = context;
         this.lateness = lateness;
     }
 
     @Override
     public final long late(long from, long until) {
-        return lateness.maxBetween(day.clock(from), day.clock(until));
+        return lateness.maxBetween(context.clock(from), context.clock(until));
     }
 
     @Override
--- a/src/main/java/gatefront/rehearsal/RelayNetwork.java
+++ b/src/main/java/gatefront/rehearsal/RelayNetwork.java
@@ -21,17 +21,18 @@
 import java.util.Map;
 
 /**
- * Every link of every agent goes over a relay of its own. Owned by the day's loop; relays are made as links are first
- * asked for, one for each agent, kind of link and other side, and end with the day.
+ * Routes each link of each agent over a {@link Relay} of its own, and applies the faults of links. Owned by the event
+ * loop of the rehearsal. Relays are created when a link is first used, one for each agent, kind of link and
+ * destination, and are closed with the rehearsal.
  */
 final class RelayNetwork extends RealTimeRig {
-    /** After this all that had been held back has arrived. */
+    /** Time after the end of a fault by which all bytes that it held back have arrived, in microseconds. */
     private static final long CATCH_UP_MICROS = 500_000;
 
-    /** A link: whose, which kind, where it leads. */
+    /** Identifies a link: the agent, the kind of link and the destination. */
     private record LinkKey(int agent, Links kind, InetSocketAddress to) {}
 
-    /** When something stood in a link's way, or a process did not run. */
+    /** The latest period in which a link was disturbed or a process was stopped, in microseconds. */
     private static final class Interval {
         private long from = Long.MIN_VALUE / 2;
         private long until = Long.MIN_VALUE / 2;
@@ -56,25 +57,28 @@
     private final EventHistory history;
     private final StartTimeline timeline;
     private final Map<LinkKey, Relay> relays = new HashMap<>();
-    /** By agent, kind and direction; one that is clear has none. */
+    /** Conditions by agent, kind of link and flow; clear ones have no entry. */
     private final Map<String, LinkConditions> conditions = new HashMap<>();
 
+    /** The latest stop of each agent's process. */
     private final Map<Integer, Interval> pauses = new HashMap<>();
+
+    /** The latest fault of each agent's links by kind. */
     private final Map<String, Interval> disruptions = new HashMap<>();
 
     RelayNetwork(
-            RunContext day,
+            RunContext context,
             LoopLateness lateness,
             EventLoopGroup loops,
             InetAddress host,
-            ManualDrainChecker hand,
-            EventHistory chronicle,
+            ManualDrainChecker drainChecker,
+            EventHistory history,
             StartTimeline timeline) {
-        super(day, lateness);
+        super(context, lateness);
         this.loops = loops;
         this.host = host;
-        this.drainChecker = hand;
-        this.history = chronicle;
+        this.drainChecker = drainChecker;
+        this.history = history;
         this.timeline = timeline;
     }
 
@@ -82,23 +86,23 @@
         return kind + " " + agent;
     }
 
-    private static String key(int agent, Links kind, Flow way) {
-        return key(agent, kind) + " " + way;
+    private static String key(int agent, Links kind, Flow flow) {
+        return key(agent, kind) + " " + flow;
     }
 
-    /** The relay of a link, which is made if need be. */
+    /** Returns the relay of a link, and creates it if it does not exist yet. */
     Relay relay(int agent, Links kind, InetSocketAddress to) {
-        return relays.computeIfAbsent(new LinkKey(agent, kind, to), key -> {
+        return relays.computeIfAbsent(new LinkKey(agent, kind, to), link -> {
             try {
                 EventLoop loop = loops.next();
-                Relay made = new Relay(loop, host, to);
-                for (Flow way : Flow.values()) {
-                    LinkConditions shape = conditions.get(key(agent, kind, way));
-                    if (shape != null) {
-                        made.setConditions(way, shape);
+                Relay relay = new Relay(loop, host, to);
+                for (Flow flow : Flow.values()) {
+                    LinkConditions flowConditions = conditions.get(key(agent, kind, flow));
+                    if (flowConditions != null) {
+                        relay.setConditions(flow, flowConditions);
                     }
                 }
-                return made;
+                return relay;
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -106,67 +110,67 @@
     }
 
     private List<Relay> relaysOf(int agent, Links kind) {
-        List<Relay> those = new ArrayList<>();
-        relays.forEach((key, relay) -> {
-            if (key.agent == agent && key.kind == kind) {
-                those.add(relay);
+        List<Relay> matching = new ArrayList<>();
+        relays.forEach((link, relay) -> {
+            if (link.agent == agent && link.kind == kind) {
+                matching.add(relay);
             }
         });
-        return those;
+        return matching;
     }
 
     private static List<Links> expand(Links links) {
         return links == Links.ALL ? List.of(Links.NODOS, Links.PADRON, Links.CALLERS, Links.DOOR) : List.of(links);
     }
 
-    /** The ways of a link that a direction, as the agent sees it, means. */
+    /** Returns the flows of a link that correspond to a direction as the agent sees it. */
     private static List<Flow> flows(Links kind, Direction direction) {
         if (direction == Direction.BOTH) {
             return List.of(Flow.values());
         }
-        boolean dials = kind == Links.NODOS || kind == Links.PADRON;
-        return List.of(dials == (direction == Direction.OUT) ? Flow.UPSTREAM : Flow.DOWNSTREAM);
+        boolean agentConnects = kind == Links.NODOS || kind == Links.PADRON;
+        return List.of(agentConnects == (direction == Direction.OUT) ? Flow.UPSTREAM : Flow.DOWNSTREAM);
     }
 
-    /** Shapes links of an agent, or heals them. */
-    void setConditions(int agent, Links links, Direction direction, LinkConditions shape) {
+    /** Sets the conditions of an agent's links; {@link LinkConditions#CLEAR} restores them. */
+    void setConditions(int agent, Links links, Direction direction, LinkConditions newConditions) {
         for (Links kind : expand(links)) {
-            Interval span = disruptions.computeIfAbsent(key(agent, kind), key -> new Interval());
-            for (Flow way : flows(kind, direction)) {
-                if (shape == LinkConditions.CLEAR) {
-                    conditions.remove(key(agent, kind, way));
+            Interval interval = disruptions.computeIfAbsent(key(agent, kind), absent -> new Interval());
+            for (Flow flow : flows(kind, direction)) {
+                if (newConditions == LinkConditions.CLEAR) {
+                    conditions.remove(key(agent, kind, flow));
                 } else {
-                    conditions.put(key(agent, kind, way), shape);
+                    conditions.put(key(agent, kind, flow), newConditions);
                 }
-                relaysOf(agent, kind).forEach(each -> each.setConditions(way, shape));
+                relaysOf(agent, kind).forEach(relay -> relay.setConditions(flow, newConditions));
             }
-            if (shape == LinkConditions.CLEAR) {
-                span.end(day.now());
+            if (newConditions == LinkConditions.CLEAR) {
+                interval.end(context.now());
             } else {
-                span.start(day.now());
+                interval.start(context.now());
             }
         }
     }
 
-    /** Resets the connections of links, or ends their far ends alone. */
+    /** Resets the connections of an agent's links, or closes only their far ends. */
     void breakConnections(int agent, Links links, boolean halfOpen) {
         for (Links kind : expand(links)) {
-            Interval span = disruptions.computeIfAbsent(key(agent, kind), key -> new Interval());
-            if (!span.overlaps(day.now(), day.now())) {
-                span.start(day.now());
-                span.end(day.now());
+            Interval interval = disruptions.computeIfAbsent(key(agent, kind), absent -> new Interval());
+            if (!interval.overlaps(context.now(), context.now())) {
+                interval.start(context.now());
+                interval.end(context.now());
             }
             relaysOf(agent, kind).forEach(halfOpen ? Relay::halfOpen : Relay::reset);
         }
     }
 
-    /** A process stands still, or goes on. */
-    void setPaused(int agent, boolean now) {
-        Interval span = pauses.computeIfAbsent(agent, key -> new Interval());
-        if (now) {
-            span.start(day.now());
+    /** Records that an agent's process was stopped or resumed. */
+    void setPaused(int agent, boolean paused) {
+        Interval interval = pauses.computeIfAbsent(agent, absent -> new Interval());
+        if (paused) {
+            interval.start(context.now());
         } else {
-            span.end(day.now());
+            interval.end(context.now());
         }
     }
 
@@ -186,21 +190,22 @@
 
     @Override
     public boolean heard(int agent) {
-        Interval span = disruptions.get(key(agent, Links.PADRON));
-        return span == null || !span.overlaps(day.now() - CATCH_UP_MICROS, day.now());
+        Interval interval = disruptions.get(key(agent, Links.PADRON));
+        return interval == null || !interval.overlaps(context.now() - CATCH_UP_MICROS, context.now());
     }
 
     @Override
     public long sentAt(int agent, long now) {
-        Interval span = disruptions.get(key(agent, Links.NODOS));
-        return span != null && span.overlaps(now - CATCH_UP_MICROS, now) ? Math.min(now, span.from) : now;
+        Interval interval = disruptions.get(key(agent, Links.NODOS));
+        return interval != null && interval.overlaps(now - CATCH_UP_MICROS, now) ? Math.min(now, interval.from) : now;
     }
 
     @Override
     public boolean owes(int agent, long from, long until) {
-        Interval stop = pauses.get(agent);
-        Interval link = disruptions.get(key(agent, Links.CALLERS));
-        return (stop == null || !stop.overlaps(from, until)) && (link == null || !link.overlaps(from, until));
+        Interval pause = pauses.get(agent);
+        Interval disruption = disruptions.get(key(agent, Links.CALLERS));
+        return (pause == null || !pause.overlaps(from, until))
+                && (disruption == null || !disruption.overlaps(from, until));
     }
 
     @Override
--- a/src/main/java/gatefront/rehearsal/SeedCampaign.java
+++ b/src/main/java/gatefront/rehearsal/SeedCampaign.java
@@ -13,18 +13,25 @@
 import java.util.function.Consumer;
 import java.util.function.DoubleConsumer;
 
-/** Plays one plan with many seeds, on all cores. */
+/** Runs one plan with many seeds on all cores. */
 public final class SeedCampaign {
-    /** What many seeds came to. */
+    /**
+     * The summary of a campaign.
+     *
+     * @param plan the name of the plan
+     * @param runs number of runs
+     * @param brokenRuns number of runs that broke a rule
+     * @param services the service of each run, in ascending order
+     * @param brokenSeeds the seeds of the runs that broke a rule
+     */
     public record Summary(String plan, int runs, int brokenRuns, List<Double> services, List<Long> brokenSeeds) {
-        /** Some lines for a person. */
+        /** Returns the summary as text of two lines. */
         public String format() {
             double mean =
                     services.stream().mapToDouble(Double::doubleValue).average().orElse(0);
             return String.format(
                     Locale.ROOT,
-                    "%s: %d seeds; service %.4f on average, lowest %.4f, a tenth below %.4f, "
-                            + "half below %.4f%n%s%n",
+                    "%s: %d seeds; service %.4f on average, lowest %.4f, 10th percentile %.4f, median %.4f%n%s%n",
                     plan,
                     runs,
                     mean,
@@ -32,53 +39,54 @@
                     services.get(services.size() / 10),
                     services.get(services.size() / 2),
                     brokenRuns == 0
-                            ? "all rules kept on all of them"
-                            : "RULES BROKEN on " + brokenRuns + " of them: seeds " + brokenSeeds);
+                            ? "all rules kept with all seeds"
+                            : "RULES BROKEN with " + brokenRuns + " seeds: " + brokenSeeds);
         }
     }
 
     private SeedCampaign() {}
 
     /**
-     * Plays.
+     * Runs the plan with a range of seeds.
      *
-     * @param plan what is played
-     * @param from the first seed
-     * @param until the last seed
-     * @param progress is told which part is done
-     * @param broken is told of each rehearsal that broke a rule, in the order of the seeds
+     * @param plan the plan
+     * @param firstSeed the first seed
+     * @param lastSeed the last seed, inclusive
+     * @param progress receives the share of runs that is done
+     * @param onBroken receives the result of each run that broke a rule, in the order of the seeds
      * @return the summary
      */
     public static Summary play(
-            Plan plan, long from, long until, DoubleConsumer progress, Consumer<RehearsalResult> broken) {
+            Plan plan, long firstSeed, long lastSeed, DoubleConsumer progress, Consumer<RehearsalResult> onBroken) {
         ExecutorService threads = Executors.newFixedThreadPool(
-                (int) Math.min(until - from + 1, Runtime.getRuntime().availableProcessors()));
-        AtomicLong next = new AtomicLong(from);
+                (int) Math.min(lastSeed - firstSeed + 1, Runtime.getRuntime().availableProcessors()));
+        AtomicLong nextSeed = new AtomicLong(firstSeed);
         try {
             List<Double> services = new ArrayList<>();
-            List<Long> seeds = new ArrayList<>();
-            List<Future<RehearsalResult>> ahead = new ArrayList<>();
-            int window = 4 * Runtime.getRuntime().availableProcessors();
-            for (long seed = from; seed <= until; seed++) {
-                while (ahead.size() < window && next.get() <= until) {
-                    long mine = next.getAndIncrement();
-                    ahead.add(threads.submit(() -> new Rehearsal(plan, mine).play()));
+            List<Long> brokenSeeds = new ArrayList<>();
+            List<Future<RehearsalResult>> pending = new ArrayList<>();
+            int maxPending = 4 * Runtime.getRuntime().availableProcessors();
+            for (long seed = firstSeed; seed <= lastSeed; seed++) {
+                while (pending.size() < maxPending && nextSeed.get() <= lastSeed) {
+                    long submitted = nextSeed.getAndIncrement();
+                    pending.add(threads.submit(() -> new Rehearsal(plan, submitted).play()));
                 }
-                RehearsalResult outcome = ahead.remove(0).get();
-                services.add(outcome.service());
-                if (outcome.broken() > 0) {
-                    seeds.add(seed);
-                    broken.accept(outcome);
+                RehearsalResult result = pending.remove(0).get();
+                services.add(result.service());
+                if (result.broken() > 0) {
+                    brokenSeeds.add(seed);
+                    onBroken.accept(result);
                 }
-                progress.accept((double) (seed - from + 1) / (until - from + 1));
+                progress.accept((double) (seed - firstSeed + 1) / (lastSeed - firstSeed + 1));
             }
             Collections.sort(services);
-            return new Summary(plan.name(), services.size(), seeds.size(), List.copyOf(services), List.copyOf(seeds));
+            return new Summary(
+                    plan.name(), services.size(), brokenSeeds.size(), List.copyOf(services), List.copyOf(brokenSeeds));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IllegalStateException("interrupted", e);
+            throw new IllegalStateException("seed campaign interrupted", e);
         } catch (ExecutionException e) {
-            throw new IllegalStateException("a rehearsal failed: " + e.getCause(), e.getCause());
+            throw new IllegalStateException("a rehearsal of the campaign failed: " + e.getCause(), e.getCause());
         } finally {
             threads.shutdownNow();
         }
--- a/src/main/java/gatefront/rehearsal/plan/Fault.java
+++ b/src/main/java/gatefront/rehearsal/plan/Fault.java
@@ -102,7 +102,7 @@
         REGISTRY_COMPACT(Target.NONE, false),
         /** Agents are killed with SIGKILL and start again after the duration. */
         AGENT_KILL(Target.AGENTS, false),
-        /** Agents get SIGTERM one after the other, at intervals of the duration, and start again once they have exited. */
+        /** Agents get SIGTERM one after the other, at intervals of the duration, and start again once they exited. */
         AGENT_RESTART(Target.AGENTS, false),
         /** Agents reload a configuration in which the padrón has another address. */
         AGENT_RELOAD(Target.AGENTS, false);
--- a/src/main/java/gatefront/rehearsal/plan/Plan.java
+++ b/src/main/java/gatefront/rehearsal/plan/Plan.java
@@ -54,12 +54,33 @@
             double megabitsPerSecond,
             String protocol) {}
 
-    /** The number of agents, the limits of each, and how unevenly requests are spread over them. */
+    /**
+     * The agents.
+     *
+     * @param count number of agents
+     * @param maxSockets limit on the sockets of each agent
+     * @param memoryMb memory of each agent
+     * @param skew exponent of the distribution of requests over the agents: the i-th gets a share of 1 / i^skew
+     */
     public record Agents(int count, int maxSockets, int memoryMb, double skew) {}
 
     /**
      * The servers. Each draws its own cold start from the ranges; agents are configured with the worst case of both,
      * the lowest initial capacity and the longest time.
+     *
+     * @param count number of servers
+     * @param bloque number of servers in a bloque
+     * @param limited share of the bloques whose capacity is limited
+     * @param limit capacity of the servers of a limited bloque, as a share
+     * @param coldFrom capacity of a server that has just started, as a share
+     * @param coldSeconds time from a start until the full capacity
+     * @param reportMs interval between load reports
+     * @param noise relative error of the load reports
+     * @param probeMs work of answering a probe
+     * @param connectionMs work of accepting a connection
+     * @param maxConnections limit on the connections of a server
+     * @param idleTimeoutSeconds time after which a server closes an idle connection
+     * @param machines the kinds of machines
      */
     public record Nodos(
             int count,
@@ -76,7 +97,18 @@
             double idleTimeoutSeconds,
             List<Machine> machines) {}
 
-    /** A kind of machine that servers run on. */
+    /**
+     * A kind of machine that servers run on.
+     *
+     * @param name its name
+     * @param share its share of the servers
+     * @param cores number of cores
+     * @param speed speed of a core, relative to 1
+     * @param slots maximum number of requests in work
+     * @param queueCapacity maximum number of requests that wait for a slot
+     * @param thrash efficiency lost for each request held per core beyond {@code thrashAt}
+     * @param thrashAt requests held per core beyond which efficiency falls
+     */
     public record Machine(
             String name,
             double share,
@@ -87,7 +119,15 @@
             double thrash,
             double thrashAt) {}
 
-    /** Limits of the rules that the rehearsal checks. */
+    /**
+     * Limits of the rules that the rehearsal checks.
+     *
+     * @param answerSlackMs time after the deadline within which a final response is still accepted
+     * @param drainGraceMs time after the notice of a drain within which new attempts are still accepted
+     * @param fallMultiple a cold server fails when it is sent more than this multiple of its capacity
+     * @param fallSeconds the time for which that load has to last
+     * @param maxAttempts maximum number of attempts per request
+     */
     public record Rules(
             double answerSlackMs, double drainGraceMs, double fallMultiple, double fallSeconds, int maxAttempts) {}
 
@@ -100,7 +140,18 @@
      */
     public record Discovery(NumberRange noticeDelaySeconds, double maxCallsPerSecond, String source) {}
 
-    /** The clients: their rate of requests per second and how they retry. */
+    /**
+     * The clients.
+     *
+     * @param rate requests per second
+     * @param retries maximum number of retries of a client
+     * @param backoffMs mean wait before the first retry; doubles with each further one
+     * @param retryAfterCompliance share of the clients that honour the Retry-After header
+     * @param tryTimeoutShare timeout of one try, as a share of the timeout of the class
+     * @param hintError coefficient of variation of the work hints; 0 for exact hints
+     * @param marksRetry whether clients mark retries as such
+     * @param retryAfterMs maximum wait that clients accept from a Retry-After header
+     */
     public record Clients(
             double rate,
             int retries,
@@ -111,7 +162,20 @@
             boolean marksRetry,
             double retryAfterMs) {}
 
-    /** A class of requests. */
+    /**
+     * A class of requests.
+     *
+     * @param name its name
+     * @param semantics whether a request may be repeated
+     * @param scope for keyed requests, which servers share the record of keys
+     * @param windowMs for keyed requests, how long servers drop repeats of a key
+     * @param share its share of the requests
+     * @param workMs range of the mean work, on a core of speed 1
+     * @param variation coefficient of variation of the work
+     * @param targetMs time within which a response counts as in time
+     * @param timeoutMs time after which clients stop waiting
+     * @param worth worth of a request that is served in time
+     */
     public record RequestClass(
             String name,
             Balancer.Semantics semantics,
@@ -124,7 +188,7 @@
             double timeoutMs,
             double worth) {}
 
-    /** A municipio. */
+    /** A municipio and its share of the requests. */
     public record Tenant(String name, double share) {}
 
     /** Returns this plan with other faults. */
--- a/src/main/java/gatefront/rehearsal/processes/ProcessReaper.java
+++ b/src/main/java/gatefront/rehearsal/processes/ProcessReaper.java
@@ -14,8 +14,8 @@
 
 /**
  * Kills the remaining processes of a rehearsal when the rehearsal ends, even if the rehearsal itself is killed. The
- * reaper is a process of its own, which reads the process ids from its standard input and acts at the end of that input.
- * A process is identified by its id and its start time, since the system reuses ids.
+ * reaper is a process of its own, which reads process ids from its standard input and acts at the end of that input. A
+ * process is identified by its id and its start time, since the system reuses ids.
  */
 public final class ProcessReaper implements Closeable {
     private final Process process;
--- a/src/test/java/gatefront/rehearsal/ProcessRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/ProcessRehearsalTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Agents in processes of their own with faults between them. Whether answers are in time depends on the machine that
- * the tests share, and is for campaigns by hand; what must hold on any machine is asserted here, and that the judge
- * finds it where the guard is off.
+ * Tests rehearsals with agents in processes of their own and faults of processes, folders and links. Whether responses
+ * are in time depends on the load of the machine, so that these tests assert only what must hold on any machine, and
+ * that the checks find the consequences of a disabled safeguard.
  */
 @Timeout(120)
 class ProcessRehearsalTest {
@@ -27,58 +27,58 @@
     @TempDir
     private Path dir;
 
-    private ProcessRehearsalResult play(String plan, double seconds, String... without) throws Exception {
+    private ProcessRehearsalResult play(String plan, double seconds, String... disabledGuards) throws Exception {
         String text = ProcessPlanReader.builtInText(plan).replaceFirst("seconds = \\d+", "seconds = " + seconds);
         return new ProcessRehearsal(
                         ProcessPlanReader.parse(plan, text, AGENTS),
                         1,
                         RealRehearsal.currentJvmCommand(),
-                        Set.of(without),
+                        Set.of(disabledGuards),
                         dir.resolve("history.jsonl"))
                 .play(done -> {});
     }
 
-    private static long broken(ProcessRehearsalResult outcome, Rule rule) {
+    private static long breaches(ProcessRehearsalResult outcome, Rule rule) {
         return outcome.result().breaches().stream()
-                .filter(each -> each.rule() == rule)
+                .filter(breach -> breach.rule() == rule)
                 .count();
     }
 
     @Test
-    void callsByHandHoldOverDeathsAndALostStoreIsTold() throws Exception {
+    void manualDrainsSurviveKillsAndLostStateIsReported() throws Exception {
         ProcessRehearsalResult outcome = play("state-lost", 15);
         assertEquals(List.of(), outcome.manualDrains().breaches());
-        assertTrue(outcome.manualDrains().held() >= 2 * AGENTS, "every agent said yes to both calls");
+        assertTrue(outcome.manualDrains().held() >= 2 * AGENTS, "every agent accepted both drain commands");
         assertEquals(
-                0, broken(outcome, Rule.NO_EFFECT_TWICE), outcome.breaches().toString());
+                0, breaches(outcome, Rule.NO_EFFECT_TWICE), outcome.breaches().toString());
         String history = Files.readString(dir.resolve("history.jsonl"));
-        for (String each :
+        for (String reason :
                 List.of("no store", "the store is damaged", "that of agent-1", "before this start: either")) {
-            assertTrue(history.contains(each), each);
+            assertTrue(history.contains(reason), reason);
         }
     }
 
     @Test
-    void withoutWhatKeepsThemTheJudgeFindsIt() throws Exception {
+    void unstoredManualDrainsAreFoundByTheCheck() throws Exception {
         assertNotEquals(
                 0,
                 play("state-lost", 15, "kept-bans", "named-loss").manualDrains().count());
     }
 
     @Test
-    void aProcessThatStoodStillSendsNothingToWhatDrainedMeanwhile() throws Exception {
+    void resumedProcessSendsNothingToServersDrainedMeanwhile() throws Exception {
         ProcessRehearsalResult outcome = play("stopped-and-woken", 14);
-        assertEquals(0, broken(outcome, Rule.DRAINS_KEPT), outcome.breaches().toString());
+        assertEquals(0, breaches(outcome, Rule.DRAINS_KEPT), outcome.breaches().toString());
         assertTrue(Files.readString(dir.resolve("history.jsonl")).contains("it stood still for"));
     }
 
     @Test
-    void withoutTheGuardTheJudgeFindsThatToo() throws Exception {
-        assertNotEquals(0, broken(play("stopped-and-woken", 14, "waking"), Rule.DRAINS_KEPT));
+    void disabledWakingGuardIsFoundByTheCheck() throws Exception {
+        assertNotEquals(0, breaches(play("stopped-and-woken", 14, "waking"), Rule.DRAINS_KEPT));
     }
 
     @Test
-    void whoKillsTheRigKillsItsProcesses() throws Exception {
+    void killingTheRigKillsItsProcesses() throws Exception {
         Process rig = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
@@ -93,14 +93,14 @@
                 .redirectOutput(dir.resolve("out").toFile())
                 .start();
         List<ProcessHandle> children = List.of();
-        while (children.size() < 4) { // the warden and three agents
+        while (children.size() < 4) { // the reaper and three agents
             assertTrue(rig.isAlive(), Files.readString(dir.resolve("out")));
             TimeUnit.MILLISECONDS.sleep(20);
             children = rig.descendants().toList();
         }
         rig.destroyForcibly();
-        for (ProcessHandle each : children) {
-            each.onExit().get(30, TimeUnit.SECONDS);
+        for (ProcessHandle child : children) {
+            child.onExit().get(30, TimeUnit.SECONDS);
         }
     }
 }
--- a/src/test/java/gatefront/rehearsal/RealRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/RealRehearsalTest.java
@@ -17,27 +17,27 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The same stand-ins on loopback sockets, with agents in processes of their own. Nothing here is timed exactly. */
+/** Tests rehearsals on loopback sockets with agents in processes of their own. No test depends on exact times. */
 class RealRehearsalTest {
-    private static Plan small(Fault... faults) throws Exception {
+    private static Plan smallPlan(Fault... faults) throws Exception {
         String text = PlanReader.builtInText("demo")
                 .replace("seconds = 1", "seconds = 8")
                 .replace("rate = 1", "rate = 40");
         return PlanReader.parse("small", text).withFaults(List.of(faults));
     }
 
-    private static NumberRange at(double figure) {
-        return new NumberRange(figure, figure);
+    private static NumberRange fixed(double value) {
+        return new NumberRange(value, value);
     }
 
-    private static Fault fault(Fault.Kind kind, double at, double lasts, String name) {
-        return new Fault(kind, at(at), at(lasts), 0, List.of(name), at(1), at(1));
+    private static Fault fault(Fault.Kind kind, double at, double duration, String name) {
+        return new Fault(kind, fixed(at), fixed(duration), 0, List.of(name), fixed(1), fixed(1));
     }
 
     @Test
-    void agentsInProcessesServeThroughADeathARestartAndAReload() throws Exception {
+    void agentProcessServesAcrossServerDeathReloadAndRestart() throws Exception {
         RehearsalResult outcome = new RealRehearsal(
-                        small(
+                        smallPlan(
                                 fault(Fault.Kind.DIE, 1, 2, "nodo-1"),
                                 fault(Fault.Kind.AGENT_RELOAD, 1.5, 0, "agent-1"),
                                 fault(Fault.Kind.AGENT_RESTART, 2, 0, "agent-1")),
@@ -48,39 +48,40 @@
         assertEquals(
                 2,
                 outcome.log().stream()
-                        .filter(each -> each.contains("listening on"))
+                        .filter(line -> line.contains("listening on"))
                         .count(),
                 outcome.log().toString());
         assertEquals(
                 0,
                 outcome.breaches().stream()
-                        .filter(each -> each.rule() == Rule.NO_EFFECT_TWICE
-                                && each.what().contains("has happened"))
+                        .filter(breach -> breach.rule() == Rule.NO_EFFECT_TWICE
+                                && breach.what().contains("has happened"))
                         .count(),
                 outcome.breaches().toString());
     }
 
     @Test
-    void anAgentThatDoesNotStartIsSaidInOneLine() throws Exception {
-        List<String> nothing = List.of("sh", "-c", "exit 1");
+    void agentThatDoesNotStartIsReportedInOneLine() throws Exception {
+        List<String> failingCommand = List.of("sh", "-c", "exit 1");
         assertEquals(
-                "agent-1 did not get ready",
-                assertThrows(IOException.class, () -> new RealRehearsal(small(), 1, nothing).play(done -> {}))
+                "agent-1 did not become ready",
+                assertThrows(IOException.class, () -> new RealRehearsal(smallPlan(), 1, failingCommand)
+                                .play(done -> {}))
                         .getMessage());
     }
 
     @Test
-    void theDemoServesWhatIsTypedByHand() throws Exception {
+    void demoServesRequests() throws Exception {
         List<String> log = new ArrayList<>();
         try (Demo demo = new Demo(PlanReader.builtIn("demo"), RealRehearsal.currentJvmCommand(), log::add)) {
             URI uri = URI.create("http://" + demo.address().getAddress().getHostAddress() + ":"
                     + demo.address().getPort() + "/consulta-saldo");
-            HttpURLConnection call = (HttpURLConnection) uri.toURL().openConnection();
-            call.setRequestProperty("Request-Id", "by-hand");
-            call.setRequestProperty("Request-Class", "consulta-saldo");
-            call.setRequestProperty("Request-Timeout-Ms", "5000");
-            String body = new String(call.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertEquals(200, call.getResponseCode());
+            HttpURLConnection connection = (HttpURLConnection) uri.toURL().openConnection();
+            connection.setRequestProperty("Request-Id", "by-hand");
+            connection.setRequestProperty("Request-Class", "consulta-saldo");
+            connection.setRequestProperty("Request-Timeout-Ms", "5000");
+            String body = new String(connection.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            assertEquals(200, connection.getResponseCode());
             assertTrue(body.contains("by-hand"), body);
         }
     }
