--- a/src/main/java/gatefront/cli/Commands.java
+++ b/src/main/java/gatefront/cli/Commands.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** All commands but {@code serve} and {@code drill}, which start without loading this. */
+/** The root of all commands except {@code serve} and {@code drill}, which start without loading this class. */
 @Command(
         name = "gatefront",
         subcommands = {
@@ -17,19 +17,19 @@
             LedgerCommand.class,
             RecoveryCommand.class
         },
-        description = "Load balancing agent with a rehearsal kit.",
+        description = "Load balancing agent with rehearsal tools.",
         mixinStandardHelpOptions = true)
 final class Commands {
-    /** A rule was broken. */
-    static final int BROKEN = 3;
-    /** The call's words are off. */
+    /** Exit status: a rule was broken, or a store is damaged, missing or differs. */
+    static final int CHECK_FAILED = 3;
+    /** Exit status: the arguments are invalid. */
     static final int USAGE = 2;
-    /** What was asked for cannot be done: an unusable plan, a file that cannot be written. */
-    static final int UNUSABLE = 1;
+    /** Exit status: the command failed, for example on an unusable plan or a file that cannot be written. */
+    static final int FAILED = 1;
 
     private Commands() {}
 
-    /** Runs the command named by the first argument. */
+    /** Runs the command named by the first argument and returns its exit status. */
     static int run(String[] args, PrintStream out, PrintStream err) {
         CommandLine line = new CommandLine(new Commands());
         line.setOut(new PrintWriter(out, true)).setErr(new PrintWriter(err, true));
@@ -38,9 +38,10 @@
                     .println("gatefront: "
                             + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
             if (e instanceof RuntimeException) {
-                e.printStackTrace(command.getErr()); // a fault of the program, to be reported whole
+                // An unchecked exception is a bug, so its stack trace is printed for the report.
+                e.printStackTrace(command.getErr());
             }
-            return UNUSABLE;
+            return FAILED;
         });
         return line.execute(args);
     }
--- a/src/main/java/gatefront/cli/DemoCommand.java
+++ b/src/main/java/gatefront/cli/DemoCommand.java
@@ -10,11 +10,11 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** An agent with stand-in nodos on loopback, until it is interrupted. */
+/** Runs an agent with stand-in nodos on loopback until the process is interrupted. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
-        description = "Start an agent with stand-in nodos on loopback and print a line to try; Ctrl-C ends it.")
+        description = "Start an agent with stand-in nodos on loopback and print requests to try; Ctrl-C stops it.")
 final class DemoCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -27,13 +27,13 @@
             out.flush();
         });
         Runtime.getRuntime().addShutdownHook(new Thread(demo::close));
-        String at = demo.address().getAddress().getHostAddress() + ":"
+        String address = demo.address().getAddress().getHostAddress() + ":"
                 + demo.address().getPort();
-        out.println("an agent listens on " + at + ", with four nodos behind it; Ctrl-C ends all. Try:");
+        out.println("the agent listens on " + address + " with four nodos behind it; Ctrl-C stops them all. Try:");
         out.println("  curl -i -H 'Request-Id: '$RANDOM -H 'Request-Class: consulta-saldo' "
-                + "-H 'Request-Timeout-Ms: 2000' http://" + at + "/consulta-saldo");
+                + "-H 'Request-Timeout-Ms: 2000' http://" + address + "/consulta-saldo");
         out.println("  curl -i -X POST -d 100 -H 'Request-Id: '$RANDOM -H 'Request-Class: pago-recibo' "
-                + "-H 'Idempotency-Key: '$RANDOM -H 'Request-Timeout-Ms: 2000' http://" + at + "/pago-recibo");
+                + "-H 'Idempotency-Key: '$RANDOM -H 'Request-Timeout-Ms: 2000' http://" + address + "/pago-recibo");
         out.flush();
         new CountDownLatch(1).await();
         return 0;
--- a/src/main/java/gatefront/cli/LedgerCommand.java
+++ b/src/main/java/gatefront/cli/LedgerCommand.java
@@ -27,7 +27,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What staff do with the books of instances. */
+/** The commands with which operators inspect, compare and correct the ledgers of instances. */
 @Command(
         name = "ledger",
         mixinStandardHelpOptions = true,
@@ -39,9 +39,9 @@
             LedgerCommand.Correct.class
         },
         description = {
-            "Look into the ledger of use by municipio, and correct it.",
-            "Exit status: 0 all is well, "
-                    + "3 damage, a lost store or a difference, 2 wrong usage, 1 it cannot be done."
+            "Inspect and correct the ledger of use by municipio.",
+            "Exit status: 0 success, "
+                    + "3 the store is damaged, missing or differs, 2 invalid usage, 1 the command failed."
         })
 final class LedgerCommand implements Callable<Integer> {
     @Spec
@@ -53,15 +53,18 @@
         return Commands.USAGE;
     }
 
-    /** What each of them is told: where the books are, and the keys. */
-    abstract static class OfBooks implements Callable<Integer> {
+    /** The arguments that all subcommands share: the folder of the ledger and its signing keys. */
+    abstract static class LedgerFolderCommand implements Callable<Integer> {
         @Spec
         CommandSpec spec;
 
-        @Parameters(index = "0", paramLabel = "FOLDER", description = "where the books are")
+        @Parameters(index = "0", paramLabel = "FOLDER", description = "folder of the ledger")
         Path folder;
 
-        @Option(names = "--keys", paramLabel = "FILE", description = "the keys that signed them")
+        @Option(
+                names = "--keys",
+                paramLabel = "FILE",
+                description = "file with the keys that the ledger is signed with")
         Path keyFile;
 
         SigningKeys keys() throws IOException {
@@ -72,70 +75,73 @@
             return spec.commandLine().getOut();
         }
 
-        /** All that is in some books; none of it where a file is not what was written. */
-        LedgerStore.Contents look(Path which) throws IOException {
-            LedgerStore.Contents[] look = {new LedgerStore.Contents(Ledger.EMPTY, null, -1, 0, 0)};
-            StoreVerification verify = StoreVerification.of(
-                    DirectoryDisk.existing(which), keys(), LedgerStore.contentsReader(at -> look[0] = at));
-            if (verify.damage() != null) {
-                throw verify.damage();
+        /** Reads a whole ledger. Throws if any of its files is damaged, so that no partial totals are printed. */
+        LedgerStore.Contents read(Path ledgerFolder) throws IOException {
+            LedgerStore.Contents[] contents = {new LedgerStore.Contents(Ledger.EMPTY, null, -1, 0, 0)};
+            StoreVerification verification = StoreVerification.of(
+                    DirectoryDisk.existing(ledgerFolder),
+                    keys(),
+                    LedgerStore.contentsReader(read -> contents[0] = read));
+            if (verification.damage() != null) {
+                throw verification.damage();
             }
-            if (look[0].instance() == null) {
-                throw new IOException(which + " holds no books");
+            if (contents[0].instance() == null) {
+                throw new IOException(ledgerFolder + " holds no ledger");
             }
-            return look[0];
+            return contents[0];
         }
     }
 
-    /** Totals. */
+    /** Prints the totals by period, tenant and class. */
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
-            description = "Print what was used by municipio and class, and whose part is not whole.")
-    static final class Show extends OfBooks {
-        @Option(names = "--period", paramLabel = "N", description = "of this period alone")
+            description =
+                    "Print the totals of use by municipio and class, and the instances whose entries are incomplete.")
+    static final class Show extends LedgerFolderCommand {
+        @Option(names = "--period", paramLabel = "N", description = "only this period")
         private Long period;
 
-        @Option(names = "--expect", paramLabel = "NAME", split = ",", description = "instances that must have a part")
+        @Option(names = "--expect", paramLabel = "NAME", split = ",", description = "instances that must have entries")
         private List<String> expected = new ArrayList<>();
 
-        @Option(names = "--json", description = "As JSON, a line for each.")
+        @Option(names = "--json", description = "Print JSON, one line per total.")
         private boolean json;
 
         @Override
         public Integer call() throws IOException {
-            LedgerStore.Contents look = look(folder);
-            for (long each : look.ledger().periods()) {
-                if (period == null || period == each) {
-                    show(look.ledger(), each);
+            LedgerStore.Contents contents = read(folder);
+            for (long number : contents.ledger().periods()) {
+                if (period == null || period == number) {
+                    printTotals(contents.ledger(), number);
                 }
             }
-            for (LedgerEntry each : look.ledger().unresolvedCorrections()) {
+            for (LedgerEntry correction : contents.ledger().unresolvedCorrections()) {
                 out().println(
                                 json
-                                        ? EntryFormat.json(each)
-                                        : "waits: " + each.id() + " corrects " + each.corrects()
-                                                + ", which is not here");
+                                        ? EntryFormat.json(correction)
+                                        : "unresolved: " + correction.id() + " corrects " + correction.corrects()
+                                                + ", which is missing from this ledger");
             }
             if (!json) {
                 out().printf(
                                 Locale.ROOT,
-                                "%s, life %d: %d entries, %d of its own, %d of them taken by the receiver%n",
-                                look.instance(),
-                                look.epoch(),
-                                look.ledger().size(),
-                                look.ownEntries(),
-                                look.acknowledged());
+                                "%s, epoch %d: %d entries, %d of its own, %d of these acknowledged by the receiver%n",
+                                contents.instance(),
+                                contents.epoch(),
+                                contents.ledger().size(),
+                                contents.ownEntries(),
+                                contents.acknowledged());
             }
             return 0;
         }
 
-        private void show(Ledger ledger, long of) {
+        private void printTotals(Ledger ledger, long number) {
             if (!json) {
                 out().printf(
                                 Locale.ROOT,
                                 "period %d%n  %-20s %-20s %12s %16s %16s %16s%n",
-                                of,
+                                number,
                                 "municipio",
                                 "class",
                                 "requests",
@@ -143,147 +149,158 @@
                                 "work us",
                                 "bytes");
             }
-            for (Map.Entry<Ledger.Cell, UsageAmounts> each : ledger.totals(of).entrySet()) {
-                UsageAmounts its = each.getValue();
+            for (Map.Entry<Ledger.Cell, UsageAmounts> total :
+                    ledger.totals(number).entrySet()) {
+                UsageAmounts amounts = total.getValue();
                 out().printf(
                                 Locale.ROOT,
                                 json
-                                        ? "{\"period\":" + of + ",\"tenant\":%s,\"class\":%s,\"requests\":%d,"
+                                        ? "{\"period\":" + number + ",\"tenant\":%s,\"class\":%s,\"requests\":%d,"
                                                 + "\"worth_millionths\":%d,\"work_us\":%d,\"bytes\":%d}%n"
                                         : "  %-20s %-20s %12d %16d %16d %16d%n",
                                 json
-                                        ? EntryFormat.quotedJson(each.getKey().tenant())
-                                        : each.getKey().tenant(),
+                                        ? EntryFormat.quotedJson(total.getKey().tenant())
+                                        : total.getKey().tenant(),
                                 json
-                                        ? EntryFormat.quotedJson(each.getKey().type())
-                                        : each.getKey().type(),
-                                its.requests(),
-                                its.worth(),
-                                its.work(),
-                                its.bytes());
+                                        ? EntryFormat.quotedJson(total.getKey().type())
+                                        : total.getKey().type(),
+                                amounts.requests(),
+                                amounts.worth(),
+                                amounts.work(),
+                                amounts.bytes());
             }
-            ledger.partStatuses(of, expected).forEach((whose, part) -> {
-                if (!json && part != Ledger.PartStatus.COMPLETE) {
-                    out().println("  the part of " + whose + " is "
-                            + (part == Ledger.PartStatus.UNKNOWN
-                                    ? "not known: it has not closed the period"
-                                    : "not all here"));
+            ledger.partStatuses(number, expected).forEach((instance, status) -> {
+                if (!json && status != Ledger.PartStatus.COMPLETE) {
+                    out().println("  entries of " + instance + ": "
+                            + (status == Ledger.PartStatus.UNKNOWN
+                                    ? "unknown, it has not closed the period"
+                                    : "incomplete, some are missing from this ledger"));
                 }
             });
         }
     }
 
-    /** Whether the files are whole. */
+    /** Verifies the files of a ledger. */
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
-            description = "Read every byte, and say in one line what is wrong and where.")
-    static final class VerifyFiles extends OfBooks {
+            description = "Read every byte, and report the first damage and its position in one line.")
+    static final class VerifyFiles extends LedgerFolderCommand {
         @Override
         public Integer call() throws IOException {
             long[] entries = {0};
-            StoreVerification verify = StoreVerification.of(
+            StoreVerification verification = StoreVerification.of(
                     DirectoryDisk.existing(folder),
                     keys(),
-                    LedgerStore.contentsReader(at -> entries[0] = at.ledger().size()));
-            verify.notes().forEach(each -> out().println("note: " + each));
-            if (verify.damage() != null) {
-                out().println("DAMAGED " + verify.damage().getMessage());
-                return Commands.BROKEN;
+                    LedgerStore.contentsReader(
+                            contents -> entries[0] = contents.ledger().size()));
+            verification.notes().forEach(note -> out().println("note: " + note));
+            if (verification.damage() != null) {
+                out().println("DAMAGED " + verification.damage().getMessage());
+                return Commands.CHECK_FAILED;
             }
-            if (!verify.exists()) {
-                out().println("MISSING " + folder + ": no store is here; it was never begun, or all of it is lost");
-                return Commands.BROKEN;
+            if (!verification.exists()) {
+                out().println("MISSING " + folder
+                        + ": there is no store here; it was never created, or all of it has been lost");
+                return Commands.CHECK_FAILED;
             }
-            out().println("whole: " + entries[0] + " entries, " + verify.segments() + " segments, " + verify.records()
-                    + " records beyond the snapshot");
+            out().println("intact: " + entries[0] + " entries, " + verification.segments() + " segments, "
+                    + verification.records() + " records beyond the snapshot");
             return 0;
         }
     }
 
-    /** Entries on paper. */
-    @Command(name = "export", mixinStandardHelpOptions = true, description = "Print the entries, a line each.")
-    static final class Export extends OfBooks {
-        @Option(names = "--csv", description = "As CSV in place of JSON.")
+    /** Prints the entries. */
+    @Command(name = "export", mixinStandardHelpOptions = true, description = "Print the entries, one per line.")
+    static final class Export extends LedgerFolderCommand {
+        @Option(names = "--csv", description = "Print CSV instead of JSON.")
         private boolean csv;
 
-        @Option(names = "--period", paramLabel = "N", description = "of this period alone")
+        @Option(names = "--period", paramLabel = "N", description = "only this period")
         private Long period;
 
         @Override
         public Integer call() throws IOException {
-            LedgerStore.Contents look = look(folder);
+            LedgerStore.Contents contents = read(folder);
             if (csv) {
                 out().println(EntryFormat.CSV_HEADER);
             }
-            for (LedgerEntry each : look.ledger().entries()) {
-                if (period == null || each.period() == period) {
-                    out().println(csv ? EntryFormat.csv(each) : EntryFormat.json(each));
+            for (LedgerEntry entry : contents.ledger().entries()) {
+                if (period == null || entry.period() == period) {
+                    out().println(csv ? EntryFormat.csv(entry) : EntryFormat.json(entry));
                 }
             }
             return 0;
         }
     }
 
-    /** Where books differ. */
+    /** Prints the entries in which two ledgers differ. */
     @Command(
             name = "reconcile",
             mixinStandardHelpOptions = true,
-            description = "Name each entry that two books do not have alike.")
-    static final class Differences extends OfBooks {
-        @Parameters(index = "1", paramLabel = "OTHER", description = "the folder of the other books")
+            description = "Print each entry that differs between two ledgers or is missing from one of them.")
+    static final class Differences extends LedgerFolderCommand {
+        @Parameters(index = "1", paramLabel = "OTHER", description = "folder of the other ledger")
         private Path other;
 
         @Override
         public Integer call() throws IOException {
-            LedgerStore.Contents here = look(folder);
-            LedgerStore.Contents there = look(other);
+            LedgerStore.Contents local = read(folder);
+            LedgerStore.Contents remote = read(other);
             Reconciliation.Result result = Reconciliation.run(
-                    new DigestTree(here.ledger().entries()),
-                    Reconciliation.Peer.of(new DigestTree(there.ledger().entries())));
-            for (Reconciliation.Difference each : result.differences()) {
-                out().println(each.id()
-                        + (each.remote() == null
-                                ? " is in " + folder + " alone"
-                                : each.local() == null
-                                        ? " is in " + other + " alone"
-                                        : " is not the same in both: " + EntryFormat.json(each.local()) + " and "
-                                                + EntryFormat.json(each.remote())));
+                    new DigestTree(local.ledger().entries()),
+                    Reconciliation.Peer.of(new DigestTree(remote.ledger().entries())));
+            for (Reconciliation.Difference difference : result.differences()) {
+                out().println(difference.id()
+                        + (difference.remote() == null
+                                ? " is only in " + folder
+                                : difference.local() == null
+                                        ? " is only in " + other
+                                        : " differs: " + EntryFormat.json(difference.local()) + " and "
+                                                + EntryFormat.json(difference.remote())));
             }
-            out().println(result.differences().size() + " differences; " + result.queries() + " questions, "
+            out().println(result.differences().size() + " differences; " + result.queries() + " queries, "
                     + result.bytes() + " bytes");
-            return result.differences().isEmpty() ? 0 : Commands.BROKEN;
+            return result.differences().isEmpty() ? 0 : Commands.CHECK_FAILED;
         }
     }
 
-    /** A correction. */
+    /** Writes a correction of an entry. */
     @Command(
             name = "correct",
             mixinStandardHelpOptions = true,
             description = {
-                "Write that an entry was wrong, as an entry of its own in an open period.",
-                "The agent whose books these are must be stopped."
+                "Correct an entry by a further entry in an open period.",
+                "The agent that writes this ledger must be stopped."
             })
-    static final class Correct extends OfBooks {
+    static final class Correct extends LedgerFolderCommand {
         @Parameters(index = "1", paramLabel = "ENTRY", description = "INSTANCE/EPOCH/NUMBER, as export prints it")
         private String entry;
 
-        @Option(names = "--period", paramLabel = "N", required = true, description = "the period that is open")
+        @Option(
+                names = "--period",
+                paramLabel = "N",
+                required = true,
+                description = "the open period that the correction is written in")
         private long period;
 
-        @Option(names = "--requests", paramLabel = "N", description = "so many more; less than 0 for fewer")
+        @Option(names = "--requests", paramLabel = "N", description = "difference in requests; negative to reduce them")
         private long requests;
 
-        @Option(names = "--worth", paramLabel = "N", description = "in millionths")
+        @Option(names = "--worth", paramLabel = "N", description = "difference in worth, in millionths")
         private long worth;
 
-        @Option(names = "--work", paramLabel = "N", description = "in microseconds")
+        @Option(names = "--work", paramLabel = "N", description = "difference in work, in microseconds")
         private long work;
 
-        @Option(names = "--bytes", paramLabel = "N")
+        @Option(names = "--bytes", paramLabel = "N", description = "difference in bytes")
         private long bytes;
 
-        @Option(names = "--why", paramLabel = "TEXT", required = true, description = "a sentence for the municipio")
+        @Option(
+                names = "--why",
+                paramLabel = "TEXT",
+                required = true,
+                description = "reason, as a sentence for the municipio")
         private String why;
 
         @Override
@@ -294,23 +311,24 @@
             } catch (IllegalArgumentException e) {
                 throw new ParameterException(spec.commandLine(), e.getMessage());
             }
-            UsageAmounts by = new UsageAmounts(requests, worth, work, bytes);
-            if (by.isZero()) {
+            UsageAmounts difference = new UsageAmounts(requests, worth, work, bytes);
+            if (difference.isZero()) {
                 throw new ParameterException(
                         spec.commandLine(),
-                        "a correction is of something: --requests, --worth, " + "--work or --bytes");
+                        "a correction needs a difference other than 0 in --requests, --worth, --work or --bytes");
             }
-            LedgerStore.Contents look = look(folder);
-            if (look.ledger().get(id) == null) {
-                throw new IOException("there is no entry " + id);
+            LedgerStore.Contents contents = read(folder);
+            if (contents.ledger().get(id) == null) {
+                throw new IOException(folder + " holds no entry " + id);
             }
-            Store.Options usual = Store.Options.DEFAULTS;
-            try (LedgerStore books = LedgerStore.open(
+            Store.Options defaults = Store.Options.DEFAULTS;
+            try (LedgerStore ledger = LedgerStore.open(
                     new DirectoryDisk(folder),
-                    new Store.Options(keys(), usual.segmentBytes(), usual.maxBytes()),
-                    look.instance())) {
-                out().println(EntryFormat.json(books.correct(id, period, by, why)));
-                books.closePeriod(period); // this life makes no more
+                    new Store.Options(keys(), defaults.segmentBytes(), defaults.maxBytes()),
+                    contents.instance())) {
+                out().println(EntryFormat.json(ledger.correct(id, period, difference, why)));
+                // This epoch writes no further entries, so its part of the period is complete.
+                ledger.closePeriod(period);
             }
             return 0;
         }
--- a/src/main/java/gatefront/cli/PlanCommand.java
+++ b/src/main/java/gatefront/cli/PlanCommand.java
@@ -9,25 +9,28 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Prints the plans that come with the jar, as a start for one's own, and checks plan files. */
+/** Prints the built-in plans, which serve as templates, and checks plan files. */
 @Command(
         name = "plan",
         mixinStandardHelpOptions = true,
-        description = "Print a built-in plan, to be changed and rehearsed; or check a plan file.")
+        description = "Print a built-in plan as a template for your own, or check a plan file.")
 final class PlanCommand implements Callable<Integer> {
-    @Parameters(arity = "0..1", paramLabel = "PLAN", description = "A built-in plan; without one they are listed.")
+    @Parameters(
+            arity = "0..1",
+            paramLabel = "PLAN",
+            description = "Name of a built-in plan; without it, all names are listed.")
     private String name;
 
-    @Option(names = "--check", paramLabel = "FILE", description = "Check a plan file and say what is wrong with it.")
-    private Path check;
+    @Option(names = "--check", paramLabel = "FILE", description = "Check a plan file and report the first error.")
+    private Path checkedFile;
 
     @Spec
     private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
-        if (check != null) {
-            PlanReader.read(check);
+        if (checkedFile != null) {
+            PlanReader.read(checkedFile);
         } else if (name == null) {
             PlanReader.BUILT_IN.forEach(spec.commandLine().getOut()::println);
         } else {
--- a/src/main/java/gatefront/cli/ProcessesCommand.java
+++ b/src/main/java/gatefront/cli/ProcessesCommand.java
@@ -23,18 +23,18 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Plays a plan with several processes and faults between them. */
+/** Plays a plan with agents in several processes and with faults of these processes, their folders and links. */
 @Command(
         name = "processes",
         mixinStandardHelpOptions = true,
         description = {
-            "Play a day with agents in processes of their own, on loopback, "
-                    + "and faults of processes, folders and links.",
+            "Play a plan with agents in separate processes on loopback, "
+                    + "with faults of processes, folders and links.",
             "Built-in plans: restart-most, state-lost, stopped-and-woken, crash-loop.",
-            "Exit status: 0 all rules kept, 3 a rule broken, 2 wrong usage, 1 unusable plan."
+            "Exit status: 0 all rules kept, 3 a rule broken, 2 invalid usage, 1 unusable plan."
         })
 final class ProcessesCommand implements Callable<Integer> {
-    private static final int LINES = 5;
+    private static final int MAX_PRINTED_BREACHES = 5;
 
     @Parameters(paramLabel = "PLAN", description = "A plan file, or the name of a built-in plan.")
     private String plan;
@@ -42,23 +42,27 @@
     @Option(
             names = "--agents",
             paramLabel = "N",
-            description = "As many agents in place of the plan's; nodos go with " + "them.")
+            description = "Number of agents instead of the plan's; the number of nodos is scaled with it.")
     private Integer agents;
 
     @Option(
             names = "--seed",
             paramLabel = "N",
             defaultValue = "1",
-            description = "From which what is drawn follows " + "(${DEFAULT-VALUE}); processes repeat nothing exactly.")
+            description =
+                    "Seed of all random values (${DEFAULT-VALUE}); runs with processes are not exactly repeatable.")
     private long seed;
 
-    @Option(names = "--seeds", paramLabel = "A..B", description = "Play many, one after the other, and sum up.")
+    @Option(
+            names = "--seeds",
+            paramLabel = "A..B",
+            description = "Play a range of seeds, one after the other, and print a summary.")
     private String seeds;
 
     @Option(
             names = "--report",
             paramLabel = "DIR",
-            description = "Write report.json, report.html and history.jsonl " + "there.")
+            description = "Write report.json, report.html and history.jsonl to this folder.")
     private Path report;
 
     @Option(
@@ -66,13 +70,12 @@
             paramLabel = "GUARD",
             split = ",",
             description =
-                    "Switch a guard of the program off: " + "kept-bans, named-loss, waking. The judge is to find it.")
+                    "Disable safeguards of the agent: kept-bans, named-loss, waking. The rules must then report it.")
     private Set<String> without = new HashSet<>();
 
     @Option(
             names = "--no-twin",
-            description =
-                    "Leave out the same day without faults, against which " + "the time to full service is measured.")
+            description = "Skip the run without faults, against which the time to full service is measured.")
     private boolean noTwin;
 
     @Spec
@@ -81,94 +84,102 @@
     @Override
     public Integer call() throws TomlException, IOException {
         PrintWriter out = spec.commandLine().getOut();
-        ProcessPlan read = ProcessPlanReader.BUILT_IN.contains(plan) && !Files.exists(Path.of(plan))
+        ProcessPlan processPlan = ProcessPlanReader.BUILT_IN.contains(plan) && !Files.exists(Path.of(plan))
                 ? ProcessPlanReader.builtIn(plan, agents)
                 : ProcessPlanReader.read(Path.of(plan), agents);
         if (report != null) {
             Files.createDirectories(report);
         }
         if (seeds == null) {
-            return play(read, seed, report, out).broken() == 0 ? 0 : Commands.BROKEN;
+            return play(processPlan, seed, report, out).broken() == 0 ? 0 : Commands.CHECK_FAILED;
         }
         long[] range = RehearseCommand.seeds(seeds, spec);
-        List<Played> all = new ArrayList<>();
-        for (long each = range[0]; each <= range[1]; each++) {
-            all.add(play(read, each, report == null ? null : report.resolve("seed-" + each), out));
+        List<PlayedSeed> played = new ArrayList<>();
+        for (long next = range[0]; next <= range[1]; next++) {
+            played.add(play(processPlan, next, report == null ? null : report.resolve("seed-" + next), out));
         }
-        summary(all, out);
-        return all.stream().allMatch(each -> each.broken == 0) ? 0 : Commands.BROKEN;
+        printSummary(played, out);
+        return played.stream().allMatch(result -> result.broken == 0) ? 0 : Commands.CHECK_FAILED;
     }
 
-    /** What is counted of a play: broken rules, seconds to full service (negative for never or unknown), lateness. */
-    private record Played(int broken, double full, long late) {}
+    /**
+     * The figures of one play that enter the summary.
+     *
+     * @param broken the number of broken rules
+     * @param fullServiceSeconds the time from the first fault to full service; negative if not reached or not measured
+     * @param latenessMicros the worst lateness of the event loop that drives the play
+     */
+    private record PlayedSeed(int broken, double fullServiceSeconds, long latenessMicros) {}
 
-    private Played play(ProcessPlan read, long with, Path into, PrintWriter out) throws IOException {
-        if (into != null) {
-            Files.createDirectories(into);
+    private PlayedSeed play(ProcessPlan processPlan, long playedSeed, Path folder, PrintWriter out) throws IOException {
+        if (folder != null) {
+            Files.createDirectories(folder);
         }
         ProcessRehearsalResult outcome = new ProcessRehearsal(
-                        read,
-                        with,
+                        processPlan,
+                        playedSeed,
                         RealRehearsal.ownCommand(),
                         without,
-                        into == null ? null : into.resolve("history.jsonl"))
+                        folder == null ? null : folder.resolve("history.jsonl"))
                 .play(done -> {});
-        if (into != null) {
-            JsonReport.write(outcome.outcome(), into);
+        if (folder != null) {
+            JsonReport.write(outcome.outcome(), folder);
         }
         out.println(outcome.line());
-        outcome.breaches().stream().limit(LINES).forEach(each -> out.println("  BROKEN " + each));
+        outcome.breaches().stream().limit(MAX_PRINTED_BREACHES).forEach(breach -> out.println("  BROKEN " + breach));
         out.println("  " + outcome.timeline().line());
         out.printf(
                 Locale.ROOT,
-                "  after the first fault: %d list calls in the fullest second (the padron bears %.0f), "
-                        + "%d connections at the fullest nodo (of %d); "
-                        + "the nearest cold nodo got %.2f of what topples it%n",
+                "  in the 5 s after the first fault: at most %d list calls in a second (padron limit %.0f), "
+                        + "at most %d connections at a nodo (limit %d); "
+                        + "in the whole run: a cold nodo got at most %.2f of the load at which it fails%n",
                 outcome.listCallsMost(),
-                read.day().padron().callsPerSecond(),
+                processPlan.day().padron().callsPerSecond(),
                 outcome.connectionsMost(),
-                read.day().nodos().connections(),
+                processPlan.day().nodos().connections(),
                 outcome.coldMost());
         out.flush();
-        double full = -1;
-        if (!noTwin && read.firstFault() >= 0) {
+        double fullServiceSeconds = -1;
+        if (!noTwin && processPlan.firstFault() >= 0) {
             ProcessRehearsalResult twin = new ProcessRehearsal(
-                            read.twin(), with, RealRehearsal.ownCommand(), Set.of(), null)
+                            processPlan.twin(), playedSeed, RealRehearsal.ownCommand(), Set.of(), null)
                     .play(done -> {});
-            full = outcome.fullAfter(twin);
+            fullServiceSeconds = outcome.fullAfter(twin);
             out.println("  "
-                    + (full < 0
-                            ? "service was not full again within the day"
-                            : String.format(Locale.ROOT, "full service %.2f s after the first fault", full))
+                    + (fullServiceSeconds < 0
+                            ? "full service was not reached again before the end of the run"
+                            : String.format(
+                                    Locale.ROOT, "full service %.2f s after the first fault", fullServiceSeconds))
                     + String.format(
                             Locale.ROOT, "; without faults %.4f", twin.outcome().service()));
             out.flush();
         }
-        return new Played(outcome.broken(), full, outcome.lateness().worst());
+        return new PlayedSeed(
+                outcome.broken(), fullServiceSeconds, outcome.lateness().worst());
     }
 
-    private static void summary(List<Played> all, PrintWriter out) {
-        double[] full = all.stream()
-                .mapToDouble(Played::full)
-                .filter(each -> each >= 0)
+    private static void printSummary(List<PlayedSeed> played, PrintWriter out) {
+        double[] fullServiceSeconds = played.stream()
+                .mapToDouble(PlayedSeed::fullServiceSeconds)
+                .filter(seconds -> seconds >= 0)
                 .sorted()
                 .toArray();
         out.printf(
                 Locale.ROOT,
-                "%d plays: rules kept on %d; the rig was late by over %d ms on %d%n",
-                all.size(),
-                all.stream().filter(each -> each.broken == 0).count(),
+                "%d seeds: rules kept in %d; the rehearsal itself was more than %d ms late in %d%n",
+                played.size(),
+                played.stream().filter(result -> result.broken == 0).count(),
                 ProcessRehearsalResult.LATE_MOST / 1000,
-                all.stream()
-                        .filter(each -> each.late > ProcessRehearsalResult.LATE_MOST)
+                played.stream()
+                        .filter(result -> result.latenessMicros > ProcessRehearsalResult.LATE_MOST)
                         .count());
-        if (full.length > 0) {
+        if (fullServiceSeconds.length > 0) {
             out.printf(
                     Locale.ROOT,
-                    "full service again on %d: %.2f s after the first fault (median), %.2f s (worst)%n",
-                    full.length,
-                    full[full.length / 2],
-                    full[full.length - 1]);
+                    "full service reached again in %d: %.2f s after the first fault (median), %.2f s (worst)%n",
+                    fullServiceSeconds.length,
+                    fullServiceSeconds[fullServiceSeconds.length / 2],
+                    fullServiceSeconds[fullServiceSeconds.length - 1]);
         }
         out.flush();
     }
--- a/src/main/java/gatefront/cli/RecoveryCommand.java
+++ b/src/main/java/gatefront/cli/RecoveryCommand.java
@@ -19,14 +19,14 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What staff do with what an agent keeps over its death. */
+/** The commands with which operators inspect and create the recovery store of an agent. */
 @Command(
         name = "recovery",
         mixinStandardHelpOptions = true,
         subcommands = {RecoveryCommand.Show.class, RecoveryCommand.Begin.class},
         description = {
-            "Look at what an agent keeps over its death, and begin a store for a new one.",
-            "Exit status: 0 all is well, 3 no store or damage, 2 wrong usage, 1 it cannot be done."
+            "Inspect what an agent keeps across restarts, or create a store for a new agent.",
+            "Exit status: 0 success, 3 the store is missing or damaged, 2 invalid usage, 1 the command failed."
         })
 final class RecoveryCommand implements Callable<Integer> {
     @Spec
@@ -42,89 +42,96 @@
         return micros < 0 ? "never" : Instant.ofEpochMilli(micros / 1000).toString();
     }
 
-    /** What is in a store. */
+    /** Prints the contents of a store. */
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
-            description = "Print whose it is, up to when it was written, and what is out by hand. Changes nothing.")
+            description = "Print the instance of a store, the time up to which it was written, and the manual drains. "
+                    + "Read-only.")
     static final class Show implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
-        @Parameters(paramLabel = "FOLDER", description = "where the store is")
+        @Parameters(paramLabel = "FOLDER", description = "folder of the store")
         private Path folder;
 
-        @Option(names = "--json", description = "As one line of JSON.")
+        @Option(names = "--json", description = "Print one line of JSON.")
         private boolean json;
 
         @Override
         public Integer call() throws IOException {
             PrintWriter out = spec.commandLine().getOut();
-            RecoveryStore.Inspection look = RecoveryStore.inspect(folder);
-            StoredState kept = look.contents();
+            RecoveryStore.Inspection inspection = RecoveryStore.inspect(folder);
+            StoredState state = inspection.contents();
             if (json) {
                 var root = com.fasterxml.jackson.databind.node.JsonNodeFactory.instance
                         .objectNode()
-                        .put("instance", kept.instance())
-                        .put("life", kept.startNumber())
-                        .put("up_to_us", kept.writtenUntilMicros())
-                        .put("list_at_us", kept.serverListMicros())
-                        .put("damage", look.damage());
+                        .put("instance", state.instance())
+                        .put("life", state.startNumber())
+                        .put("up_to_us", state.writtenUntilMicros())
+                        .put("list_at_us", state.serverListMicros())
+                        .put("damage", inspection.damage());
                 var bans = root.putObject("by_hand");
-                new TreeMap<>(kept.bans())
+                new TreeMap<>(state.bans())
                         .forEach((name, entry) ->
                                 bans.putObject(name).put("out", entry.drained()).put("at_us", entry.changedAtMicros()));
                 out.println(root);
-            } else if (kept.instance() == null && look.damage() == null) {
-                out.println("MISSING " + folder + ": no store is here; it was never begun, or it is lost");
+            } else if (state.instance() == null && inspection.damage() == null) {
+                out.println(
+                        "MISSING " + folder + ": there is no store here; it was never created, or it has been lost");
             } else {
-                out.println("instance " + kept.instance() + ", life " + kept.startNumber() + ", written up to "
-                        + time(kept.writtenUntilMicros()) + ", list of " + time(kept.serverListMicros()));
-                for (Map.Entry<String, ServerBans.Entry> each : new TreeMap<>(kept.bans()).entrySet()) {
-                    out.println("  " + each.getKey() + (each.getValue().drained() ? " out" : " back") + " since "
-                            + time(each.getValue().changedAtMicros()));
+                out.println("instance " + state.instance() + ", start number " + state.startNumber()
+                        + ", written up to " + time(state.writtenUntilMicros()) + ", server list of "
+                        + time(state.serverListMicros()));
+                for (Map.Entry<String, ServerBans.Entry> ban : new TreeMap<>(state.bans()).entrySet()) {
+                    out.println("  " + ban.getKey() + (ban.getValue().drained() ? " drained" : " reactivated")
+                            + " since " + time(ban.getValue().changedAtMicros()));
                 }
-                if (look.damage() != null) {
-                    out.println("DAMAGED " + look.damage() + "; what is above could be read");
+                if (inspection.damage() != null) {
+                    out.println("DAMAGED " + inspection.damage() + "; the lines above are what could still be read");
                 }
             }
-            return look.damage() != null || kept.instance() == null ? Commands.BROKEN : 0;
+            return inspection.damage() != null || state.instance() == null ? Commands.CHECK_FAILED : 0;
         }
     }
 
-    /** A store for an agent that has never run. */
+    /** Creates an empty store for an agent that has never run. */
     @Command(
             name = "begin",
             mixinStandardHelpOptions = true,
             description = {
-                "Make an empty store for an agent that has never run, "
-                        + "so that its first start does not say that one is lost.",
-                "The agent must not run."
+                "Create an empty store for an agent that has never run, "
+                        + "so that its first start does not report a lost store.",
+                "The agent must not be running."
             })
     static final class Begin implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
-        @Parameters(paramLabel = "FOLDER", description = "where the store is to be; the folder above it must be there")
+        @Parameters(paramLabel = "FOLDER", description = "folder of the new store; its parent folder must exist")
         private Path folder;
 
-        @Option(names = "--instance", paramLabel = "NAME", required = true, description = "the agent's name among all")
+        @Option(
+                names = "--instance",
+                paramLabel = "NAME",
+                required = true,
+                description = "instance name of the agent, unique among all agents")
         private String instance;
 
         @Override
         public Integer call() throws Exception {
             if (java.nio.file.Files.exists(folder)) {
-                throw new IOException(folder + " is there already; nothing was changed");
+                throw new IOException(folder + " already exists; nothing was changed");
             }
             RecoveryStore.Opened opened = RecoveryStore.open(
                     folder, instance, Runnable::run, () -> TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis()));
-            CountDownLatch ended = new CountDownLatch(1);
-            opened.store().close(ended::countDown);
-            ended.await();
+            CountDownLatch closed = new CountDownLatch(1);
+            opened.store().close(closed::countDown);
+            closed.await();
             if (opened.status() != Recovery.StoreStatus.MISSING) {
                 throw new IOException(opened.detail());
             }
-            spec.commandLine().getOut().println("begun " + folder + " for " + instance);
+            spec.commandLine().getOut().println("created store " + folder + " for instance " + instance);
             return 0;
         }
     }
--- a/src/main/java/gatefront/cli/RegistryCommand.java
+++ b/src/main/java/gatefront/cli/RegistryCommand.java
@@ -21,12 +21,12 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What a registry holds below a prefix and how it changes, as an agent would see it. */
+/** The commands that read a registry through the same client as an agent. */
 @Command(
         name = "registry",
         mixinStandardHelpOptions = true,
         subcommands = RegistryCommand.Watch.class,
-        description = "Look into a registry as an agent does.")
+        description = "Read a registry through the same client as an agent.")
 final class RegistryCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -37,12 +37,12 @@
         return Commands.USAGE;
     }
 
-    /** Prints each change with its revision. */
+    /** Prints the keys below a prefix and then each change, with their revisions. */
     @Command(
             name = "watch",
             mixinStandardHelpOptions = true,
             description =
-                    "Print what is there and then each change: revision, put or delete, key, value. Ctrl-C ends it.")
+                    "Print the existing keys, then each change: revision, put or delete, key, value. Ctrl-C stops it.")
     static final class Watch implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -50,19 +50,22 @@
         @Parameters(index = "0", paramLabel = "URL", description = "etcd://ADDRESS:PORT or consul://ADDRESS:PORT")
         private String url;
 
-        @Parameters(index = "1", paramLabel = "PREFIX", description = "with its last slash, as in oaxaca/")
+        @Parameters(
+                index = "1",
+                paramLabel = "PREFIX",
+                description = "prefix of the keys, with its trailing slash, for example oaxaca/")
         private String prefix;
 
-        @Option(names = "--user", description = "of etcd")
+        @Option(names = "--user", description = "etcd user")
         private String user;
 
-        @Option(names = "--password-file", description = "where the user's password stands")
+        @Option(names = "--password-file", description = "file that holds the password of the user")
         private String passwordFile;
 
-        @Option(names = "--token-file", description = "where Consul's token stands")
+        @Option(names = "--token-file", description = "file that holds the Consul token")
         private String tokenFile;
 
-        @Option(names = "--once", description = "end when what is there has been printed")
+        @Option(names = "--once", description = "exit after the existing keys have been printed")
         private boolean once;
 
         @Override
@@ -76,11 +79,11 @@
                 client[0] = new RegistryClient(sockets, settings, System.nanoTime(), new RegistryClient.Listener() {
                     @Override
                     public void changed(boolean full, List<KeyChange> changes, Map<String, KeyEntry> all) {
-                        for (KeyChange each : changes) {
-                            out.println(each.modified()
-                                    + (each.value() == null
-                                            ? " delete " + each.key()
-                                            : " put " + each.key() + " " + each.value()));
+                        for (KeyChange change : changes) {
+                            out.println(change.modified()
+                                    + (change.value() == null
+                                            ? " delete " + change.key()
+                                            : " put " + change.key() + " " + change.value()));
                         }
                         out.flush();
                         if (once) {
@@ -89,8 +92,8 @@
                     }
 
                     @Override
-                    public void stale(boolean now) {
-                        out.println(now ? "# stale" : "# confirmed again");
+                    public void stale(boolean stale) {
+                        out.println(stale ? "# stale" : "# confirmed again");
                         out.flush();
                     }
                 });
@@ -104,32 +107,32 @@
             return 0;
         }
 
-        /** The same checks as for the file of our own, and the same words. */
+        /** Builds the settings through the reader of the extensions file, for the same checks and messages. */
         private RegistrySettings settings() throws TomlException {
             URI uri = URI.create(url);
             StringBuilder text = new StringBuilder("[registry]\n");
-            add(text, "kind", uri.getScheme());
+            addSetting(text, "kind", uri.getScheme());
             text.append("endpoints = [")
                     .append(quoted(String.valueOf(uri.getAuthority())))
                     .append("]\n");
-            add(text, "prefix", prefix);
-            add(text, "user", user);
-            add(text, "password_file", passwordFile);
-            add(text, "token_file", tokenFile);
-            TomlTable top = TomlFile.parse("command line", text.toString());
-            RegistrySettings settings = RegistrySettingsReader.read(top.table("registry"));
-            top.finish();
+            addSetting(text, "prefix", prefix);
+            addSetting(text, "user", user);
+            addSetting(text, "password_file", passwordFile);
+            addSetting(text, "token_file", tokenFile);
+            TomlTable root = TomlFile.parse("command line", text.toString());
+            RegistrySettings settings = RegistrySettingsReader.read(root.table("registry"));
+            root.finish();
             return settings;
         }
 
-        private static void add(StringBuilder text, String key, String value) {
+        private static void addSetting(StringBuilder text, String key, String value) {
             if (value != null) {
                 text.append(key).append(" = ").append(quoted(value)).append('\n');
             }
         }
 
-        private static String quoted(String text) {
-            return '"' + text.replace("\\", "\\\\").replace("\"", "\\\"") + '"';
+        private static String quoted(String value) {
+            return '"' + value.replace("\\", "\\\\").replace("\"", "\\\"") + '"';
         }
     }
 }
--- a/src/main/java/gatefront/cli/RehearseCommand.java
+++ b/src/main/java/gatefront/cli/RehearseCommand.java
@@ -28,41 +28,41 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Plays a plan with the real agents and reports. */
+/** Plays a plan with the code of the real agents and prints or writes a report. */
 @Command(
         name = "rehearse",
         mixinStandardHelpOptions = true,
         subcommands = ProcessesCommand.class,
         description = {
-            "Play a day with the real agents against stand-ins on virtual time, and report.",
+            "Play a plan with the real agents against stand-ins in virtual time, and report.",
             "The same plan and seed give the same report. Exit status: 0 all rules kept, 3 a rule broken,",
-            "2 wrong usage, 1 unusable plan."
+            "2 invalid usage, 1 unusable plan."
         })
 final class RehearseCommand implements Callable<Integer> {
-    private static final Pattern SEEDS = Pattern.compile("(\\d{1,15})\\.\\.(\\d{1,15})");
-    private static final long SEEDS_MOST = 1_000_000;
+    private static final Pattern SEED_RANGE = Pattern.compile("(\\d{1,15})\\.\\.(\\d{1,15})");
+    private static final long MAX_SEEDS = 1_000_000;
 
     @Parameters(
             arity = "0..1",
             paramLabel = "PLAN",
             defaultValue = "cashier-rush",
-            description = "A plan file, or the name of a built-in plan (${DEFAULT-VALUE} without one).")
+            description = "A plan file, or the name of a built-in plan (default: ${DEFAULT-VALUE}).")
     private String plan;
 
     @Option(
             names = "--seed",
             paramLabel = "N",
             defaultValue = "1",
-            description = "From which all else follows " + "(${DEFAULT-VALUE}).")
+            description = "Seed of all random values (${DEFAULT-VALUE}).")
     private long seed;
 
     @Option(
             names = "--seeds",
             paramLabel = "A..B",
-            description = "Play many on all cores; a summary, and each " + "seed that broke a rule.")
+            description = "Play a range of seeds on all cores; print each seed that breaks a rule, and a summary.")
     private String seeds;
 
-    @Option(names = "--report", paramLabel = "DIR", description = "Write report.json and report.html there.")
+    @Option(names = "--report", paramLabel = "DIR", description = "Write report.json and report.html to this folder.")
     private Path report;
 
     @Option(names = "--json", description = "Print the report as JSON instead of the summary.")
@@ -70,27 +70,27 @@
 
     @Option(
             names = "--real",
-            description = "Play in real time on loopback sockets, against agents in processes of "
-                    + "their own. Nothing repeats exactly then.")
+            description = "Play in real time on loopback sockets, with agents in separate processes. "
+                    + "Such runs are not exactly repeatable.")
     private boolean real;
 
     @Option(
             names = "--agents",
             paramLabel = "N",
-            description = "As many agents in place of the plan's; they share " + "the same requests.")
+            description = "Number of agents instead of the plan's; the rate of requests stays the same.")
     private Integer agents;
 
     @Option(
             names = "--nodos",
             paramLabel = "N",
-            description = "As many nodos in place of the plan's; the callers' " + "rate goes with them.")
+            description = "Number of nodos instead of the plan's; the rate of requests is scaled with it.")
     private Integer nodos;
 
     @Option(
             names = "--shrink",
             paramLabel = "FILE",
-            description = "Where the seed breaks a rule: cut the plan down "
-                    + "to the fewest faults and callers that still break it, and write that plan.")
+            description = "If the seed breaks a rule: reduce the plan "
+                    + "to the fewest faults and clients that still break it, and write it to this file.")
     private Path shrink;
 
     @Spec
@@ -99,19 +99,20 @@
     @Override
     public Integer call() throws TomlException, IOException {
         PrintWriter out = spec.commandLine().getOut();
-        Plan read = sized(read(plan));
+        Plan sizedPlan = sized(read(plan));
         if (seeds != null) {
-            return many(read, out);
+            return playSeeds(sizedPlan, out);
         }
         if (shrink != null) {
-            return shrink(read, out);
+            return shrink(sizedPlan, out);
         }
-        boolean watched = System.console() != null && !json;
-        long began = System.nanoTime();
+        boolean showProgress = System.console() != null && !json;
+        long startNanos = System.nanoTime();
         RehearsalResult outcome = real
-                ? new RealRehearsal(read, seed, RealRehearsal.ownCommand()).play(done -> progress(watched, done))
-                : new Rehearsal(read, seed)
-                        .progress(done -> progress(watched, done))
+                ? new RealRehearsal(sizedPlan, seed, RealRehearsal.ownCommand())
+                        .play(done -> progress(showProgress, done))
+                : new Rehearsal(sizedPlan, seed)
+                        .progress(done -> progress(showProgress, done))
                         .play();
         if (report != null) {
             JsonReport.write(outcome, report);
@@ -119,10 +120,10 @@
         if (json) {
             out.print(new String(JsonReport.bytes(outcome), StandardCharsets.UTF_8));
         } else {
-            summary(outcome, (System.nanoTime() - began) / 1e9, out);
+            printSummary(outcome, (System.nanoTime() - startNanos) / 1e9, out);
         }
         out.flush();
-        return outcome.broken() == 0 ? 0 : Commands.BROKEN;
+        return outcome.broken() == 0 ? 0 : Commands.CHECK_FAILED;
     }
 
     private static Plan read(String plan) throws TomlException {
@@ -132,102 +133,105 @@
                 : PlanReader.read(file);
     }
 
-    private Plan sized(Plan read) {
+    private Plan sized(Plan original) {
         if (agents == null && nodos == null) {
-            return read;
+            return original;
         }
-        Plan sized = read.sized(
-                size("--agents", agents, read.agents().count()),
-                size("--nodos", nodos, read.nodos().count()));
-        for (Fault each : sized.faults()) {
-            int most = each.kind().whom() == Fault.Kind.Whom.AGENTS
+        Plan sized = original.sized(
+                size("--agents", agents, original.agents().count()),
+                size("--nodos", nodos, original.nodos().count()));
+        for (Fault fault : sized.faults()) {
+            int count = fault.kind().whom() == Fault.Kind.Whom.AGENTS
                     ? sized.agents().count()
                     : sized.nodos().count();
-            for (String name : each.names()) {
-                if (Integer.parseInt(name.substring(name.indexOf('-') + 1)) > most) {
+            for (String name : fault.names()) {
+                if (Integer.parseInt(name.substring(name.indexOf('-') + 1)) > count) {
                     throw new ParameterException(
-                            spec.commandLine(), "the plan names " + name + " in a fault, and there would be " + most);
+                            spec.commandLine(), "a fault of the plan names " + name + ", but there are only " + count);
                 }
             }
         }
         return sized;
     }
 
-    private int size(String option, Integer asked, int usual) {
-        if (asked != null && (asked < 1 || asked > PlanReader.COUNT_MOST)) {
+    private int size(String option, Integer value, int planned) {
+        if (value != null && (value < 1 || value > PlanReader.COUNT_MOST)) {
             throw new ParameterException(
-                    spec.commandLine(), option + " is a number from 1 to " + PlanReader.COUNT_MOST + ", not " + asked);
+                    spec.commandLine(),
+                    option + " must be a number from 1 to " + PlanReader.COUNT_MOST + ", not " + value);
         }
-        return asked == null ? usual : asked;
+        return value == null ? planned : value;
     }
 
-    private void progress(boolean watched, double done) {
-        if (watched) {
+    private void progress(boolean showProgress, double done) {
+        if (showProgress) {
             System.err.printf(Locale.ROOT, "\rplaying ... %3.0f%%%s", 100 * done, done >= 1 ? "\r            \r" : "");
         }
     }
 
-    private void summary(RehearsalResult outcome, double wall, PrintWriter out) {
+    private void printSummary(RehearsalResult outcome, double wallSeconds, PrintWriter out) {
         out.println(outcome.line());
-        double[] classes = outcome.byClass();
-        for (int i = 0; i < classes.length; i++) {
+        double[] byClass = outcome.byClass();
+        for (int i = 0; i < byClass.length; i++) {
             out.printf(
                     Locale.ROOT,
                     "  %-16s %.4f%n",
                     outcome.plan().classes().get(i).name(),
-                    classes[i]);
+                    byClass[i]);
         }
-        for (RuleChecker.Breach each : outcome.breaches().stream().limit(3).toList()) {
+        for (RuleChecker.Breach breach : outcome.breaches().stream().limit(3).toList()) {
             out.println(
-                    "  BROKEN " + each.rule().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + each.what()
-                            + (each.request().isEmpty() ? "" : " (request " + each.request() + ")"));
-            each.history().forEach(line -> out.println("    " + line));
+                    "  BROKEN " + breach.rule().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + breach.what()
+                            + (breach.request().isEmpty() ? "" : " (request " + breach.request() + ")"));
+            breach.history().forEach(line -> out.println("    " + line));
         }
         out.printf(
                 Locale.ROOT,
                 "  %.0f s played in %.1f s%s%n",
                 outcome.plan().seconds(),
-                wall,
-                report == null ? "" : "; to be looked at: " + report.resolve("report.html"));
+                wallSeconds,
+                report == null ? "" : "; report: " + report.resolve("report.html"));
     }
 
-    /** The first and the last of a range of seeds. */
-    static long[] seeds(String text, CommandSpec of) {
-        Matcher range = SEEDS.matcher(text);
+    /** Parses a range of seeds such as {@code 1..100} and returns its first and last seed, both inclusive. */
+    static long[] seeds(String text, CommandSpec spec) {
+        Matcher range = SEED_RANGE.matcher(text);
         if (!range.matches()) {
-            throw new ParameterException(of.commandLine(), "--seeds is a range as in 1..100, not " + text);
+            throw new ParameterException(spec.commandLine(), "--seeds must be a range such as 1..100, not " + text);
         }
-        long from = Long.parseLong(range.group(1));
-        long until = Long.parseLong(range.group(2));
-        if (from > until || until - from >= SEEDS_MOST) {
-            throw new ParameterException(of.commandLine(), "--seeds runs upwards, over a million at the most");
+        long first = Long.parseLong(range.group(1));
+        long last = Long.parseLong(range.group(2));
+        if (first > last || last - first >= MAX_SEEDS) {
+            throw new ParameterException(
+                    spec.commandLine(),
+                    "--seeds must be an ascending range of at most " + MAX_SEEDS + " seeds, not " + text);
         }
-        return new long[] {from, until};
+        return new long[] {first, last};
     }
 
-    private int many(Plan read, PrintWriter out) {
+    private int playSeeds(Plan plan, PrintWriter out) {
         long[] range = seeds(seeds, spec);
-        long from = range[0];
-        long until = range[1];
-        boolean watched = System.console() != null;
+        long first = range[0];
+        long last = range[1];
+        boolean showProgress = System.console() != null;
         SeedCampaign.Summary summary = SeedCampaign.play(
-                read, from, until, done -> progress(watched, done), outcome -> out.println(outcome.line()));
+                plan, first, last, done -> progress(showProgress, done), outcome -> out.println(outcome.line()));
         out.print(summary.text());
         out.flush();
-        return summary.broken() == 0 ? 0 : Commands.BROKEN;
+        return summary.broken() == 0 ? 0 : Commands.CHECK_FAILED;
     }
 
-    private int shrink(Plan read, PrintWriter out) throws IOException {
-        Plan smallest = PlanShrinker.shrink(read, seed, line -> {
+    private int shrink(Plan plan, PrintWriter out) throws IOException {
+        Plan smallest = PlanShrinker.shrink(plan, seed, line -> {
             out.println(line);
             out.flush();
         });
         if (smallest == null) {
-            out.println("seed " + seed + " breaks no rule; there is nothing to cut down");
+            out.println("seed " + seed + " breaks no rule; there is nothing to shrink");
             return 0;
         }
         Files.writeString(shrink, PlanWriter.text(smallest));
-        out.println("written to " + shrink + "; play it with --seed " + seed);
-        return Commands.BROKEN;
+        out.println("wrote " + shrink + "; play it with --seed " + seed);
+        return Commands.CHECK_FAILED;
     }
 }
--- a/src/main/java/gatefront/cli/StatusCommand.java
+++ b/src/main/java/gatefront/cli/StatusCommand.java
@@ -15,15 +15,16 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What a running agent holds, by purpose. */
+/** Prints the status page of a running agent: what it holds in memory, by purpose. */
 @Command(
         name = "status",
         mixinStandardHelpOptions = true,
-        description = "Print what a running agent holds, by purpose; ADDRESS is that of [memory] status.")
+        description = "Print what a running agent holds in memory, by purpose; ADDRESS is the setting [memory] status.")
 final class StatusCommand implements Callable<Integer> {
-    private static final int PATIENCE_MS = 5_000;
+    /** The limit for connecting and for each read, in milliseconds. */
+    private static final int TIMEOUT_MS = 5_000;
 
-    @Parameters(paramLabel = "ADDRESS", description = "as in 127.0.0.1:9191")
+    @Parameters(paramLabel = "ADDRESS", description = "for example 127.0.0.1:9191")
     private String address;
 
     @Option(names = "--json", description = "As JSON.")
@@ -34,31 +35,32 @@
 
     @Override
     public Integer call() throws IOException {
-        InetSocketAddress at;
+        InetSocketAddress socketAddress;
         try {
-            at = Config.address(address);
+            socketAddress = Config.address(address);
         } catch (IllegalArgumentException e) {
-            throw new ParameterException(spec.commandLine(), e.getMessage() + "; as in 127.0.0.1:9191");
+            throw new ParameterException(
+                    spec.commandLine(), e.getMessage() + "; expected an address such as 127.0.0.1:9191");
         }
         PrintWriter out = spec.commandLine().getOut();
         try (Socket socket = new Socket()) {
-            socket.connect(at, PATIENCE_MS);
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.connect(socketAddress, TIMEOUT_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
             socket.getOutputStream()
                     .write(("GET /status" + (json ? ".json" : "")
                                     + " HTTP/1.1\r\nHost: agent\r\nConnection: close\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
             InputStream in = socket.getInputStream();
-            String answer = new String(in.readAllBytes(), StandardCharsets.UTF_8);
-            int body = answer.indexOf("\r\n\r\n");
-            if (!answer.startsWith("HTTP/1.1 200") || body < 0) {
-                throw new IOException(address + " is no status page of an agent");
+            String response = new String(in.readAllBytes(), StandardCharsets.UTF_8);
+            int headEnd = response.indexOf("\r\n\r\n");
+            if (!response.startsWith("HTTP/1.1 200") || headEnd < 0) {
+                throw new IOException("GET /status at " + address + " did not answer with the status page of an agent");
             }
-            out.print(answer.substring(body + 4));
+            out.print(response.substring(headEnd + 4));
             out.flush();
             return 0;
         } catch (java.net.SocketException | java.net.SocketTimeoutException e) {
-            throw new IOException("no status page at " + address + ": " + e.getMessage(), e);
+            throw new IOException("cannot read the status page at " + address + ": " + e.getMessage(), e);
         }
     }
 }
--- a/src/main/java/gatefront/cli/package-info.java
+++ b/src/main/java/gatefront/cli/package-info.java
@@ -1,2 +1,4 @@
-/** The command line. {@code serve} and {@code drill} start without loading anything of the other commands. */
+/**
+ * The command line. {@code serve} and {@code drill} start without loading the classes of the other commands or picocli.
+ */
 package gatefront.cli;
--- a/src/test/java/gatefront/ArchitectureTest.java
+++ b/src/test/java/gatefront/ArchitectureTest.java
@@ -9,12 +9,12 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** The packages' arrows point one way, and what is to be pure does no I/O and reads no clock. */
+/** Checks the allowed dependencies between packages, and that pure packages do no I/O and read no clock. */
 class ArchitectureTest {
-    private static final JavaClasses CODE = new ClassFileImporter()
+    private static final JavaClasses PRODUCTION_CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("gatefront");
-    private static final String[] PURE = {
+    private static final String[] PURE_PACKAGES = {
         "gatefront.policy..",
         "gatefront.rehearsal.world..",
         "gatefront.rehearsal.check..",
@@ -26,7 +26,7 @@
     };
 
     @Test
-    void arrowsPointOneWay() {
+    void layersDependOnlyOnAllowedLayers() {
         layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
                 .layer("cli")
@@ -155,19 +155,19 @@
                 .mayOnlyAccessLayers("membership", "policy")
                 .whereLayer("codec")
                 .mayNotAccessAnyLayer()
-                .check(CODE);
+                .check(PRODUCTION_CLASSES);
     }
 
     @Test
     void packagesHaveNoCycles() {
-        slices().matching("gatefront.(**)").should().beFreeOfCycles().check(CODE);
+        slices().matching("gatefront.(**)").should().beFreeOfCycles().check(PRODUCTION_CLASSES);
     }
 
     @Test
-    void whatIsPureDoesNoIo() {
+    void purePackagesDoNoIo() {
         noClasses()
                 .that()
-                .resideInAnyPackage(PURE)
+                .resideInAnyPackage(PURE_PACKAGES)
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
@@ -178,14 +178,14 @@
                         "java.util.concurrent..",
                         "io.netty..",
                         "com.fasterxml..")
-                .check(CODE);
+                .check(PRODUCTION_CLASSES);
     }
 
     @Test
-    void whatIsPureReadsNoClock() {
+    void purePackagesReadNoClock() {
         noClasses()
                 .that()
-                .resideInAnyPackage(PURE)
+                .resideInAnyPackage(PURE_PACKAGES)
                 .should()
                 .callMethod(System.class, "nanoTime")
                 .orShould()
@@ -193,12 +193,12 @@
                 .orShould()
                 .dependOnClassesThat()
                 .areAssignableTo(Thread.class)
-                .check(CODE);
+                .check(PRODUCTION_CLASSES);
     }
 
-    /** All below the command line are handed their clock and loop; only what plays on sockets brings its own. */
+    /** Only the command line, the transport and the rehearsals on real sockets may create clocks and event loops. */
     @Test
-    void clocksAndSocketsComeFromOutside() {
+    void clocksAndEventLoopsAreInjected() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages("gatefront.transport..", "gatefront.cli..")
@@ -212,6 +212,6 @@
                 .orShould()
                 .dependOnClassesThat()
                 .resideInAnyPackage("io.netty.channel.nio..", "io.netty.channel.socket.nio..")
-                .check(CODE);
+                .check(PRODUCTION_CLASSES);
     }
 }
--- a/src/test/java/gatefront/cli/LedgerCommandTest.java
+++ b/src/test/java/gatefront/cli/LedgerCommandTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The ledger's commands by their exit status and what they print. */
+/** Checks the exit statuses and the output of the ledger commands. */
 class LedgerCommandTest {
     @TempDir
     private Path dir;
@@ -36,33 +36,34 @@
     }
 
     @Test
-    void onlyTheFirstLifeFindsNoBooks() throws IOException {
+    void onlyTheFirstOpeningFindsNoLedger() throws IOException {
         for (boolean first : new boolean[] {true, false, false}) {
-            try (LedgerStore books =
+            try (LedgerStore ledger =
                     LedgerStore.open(new DirectoryDisk(dir.resolve("a")), Store.Options.DEFAULTS, "agente-1")) {
-                assertEquals(first, books.isNew());
+                assertEquals(first, ledger.isNew());
             }
         }
     }
 
-    private String books(String name, String instance, long requests) throws IOException {
+    private String createLedger(String name, String instance, long requests) throws IOException {
         Path folder = dir.resolve(name);
-        try (LedgerStore books = LedgerStore.open(new DirectoryDisk(folder), Store.Options.DEFAULTS, instance)) {
-            books.recordUse(
+        try (LedgerStore ledger = LedgerStore.open(new DirectoryDisk(folder), Store.Options.DEFAULTS, instance)) {
+            ledger.recordUse(
                     7, Map.of(new Ledger.Cell(7, "mitla", "pago"), new UsageAmounts(requests, 8_000_000, 5, 6)));
-            books.recordUse(7, Map.of(new Ledger.Cell(7, "=1+1", "a,\"b\""), new UsageAmounts(1, 0, 0, 0)));
-            books.closePeriod(7);
+            ledger.recordUse(7, Map.of(new Ledger.Cell(7, "=1+1", "a,\"b\""), new UsageAmounts(1, 0, 0, 0)));
+            ledger.closePeriod(7);
         }
         return folder.toString();
     }
 
     @Test
-    void totalsAreShownAndAPartThatIsNotKnownIsNamed() throws IOException {
-        String folder = books("a", "agente-1", 4);
+    void showPrintsTotalsAndNamesInstancesWithUnknownEntries() throws IOException {
+        String folder = createLedger("a", "agente-1", 4);
         assertEquals(0, run("ledger", "show", folder, "--expect", "agente-1,agente-2"));
         assertTrue(out.toString().contains("mitla                pago                            4"), out.toString());
-        assertTrue(out.toString().contains("the part of agente-2 is not known"), out.toString());
-        assertTrue(!out.toString().contains("the part of agente-1"), out.toString());
+        assertTrue(
+                out.toString().contains("entries of agente-2: unknown, it has not closed the period"), out.toString());
+        assertTrue(!out.toString().contains("entries of agente-1"), out.toString());
         assertEquals(0, run("ledger", "show", folder, "--period", "8"));
         assertTrue(!out.toString().contains("mitla"));
         assertEquals(0, run("ledger", "show", folder, "--json"));
@@ -71,8 +72,8 @@
     }
 
     @Test
-    void entriesArePrintedAndNoCellOfASheetIsAFormula() throws IOException {
-        String folder = books("a", "agente-1", 4);
+    void exportPrintsEntriesAndEscapesSpreadsheetFormulas() throws IOException {
+        String folder = createLedger("a", "agente-1", 4);
         assertEquals(0, run("ledger", "export", folder, "--csv"));
         assertTrue(out.toString().contains("agente-1/0/0,use,7,mitla,pago,4,8000000,5,6,,\n"), out.toString());
         assertTrue(out.toString().contains("agente-1/0/1,use,7,'=1+1,\"a,\"\"b\"\"\",1,0,0,0,,\n"), out.toString());
@@ -81,59 +82,59 @@
     }
 
     @Test
-    void damageIsNamedInOneLineWithItsPlace() throws IOException {
-        String folder = books("a", "agente-1", 4);
+    void damageIsReportedInOneLineWithItsPosition() throws IOException {
+        String folder = createLedger("a", "agente-1", 4);
         assertEquals(0, run("ledger", "verify", folder));
-        assertTrue(out.toString().startsWith("whole: 3 entries, 1 segments"), out.toString());
+        assertTrue(out.toString().startsWith("intact: 3 entries, 1 segments"), out.toString());
         Path file;
         try (Stream<Path> files = Files.list(Path.of(folder))) {
-            file = files.filter(each -> each.toString().endsWith(".log"))
+            file = files.filter(path -> path.toString().endsWith(".log"))
                     .max(Comparator.naturalOrder())
                     .orElseThrow();
         }
         byte[] bytes = Files.readAllBytes(file);
         bytes[300] ^= 1;
         Files.write(file, bytes);
-        assertEquals(Commands.BROKEN, run("ledger", "verify", folder));
+        assertEquals(Commands.CHECK_FAILED, run("ledger", "verify", folder));
         assertEquals(
                 "DAMAGED " + file.getFileName() + " at 189: a frame that was forced to the disk is damaged",
                 out.toString().strip());
-        assertEquals(1, run("ledger", "show", folder), "nothing is shown of books that are damaged");
+        assertEquals(1, run("ledger", "show", folder), "a damaged ledger must not be shown");
         assertEquals(1, run("ledger", "verify", dir.resolve("nowhere").toString()));
         assertEquals(1, err.toString().lines().count(), err.toString());
     }
 
     @Test
-    void aLostStoreIsNotAnEmptyOne() throws IOException {
+    void aLostStoreIsNotReportedAsAnEmptyOne() throws IOException {
         Path lost = Files.createDirectory(dir.resolve("lost"));
-        assertEquals(Commands.BROKEN, run("ledger", "verify", lost.toString()));
-        assertTrue(out.toString().startsWith("MISSING " + lost + ": no store is here"), out.toString());
-        Files.writeString(lost.resolve("notes.txt"), "none of ours");
-        assertEquals(Commands.BROKEN, run("ledger", "verify", lost.toString()));
+        assertEquals(Commands.CHECK_FAILED, run("ledger", "verify", lost.toString()));
+        assertTrue(out.toString().startsWith("MISSING " + lost + ": there is no store here"), out.toString());
+        Files.writeString(lost.resolve("notes.txt"), "not a store file");
+        assertEquals(Commands.CHECK_FAILED, run("ledger", "verify", lost.toString()));
         assertTrue(out.toString().contains("note: notes.txt is not a file of a store"), out.toString());
-        Files.writeString(lost.resolve("0000000000000000.log.new"), "a first start that ended at once");
-        assertEquals(Commands.BROKEN, run("ledger", "verify", lost.toString()));
+        Files.writeString(lost.resolve("0000000000000000.log.new"), "left by a first start that crashed");
+        assertEquals(Commands.CHECK_FAILED, run("ledger", "verify", lost.toString()));
         Path empty = dir.resolve("empty");
         Store.open(new DirectoryDisk(empty), Store.Options.DEFAULTS, RecordConsumer.IGNORE)
                 .close();
         assertEquals(0, run("ledger", "verify", empty.toString()));
-        assertTrue(out.toString().startsWith("whole: 0 entries, 1 segments"), out.toString());
+        assertTrue(out.toString().startsWith("intact: 0 entries, 1 segments"), out.toString());
     }
 
     @Test
-    void booksThatDifferAreToldWhere() throws IOException {
-        String one = books("a", "agente-1", 4);
-        String same = books("b", "agente-1", 4);
-        String other = books("c", "agente-1", 5);
+    void reconcileNamesEntriesThatDiffer() throws IOException {
+        String one = createLedger("a", "agente-1", 4);
+        String same = createLedger("b", "agente-1", 4);
+        String other = createLedger("c", "agente-1", 5);
         assertEquals(0, run("ledger", "reconcile", one, same));
-        assertEquals(Commands.BROKEN, run("ledger", "reconcile", one, other));
-        assertTrue(out.toString().startsWith("agente-1/0/0 is not the same in both: {"), out.toString());
+        assertEquals(Commands.CHECK_FAILED, run("ledger", "reconcile", one, other));
+        assertTrue(out.toString().startsWith("agente-1/0/0 differs: {"), out.toString());
         assertTrue(out.toString().contains("1 differences"), out.toString());
     }
 
     @Test
-    void aCorrectionIsAnEntryMore() throws IOException {
-        String folder = books("a", "agente-1", 4);
+    void correctWritesAFurtherEntry() throws IOException {
+        String folder = createLedger("a", "agente-1", 4);
         assertEquals(
                 0,
                 run(
@@ -165,10 +166,10 @@
                         "no such entry"));
         assertEquals(
                 2, run("ledger", "correct", folder, "agente-1", "--period", "8", "--requests", "-1", "--why", "x"));
-        assertEquals(2, run("ledger", "correct", folder, "agente-1/0/0", "--period", "8", "--why", "of nothing"));
-        try (LedgerStore held =
+        assertEquals(2, run("ledger", "correct", folder, "agente-1/0/0", "--period", "8", "--why", "no difference"));
+        try (LedgerStore openLedger =
                 LedgerStore.open(new DirectoryDisk(Path.of(folder)), Store.Options.DEFAULTS, "agente-1")) {
-            assertNotNull(held);
+            assertNotNull(openLedger);
             assertEquals(
                     1,
                     run(
--- a/src/test/java/gatefront/cli/MainTest.java
+++ b/src/test/java/gatefront/cli/MainTest.java
@@ -6,6 +6,7 @@
 import java.io.PrintStream;
 import org.junit.jupiter.api.Test;
 
+/** Checks the commands that {@link Main} runs itself and its usage text. */
 class MainTest {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -22,7 +23,7 @@
     }
 
     @Test
-    void serveWithoutAUsableConfigurationSaysWhyInOneLine() {
+    void serveWithoutUsableConfigurationReportsTheReasonInOneLine() {
         assertEquals(1, Main.serve(null, null, null, null, new PrintStream(err)));
         assertEquals(1, Main.serve("no/such/file", null, null, null, new PrintStream(err)));
         assertEquals(
@@ -32,9 +33,9 @@
     }
 
     @Test
-    void noCommandAndAnUnknownOneGiveTheUsageAsAnError() {
+    void missingAndUnknownCommandsPrintTheUsageToStandardError() {
         assertEquals(2, run());
-        assertEquals(2, run("sing"));
+        assertEquals(2, run("unknown"));
         assertEquals("", out.toString());
         assertEquals(
                 Main.USAGE + System.lineSeparator() + Main.USAGE, err.toString().strip());
--- a/src/test/java/gatefront/cli/RecoveryCommandTest.java
+++ b/src/test/java/gatefront/cli/RecoveryCommandTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command recovery by its exit status and what it prints. */
+/** Checks the exit statuses and the output of the recovery commands. */
 class RecoveryCommandTest {
     @TempDir
     private Path dir;
@@ -26,19 +26,20 @@
     }
 
     @Test
-    void aStoreIsBegunOnceAndShownAndALostOneIsSaid() throws IOException {
+    void beginCreatesAStoreOnceAndShowReportsMissingOnes() throws IOException {
         String folder = dir.resolve("kept").toString();
-        assertEquals(1, run("recovery", "show", folder), "there is no folder");
+        assertEquals(1, run("recovery", "show", folder), "the folder does not exist");
         assertEquals(0, run("recovery", "begin", folder, "--instance", "a"));
         assertEquals(1, run("recovery", "begin", folder, "--instance", "a"));
-        assertTrue(err.toString().contains("is there already; nothing was changed"), err.toString());
+        assertTrue(err.toString().contains("already exists; nothing was changed"), err.toString());
         assertEquals(0, run("recovery", "show", folder));
-        assertTrue(out.toString().startsWith("instance a, life 1, written up to 20"), out.toString());
+        assertTrue(out.toString().startsWith("instance a, start number 1, written up to 20"), out.toString());
         assertEquals(0, run("recovery", "show", folder, "--json"));
         assertTrue(out.toString().startsWith("{\"instance\":\"a\",\"life\":1,"), out.toString());
         Files.createDirectory(dir.resolve("empty"));
         assertEquals(
-                Commands.BROKEN, run("recovery", "show", dir.resolve("empty").toString()));
+                Commands.CHECK_FAILED,
+                run("recovery", "show", dir.resolve("empty").toString()));
         assertTrue(out.toString().startsWith("MISSING "), out.toString());
         assertEquals(2, run("recovery"));
     }
--- a/src/test/java/gatefront/cli/RegistryCommandTest.java
+++ b/src/test/java/gatefront/cli/RegistryCommandTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What staff see of a registry. */
+/** Checks the output of the command registry watch. */
 class RegistryCommandTest {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -26,18 +26,18 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"etcd", "consul"})
-    void whatIsThereIsPrintedWithItsRevision(String kind) throws Exception {
+    void existingKeysArePrintedWithTheirRevisions(String kind) throws Exception {
         SocketTransport sockets = new SocketTransport();
         try {
             KeyValueStore keys = new KeyValueStore(1);
             keys.put("oaxaca/nodos/a", "1");
             keys.put("elsewhere", "2");
             keys.put("oaxaca/nodos/b", "3");
-            RegistryStandIn stand =
+            RegistryStandIn standIn =
                     kind.equals("etcd") ? new EtcdStandIn(sockets, () -> keys) : new ConsulStandIn(sockets, () -> keys);
-            stand.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+            standIn.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                     .sync();
-            String url = kind + "://127.0.0.1:" + stand.address().getPort();
+            String url = kind + "://127.0.0.1:" + standIn.address().getPort();
             assertEquals(0, run("registry", "watch", "--once", url, "oaxaca/"), err.toString());
             assertEquals("2 put oaxaca/nodos/a 1\n4 put oaxaca/nodos/b 3\n", out.toString());
         } finally {
@@ -47,7 +47,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"etdc://127.0.0.1:1", "etcd://somewhere:1", "etcd"})
-    void aWrongAddressIsOneLine(String url) {
+    void anInvalidAddressIsReportedInOneLine(String url) {
         assertEquals(1, run("registry", "watch", "--once", url, "oaxaca/"));
         assertTrue(err.toString().startsWith("gatefront: command line:"), err.toString());
         assertEquals(1, err.toString().lines().count(), err.toString());
--- a/src/test/java/gatefront/cli/RehearseCommandTest.java
+++ b/src/test/java/gatefront/cli/RehearseCommandTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The commands by their exit status and what they print. */
+/** Checks the exit statuses and the output of the commands rehearse and plan. */
 class RehearseCommandTest {
     @TempDir
     private Path dir;
@@ -26,19 +26,19 @@
         return Main.run(args, new PrintStream(out), new PrintStream(err));
     }
 
-    private String plan(String name, String more) throws Exception {
+    private String plan(String name, String appendedToml) throws Exception {
         Path file = dir.resolve(name);
         Files.writeString(
                 file,
                 PlanReader.builtInText("demo")
                                 .replace("seconds = 1", "seconds = 6")
                                 .replace("rate = 1", "rate = 60")
-                        + more);
+                        + appendedToml);
         return file.toString();
     }
 
     @Test
-    void aDayThatKeepsTheRulesEndsWithNoughtAndWritesItsReport() throws Exception {
+    void aRunThatKeepsTheRulesExitsWithZeroAndWritesTheReport() throws Exception {
         assertEquals(
                 0,
                 run("rehearse", plan("a.toml", ""), "--report", dir.resolve("r").toString()));
@@ -50,24 +50,28 @@
         assertTrue(out.toString().contains("3 seeds"), out.toString());
     }
 
-    /** A budget so small that one request is too much for a nodo that has just started. */
+    /** The plan sets a limit so small that a single request makes a nodo that has just started fail. */
     @Test
-    void aDayThatBreaksARuleEndsWithThreeAndNamesIt() throws Exception {
-        String falls = plan(
+    void aRunThatBreaksARuleExitsWithThreeAndNamesTheRule() throws Exception {
+        String breakingPlan = plan(
                 "b.toml",
                 "[rules]\nfall_multiple = 1\nfall_s = 0.1\n[[faults]]\nkind = \"die\"\n"
                         + "at_s = 1\nfor_s = 1\nshare = 1.0\n");
         Files.writeString(
-                Path.of(falls), Files.readString(Path.of(falls)).replace("count = 4", "count = 4\ncold_from = 0.15"));
-        assertEquals(Commands.BROKEN, run("rehearse", falls));
+                Path.of(breakingPlan),
+                Files.readString(Path.of(breakingPlan)).replace("count = 4", "count = 4\ncold_from = 0.15"));
+        assertEquals(Commands.CHECK_FAILED, run("rehearse", breakingPlan));
         assertTrue(out.toString().contains("BROKEN no cold fall"), out.toString());
         Path small = dir.resolve("small.toml");
-        assertEquals(Commands.BROKEN, run("rehearse", falls, "--shrink", small.toString()));
-        assertEquals(Commands.BROKEN, run("rehearse", small.toString()), "what is written breaks it, too");
+        assertEquals(Commands.CHECK_FAILED, run("rehearse", breakingPlan, "--shrink", small.toString()));
+        assertEquals(
+                Commands.CHECK_FAILED,
+                run("rehearse", small.toString()),
+                "the shrunk plan must break the rule as well");
     }
 
     @Test
-    void anUnusablePlanEndsWithOneAndOneLine() throws Exception {
+    void anUnusablePlanExitsWithOneAndPrintsOneLine() throws Exception {
         assertEquals(1, run("rehearse", plan("c.toml", "[[faults]]\nkind = \"dye\"\n")));
         assertEquals(1, err.toString().lines().count(), err.toString());
         assertTrue(err.toString().contains("c.toml:") && err.toString().contains("is \"die\" meant?"), err.toString());
@@ -76,22 +80,23 @@
     }
 
     @Test
-    void aPlanIsPlayedAtAnotherSizeWithAsManyRequestsForEachNodo() throws Exception {
+    void resizingAPlanKeepsTheRequestRateOfEachNodo() throws Exception {
         assertEquals(0, run("rehearse", plan("a.toml", ""), "--agents", "7", "--nodos", "12", "--json"));
         var report = new ObjectMapper().readTree(out.toString());
         assertEquals(7, report.get("agents").asInt());
         assertEquals(12, report.get("nodos").asInt());
-        assertEquals(180, report.get("rate").asDouble(), 1e-9, "60 a second for 4 nodos before");
+        assertEquals(180, report.get("rate").asDouble(), 1e-9, "the plan has 60 requests a second for 4 nodos");
         assertEquals(2, run("rehearse", "calm", "--nodos", "0"));
         assertEquals(2, run("rehearse", "calm", "--agents", "10001"));
-        String named = plan("n.toml", "[[faults]]\nkind = \"die\"\nat_s = 1\nfor_s = 1\nnames = [\"nodo-4\"]\n");
-        assertEquals(0, run("rehearse", named, "--nodos", "4"));
-        assertEquals(2, run("rehearse", named, "--nodos", "3"));
-        assertTrue(err.toString().contains("names nodo-4 in a fault, and there would be 3"), err.toString());
+        String planWithNamedNodo =
+                plan("n.toml", "[[faults]]\nkind = \"die\"\nat_s = 1\nfor_s = 1\nnames = [\"nodo-4\"]\n");
+        assertEquals(0, run("rehearse", planWithNamedNodo, "--nodos", "4"));
+        assertEquals(2, run("rehearse", planWithNamedNodo, "--nodos", "3"));
+        assertTrue(err.toString().contains("a fault of the plan names nodo-4, but there are only 3"), err.toString());
     }
 
     @Test
-    void wrongUsageEndsWithTwo() {
+    void invalidUsageExitsWithTwo() {
         assertEquals(2, run("rehearse", "--sed", "1"));
         assertEquals(2, run("rehearse", "calm", "--seeds", "5..1"));
         assertEquals(2, run("rehearse", "calm", "--seeds", "five"));
