--- a/src/bench/java/gatefront/bench/CodecBench.java
+++ b/src/bench/java/gatefront/bench/CodecBench.java
@@ -25,7 +25,10 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Each decoder and encoder of HTTP, in an embedded channel, whose own cost is in all four alike. */
+/**
+ * Measures the HTTP decoders and encoders in an embedded channel. The cost of the channel itself is included in all four
+ * figures.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -36,42 +39,42 @@
     private static final byte[] REQUEST = ("GET /lookup?q=1 HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: b123456\r\n"
                     + "Request-Class: lookup\r\nRequest-Timeout-Ms: 8000\r\n\r\n")
             .getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] ANSWER = ("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 64\r\n\r\n"
+    private static final byte[] RESPONSE = ("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 64\r\n\r\n"
                     + "x".repeat(64))
             .getBytes(StandardCharsets.US_ASCII);
 
-    private final EmbeddedChannel requestsIn = channel(new StrictHttpDecoders.Requests());
-    private final EmbeddedChannel answersOut = channel(new HttpResponseEncoder());
-    private final EmbeddedChannel requestsOut = channel(new HttpRequestEncoder());
-    private final EmbeddedChannel answersIn = channel(new StrictHttpDecoders.Responses());
+    private final EmbeddedChannel inboundRequests = channel(new StrictHttpDecoders.Requests());
+    private final EmbeddedChannel outboundResponses = channel(new HttpResponseEncoder());
+    private final EmbeddedChannel outboundRequests = channel(new HttpRequestEncoder());
+    private final EmbeddedChannel inboundResponses = channel(new StrictHttpDecoders.Responses());
 
     private static EmbeddedChannel channel(ChannelHandler handler) {
         return new EmbeddedChannel(handler);
     }
 
-    private static ByteBuf bytes(byte[] from) {
-        return PooledByteBufAllocator.DEFAULT.directBuffer(from.length).writeBytes(from);
+    private static ByteBuf bytes(byte[] content) {
+        return PooledByteBufAllocator.DEFAULT.directBuffer(content.length).writeBytes(content);
     }
 
-    private static int drain(EmbeddedChannel channel, boolean in) {
-        int parts = 0;
-        for (Object each = in ? channel.readInbound() : channel.readOutbound();
-                each != null;
-                each = in ? channel.readInbound() : channel.readOutbound()) {
-            ReferenceCountUtil.release(each);
-            parts++;
+    private static int releaseMessages(EmbeddedChannel channel, boolean inbound) {
+        int count = 0;
+        for (Object message = inbound ? channel.readInbound() : channel.readOutbound();
+                message != null;
+                message = inbound ? channel.readInbound() : channel.readOutbound()) {
+            ReferenceCountUtil.release(message);
+            count++;
         }
-        return parts;
+        return count;
     }
 
-    /** A request of a caller. */
+    /** Decodes a request of a client. */
     @Benchmark
     public int requestDecoded() {
-        requestsIn.writeInbound(bytes(REQUEST));
-        return drain(requestsIn, true);
+        inboundRequests.writeInbound(bytes(REQUEST));
+        return releaseMessages(inboundRequests, true);
     }
 
-    /** A request to a server. */
+    /** Encodes a request to a server. */
     @Benchmark
     public int requestEncoded() {
         var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/lookup?q=1");
@@ -80,24 +83,24 @@
                 .set("Request-Id", "b123456")
                 .set("Request-Class", "lookup")
                 .set("Request-Timeout-Ms", "8000");
-        requestsOut.writeOutbound(request);
-        return drain(requestsOut, false);
+        outboundRequests.writeOutbound(request);
+        return releaseMessages(outboundRequests, false);
     }
 
-    /** A server's answer. */
+    /** Decodes a response of a server. */
     @Benchmark
-    public int answerDecoded() {
-        answersIn.writeInbound(bytes(ANSWER));
-        return drain(answersIn, true);
+    public int responseDecoded() {
+        inboundResponses.writeInbound(bytes(RESPONSE));
+        return releaseMessages(inboundResponses, true);
     }
 
-    /** An answer to a caller. */
+    /** Encodes a response to a client. */
     @Benchmark
-    public int answerEncoded() {
+    public int responseEncoded() {
         var response = new DefaultFullHttpResponse(
-                HttpVersion.HTTP_1_1, HttpResponseStatus.OK, bytes(ANSWER).writerIndex(64));
+                HttpVersion.HTTP_1_1, HttpResponseStatus.OK, bytes(RESPONSE).writerIndex(64));
         response.headers().set("Content-Type", "text/plain").set("Content-Length", 64);
-        answersOut.writeOutbound(response);
-        return drain(answersOut, false);
+        outboundResponses.writeOutbound(response);
+        return releaseMessages(outboundResponses, false);
     }
 }
--- a/src/bench/java/gatefront/bench/DecisionBench.java
+++ b/src/bench/java/gatefront/bench/DecisionBench.java
@@ -19,7 +19,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** The module by itself: a request that is sent and answered, and one that is refused. */
+/** Measures the decision module alone: a request that is sent and answered, and one that is refused. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -27,33 +27,33 @@
 @Measurement(iterations = 4, time = 1)
 @Fork(1)
 public class DecisionBench {
-    private static final long MS = 1_000;
+    private static final long MILLISECOND_MICROS = 1_000;
     private static final double[] NO_LOAD = new double[0];
 
-    /** How many servers are listed. */
+    /** The number of servers in the server list. */
     @Param({"14", "1000", "10000"})
     public int servers;
 
-    private AdaptiveBalancer rules;
-    private long now = 1_000_000_000;
+    private AdaptiveBalancer balancer;
+    private long nowMicros = 1_000_000_000;
     private long id;
-    private long sentTo;
-    private long refused;
+    private long selectedServer;
+    private long refusedCount;
 
-    private final class Host implements Balancer.Actions {
+    private final class RecordingActions implements Balancer.Actions {
         @Override
         public void send(long request, long server, long timeout) {
-            sentTo = server;
+            selectedServer = server;
         }
 
         @Override
         public void refuse(long request, long retryAfter) {
-            refused++;
+            refusedCount++;
         }
 
         @Override
         public void fail(long request) {
-            refused++;
+            refusedCount++;
         }
 
         @Override
@@ -81,35 +81,47 @@
         public void log(String line) {}
     }
 
-    /** Lists the servers. */
+    /** Creates the balancer and gives it the server list. */
     @Setup
-    public void set() throws Exception {
-        rules = new AdaptiveBalancer(
-                Config.read(Path.of("src/test/resources/config.json")).settings(), 7, now, new Host());
+    public void setUp() throws Exception {
+        balancer = new AdaptiveBalancer(
+                Config.read(Path.of("src/test/resources/config.json")).settings(),
+                7,
+                nowMicros,
+                new RecordingActions());
         List<Balancer.Server> list = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             list.add(new Balancer.Server(1 + i, 0, 0, 0, Balancer.Phase.READY, 1, 0));
         }
-        rules.servers(now, Balancer.ListKind.FULL, list);
+        balancer.servers(nowMicros, Balancer.ListKind.FULL, list);
     }
 
-    /** A safe request, sent at once and answered after 5 ms; 1,000 come a second. */
+    /** A safe request that is sent immediately and answered after 5 ms, at 1,000 requests per second. */
     @Benchmark
     public long served() {
         id++;
-        sentTo = 0;
-        rules.request(now, new Balancer.Request(id, 0, 0, 0, 0, now + 8_000 * MS, false, false));
-        rules.outcome(now + 5 * MS, id, 0, sentTo, Balancer.Outcome.OK, 5 * MS, true, NO_LOAD);
-        now += MS;
-        return sentTo;
+        selectedServer = 0;
+        balancer.request(
+                nowMicros, new Balancer.Request(id, 0, 0, 0, 0, nowMicros + 8_000 * MILLISECOND_MICROS, false, false));
+        balancer.outcome(
+                nowMicros + 5 * MILLISECOND_MICROS,
+                id,
+                0,
+                selectedServer,
+                Balancer.Outcome.OK,
+                5 * MILLISECOND_MICROS,
+                true,
+                NO_LOAD);
+        nowMicros += MILLISECOND_MICROS;
+        return selectedServer;
     }
 
-    /** A request whose time is up when it comes. */
+    /** A request whose deadline has passed when it arrives. */
     @Benchmark
     public long refused() {
         id++;
-        rules.request(now, new Balancer.Request(id, 2, 0, 0, 0, now, false, false));
-        now += MS;
-        return refused;
+        balancer.request(nowMicros, new Balancer.Request(id, 2, 0, 0, 0, nowMicros, false, false));
+        nowMicros += MILLISECOND_MICROS;
+        return refusedCount;
     }
 }
--- a/src/bench/java/gatefront/bench/Load.java
+++ b/src/bench/java/gatefront/bench/Load.java
@@ -19,63 +19,63 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** A closed loop: each connection has one request out, and sends the next when it has the answer. */
+/** A closed-loop load generator: each connection has one request outstanding and sends the next after its response. */
 final class Load implements AutoCloseable {
     private static final AtomicLong IDS = new AtomicLong();
 
     private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final Bootstrap bootstrap;
-    private final boolean anew;
+    private final boolean connectionPerRequest;
     private final Histogram micros = new ConcurrentHistogram(60_000_000, 3);
     private final AtomicLong refused = new AtomicLong();
-    private final AtomicLong broken = new AtomicLong();
-    private volatile boolean over;
+    private final AtomicLong disconnected = new AtomicLong();
+    private volatile boolean closed;
 
     /**
-     * A load that has not begun.
+     * Creates a load generator without connections.
      *
-     * @param port of what is measured
-     * @param anew whether each request comes by a connection of its own
+     * @param port the port on loopback of the process under test
+     * @param connectionPerRequest whether each request uses a new connection
      */
-    Load(int port, boolean anew) {
-        this.anew = anew;
+    Load(int port, boolean connectionPerRequest) {
+        this.connectionPerRequest = connectionPerRequest;
         this.bootstrap = new Bootstrap()
                 .group(loops)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.SO_LINGER, anew ? 0 : -1)
+                .option(ChannelOption.SO_LINGER, connectionPerRequest ? 0 : -1)
                 .remoteAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                        ch.pipeline().addLast(new Asking());
+                        ch.pipeline().addLast(new RequestLoop());
                     }
                 });
     }
 
-    /** Opens connections that ask. */
+    /** Opens connections that send requests. */
     void open(int connections) {
         for (int i = 0; i < connections; i++) {
             bootstrap.connect();
         }
     }
 
-    /** Opens connections that ask nothing. */
-    void idle(int connections) throws InterruptedException {
-        Bootstrap quiet = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
+    /** Opens connections that send nothing. */
+    void openIdle(int connections) throws InterruptedException {
+        Bootstrap idleBootstrap = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel ch) {}
         });
         for (int i = 0; i < connections; i++) {
-            quiet.connect().sync();
+            idleBootstrap.connect().sync();
         }
     }
 
-    /** Forgets what was measured. */
-    void begin() {
+    /** Discards all measurements so far. */
+    void reset() {
         micros.reset();
         refused.set(0);
-        broken.set(0);
+        disconnected.set(0);
     }
 
     Histogram micros() {
@@ -86,48 +86,53 @@
         return refused.get();
     }
 
-    /** Connections that ended before an answer. */
-    long broken() {
-        return broken.get();
+    /** Returns the number of connections that were closed before a response arrived. */
+    long disconnected() {
+        return disconnected.get();
     }
 
     @Override
-    public void close() throws InterruptedException {
-        over = true;
-        loops.shutdownGracefully(0, 2, TimeUnit.SECONDS).sync();
+    public void close() {
+        closed = true;
+        try {
+            loops.shutdownGracefully(0, 2, TimeUnit.SECONDS).sync();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
     }
 
-    private final class Asking extends SimpleChannelInboundHandler<ByteBuf> {
-        private final StringBuilder head = new StringBuilder();
-        private long body = -1;
-        private long sentAt;
+    private final class RequestLoop extends SimpleChannelInboundHandler<ByteBuf> {
+        private final StringBuilder responseHead = new StringBuilder();
+        private long bodyBytesLeft = -1;
+        /** The time of the current request by {@link System#nanoTime}: 0 before the first, -1 between two connections. */
+        private long sentNanos;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            ask(ctx);
+            sendRequest(ctx);
         }
 
-        private void ask(ChannelHandlerContext ctx) {
-            if (sentAt == 0 || !anew) {
-                sentAt = System.nanoTime();
+        private void sendRequest(ChannelHandlerContext ctx) {
+            if (sentNanos == 0 || !connectionPerRequest) {
+                sentNanos = System.nanoTime();
             }
             ctx.writeAndFlush(Unpooled.copiedBuffer(
                     "GET /lookup?q=1 HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: b"
                             + IDS.incrementAndGet() + "\r\nRequest-Class: lookup\r\nRequest-Timeout-Ms: 8000\r\n"
-                            + (anew ? "Connection: close\r\n" : "") + "\r\n",
+                            + (connectionPerRequest ? "Connection: close\r\n" : "") + "\r\n",
                     StandardCharsets.US_ASCII));
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
             while (bytes.isReadable()) {
-                if (body < 0) {
-                    head.append((char) bytes.readByte());
-                    int end = head.length() - 4;
-                    if (end >= 0 && head.indexOf("\r\n\r\n", end) == end) {
-                        String text = head.toString().toLowerCase();
+                if (bodyBytesLeft < 0) {
+                    responseHead.append((char) bytes.readByte());
+                    int end = responseHead.length() - 4;
+                    if (end >= 0 && responseHead.indexOf("\r\n\r\n", end) == end) {
+                        String text = responseHead.toString().toLowerCase();
                         int at = text.indexOf("content-length:");
-                        body = at < 0
+                        bodyBytesLeft = at < 0
                                 ? 0
                                 : Long.parseLong(text.substring(at + 15, text.indexOf('\r', at))
                                         .trim());
@@ -136,36 +141,36 @@
                         }
                     }
                 } else {
-                    int part = (int) Math.min(body, bytes.readableBytes());
-                    bytes.skipBytes(part);
-                    body -= part;
+                    int length = (int) Math.min(bodyBytesLeft, bytes.readableBytes());
+                    bytes.skipBytes(length);
+                    bodyBytesLeft -= length;
                 }
-                if (body == 0) {
-                    answered(ctx);
+                if (bodyBytesLeft == 0) {
+                    responseReceived(ctx);
                 }
             }
         }
 
-        private void answered(ChannelHandlerContext ctx) {
-            head.setLength(0);
-            body = -1;
-            micros.recordValue(Math.min(60_000_000, (System.nanoTime() - sentAt) / 1_000));
-            if (over) {
+        private void responseReceived(ChannelHandlerContext ctx) {
+            responseHead.setLength(0);
+            bodyBytesLeft = -1;
+            micros.recordValue(Math.min(60_000_000, (System.nanoTime() - sentNanos) / 1_000));
+            if (closed) {
                 ctx.close();
-            } else if (anew) {
-                sentAt = -1;
+            } else if (connectionPerRequest) {
+                sentNanos = -1;
                 ctx.close();
             } else {
-                ask(ctx);
+                sendRequest(ctx);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (sentAt != -1) {
-                broken.incrementAndGet();
+            if (sentNanos != -1) {
+                disconnected.incrementAndGet();
             }
-            if (!over) {
+            if (!closed) {
                 bootstrap.connect();
             }
         }
--- a/src/bench/java/gatefront/bench/Relay.java
+++ b/src/bench/java/gatefront/bench/Relay.java
@@ -15,31 +15,34 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 
-/** The floor: takes connections, makes one to a server for each, and writes on what it reads. Nothing else. */
+/**
+ * The baseline of {@link Costs}: opens one connection to a server for each connection that it accepts, and forwards the
+ * bytes in both directions without parsing them.
+ */
 final class Relay {
     private Relay() {}
 
-    /** Writes on to another channel, and ends it with its own. */
-    private static final class Onward extends ChannelInboundHandlerAdapter {
-        private final Channel to;
+    /** Forwards all bytes to another channel and closes that channel when its own closes. */
+    private static final class Forwarder extends ChannelInboundHandlerAdapter {
+        private final Channel destination;
 
-        Onward(Channel to) {
-            this.to = to;
+        Forwarder(Channel destination) {
+            this.destination = destination;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            to.write(bytes, to.voidPromise());
+            destination.write(bytes, destination.voidPromise());
         }
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            to.flush();
+            destination.flush();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            to.close();
+            destination.close();
         }
 
         @Override
@@ -48,7 +51,7 @@
         }
     }
 
-    /** One argument: the server's port on loopback. Prints the port that it listens on. */
+    /** Runs the relay. The argument is the port of the server on loopback; prints the port that it listens on. */
     public static void main(String[] args) throws Exception {
         InetSocketAddress server = new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(args[0]));
         MultiThreadIoEventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -65,11 +68,11 @@
                                 .group(loop)
                                 .channel(NioSocketChannel.class)
                                 .option(ChannelOption.TCP_NODELAY, true)
-                                .handler(new Onward(client))
+                                .handler(new Forwarder(client))
                                 .connect(server)
                                 .addListener((ChannelFutureListener) done -> {
                                     if (done.isSuccess()) {
-                                        client.pipeline().addLast(new Onward(done.channel()));
+                                        client.pipeline().addLast(new Forwarder(done.channel()));
                                         client.config().setAutoRead(true);
                                     } else {
                                         client.close();
--- a/src/bench/java/gatefront/bench/Servers.java
+++ b/src/bench/java/gatefront/bench/Servers.java
@@ -17,17 +17,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Servers that answer each request at once. Requests are without bodies, so that each ends with an empty line. */
+/** Servers that answer each request immediately. Requests must have no body: the empty line ends each of them. */
 final class Servers implements AutoCloseable {
-    private static final byte[] ANSWER = ("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 64\r\n\r\n"
+    private static final byte[] RESPONSE = ("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 64\r\n\r\n"
                     + "x".repeat(64))
             .getBytes(StandardCharsets.US_ASCII);
 
     private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final List<Integer> ports = new ArrayList<>();
 
-    /** So many; whether they answer at all. */
-    Servers(int count, boolean answering) throws InterruptedException {
+    /**
+     * Starts servers on loopback.
+     *
+     * @param count the number of servers
+     * @param responding whether they answer requests; otherwise they accept connections and stay silent
+     */
+    Servers(int count, boolean responding) throws InterruptedException {
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(loops)
                 .channel(NioServerSocketChannel.class)
@@ -36,8 +41,8 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                        if (answering) {
-                            ch.pipeline().addLast(new Answering());
+                        if (responding) {
+                            ch.pipeline().addLast(new ResponseHandler());
                         }
                     }
                 });
@@ -59,17 +64,18 @@
         loops.shutdownGracefully();
     }
 
-    private static final class Answering extends SimpleChannelInboundHandler<ByteBuf> {
-        /** How much of the empty line has come. */
-        private int ending;
+    private static final class ResponseHandler extends SimpleChannelInboundHandler<ByteBuf> {
+        /** The number of bytes of the terminating CR LF CR LF that have been read. */
+        private int matchedTerminatorBytes;
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
             while (bytes.isReadable()) {
-                ending = bytes.readByte() == "\r\n\r\n".charAt(ending) ? ending + 1 : 0;
-                if (ending == 4) {
-                    ending = 0;
-                    ctx.write(Unpooled.wrappedBuffer(ANSWER));
+                matchedTerminatorBytes =
+                        bytes.readByte() == "\r\n\r\n".charAt(matchedTerminatorBytes) ? matchedTerminatorBytes + 1 : 0;
+                if (matchedTerminatorBytes == 4) {
+                    matchedTerminatorBytes = 0;
+                    ctx.write(Unpooled.wrappedBuffer(RESPONSE));
                 }
             }
             ctx.flush();
