--- a/src/main/java/gatefront/cli/LedgerCommand.java
+++ b/src/main/java/gatefront/cli/LedgerCommand.java
@@ -58,13 +58,13 @@
         @Spec
         CommandSpec spec;
 
-        @Parameters(index = "0", paramLabel = "FOLDER", description = "folder of the ledger")
+        @Parameters(index = "0", paramLabel = "FOLDER", description = "Folder of the ledger.")
         Path folder;
 
         @Option(
                 names = "--keys",
                 paramLabel = "FILE",
-                description = "file with the keys that the ledger is signed with")
+                description = "File with the keys that the ledger is signed with.")
         Path keyFile;
 
         SigningKeys keys() throws IOException {
@@ -99,10 +99,10 @@
             description =
                     "Print the totals of use by municipio and class, and the instances whose entries are incomplete.")
     static final class Show extends LedgerFolderCommand {
-        @Option(names = "--period", paramLabel = "N", description = "only this period")
+        @Option(names = "--period", paramLabel = "N", description = "Only this period.")
         private Long period;
 
-        @Option(names = "--expect", paramLabel = "NAME", split = ",", description = "instances that must have entries")
+        @Option(names = "--expect", paramLabel = "NAME", split = ",", description = "Instances that must have entries.")
         private List<String> expected = new ArrayList<>();
 
         @Option(names = "--json", description = "Print JSON, one line per total.")
@@ -216,7 +216,7 @@
         @Option(names = "--csv", description = "Print CSV instead of JSON.")
         private boolean csv;
 
-        @Option(names = "--period", paramLabel = "N", description = "only this period")
+        @Option(names = "--period", paramLabel = "N", description = "Only this period.")
         private Long period;
 
         @Override
@@ -240,7 +240,7 @@
             mixinStandardHelpOptions = true,
             description = "Print each entry that differs between two ledgers or is missing from one of them.")
     static final class Differences extends LedgerFolderCommand {
-        @Parameters(index = "1", paramLabel = "OTHER", description = "folder of the other ledger")
+        @Parameters(index = "1", paramLabel = "OTHER", description = "Folder of the other ledger.")
         private Path other;
 
         @Override
@@ -281,26 +281,29 @@
                 names = "--period",
                 paramLabel = "N",
                 required = true,
-                description = "the open period that the correction is written in")
+                description = "The open period that the correction is written in.")
         private long period;
 
-        @Option(names = "--requests", paramLabel = "N", description = "difference in requests; negative to reduce them")
+        @Option(
+                names = "--requests",
+                paramLabel = "N",
+                description = "Difference in requests; negative to reduce them.")
         private long requests;
 
-        @Option(names = "--worth", paramLabel = "N", description = "difference in worth, in millionths")
+        @Option(names = "--worth", paramLabel = "N", description = "Difference in worth, in millionths.")
         private long worth;
 
-        @Option(names = "--work", paramLabel = "N", description = "difference in work, in microseconds")
+        @Option(names = "--work", paramLabel = "N", description = "Difference in work, in microseconds.")
         private long work;
 
-        @Option(names = "--bytes", paramLabel = "N", description = "difference in bytes")
+        @Option(names = "--bytes", paramLabel = "N", description = "Difference in bytes.")
         private long bytes;
 
         @Option(
                 names = "--why",
                 paramLabel = "TEXT",
                 required = true,
-                description = "reason, as a sentence for the municipio")
+                description = "Reason, as a sentence for the municipio.")
         private String why;
 
         @Override
--- a/src/main/java/gatefront/cli/Main.java
+++ b/src/main/java/gatefront/cli/Main.java
@@ -19,7 +19,7 @@
     static final String USAGE =
             """
         usage: java -jar gatefront.jar COMMAND
-          rehearse [PLAN]  run a plan with real agents against stand-ins, and report; see rehearse --help
+          rehearse [PLAN]  play a plan with real agents against stand-ins, and report; see rehearse --help
           demo             run an agent with stand-in nodos on loopback, and print requests to try
           plan [PLAN]      print a built-in plan, or check a plan file
           registry         print what a registry holds and how it changes; see registry watch --help
--- a/src/main/java/gatefront/cli/RecoveryCommand.java
+++ b/src/main/java/gatefront/cli/RecoveryCommand.java
@@ -52,7 +52,7 @@
         @Spec
         private CommandSpec spec;
 
-        @Parameters(paramLabel = "FOLDER", description = "folder of the store")
+        @Parameters(paramLabel = "FOLDER", description = "Folder of the store.")
         private Path folder;
 
         @Option(names = "--json", description = "Print one line of JSON.")
@@ -108,14 +108,14 @@
         @Spec
         private CommandSpec spec;
 
-        @Parameters(paramLabel = "FOLDER", description = "folder of the new store; its parent folder must exist")
+        @Parameters(paramLabel = "FOLDER", description = "Folder of the new store; its parent folder must exist.")
         private Path folder;
 
         @Option(
                 names = "--instance",
                 paramLabel = "NAME",
                 required = true,
-                description = "instance name of the agent, unique among all agents")
+                description = "Instance name of the agent, unique among all agents.")
         private String instance;
 
         @Override
--- a/src/main/java/gatefront/cli/RegistryCommand.java
+++ b/src/main/java/gatefront/cli/RegistryCommand.java
@@ -47,25 +47,28 @@
         @Spec
         private CommandSpec spec;
 
-        @Parameters(index = "0", paramLabel = "URL", description = "etcd://ADDRESS:PORT or consul://ADDRESS:PORT")
+        @Parameters(
+                index = "0",
+                paramLabel = "URL",
+                description = "Address of the registry: etcd://ADDRESS:PORT or consul://ADDRESS:PORT.")
         private String url;
 
         @Parameters(
                 index = "1",
                 paramLabel = "PREFIX",
-                description = "prefix of the keys, with its trailing slash, for example oaxaca/")
+                description = "Prefix of the keys, with its trailing slash, for example oaxaca/.")
         private String prefix;
 
-        @Option(names = "--user", description = "etcd user")
+        @Option(names = "--user", description = "User of etcd.")
         private String user;
 
-        @Option(names = "--password-file", description = "file that holds the password of the user")
+        @Option(names = "--password-file", description = "File that holds the password of the user.")
         private String passwordFile;
 
-        @Option(names = "--token-file", description = "file that holds the Consul token")
+        @Option(names = "--token-file", description = "File that holds the Consul token.")
         private String tokenFile;
 
-        @Option(names = "--once", description = "exit after the existing keys have been printed")
+        @Option(names = "--once", description = "Exit after the existing keys have been printed.")
         private boolean once;
 
         @Override
--- a/src/main/java/gatefront/cli/RehearseCommand.java
+++ b/src/main/java/gatefront/cli/RehearseCommand.java
@@ -35,8 +35,8 @@
         subcommands = ProcessesCommand.class,
         description = {
             "Play a plan with the real agents against stand-ins in virtual time, and report.",
-            "The same plan and seed give the same report. Exit status: 0 all rules kept, 3 a rule broken,",
-            "2 invalid usage, 1 unusable plan."
+            "The same plan and seed give the same report.",
+            "Exit status: 0 all rules kept, 3 a rule broken, 2 invalid usage, 1 unusable plan."
         })
 final class RehearseCommand implements Callable<Integer> {
     private static final Pattern SEED_RANGE = Pattern.compile("(\\d{1,15})\\.\\.(\\d{1,15})");
--- a/src/main/java/gatefront/cli/StatusCommand.java
+++ b/src/main/java/gatefront/cli/StatusCommand.java
@@ -24,10 +24,10 @@
     /** The limit for connecting and for each read, in milliseconds. */
     private static final int TIMEOUT_MS = 5_000;
 
-    @Parameters(paramLabel = "ADDRESS", description = "for example 127.0.0.1:9191")
+    @Parameters(paramLabel = "ADDRESS", description = "Address of the status page, for example 127.0.0.1:9191.")
     private String address;
 
-    @Option(names = "--json", description = "As JSON.")
+    @Option(names = "--json", description = "Print JSON.")
     private boolean json;
 
     @Spec
