--- a/src/main/java/gatefront/agent/Agent.java
+++ b/src/main/java/gatefront/agent/Agent.java
@@ -152,7 +152,7 @@
                 : thrift.probes() ? List.of(thriftUpstream, httpUpstream) : List.of(httpUpstream, thriftUpstream);
         discovery = new Discovery(transport, config, new Discovery.Listener() {
             @Override
-            public void list(Balancer.ListKind kind, List<Endpoint> endpoints) {
+            public void listReceived(Balancer.ListKind kind, List<Endpoint> endpoints) {
                 if (membershipSources != null) {
                     membershipSources.onPadronList(kind, endpoints);
                 } else {
@@ -162,7 +162,7 @@
             }
 
             @Override
-            public void failed(String reason) {
+            public void requestFailed(String reason) {
                 log("discovery: " + reason);
                 if (config.settings().askDiscovery()) {
                     engine.updateServers(Balancer.ListKind.FAILED, List.of());
@@ -186,7 +186,7 @@
                     @Override
                     public void fetch() {
                         if (usesPadron()) {
-                            discovery.fetch();
+                            discovery.fetchFullList();
                         }
                     }
                 },
@@ -421,13 +421,13 @@
         long grace =
                 Math.min(FIRST_LIST_TIMEOUT_MS, config.settings().obligations().drainGrace() / 1_000);
         engine.setStallDetector(StallDetector.forStartup(transport.nanos() / 1_000, grace * 1_000), grace, () -> {});
-        Discovery.Listing knownList;
+        Discovery.ServerListResponse knownList;
         try {
             knownList = Discovery.decode(
                     stateRecovery == null ? config.known() : stateRecovery.initialList(config.known()), config);
         } catch (IllegalArgumentException e) {
             log("known list: " + e.getMessage());
-            knownList = new Discovery.Listing(0, true, List.of());
+            knownList = new Discovery.ServerListResponse(0, true, List.of());
         }
         if (membershipSources == null) {
             onServerList(Balancer.ListKind.CACHED, knownList.endpoints());
@@ -490,7 +490,7 @@
                     detector.lastGapMicros() / 1e6,
                     LIST_REFRESH_TIMEOUT_MICROS / 1000));
             if (usesPadron()) {
-                discovery.fetch();
+                discovery.fetchFullList();
             }
         });
         loop.scheduleWithFixedDelay(engine::checkForStall, STALL_CHECK_MS, STALL_CHECK_MS, TimeUnit.MILLISECONDS);
@@ -619,7 +619,7 @@
                         stateRecovery.configChanged(changed);
                     }
                     if (usesPadron()) {
-                        discovery.moveTo(changed.discovery());
+                        discovery.changeAddress(changed.discovery());
                     }
                     applied = true;
                 } catch (IllegalArgumentException e) {
--- a/src/main/java/gatefront/cli/RegistryCommand.java
+++ b/src/main/java/gatefront/cli/RegistryCommand.java
@@ -83,7 +83,7 @@
                     @Override
                     public void changed(boolean full, List<KeyChange> changes, Map<String, KeyEntry> all) {
                         for (KeyChange change : changes) {
-                            out.println(change.modified()
+                            out.println(change.modRevision()
                                     + (change.value() == null
                                             ? " delete " + change.key()
                                             : " put " + change.key() + " " + change.value()));
@@ -95,8 +95,8 @@
                     }
 
                     @Override
-                    public void stale(boolean stale) {
-                        out.println(stale ? "# stale" : "# confirmed again");
+                    public void staleChanged(boolean isStale) {
+                        out.println(isStale ? "# stale" : "# confirmed again");
                         out.flush();
                     }
                 });
