--- a/src/main/java/gatefront/cli/Main.java
+++ b/src/main/java/gatefront/cli/Main.java
@@ -86,7 +86,7 @@
                     new Signal("HUP"), signal -> started.thenAccept(running -> running.reload(file, extensionsFile)));
             // The JVM leaves an ignored signal ignored, so the handler would never be called.
             if (previous == SignalHandler.SIG_IGN) {
-                err.println("reload: SIGHUP is ignored in this process, so a new configuration needs a restart; "
+                err.println("reload: SIGHUP is ignored here, so a new configuration needs a restart; "
                         + "start the agent without nohup");
             }
             agent = Agent.start(file, extensionsFile, management, tmpDir == null ? null : Path.of(tmpDir));
