--- a/src/main/java/gatefront/agent/Agent.java
+++ b/src/main/java/gatefront/agent/Agent.java
@@ -138,8 +138,8 @@
         this.transport = transport;
         loop = transport.loop();
         int connectionLimit = (config.sockets() - RESERVED_SOCKETS) / (thrift == null ? 2 : 4);
-        defaultCaps = defaultCaps(transport.memory(), connectionLimit * (thrift == null ? 1 : 2));
-        budget = new ResourceBudget(transport.memory(), defaultCaps);
+        defaultCaps = defaultCaps(transport.maxMemoryBytes(), connectionLimit * (thrift == null ? 1 : 2));
+        budget = new ResourceBudget(transport.maxMemoryBytes(), defaultCaps);
         applyCaps(extensions);
         status = extensions.memory() == null || extensions.memory().status() == null
                 ? null
@@ -149,7 +149,9 @@
                 thrift == null ? null : new ThriftUpstream(transport, config, thrift, connectionLimit, budget);
         List<Upstream> upstreams = thriftUpstream == null
                 ? List.of(httpUpstream)
-                : thrift.probes() ? List.of(thriftUpstream, httpUpstream) : List.of(httpUpstream, thriftUpstream);
+                : thrift.probesOverThrift()
+                        ? List.of(thriftUpstream, httpUpstream)
+                        : List.of(httpUpstream, thriftUpstream);
         discovery = new Discovery(transport, config, new Discovery.Listener() {
             @Override
             public void listReceived(Balancer.ListKind kind, List<Endpoint> endpoints) {
@@ -285,7 +287,7 @@
      * @throws IOException if an address cannot be listened on
      */
     public static Agent start(Path config, Path extensions, String management, Path shared) throws IOException {
-        Config parsed = Config.read(config).managedAt(management);
+        Config parsed = Config.read(config).withManagementAddress(management);
         return serve(
                 parsed,
                 extensions == null ? Extensions.NONE : Extensions.read(extensions, parsed),
@@ -424,7 +426,10 @@
         Discovery.ServerListResponse knownList;
         try {
             knownList = Discovery.decode(
-                    stateRecovery == null ? config.known() : stateRecovery.initialList(config.known()), config);
+                    stateRecovery == null
+                            ? config.cachedServerList()
+                            : stateRecovery.initialList(config.cachedServerList()),
+                    config);
         } catch (IllegalArgumentException e) {
             log("known list: " + e.getMessage());
             knownList = new Discovery.ServerListResponse(0, true, List.of());
@@ -604,13 +609,13 @@
             loop.execute(() -> {
                 boolean applied = false;
                 try {
-                    Config changed = config.changedBy(source.get());
+                    Config changed = config.reloadedWith(source.get());
                     Extensions extensions = extensionsReader.apply(changed);
                     // Both files are read and validated; nothing fails from here on.
                     if (extensions != null) {
                         applyCaps(extensions);
                     }
-                    if (!changed.source().equals(config.source())) {
+                    if (!changed.settingsJson().equals(config.settingsJson())) {
                         engine.updateSettings(changed.settings());
                         httpFrontend.updateConfig(changed);
                     }
--- a/src/main/java/gatefront/agent/MemorySettings.java
+++ b/src/main/java/gatefront/agent/MemorySettings.java
@@ -27,10 +27,10 @@
             try {
                 status = Config.address(table.text("status", null));
             } catch (IllegalArgumentException e) {
-                throw table.bad("status", "must be a literal address and a port, as in \"127.0.0.1:9191\"");
+                throw table.invalid("status", "must be a literal address and a port, as in \"127.0.0.1:9191\"");
             }
             if (!status.getAddress().isLoopbackAddress()) {
-                throw table.bad("status", "must be a loopback address: the page has no access control");
+                throw table.invalid("status", "must be a loopback address: the page has no access control");
             }
         }
         Map<ResourcePurpose, ResourceBudget.Cap> caps = new EnumMap<>(ResourcePurpose.class);
@@ -39,22 +39,22 @@
                 .toList();
         for (TomlTable capTable : table.tables("caps")) {
             ResourcePurpose purpose = ResourcePurpose.values()[words.indexOf(capTable.word("purpose", null, words))];
-            int entries = capTable.whole("entries", -1, 1, MAX_ENTRIES);
+            int entries = capTable.integer("entries", -1, 1, MAX_ENTRIES);
             double kib = capTable.number("kib", -1.0, 1, MAX_KIB);
             if (purpose == ResourcePurpose.REGISTRY) {
-                throw capTable.bad("purpose", "the cap of registry is set by keys in [registry]");
+                throw capTable.invalid("purpose", "the cap of registry is set by keys in [registry]");
             }
             if (entries >= 0 && !purpose.limitsEntries()) {
-                throw capTable.bad("entries", "does not apply to " + purpose.label() + ", which is capped by kib");
+                throw capTable.invalid("entries", "does not apply to " + purpose.label() + ", which is capped by kib");
             }
             if (kib >= 0 && !purpose.limitsBytes()) {
-                throw capTable.bad("kib", "does not apply to " + purpose.label() + ", which is capped by entries");
+                throw capTable.invalid("kib", "does not apply to " + purpose.label() + ", which is capped by entries");
             }
             if (entries < 0 && kib < 0) {
-                throw capTable.bad("entries", "is missing; a cap needs entries, kib or both");
+                throw capTable.invalid("entries", "is missing; a cap needs entries, kib or both");
             }
             if (caps.put(purpose, new ResourceBudget.Cap(entries, kib < 0 ? -1 : (long) (1024 * kib))) != null) {
-                throw capTable.bad("purpose", "\"" + purpose.label() + "\" appears more than once");
+                throw capTable.invalid("purpose", "\"" + purpose.label() + "\" appears more than once");
             }
         }
         return new MemorySettings(status, caps);
--- a/src/main/java/gatefront/cli/RegistryCommand.java
+++ b/src/main/java/gatefront/cli/RegistryCommand.java
@@ -124,7 +124,7 @@
             addSetting(text, "token_file", tokenFile);
             TomlTable root = TomlFile.parse("command line", text.toString());
             RegistrySettings settings = RegistrySettingsReader.read(root.table("registry"));
-            root.finish();
+            root.rejectUnknownKeys();
             return settings;
         }
 
--- a/src/main/java/gatefront/registry/ConsulConnector.java
+++ b/src/main/java/gatefront/registry/ConsulConnector.java
@@ -60,7 +60,7 @@
         this.follower = follower;
         this.bootstrap = new Bootstrap()
                 .group(transport.loop())
-                .channelFactory(transport.dialers())
+                .channelFactory(transport.clientChannels())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .disableResolver()
@@ -192,7 +192,7 @@
                 throw new IllegalArgumentException("invalid index " + index);
             }
             if (status == 200) {
-                JsonNode root = Config.json(body);
+                JsonNode root = Config.parseJson(body);
                 entries = settings.service() == null
                         ? decodeKeys(root, index)
                         : ConsulHealth.decode(root, settings.prefix(), index);
--- a/src/test/java/gatefront/agent/AgentTest.java
+++ b/src/test/java/gatefront/agent/AgentTest.java
@@ -448,7 +448,7 @@
                 .add(AgentFixture.endpoint(2, "127.0.0.1:9", "Gone"));
         entry.put("since_ms", 1_700_000_000_123L);
         List<gatefront.membership.Endpoint> list = gatefront.padron.Discovery.decode(
-                        fixture.config.get("known"), Config.of(fixture.config))
+                        fixture.config.get("known"), Config.fromJson(fixture.config))
                 .endpoints();
         assertEquals(1_700_000_000_123_000L, list.get(0).server().startedAt());
         assertEquals(0, list.get(1).server().startedAt());
@@ -653,15 +653,15 @@
         fixture.config.put("seed", "not hex");
         assertEquals(
                 "config: seed has an unusable value: not hex",
-                assertThrows(IllegalArgumentException.class, () -> Config.of(fixture.config))
+                assertThrows(IllegalArgumentException.class, () -> Config.fromJson(fixture.config))
                         .getMessage());
         fixture.config.put("seed", "1").put("listen", "somewhere");
         assertEquals(
                 "unusable address: somewhere",
-                assertThrows(IllegalArgumentException.class, () -> Config.of(fixture.config))
+                assertThrows(IllegalArgumentException.class, () -> Config.fromJson(fixture.config))
                         .getMessage());
         fixture.config.remove("settings");
-        assertThrows(IllegalArgumentException.class, () -> Config.of(fixture.config));
+        assertThrows(IllegalArgumentException.class, () -> Config.fromJson(fixture.config));
     }
 
     /**
@@ -681,7 +681,7 @@
         });
         fixture.config.put("discovery", slow.address());
         fixture.settings("obligations", o -> o.put("stop-sending-within-us", 900_000));
-        fixture.agent = Agent.start(Config.of(fixture.config));
+        fixture.agent = Agent.start(Config.fromJson(fixture.config));
         Socket socket = fixture.dial();
         ScriptedPeer.write(socket, fixture.request("lookup", 8_000, ""));
         called.countDown();
@@ -696,7 +696,7 @@
         fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "old"));
         ScriptedPeer silent = fixture.peer((message, socket) -> new CountDownLatch(1).await());
         fixture.config.put("discovery", silent.address());
-        fixture.agent = Agent.start(Config.of(fixture.config));
+        fixture.agent = Agent.start(Config.fromJson(fixture.config));
         long startNanos = System.nanoTime();
         Socket socket = fixture.dial();
         assertEquals(
--- a/src/test/java/gatefront/agent/MemoryTest.java
+++ b/src/test/java/gatefront/agent/MemoryTest.java
@@ -48,8 +48,8 @@
     }
 
     private AgentFixture start(String caps) throws IOException, TomlException {
-        return fixture.start(
-                Extensions.parse("x.toml", "[memory]\nstatus = \"127.0.0.1:0\"\n" + caps, Config.of(fixture.config)));
+        return fixture.start(Extensions.parse(
+                "x.toml", "[memory]\nstatus = \"127.0.0.1:0\"\n" + caps, Config.fromJson(fixture.config)));
     }
 
     private static String capTable(ResourcePurpose purpose, String figures) {
@@ -382,7 +382,7 @@
             String message = assertThrows(
                             TomlException.class,
                             () -> Extensions.parse(
-                                    "x.toml", "[memory]\n" + testCase.get(0) + "\n", Config.of(fixture.config)))
+                                    "x.toml", "[memory]\n" + testCase.get(0) + "\n", Config.fromJson(fixture.config)))
                     .getMessage();
             assertTrue(message.contains(testCase.get(1)) && message.lines().count() == 1, message);
         }
--- a/src/test/java/gatefront/agent/ThriftAgentFixture.java
+++ b/src/test/java/gatefront/agent/ThriftAgentFixture.java
@@ -110,7 +110,7 @@
     }
 
     ThriftAgentFixture start() throws IOException {
-        Config parsed = Config.of(config);
+        Config parsed = Config.fromJson(config);
         List<String> classes = parsed.classes();
         Map<String, Method> methods = new java.util.HashMap<>();
         for (String type : List.of("lookup", "pay", "order")) {
