--- a/src/main/java/gatefront/agent/LedgerSettings.java
+++ b/src/main/java/gatefront/agent/LedgerSettings.java
@@ -24,12 +24,12 @@
     static LedgerSettings read(TomlTable table) throws TomlException {
         String instance = table.text("instance", null);
         if (!instance.matches(EntryId.INSTANCE_PATTERN)) {
-            throw table.bad("instance", "must be letters, digits, dots and dashes, at most 64");
+            throw table.invalid("instance", "must be letters, digits, dots and dashes, at most 64");
         }
         double periodSeconds = table.number("period_s", DAY_SECONDS, 1, 366 * DAY_SECONDS);
         double writeSeconds = table.number("write_s", DEFAULT_WRITE_SECONDS, 0.1, DAY_SECONDS);
         if (2 * writeSeconds > periodSeconds) {
-            throw table.bad("write_s", "must be at most half of period_s, so that a period is written in time");
+            throw table.invalid("write_s", "must be at most half of period_s, so that a period is written in time");
         }
         String keys = table.text("keys", "");
         return new LedgerSettings(
--- a/src/main/java/gatefront/agent/MembershipSources.java
+++ b/src/main/java/gatefront/agent/MembershipSources.java
@@ -43,7 +43,7 @@
             Runnable onCurrentList) {
         this.listListener = listListener;
         this.onCurrentList = onCurrentList;
-        this.usesPadron = !settings.instead();
+        this.usesPadron = !settings.replacesPadron();
         this.membership =
                 new Membership(usesPadron ? List.of("padrón", "registry") : List.of("registry"), transport::log);
         int registryIndex = usesPadron ? PADRON + 1 : 0;
--- a/src/main/java/gatefront/agent/RecoverySettings.java
+++ b/src/main/java/gatefront/agent/RecoverySettings.java
@@ -50,19 +50,20 @@
     static RecoverySettings read(TomlTable table, TomlTable rehearsal) throws TomlException {
         String instance = table.text("instance", null);
         if (!instance.matches(EntryId.INSTANCE_PATTERN)) {
-            throw table.bad("instance", "must be letters, digits, dots and dashes, at most 64");
+            throw table.invalid("instance", "must be letters, digits, dots and dashes, at most 64");
         }
         double markSeconds = table.number("mark_s", DEFAULT_MARK_SECONDS, 0.05, 60);
         double doubtSeconds = table.number("doubt_s", DEFAULT_DOUBT_SECONDS, 0.1, DAY_SECONDS);
         if (2 * markSeconds > doubtSeconds) {
-            throw table.bad("doubt_s", "must be at least twice mark_s, otherwise every start is treated as doubtful");
+            throw table.invalid(
+                    "doubt_s", "must be at least twice mark_s, otherwise every start is treated as doubtful");
         }
         Set<Guard> disabledGuards = new HashSet<>();
         List<String> words =
                 List.of(Guard.values()).stream().map(Guard::settingWord).toList();
         for (String word : rehearsal.texts("without")) {
             if (!words.contains(word)) {
-                throw rehearsal.bad("without", "\"" + word + "\" is none of " + String.join(", ", words));
+                throw rehearsal.invalid("without", "\"" + word + "\" is none of " + String.join(", ", words));
             }
             disabledGuards.add(Guard.values()[words.indexOf(word)]);
         }
--- a/src/main/java/gatefront/agent/RegistrySettingsReader.java
+++ b/src/main/java/gatefront/agent/RegistrySettingsReader.java
@@ -36,41 +36,41 @@
             try {
                 endpoints.add(Config.address(text));
             } catch (IllegalArgumentException e) {
-                throw table.bad(
+                throw table.invalid(
                         "endpoints",
                         "\"" + text + "\" must be a literal address and a port, as in " + "\"127.0.0.1:"
                                 + (kind == Kind.ETCD ? 2379 : 8500) + "\"");
             }
         }
         if (endpoints.isEmpty()) {
-            throw table.bad("endpoints", "is missing; it lists the registry's members, as in [\"127.0.0.1:2379\"]");
+            throw table.invalid("endpoints", "is missing; it lists the registry's members, as in [\"127.0.0.1:2379\"]");
         }
         String prefix = table.text("prefix", null);
         if (!prefix.matches("[A-Za-z0-9._~-]+(/[A-Za-z0-9._~-]+)*/")) {
-            throw table.bad("prefix", "must be words that each end with a slash, as in \"oaxaca/\"");
+            throw table.invalid("prefix", "must be words that each end with a slash, as in \"oaxaca/\"");
         }
         boolean replacesPadron =
                 table.word("padron", "beside", List.of("beside", "instead")).equals("instead");
         boolean etcd = kind == Kind.ETCD;
         for (String key : etcd ? List.of("token_file", "service") : List.of("user", "password_file")) {
             if (table.has(key)) {
-                throw table.bad(key, "does not apply to " + (etcd ? "etcd" : "Consul, which has token_file"));
+                throw table.invalid(key, "does not apply to " + (etcd ? "etcd" : "Consul, which has token_file"));
             }
         }
         if (table.has("user") != table.has("password_file")) {
-            throw table.bad(
+            throw table.invalid(
                     table.has("user") ? "password_file" : "user",
                     "is missing; user and password_file must be set together");
         }
         String user = table.has("user") ? table.text("user", null) : null;
         String service = table.has("service") ? table.text("service", null) : null;
         if (service != null && !service.matches("[A-Za-z0-9._~-]+")) {
-            throw table.bad("service", "must be the name of one service, as in \"cuentas\"");
+            throw table.invalid("service", "must be the name of one service, as in \"cuentas\"");
         }
         Reads reads = Reads.valueOf(table.word("reads", "usual", List.of("usual", "consistent", "stale"))
                 .toUpperCase(Locale.ROOT));
         if (etcd && reads == Reads.CONSISTENT) {
-            throw table.bad(
+            throw table.invalid(
                     "reads", "\"consistent\" is for Consul only; for etcd, \"usual\" reads are already consistent");
         }
         double askSeconds = table.number("ask_s", 2.0, 0.1, 600);
@@ -79,12 +79,12 @@
         double rereadSeconds = table.number("reread_s", 600.0, 0, 86_400);
         double backoffSeconds = table.number("backoff_s", 1.0, 0.05, 60);
         if (etcd && silenceSeconds < 2 * askSeconds) {
-            throw table.bad(
+            throw table.invalid(
                     "silence_s",
                     "must be at least twice ask_s, " + askSeconds + ", so that a response can arrive in time");
         }
         if (staleSeconds < silenceSeconds) {
-            throw table.bad("stale_s", "must be at least silence_s, " + silenceSeconds);
+            throw table.invalid("stale_s", "must be at least silence_s, " + silenceSeconds);
         }
         FollowerLimits limits = new FollowerLimits(
                 50_000,
@@ -94,10 +94,10 @@
                 (long) (silenceSeconds * MICROS_PER_SECOND),
                 (long) (staleSeconds * MICROS_PER_SECOND),
                 (long) (rereadSeconds * MICROS_PER_SECOND),
-                table.whole("keys", 20_000, 1, 1_000_000));
+                table.integer("keys", 20_000, 1, 1_000_000));
         Path stateFile = table.has("state_file") ? Path.of(table.text("state_file", null)) : null;
         if (stateFile != null && !Files.isDirectory(stateFile.toAbsolutePath().getParent())) {
-            throw table.bad(
+            throw table.invalid(
                     "state_file", "its folder " + stateFile.toAbsolutePath().getParent() + " does not exist");
         }
         return new RegistrySettings(
@@ -119,10 +119,10 @@
         if (!table.has(key)) {
             return null;
         }
-        String secret = TomlFile.text(Path.of(table.text(key, null)), " (" + key + " of the registry)")
+        String secret = TomlFile.read(Path.of(table.text(key, null)), " (" + key + " of the registry)")
                 .strip();
         if (secret.isEmpty() || !secret.matches("[\\x21-\\x7e]+")) {
-            throw table.bad(key, "the file must hold one word of printable ASCII characters and nothing else");
+            throw table.invalid(key, "the file must hold one word of printable ASCII characters and nothing else");
         }
         return secret;
     }
--- a/src/main/java/gatefront/agent/StateRecovery.java
+++ b/src/main/java/gatefront/agent/StateRecovery.java
@@ -119,7 +119,7 @@
         if (storedState.serverList() != null) {
             boolean readable = true;
             try {
-                stored = Config.json(new ByteArrayInputStream(storedState.serverList()));
+                stored = Config.parseJson(new ByteArrayInputStream(storedState.serverList()));
             } catch (IOException e) {
                 readable = false;
             }
--- a/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
+++ b/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
@@ -330,10 +330,10 @@
     // ---- Faults ----
 
     private void schedule(ProcessFault fault, RandomStream draw, long start) {
-        long at = start + (long) (MICROS_PER_SECOND * fault.at().draw(draw::between));
-        long duration = (long) (MICROS_PER_SECOND * fault.duration().draw(draw::between));
-        double spread = MICROS_PER_SECOND * fault.spread().draw(draw::between);
-        double size = fault.size().draw(draw::between);
+        long at = start + (long) (MICROS_PER_SECOND * fault.at().sample(draw::between));
+        long duration = (long) (MICROS_PER_SECOND * fault.duration().sample(draw::between));
+        double spread = MICROS_PER_SECOND * fault.spread().sample(draw::between);
+        double size = fault.size().sample(draw::between);
         long number = draw.number();
         int[] targets = chooseAgents(fault, draw);
         context.record.band(fault.kind().keyword(), at - start, at - start + Math.max(duration, 1_000_000));
--- a/src/main/java/gatefront/rehearsal/plan/PlanReader.java
+++ b/src/main/java/gatefront/rehearsal/plan/PlanReader.java
@@ -58,7 +58,7 @@
      * @throws TomlException if the plan is invalid
      */
     public static Plan read(Path path) throws TomlException {
-        return parse(path.toString(), TomlFile.text(path, "; built in are " + String.join(", ", BUILT_IN)));
+        return parse(path.toString(), TomlFile.read(path, "; built in are " + String.join(", ", BUILT_IN)));
     }
 
     /** Reads a built-in plan. */
@@ -117,12 +117,12 @@
         for (TomlTable table : top.tables("faults")) {
             Fault fault = fault(table, seconds, agents.count(), nodos.count(), zones);
             if (fault.kind().needsRegistry() && padron.source().equals("padron")) {
-                throw table.bad(
+                throw table.invalid(
                         "kind", fault.kind().keyword() + " needs a registry: [padron] source = \"etcd\" or \"consul\"");
             }
             faults.add(fault);
         }
-        top.finish();
+        top.rejectUnknownKeys();
         return new Plan(
                 name,
                 seconds,
@@ -143,11 +143,11 @@
         Set<String> seen = new HashSet<>();
         for (String name : names) {
             if (!seen.add(name)) {
-                throw table.bad(key, "\"" + name + "\" is listed twice");
+                throw table.invalid(key, "\"" + name + "\" is listed twice");
             }
         }
         if (names.isEmpty() && !key.equals("tenants")) {
-            throw table.bad(key, "is missing; at least one is needed");
+            throw table.invalid(key, "is missing; at least one is needed");
         }
     }
 
@@ -163,30 +163,30 @@
 
     private static Plan.Agents agents(TomlTable table) throws TomlException {
         return new Plan.Agents(
-                table.whole("count", 5, 1, MAX_COUNT),
-                table.whole("sockets", 384, 64, 1 << 20),
-                table.whole("memory_mb", 128, 16, 1 << 20),
+                table.integer("count", 5, 1, MAX_COUNT),
+                table.integer("sockets", 384, 64, 1 << 20),
+                table.integer("memory_mb", 128, 16, 1 << 20),
                 table.number("skew", 0.5, 0, 3));
     }
 
     private static Plan.Nodos nodos(TomlTable table) throws TomlException {
         List<Plan.Machine> machines = new ArrayList<>();
         for (TomlTable kind : table.tables("kinds")) {
-            int cores = kind.whole("cores", 2, 1, 1024);
+            int cores = kind.integer("cores", 2, 1, 1024);
             machines.add(new Plan.Machine(
                     kind.text("name", null),
                     kind.number("share", 1.0, 0, MAX_WEIGHT),
                     cores,
                     kind.range("speed", new NumberRange(1, 1), 0.01, 100),
-                    kind.whole("slots", 2 * cores, 1, 100_000),
-                    kind.whole("room", 16 * cores, 0, 1_000_000),
+                    kind.integer("slots", 2 * cores, 1, 100_000),
+                    kind.integer("room", 16 * cores, 0, 1_000_000),
                     kind.number("thrash", 0.0, 0, 10),
                     kind.number("thrash_at", 4.0, 0, 1000)));
         }
         requireDistinct(
                 table, "kinds", machines.stream().map(Plan.Machine::name).toList());
         return new Plan.Nodos(
-                table.whole("count", 14, 1, MAX_COUNT),
+                table.integer("count", 14, 1, MAX_COUNT),
                 table.range("bloque", new NumberRange(6, 10), 1, 10_000),
                 table.range("limited", new NumberRange(0, 0), 0, 1),
                 table.range("limit", new NumberRange(0.6, 0.6), 0.01, 1),
@@ -196,7 +196,7 @@
                 table.number("noise", 0.1, 0, 1),
                 table.range("probe_ms", new NumberRange(0.51, 1), 0, 1000),
                 table.range("connection_ms", new NumberRange(1, 1), 0, 1000),
-                table.whole("connections", 200, 1, 1 << 20),
+                table.integer("connections", 200, 1, 1 << 20),
                 table.number("idle_s", 60.0, 0.1, 3600),
                 machines);
     }
@@ -207,18 +207,18 @@
                 table.number("drain_ms", 500.0, 0, 60_000),
                 table.number("fall_multiple", 3.0, 1, 1000),
                 table.number("fall_s", 3.0, 0.1, 600),
-                table.whole("max_attempts", 6, 1, 60));
+                table.integer("max_attempts", 6, 1, 60));
     }
 
     private static Plan.Clients clients(TomlTable table, List<Plan.RequestClass> classes) throws TomlException {
         return new Plan.Clients(
                 table.number("rate", null, 0.01, 1e6),
-                table.whole("retries", 2, 0, 20),
+                table.integer("retries", 2, 0, 20),
                 table.number("backoff_ms", 50.0, 1, 60_000),
                 table.number("honour", 0.8, 0, 1),
                 table.range("try_share", new NumberRange(0.5, 0.8), 0.05, 1),
                 table.number("hint_error", 0.4, 0, 5),
-                table.flag("marks_retry", true),
+                table.bool("marks_retry", true),
                 table.number("retry_after_ms", 1000.0, 0, 60_000));
     }
 
@@ -229,14 +229,15 @@
                     .toUpperCase(Locale.ROOT));
             boolean keyed = semantics == Semantics.KEYED;
             if (!keyed && (table.has("window_ms") || table.has("dropped_by"))) {
-                throw table.bad(table.has("window_ms") ? "window_ms" : "dropped_by", "requires repeats = \"keyed\"");
+                throw table.invalid(
+                        table.has("window_ms") ? "window_ms" : "dropped_by", "requires repeats = \"keyed\"");
             }
             Scope scope = Scope.valueOf(table.word("dropped_by", "all", List.of("all", "zone", "cell"))
                     .toUpperCase(Locale.ROOT));
             double targetMs = table.number("aim_ms", null, 1, 3_600_000);
             double timeoutMs = table.number("give_up_ms", null, 1, 3_600_000);
             if (targetMs > timeoutMs) {
-                throw table.bad("aim_ms", "is later than give_up_ms, when clients stop waiting");
+                throw table.invalid("aim_ms", "is later than give_up_ms, when clients stop waiting");
             }
             classes.add(new Plan.RequestClass(
                     table.text("name", null),
@@ -265,7 +266,7 @@
         NumberRange at = table.range("at_s", null, 0, seconds);
         List<String> names = table.texts("names");
         if (kind.target() == Fault.Kind.Target.NONE && (table.has("names") || table.has("share"))) {
-            throw table.bad(
+            throw table.invalid(
                     table.has("names") ? "names" : "share",
                     "does not apply to " + keyword + ", which affects everything");
         }
@@ -274,7 +275,7 @@
         for (String name : names) {
             if (!name.matches(prefix + "[1-9][0-9]{0,5}")
                     || Integer.parseInt(name.substring(prefix.length())) > count) {
-                throw table.bad("names", "\"" + name + "\" is none of " + prefix + "1 to " + prefix + count);
+                throw table.invalid("names", "\"" + name + "\" is none of " + prefix + "1 to " + prefix + count);
             }
         }
         NumberRange size = kind.needsSize() ? table.range("size", null, 0, 1000) : new NumberRange(1, 1);
@@ -283,16 +284,16 @@
                 || kind == Fault.Kind.BREAK_OFF
                 || kind == Fault.Kind.HURRY;
         if (sizeIsShare && size.high() > 1) {
-            throw table.bad("size", "is a share for " + keyword + " and must be within 0 to 1");
+            throw table.invalid("size", "is a share for " + keyword + " and must be within 0 to 1");
         }
         if ((kind == Fault.Kind.SLOW || kind == Fault.Kind.JUMP) && size.low() <= 0) {
-            throw table.bad("size", "is a factor for " + keyword + " and must be above 0");
+            throw table.invalid("size", "is a factor for " + keyword + " and must be above 0");
         }
         for (String key : List.of("zone", "spread_s")) {
             if (table.has(key)
                     && (kind.target() == Fault.Kind.Target.NONE
                             || kind == Fault.Kind.AGENT_RESTART && key.equals("spread_s"))) {
-                throw table.bad(
+                throw table.invalid(
                         key,
                         "does not apply to " + keyword
                                 + (kind == Fault.Kind.AGENT_RESTART
@@ -301,7 +302,7 @@
             }
         }
         if (table.has("zone") && table.has("names")) {
-            throw table.bad("zone", "cannot be combined with names, which already select what is affected");
+            throw table.invalid("zone", "cannot be combined with names, which already select what is affected");
         }
         int zone = table.has("zone") ? zones.indexOf(table.word("zone", null, zones)) : -1;
         return new Fault(
--- a/src/main/java/gatefront/rehearsal/processes/ProcessPlanReader.java
+++ b/src/main/java/gatefront/rehearsal/processes/ProcessPlanReader.java
@@ -32,7 +32,7 @@
 
     /** Reads a plan file. If {@code agents} is not null, it replaces the plan's number of agents. */
     public static ProcessPlan read(Path path, Integer agents) throws TomlException {
-        return parse(path.toString(), TomlFile.text(path, "; built in are " + String.join(", ", BUILT_IN)), agents);
+        return parse(path.toString(), TomlFile.read(path, "; built in are " + String.join(", ", BUILT_IN)), agents);
     }
 
     /** Reads a built-in plan. If {@code agents} is not null, it replaces the plan's number of agents. */
@@ -51,13 +51,13 @@
         String name = top.text("name", null);
         String base = top.word("day", "processes", List.of("processes"));
         double seconds = top.number("seconds", null, 2, 3_600);
-        int planAgents = top.whole("agents", 24, 1, MAX_AGENTS);
-        int nodos = top.whole("nodos", planAgents, 1, PlanReader.MAX_COUNT);
-        boolean recoveryEnabled = top.flag("keeps", true);
+        int planAgents = top.integer("agents", 24, 1, MAX_AGENTS);
+        int nodos = top.integer("nodos", planAgents, 1, PlanReader.MAX_COUNT);
+        boolean recoveryEnabled = top.bool("keeps", true);
         double load = top.number("load", 0.5, 0.01, 2);
         int agents = agentOverride == null ? planAgents : agentOverride;
         if (agents < 1 || agents > MAX_AGENTS) {
-            throw top.bad("agents", "must be within 1 to " + MAX_AGENTS + ", not " + agents);
+            throw top.invalid("agents", "must be within 1 to " + MAX_AGENTS + ", not " + agents);
         }
         Plan basePlan = PlanReader.parse(base + ".toml", PlanReader.builtInText(PLAN_FOLDER + base));
         Plan sized = basePlan.scaledTo(agents, Math.max(1, (nodos * agents + planAgents - 1) / planAgents))
@@ -69,7 +69,7 @@
                     table, seconds, sized.agents().count(), sized.nodos().count(), sized.zones());
             if (fault.kind().target() == Fault.Kind.Target.AGENTS
                     || fault.kind().needsRegistry()) {
-                throw table.bad("kind", "does not apply to [[world]]; faults of processes belong to [[faults]]");
+                throw table.invalid("kind", "does not apply to [[world]]; faults of processes belong to [[faults]]");
             }
             world.add(fault);
         }
@@ -77,7 +77,7 @@
         for (TomlTable table : top.tables("faults")) {
             faults.add(fault(table, seconds, sized));
         }
-        top.finish();
+        top.rejectUnknownKeys();
         return new ProcessPlan(name, sized.withFaults(world), recoveryEnabled, List.copyOf(faults));
     }
 
@@ -86,30 +86,31 @@
         List<String> names = names(table, "names", "agent-", plan.agents().count());
         List<String> nodos = names(table, "nodos", "nodo-", plan.nodos().count());
         if (kind.isOperatorCall() == nodos.isEmpty()) {
-            throw table.bad(
+            throw table.invalid(
                     "nodos",
                     kind.isOperatorCall()
                             ? "is missing; it names the nodos that are drained or put back"
                             : "does not apply to " + kind.keyword());
         }
         if (table.has("state") && kind != Kind.KILL) {
-            throw table.bad("state", "requires kind = \"kill\": a folder is changed while its process is not running");
+            throw table.invalid(
+                    "state", "requires kind = \"kill\": a folder is changed while its process is not running");
         }
         for (String key : List.of("clock_s", "disk_kb")) {
             if (table.has(key) && kind != Kind.KILL && kind != Kind.TERM) {
-                throw table.bad(key, "requires kind = \"kill\" or \"term\": it applies to the next process");
+                throw table.invalid(key, "requires kind = \"kill\" or \"term\": it applies to the next process");
             }
         }
         if (table.has("links") != kind.affectsLinks()) {
-            throw table.bad(
+            throw table.invalid(
                     "links",
                     kind.affectsLinks()
-                            ? "is missing; it is one of nodos, padron, callers, door, all"
+                            ? "is missing; expected one of nodos, padron, callers, door, all"
                             : "does not apply to " + kind.keyword());
         }
         State state = constant(table, "state", State.KEPT, State.values());
         if (table.has("saved_s") != (state == State.OLDER)) {
-            throw table.bad(
+            throw table.invalid(
                     "saved_s",
                     state == State.OLDER
                             ? "is missing; it is the second at which the older copy is taken"
@@ -126,7 +127,7 @@
                 table.range("spread_s", new NumberRange(0, 0), 0, 3600),
                 state,
                 table.number("clock_s", 0.0, -MAX_CLOCK_OFFSET_SECONDS, MAX_CLOCK_OFFSET_SECONDS),
-                table.whole("disk_kb", 0, 0, 1 << 20),
+                table.integer("disk_kb", 0, 0, 1 << 20),
                 copiedAt,
                 constant(table, "links", Links.ALL, Links.values()),
                 constant(table, "direction", Direction.BOTH, Direction.values()),
@@ -139,7 +140,7 @@
         for (String name : names) {
             if (!name.matches(prefix + "[1-9][0-9]{0,5}")
                     || Integer.parseInt(name.substring(prefix.length())) > count) {
-                throw table.bad(key, "\"" + name + "\" is none of " + prefix + "1 to " + prefix + count);
+                throw table.invalid(key, "\"" + name + "\" is none of " + prefix + "1 to " + prefix + count);
             }
         }
         return names;
--- a/src/test/java/gatefront/agent/ExtensionsTest.java
+++ b/src/test/java/gatefront/agent/ExtensionsTest.java
@@ -46,16 +46,16 @@
     void givenValuesAreReadAndTheRestDefaulted() throws Exception {
         ThriftSettings settings = read(GOOD);
         assertEquals(9090, settings.listen().getPort());
-        assertNull(settings.form(), "any message format is accepted");
+        assertNull(settings.format(), "any message format is accepted");
         assertEquals(9091, settings.serverPort());
-        assertTrue(settings.framedServers());
-        assertFalse(settings.probes());
+        assertTrue(settings.serversFramed());
+        assertFalse(settings.probesOverThrift());
         assertEquals(new Method(1, true), settings.methods().get("pagar"));
         assertEquals(new Method(0, false), settings.methods().get("Cuentas:saldo"));
         assertEquals(
                 new MessageFormat(false, ThriftEncoding.COMPACT),
                 read(GOOD.replace("nodo_port", "framing = \"unframed\"\nprotocol = \"compact\"\nnodo_port"))
-                        .form());
+                        .format());
         assertNull(read(""), "no Thrift without the table");
     }
 
@@ -70,17 +70,17 @@
         String unknownClass = errorFor("class = \"pay\"", "class = \"pai\"");
         assertTrue(
                 unknownClass.startsWith("x.toml:6: thrift.methods.0.class: ")
-                        && unknownClass.contains("\"pay\" meant?"),
+                        && unknownClass.contains("did you mean \"pay\"?"),
                 unknownClass);
         assertTrue(errorFor("Cuentas:saldo", "pagar").contains("appears more than once"));
         assertTrue(errorFor("nodo_port", "framing = \"framed\"\nnodo_port").contains("both"));
-        assertTrue(errorFor("declares = true", "declare = true").contains("is \"declares\" meant?"));
+        assertTrue(errorFor("declares = true", "declare = true").contains("did you mean \"declares\"?"));
         assertTrue(assertThrows(TomlException.class, () -> read("[thrift\n"))
                 .getMessage()
                 .startsWith("x.toml:1: "));
         assertTrue(assertThrows(TomlException.class, () -> read("[trift]\na = 1\n"))
                 .getMessage()
-                .contains("is \"thrift\" meant?"));
+                .contains("did you mean \"thrift\"?"));
     }
 
     @Test
--- a/src/test/java/gatefront/agent/OperatorControlsTest.java
+++ b/src/test/java/gatefront/agent/OperatorControlsTest.java
@@ -52,7 +52,7 @@
     }
 
     private void start() throws IOException {
-        fixture.agent = Agent.start(Config.of(fixture.config), shared);
+        fixture.agent = Agent.start(Config.fromJson(fixture.config), shared);
         agents.add(fixture.agent);
         AgentFixture.await(() -> request("GET", "/healthcheck").status() == 200);
     }
@@ -354,7 +354,7 @@
         try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             ProcessHandover oldAgent = new ProcessHandover(shared, "old", line -> {});
             fixture.config.put("listen", "127.0.0.1:" + occupied.getLocalPort());
-            Agent newAgent = Agent.start(Config.of(fixture.config), shared);
+            Agent newAgent = Agent.start(Config.fromJson(fixture.config), shared);
             newAgent.awaitTermination();
             assertTrue(newAgent.failed());
             newAgent.stop(); // as the program does on exit
@@ -519,7 +519,7 @@
         int occupiedPort = fixture.agent.managementAddress().getPort();
         fixture.config.put("management", "127.0.0.1:" + occupiedPort);
         try {
-            Agent.start(Config.of(fixture.config), shared);
+            Agent.start(Config.fromJson(fixture.config), shared);
             throw new AssertionError("two management endpoints at one address");
         } catch (IOException e) {
             assertTrue(e.getMessage().startsWith("cannot listen on"), e.getMessage());
--- a/src/test/java/gatefront/agent/UsageRecorderTest.java
+++ b/src/test/java/gatefront/agent/UsageRecorderTest.java
@@ -45,7 +45,7 @@
                 "x.toml",
                 "[ledger]\nfolder = \"" + folder.resolve("books") + "\"\n"
                         + "instance = \"agente-1\"\nwrite_s = 0.1\nperiod_s = 86400\n" + extraSettings,
-                Config.of(fixture.config));
+                Config.fromJson(fixture.config));
     }
 
     private LedgerStore.Contents readLedger() throws IOException {
@@ -110,7 +110,7 @@
         fixture.start(Extensions.parse(
                 "x.toml",
                 "[ledger]\nfolder = \"" + folder.resolve("books") + "\"\ninstance = \"agente-1\"\nwrite_s = 3600\n",
-                Config.of(fixture.config)));
+                Config.fromJson(fixture.config)));
         sendRequests(2, "pay");
         fixture.agent.stop();
         assertEquals(2, total(readLedger().ledger(), "pay").requests());
@@ -140,7 +140,7 @@
                 .close();
         IOException e = assertThrows(IOException.class, () -> fixture.start(ledgerExtensions("")));
         assertEquals(
-                "ledger " + folder.resolve("books") + ": these are the books of agente-2, not of agente-1",
+                "ledger " + folder.resolve("books") + ": ledger store belongs to instance agente-2, not to agente-1",
                 e.getMessage());
         Path keys = folder.resolve("keys");
         Files.writeString(keys, "1 00\n");
--- a/src/test/java/gatefront/rehearsal/processes/ProcessPartsTest.java
+++ b/src/test/java/gatefront/rehearsal/processes/ProcessPartsTest.java
@@ -146,12 +146,12 @@
                 errorOf("kind = \"term\"\nat_s = 1\nstate = \"wiped\"\n"));
         assertEquals(
                 "p:4: faults.0.kind: \"kil\" is none of kill, term, stop, crash-loop, cut, delay, throttle, "
-                        + "reset, half-open, out, back; is \"kill\" meant?",
+                        + "reset, half-open, out, back; did you mean \"kill\"?",
                 errorOf("kind = \"kil\"\nat_s = 1\n"));
         assertTrue(errorOf("kind = \"out\"\nat_s = 1\n").contains("names the nodos that are drained"));
         assertTrue(errorOf("kind = \"kill\"\nat_s = 1\nnodos = [\"nodo-1\"]\n").contains("does not apply to kill"));
         assertTrue(errorOf("kind = \"cut\"\nat_s = 1\n")
-                .contains("is missing; it is one of nodos, padron, callers, door, all"));
+                .contains("is missing; expected one of nodos, padron, callers, door, all"));
         assertTrue(errorOf("kind = \"delay\"\nat_s = 1\nlinks = \"all\"\n").contains("size"));
         assertTrue(errorOf("kind = \"kill\"\nat_s = 1\nstate = \"older\"\n").contains("saved_s"));
         assertTrue(
