--- a/src/main/java/gatefront/rehearsal/HtmlReport.java
+++ b/src/main/java/gatefront/rehearsal/HtmlReport.java
@@ -17,19 +17,19 @@
     private static final String[] STATUSES = {"Ready", "Terminating", "Gone"};
     private static final String[] STATUS_COLOURS = {"#2e933c", "#e0a000", "#c01010"};
 
-    private final RehearsalResult outcome;
+    private final RehearsalResult result;
     private final RunRecorder record;
     private final Plan plan;
     private final StringBuilder out = new StringBuilder(1 << 16);
 
-    private HtmlReport(RehearsalResult outcome) {
-        this.outcome = outcome;
-        this.record = outcome.record();
-        this.plan = outcome.plan();
+    private HtmlReport(RehearsalResult result) {
+        this.result = result;
+        this.record = result.record();
+        this.plan = result.plan();
     }
 
-    static String of(RehearsalResult outcome) {
-        HtmlReport page = new HtmlReport(outcome);
+    static String of(RehearsalResult result) {
+        HtmlReport page = new HtmlReport(result);
         page.writeHeader();
         page.writeOutcomePlot();
         page.writeClassPlot();
@@ -71,24 +71,24 @@
                 "<h1>Rehearsal: %s</h1><p class=\"grey\">seed %d · %s s · %d agents · %d nodos · %s requests a "
                         + "second, %.0f%% of what the nodos can do when nothing is wrong</p>",
                 escape(plan.name()),
-                outcome.seed(),
+                result.seed(),
                 number(plan.seconds()),
                 plan.agents().count(),
                 plan.nodos().count(),
                 number(plan.clients().rate()),
                 100
-                        * outcome.cast().demand(plan.clients().rate())
-                        / outcome.cast().capacity());
+                        * result.cast().demand(plan.clients().rate())
+                        / result.cast().capacity());
         int worst = record.worstFrom();
         append(
                 "<div class=\"row\"><div><div class=\"big\">%.1f%%</div>service: worth answered in time, of what was "
                         + "asked for</div><div><div class=\"big\">%.1f%%</div>in the worst ten seconds, from %d s</div>"
                         + "<div><div class=\"big %s\">%s</div>the four rules</div></div>",
-                100 * outcome.service(),
+                100 * result.service(),
                 100 * record.serviceOfTen(worst),
                 worst,
-                outcome.broken() == 0 ? "ok" : "no",
-                outcome.broken() == 0 ? "kept" : "broken " + outcome.broken() + "×");
+                result.broken() == 0 ? "ok" : "no",
+                result.broken() == 0 ? "kept" : "broken " + result.broken() + "×");
     }
 
     private static String number(double value) {
@@ -331,12 +331,12 @@
     }
 
     private void writeBreaches() {
-        if (outcome.broken() > 0) {
+        if (result.broken() > 0) {
             append(
                     "<h2 class=\"no\">Rules broken (%d; the first %d)</h2>",
-                    outcome.broken(), outcome.breaches().size());
+                    result.broken(), result.breaches().size());
         }
-        for (RuleChecker.Breach breach : outcome.breaches()) {
+        for (RuleChecker.Breach breach : result.breaches()) {
             append(
                     "<p><b>%.3f s, %s</b>: %s %s</p>",
                     (breach.at() - Rehearsal.OPENS_AT) / 1e6,
--- a/src/main/java/gatefront/rehearsal/JsonReport.java
+++ b/src/main/java/gatefront/rehearsal/JsonReport.java
@@ -23,39 +23,39 @@
     private JsonReport() {}
 
     /** Writes {@code report.json} and {@code report.html} into a folder, which is created if it does not exist. */
-    public static void write(RehearsalResult outcome, Path folder) throws IOException {
+    public static void write(RehearsalResult result, Path folder) throws IOException {
         Files.createDirectories(folder);
-        Files.write(folder.resolve("report.json"), toBytes(outcome));
-        Files.writeString(folder.resolve("report.html"), HtmlReport.of(outcome));
+        Files.write(folder.resolve("report.json"), toBytes(result));
+        Files.writeString(folder.resolve("report.html"), HtmlReport.of(result));
     }
 
     /** Returns the report as encoded JSON. */
-    public static byte[] toBytes(RehearsalResult outcome) throws IOException {
+    public static byte[] toBytes(RehearsalResult result) throws IOException {
         DefaultPrettyPrinter printer = new DefaultPrettyPrinter();
         printer.indentObjectsWith(new DefaultIndenter(" ", "\n"));
-        return (new ObjectMapper().writer(printer).writeValueAsString(toTree(outcome)) + "\n")
+        return (new ObjectMapper().writer(printer).writeValueAsString(toTree(result)) + "\n")
                 .getBytes(StandardCharsets.UTF_8);
     }
 
     /** Returns the report as a tree with its fields in a fixed order. */
-    public static ObjectNode toTree(RehearsalResult outcome) {
-        Plan plan = outcome.plan();
-        RunRecorder record = outcome.record();
+    public static ObjectNode toTree(RehearsalResult result) {
+        Plan plan = result.plan();
+        RunRecorder record = result.record();
         ObjectNode root = JsonNodeFactory.instance.objectNode();
         root.put("version", VERSION)
                 .put("plan", plan.name())
-                .put("seed", outcome.seed())
+                .put("seed", result.seed())
                 .put("seconds", plan.seconds())
                 .put("agents", plan.agents().count())
                 .put("nodos", plan.nodos().count())
                 .put("rate", plan.clients().rate())
                 .put(
                         "load",
-                        round(outcome.cast().demand(plan.clients().rate())
-                                / outcome.cast().capacity()));
+                        round(result.cast().demand(plan.clients().rate())
+                                / result.cast().capacity()));
         int worst = record.worstFrom();
         ObjectNode service = root.putObject("service");
-        service.put("whole", round(outcome.service()));
+        service.put("whole", round(result.service()));
         service.put("worst_ten_seconds", round(record.serviceOfTen(worst))).put("worst_ten_from", worst);
         ObjectNode classes = service.putObject("classes");
         for (int i = 0; i < plan.classes().size(); i++) {
@@ -85,9 +85,9 @@
                         "part_of_what_topples",
                         round(Arrays.stream(record.coldest).max().orElse(0)));
         record.crowd.json(root.putObject("crowd"));
-        writeRules(root.putObject("rules"), outcome);
+        writeRules(root.putObject("rules"), result);
         ArrayNode troubles = root.putArray("troubles");
-        for (ResolvedPlan.Trouble fault : outcome.cast().troubles()) {
+        for (ResolvedPlan.Trouble fault : result.cast().troubles()) {
             ObjectNode trouble = troubles.addObject()
                     .put("kind", fault.fault().kind().keyword())
                     .put("at", round(fault.at() / 1e6))
@@ -105,15 +105,15 @@
         record.notes.forEach(
                 note -> notes.addObject().put("at", round(note.at())).put("text", note.text()));
         ArrayNode log = root.putArray("log");
-        outcome.log().forEach(log::add);
-        root.put("closed_idle", record.closedIdle).put("tasks", outcome.tasks());
+        result.log().forEach(log::add);
+        root.put("closed_idle", record.closedIdle).put("tasks", result.tasks());
         return root;
     }
 
-    private static void writeRules(ObjectNode rules, RehearsalResult outcome) {
-        rules.put("kept", outcome.broken() == 0).put("broken", outcome.broken());
+    private static void writeRules(ObjectNode rules, RehearsalResult result) {
+        rules.put("kept", result.broken() == 0).put("broken", result.broken());
         ArrayNode breaches = rules.putArray("breaches");
-        for (RuleChecker.Breach breach : outcome.breaches()) {
+        for (RuleChecker.Breach breach : result.breaches()) {
             ObjectNode node = breaches.addObject()
                     .put("at", round((breach.at() - Rehearsal.OPENS_AT) / 1e6))
                     .put("rule", breach.rule().name().toLowerCase(Locale.ROOT).replace('_', ' '))
@@ -158,8 +158,9 @@
                 nodo.add(count);
             }
         }
-        ArrayNode told = root.putArray("told");
-        record.told.forEach(announcement -> told.addObject()
+        ArrayNode statusChanges = root.putArray("told");
+        record.told.forEach(announcement -> statusChanges
+                .addObject()
                 .put("at", round(announcement.at()))
                 .put("nodo", announcement.nodo() + 1)
                 .put("status", announcement.status()));
--- a/src/main/java/gatefront/rehearsal/LoopbackAddresses.java
+++ b/src/main/java/gatefront/rehearsal/LoopbackAddresses.java
@@ -5,6 +5,7 @@
 
 /** Assigns loopback addresses to machines: 127.(base + group).x.y. */
 final class LoopbackAddresses {
+    /** Number of groups of addresses that one rehearsal uses at most. */
     private static final int GROUPS = 16;
 
     private final int base;
--- a/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
+++ b/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
@@ -88,8 +88,8 @@
     private RunContext context;
     private ProcessReaper reaper;
     private Path root;
-    /** When traffic starts, in microseconds of rehearsal time. */
-    private long opensAt;
+    /** When traffic starts, in rehearsal time. */
+    private long trafficStartMicros;
 
     private volatile boolean finished;
 
@@ -134,7 +134,7 @@
                 return null;
             });
             awaitAllReady();
-            opensAt = callOnLoop(() -> {
+            trafficStartMicros = callOnLoop(() -> {
                 long now = context.now() + 100_000;
                 history.setOrigin(now);
                 lateness.reset();
@@ -239,8 +239,8 @@
         FolderFaults.delete(root);
     }
 
-    private double secondsSinceOpening() {
-        return (context.now() - opensAt) / MICROS_PER_SECOND;
+    private double secondsSinceTrafficStart() {
+        return (context.now() - trafficStartMicros) / MICROS_PER_SECOND;
     }
 
     private void onLogLine(int agent, String line) {
@@ -249,7 +249,7 @@
         }
         history.event(context.now(), "log", "agent-" + (agent + 1), line);
         if (log.size() < MAX_LOG_LINES) {
-            log.add(String.format(Locale.ROOT, "%.3f agent-%d %s", secondsSinceOpening(), agent + 1, line));
+            log.add(String.format(Locale.ROOT, "%.3f agent-%d %s", secondsSinceTrafficStart(), agent + 1, line));
         }
     }
 
@@ -334,7 +334,7 @@
         long duration = (long) (MICROS_PER_SECOND * fault.duration().sample(draw::between));
         double spread = MICROS_PER_SECOND * fault.spread().sample(draw::between);
         double size = fault.size().sample(draw::between);
-        long number = draw.number();
+        long bitSelector = draw.number();
         int[] targets = chooseAgents(fault, draw);
         context.record.band(fault.kind().keyword(), at - start, at - start + Math.max(duration, 1_000_000));
         for (int i = 0; i < targets.length; i++) {
@@ -347,7 +347,7 @@
                         () -> executor.execute(() -> changeFolder(
                                 agent, "copied", () -> FolderFaults.copy(agent.folder(), copyLocation(agent)))));
             }
-            context.at(when, () -> inject(fault, agent, next, duration, size, number));
+            context.at(when, () -> inject(fault, agent, next, duration, size, bitSelector));
         }
     }
 
@@ -359,18 +359,23 @@
         }
         int count = agents.size();
         int chosen = fault.share() == 0 ? 0 : Math.max(1, (int) Math.rint(fault.share() * count));
-        int[] all = IntStream.range(0, count).toArray();
+        int[] numbers = IntStream.range(0, count).toArray();
         for (int i = 0; i < chosen; i++) {
             int j = i + draw.below(count - i);
-            int swap = all[i];
-            all[i] = all[j];
-            all[j] = swap;
+            int swap = numbers[i];
+            numbers[i] = numbers[j];
+            numbers[j] = swap;
         }
-        return java.util.Arrays.copyOf(all, chosen);
+        return java.util.Arrays.copyOf(numbers, chosen);
     }
 
     private void inject(
-            ProcessFault fault, PersistentAgent agent, PersistentAgent next, long duration, double size, long number) {
+            ProcessFault fault,
+            PersistentAgent agent,
+            PersistentAgent next,
+            long duration,
+            double size,
+            long bitSelector) {
         recordEvent("fault", agent.name(), fault.kind().keyword());
         if (fault.kind() == ProcessFault.Kind.KILL || fault.kind() == ProcessFault.Kind.TERM) {
             agent.setClockOffset(fault.clockOffsetSeconds());
@@ -379,14 +384,14 @@
         switch (fault.kind()) {
             case KILL -> {
                 if (fault.state() == ProcessFault.State.ANOTHERS) {
-                    // The folder of the other agent is copied before this agent is killed, so that neither has changed
-                    // yet.
+                    // Copies the other agent's folder before any change, since the same fault may replace that folder.
                     executor.execute(() -> changeFolder(agent, "of another is copied", () -> {
                         FolderFaults.copy(next.folder(), copyLocation(agent));
-                        runOnLoop(() -> kill(agent, duration, () -> applyFolderState(fault.state(), agent, number)));
+                        runOnLoop(
+                                () -> kill(agent, duration, () -> applyFolderState(fault.state(), agent, bitSelector)));
                     }));
                 } else {
-                    kill(agent, duration, () -> applyFolderState(fault.state(), agent, number));
+                    kill(agent, duration, () -> applyFolderState(fault.state(), agent, bitSelector));
                 }
             }
             case TERM -> agent.leave(() -> {
@@ -494,7 +499,7 @@
     }
 
     /** Applies a fault to the folder of an agent whose process has exited. */
-    private void applyFolderState(ProcessFault.State state, PersistentAgent agent, long number) {
+    private void applyFolderState(ProcessFault.State state, PersistentAgent agent, long bitSelector) {
         Path folder = agent.folder();
         String what = state.name().toLowerCase(Locale.ROOT).replace('_', '-');
         switch (state) {
@@ -503,7 +508,7 @@
             case OLDER, ANOTHERS -> changeFolder(agent, what, () -> FolderFaults.copy(copyLocation(agent), folder));
             case TORN -> changeFolder(agent, what, () -> FolderFaults.truncateNewestFile(folder.resolve("kept")));
             case FLIPPED -> changeFolder(
-                    agent, what, () -> FolderFaults.flipBitInNewestFile(folder.resolve("kept"), number));
+                    agent, what, () -> FolderFaults.flipBitInNewestFile(folder.resolve("kept"), bitSelector));
             case READ_ONLY -> changeFolder(
                     agent, what, () -> folder.resolve("kept").toFile().setWritable(false));
         }
--- a/src/main/java/gatefront/rehearsal/RealRehearsal.java
+++ b/src/main/java/gatefront/rehearsal/RealRehearsal.java
@@ -53,8 +53,8 @@
     });
     private final LoopLateness lateness = new LoopLateness();
     private final List<String> log = new ArrayList<>();
-    /** When traffic starts, in microseconds of rehearsal time. */
-    private long opensAt;
+    /** When traffic starts, in rehearsal time. */
+    private long trafficStartMicros;
 
     /**
      * Creates a rehearsal in real time.
@@ -132,7 +132,7 @@
                 return null;
             });
             awaitReady(context);
-            opensAt = callOnLoop(() -> {
+            trafficStartMicros = callOnLoop(() -> {
                 long now = context.now() + 100_000;
                 lateness.reset();
                 Rehearsal.open(context, now);
@@ -184,7 +184,8 @@
 
     private void log(RunContext context, int agent, String line) {
         if (log.size() < MAX_LOG_LINES) {
-            log.add(String.format(Locale.ROOT, "%.3f agent-%d %s", (context.now() - opensAt) / 1e6, agent + 1, line));
+            log.add(String.format(
+                    Locale.ROOT, "%.3f agent-%d %s", (context.now() - trafficStartMicros) / 1e6, agent + 1, line));
         }
     }
 
--- a/src/main/java/gatefront/rehearsal/plan/Fault.java
+++ b/src/main/java/gatefront/rehearsal/plan/Fault.java
@@ -31,12 +31,12 @@
     public Fault(
             Kind kind,
             NumberRange at,
-            NumberRange lasts,
+            NumberRange duration,
             double share,
             List<String> names,
             NumberRange size,
-            NumberRange every) {
-        this(kind, at, lasts, share, names, size, every, -1, new NumberRange(0, 0));
+            NumberRange period) {
+        this(kind, at, duration, share, names, size, period, -1, new NumberRange(0, 0));
     }
 
     /** Returns this fault with the given values, for nodos or agents given by name in any sala. */
@@ -120,9 +120,9 @@
         private final Target target;
         private final boolean needsSize;
 
-        Kind(Target whom, boolean sized) {
-            this.target = whom;
-            this.needsSize = sized;
+        Kind(Target target, boolean needsSize) {
+            this.target = target;
+            this.needsSize = needsSize;
         }
 
         /** Returns what the fault affects. */
--- a/src/main/java/gatefront/rehearsal/processes/Relay.java
+++ b/src/main/java/gatefront/rehearsal/processes/Relay.java
@@ -242,8 +242,8 @@
             private boolean inputEnded;
             private boolean forwardScheduled;
 
-            End(Flow way) {
-                this.flow = way;
+            End(Flow flow) {
+                this.flow = flow;
             }
 
             private void setReading(boolean enabled) {
