--- a/src/test/java/gatefront/rehearsal/ProcessRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/ProcessRehearsalTest.java
@@ -68,7 +68,7 @@
     void aProcessThatStoodStillSendsNothingToWhatDrainedMeanwhile() throws Exception {
         ProcessRehearsalResult outcome = play("stopped-and-woken", 14);
         assertEquals(0, broken(outcome, Rule.DRAINS_KEPT), outcome.breaches().toString());
-        assertTrue(Files.readString(dir.resolve("history.jsonl")).contains("it stood still for"));
+        assertTrue(Files.readString(dir.resolve("history.jsonl")).contains("recovery: process was stalled for"));
     }
 
     @Test
