--- a/src/main/java/gatefront/cli/ProcessesCommand.java
+++ b/src/main/java/gatefront/cli/ProcessesCommand.java
@@ -118,44 +118,44 @@
         ProcessRehearsalResult outcome = new ProcessRehearsal(
                         processPlan,
                         playedSeed,
-                        RealRehearsal.ownCommand(),
+                        RealRehearsal.currentJvmCommand(),
                         without,
                         folder == null ? null : folder.resolve("history.jsonl"))
                 .play(done -> {});
         if (folder != null) {
-            JsonReport.write(outcome.outcome(), folder);
+            JsonReport.write(outcome.result(), folder);
         }
-        out.println(outcome.line());
+        out.println(outcome.summary());
         outcome.breaches().stream().limit(MAX_PRINTED_BREACHES).forEach(breach -> out.println("  BROKEN " + breach));
-        out.println("  " + outcome.timeline().line());
+        out.println("  " + outcome.timeline().summary());
         out.printf(
                 Locale.ROOT,
                 "  in the 5 s after the first fault: at most %d list calls in a second (padron limit %.0f), "
                         + "at most %d connections at a nodo (limit %d); "
                         + "in the whole run: a cold nodo got at most %.2f of the load at which it fails%n",
-                outcome.listCallsMost(),
-                processPlan.day().padron().callsPerSecond(),
-                outcome.connectionsMost(),
-                processPlan.day().nodos().connections(),
-                outcome.coldMost());
+                outcome.maxListCalls(),
+                processPlan.basePlan().padron().maxCallsPerSecond(),
+                outcome.maxConnections(),
+                processPlan.basePlan().nodos().maxConnections(),
+                outcome.maxColdLoad());
         out.flush();
         double fullServiceSeconds = -1;
-        if (!noTwin && processPlan.firstFault() >= 0) {
+        if (!noTwin && processPlan.firstFaultSecond() >= 0) {
             ProcessRehearsalResult twin = new ProcessRehearsal(
-                            processPlan.twin(), playedSeed, RealRehearsal.ownCommand(), Set.of(), null)
+                            processPlan.baseline(), playedSeed, RealRehearsal.currentJvmCommand(), Set.of(), null)
                     .play(done -> {});
-            fullServiceSeconds = outcome.fullAfter(twin);
+            fullServiceSeconds = outcome.recoverySeconds(twin);
             out.println("  "
                     + (fullServiceSeconds < 0
                             ? "full service was not reached again before the end of the run"
                             : String.format(
                                     Locale.ROOT, "full service %.2f s after the first fault", fullServiceSeconds))
                     + String.format(
-                            Locale.ROOT, "; without faults %.4f", twin.outcome().service()));
+                            Locale.ROOT, "; without faults %.4f", twin.result().service()));
             out.flush();
         }
         return new PlayedSeed(
-                outcome.broken(), fullServiceSeconds, outcome.lateness().worst());
+                outcome.broken(), fullServiceSeconds, outcome.lateness().maxMicros());
     }
 
     private static void printSummary(List<PlayedSeed> played, PrintWriter out) {
@@ -169,9 +169,9 @@
                 "%d seeds: rules kept in %d; the rehearsal itself was more than %d ms late in %d%n",
                 played.size(),
                 played.stream().filter(result -> result.broken == 0).count(),
-                ProcessRehearsalResult.LATE_MOST / 1000,
+                ProcessRehearsalResult.MAX_LATENESS_MICROS / 1000,
                 played.stream()
-                        .filter(result -> result.latenessMicros > ProcessRehearsalResult.LATE_MOST)
+                        .filter(result -> result.latenessMicros > ProcessRehearsalResult.MAX_LATENESS_MICROS)
                         .count());
         if (fullServiceSeconds.length > 0) {
             out.printf(
--- a/src/main/java/gatefront/cli/RehearseCommand.java
+++ b/src/main/java/gatefront/cli/RehearseCommand.java
@@ -109,7 +109,7 @@
         boolean showProgress = System.console() != null && !json;
         long startNanos = System.nanoTime();
         RehearsalResult outcome = real
-                ? new RealRehearsal(sizedPlan, seed, RealRehearsal.ownCommand())
+                ? new RealRehearsal(sizedPlan, seed, RealRehearsal.currentJvmCommand())
                         .play(done -> progress(showProgress, done))
                 : new Rehearsal(sizedPlan, seed)
                         .progress(done -> progress(showProgress, done))
@@ -118,7 +118,7 @@
             JsonReport.write(outcome, report);
         }
         if (json) {
-            out.print(new String(JsonReport.bytes(outcome), StandardCharsets.UTF_8));
+            out.print(new String(JsonReport.toBytes(outcome), StandardCharsets.UTF_8));
         } else {
             printSummary(outcome, (System.nanoTime() - startNanos) / 1e9, out);
         }
@@ -137,11 +137,11 @@
         if (agents == null && nodos == null) {
             return original;
         }
-        Plan sized = original.sized(
+        Plan sized = original.scaledTo(
                 size("--agents", agents, original.agents().count()),
                 size("--nodos", nodos, original.nodos().count()));
         for (Fault fault : sized.faults()) {
-            int count = fault.kind().whom() == Fault.Kind.Whom.AGENTS
+            int count = fault.kind().target() == Fault.Kind.Target.AGENTS
                     ? sized.agents().count()
                     : sized.nodos().count();
             for (String name : fault.names()) {
@@ -155,10 +155,10 @@
     }
 
     private int size(String option, Integer value, int planned) {
-        if (value != null && (value < 1 || value > PlanReader.COUNT_MOST)) {
+        if (value != null && (value < 1 || value > PlanReader.MAX_COUNT)) {
             throw new ParameterException(
                     spec.commandLine(),
-                    option + " must be a number from 1 to " + PlanReader.COUNT_MOST + ", not " + value);
+                    option + " must be a number from 1 to " + PlanReader.MAX_COUNT + ", not " + value);
         }
         return value == null ? planned : value;
     }
@@ -216,9 +216,9 @@
         boolean showProgress = System.console() != null;
         SeedCampaign.Summary summary = SeedCampaign.play(
                 plan, first, last, done -> progress(showProgress, done), outcome -> out.println(outcome.line()));
-        out.print(summary.text());
+        out.print(summary.format());
         out.flush();
-        return summary.broken() == 0 ? 0 : Commands.CHECK_FAILED;
+        return summary.brokenRuns() == 0 ? 0 : Commands.CHECK_FAILED;
     }
 
     private int shrink(Plan plan, PrintWriter out) throws IOException {
--- a/src/main/java/gatefront/rehearsal/JsonReport.java
+++ b/src/main/java/gatefront/rehearsal/JsonReport.java
@@ -15,47 +15,47 @@
 import java.util.Arrays;
 import java.util.Locale;
 
-/** The report of a rehearsal as JSON. The same plan and seed give the same bytes, in any JVM. */
+/** Writes the report of a rehearsal as JSON. The same plan and seed give the same bytes in any JVM. */
 public final class JsonReport {
-    /** Grows when a field changes its meaning or goes. */
+    /** Version of the format; incremented when a field is removed or changes its meaning. */
     static final int VERSION = 1;
 
     private JsonReport() {}
 
-    /** Writes {@code report.json} and {@code report.html} into a folder, which is made if need be. */
-    public static void write(RehearsalResult outcome, Path folder) throws IOException {
+    /** Writes {@code report.json} and {@code report.html} into a folder, which is created if it does not exist. */
+    public static void write(RehearsalResult result, Path folder) throws IOException {
         Files.createDirectories(folder);
-        Files.write(folder.resolve("report.json"), bytes(outcome));
-        Files.writeString(folder.resolve("report.html"), HtmlReport.of(outcome));
+        Files.write(folder.resolve("report.json"), toBytes(result));
+        Files.writeString(folder.resolve("report.html"), HtmlReport.of(result));
     }
 
-    /** The JSON's bytes. */
-    public static byte[] bytes(RehearsalResult outcome) throws IOException {
+    /** Returns the report as encoded JSON. */
+    public static byte[] toBytes(RehearsalResult result) throws IOException {
         DefaultPrettyPrinter printer = new DefaultPrettyPrinter();
         printer.indentObjectsWith(new DefaultIndenter(" ", "\n"));
-        return (new ObjectMapper().writer(printer).writeValueAsString(json(outcome)) + "\n")
+        return (new ObjectMapper().writer(printer).writeValueAsString(toTree(result)) + "\n")
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The report as a tree; its fields are in a fixed order. */
-    public static ObjectNode json(RehearsalResult outcome) {
-        Plan plan = outcome.plan();
-        RunRecorder record = outcome.record();
+    /** Returns the report as a tree with its fields in a fixed order. */
+    public static ObjectNode toTree(RehearsalResult result) {
+        Plan plan = result.plan();
+        RunRecorder record = result.record();
         ObjectNode root = JsonNodeFactory.instance.objectNode();
         root.put("version", VERSION)
                 .put("plan", plan.name())
-                .put("seed", outcome.seed())
+                .put("seed", result.seed())
                 .put("seconds", plan.seconds())
                 .put("agents", plan.agents().count())
                 .put("nodos", plan.nodos().count())
-                .put("rate", plan.callers().rate())
+                .put("rate", plan.clients().rate())
                 .put(
                         "load",
-                        round(outcome.cast().demand(plan.callers().rate())
-                                / outcome.cast().capacity()));
+                        round(result.cast().demand(plan.clients().rate())
+                                / result.cast().capacity()));
         int worst = record.worstFrom();
         ObjectNode service = root.putObject("service");
-        service.put("whole", round(outcome.service()));
+        service.put("whole", round(result.service()));
         service.put("worst_ten_seconds", round(record.serviceOfTen(worst))).put("worst_ten_from", worst);
         ObjectNode classes = service.putObject("classes");
         for (int i = 0; i < plan.classes().size(); i++) {
@@ -69,7 +69,7 @@
         for (int i = 0; i < plan.classes().size(); i++) {
             ObjectNode counts = requests.putObject(plan.classes().get(i).name());
             for (RunRecorder.Fate fate : RunRecorder.Fate.values()) {
-                counts.put(word(fate), record.counts[i][fate.ordinal()]);
+                counts.put(keyword(fate), record.counts[i][fate.ordinal()]);
             }
         }
         root.putObject("fleet")
@@ -80,57 +80,57 @@
                 .put(
                         "connections_of_the_fullest",
                         Arrays.stream(record.fullest).max().orElse(0))
-                .put("connections_most", plan.nodos().connections())
+                .put("connections_most", plan.nodos().maxConnections())
                 .put(
                         "part_of_what_topples",
                         round(Arrays.stream(record.coldest).max().orElse(0)));
         record.crowd.json(root.putObject("crowd"));
-        rules(root.putObject("rules"), outcome);
+        writeRules(root.putObject("rules"), result);
         ArrayNode troubles = root.putArray("troubles");
-        for (ResolvedPlan.Trouble each : outcome.cast().troubles()) {
+        for (ResolvedPlan.Trouble fault : result.cast().troubles()) {
             ObjectNode trouble = troubles.addObject()
-                    .put("kind", each.fault().kind().word())
-                    .put("at", round(each.at() / 1e6))
-                    .put("until", round(each.until() / 1e6))
-                    .put("size", round(each.size()));
+                    .put("kind", fault.fault().kind().keyword())
+                    .put("at", round(fault.at() / 1e6))
+                    .put("until", round(fault.until() / 1e6))
+                    .put("size", round(fault.size()));
             ArrayNode targets = trouble.putArray("targets");
-            for (int target : each.targets()) {
+            for (int target : fault.targets()) {
                 targets.add(target + 1);
             }
         }
         record.held.json(root.putObject("held"));
-        seconds(root, record);
-        nodos(root, record);
+        writeSeconds(root, record);
+        writeNodos(root, record);
         ArrayNode notes = root.putArray("notes");
         record.notes.forEach(
-                each -> notes.addObject().put("at", round(each.at())).put("text", each.text()));
+                note -> notes.addObject().put("at", round(note.at())).put("text", note.text()));
         ArrayNode log = root.putArray("log");
-        outcome.log().forEach(log::add);
-        root.put("closed_idle", record.closedIdle).put("tasks", outcome.tasks());
+        result.log().forEach(log::add);
+        root.put("closed_idle", record.closedIdle).put("tasks", result.tasks());
         return root;
     }
 
-    private static void rules(ObjectNode rules, RehearsalResult outcome) {
-        rules.put("kept", outcome.broken() == 0).put("broken", outcome.broken());
+    private static void writeRules(ObjectNode rules, RehearsalResult result) {
+        rules.put("kept", result.broken() == 0).put("broken", result.broken());
         ArrayNode breaches = rules.putArray("breaches");
-        for (RuleChecker.Breach each : outcome.breaches()) {
-            ObjectNode breach = breaches.addObject()
-                    .put("at", round((each.at() - Rehearsal.OPENS_AT) / 1e6))
-                    .put("rule", each.rule().name().toLowerCase(Locale.ROOT).replace('_', ' '))
-                    .put("request", each.request())
-                    .put("what", each.what());
-            ArrayNode history = breach.putArray("history");
-            each.history().forEach(history::add);
+        for (RuleChecker.Breach breach : result.breaches()) {
+            ObjectNode node = breaches.addObject()
+                    .put("at", round((breach.at() - Rehearsal.OPENS_AT) / 1e6))
+                    .put("rule", breach.rule().name().toLowerCase(Locale.ROOT).replace('_', ' '))
+                    .put("request", breach.request())
+                    .put("what", breach.what());
+            ArrayNode history = node.putArray("history");
+            breach.history().forEach(history::add);
         }
     }
 
-    private static void seconds(ObjectNode root, RunRecorder record) {
+    private static void writeSeconds(ObjectNode root, RunRecorder record) {
         ArrayNode seconds = root.putArray("by_second");
         for (int s = 0; s < record.seconds; s++) {
             ObjectNode second = seconds.addObject().put("second", s);
             double[] fates = record.ofSecond(s);
             for (RunRecorder.Fate fate : RunRecorder.Fate.values()) {
-                second.put(word(fate), round(fates[fate.ordinal()]));
+                second.put(keyword(fate), round(fates[fate.ordinal()]));
             }
             second.put("tries", record.tries[s])
                     .put("attempts", record.attempts[s])
@@ -144,32 +144,33 @@
         ObjectNode load = root.putObject("held_a_core");
         for (int i = 0; i < record.load.size(); i++) {
             ArrayNode nodo = load.putArray(record.nodoNames.get(i));
-            for (double each : record.load.get(i)) {
-                nodo.add(round(each));
+            for (double value : record.load.get(i)) {
+                nodo.add(round(value));
             }
         }
     }
 
-    private static void nodos(ObjectNode root, RunRecorder record) {
+    private static void writeNodos(ObjectNode root, RunRecorder record) {
         ObjectNode served = root.putObject("served");
         for (int i = 0; i < record.served.size(); i++) {
             ArrayNode nodo = served.putArray(record.nodoNames.get(i));
-            for (int each : record.served.get(i)) {
-                nodo.add(each);
+            for (int count : record.served.get(i)) {
+                nodo.add(count);
             }
         }
-        ArrayNode told = root.putArray("told");
-        record.told.forEach(each -> told.addObject()
-                .put("at", round(each.at()))
-                .put("nodo", each.nodo() + 1)
-                .put("status", each.status()));
+        ArrayNode statusChanges = root.putArray("told");
+        record.told.forEach(announcement -> statusChanges
+                .addObject()
+                .put("at", round(announcement.at()))
+                .put("nodo", announcement.nodo() + 1)
+                .put("status", announcement.status()));
     }
 
-    static String word(RunRecorder.Fate fate) {
+    static String keyword(RunRecorder.Fate fate) {
         return fate.name().toLowerCase(Locale.ROOT);
     }
 
-    /** To four places: what is beyond says nothing, and a last bit must not make two reports differ. */
+    /** Rounds to four decimal places, so that a difference in the last bit does not make two reports differ. */
     static double round(double value) {
         return Math.rint(value * 1e4) / 1e4;
     }
--- a/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
+++ b/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
@@ -34,256 +34,277 @@
 import java.util.stream.IntStream;
 
 /**
- * Plays a day with several processes of the program: agents in processes of their own, each with its folder and door,
- * every link over a relay, and faults of processes, folders and links by plan. The world (nodos, padrón, callers) runs
- * on one loop of this process, the relays on others, processes are started and called from threads besides; how late
- * the loops were is measured, and taken off before an agent is blamed.
+ * Runs a rehearsal in real time with agents in processes of their own. Each agent has a folder and a management
+ * endpoint, each link goes over a relay, and the plan injects faults of processes, folders and links. The simulated
+ * world (servers, padrón, clients) runs on one event loop of this process and the relays on others; processes are
+ * started and called from worker threads. The lateness of the loops is measured and allowed for before an agent is
+ * blamed.
  */
 public final class ProcessRehearsal {
-    private static final long READY_MS = 30_000;
-    /** What the kernel and the relays may blur, in microseconds, beside the lateness that was measured. */
-    private static final long SLACK = 20_000;
+    private static final long READY_TIMEOUT_MS = 30_000;
+    /** Tolerance for delays in the kernel and the relays, in microseconds, in addition to the measured lateness. */
+    private static final long SLACK_MICROS = 20_000;
 
-    private static final long TAIL_MS = 8_000;
+    /** Maximum wait for the outstanding requests after traffic has ended. */
+    private static final long COMPLETION_TIMEOUT_MS = 8_000;
+
+    /** Wait for work that servers still do for abandoned attempts. */
     private static final long SETTLE_MS = 1_000;
-    private static final long ENDING_MS = 8_000;
-    private static final int LINES_MOST = 5_000;
+
+    /** Maximum wait for the agents to exit after SIGTERM. */
+    private static final long EXIT_TIMEOUT_MS = 8_000;
+
+    private static final int MAX_LOG_LINES = 5_000;
     private static final int RELAY_LOOPS = 2;
-    private static final long LOOK_MS = 10;
-    private static final double MICROS = 1e6;
-    private static final String LOST = "recovery_lost";
+    private static final long POLL_INTERVAL_MS = 10;
+    private static final double MICROS_PER_SECOND = 1e6;
+    /** The field of {@code /stats} by which an agent reports that it lost its stored state. */
+    private static final String RECOVERY_LOST_FIELD = "recovery_lost";
 
     private final ProcessPlan plan;
     private final long seed;
     private final List<String> command;
-    private final Set<String> without;
-    private final Path history;
+    private final Set<String> disabledGuards;
+    private final Path historyFile;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final EventLoopGroup relayLoops = new MultiThreadIoEventLoopGroup(RELAY_LOOPS, NioIoHandler.newFactory());
-    private final ExecutorService hands = Executors.newCachedThreadPool(task -> {
+    private final ExecutorService executor = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "hand");
         thread.setDaemon(true);
         return thread;
     });
     private final LoopLateness lateness = new LoopLateness();
-    private final ManualDrainChecker hand;
-    /** By process id, when it was started: of those whose start is being watched. */
-    private final Map<Long, Long> starting = new ConcurrentHashMap<>();
-    // Of the day's loop:
+    private final ManualDrainChecker drainChecker;
+    /** Start times of the running processes by process id. */
+    private final Map<Long, Long> startNanosByPid = new ConcurrentHashMap<>();
+    // Owned by the event loop:
     private final List<String> log = new ArrayList<>();
     private final StartTimeline timeline = new StartTimeline();
-    private int ready;
+    private int readyCount;
     private final List<PersistentAgent> agents = new ArrayList<>();
-    private EventHistory chronicle;
-    private RelayNetwork ways;
-    private RunContext day;
-    private ProcessReaper warden;
+    private EventHistory history;
+    private RelayNetwork network;
+    private RunContext context;
+    private ProcessReaper reaper;
     private Path root;
-    private long opensAt;
-    private volatile boolean over;
+    /** When traffic starts, in rehearsal time. */
+    private long trafficStartMicros;
+
+    private volatile boolean finished;
 
     /**
-     * A rehearsal with several processes.
+     * Creates a rehearsal with several processes.
      *
-     * @param plan what is played
-     * @param seed for what is drawn
-     * @param command runs one agent, as its RELAY_CONFIG says
-     * @param without guards of the program that are switched off, to see that the judge finds it
-     * @param history where all that was asked, done and seen is written; null for nowhere
+     * @param plan the plan
+     * @param seed the seed of all random choices
+     * @param command the command that runs an agent, which is configured by RELAY_CONFIG
+     * @param disabledGuards safeguards of the agents that are switched off, to test the checks themselves
+     * @param historyFile the file that the event history is written to; null for none
      */
-    public ProcessRehearsal(ProcessPlan plan, long seed, List<String> command, Set<String> without, Path history) {
+    public ProcessRehearsal(
+            ProcessPlan plan, long seed, List<String> command, Set<String> disabledGuards, Path historyFile) {
         this.plan = plan;
         this.seed = seed;
         this.command = List.copyOf(command);
-        this.without = Set.copyOf(without);
-        this.history = history;
-        this.hand = new ManualDrainChecker((long) (1000 * plan.day().rules().drainMs()) + SLACK);
+        this.disabledGuards = Set.copyOf(disabledGuards);
+        this.historyFile = historyFile;
+        this.drainChecker =
+                new ManualDrainChecker((long) (1000 * plan.basePlan().rules().drainGraceMs()) + SLACK_MICROS);
     }
 
     /**
-     * Plays the day.
+     * Runs the rehearsal.
      *
-     * @param progress is told now and then which part has passed
-     * @return what came of it
-     * @throws IOException if an agent cannot be started or does not get ready
+     * @param progress receives the elapsed share of the run, several times a second
+     * @return the result
+     * @throws IOException if an agent cannot be started or does not become ready
      */
     public ProcessRehearsalResult play(DoubleConsumer progress) throws IOException {
         root = Files.createTempDirectory("gatefront-processes");
-        warden = ProcessReaper.start();
-        chronicle = new EventHistory(history);
+        reaper = ProcessReaper.start();
+        history = new EventHistory(historyFile);
         try {
-            LoopbackAddresses addresses = LoopbackAddresses.ofProcess();
-            relayLoops.forEach(each -> lateness.watch((EventLoop) each));
+            LoopbackAddresses addresses = LoopbackAddresses.forThisProcess();
+            relayLoops.forEach(relayLoop -> lateness.watch((EventLoop) relayLoop));
             lateness.watch(loop);
-            day = on(() -> made(addresses));
-            on(() -> {
-                day.begin();
+            context = callOnLoop(() -> createContext(addresses));
+            callOnLoop(() -> {
+                context.begin();
                 return null;
             });
-            awaitReady();
-            opensAt = on(() -> {
-                long now = day.now() + 100_000;
-                chronicle.opens(now);
-                lateness.opens();
-                timeline.opens();
-                Rehearsal.open(day, now);
+            awaitAllReady();
+            trafficStartMicros = callOnLoop(() -> {
+                long now = context.now() + 100_000;
+                history.setOrigin(now);
+                lateness.reset();
+                timeline.reset();
+                Rehearsal.open(context, now);
                 for (int i = 0; i < plan.faults().size(); i++) {
                     schedule(plan.faults().get(i), new RandomStream(seed, "process fault " + i), now);
                 }
                 return now;
             });
-            long lengthMs = (long) (1000 * plan.day().seconds());
+            long lengthMs = (long) (1000 * plan.basePlan().seconds());
             for (long passed = 0; passed < lengthMs; passed += 250) {
                 progress.accept((double) passed / lengthMs);
                 Thread.sleep(250);
             }
             progress.accept(1);
-            await(TAIL_MS, () -> day.record.open() == 0);
+            awaitOnLoop(COMPLETION_TIMEOUT_MS, () -> context.record.open() == 0);
             Thread.sleep(SETTLE_MS);
-            over = true;
-            on(() -> {
-                hand.close(day.now());
-                agents.forEach(each -> each.signal("CONT"));
-                agents.forEach(each -> each.leave(() -> {}));
+            finished = true;
+            callOnLoop(() -> {
+                drainChecker.close(context.now());
+                agents.forEach(agent -> agent.signal("CONT"));
+                agents.forEach(agent -> agent.leave(() -> {}));
                 return null;
             });
-            await(ENDING_MS, () -> agents.stream()
-                    .noneMatch(each -> each.machine().running()));
-            return on(() -> {
-                for (AgentStandIn each : agents) {
-                    if (each.machine().running()) {
-                        day.checker.left(day.now(), each.name() + " has not ended");
+            awaitOnLoop(EXIT_TIMEOUT_MS, () -> agents.stream()
+                    .noneMatch(agent -> agent.machine().running()));
+            return callOnLoop(() -> {
+                for (AgentStandIn agent : agents) {
+                    if (agent.machine().running()) {
+                        context.checker.left(context.now(), agent.name() + " has not ended");
                     }
                 }
-                day.checker.close(day.now());
+                context.checker.close(context.now());
                 return new ProcessRehearsalResult(
                         plan,
-                        new RehearsalResult(plan.day(), seed, day.cast, day.record, day.checker, List.copyOf(log), 0),
-                        hand,
+                        new RehearsalResult(
+                                plan.basePlan(),
+                                seed,
+                                context.cast,
+                                context.record,
+                                context.checker,
+                                List.copyOf(log),
+                                0),
+                        drainChecker,
                         lateness,
                         timeline);
             });
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted", e);
+            throw new IOException("rehearsal interrupted", e);
         } finally {
-            end();
+            shutDown();
         }
     }
 
-    private RunContext made(LoopbackAddresses addresses) {
-        RunContext made = new RunContext(
-                plan.day(),
+    private RunContext createContext(LoopbackAddresses addresses) {
+        RunContext created = new RunContext(
+                plan.basePlan(),
                 seed,
-                SLACK,
+                SLACK_MICROS,
                 addresses,
                 (name, address, zone, memory, lines) -> new LoopbackMachine(name, address, loop),
-                of -> i -> {
+                owner -> i -> {
                     PersistentAgent agent = new PersistentAgent(
-                            of,
+                            owner,
                             i,
                             addresses.of(8, i),
                             command,
                             root,
-                            hands,
-                            line -> said(i, line),
-                            plan.keeps(),
-                            without,
-                            process -> begun(i, process));
-                    agent.front(ways.relay(i, Links.CALLERS, agent.address()).address());
+                            executor,
+                            line -> onLogLine(i, line),
+                            plan.recoveryEnabled(),
+                            disabledGuards,
+                            process -> onProcessStarted(i, process));
+                    agent.setClientAddress(
+                            network.relay(i, Links.CALLERS, agent.address()).address());
                     agents.add(agent);
                     return agent;
                 });
-        ways = new RelayNetwork(made, lateness, relayLoops, addresses.of(7, 0), hand, chronicle, timeline);
-        made.ways = ways;
-        made.checker.on(ways);
-        return made;
+        network = new RelayNetwork(created, lateness, relayLoops, addresses.of(7, 0), drainChecker, history, timeline);
+        created.ways = network;
+        created.checker.on(network);
+        return created;
     }
 
-    private void end() throws IOException {
-        over = true;
-        agents.forEach(each -> each.machine().kill());
-        warden.close();
-        if (day != null) {
+    private void shutDown() throws IOException {
+        finished = true;
+        agents.forEach(agent -> agent.machine().kill());
+        reaper.close();
+        if (context != null) {
             loop.submit(() -> {
-                        day.close();
-                        ways.close();
+                        context.close();
+                        network.close();
                     })
                     .awaitUninterruptibly();
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         relayLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
-        hands.shutdownNow();
-        chronicle.close();
-        FolderFaults.remove(root);
+        executor.shutdownNow();
+        history.close();
+        FolderFaults.delete(root);
     }
 
-    private double second() {
-        return (day.now() - opensAt) / MICROS;
+    private double secondsSinceTrafficStart() {
+        return (context.now() - trafficStartMicros) / MICROS_PER_SECOND;
     }
 
-    private void said(int agent, String line) {
+    private void onLogLine(int agent, String line) {
         if (line.startsWith("listening on ")) {
-            timeline.reached(agent, StartTimeline.Mark.LISTENS, day.now());
+            timeline.reached(agent, StartTimeline.Mark.LISTENS, context.now());
         }
-        chronicle.event(day.now(), "log", "agent-" + (agent + 1), line);
-        if (log.size() < LINES_MOST) {
-            log.add(String.format(Locale.ROOT, "%.3f agent-%d %s", second(), agent + 1, line));
+        history.event(context.now(), "log", "agent-" + (agent + 1), line);
+        if (log.size() < MAX_LOG_LINES) {
+            log.add(String.format(Locale.ROOT, "%.3f agent-%d %s", secondsSinceTrafficStart(), agent + 1, line));
         }
     }
 
-    private void event(String kind, String who, String what) {
-        chronicle.event(day.now(), kind, who, what);
+    private void recordEvent(String kind, String who, String what) {
+        history.event(context.now(), kind, who, what);
     }
 
     // ---- Processes ----
 
-    /** A process has been started: the warden answers for it, and somebody looks when it is ready. */
-    private void begun(int agent, Process process) {
+    /** Registers a new process with the reaper and waits, on a worker thread, until it is ready. */
+    private void onProcessStarted(int agent, Process process) {
         long pid = process.pid();
-        warden.charge(pid);
-        long at = System.nanoTime();
-        starting.put(pid, at);
+        reaper.watch(pid);
+        long startNanos = System.nanoTime();
+        startNanosByPid.put(pid, startNanos);
         process.onExit().thenRun(() -> {
-            warden.discharge(pid);
-            starting.remove(pid);
-            onLoop(() -> event("exit", "agent-" + (agent + 1), "process " + pid + ", status " + process.exitValue()));
+            reaper.unwatch(pid);
+            startNanosByPid.remove(pid);
+            runOnLoop(() ->
+                    recordEvent("exit", "agent-" + (agent + 1), "process " + pid + ", status " + process.exitValue()));
         });
-        onLoop(() -> {
-            timeline.started(agent, day.now());
-            event("start", "agent-" + (agent + 1), "process " + pid);
+        runOnLoop(() -> {
+            timeline.started(agent, context.now());
+            recordEvent("start", "agent-" + (agent + 1), "process " + pid);
         });
-        hands.execute(() -> watch(agent, process, at));
+        executor.execute(() -> awaitProcessReady(agent, process, startNanos));
     }
 
-    private void watch(int agent, Process process, long at) {
-        PersistentAgent of = agents.get(agent);
+    private void awaitProcessReady(int number, Process process, long startNanos) {
+        PersistentAgent agent = agents.get(number);
         try {
-            while (process.isAlive() && !over && !of.ready()) {
-                Thread.sleep(LOOK_MS);
+            while (process.isAlive() && !finished && !agent.ready()) {
+                Thread.sleep(POLL_INTERVAL_MS);
             }
-            if (!process.isAlive() || over) {
+            if (!process.isAlive() || finished) {
                 return;
             }
-            double took = (System.nanoTime() - at) / MICROS;
-            ManagementClient.Answer stats = ManagementClient.call(of.door(), "GET", "/stats");
-            boolean lost = !ManagementClient.figures(stats.text())
-                    .getOrDefault(LOST, "0")
+            double tookMillis = (System.nanoTime() - startNanos) / MICROS_PER_SECOND;
+            ManagementClient.Response stats = ManagementClient.call(agent.managementAddress(), "GET", "/stats");
+            boolean lost = !ManagementClient.parseStats(stats.text())
+                    .getOrDefault(RECOVERY_LOST_FIELD, "0")
                     .equals("0");
-            onLoop(() -> {
-                ready++;
-                timeline.reached(agent, StartTimeline.Mark.READY, day.now());
-                event(
+            runOnLoop(() -> {
+                readyCount++;
+                timeline.reached(number, StartTimeline.Mark.READY, context.now());
+                recordEvent(
                         "ready",
-                        of.name(),
+                        agent.name(),
                         String.format(
                                 Locale.ROOT,
                                 "after %.0f ms%s",
-                                took,
+                                tookMillis,
                                 lost ? ", it says that what it kept is lost" : ""));
-                if (lost && of.machine().running()) {
-                    hand.toldLost(day.now(), agent);
+                if (lost && agent.machine().running()) {
+                    drainChecker.toldLost(context.now(), number);
                 }
             });
         } catch (InterruptedException e) {
@@ -291,236 +312,253 @@
         }
     }
 
-    private void awaitReady() throws InterruptedException, IOException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
-        while (on(() -> ready) < agents.size()) {
+    private void awaitAllReady() throws InterruptedException, IOException {
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
+        while (callOnLoop(() -> readyCount) < agents.size()) {
             if (System.nanoTime() > end) {
-                throw new IOException("not all agents got ready");
+                throw new IOException("not all agents became ready within " + READY_TIMEOUT_MS + " ms");
             }
-            for (PersistentAgent each : agents) {
-                if (!each.machine().running()) {
-                    throw new IOException(each.name() + " did not get ready");
+            for (PersistentAgent agent : agents) {
+                if (!agent.machine().running()) {
+                    throw new IOException(agent.name() + " exited before it was ready");
                 }
             }
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
     // ---- Faults ----
 
-    private void schedule(ProcessFault fault, RandomStream draw, long from) {
-        long at = from + (long) (MICROS * fault.at().sample(draw::between));
-        long lasts = (long) (MICROS * fault.lasts().sample(draw::between));
-        double spread = MICROS * fault.spread().sample(draw::between);
+    private void schedule(ProcessFault fault, RandomStream draw, long start) {
+        long at = start + (long) (MICROS_PER_SECOND * fault.at().sample(draw::between));
+        long duration = (long) (MICROS_PER_SECOND * fault.duration().sample(draw::between));
+        double spread = MICROS_PER_SECOND * fault.spread().sample(draw::between);
         double size = fault.size().sample(draw::between);
-        long number = draw.number();
-        int[] targets = targets(fault, draw);
-        day.record.band(fault.kind().word(), at - from, at - from + Math.max(lasts, 1_000_000));
+        long bitSelector = draw.number();
+        int[] targets = chooseAgents(fault, draw);
+        context.record.band(fault.kind().keyword(), at - start, at - start + Math.max(duration, 1_000_000));
         for (int i = 0; i < targets.length; i++) {
             PersistentAgent agent = agents.get(targets[i]);
             PersistentAgent next = agents.get(targets[(i + 1) % targets.length]);
             long when = at + (long) (targets.length < 2 ? 0 : spread * i / (targets.length - 1));
             if (fault.state() == ProcessFault.State.OLDER) {
-                day.at(
-                        from + (long) (MICROS * fault.saved()),
-                        () -> hands.execute(
-                                () -> quietly(agent, "copied", () -> FolderFaults.copy(agent.folder(), copy(agent)))));
+                context.at(
+                        start + (long) (MICROS_PER_SECOND * fault.copiedAtSecond()),
+                        () -> executor.execute(() -> changeFolder(
+                                agent, "copied", () -> FolderFaults.copy(agent.folder(), copyLocation(agent)))));
             }
-            day.at(when, () -> happens(fault, agent, next, lasts, size, number));
+            context.at(when, () -> inject(fault, agent, next, duration, size, bitSelector));
         }
     }
 
-    private int[] targets(ProcessFault fault, RandomStream draw) {
+    private int[] chooseAgents(ProcessFault fault, RandomStream draw) {
         if (!fault.names().isEmpty()) {
             return fault.names().stream()
-                    .mapToInt(each -> Integer.parseInt(each.substring(6)) - 1)
+                    .mapToInt(name -> Integer.parseInt(name.substring("agent-".length())) - 1)
                     .toArray();
         }
         int count = agents.size();
-        int n = fault.share() == 0 ? 0 : Math.max(1, (int) Math.rint(fault.share() * count));
-        int[] all = IntStream.range(0, count).toArray();
-        for (int i = 0; i < n; i++) {
+        int chosen = fault.share() == 0 ? 0 : Math.max(1, (int) Math.rint(fault.share() * count));
+        int[] numbers = IntStream.range(0, count).toArray();
+        for (int i = 0; i < chosen; i++) {
             int j = i + draw.below(count - i);
-            int swap = all[i];
-            all[i] = all[j];
-            all[j] = swap;
+            int swap = numbers[i];
+            numbers[i] = numbers[j];
+            numbers[j] = swap;
         }
-        return java.util.Arrays.copyOf(all, n);
+        return java.util.Arrays.copyOf(numbers, chosen);
     }
 
-    private void happens(
-            ProcessFault fault, PersistentAgent agent, PersistentAgent next, long lasts, double size, long number) {
-        event("fault", agent.name(), fault.kind().word());
+    private void inject(
+            ProcessFault fault,
+            PersistentAgent agent,
+            PersistentAgent next,
+            long duration,
+            double size,
+            long bitSelector) {
+        recordEvent("fault", agent.name(), fault.kind().keyword());
         if (fault.kind() == ProcessFault.Kind.KILL || fault.kind() == ProcessFault.Kind.TERM) {
-            agent.clockOff(fault.clock());
-            agent.diskMost(fault.disk());
+            agent.setClockOffset(fault.clockOffsetSeconds());
+            agent.setMaxFileSize(fault.maxFileKilobytes());
         }
         switch (fault.kind()) {
             case KILL -> {
                 if (fault.state() == ProcessFault.State.ANOTHERS) {
-                    // Both are copied before either changes.
-                    hands.execute(() -> quietly(agent, "of another is copied", () -> {
-                        FolderFaults.copy(next.folder(), copy(agent));
-                        onLoop(() -> kill(agent, lasts, () -> state(fault.state(), agent, number)));
+                    // Copies the other agent's folder before any change, since the same fault may replace that folder.
+                    executor.execute(() -> changeFolder(agent, "of another is copied", () -> {
+                        FolderFaults.copy(next.folder(), copyLocation(agent));
+                        runOnLoop(
+                                () -> kill(agent, duration, () -> applyFolderState(fault.state(), agent, bitSelector)));
                     }));
                 } else {
-                    kill(agent, lasts, () -> state(fault.state(), agent, number));
+                    kill(agent, duration, () -> applyFolderState(fault.state(), agent, bitSelector));
                 }
             }
             case TERM -> agent.leave(() -> {
-                hand.ended(day.now(), agent.number);
-                again(agent, lasts);
+                drainChecker.ended(context.now(), agent.number);
+                restartAfter(agent, duration);
             });
             case STOP -> {
-                ways.stopped(agent.number, true);
+                network.setPaused(agent.number, true);
                 agent.signal("STOP");
-                day.at(day.now() + lasts, () -> {
-                    event("fault", agent.name(), "wakes");
+                context.at(context.now() + duration, () -> {
+                    recordEvent("fault", agent.name(), "wakes");
                     agent.signal("CONT");
-                    ways.stopped(agent.number, false);
+                    network.setPaused(agent.number, false);
                 });
             }
-            case CRASH_LOOP -> crash(agent, lasts, (int) size);
-            case CUT -> shape(fault, agent, lasts, LinkConditions.HELD);
-            case DELAY -> shape(fault, agent, lasts, new LinkConditions(false, (long) (1000 * size), 0));
-            case THROTTLE -> shape(fault, agent, lasts, new LinkConditions(false, 0, (long) (1000 * size)));
-            case RESET, HALF_OPEN -> ways.breaks(
+            case CRASH_LOOP -> crashLoop(agent, duration, (int) size);
+            case CUT -> applyLinkConditions(fault, agent, duration, LinkConditions.BLOCKED);
+            case DELAY -> applyLinkConditions(
+                    fault, agent, duration, new LinkConditions(false, (long) (1000 * size), 0));
+            case THROTTLE -> applyLinkConditions(
+                    fault, agent, duration, new LinkConditions(false, 0, (long) (1000 * size)));
+            case RESET, HALF_OPEN -> network.breakConnections(
                     agent.number, fault.links(), fault.kind() == ProcessFault.Kind.HALF_OPEN);
-            case OUT, BACK -> fault.nodos().forEach(each -> byHand(agent, each, fault.kind() == ProcessFault.Kind.OUT));
+            case OUT, BACK -> fault.nodos()
+                    .forEach(nodo -> sendDrainCommand(agent, nodo, fault.kind() == ProcessFault.Kind.OUT));
         }
     }
 
-    private void shape(ProcessFault fault, PersistentAgent agent, long lasts, LinkConditions shape) {
-        ways.shape(agent.number, fault.links(), fault.direction(), shape);
-        day.at(day.now() + lasts, () -> {
-            event("fault", agent.name(), "healed");
-            ways.shape(agent.number, fault.links(), fault.direction(), LinkConditions.CLEAR);
+    private void applyLinkConditions(
+            ProcessFault fault, PersistentAgent agent, long duration, LinkConditions conditions) {
+        network.setConditions(agent.number, fault.links(), fault.direction(), conditions);
+        context.at(context.now() + duration, () -> {
+            recordEvent("fault", agent.name(), "healed");
+            network.setConditions(agent.number, fault.links(), fault.direction(), LinkConditions.CLEAR);
         });
     }
 
-    private void kill(PersistentAgent agent, long lasts, Runnable whileDead) {
-        long startsAt = day.now() + lasts;
+    private void kill(PersistentAgent agent, long duration, Runnable beforeRestart) {
+        long startsAt = context.now() + duration;
         if (!agent.machine().running()) {
             return;
         }
-        int mine = agent.processes();
-        agent.signalled(process -> process.onExit()
+        int processNumber = agent.processes();
+        agent.withProcess(process -> process.onExit()
                 .thenRunAsync(
                         () -> {
-                            whileDead.run();
-                            onLoop(() -> {
-                                if (agent.processes() == mine) {
-                                    again(agent, startsAt - day.now());
+                            beforeRestart.run();
+                            runOnLoop(() -> {
+                                if (agent.processes() == processNumber) {
+                                    restartAfter(agent, startsAt - context.now());
                                 }
                             });
                         },
-                        hands));
+                        executor));
         agent.kill();
-        hand.ended(day.now(), agent.number);
+        drainChecker.ended(context.now(), agent.number);
     }
 
-    private void again(PersistentAgent agent, long inMicros) {
-        day.at(day.now() + inMicros, () -> {
-            if (!agent.machine().running() && !over) {
+    private void restartAfter(PersistentAgent agent, long delayMicros) {
+        context.at(context.now() + delayMicros, () -> {
+            if (!agent.machine().running() && !finished) {
                 agent.start();
             }
         });
     }
 
-    /** Killed as soon as it is ready, over and over; the last time it is left alone. */
-    private void crash(PersistentAgent agent, long pause, int times) {
-        if (times > 0 && !over) {
+    /** Kills an agent as soon as it is ready, the given number of times. */
+    private void crashLoop(PersistentAgent agent, long pause, int times) {
+        if (times > 0 && !finished) {
             kill(agent, pause, () -> {});
             CompletableFuture.runAsync(
                     () -> {
                         try {
                             Thread.sleep(TimeUnit.MICROSECONDS.toMillis(pause));
-                            while (!over && !agent.ready()) {
-                                Thread.sleep(LOOK_MS);
+                            while (!finished && !agent.ready()) {
+                                Thread.sleep(POLL_INTERVAL_MS);
                             }
-                            onLoop(() -> crash(agent, pause, times - 1));
+                            runOnLoop(() -> crashLoop(agent, pause, times - 1));
                         } catch (InterruptedException e) {
                             Thread.currentThread().interrupt();
                         }
                     },
-                    hands);
+                    executor);
         }
     }
 
     // ---- Folders ----
 
-    private interface Change {
-        void make() throws IOException;
+    private interface FolderChange {
+        void apply() throws IOException;
     }
 
-    private Path copy(PersistentAgent agent) {
+    private Path copyLocation(PersistentAgent agent) {
         return root.resolve("copy-of-" + agent.name());
     }
 
-    private void quietly(PersistentAgent agent, String what, Change change) {
+    private void changeFolder(PersistentAgent agent, String what, FolderChange change) {
         try {
-            change.make();
-            onLoop(() -> event("folder", agent.name(), what));
+            change.apply();
+            runOnLoop(() -> recordEvent("folder", agent.name(), what));
         } catch (IOException e) {
-            onLoop(() -> day.checker.left(day.now(), agent.name() + "'s folder could not be " + what + ": " + e));
+            runOnLoop(() ->
+                    context.checker.left(context.now(), agent.name() + "'s folder could not be " + what + ": " + e));
         }
     }
 
-    /** Changes the folder of a process that has ended. */
-    private void state(ProcessFault.State state, PersistentAgent agent, long number) {
+    /** Applies a fault to the folder of an agent whose process has exited. */
+    private void applyFolderState(ProcessFault.State state, PersistentAgent agent, long bitSelector) {
         Path folder = agent.folder();
         String what = state.name().toLowerCase(Locale.ROOT).replace('_', '-');
         switch (state) {
             case KEPT -> {}
-            case WIPED -> quietly(agent, what, () -> FolderFaults.remove(folder));
-            case OLDER, ANOTHERS -> quietly(agent, what, () -> FolderFaults.copy(copy(agent), folder));
-            case TORN -> quietly(agent, what, () -> FolderFaults.tear(folder.resolve("kept")));
-            case FLIPPED -> quietly(agent, what, () -> FolderFaults.flip(folder.resolve("kept"), number));
-            case READ_ONLY -> quietly(
+            case WIPED -> changeFolder(agent, what, () -> FolderFaults.delete(folder));
+            case OLDER, ANOTHERS -> changeFolder(agent, what, () -> FolderFaults.copy(copyLocation(agent), folder));
+            case TORN -> changeFolder(agent, what, () -> FolderFaults.truncateNewestFile(folder.resolve("kept")));
+            case FLIPPED -> changeFolder(
+                    agent, what, () -> FolderFaults.flipBitInNewestFile(folder.resolve("kept"), bitSelector));
+            case READ_ONLY -> changeFolder(
                     agent, what, () -> folder.resolve("kept").toFile().setWritable(false));
         }
     }
 
-    // ---- Staff ----
+    // ---- Operators ----
 
-    private void byHand(PersistentAgent agent, String nodo, boolean out) {
-        var door = ways.relay(agent.number, Links.DOOR, agent.door()).address();
+    private void sendDrainCommand(PersistentAgent agent, String nodo, boolean drain) {
+        var address = network.relay(agent.number, Links.DOOR, agent.managementAddress())
+                .address();
         int number = Integer.parseInt(nodo.substring("nodo-".length())) - 1;
-        int process = agent.processes();
-        hands.execute(() -> {
-            ManagementClient.Answer answer =
-                    ManagementClient.call(door, "POST", "/backends/" + nodo + (out ? "/maint" : "/ready"));
-            onLoop(() -> {
-                event(
+        int processNumber = agent.processes();
+        executor.execute(() -> {
+            ManagementClient.Response response =
+                    ManagementClient.call(address, "POST", "/backends/" + nodo + (drain ? "/maint" : "/ready"));
+            runOnLoop(() -> {
+                recordEvent(
                         "staff",
                         agent.name(),
-                        nodo + (out ? " out: " : " back: ") + answer.status() + " "
-                                + answer.text().strip());
-                if (answer.status() == 200 && agent.processes() == process) {
-                    hand.yes(
-                            day.now(), agent.number, number, out, !answer.text().contains("not kept"));
+                        nodo + (drain ? " out: " : " back: ") + response.status() + " "
+                                + response.text().strip());
+                if (response.status() == 200 && agent.processes() == processNumber) {
+                    drainChecker.yes(
+                            context.now(),
+                            agent.number,
+                            number,
+                            drain,
+                            !response.text().contains("not kept"));
                 }
             });
         });
     }
 
-    // ---- Loops ----
+    // ---- Event loop ----
 
-    private void onLoop(Runnable what) {
+    private void runOnLoop(Runnable task) {
         if (!loop.isShuttingDown()) {
-            loop.execute(what);
+            loop.execute(task);
         }
     }
 
-    private void await(long mostMs, Callable<Boolean> what) throws InterruptedException, IOException {
-        for (long passed = 0; passed < mostMs && !on(what); passed += 50) {
+    private void awaitOnLoop(long timeoutMs, Callable<Boolean> condition) throws InterruptedException, IOException {
+        for (long passed = 0; passed < timeoutMs && !callOnLoop(condition); passed += 50) {
             Thread.sleep(50);
         }
     }
 
-    private <T> T on(Callable<T> what) throws InterruptedException, IOException {
+    private <T> T callOnLoop(Callable<T> task) throws InterruptedException, IOException {
         try {
-            return loop.submit(what).get();
+            return loop.submit(task).get();
         } catch (ExecutionException e) {
             throw new IOException(String.valueOf(e.getCause().getMessage()), e.getCause());
         }
--- a/src/main/java/gatefront/rehearsal/processes/Relay.java
+++ b/src/main/java/gatefront/rehearsal/processes/Relay.java
@@ -25,49 +25,51 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One link between two processes: a port of its own, behind which bytes go on to the other side, and what a plan does
- * to each direction. All of it runs on the loop given.
+ * A TCP relay that represents one link between two processes. It listens on a port of its own, forwards each connection
+ * to the destination, and applies the {@link LinkConditions} of a plan to each direction. Everything runs on the given
+ * event loop.
  *
- * <p>As near as loopback comes without privileges: a cut link holds bytes back and brings them when it is healed, as
- * TCP sends again what was lost; a connection to a cut link comes up, since this system's own kernel answers it, and
- * stays silent. Where the other side refuses a connection, this one is made and reset at once.
+ * <p>This is as close to a faulty network as loopback comes without privileges. A blocked link holds bytes back and
+ * delivers them once it is restored, as TCP retransmits lost segments. A connection over a blocked link is established,
+ * since the local kernel accepts it, but stays silent. If the destination refuses the connection, the accepted one is
+ * reset at once.
  */
 public final class Relay {
-    /** Held back for one direction of a connection before reading stops, so that senders feel it. */
-    private static final int QUEUE_MOST = 256 << 10;
+    /** Bytes queued for one direction of a connection before reading stops, so that the sender sees backpressure. */
+    private static final int MAX_QUEUED_BYTES = 256 << 10;
 
     private static final int BACKLOG = 1_024;
-    private static final int DIAL_MS = 3_000;
+    private static final int CONNECT_TIMEOUT_MS = 3_000;
 
     /** The two directions of a link. */
-    public enum Way {
-        /** From whoever dials to whoever listens. */
-        FORTH,
-        /** The other way. */
-        BACK
+    public enum Flow {
+        /** From the side that connects to the side that listens. */
+        UPSTREAM,
+        /** From the side that listens to the side that connects. */
+        DOWNSTREAM
     }
 
     private final EventLoop loop;
-    private final InetSocketAddress target;
-    private final Channel server;
-    private final LinkConditions[] shapes = {LinkConditions.CLEAR, LinkConditions.CLEAR};
-    /** Connections through it; each removes itself when both of its ends have closed. */
-    private final Set<Pair> pairs = new LinkedHashSet<>();
+    private final InetSocketAddress destination;
+    private final Channel listener;
+    private final LinkConditions[] conditions = {LinkConditions.CLEAR, LinkConditions.CLEAR};
+    /** Open connections; each removes itself when both of its ends have closed. */
+    private final Set<Connection> connections = new LinkedHashSet<>();
 
     private volatile boolean clear = true;
-    private long made;
+    private long connectionCount;
 
     /**
-     * Listens from now on.
+     * Creates a relay and starts to listen.
      *
-     * @param loop on which it runs
-     * @param host the address to listen on; the system finds the port
-     * @param target where connections go on to
+     * @param loop the event loop that it runs on
+     * @param host the address to listen on; the system chooses the port
+     * @param destination where connections are forwarded to
      * @throws IOException if it cannot listen
      */
-    public Relay(EventLoop loop, InetAddress host, InetSocketAddress target) throws IOException {
+    public Relay(EventLoop loop, InetAddress host, InetSocketAddress destination) throws IOException {
         this.loop = loop;
-        this.target = target;
+        this.destination = destination;
         var bound = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -78,63 +80,67 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel near) {
-                        Pair pair = new Pair(near);
-                        pairs.add(pair);
-                        near.pipeline().addLast(pair.ends[0]);
+                        Connection connection = new Connection(near);
+                        connections.add(connection);
+                        near.pipeline().addLast(connection.ends[0]);
                     }
                 })
                 .bind(new InetSocketAddress(host, 0))
                 .awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            throw new IOException("a relay cannot listen: " + bound.cause().getMessage(), bound.cause());
+            throw new IOException(
+                    "relay cannot listen on " + host + ": " + bound.cause().getMessage(), bound.cause());
         }
-        server = bound.channel();
+        listener = bound.channel();
     }
 
-    /** Where it listens. */
+    /** Returns the address that it listens on. */
     public InetSocketAddress address() {
-        return (InetSocketAddress) server.localAddress();
+        return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Whether nothing is done to it now, so that what is written arrives; from any thread. */
-    public boolean clear() {
+    /** Returns whether both directions pass traffic unchanged. Thread-safe. */
+    public boolean isClear() {
         return clear;
     }
 
-    /** Shapes one direction, from now on; from any thread. */
-    public void shape(Way way, LinkConditions shape) {
-        if (shape != LinkConditions.CLEAR) {
+    /** Sets the conditions of one direction. Thread-safe. */
+    public void setConditions(Flow flow, LinkConditions flowConditions) {
+        if (flowConditions != LinkConditions.CLEAR) {
             clear = false;
         }
         loop.execute(() -> {
-            shapes[way.ordinal()] = shape;
-            clear = shapes[0] == LinkConditions.CLEAR && shapes[1] == LinkConditions.CLEAR;
-            List.copyOf(pairs).forEach(Pair::go);
+            conditions[flow.ordinal()] = flowConditions;
+            clear = conditions[0] == LinkConditions.CLEAR && conditions[1] == LinkConditions.CLEAR;
+            List.copyOf(connections).forEach(Connection::connectAndForward);
         });
     }
 
-    /** Resets all its connections, at both ends; from any thread. */
+    /** Resets all connections at both ends. Thread-safe. */
     public void reset() {
-        loop.execute(() -> List.copyOf(pairs).forEach(Pair::reset));
+        loop.execute(() -> List.copyOf(connections).forEach(Connection::reset));
     }
 
-    /** Ends the far ends of its connections; the near ones are told nothing, as when a machine loses its state. */
+    /**
+     * Closes the far ends of all connections without notice to the near ends, as when a machine loses its state.
+     * Thread-safe.
+     */
     public void halfOpen() {
-        loop.execute(() -> List.copyOf(pairs).forEach(Pair::halfOpen));
+        loop.execute(() -> List.copyOf(connections).forEach(Connection::halfOpen));
     }
 
-    /** Ends it; from any thread. */
+    /** Stops listening and resets all connections. Thread-safe. */
     public void close() {
-        server.close();
+        listener.close();
         reset();
     }
 
-    /** How many connections it has carried; to be asked on its loop. */
-    long made() {
-        return made;
+    /** Returns how many connections were accepted. To be called on the event loop. */
+    long connectionCount() {
+        return connectionCount;
     }
 
-    private long now() {
+    private long nowMicros() {
         return TimeUnit.NANOSECONDS.toMicros(loop.ticker().nanoTime());
     }
 
@@ -145,29 +151,29 @@
         }
     }
 
-    /** What passes in one direction: bytes, the end of them, or a reset in their place. */
-    private record Piece(long due, ByteBuf bytes, boolean reset) {}
+    /** An item of one direction: bytes, or if they are null, the end of the stream or a reset. */
+    private record Chunk(long dueMicros, ByteBuf bytes, boolean reset) {}
 
-    /** One connection and the one that goes on from it. */
-    private final class Pair {
-        final End[] ends = {new End(Way.FORTH), new End(Way.BACK)};
-        private boolean dialled;
+    /** An accepted connection and its counterpart to the destination. */
+    private final class Connection {
+        final End[] ends = {new End(Flow.UPSTREAM), new End(Flow.DOWNSTREAM)};
+        private boolean connectStarted;
         private boolean halfOpen;
 
-        Pair(Channel near) {
+        Connection(Channel near) {
             ends[0].channel = near;
-            made++;
+            connectionCount++;
         }
 
-        /** Dials where that has not been, and passes on what may pass. */
-        void go() {
-            if (!dialled && !shapes[0].held() && !shapes[1].held()) {
-                dialled = true;
+        /** Connects to the destination, unless that was done or the link is blocked, and forwards what is due. */
+        void connectAndForward() {
+            if (!connectStarted && !conditions[0].blocked() && !conditions[1].blocked()) {
+                connectStarted = true;
                 new Bootstrap()
                         .group(loop)
                         .channel(NioSocketChannel.class)
                         .disableResolver()
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DIAL_MS)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                         .option(ChannelOption.AUTO_READ, false)
                         .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
                         .option(ChannelOption.TCP_NODELAY, true)
@@ -178,34 +184,34 @@
                                 far.pipeline().addLast(ends[1]);
                             }
                         })
-                        .connect(target)
+                        .connect(destination)
                         .addListener(done -> {
                             if (halfOpen) {
-                                return; // the far end has gone while it came up, and the near one is not to know
+                                return; // closed while connecting; the near end must not notice
                             }
                             if (!done.isSuccess() || !ends[0].channel.isOpen()) {
                                 reset();
                             } else {
-                                ends[0].reads(true);
-                                ends[1].reads(true);
+                                ends[0].setReading(true);
+                                ends[1].setReading(true);
                             }
                         });
             }
-            ends[0].pass();
-            ends[1].pass();
+            ends[0].forward();
+            ends[1].forward();
         }
 
         void reset() {
-            for (End each : ends) {
-                each.drop();
-                Relay.reset(each.channel);
+            for (End end : ends) {
+                end.discardQueue();
+                Relay.reset(end.channel);
             }
-            pairs.remove(this);
+            connections.remove(this);
         }
 
         void halfOpen() {
             halfOpen = true;
-            ends[0].drop();
+            ends[0].discardQueue();
             Relay.reset(ends[1].channel);
         }
 
@@ -213,145 +219,147 @@
             return end == ends[0] ? ends[1] : ends[0];
         }
 
-        /** Both ends are done: nothing waits and nothing more comes. */
-        void over() {
+        /** Removes the connection once both ends are closed, so that nothing more can arrive or be written. */
+        void removeIfClosed() {
             boolean closed = true;
-            for (End each : ends) {
-                closed &= each.channel == null || !each.channel.isOpen();
+            for (End end : ends) {
+                closed &= end.channel == null || !end.channel.isOpen();
             }
             if (closed) {
-                ends[0].drop();
-                ends[1].drop();
-                pairs.remove(this);
+                ends[0].discardQueue();
+                ends[1].discardQueue();
+                connections.remove(this);
             }
         }
 
-        /** One of its ends, and what has been read there and not yet been written to the other. */
+        /** One end of the connection, with the queue of what was read there and not yet written to the other end. */
         private final class End extends ChannelInboundHandlerAdapter {
-            private final Way way;
-            private final TrafficShaper conduit = new TrafficShaper();
-            private final Deque<Piece> queue = new ArrayDeque<>();
+            private final Flow flow;
+            private final TrafficShaper shaper = new TrafficShaper();
+            private final Deque<Chunk> queue = new ArrayDeque<>();
             private Channel channel;
-            private int queued;
-            private boolean ended;
-            private boolean waking;
+            private int queuedBytes;
+            private boolean inputEnded;
+            private boolean forwardScheduled;
 
-            End(Way way) {
-                this.way = way;
+            End(Flow flow) {
+                this.flow = flow;
             }
 
-            private void reads(boolean on) {
-                channel.config().setAutoRead(on);
+            private void setReading(boolean enabled) {
+                channel.config().setAutoRead(enabled);
             }
 
             @Override
             public void channelActive(ChannelHandlerContext ctx) {
-                if (way == Way.FORTH) {
-                    go();
+                if (flow == Flow.UPSTREAM) {
+                    connectAndForward();
                 }
             }
 
             @Override
-            public void channelRead(ChannelHandlerContext ctx, Object read) {
-                ByteBuf bytes = (ByteBuf) read;
+            public void channelRead(ChannelHandlerContext ctx, Object message) {
+                ByteBuf bytes = (ByteBuf) message;
                 if (halfOpen) {
-                    bytes.release(); // its peer is gone, and nobody says so
+                    bytes.release(); // the far end is gone, and the near end must not notice
                     return;
                 }
                 int size = bytes.readableBytes();
-                queued += size;
-                queue.addLast(new Piece(conduit.due(now(), size, shapes[way.ordinal()]), bytes, false));
-                if (queued > QUEUE_MOST) {
-                    reads(false);
+                queuedBytes += size;
+                queue.addLast(
+                        new Chunk(shaper.departureTime(nowMicros(), size, conditions[flow.ordinal()]), bytes, false));
+                if (queuedBytes > MAX_QUEUED_BYTES) {
+                    setReading(false);
                 }
-                pass();
+                forward();
             }
 
             @Override
             public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
                 if (event instanceof ChannelInputShutdownEvent) {
-                    ends(false);
+                    endInput(false);
                 }
             }
 
             @Override
             public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                ends(true);
+                endInput(true);
                 ctx.close();
             }
 
             @Override
             public void channelInactive(ChannelHandlerContext ctx) {
-                ends(true);
-                over();
+                endInput(true);
+                removeIfClosed();
             }
 
-            /** Nothing more comes from here. */
-            private void ends(boolean reset) {
-                if (!ended && !halfOpen) {
-                    ended = true;
-                    queue.addLast(new Piece(conduit.due(now(), 0, shapes[way.ordinal()]), null, reset));
-                    pass();
+            /** Queues the end of the stream or a reset; nothing more is read from this end. */
+            private void endInput(boolean reset) {
+                if (!inputEnded && !halfOpen) {
+                    inputEnded = true;
+                    queue.addLast(
+                            new Chunk(shaper.departureTime(nowMicros(), 0, conditions[flow.ordinal()]), null, reset));
+                    forward();
                 }
             }
 
-            /** Writes to the other end what is due, and wakes up for the next. */
-            void pass() {
+            /** Writes what is due to the other end, and schedules the next call for what is not. */
+            void forward() {
                 Channel to = other(this).channel;
                 boolean wrote = false;
                 while (!queue.isEmpty()
-                        && !shapes[way.ordinal()].held()
+                        && !conditions[flow.ordinal()].blocked()
                         && to != null
                         && to.isActive()
-                        && queue.peekFirst().due() <= now()) {
-                    Piece piece = queue.removeFirst();
-                    if (piece.bytes() != null) {
-                        queued -= piece.bytes().readableBytes();
-                        to.write(piece.bytes());
+                        && queue.peekFirst().dueMicros() <= nowMicros()) {
+                    Chunk chunk = queue.removeFirst();
+                    if (chunk.bytes() != null) {
+                        queuedBytes -= chunk.bytes().readableBytes();
+                        to.write(chunk.bytes());
                         wrote = true;
-                    } else if (piece.reset()) {
+                    } else if (chunk.reset()) {
                         to.flush();
                         Relay.reset(to);
                     } else {
                         to.flush();
-                        ((DuplexChannel) to).shutdownOutput().addListener(done -> over());
+                        ((DuplexChannel) to).shutdownOutput().addListener(done -> removeIfClosed());
                     }
                 }
                 if (wrote) {
                     to.flush();
                 }
-                if (queued <= QUEUE_MOST / 2
-                        && !ended
-                        && dialled
+                if (queuedBytes <= MAX_QUEUED_BYTES / 2
+                        && !inputEnded
+                        && connectStarted
                         && channel.isOpen()
                         && to != null
                         && to.isActive()
                         && !channel.config().isAutoRead()) {
-                    reads(true);
+                    setReading(true);
                 }
                 if (to != null && !to.isOpen()) {
-                    drop();
-                } else if (!queue.isEmpty() && !shapes[way.ordinal()].held() && !waking) {
-                    waking = true;
-                    long wait = Math.max(0, queue.peekFirst().due() - now());
+                    discardQueue();
+                } else if (!queue.isEmpty() && !conditions[flow.ordinal()].blocked() && !forwardScheduled) {
+                    forwardScheduled = true;
+                    long wait = Math.max(0, queue.peekFirst().dueMicros() - nowMicros());
                     loop.schedule(
                             () -> {
-                                waking = false;
-                                pass();
+                                forwardScheduled = false;
+                                forward();
                             },
                             Math.max(wait, 100),
                             TimeUnit.MICROSECONDS);
                 }
             }
 
-            void drop() {
-                for (Piece each : new ArrayList<>(queue)) {
-                    if (each.bytes() != null) {
-                        each.bytes().release();
+            void discardQueue() {
+                for (Chunk chunk : new ArrayList<>(queue)) {
+                    if (chunk.bytes() != null) {
+                        chunk.bytes().release();
                     }
                 }
                 queue.clear();
-                queued = 0;
+                queuedBytes = 0;
             }
         }
     }
--- a/src/test/java/gatefront/rehearsal/RehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/RehearsalTest.java
@@ -26,9 +26,9 @@
 
     @Test
     void theSamePlanAndSeedGiveTheSameBytesAndAnotherSeedOthers() throws Exception {
-        byte[] first = JsonReport.bytes(new Rehearsal(rough(20), 7).play());
-        assertArrayEquals(first, JsonReport.bytes(new Rehearsal(rough(20), 7).play()));
-        assertFalse(Arrays.equals(first, JsonReport.bytes(new Rehearsal(rough(20), 8).play())));
+        byte[] first = JsonReport.toBytes(new Rehearsal(rough(20), 7).play());
+        assertArrayEquals(first, JsonReport.toBytes(new Rehearsal(rough(20), 7).play()));
+        assertFalse(Arrays.equals(first, JsonReport.toBytes(new Rehearsal(rough(20), 8).play())));
     }
 
     /** Guards against identity hash codes, salted orders, heap sizes and core counts that find their way in. */
@@ -94,8 +94,8 @@
     @Test
     void seedsAreSummedUpInTheirOrder() throws Exception {
         SeedCampaign.Summary summary = SeedCampaign.play(rough(12), 1, 6, done -> {}, broken -> {});
-        assertEquals(6, summary.played());
-        assertEquals(0, summary.broken(), summary.text());
+        assertEquals(6, summary.runs());
+        assertEquals(0, summary.brokenRuns(), summary.format());
         RehearsalResult third = new Rehearsal(rough(12), 3).play();
         assertTrue(summary.services().contains(third.service()), "threads beside it change nothing");
     }
