--- a/src/main/java/gatefront/rehearsal/PersistentAgent.java
+++ b/src/main/java/gatefront/rehearsal/PersistentAgent.java
@@ -14,26 +14,26 @@
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 
-/** An agent whose folder outlives its process, with a door for staff, reached over relays. */
+/** An agent with a folder that outlives its process and a management endpoint, reached over relays. */
 final class PersistentAgent extends ProcessAgent {
-    private static final int DOOR_PORT = 3002;
+    private static final int MANAGEMENT_PORT = 3002;
 
     private final Path folder;
-    private final boolean keeps;
-    private final Set<String> without;
-    private final Consumer<Process> begun;
-    private InetSocketAddress front;
-    private double clockOff;
-    private int diskMost;
-    /** The list in the file that staff wrote: as it was at the first start. */
-    private JsonNode known;
+    private final boolean recoveryEnabled;
+    private final Set<String> disabledGuards;
+    private final Consumer<Process> onProcessStarted;
+    private InetSocketAddress clientAddress;
+    private double clockOffsetSeconds;
+    private int maxFileKilobytes;
+    /** The server list of the configuration file; stays as it was at the first start. */
+    private JsonNode initialServerList;
 
     /**
-     * Not started yet.
+     * Creates an agent that is not started yet.
      *
-     * @param keeps whether it keeps what it is to know again
-     * @param without guards that are switched off
-     * @param begun is told of each process, on no loop
+     * @param recoveryEnabled whether it stores the state that it recovers after a restart
+     * @param disabledGuards safeguards that are switched off
+     * @param onProcessStarted receives each new process, not on the event loop
      */
     PersistentAgent(
             RunContext day,
@@ -43,92 +43,93 @@
             Path root,
             Executor starter,
             Consumer<String> log,
-            boolean keeps,
-            Set<String> without,
-            Consumer<Process> begun) {
+            boolean recoveryEnabled,
+            Set<String> disabledGuards,
+            Consumer<Process> onProcessStarted) {
         super(day, number, address, command, root, starter, log);
         this.folder = root.resolve(name());
-        this.keeps = keeps;
-        this.without = without;
-        this.begun = begun;
+        this.recoveryEnabled = recoveryEnabled;
+        this.disabledGuards = disabledGuards;
+        this.onProcessStarted = onProcessStarted;
     }
 
-    /** The time of day of its next process is off by so many seconds. */
-    void clockOff(double seconds) {
-        clockOff = seconds;
+    /** Sets the offset of the wall clock of the next process. */
+    void setClockOffset(double seconds) {
+        clockOffsetSeconds = seconds;
     }
 
-    /** Its next process may write no file longer than so many kilobytes; 0 for any. */
-    void diskMost(int kilobytes) {
-        diskMost = kilobytes;
+    /** Sets the largest file that the next process can write; 0 for no limit. */
+    void setMaxFileSize(int kilobytes) {
+        maxFileKilobytes = kilobytes;
     }
 
-    /** All that it keeps. */
+    /** Returns the folder with the stored state. */
     Path folder() {
         return folder;
     }
 
-    /** Where staff reach it, without a relay. */
-    InetSocketAddress door() {
-        return machine().at(DOOR_PORT);
+    /** Returns the address of the management endpoint, without a relay. */
+    InetSocketAddress managementAddress() {
+        return machine().at(MANAGEMENT_PORT);
     }
 
-    /** Its callers come over a relay from now on. */
-    void front(InetSocketAddress at) {
-        front = at;
+    /** Sets the address that clients connect to, that of a relay. */
+    void setClientAddress(InetSocketAddress address) {
+        clientAddress = address;
     }
 
     @Override
     InetSocketAddress callers() {
-        return front;
+        return clientAddress;
     }
 
     @Override
-    Path configuration(Path to) throws IOException {
+    Path writeConfiguration(Path to) throws IOException {
         ObjectNode root = config();
-        known = known == null ? root.get("known") : known;
-        root.set("known", known);
+        initialServerList = initialServerList == null ? root.get("known") : initialServerList;
+        root.set("known", initialServerList);
         return Files.writeString(to, root.toString());
     }
 
     @Override
-    void prepare(ProcessBuilder builder) throws IOException {
-        if (diskMost > 0) { // the system refuses what is beyond, as a full disk does
+    void customize(ProcessBuilder builder) throws IOException {
+        if (maxFileKilobytes > 0) { // the system refuses to write beyond the limit, as with a full disk
             List<String> limited =
-                    new ArrayList<>(List.of("bash", "-c", "ulimit -f " + diskMost + "; exec \"$@\"", "bash"));
+                    new ArrayList<>(List.of("bash", "-c", "ulimit -f " + maxFileKilobytes + "; exec \"$@\"", "bash"));
             limited.addAll(builder.command());
             builder.command(limited);
         }
         builder.environment()
                 .put("TMPDIR", Files.createDirectories(folder.resolve("tmp")).toString());
-        builder.environment().put("RELAY_MANAGEMENT", door().getAddress().getHostAddress() + ":" + DOOR_PORT);
+        builder.environment()
+                .put("RELAY_MANAGEMENT", managementAddress().getAddress().getHostAddress() + ":" + MANAGEMENT_PORT);
     }
 
     @Override
     String extensions() {
-        StringBuilder own = new StringBuilder(super.extensions());
-        if (keeps) {
-            own.append("[recovery]\nfolder = \"")
+        StringBuilder text = new StringBuilder(super.extensions());
+        if (recoveryEnabled) {
+            text.append("[recovery]\nfolder = \"")
                     .append(folder.resolve("kept"))
                     .append("\"\ninstance = \"")
                     .append(name())
                     .append("\"\nmark_s = 0.5\ndoubt_s = 4\n");
         }
-        if (!without.isEmpty() || clockOff != 0) {
-            own.append("[rehearsal]\nclock_s = ")
-                    .append(clockOff)
+        if (!disabledGuards.isEmpty() || clockOffsetSeconds != 0) {
+            text.append("[rehearsal]\nclock_s = ")
+                    .append(clockOffsetSeconds)
                     .append("\nwithout = [")
-                    .append(without.stream()
+                    .append(disabledGuards.stream()
                             .sorted()
-                            .map(each -> '"' + each + '"')
+                            .map(guard -> '"' + guard + '"')
                             .collect(Collectors.joining(", ")))
                     .append("]\n");
         }
-        return own.toString();
+        return text.toString();
     }
 
     @Override
-    void started(Process fresh) {
-        begun.accept(fresh);
+    void onStarted(Process started) {
+        onProcessStarted.accept(started);
     }
 }
--- a/src/main/java/gatefront/rehearsal/PlanShrinker.java
+++ b/src/main/java/gatefront/rehearsal/PlanShrinker.java
@@ -14,114 +14,118 @@
 import java.util.stream.Collectors;
 
 /**
- * Cuts a plan whose seed breaks a rule down to what it takes to break it: faults are made fixed (else each would
- * draw other figures without its neighbours), then taken out one by one, their targets too, then the day is
- * shortened and callers are taken away, as long as one of the same rules still breaks.
+ * Reduces a plan that breaks a rule with some seed to a small plan that still breaks one of the same rules. Faults are
+ * first given fixed values, since each would draw other values once its neighbours are gone. Then the run is shortened,
+ * faults and their targets are removed one by one, and the rate of requests is lowered.
  */
 public final class PlanShrinker {
-    private static final double RATE_LEAST = 1;
+    /** Requests per second. */
+    private static final double MIN_RATE = 1;
 
     private final long seed;
-    private final Function<Engine, Balancer> module;
+    private final Function<Engine, Balancer> balancerFactory;
     private final Set<Rule> rules;
     private final Consumer<String> listener;
 
-    private PlanShrinker(long seed, Function<Engine, Balancer> module, Set<Rule> rules, Consumer<String> listener) {
+    private PlanShrinker(
+            long seed, Function<Engine, Balancer> balancerFactory, Set<Rule> rules, Consumer<String> listener) {
         this.seed = seed;
-        this.module = module;
+        this.balancerFactory = balancerFactory;
         this.rules = rules;
         this.listener = listener;
     }
 
     /**
-     * Shrinks.
+     * Reduces a plan.
      *
-     * @param plan what is played
-     * @param seed that breaks a rule
-     * @param listener is told each step, a line each
+     * @param plan the plan
+     * @param seed a seed with which the plan breaks a rule
+     * @param listener receives a line of text for each step
      * @return the smallest plan found that still breaks one of the rules, or null if the seed breaks none
      */
     public static Plan shrink(Plan plan, long seed, Consumer<String> listener) {
         return shrink(plan, seed, Engine::createDefaultBalancer, listener);
     }
 
-    static Plan shrink(Plan plan, long seed, Function<Engine, Balancer> module, Consumer<String> listener) {
-        Plan fixed = plan.with(frozen(plan, seed));
-        RehearsalResult whole = new Rehearsal(fixed, seed, module).play();
-        if (whole.broken() == 0) {
+    static Plan shrink(Plan plan, long seed, Function<Engine, Balancer> balancerFactory, Consumer<String> listener) {
+        Plan fixed = plan.withFaults(resolveFaults(plan, seed));
+        RehearsalResult result = new Rehearsal(fixed, seed, balancerFactory).play();
+        if (result.broken() == 0) {
             return null;
         }
-        Set<Rule> rules = whole.breaches().stream().map(each -> each.rule()).collect(Collectors.toSet());
-        PlanShrinker shrink = new PlanShrinker(seed, module, rules, listener);
-        listener.accept(
-                "breaks " + rules.size() + " rule(s) with " + fixed.faults().size() + " faults");
-        double end = (whole.breaches().get(0).at() - Rehearsal.OPENS_AT) / 1e6 + 1;
-        Plan smallest = shrink.callers(shrink.targets(shrink.faults(shrink.shorter(fixed, end))));
-        listener.accept("left are " + smallest.faults().size() + " faults, " + smallest.seconds() + " s and "
-                + smallest.callers().rate() + " requests a second");
+        Set<Rule> rules =
+                result.breaches().stream().map(breach -> breach.rule()).collect(Collectors.toSet());
+        PlanShrinker shrinker = new PlanShrinker(seed, balancerFactory, rules, listener);
+        listener.accept("the plan breaks " + rules.size() + " rule(s) with "
+                + fixed.faults().size() + " faults");
+        double end = (result.breaches().get(0).at() - Rehearsal.OPENS_AT) / 1e6 + 1;
+        Plan smallest =
+                shrinker.reduceRate(shrinker.removeTargets(shrinker.removeFaults(shrinker.shorten(fixed, end))));
+        listener.accept("smallest plan found: " + smallest.faults().size() + " faults, " + smallest.seconds()
+                + " s and " + smallest.clients().rate() + " requests a second");
         return smallest;
     }
 
-    /** The faults as the seed draws them. */
-    static List<Fault> frozen(Plan plan, long seed) {
-        List<Fault> frozen = new ArrayList<>();
-        for (ResolvedPlan.Trouble each : ResolvedPlan.of(plan, seed).troubles()) {
-            String prefix = each.fault().kind().whom() == Fault.Kind.Whom.AGENTS ? "agent-" : "nodo-";
+    /** Returns the faults of a plan with the values that a seed draws for them. */
+    static List<Fault> resolveFaults(Plan plan, long seed) {
+        List<Fault> resolved = new ArrayList<>();
+        for (ResolvedPlan.Trouble fault : ResolvedPlan.of(plan, seed).troubles()) {
+            String prefix = fault.fault().kind().target() == Fault.Kind.Target.AGENTS ? "agent-" : "nodo-";
             List<String> names = new ArrayList<>();
-            for (int target : each.targets()) {
+            for (int target : fault.targets()) {
                 names.add(prefix + (target + 1));
             }
-            frozen.add(each.fault()
-                    .frozen(
-                            fixed(each.at() / 1e6),
-                            fixed(each.lasts() / 1e6),
+            resolved.add(fault.fault()
+                    .withFixedValues(
+                            fixedRange(fault.at() / 1e6),
+                            fixedRange(fault.lasts() / 1e6),
                             names,
-                            fixed(each.size()),
-                            fixed(each.every() / 1e6),
-                            fixed(each.spread() / 1e6)));
+                            fixedRange(fault.size()),
+                            fixedRange(fault.every() / 1e6),
+                            fixedRange(fault.spread() / 1e6)));
         }
-        return frozen;
+        return resolved;
     }
 
-    private static NumberRange fixed(double figure) {
-        return new NumberRange(figure, figure);
+    private static NumberRange fixedRange(double value) {
+        return new NumberRange(value, value);
     }
 
-    private boolean breaks(Plan plan) {
-        return new Rehearsal(plan, seed, module)
-                .play().breaches().stream().anyMatch(each -> rules.contains(each.rule()));
+    private boolean stillBreaks(Plan plan) {
+        return new Rehearsal(plan, seed, balancerFactory)
+                .play().breaches().stream().anyMatch(breach -> rules.contains(breach.rule()));
     }
 
-    private Plan keep(Plan before, Plan smaller, String what) {
-        if (!breaks(smaller)) {
-            return before;
+    private Plan smallerIfBreaking(Plan current, Plan smaller, String removed) {
+        if (!stillBreaks(smaller)) {
+            return current;
         }
-        listener.accept("still breaks without " + what);
+        listener.accept("still breaks without " + removed);
         return smaller;
     }
 
-    private Plan shorter(Plan plan, double seconds) {
+    private Plan shorten(Plan plan, double seconds) {
         double length = Math.max(1, Math.ceil(seconds));
         if (length >= plan.seconds()) {
             return plan;
         }
-        return keep(plan, plan.withSeconds(length), "what comes after " + (int) length + " s");
+        return smallerIfBreaking(plan, plan.withSeconds(length), "the time after " + (int) length + " s");
     }
 
-    private Plan faults(Plan plan) {
+    private Plan removeFaults(Plan plan) {
         Plan smallest = plan;
         for (int i = plan.faults().size() - 1; i >= 0; i--) {
             List<Fault> fewer = new ArrayList<>(smallest.faults());
-            Fault out = fewer.remove(i);
-            smallest = keep(
+            Fault removed = fewer.remove(i);
+            smallest = smallerIfBreaking(
                     smallest,
-                    smallest.with(fewer),
-                    out.kind().word() + " at " + out.at().low() + " s");
+                    smallest.withFaults(fewer),
+                    removed.kind().keyword() + " at " + removed.at().low() + " s");
         }
         return smallest;
     }
 
-    private Plan targets(Plan plan) {
+    private Plan removeTargets(Plan plan) {
         Plan smallest = plan;
         for (int i = 0; i < plan.faults().size(); i++) {
             for (String name : plan.faults().get(i).names()) {
@@ -132,26 +136,27 @@
                     List<Fault> fewer = new ArrayList<>(smallest.faults());
                     fewer.set(
                             i,
-                            fault.frozen(
-                                    fault.at(), fault.lasts(), names, fault.size(), fault.every(), fault.spread()));
-                    smallest = keep(smallest, smallest.with(fewer), fault.kind().word() + " of " + name);
+                            fault.withFixedValues(
+                                    fault.at(), fault.duration(), names, fault.size(), fault.period(), fault.spread()));
+                    smallest = smallerIfBreaking(
+                            smallest, smallest.withFaults(fewer), fault.kind().keyword() + " of " + name);
                 }
             }
         }
         return smallest;
     }
 
-    private Plan callers(Plan plan) {
+    private Plan reduceRate(Plan plan) {
         Plan smallest = plan;
-        for (double part = 0.5; part < 0.95; part += 0.2) {
-            while (part * smallest.callers().rate() >= RATE_LEAST) {
+        for (double share = 0.5; share < 0.95; share += 0.2) {
+            while (share * smallest.clients().rate() >= MIN_RATE) {
                 Plan fewer = smallest.withRate(
-                        JsonReport.round(part * smallest.callers().rate()));
-                Plan kept = keep(smallest, fewer, "some of the callers");
-                if (kept == smallest) {
+                        JsonReport.round(share * smallest.clients().rate()));
+                Plan reduced = smallerIfBreaking(smallest, fewer, "some of the requests");
+                if (reduced == smallest) {
                     break;
                 }
-                smallest = kept;
+                smallest = reduced;
             }
         }
         return smallest;
--- a/src/main/java/gatefront/rehearsal/RelayNetwork.java
+++ b/src/main/java/gatefront/rehearsal/RelayNetwork.java
@@ -7,7 +7,7 @@
 import gatefront.rehearsal.processes.ProcessFault.Direction;
 import gatefront.rehearsal.processes.ProcessFault.Links;
 import gatefront.rehearsal.processes.Relay;
-import gatefront.rehearsal.processes.Relay.Way;
+import gatefront.rehearsal.processes.Relay.Flow;
 import gatefront.rehearsal.processes.StartTimeline;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -21,152 +21,156 @@
 import java.util.Map;
 
 /**
- * Every link of every agent goes over a relay of its own. Owned by the day's loop; relays are made as links are first
- * asked for, one for each agent, kind of link and other side, and end with the day.
+ * Routes each link of each agent over a {@link Relay} of its own, and applies the faults of links. Owned by the event
+ * loop of the rehearsal. Relays are created when a link is first used, one for each agent, kind of link and
+ * destination, and are closed with the rehearsal.
  */
 final class RelayNetwork extends RealTimeRig {
-    /** After this all that had been held back has arrived. */
-    private static final long CATCHING_UP = 500_000;
+    /** Time after the end of a fault by which all bytes that it held back have arrived, in microseconds. */
+    private static final long CATCH_UP_MICROS = 500_000;
 
-    /** A link: whose, which kind, where it leads. */
-    private record Key(int agent, Links kind, InetSocketAddress to) {}
+    /** Identifies a link: the agent, the kind of link and the destination. */
+    private record LinkKey(int agent, Links kind, InetSocketAddress to) {}
 
-    /** When something stood in a link's way, or a process did not run. */
-    private static final class Span {
+    /** The latest period in which a link was disturbed or a process was stopped, in microseconds. */
+    private static final class Interval {
         private long from = Long.MIN_VALUE / 2;
         private long until = Long.MIN_VALUE / 2;
 
-        void begins(long now) {
+        void start(long now) {
             from = now;
             until = Long.MAX_VALUE / 2;
         }
 
-        void ends(long now) {
+        void end(long now) {
             until = now;
         }
 
-        boolean meets(long since, long to) {
+        boolean overlaps(long since, long to) {
             return until >= since && from <= to;
         }
     }
 
     private final EventLoopGroup loops;
     private final InetAddress host;
-    private final ManualDrainChecker hand;
-    private final EventHistory chronicle;
+    private final ManualDrainChecker drainChecker;
+    private final EventHistory history;
     private final StartTimeline timeline;
-    private final Map<Key, Relay> relays = new HashMap<>();
-    /** By agent, kind and direction; one that is clear has none. */
-    private final Map<String, LinkConditions> shapes = new HashMap<>();
+    private final Map<LinkKey, Relay> relays = new HashMap<>();
+    /** Conditions by agent, kind of link and flow; clear ones have no entry. */
+    private final Map<String, LinkConditions> conditions = new HashMap<>();
 
-    private final Map<Integer, Span> stopped = new HashMap<>();
-    private final Map<String, Span> troubled = new HashMap<>();
+    /** The latest stop of each agent's process. */
+    private final Map<Integer, Interval> pauses = new HashMap<>();
+
+    /** The latest fault of each agent's links by kind. */
+    private final Map<String, Interval> disruptions = new HashMap<>();
 
     RelayNetwork(
-            RunContext day,
+            RunContext context,
             LoopLateness lateness,
             EventLoopGroup loops,
             InetAddress host,
-            ManualDrainChecker hand,
-            EventHistory chronicle,
+            ManualDrainChecker drainChecker,
+            EventHistory history,
             StartTimeline timeline) {
-        super(day, lateness);
+        super(context, lateness);
         this.loops = loops;
         this.host = host;
-        this.hand = hand;
-        this.chronicle = chronicle;
+        this.drainChecker = drainChecker;
+        this.history = history;
         this.timeline = timeline;
     }
 
-    private static String at(int agent, Links kind) {
+    private static String key(int agent, Links kind) {
         return kind + " " + agent;
     }
 
-    private static String at(int agent, Links kind, Way way) {
-        return at(agent, kind) + " " + way;
+    private static String key(int agent, Links kind, Flow flow) {
+        return key(agent, kind) + " " + flow;
     }
 
-    /** The relay of a link, which is made if need be. */
+    /** Returns the relay of a link, and creates it if it does not exist yet. */
     Relay relay(int agent, Links kind, InetSocketAddress to) {
-        return relays.computeIfAbsent(new Key(agent, kind, to), key -> {
+        return relays.computeIfAbsent(new LinkKey(agent, kind, to), link -> {
             try {
                 EventLoop loop = loops.next();
-                Relay made = new Relay(loop, host, to);
-                for (Way way : Way.values()) {
-                    LinkConditions shape = shapes.get(at(agent, kind, way));
-                    if (shape != null) {
-                        made.shape(way, shape);
+                Relay relay = new Relay(loop, host, to);
+                for (Flow flow : Flow.values()) {
+                    LinkConditions flowConditions = conditions.get(key(agent, kind, flow));
+                    if (flowConditions != null) {
+                        relay.setConditions(flow, flowConditions);
                     }
                 }
-                return made;
+                return relay;
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         });
     }
 
-    private List<Relay> of(int agent, Links kind) {
-        List<Relay> those = new ArrayList<>();
-        relays.forEach((key, relay) -> {
-            if (key.agent == agent && key.kind == kind) {
-                those.add(relay);
+    private List<Relay> relaysOf(int agent, Links kind) {
+        List<Relay> matching = new ArrayList<>();
+        relays.forEach((link, relay) -> {
+            if (link.agent == agent && link.kind == kind) {
+                matching.add(relay);
             }
         });
-        return those;
+        return matching;
     }
 
-    private static List<Links> kinds(Links links) {
+    private static List<Links> expand(Links links) {
         return links == Links.ALL ? List.of(Links.NODOS, Links.PADRON, Links.CALLERS, Links.DOOR) : List.of(links);
     }
 
-    /** The ways of a link that a direction, as the agent sees it, means. */
-    private static List<Way> ways(Links kind, Direction direction) {
+    /** Returns the flows of a link that correspond to a direction as the agent sees it. */
+    private static List<Flow> flows(Links kind, Direction direction) {
         if (direction == Direction.BOTH) {
-            return List.of(Way.values());
+            return List.of(Flow.values());
         }
-        boolean dials = kind == Links.NODOS || kind == Links.PADRON;
-        return List.of(dials == (direction == Direction.OUT) ? Way.FORTH : Way.BACK);
+        boolean agentConnects = kind == Links.NODOS || kind == Links.PADRON;
+        return List.of(agentConnects == (direction == Direction.OUT) ? Flow.UPSTREAM : Flow.DOWNSTREAM);
     }
 
-    /** Shapes links of an agent, or heals them. */
-    void shape(int agent, Links links, Direction direction, LinkConditions shape) {
-        for (Links kind : kinds(links)) {
-            Span span = troubled.computeIfAbsent(at(agent, kind), key -> new Span());
-            for (Way way : ways(kind, direction)) {
-                if (shape == LinkConditions.CLEAR) {
-                    shapes.remove(at(agent, kind, way));
+    /** Sets the conditions of an agent's links; {@link LinkConditions#CLEAR} restores them. */
+    void setConditions(int agent, Links links, Direction direction, LinkConditions newConditions) {
+        for (Links kind : expand(links)) {
+            Interval interval = disruptions.computeIfAbsent(key(agent, kind), absent -> new Interval());
+            for (Flow flow : flows(kind, direction)) {
+                if (newConditions == LinkConditions.CLEAR) {
+                    conditions.remove(key(agent, kind, flow));
                 } else {
-                    shapes.put(at(agent, kind, way), shape);
+                    conditions.put(key(agent, kind, flow), newConditions);
                 }
-                of(agent, kind).forEach(each -> each.shape(way, shape));
+                relaysOf(agent, kind).forEach(relay -> relay.setConditions(flow, newConditions));
             }
-            if (shape == LinkConditions.CLEAR) {
-                span.ends(day.now());
+            if (newConditions == LinkConditions.CLEAR) {
+                interval.end(context.now());
             } else {
-                span.begins(day.now());
+                interval.start(context.now());
             }
         }
     }
 
-    /** Resets the connections of links, or ends their far ends alone. */
-    void breaks(int agent, Links links, boolean halfOpen) {
-        for (Links kind : kinds(links)) {
-            Span span = troubled.computeIfAbsent(at(agent, kind), key -> new Span());
-            if (!span.meets(day.now(), day.now())) {
-                span.begins(day.now());
-                span.ends(day.now());
+    /** Resets the connections of an agent's links, or closes only their far ends. */
+    void breakConnections(int agent, Links links, boolean halfOpen) {
+        for (Links kind : expand(links)) {
+            Interval interval = disruptions.computeIfAbsent(key(agent, kind), absent -> new Interval());
+            if (!interval.overlaps(context.now(), context.now())) {
+                interval.start(context.now());
+                interval.end(context.now());
             }
-            of(agent, kind).forEach(halfOpen ? Relay::halfOpen : Relay::reset);
+            relaysOf(agent, kind).forEach(halfOpen ? Relay::halfOpen : Relay::reset);
         }
     }
 
-    /** A process stands still, or goes on. */
-    void stopped(int agent, boolean now) {
-        Span span = stopped.computeIfAbsent(agent, key -> new Span());
-        if (now) {
-            span.begins(day.now());
+    /** Records that an agent's process was stopped or resumed. */
+    void setPaused(int agent, boolean paused) {
+        Interval interval = pauses.computeIfAbsent(agent, absent -> new Interval());
+        if (paused) {
+            interval.start(context.now());
         } else {
-            span.ends(day.now());
+            interval.end(context.now());
         }
     }
 
@@ -186,21 +190,22 @@
 
     @Override
     public boolean heard(int agent) {
-        Span span = troubled.get(at(agent, Links.PADRON));
-        return span == null || !span.meets(day.now() - CATCHING_UP, day.now());
+        Interval interval = disruptions.get(key(agent, Links.PADRON));
+        return interval == null || !interval.overlaps(context.now() - CATCH_UP_MICROS, context.now());
     }
 
     @Override
     public long sentAt(int agent, long now) {
-        Span span = troubled.get(at(agent, Links.NODOS));
-        return span != null && span.meets(now - CATCHING_UP, now) ? Math.min(now, span.from) : now;
+        Interval interval = disruptions.get(key(agent, Links.NODOS));
+        return interval != null && interval.overlaps(now - CATCH_UP_MICROS, now) ? Math.min(now, interval.from) : now;
     }
 
     @Override
     public boolean owes(int agent, long from, long until) {
-        Span stop = stopped.get(agent);
-        Span link = troubled.get(at(agent, Links.CALLERS));
-        return (stop == null || !stop.meets(from, until)) && (link == null || !link.meets(from, until));
+        Interval pause = pauses.get(agent);
+        Interval disruption = disruptions.get(key(agent, Links.CALLERS));
+        return (pause == null || !pause.overlaps(from, until))
+                && (disruption == null || !disruption.overlaps(from, until));
     }
 
     @Override
@@ -210,11 +215,11 @@
 
     @Override
     public void begun(long now, int agent, int nodo) {
-        hand.begun(now, agent, nodo);
+        drainChecker.begun(now, agent, nodo);
     }
 
     @Override
     public void note(long at, String request, String what) {
-        chronicle.request(at, request, what);
+        history.request(at, request, what);
     }
 }
--- a/src/main/java/gatefront/rehearsal/plan/Plan.java
+++ b/src/main/java/gatefront/rehearsal/plan/Plan.java
@@ -5,44 +5,83 @@
 import java.util.List;
 
 /**
- * What a rehearsal plays. Times in seconds or milliseconds as the names say.
+ * The plan of a rehearsal: the simulated world, its traffic and its faults. Times are seconds or milliseconds, as the
+ * names say.
  *
- * @param name for the report
- * @param seconds how long callers come
+ * @param name the name in the report
+ * @param seconds how long clients send requests
  * @param zones names of the salas
- * @param worthByWork whether worth counts for each unit of work
- * @param network the ways
+ * @param worthByWork whether the worth of a request is multiplied by its work
+ * @param network latencies, bandwidth and protocol
  * @param agents the agents
- * @param nodos the nodos
- * @param rules what the four rules say
- * @param padron the server list
- * @param callers who asks
- * @param classes what for
+ * @param nodos the servers
+ * @param rules limits of the rules that are checked
+ * @param padron the source of the server list
+ * @param clients the clients
+ * @param classes the classes of requests
  * @param tenants the municipios
- * @param faults what goes wrong
+ * @param faults the faults
  */
 public record Plan(
         String name,
         double seconds,
         List<String> zones,
         boolean worthByWork,
-        Net network,
+        Network network,
         Agents agents,
         Nodos nodos,
         Rules rules,
-        Registry padron,
-        Callers callers,
-        List<Kind> classes,
+        Discovery padron,
+        Clients clients,
+        List<RequestClass> classes,
         List<Tenant> tenants,
         List<Fault> faults) {
-    /** One way in milliseconds, its relative jitter, the speed of each link, and what is spoken on them. */
-    public record Net(
-            double clientMs, double sameMs, NumberRange crossMs, double jitter, double megabits, String protocol) {}
+    /**
+     * The network.
+     *
+     * @param clientMs one-way latency between clients and agents
+     * @param sameZoneMs one-way latency within a sala
+     * @param crossZoneMs one-way latency between salas
+     * @param jitter relative jitter of the latencies
+     * @param megabitsPerSecond bandwidth of each link
+     * @param protocol the protocol between clients, agents and servers
+     */
+    public record Network(
+            double clientMs,
+            double sameZoneMs,
+            NumberRange crossZoneMs,
+            double jitter,
+            double megabitsPerSecond,
+            String protocol) {}
 
-    /** How many agents there are and what each may hold. */
-    public record Agents(int count, int sockets, int memoryMb, double skew) {}
+    /**
+     * The agents.
+     *
+     * @param count number of agents
+     * @param maxSockets limit on the sockets of each agent
+     * @param memoryMb memory of each agent
+     * @param skew exponent of the distribution of requests over the agents: the i-th gets a share of 1 / i^skew
+     */
+    public record Agents(int count, int maxSockets, int memoryMb, double skew) {}
 
-    /** The nodos. Each draws its own cold start from the ranges; agents are told the worst of both. */
+    /**
+     * The servers. Each draws its own cold start from the ranges; agents are configured with the worst case of both,
+     * the lowest initial capacity and the longest time.
+     *
+     * @param count number of servers
+     * @param bloque number of servers in a bloque
+     * @param limited share of the bloques whose capacity is limited
+     * @param limit capacity of the servers of a limited bloque, as a share
+     * @param coldFrom capacity of a server that has just started, as a share
+     * @param coldSeconds time from a start until the full capacity
+     * @param reportMs interval between load reports
+     * @param noise relative error of the load reports
+     * @param probeMs work of answering a probe
+     * @param connectionMs work of accepting a connection
+     * @param maxConnections limit on the connections of a server
+     * @param idleTimeoutSeconds time after which a server closes an idle connection
+     * @param machines the kinds of machines
+     */
     public record Nodos(
             int count,
             NumberRange bloque,
@@ -54,40 +93,90 @@
             double noise,
             NumberRange probeMs,
             NumberRange connectionMs,
-            int connections,
-            double idleSeconds,
-            List<Machine> kinds) {}
+            int maxConnections,
+            double idleTimeoutSeconds,
+            List<Machine> machines) {}
 
-    /** A kind of machine. */
+    /**
+     * A kind of machine that servers run on.
+     *
+     * @param name its name
+     * @param share its share of the servers
+     * @param cores number of cores
+     * @param speed speed of a core, relative to 1
+     * @param slots maximum number of requests in work
+     * @param queueCapacity maximum number of requests that wait for a slot
+     * @param thrash efficiency lost for each request held per core beyond {@code thrashAt}
+     * @param thrashAt requests held per core beyond which efficiency falls
+     */
     public record Machine(
             String name,
             double share,
             int cores,
             NumberRange speed,
             int slots,
-            int room,
+            int queueCapacity,
             double thrash,
             double thrashAt) {}
 
-    /** What the rules say. */
-    public record Rules(double slackMs, double drainMs, double fallMultiple, double fallSeconds, int maxAttempts) {}
+    /**
+     * Limits of the rules that the rehearsal checks.
+     *
+     * @param answerSlackMs time after the deadline within which a final response is still accepted
+     * @param drainGraceMs time after the notice of a drain within which new attempts are still accepted
+     * @param fallMultiple a cold server fails when it is sent more than this multiple of its capacity
+     * @param fallSeconds the time for which that load has to last
+     * @param maxAttempts maximum number of attempts per request
+     */
+    public record Rules(
+            double answerSlackMs, double drainGraceMs, double fallMultiple, double fallSeconds, int maxAttempts) {}
 
-    /** How late the padrón tells, how many calls a second it can take (0 for any number), and what stands for it. */
-    public record Registry(NumberRange noticeSeconds, double callsPerSecond, String source) {}
+    /**
+     * The source of the server list.
+     *
+     * @param noticeDelaySeconds delay between a change and its announcement
+     * @param maxCallsPerSecond calls per second that it can serve; 0 for no limit
+     * @param source which kind of source it is: the padrón or a registry
+     */
+    public record Discovery(NumberRange noticeDelaySeconds, double maxCallsPerSecond, String source) {}
 
-    /** The callers. */
-    public record Callers(
+    /**
+     * The clients.
+     *
+     * @param rate requests per second
+     * @param retries maximum number of retries of a client
+     * @param backoffMs mean wait before the first retry; doubles with each further one
+     * @param retryAfterCompliance share of the clients that honour the Retry-After header
+     * @param tryTimeoutShare timeout of one try, as a share of the timeout of the class
+     * @param hintError coefficient of variation of the work hints; 0 for exact hints
+     * @param marksRetry whether clients mark retries as such
+     * @param retryAfterMs maximum wait that clients accept from a Retry-After header
+     */
+    public record Clients(
             double rate,
             int retries,
             double backoffMs,
-            double honour,
-            NumberRange tryShare,
+            double retryAfterCompliance,
+            NumberRange tryTimeoutShare,
             double hintError,
             boolean marksRetry,
             double retryAfterMs) {}
 
-    /** A class of requests. */
-    public record Kind(
+    /**
+     * A class of requests.
+     *
+     * @param name its name
+     * @param semantics whether a request may be repeated
+     * @param scope for keyed requests, which servers share the record of keys
+     * @param windowMs for keyed requests, how long servers drop repeats of a key
+     * @param share its share of the requests
+     * @param workMs range of the mean work, on a core of speed 1
+     * @param variation coefficient of variation of the work
+     * @param targetMs time within which a response counts as in time
+     * @param timeoutMs time after which clients stop waiting
+     * @param worth worth of a request that is served in time
+     */
+    public record RequestClass(
             String name,
             Balancer.Semantics semantics,
             Balancer.Scope scope,
@@ -95,15 +184,15 @@
             double share,
             NumberRange workMs,
             double variation,
-            double aimMs,
-            double giveUpMs,
+            double targetMs,
+            double timeoutMs,
             double worth) {}
 
-    /** A municipio. */
+    /** A municipio and its share of the requests. */
     public record Tenant(String name, double share) {}
 
-    /** The same day with other faults. */
-    public Plan with(List<Fault> others) {
+    /** Returns this plan with other faults. */
+    public Plan withFaults(List<Fault> newFaults) {
         return new Plan(
                 name,
                 seconds,
@@ -114,31 +203,37 @@
                 nodos,
                 rules,
                 padron,
-                callers,
+                clients,
                 classes,
                 tenants,
-                List.copyOf(others));
+                List.copyOf(newFaults));
     }
 
-    /** The same day over another protocol. */
+    /** Returns this plan with another protocol. */
     public Plan withProtocol(String protocol) {
         return new Plan(
                 name,
                 seconds,
                 zones,
                 worthByWork,
-                new Net(network.clientMs, network.sameMs, network.crossMs, network.jitter, network.megabits, protocol),
+                new Network(
+                        network.clientMs,
+                        network.sameZoneMs,
+                        network.crossZoneMs,
+                        network.jitter,
+                        network.megabitsPerSecond,
+                        protocol),
                 agents,
                 nodos,
                 rules,
                 padron,
-                callers,
+                clients,
                 classes,
                 tenants,
                 faults);
     }
 
-    /** The same day with another source of the server list. */
+    /** Returns this plan with another source of the server list. */
     public Plan withSource(String source) {
         return new Plan(
                 name,
@@ -149,14 +244,14 @@
                 agents,
                 nodos,
                 rules,
-                new Registry(padron.noticeSeconds, padron.callsPerSecond, source),
-                callers,
+                new Discovery(padron.noticeDelaySeconds, padron.maxCallsPerSecond, source),
+                clients,
                 classes,
                 tenants,
                 faults);
     }
 
-    /** The same day with another rate of requests. */
+    /** Returns this plan with another rate of requests. */
     public Plan withRate(double rate) {
         return new Plan(
                 name,
@@ -168,24 +263,24 @@
                 nodos,
                 rules,
                 padron,
-                new Callers(
+                new Clients(
                         rate,
-                        callers.retries,
-                        callers.backoffMs,
-                        callers.honour,
-                        callers.tryShare,
-                        callers.hintError,
-                        callers.marksRetry,
-                        callers.retryAfterMs),
+                        clients.retries,
+                        clients.backoffMs,
+                        clients.retryAfterCompliance,
+                        clients.tryTimeoutShare,
+                        clients.hintError,
+                        clients.marksRetry,
+                        clients.retryAfterMs),
                 classes,
                 tenants,
                 faults);
     }
 
-    /** The same day at another size: so many agents and nodos, and as many requests for each nodo as before. */
-    public Plan sized(int agentCount, int nodoCount) {
-        Agents agentsNow = new Agents(agentCount, agents.sockets, agents.memoryMb, agents.skew);
-        Nodos nodosNow = new Nodos(
+    /** Returns this plan with other numbers of agents and servers, and the same rate of requests per server. */
+    public Plan scaledTo(int agentCount, int nodoCount) {
+        Agents scaledAgents = new Agents(agentCount, agents.maxSockets, agents.memoryMb, agents.skew);
+        Nodos scaledNodos = new Nodos(
                 nodoCount,
                 nodos.bloque,
                 nodos.limited,
@@ -196,31 +291,31 @@
                 nodos.noise,
                 nodos.probeMs,
                 nodos.connectionMs,
-                nodos.connections,
-                nodos.idleSeconds,
-                nodos.kinds);
+                nodos.maxConnections,
+                nodos.idleTimeoutSeconds,
+                nodos.machines);
         return new Plan(
                         name,
                         seconds,
                         zones,
                         worthByWork,
                         network,
-                        agentsNow,
-                        nodosNow,
+                        scaledAgents,
+                        scaledNodos,
                         rules,
                         padron,
-                        callers,
+                        clients,
                         classes,
                         tenants,
                         faults)
-                .withRate(callers.rate * nodoCount / nodos.count);
+                .withRate(clients.rate * nodoCount / nodos.count);
     }
 
-    /** The same day cut to another length; faults that would come after it are left out. */
+    /** Returns this plan with another length; faults that would begin later are left out. */
     public Plan withSeconds(double length) {
-        List<Fault> within = faults.stream()
-                .filter(each -> each.at().low() < length)
-                .map(each -> each.until(length))
+        List<Fault> remaining = faults.stream()
+                .filter(fault -> fault.at().low() < length)
+                .map(fault -> fault.startingAtLatest(length))
                 .toList();
         return new Plan(
                 name,
@@ -232,9 +327,9 @@
                 nodos,
                 rules,
                 padron,
-                callers,
+                clients,
                 classes,
                 tenants,
-                within);
+                remaining);
     }
 }
--- a/src/main/java/gatefront/rehearsal/processes/EventHistory.java
+++ b/src/main/java/gatefront/rehearsal/processes/EventHistory.java
@@ -10,45 +10,47 @@
 import java.nio.file.Path;
 
 /**
- * The history of a rehearsal: what was asked, done and seen, a line of JSON each, in the order in which the rig learned
- * of it; {@code at} is the second of the day at which it was. Written by one loop.
+ * The event log of a rehearsal with several processes: one JSON object per line for each request event, fault, log line
+ * and operator command, in the order in which the rig learned of them. The field {@code at} is the time of the event in
+ * seconds since traffic started. Only one event loop writes to it.
  */
 public final class EventHistory implements Closeable {
-    private static final double MICROS = 1e6;
+    private static final double MICROS_PER_SECOND = 1e6;
 
-    private final JsonGenerator to;
-    private long opensAt;
+    private final JsonGenerator generator;
+    /** Rehearsal time that the field {@code at} counts from, in microseconds. */
+    private long originMicros;
 
-    /** Written to a file; nowhere where that is null. */
+    /** Creates a history that is written to a file, or discarded if the file is null. */
     public EventHistory(Path file) throws IOException {
         Writer writer = file == null ? Writer.nullWriter() : Files.newBufferedWriter(file);
-        to = new JsonFactory().createGenerator(writer);
-        to.setRootValueSeparator(new com.fasterxml.jackson.core.io.SerializedString("\n"));
+        generator = new JsonFactory().createGenerator(writer);
+        generator.setRootValueSeparator(new com.fasterxml.jackson.core.io.SerializedString("\n"));
     }
 
-    /** Seconds count from here on. */
-    public void opens(long at) {
-        opensAt = at;
+    /** Sets the rehearsal time, in microseconds, from which the seconds of later events are counted. */
+    public void setOrigin(long at) {
+        originMicros = at;
     }
 
-    /** Something happened to a request. */
+    /** Records an event of a request; {@code at} is rehearsal time in microseconds. */
     public void request(long at, String request, String what) {
-        line(at, "request", request, what);
+        write(at, "request", request, what);
     }
 
-    /** Something was done to, or said by, somebody. */
+    /** Records an event of a process, a link, a folder or an operator; {@code at} is rehearsal time in microseconds. */
     public void event(long at, String kind, String who, String what) {
-        line(at, kind, who, what);
+        write(at, kind, who, what);
     }
 
-    private void line(long at, String kind, String who, String what) {
+    private void write(long at, String kind, String who, String what) {
         try {
-            to.writeStartObject();
-            to.writeNumberField("at", Math.rint(at - opensAt) / MICROS);
-            to.writeStringField("kind", kind);
-            to.writeStringField("who", who);
-            to.writeStringField("what", what);
-            to.writeEndObject();
+            generator.writeStartObject();
+            generator.writeNumberField("at", Math.rint(at - originMicros) / MICROS_PER_SECOND);
+            generator.writeStringField("kind", kind);
+            generator.writeStringField("who", who);
+            generator.writeStringField("what", what);
+            generator.writeEndObject();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -56,6 +58,6 @@
 
     @Override
     public void close() throws IOException {
-        to.close();
+        generator.close();
     }
 }
