--- a/src/main/java/gatefront/cli/RehearseCommand.java
+++ b/src/main/java/gatefront/cli/RehearseCommand.java
@@ -112,7 +112,7 @@
                 ? new RealRehearsal(read, seed, RealRehearsal.ownCommand()).play(done -> progress(watched, done))
                 : new Rehearsal(read, seed)
                         .progress(done -> progress(watched, done))
-                        .play();
+                        .run();
         if (report != null) {
             JsonReport.write(outcome, report);
         }
@@ -122,7 +122,7 @@
             summary(outcome, (System.nanoTime() - began) / 1e9, out);
         }
         out.flush();
-        return outcome.broken() == 0 ? 0 : Commands.BROKEN;
+        return outcome.breachCount() == 0 ? 0 : Commands.BROKEN;
     }
 
     private static Plan read(String plan) throws TomlException {
@@ -168,8 +168,8 @@
     }
 
     private void summary(RehearsalResult outcome, double wall, PrintWriter out) {
-        out.println(outcome.line());
-        double[] classes = outcome.byClass();
+        out.println(outcome.summary());
+        double[] classes = outcome.serviceByClass();
         for (int i = 0; i < classes.length; i++) {
             out.printf(
                     Locale.ROOT,
@@ -178,9 +178,9 @@
                     classes[i]);
         }
         for (RuleChecker.Breach each : outcome.breaches().stream().limit(3).toList()) {
-            out.println(
-                    "  BROKEN " + each.rule().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + each.what()
-                            + (each.request().isEmpty() ? "" : " (request " + each.request() + ")"));
+            out.println("  BROKEN "
+                    + each.rule().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + each.description()
+                    + (each.request().isEmpty() ? "" : " (request " + each.request() + ")"));
             each.history().forEach(line -> out.println("    " + line));
         }
         out.printf(
@@ -211,7 +211,7 @@
         long until = range[1];
         boolean watched = System.console() != null;
         SeedCampaign.Summary summary = SeedCampaign.play(
-                read, from, until, done -> progress(watched, done), outcome -> out.println(outcome.line()));
+                read, from, until, done -> progress(watched, done), outcome -> out.println(outcome.summary()));
         out.print(summary.text());
         out.flush();
         return summary.broken() == 0 ? 0 : Commands.BROKEN;
--- a/src/main/java/gatefront/rehearsal/AgentStandIn.java
+++ b/src/main/java/gatefront/rehearsal/AgentStandIn.java
@@ -14,125 +14,126 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** One agent and its machine: how it is configured, started and ended. */
+/** One agent and its machine: how it is configured, started and stopped. */
 abstract class AgentStandIn {
     static final int PORT = 3000;
     static final int THRIFT_PORT = 3001;
 
-    final RunContext day;
+    final RunContext context;
     final int number;
-    private long killedAt = -1;
-    private int processes;
+    private long killedMicros = -1;
+    private int processCount;
 
-    AgentStandIn(RunContext day, int number) {
-        this.day = day;
+    AgentStandIn(RunContext context, int number) {
+        this.context = context;
         this.number = number;
     }
 
     abstract Machine machine();
 
-    /** Where its callers reach it. */
+    /** Returns the address that the agent listens at. */
     InetSocketAddress address() {
-        return machine().at(PORT);
+        return machine().address(PORT);
     }
 
-    /** Where its callers dial. */
-    InetSocketAddress callers() {
+    /** Returns the address that its clients connect to. */
+    InetSocketAddress clientAddress() {
         return address();
     }
 
-    /** The same over Thrift. */
+    /** Returns the address that the agent listens at for Thrift. */
     InetSocketAddress thriftAddress() {
-        return machine().at(THRIFT_PORT);
+        return machine().address(THRIFT_PORT);
     }
 
-    /** What it does besides. */
-    final Extensions besides() {
-        return new Extensions(thrift(), day.padron.registry(number), null, null);
+    /** Returns the agent's extensions: Thrift and the registry. */
+    final Extensions agentExtensions() {
+        return new Extensions(thrift(), context.padron.registrySettings(number), null, null);
     }
 
-    /** How it speaks Thrift, or null if it does not. */
+    /** Returns the Thrift settings, or null if the agent does not speak Thrift. */
     ThriftSettings thrift() {
-        if (day.form == null) {
+        if (context.thriftFormat == null) {
             return null;
         }
         Map<String, ThriftSettings.Method> methods = new LinkedHashMap<>();
-        for (int i = 0; i < day.plan.classes().size(); i++) {
-            methods.put(day.plan.classes().get(i).name(), new ThriftSettings.Method(i, true));
+        for (int i = 0; i < context.plan.classes().size(); i++) {
+            methods.put(context.plan.classes().get(i).name(), new ThriftSettings.Method(i, true));
         }
-        return new ThriftSettings(thriftAddress(), null, NodoStandIn.THRIFT_PORT, day.form.framed(), true, methods);
+        return new ThriftSettings(
+                thriftAddress(), null, NodoStandIn.THRIFT_PORT, context.thriftFormat.framed(), true, methods);
     }
 
     String name() {
         return "agent-" + (number + 1);
     }
 
-    /** Starts its process. */
+    /** Starts a new process. */
     final void start() {
-        processes++;
-        begin();
+        processCount++;
+        startProcess();
     }
 
-    abstract void begin();
+    abstract void startProcess();
 
-    /** How many processes it has had: tells whether one is still the same. */
-    int processes() {
-        return processes;
+    /** Returns the number of processes started so far, which identifies the current process. */
+    int processCount() {
+        return processCount;
     }
 
-    /** Whether it says that it is ready. */
+    /** Whether the agent reports that it is ready. */
     abstract boolean ready();
 
-    /** Ends it outright. */
+    /** Kills the process. */
     void kill() {
-        killedAt = day.now();
-        end();
-        day.padron.forgot(number);
+        killedMicros = context.now();
+        endProcess();
+        context.padron.agentReset(number);
     }
 
-    abstract void end();
+    abstract void endProcess();
 
-    /** What it holds, or null where that cannot be seen. */
+    /** Returns the resource budget, or null if it cannot be observed. */
     ResourceBudget budget() {
         return null;
     }
 
-    /** Asks it to end in order, as SIGTERM does; {@code then} runs when it has. */
-    abstract void leave(Runnable then);
+    /** Requests an orderly shutdown, as SIGTERM does; {@code whenEnded} runs when the process has ended. */
+    abstract void shutDown(Runnable whenEnded);
 
-    /** Gives it a new configuration, as SIGHUP does. */
+    /** Reloads the configuration, as SIGHUP does. */
     abstract void reload();
 
-    /** Whether it has not been killed since a time, so that what it took then is owed. */
-    boolean tookSince(long at) {
-        return killedAt < at;
+    /** Whether the agent has not been killed since a time, so that responses to requests accepted then are due. */
+    boolean aliveSince(long sinceMicros) {
+        return killedMicros < sinceMicros;
     }
 
-    /** Its configuration as of now, in the form of the platform's file. */
+    /** Returns the current configuration in the format of the platform's file. */
     ObjectNode config() {
-        Plan plan = day.plan;
+        Plan plan = context.plan;
         ObjectNode root = JsonNodeFactory.instance.objectNode();
-        InetSocketAddress at = address();
+        InetSocketAddress address = address();
         root.put("name", name())
-                .put("listen", at.getAddress().getHostAddress() + ":" + at.getPort())
-                .put("discovery", day.padron.address(number))
+                .put("listen", address.getAddress().getHostAddress() + ":" + address.getPort())
+                .put("discovery", context.padron.address(number))
                 .put(
                         "seed",
-                        Long.toHexString(
-                                day.draw("agent " + number + " at " + day.now()).number()));
+                        Long.toHexString(context.random("agent " + number + " at " + context.now())
+                                .nextLong()));
         root.putObject("limits")
                 .put("cores", 1.0)
                 .put("memory_mb", plan.agents().memoryMb())
                 .put("sockets", plan.agents().sockets());
-        root.set("known", day.padron.whole(number));
+        root.set("known", context.padron.snapshot(number));
         settings(root.putObject("settings"));
         return root;
     }
 
-    private void settings(ObjectNode s) {
-        Plan plan = day.plan;
+    private void settings(ObjectNode settings) {
+        Plan plan = context.plan;
         Plan.Nodos nodos = plan.nodos();
-        s.putObject("caps")
+        settings.putObject("caps")
                 .put("cancel", true)
                 .put("dial-timeout-us", 200_000)
                 .put("idle-close-us", micros(1000 * nodos.idleSeconds()))
@@ -142,49 +143,49 @@
                 .put("probes", true)
                 .put("retry-after", plan.callers().retryAfterMs() > 0)
                 .put("max-retry-after-us", micros(plan.callers().retryAfterMs()));
-        ArrayNode classes = s.putArray("classes");
-        for (Plan.Kind each : plan.classes()) {
+        ArrayNode classes = settings.putArray("classes");
+        for (Plan.Kind requestClass : plan.classes()) {
             ObjectNode node = classes.addObject()
-                    .put("name", each.name())
-                    .put("semantics", each.semantics().name().toLowerCase(Locale.ROOT))
-                    .put("aim-us", micros(each.aimMs()))
-                    .put("give-up-us", micros(each.giveUpMs()))
-                    .put("worth", each.worth())
+                    .put("name", requestClass.name())
+                    .put("semantics", requestClass.semantics().name().toLowerCase(Locale.ROOT))
+                    .put("aim-us", micros(requestClass.aimMs()))
+                    .put("give-up-us", micros(requestClass.giveUpMs()))
+                    .put("worth", requestClass.worth())
                     .put("late-share", 0.0)
                     .put("stream", false);
-            if (each.semantics() == Semantics.KEYED) {
-                node.put("key-scope", each.scope().name().toLowerCase(Locale.ROOT))
-                        .put("window-us", micros(each.windowMs()));
+            if (requestClass.semantics() == Semantics.KEYED) {
+                node.put("key-scope", requestClass.scope().name().toLowerCase(Locale.ROOT))
+                        .put("window-us", micros(requestClass.windowMs()));
             }
         }
-        s.putObject("clients").put("marks-retry", plan.callers().marksRetry());
-        s.putObject("deductions")
+        settings.putObject("clients").put("marks-retry", plan.callers().marksRetry());
+        settings.putObject("deductions")
                 .put("cross-zone", 0.03)
                 .put("late-fail", 0.08)
                 .put("probe", 0.01)
                 .put("waste", 0.05);
-        s.put("discovery", "automatic")
+        settings.put("discovery", "automatic")
                 .put("granularity-us", 5_000)
                 .put("group-size", plan.agents().count())
                 .put("me", number)
-                .put("locality", day.cast.agentZones()[number])
+                .put("locality", context.resolvedPlan.agentZones()[number])
                 .put("worth-by", plan.worthByWork() ? "work" : "request")
                 .put("weight-source", "rough");
-        ArrayNode zones = s.putArray("zones");
+        ArrayNode zones = settings.putArray("zones");
         plan.zones().forEach(zones::add);
-        ArrayNode kinds = s.putArray("kinds");
-        nodos.kinds().forEach(each -> kinds.add(each.name()));
-        s.putObject("load-info")
+        ArrayNode kinds = settings.putArray("kinds");
+        nodos.kinds().forEach(kind -> kinds.add(kind.name()));
+        settings.putObject("load-info")
                 .put("via", "answers")
                 .putArray("fields")
                 .add("depth")
                 .add("concurrent");
-        s.putObject("objective-mix")
+        settings.putObject("objective-mix")
                 .put("whole", 0.45)
                 .put("worst-class", 0.3)
                 .put("worst-tenant", 0.1)
                 .put("worst-window", 0.15);
-        s.putObject("obligations")
+        settings.putObject("obligations")
                 .put("answer-slack-us", micros(plan.rules().slackMs()))
                 .put("ask-within-us", 10_000_000)
                 .put("cold-from", nodos.coldFrom().low())
@@ -192,13 +193,14 @@
                 .put("fall-multiple", plan.rules().fallMultiple())
                 .put("overload-for-us", micros(1000 * plan.rules().fallSeconds()))
                 .put("stop-sending-within-us", micros(plan.rules().drainMs()));
-        ArrayNode tenants = s.putArray("realms");
-        double all = plan.tenants().stream().mapToDouble(Plan.Tenant::share).sum();
-        for (Plan.Tenant each : plan.tenants()) {
+        ArrayNode tenants = settings.putArray("realms");
+        double totalShare =
+                plan.tenants().stream().mapToDouble(Plan.Tenant::share).sum();
+        for (Plan.Tenant tenant : plan.tenants()) {
             tenants.addObject()
-                    .put("name", each.name())
-                    .put("fraction", each.share() / all)
-                    .put("quota-per-s", plan.callers().rate() * each.share() / all);
+                    .put("name", tenant.name())
+                    .put("fraction", tenant.share() / totalShare)
+                    .put("quota-per-s", plan.callers().rate() * tenant.share() / totalShare);
         }
     }
 
--- a/src/main/java/gatefront/rehearsal/ClientStandIn.java
+++ b/src/main/java/gatefront/rehearsal/ClientStandIn.java
@@ -40,301 +40,330 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The callers beside one agent: a try at a time for each that wants something, on connections of which each
- * carries one request; they keep connections and open more when all are busy.
+ * The clients of one agent. Each makes one try at a time, and each connection carries one request at a time;
+ * connections are kept and more are opened when all are busy.
  */
 final class ClientStandIn {
-    private static final int ANSWER_MOST = 1 << 20;
+    private static final int MAX_RESPONSE_BYTES = 1 << 20;
     private static final String BODY = "{\"importe\":123.45}";
-    /** An answer given in time may be on its way for so long, in microseconds. */
-    private static final long ON_ITS_WAY = 50_000;
-    /** The part of an agent's descriptors that its callers hold at the most. */
-    private static final int SOCKETS_PART = 3;
+    /** Time that a response sent before the deadline may be in transit, in microseconds. */
+    private static final long IN_TRANSIT_MICROS = 50_000;
+    /** The clients of an agent hold at most the agent's sockets divided by this. */
+    private static final int SOCKETS_DIVISOR = 3;
 
-    private final RunContext day;
+    private final RunContext context;
     private final int agent;
     private final Machine machine;
     private final Bootstrap bootstrap;
-    private final RetryBehavior patience;
-    /** Connections in no use, the latest used last; each removes itself when it closes. */
-    private final Deque<Line> idle = new ArrayDeque<>();
+    private final RetryBehavior retryBehavior;
+    /** Idle connections, last used last; each removes itself when it closes. */
+    private final Deque<ClientConnection> idleConnections = new ArrayDeque<>();
 
-    private int lines;
+    private int openConnections;
 
-    /** The part of the aim that a caller in a hurry waits for one try. */
-    private static final double HURRIED = 0.25;
+    /** Share of the class's aim for which a client in a hurry waits for one try. */
+    private static final double HURRIED_AIM_SHARE = 0.25;
 
-    private final RandomStream hurry;
+    private final RandomStream hurryRandom;
 
-    /** What one caller wants, over all its tries. */
-    private final class Wish {
-        final Demand.Want want;
-        final Plan.Kind kind;
-        final long giveUp;
-        final String key;
+    /** An operation and the state of its tries. */
+    private final class PendingOperation {
+        final Demand.Operation operation;
+        final Plan.Kind requestClass;
+        final long giveUpMicros;
+        final String idempotencyKey;
         int tries;
-        long firstSentAt = -1;
-
-        /** How long it waits for the answer to one try. */
-        final long eachTry;
-
-        Wish(Demand.Want want) {
-            this.want = want;
-            this.kind = day.plan.classes().get(want.kind());
-            this.eachTry = (long)
-                    (hurried(want) ? HURRIED * 1000 * kind.aimMs() : 1000 * kind.giveUpMs() * day.cast.tryShare());
-            this.giveUp = want.at() + (long) (1000 * kind.giveUpMs());
-            this.key = "k" + want.number();
+        long firstSentMicros = -1;
+
+        /** Time for which the client waits for the response to one try, in microseconds. */
+        final long tryTimeoutMicros;
+
+        PendingOperation(Demand.Operation operation) {
+            this.operation = operation;
+            this.requestClass = context.plan.classes().get(operation.requestClass());
+            this.tryTimeoutMicros = (long)
+                    (inHurry(operation)
+                            ? HURRIED_AIM_SHARE * 1000 * requestClass.aimMs()
+                            : 1000 * requestClass.giveUpMs() * context.resolvedPlan.tryShare());
+            this.giveUpMicros = operation.arrivalMicros() + (long) (1000 * requestClass.giveUpMs());
+            this.idempotencyKey = "k" + operation.number();
         }
     }
 
     /** One try. */
-    private final class Try {
-        final Wish wish;
-        final String id;
-        final long deadline;
-        final long at = day.now();
-        boolean taken;
+    private final class RequestTry {
+        final PendingOperation pending;
+        final String requestId;
+        final long deadlineMicros;
+        final long startedMicros = context.now();
+        boolean sent;
         boolean resent;
-        boolean over;
-        /** The rig's own lateness that has been added to its time, in microseconds. */
-        long excused;
+        boolean ended;
+        /** Stall of the rehearsal by which the deadline has been extended, in microseconds. */
+        long excusedMicros;
 
-        Line line;
-        Future<?> timer;
+        ClientConnection connection;
+        Future<?> timeoutTimer;
 
-        Try(Wish wish, long deadline) {
-            this.wish = wish;
-            this.deadline = deadline;
-            this.id = Long.toHexString(day.seed) + "-" + wish.want.number() + "-" + wish.tries;
+        RequestTry(PendingOperation pending, long deadlineMicros) {
+            this.pending = pending;
+            this.deadlineMicros = deadlineMicros;
+            this.requestId = Long.toHexString(context.seed) + "-" + pending.operation.number() + "-" + pending.tries;
         }
     }
 
-    ClientStandIn(RunContext day, int agent, Machine machine, InetSocketAddress to) {
-        this.day = day;
+    ClientStandIn(RunContext context, int agent, Machine machine, InetSocketAddress agentAddress) {
+        this.context = context;
         this.agent = agent;
         this.machine = machine;
-        Plan.Callers callers = day.plan.callers();
-        this.patience = new RetryBehavior(
-                callers.retries(), 1000 * callers.backoffMs(), callers.honour(), day.draw("callers " + agent));
-        this.hurry = day.draw("hurry " + agent);
+        Plan.Callers clients = context.plan.callers();
+        this.retryBehavior = new RetryBehavior(
+                clients.retries(), 1000 * clients.backoffMs(), clients.honour(), context.random("callers " + agent));
+        this.hurryRandom = context.random("hurry " + agent);
         this.bootstrap = new Bootstrap()
                 .group(machine.transport().loop())
                 .channelFactory(machine.transport().dialers())
-                .remoteAddress(to)
+                .remoteAddress(agentAddress)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 3_000)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .disableResolver(); // addresses are literal; the usual resolvers would keep the loop for ever
+                .disableResolver(); // addresses are literal; the default resolver group would keep a reference to the
+        // event loop
     }
 
-    /** Somebody wants something, now. */
-    void ask(Demand.Want want) {
-        day.record.asked(want);
-        attempt(new Wish(want));
+    /** Starts an operation. */
+    void start(Demand.Operation operation) {
+        context.recorder.operationStarted(operation);
+        startTry(new PendingOperation(operation));
     }
 
-    /** Whether the caller is one of those that a fault makes hurry. */
-    private boolean hurried(Demand.Want want) {
-        boolean hurried = false;
-        for (ResolvedPlan.Trouble each : day.cast.troubles()) {
-            long since = want.at() - day.record.opensAt() - each.at();
-            if (each.fault().kind() == Fault.Kind.HURRY && since >= 0 && since < each.lasts()) {
-                hurried |= hurry.unit() < each.size();
+    /** Whether a fault makes this client hurry. */
+    private boolean inHurry(Demand.Operation operation) {
+        boolean inHurry = false;
+        for (ResolvedPlan.ScheduledFault scheduled : context.resolvedPlan.faults()) {
+            long sinceMicros = operation.arrivalMicros() - context.recorder.openingMicros() - scheduled.startMicros();
+            if (scheduled.fault().kind() == Fault.Kind.HURRY
+                    && sinceMicros >= 0
+                    && sinceMicros < scheduled.durationMicros()) {
+                inHurry |= hurryRandom.nextDouble() < scheduled.size();
             }
         }
-        return hurried;
+        return inHurry;
     }
 
-    private void attempt(Wish wish) {
-        long now = day.now();
-        wish.tries++;
-        Try made = new Try(wish, Math.min(now + wish.eachTry, wish.giveUp));
-        day.wants.put(made.id, wish.want);
-        day.record.tried(now);
-        made.timer = machine.transport()
+    private void startTry(PendingOperation pending) {
+        long now = context.now();
+        pending.tries++;
+        RequestTry requestTry = new RequestTry(pending, Math.min(now + pending.tryTimeoutMicros, pending.giveUpMicros));
+        context.operations.put(requestTry.requestId, pending.operation);
+        context.recorder.tryStarted(now);
+        requestTry.timeoutTimer = machine.transport()
                 .loop()
                 .schedule(
-                        () -> timeUp(made),
-                        made.deadline - now + (long) (1000 * day.plan.rules().slackMs()) + ON_ITS_WAY + day.slack,
+                        () -> deadlinePassed(requestTry),
+                        requestTry.deadlineMicros
+                                - now
+                                + (long) (1000 * context.plan.rules().slackMs())
+                                + IN_TRANSIT_MICROS
+                                + context.slackMicros,
                         TimeUnit.MICROSECONDS);
-        place(made);
+        assignConnection(requestTry);
     }
 
-    private void place(Try made) {
-        if (day.now() >= made.deadline) { // sent again after a close that crossed it, and nobody waits any more
-            end(made, RetryBehavior.Fate.TIMED_OUT, 0);
+    private void assignConnection(RequestTry requestTry) {
+        if (context.now()
+                >= requestTry.deadlineMicros) { // resent after a crossed close, and the client no longer waits
+            endTry(requestTry, RetryBehavior.TryOutcome.TIMED_OUT, 0);
             return;
         }
-        Line line = idle.pollLast();
-        if (line != null) {
-            line.send(made);
+        ClientConnection idle = idleConnections.pollLast();
+        if (idle != null) {
+            idle.send(requestTry);
             return;
         }
-        if (lines >= day.plan.agents().sockets() / SOCKETS_PART) {
-            end(made, RetryBehavior.Fate.UNREACHED, 0);
+        if (openConnections >= context.plan.agents().sockets() / SOCKETS_DIVISOR) {
+            endTry(requestTry, RetryBehavior.TryOutcome.UNREACHABLE, 0);
             return;
         }
-        lines++;
-        Line fresh = day.form == null ? new HttpLine() : new ThriftLine();
+        openConnections++;
+        ClientConnection connection =
+                context.thriftFormat == null ? new HttpClientConnection() : new ThriftClientConnection();
         ChannelFuture connecting = bootstrap
                 .clone()
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                        fresh.channel = ch;
-                        ch.pipeline().addLast(fresh.codec()).addLast(fresh);
+                        connection.channel = ch;
+                        ch.pipeline().addLast(connection.codec()).addLast(connection);
                     }
                 })
                 .connect();
-        connecting.channel().closeFuture().addListener(closed -> lines--);
-        made.line = fresh;
+        connecting.channel().closeFuture().addListener(closed -> openConnections--);
+        requestTry.connection = connection;
         connecting.addListener(done -> {
-            if (made.over) {
-                fresh.channel.close();
-            } else if (done.isSuccess() && day.now() < made.deadline) {
-                fresh.send(made);
+            if (requestTry.ended) {
+                connection.channel.close();
+            } else if (done.isSuccess() && context.now() < requestTry.deadlineMicros) {
+                connection.send(requestTry);
             } else if (done.isSuccess()) {
-                // Guards against blaming an agent that gets a request when nobody waits for its answer any more.
-                fresh.channel.close();
-                end(made, RetryBehavior.Fate.TIMED_OUT, 0);
+                // Guards against blaming an agent that gets a request after the client has given up waiting for it.
+                connection.channel.close();
+                endTry(requestTry, RetryBehavior.TryOutcome.TIMED_OUT, 0);
             } else {
-                end(made, RetryBehavior.Fate.UNREACHED, 0);
+                endTry(requestTry, RetryBehavior.TryOutcome.UNREACHABLE, 0);
             }
         });
     }
 
-    /** The caller waits no longer; by then its answer was due. */
-    private void timeUp(Try made) {
-        long late = day.ways.late(made.deadline, day.now());
-        if (!made.over && late > made.excused) {
-            // The rig itself was late: what has come meanwhile may not have been read.
-            long more = late - made.excused;
-            made.excused = late;
-            made.timer = machine.transport().loop().schedule(() -> timeUp(made), more, TimeUnit.MICROSECONDS);
+    /** Ends a try whose response is overdue. */
+    private void deadlinePassed(RequestTry requestTry) {
+        long stallMicros = context.paths.maxStallMicros(requestTry.deadlineMicros, context.now());
+        if (!requestTry.ended && stallMicros > requestTry.excusedMicros) {
+            // The rehearsal itself stalled, so a response that has arrived meanwhile may not have been read.
+            long extraMicros = stallMicros - requestTry.excusedMicros;
+            requestTry.excusedMicros = stallMicros;
+            requestTry.timeoutTimer = machine.transport()
+                    .loop()
+                    .schedule(() -> deadlinePassed(requestTry), extraMicros, TimeUnit.MICROSECONDS);
             return;
         }
-        if (!made.over) {
-            if (made.taken) {
-                if (!day.ways.owes(agent, made.at, day.now())) {
-                    day.checker.released(day.now(), made.id, "its agent was stopped or cut off");
-                } else if (day.agents.get(agent).tookSince(made.at)) {
-                    day.checker.unanswered(day.now(), made.id);
+        if (!requestTry.ended) {
+            if (requestTry.sent) {
+                if (!context.paths.reachableThroughout(agent, requestTry.startedMicros, context.now())) {
+                    context.checker.released(context.now(), requestTry.requestId, "its agent was stopped or cut off");
+                } else if (context.agents.get(agent).aliveSince(requestTry.startedMicros)) {
+                    context.checker.timedOut(context.now(), requestTry.requestId);
                 } else {
-                    day.checker.released(day.now(), made.id, "its agent was killed or cut off");
+                    context.checker.released(context.now(), requestTry.requestId, "its agent was killed or cut off");
                 }
             }
-            if (made.line != null && made.line.channel != null) {
-                made.line.current = null;
-                made.line.channel.close();
+            if (requestTry.connection != null && requestTry.connection.channel != null) {
+                requestTry.connection.currentTry = null;
+                requestTry.connection.channel.close();
             }
-            end(made, RetryBehavior.Fate.TIMED_OUT, 0);
+            endTry(requestTry, RetryBehavior.TryOutcome.TIMED_OUT, 0);
         }
     }
 
-    private void end(Try made, RetryBehavior.Fate fate, long retryAfter) {
-        if (made.over) {
+    private void endTry(RequestTry requestTry, RetryBehavior.TryOutcome outcome, long retryAfterMicros) {
+        if (requestTry.ended) {
             return;
         }
-        made.over = true;
-        made.timer.cancel(false);
-        long now = day.now();
-        Wish wish = made.wish;
-        // Its attempts may still run, and must be known by what they take.
-        day.at(now + 60_000_000, () -> day.wants.remove(made.id));
-        Plan.Kind kind = wish.kind;
-        RetryBehavior.Repeat repeat = kind.semantics() == Semantics.SAFE
-                ? RetryBehavior.Repeat.SAFE
-                : kind.semantics() == Semantics.KEYED && kind.scope() == Scope.ALL
-                        ? RetryBehavior.Repeat.KEYED_EVERYWHERE
-                        : RetryBehavior.Repeat.CAREFUL;
-        long windowEnd = wish.firstSentAt < 0 ? wish.giveUp : wish.firstSentAt + (long) (1000 * kind.windowMs() / 2);
-        long again = patience.again(now, wish.tries, fate, repeat, windowEnd, wish.giveUp, retryAfter);
-        if (again == RetryBehavior.NEVER) {
-            day.record.settled(wish.want, now, fate);
+        requestTry.ended = true;
+        requestTry.timeoutTimer.cancel(false);
+        long now = context.now();
+        PendingOperation pending = requestTry.pending;
+        // Attempts of this try may still run and need its operation to know their work.
+        context.schedule(now + 60_000_000, () -> context.operations.remove(requestTry.requestId));
+        Plan.Kind requestClass = pending.requestClass;
+        RetryBehavior.RetrySafety safety = requestClass.semantics() == Semantics.SAFE
+                ? RetryBehavior.RetrySafety.SAFE
+                : requestClass.semantics() == Semantics.KEYED && requestClass.scope() == Scope.ALL
+                        ? RetryBehavior.RetrySafety.KEYED_ALL_NODOS
+                        : RetryBehavior.RetrySafety.ONLY_IF_NOT_RUN;
+        long windowEndMicros = pending.firstSentMicros < 0
+                ? pending.giveUpMicros
+                : pending.firstSentMicros + (long) (1000 * requestClass.windowMs() / 2);
+        long nextTryMicros = retryBehavior.nextTryMicros(
+                now, pending.tries, outcome, safety, windowEndMicros, pending.giveUpMicros, retryAfterMicros);
+        if (nextTryMicros == RetryBehavior.NEVER) {
+            context.recorder.operationSettled(pending.operation, now, outcome);
         } else {
-            machine.transport().loop().schedule(() -> attempt(wish), again - now, TimeUnit.MICROSECONDS);
+            machine.transport().loop().schedule(() -> startTry(pending), nextTryMicros - now, TimeUnit.MICROSECONDS);
         }
     }
 
-    /** One connection to the agent, whatever protocol it speaks. */
-    private abstract class Line extends SimpleChannelInboundHandler<Object> {
+    /** A connection to the agent, independent of the protocol. */
+    private abstract class ClientConnection extends SimpleChannelInboundHandler<Object> {
         Channel channel;
-        private Try current;
-        private boolean used;
+        private RequestTry currentTry;
+        private boolean reused;
 
-        /** What stands before it in its pipeline. */
+        /** Returns the codec handlers of the pipeline. */
         abstract ChannelHandler[] codec();
 
-        /** What is written for a try. */
-        abstract Object request(Try made);
-
-        void send(Try made) {
-            current = made;
-            made.line = this;
-            Wish wish = made.wish;
-            channel.writeAndFlush(request(made)).addListener(done -> {
-                if (done.isSuccess() && !made.over) {
-                    made.taken = true;
-                    wish.firstSentAt = wish.firstSentAt < 0 ? day.now() : wish.firstSentAt;
-                    day.checker.taken(day.now(), made.id, wish.want.kind(), agent, made.deadline);
-                } // else: its end is told by channelInactive
+        /** Returns the message to write for a try. */
+        abstract Object request(RequestTry requestTry);
+
+        void send(RequestTry requestTry) {
+            currentTry = requestTry;
+            requestTry.connection = this;
+            PendingOperation pending = requestTry.pending;
+            channel.writeAndFlush(request(requestTry)).addListener(done -> {
+                if (done.isSuccess() && !requestTry.ended) {
+                    requestTry.sent = true;
+                    pending.firstSentMicros = pending.firstSentMicros < 0 ? context.now() : pending.firstSentMicros;
+                    context.checker.requestSent(
+                            context.now(),
+                            requestTry.requestId,
+                            pending.operation.requestClass(),
+                            agent,
+                            requestTry.deadlineMicros);
+                } // else channelInactive ends the try
             });
         }
 
-        /** The try that waits for an answer here, or null. */
-        final Try current() {
-            return current;
+        /** Returns the try that waits for a response on this connection, or null. */
+        final RequestTry currentTry() {
+            return currentTry;
         }
 
-        /** Its answer has come whole: a status as HTTP has them, what was served, the wait advised. */
-        final void answered(int status, String body, boolean kept, long retryAfterMicros) {
-            Try made = current;
-            current = null;
-            long at = day.micros(machine.sentAt(channel));
-            if (at > made.deadline && !day.ways.owes(agent, made.at, at)) {
-                day.checker.released(at, made.id, "its agent was stopped or cut off");
+        /**
+         * Handles a complete response: its HTTP status, body, whether the connection stays open, and the advised
+         * wait.
+         */
+        final void responseReceived(int status, String body, boolean keepAlive, long retryAfterMicros) {
+            RequestTry requestTry = currentTry;
+            currentTry = null;
+            long sentMicros = context.toRunMicros(machine.sentAtNanos(channel));
+            if (sentMicros > requestTry.deadlineMicros
+                    && !context.paths.reachableThroughout(agent, requestTry.startedMicros, sentMicros)) {
+                context.checker.released(sentMicros, requestTry.requestId, "its agent was stopped or cut off");
             } else {
-                day.checker.answered(at, made.id, status, status == 200 ? body : null);
+                context.checker.responseReceived(sentMicros, requestTry.requestId, status, status == 200 ? body : null);
             }
-            if (kept) {
-                used = true;
-                idle.addLast(this);
+            if (keepAlive) {
+                reused = true;
+                idleConnections.addLast(this);
             } else {
                 channel.close();
             }
             if (status == 200) {
-                day.ways.served(at, agent);
+                context.paths.requestServed(sentMicros, agent);
             }
-            RetryBehavior.Fate fate = status == 200
-                    ? RetryBehavior.Fate.SERVED
-                    : status == 429 || status == 503 ? RetryBehavior.Fate.REFUSED : RetryBehavior.Fate.FAILED;
-            if (fate == RetryBehavior.Fate.REFUSED) {
-                day.record.crowd.refused(day.idlePart());
+            RetryBehavior.TryOutcome outcome = status == 200
+                    ? RetryBehavior.TryOutcome.SERVED
+                    : status == 429 || status == 503
+                            ? RetryBehavior.TryOutcome.REFUSED
+                            : RetryBehavior.TryOutcome.FAILED;
+            if (outcome == RetryBehavior.TryOutcome.REFUSED) {
+                context.recorder.fleetLoad.requestRefused(context.idleShare());
             }
-            end(made, fate, Math.min(retryAfterMicros, (long)
-                    (1000 * day.plan.callers().retryAfterMs())));
+            endTry(requestTry, outcome, Math.min(retryAfterMicros, (long)
+                    (1000 * context.plan.callers().retryAfterMs())));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            idle.remove(this);
-            Try made = current;
-            current = null;
-            if (made == null || made.over) {
+            idleConnections.remove(this);
+            RequestTry requestTry = currentTry;
+            currentTry = null;
+            if (requestTry == null || requestTry.ended) {
                 return;
             }
-            AgentStandIn stand = day.agents.get(agent);
-            boolean alive = stand.tookSince(made.at) && day.ways.owes(agent, made.at, day.now());
-            if (made.taken && !alive) {
-                day.checker.released(day.now(), made.id, "its agent was killed");
+            AgentStandIn agentStandIn = context.agents.get(agent);
+            boolean alive = agentStandIn.aliveSince(requestTry.startedMicros)
+                    && context.paths.reachableThroughout(agent, requestTry.startedMicros, context.now());
+            if (requestTry.sent && !alive) {
+                context.checker.released(context.now(), requestTry.requestId, "its agent was killed");
             }
-            boolean crossed = !made.taken || alive && day.checker.dropped(day.now(), made.id);
-            if (crossed && used && !made.resent) {
-                made.resent = true;
-                made.taken = false;
-                place(made);
+            boolean neverForwarded =
+                    !requestTry.sent || alive && context.checker.connectionClosed(context.now(), requestTry.requestId);
+            if (neverForwarded && reused && !requestTry.resent) {
+                requestTry.resent = true;
+                requestTry.sent = false;
+                assignConnection(requestTry);
             } else {
-                end(made, RetryBehavior.Fate.UNREACHED, 0);
+                endTry(requestTry, RetryBehavior.TryOutcome.UNREACHABLE, 0);
             }
         }
 
@@ -343,52 +372,52 @@
             ctx.close();
         }
     }
-    /** One over HTTP/1.1. */
-    private final class HttpLine extends Line {
+    /** An HTTP/1.1 connection. */
+    private final class HttpClientConnection extends ClientConnection {
         @Override
         ChannelHandler[] codec() {
-            return new ChannelHandler[] {new HttpClientCodec(), new HttpObjectAggregator(ANSWER_MOST)};
+            return new ChannelHandler[] {new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES)};
         }
 
         @Override
-        Object request(Try made) {
-            Wish wish = made.wish;
-            Demand.Want want = wish.want;
-            boolean safe = wish.kind.semantics() == Semantics.SAFE;
+        Object request(RequestTry requestTry) {
+            PendingOperation pending = requestTry.pending;
+            Demand.Operation operation = pending.operation;
+            boolean safe = pending.requestClass.semantics() == Semantics.SAFE;
             var request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     safe ? HttpMethod.GET : HttpMethod.POST,
-                    "/" + wish.kind.name() + "?n=" + want.number(),
+                    "/" + pending.requestClass.name() + "?n=" + operation.number(),
                     safe ? Unpooled.EMPTY_BUFFER : Unpooled.copiedBuffer(BODY, StandardCharsets.US_ASCII));
             HttpHeaders headers = request.headers();
             headers.set(HttpHeaderNames.HOST, "origin.svc")
-                    .set("Request-Id", made.id)
-                    .set("Request-Class", wish.kind.name())
-                    .set("Work-Hint", want.hint())
-                    .set("Request-Timeout-Ms", millisLeft(made));
-            if (!day.plan.tenants().isEmpty()) {
-                headers.set("Tenant", tenant(want));
+                    .set("Request-Id", requestTry.requestId)
+                    .set("Request-Class", pending.requestClass.name())
+                    .set("Work-Hint", operation.hintMicros())
+                    .set("Request-Timeout-Ms", millisLeft(requestTry));
+            if (!context.plan.tenants().isEmpty()) {
+                headers.set("Tenant", tenant(operation));
             }
-            if (repeats(wish)) {
+            if (marksRetry(pending)) {
                 headers.set("Client-Retry", "1");
             }
             if (!safe) {
                 headers.set(HttpHeaderNames.CONTENT_LENGTH, BODY.length());
             }
-            if (wish.kind.semantics() == Semantics.KEYED) {
-                headers.set("Idempotency-Key", wish.key);
+            if (pending.requestClass.semantics() == Semantics.KEYED) {
+                headers.set("Idempotency-Key", pending.idempotencyKey);
             }
             return request;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, Object read) {
-            if (current() == null) {
+            if (currentTry() == null) {
                 ctx.close();
                 return;
             }
             FullHttpResponse response = (FullHttpResponse) read;
-            answered(
+            responseReceived(
                     response.status().code(),
                     response.content().toString(StandardCharsets.US_ASCII),
                     HttpUtil.isKeepAlive(response),
@@ -405,8 +434,8 @@
         }
     }
 
-    /** One over Thrift. */
-    private final class ThriftLine extends Line {
+    /** A Thrift connection. */
+    private final class ThriftClientConnection extends ClientConnection {
         private int seqid;
 
         @Override
@@ -415,46 +444,50 @@
         }
 
         @Override
-        Object request(Try made) {
-            Wish wish = made.wish;
-            byte[] arguments = ThriftPayloads.call(
-                    day.form.encoding(),
-                    made.id,
-                    millisLeft(made),
-                    day.plan.tenants().isEmpty() ? null : tenant(wish.want),
-                    wish.want.hint(),
-                    repeats(wish),
-                    wish.kind.semantics() == Semantics.KEYED ? wish.key : null,
+        Object request(RequestTry requestTry) {
+            PendingOperation pending = requestTry.pending;
+            byte[] arguments = ThriftPayloads.encodeCall(
+                    context.thriftFormat.encoding(),
+                    requestTry.requestId,
+                    millisLeft(requestTry),
+                    context.plan.tenants().isEmpty() ? null : tenant(pending.operation),
+                    pending.operation.hintMicros(),
+                    marksRetry(pending),
+                    pending.requestClass.semantics() == Semantics.KEYED ? pending.idempotencyKey : null,
                     BODY);
             ByteBuf out = Unpooled.buffer(arguments.length + 64);
-            MessageHeader header = new MessageHeader(wish.kind.name(), MessageHeader.Type.CALL, ++seqid);
-            MessageEncoder.write(new ThriftMessage(day.form.encoding(), header, arguments), day.form.framed(), out);
+            MessageHeader header = new MessageHeader(pending.requestClass.name(), MessageHeader.Type.CALL, ++seqid);
+            MessageEncoder.write(
+                    new ThriftMessage(context.thriftFormat.encoding(), header, arguments),
+                    context.thriftFormat.framed(),
+                    out);
             return out;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, Object read) {
-            if (current() == null
+            if (currentTry() == null
                     || !(read instanceof ThriftMessage reply)
                     || reply.header().seqid() != seqid) {
                 ctx.close();
                 return;
             }
-            ThriftPayloads.Heard heard = ThriftPayloads.heard(reply);
-            boolean served = reply.header().type() == MessageHeader.Type.REPLY && heard.success() != null;
-            answered(served ? 200 : heard.refused() ? 503 : 502, heard.success(), true, heard.retryAfterMicros());
+            ThriftPayloads.ReplyFields fields = ThriftPayloads.readReply(reply);
+            boolean served = reply.header().type() == MessageHeader.Type.REPLY && fields.success() != null;
+            responseReceived(
+                    served ? 200 : fields.refused() ? 503 : 502, fields.success(), true, fields.retryAfterMicros());
         }
     }
 
-    private long millisLeft(Try made) {
-        return Math.max(1, (made.deadline - day.now()) / 1000);
+    private long millisLeft(RequestTry requestTry) {
+        return Math.max(1, (requestTry.deadlineMicros - context.now()) / 1000);
     }
 
-    private String tenant(Demand.Want want) {
-        return day.plan.tenants().get(want.tenant()).name();
+    private String tenant(Demand.Operation operation) {
+        return context.plan.tenants().get(operation.tenant()).name();
     }
 
-    private boolean repeats(Wish wish) {
-        return wish.tries > 1 && day.plan.callers().marksRetry();
+    private boolean marksRetry(PendingOperation pending) {
+        return pending.tries > 1 && context.plan.callers().marksRetry();
     }
 }
--- a/src/main/java/gatefront/rehearsal/Demo.java
+++ b/src/main/java/gatefront/rehearsal/Demo.java
@@ -44,8 +44,8 @@
                                 (name, address, zone, memory, lines) -> new LoopbackMachine(name, address, loop),
                                 it -> i -> new ProcessAgent(
                                         it, i, addresses.of(8, i), command, folder, Runnable::run, log));
-                        made.takeStrangers();
-                        made.begin();
+                        made.serveUnknownRequests();
+                        made.start();
                         return made;
                     })
                     .get();
--- a/src/main/java/gatefront/rehearsal/FaultScheduler.java
+++ b/src/main/java/gatefront/rehearsal/FaultScheduler.java
@@ -5,206 +5,221 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** Carries out what goes wrong on a day. */
+/** Schedules and carries out the faults of a run. */
 final class FaultScheduler {
-    private static final long SECOND = 1_000_000;
-    /** SIGKILL comes so long after SIGTERM: the longest deadline at the most, and then some. */
-    private static final long KILL_AFTER = 700_000;
+    private static final long SECOND_MICROS = 1_000_000;
+    /** Time from SIGTERM to SIGKILL beyond the longest deadline, in microseconds. */
+    private static final long KILL_DELAY_MICROS = 700_000;
 
-    private static final long REPLACED_AFTER = 1_000;
-    /** What happens at a moment, and is shown for a second. */
-    private static final Set<Fault.Kind> MOMENTS = EnumSet.of(
+    private static final long REPLACEMENT_DELAY_MICROS = 1_000;
+    /** Faults that happen at an instant; the report shows them for a second. */
+    private static final Set<Fault.Kind> INSTANTANEOUS = EnumSet.of(
             Fault.Kind.REPLACE,
             Fault.Kind.AGENT_RELOAD,
             Fault.Kind.REGISTRY_COMPACT,
             Fault.Kind.LEAVE,
             Fault.Kind.AGENT_RESTART);
 
-    private final RunContext day;
-    private final long opensAt;
+    private final RunContext context;
+    private final long openingMicros;
 
-    private FaultScheduler(RunContext day, long opensAt) {
-        this.day = day;
-        this.opensAt = opensAt;
+    private FaultScheduler(RunContext context, long openingMicros) {
+        this.context = context;
+        this.openingMicros = openingMicros;
     }
 
-    /** Has all troubles of a day come about; its times count from {@code opensAt}. */
-    static void schedule(RunContext day, long opensAt) {
-        FaultScheduler table = new FaultScheduler(day, opensAt);
-        day.cast.troubles().forEach(table::schedule);
+    /** Schedules all faults of a run; their times count from {@code openingMicros}. */
+    static void schedule(RunContext context, long openingMicros) {
+        FaultScheduler scheduler = new FaultScheduler(context, openingMicros);
+        context.resolvedPlan.faults().forEach(scheduler::schedule);
     }
 
-    private void schedule(ResolvedPlan.Trouble trouble) {
-        Fault.Kind kind = trouble.fault().kind();
-        day.record.band(kind.word(), trouble.at(), MOMENTS.contains(kind) ? trouble.at() + SECOND : trouble.until());
+    private void schedule(ResolvedPlan.ScheduledFault scheduled) {
+        Fault.Kind kind = scheduled.fault().kind();
+        context.recorder.addFaultBand(
+                kind.word(),
+                scheduled.startMicros(),
+                INSTANTANEOUS.contains(kind) ? scheduled.startMicros() + SECOND_MICROS : scheduled.endMicros());
         switch (kind.whom()) {
             case NODOS -> {
-                for (int i = 0; i < trouble.targets().length; i++) {
-                    int target = trouble.targets()[i];
-                    long at = opensAt + trouble.at() + trouble.later(i);
-                    day.at(at, () -> begin(trouble, day.nodos.get(target)));
-                    day.at(at + trouble.lasts(), () -> end(trouble, day.nodos.get(target)));
+                for (int i = 0; i < scheduled.targets().length; i++) {
+                    int index = scheduled.targets()[i];
+                    long at = openingMicros + scheduled.startMicros() + scheduled.offsetMicros(i);
+                    context.schedule(at, () -> beginOnNodo(scheduled, context.nodos.get(index)));
+                    context.schedule(
+                            at + scheduled.durationMicros(), () -> endOnNodo(scheduled, context.nodos.get(index)));
                 }
             }
             case AGENTS -> {
-                for (int i = 0; i < trouble.targets().length; i++) {
-                    AgentStandIn agent = day.agents.get(trouble.targets()[i]);
-                    long apart = kind == Fault.Kind.AGENT_RESTART ? i * trouble.lasts() : trouble.later(i);
-                    day.at(opensAt + trouble.at() + apart, () -> agent(trouble, agent));
+                for (int i = 0; i < scheduled.targets().length; i++) {
+                    AgentStandIn agent = context.agents.get(scheduled.targets()[i]);
+                    long offsetMicros = kind == Fault.Kind.AGENT_RESTART
+                            ? i * scheduled.durationMicros()
+                            : scheduled.offsetMicros(i);
+                    context.schedule(
+                            openingMicros + scheduled.startMicros() + offsetMicros,
+                            () -> beginOnAgent(scheduled, agent));
                 }
                 if (kind == Fault.Kind.AGENT_RELOAD) {
-                    day.at(opensAt + trouble.at(), day.padron::move);
+                    context.schedule(openingMicros + scheduled.startMicros(), context.padron::moveAddress);
                 }
             }
             case NOBODY -> {
                 if (kind == Fault.Kind.PADRON_SILENT) {
-                    day.at(opensAt + trouble.at(), () -> day.padron.silent(true));
-                    day.at(opensAt + trouble.until(), () -> day.padron.silent(false));
+                    context.schedule(openingMicros + scheduled.startMicros(), () -> context.padron.setSilent(true));
+                    context.schedule(openingMicros + scheduled.endMicros(), () -> context.padron.setSilent(false));
                 } else if (kind == Fault.Kind.REGISTRY_DOWN) {
-                    day.at(opensAt + trouble.at(), () -> day.padron.registryDown(true));
-                    day.at(opensAt + trouble.until(), () -> day.padron.registryDown(false));
+                    context.schedule(
+                            openingMicros + scheduled.startMicros(), () -> context.padron.setRegistryDown(true));
+                    context.schedule(
+                            openingMicros + scheduled.endMicros(), () -> context.padron.setRegistryDown(false));
                 } else if (kind == Fault.Kind.REGISTRY_SLOW) {
-                    day.at(opensAt + trouble.at(), () -> day.padron.registryLate(trouble.size()));
-                    day.at(opensAt + trouble.until(), () -> day.padron.registryLate(0));
+                    context.schedule(
+                            openingMicros + scheduled.startMicros(),
+                            () -> context.padron.setRegistryDelay(scheduled.size()));
+                    context.schedule(openingMicros + scheduled.endMicros(), () -> context.padron.setRegistryDelay(0));
                 } else if (kind == Fault.Kind.REGISTRY_COMPACT) {
-                    day.at(opensAt + trouble.at(), day.padron::compact);
-                } // a jump is in the demand, hurry in the callers
+                    context.schedule(openingMicros + scheduled.startMicros(), context.padron::compactRegistry);
+                } // a jump is part of the demand, hurry is handled by the clients
             }
         }
     }
 
-    private void begin(ResolvedPlan.Trouble trouble, NodoStandIn nodo) {
-        switch (trouble.fault().kind()) {
+    private void beginOnNodo(ResolvedPlan.ScheduledFault scheduled, NodoStandIn nodo) {
+        switch (scheduled.fault().kind()) {
             case DIE -> {
                 if (nodo.up()) {
                     nodo.kill();
-                    day.padron.learnsStatus(nodo, Padron.Status.GONE);
+                    context.padron.changeStatus(nodo, Padron.Status.GONE);
                 }
             }
             case VANISH -> {
                 if (nodo.up()) {
-                    nodo.machine().vanish();
+                    nodo.machine().isolate();
                     nodo.kill();
                 }
             }
-            case CUT_OFF -> nodo.machine().vanish();
-            case SLOW -> nodo.slow(trouble.size());
-            case FAIL -> nodo.failing(trouble.size());
-            case TAKEN -> take(trouble, nodo, true);
-            case SUCCEED -> succeed(trouble, nodo);
-            case BREAK_OFF -> nodo.breakOff(trouble.size());
+            case CUT_OFF -> nodo.machine().isolate();
+            case SLOW -> nodo.setSlowdown(scheduled.size());
+            case FAIL -> nodo.setFailureShare(scheduled.size());
+            case TAKEN -> toggleStolenShare(scheduled, nodo, true);
+            case SUCCEED -> rollOver(scheduled, nodo);
+            case BREAK_OFF -> nodo.setBreakOffShare(scheduled.size());
             case DRAIN, LEAVE -> drain(nodo, true);
             case REPLACE -> {
                 if (nodo.up()) {
                     nodo.kill();
-                    day.padron.learnsStatus(nodo, Padron.Status.GONE);
+                    context.padron.changeStatus(nodo, Padron.Status.GONE);
                     nodo.machine().boot();
-                    NodoStandIn fresh = day.addNodo(nodo.spec(), nodo.machine());
-                    nodo.leaves();
-                    // Guards against an address in use: a socket is free only after its loop has looked once more.
-                    day.at(day.now() + REPLACED_AFTER, () -> {
-                        fresh.start(true);
-                        day.padron.learnsStart(fresh);
+                    NodoStandIn replacement = context.addNodo(nodo.spec(), nodo.machine());
+                    nodo.depart();
+                    // Guards against "address already in use": a socket is released only after its event loop has run
+                    // once more.
+                    context.schedule(context.now() + REPLACEMENT_DELAY_MICROS, () -> {
+                        replacement.start(true);
+                        context.padron.listStarted(replacement);
                     });
                 }
             }
-            default -> throw new IllegalStateException(trouble.fault().kind().word());
+            default -> throw new IllegalStateException(scheduled.fault().kind().word());
         }
     }
 
-    /** A release as careful staff do it: the new one is there before the old one is told to drain. */
-    private void succeed(ResolvedPlan.Trouble trouble, NodoStandIn nodo) {
+    /** A careful release: the replacement starts before the old nodo is told to drain. */
+    private void rollOver(ResolvedPlan.ScheduledFault scheduled, NodoStandIn nodo) {
         if (!nodo.up()) {
             return;
         }
-        NodoStandIn fresh = day.addNodo(nodo.spec());
-        fresh.start(true);
-        day.padron.learnsStart(fresh);
-        day.at(day.now() + trouble.lasts() / 3, () -> drain(nodo, true));
+        NodoStandIn replacement = context.addNodo(nodo.spec());
+        replacement.start(true);
+        context.padron.listStarted(replacement);
+        context.schedule(context.now() + scheduled.durationMicros() / 3, () -> drain(nodo, true));
     }
 
-    /** Told to take nothing new, or taken back. */
-    private void drain(NodoStandIn nodo, boolean on) {
+    /** Starts or ends a drain of the nodo. */
+    private void drain(NodoStandIn nodo, boolean draining) {
         if (nodo.up()) {
-            nodo.leaving(on);
-            day.padron.learnsStatus(nodo, on ? Padron.Status.TERMINATING : Padron.Status.READY);
+            nodo.draining(draining);
+            context.padron.changeStatus(nodo, draining ? Padron.Status.TERMINATING : Padron.Status.READY);
         }
     }
 
-    private void take(ResolvedPlan.Trouble trouble, NodoStandIn nodo, boolean on) {
-        if (day.now() < opensAt + trouble.until()) {
-            nodo.taken(on ? trouble.size() : 0);
-            day.at(day.now() + trouble.every(), () -> take(trouble, nodo, !on));
+    private void toggleStolenShare(ResolvedPlan.ScheduledFault scheduled, NodoStandIn nodo, boolean stolen) {
+        if (context.now() < openingMicros + scheduled.endMicros()) {
+            nodo.setStolenShare(stolen ? scheduled.size() : 0);
+            context.schedule(
+                    context.now() + scheduled.periodMicros(), () -> toggleStolenShare(scheduled, nodo, !stolen));
         }
     }
 
-    private void end(ResolvedPlan.Trouble trouble, NodoStandIn nodo) {
-        switch (trouble.fault().kind()) {
-            case DIE -> back(nodo);
+    private void endOnNodo(ResolvedPlan.ScheduledFault scheduled, NodoStandIn nodo) {
+        switch (scheduled.fault().kind()) {
+            case DIE -> restartNodo(nodo);
             case VANISH -> {
-                nodo.machine().appear();
-                back(nodo);
+                nodo.machine().reconnect();
+                restartNodo(nodo);
             }
-            case CUT_OFF -> nodo.machine().appear();
-            case SLOW -> nodo.slow(1);
-            case FAIL -> nodo.failing(0);
-            case TAKEN -> nodo.taken(0);
-            case BREAK_OFF -> nodo.breakOff(0);
+            case CUT_OFF -> nodo.machine().reconnect();
+            case SLOW -> nodo.setSlowdown(1);
+            case FAIL -> nodo.setFailureShare(0);
+            case TAKEN -> nodo.setStolenShare(0);
+            case BREAK_OFF -> nodo.setBreakOffShare(0);
             case DRAIN -> drain(nodo, false);
             case LEAVE, SUCCEED -> {
                 if (nodo.up()) {
                     nodo.kill();
-                    nodo.leaves();
-                    day.padron.learnsStatus(nodo, Padron.Status.GONE);
+                    nodo.depart();
+                    context.padron.changeStatus(nodo, Padron.Status.GONE);
                 }
             }
             default -> {}
         }
     }
 
-    /** A process that has died starts again, cold. */
-    private void back(NodoStandIn nodo) {
-        if (!nodo.up() && !nodo.hasLeft()) {
+    /** Restarts a process that has ended; it starts cold. */
+    private void restartNodo(NodoStandIn nodo) {
+        if (!nodo.up() && !nodo.departed()) {
             nodo.machine().boot();
             nodo.start(true);
-            day.padron.learnsStart(nodo);
+            context.padron.listStarted(nodo);
         }
     }
 
-    private void agent(ResolvedPlan.Trouble trouble, AgentStandIn agent) {
-        switch (trouble.fault().kind()) {
+    private void beginOnAgent(ResolvedPlan.ScheduledFault scheduled, AgentStandIn agent) {
+        switch (scheduled.fault().kind()) {
             case AGENT_KILL -> {
                 agent.kill();
-                day.at(day.now() + trouble.lasts(), () -> {
+                context.schedule(context.now() + scheduled.durationMicros(), () -> {
                     if (!agent.machine().running()) {
                         agent.start();
                     }
                 });
             }
-            case AGENT_RESTART -> restart(agent);
-            case AGENT_RELOAD -> day.at(day.now() + 10_000, agent::reload);
-            default -> throw new IllegalStateException(trouble.fault().kind().word());
+            case AGENT_RESTART -> restartAgent(agent);
+            case AGENT_RELOAD -> context.schedule(context.now() + 10_000, agent::reload);
+            default -> throw new IllegalStateException(scheduled.fault().kind().word());
         }
     }
 
-    private void restart(AgentStandIn agent) {
+    private void restartAgent(AgentStandIn agent) {
         if (!agent.machine().running()) {
             return; // it has been killed
         }
-        long longest = (long) (1000
-                * day.plan.classes().stream()
-                        .mapToDouble(each -> each.giveUpMs())
+        long longestDeadlineMicros = (long) (1000
+                * context.plan.classes().stream()
+                        .mapToDouble(requestClass -> requestClass.giveUpMs())
                         .max()
                         .orElse(0));
-        int mine = agent.processes();
-        agent.leave(() -> {
-            if (agent.processes() == mine) {
+        int processNumber = agent.processCount();
+        agent.shutDown(() -> {
+            if (agent.processCount() == processNumber) {
                 agent.start();
             }
         });
-        day.at(day.now() + longest + KILL_AFTER, () -> {
-            if (agent.processes() == mine && agent.machine().running()) {
-                day.checker.left(day.now(), agent.name() + " had not ended when SIGKILL came after SIGTERM");
+        context.schedule(context.now() + longestDeadlineMicros + KILL_DELAY_MICROS, () -> {
+            if (agent.processCount() == processNumber && agent.machine().running()) {
+                context.checker.reportLeftover(
+                        context.now(), agent.name() + " had not ended when SIGKILL came after SIGTERM");
                 agent.kill();
                 agent.start();
             }
--- a/src/main/java/gatefront/rehearsal/FleetLoad.java
+++ b/src/main/java/gatefront/rehearsal/FleetLoad.java
@@ -11,112 +11,115 @@
 import java.util.TreeMap;
 
 /**
- * What all agents together do to the nodos, which no agent sees: who meets whom for the first time, how many come to
- * one nodo at once, what is refused while others stand idle, and what cold nodos get against what they bear.
+ * The combined effect of all agents on the nodos, which no single agent sees: new pairs of agent and nodo, agents
+ * that connect to one nodo at the same time, refusals while other nodos are idle, and the load of cold nodos relative
+ * to their capacity.
  */
 final class FleetLoad {
-    /** Those who open a connection to one nodo within this time come at once, in microseconds. */
-    private static final long AT_ONCE = 500_000;
-    /** A refusal is made beside room when this part of what all ready nodos can do stands idle. */
-    private static final double ROOM = 0.2;
-
-    /** One agent's new connection to a nodo. */
-    private record Dial(long at, int agent) {}
-
-    /** Work that a nodo was sent while it was cold, and what it could have done meanwhile. */
-    private record Cold(double sent, double bears) {}
-
-    private final int agents;
-    /** Pairs of agent and nodo that have met; agents times nodos at the most, those that replace others too. */
-    private final Set<Long> met = new HashSet<>();
-    /** By nodo, its newest connections; each leaves {@link #AT_ONCE} after it came. */
-    private final Map<Integer, Deque<Dial>> dials = new HashMap<>();
-    /** By nodo, as last looked at. */
-    private final Map<Integer, Cold> cold = new TreeMap<>();
-
-    private int mostAtOnce;
+    /** Connections opened to one nodo within this time count as simultaneous, in microseconds. */
+    private static final long AT_ONCE_MICROS = 500_000;
+    /** Share of the capacity of all ready nodos that must be idle for a refusal to count as made with idle capacity. */
+    private static final double IDLE_SHARE_THRESHOLD = 0.2;
+
+    /** An agent's new connection to a nodo. */
+    private record NewConnection(long openedMicros, int agent) {}
+
+    /** Work that a nodo was sent while cold, and the work that it could have done meanwhile. */
+    private record ColdNodo(double sentWork, double capacity) {}
+
+    private final int agentCount;
+    /** Pairs of agent and nodo that have met; at most agents times nodos, replacements included. */
+    private final Set<Long> pairsMet = new HashSet<>();
+    /** By nodo: its newest connections; each is removed {@link #AT_ONCE_MICROS} after it was opened. */
+    private final Map<Integer, Deque<NewConnection>> newConnections = new HashMap<>();
+    /** By nodo: the latest observation. */
+    private final Map<Integer, ColdNodo> coldNodos = new TreeMap<>();
+
+    private int maxAgentsAtOnce;
     private int connections;
-    private int usedAgain;
+    private int reusedConnections;
     private int refusals;
-    private int besideRoom;
-    private double idle;
+    private int refusalsWithIdleCapacity;
+    private double idleShareSum;
 
-    FleetLoad(int agents) {
-        this.agents = agents;
+    FleetLoad(int agentCount) {
+        this.agentCount = agentCount;
     }
 
-    /** The first request has come on a connection that was opened at a time. */
-    void dialled(long at, int agent, int nodo) {
-        met.add((long) nodo * agents + agent);
+    /** Records the first request on a connection that was opened at {@code openedMicros}. */
+    void connectionUsed(long openedMicros, int agent, int nodo) {
+        pairsMet.add((long) nodo * agentCount + agent);
         connections++;
-        Deque<Dial> lately = dials.computeIfAbsent(nodo, key -> new ArrayDeque<>());
-        lately.addLast(new Dial(at, agent));
-        while (lately.peekFirst().at <= at - AT_ONCE) {
-            lately.pollFirst();
+        Deque<NewConnection> recent = newConnections.computeIfAbsent(nodo, key -> new ArrayDeque<>());
+        recent.addLast(new NewConnection(openedMicros, agent));
+        while (recent.peekFirst().openedMicros <= openedMicros - AT_ONCE_MICROS) {
+            recent.pollFirst();
         }
-        mostAtOnce = Math.max(mostAtOnce, (int)
-                lately.stream().mapToInt(Dial::agent).distinct().count());
+        maxAgentsAtOnce = Math.max(maxAgentsAtOnce, (int)
+                recent.stream().mapToInt(NewConnection::agent).distinct().count());
     }
 
-    /** A second request has come on a connection. */
-    void usedAgain() {
-        usedAgain++;
+    /** Records the second request on a connection. */
+    void connectionReused() {
+        reusedConnections++;
     }
 
-    /** An agent has refused a call while this part of what all ready nodos can do stood idle. */
-    void refused(double idlePart) {
+    /** Records that an agent refused a request while this share of the capacity of all ready nodos was idle. */
+    void requestRefused(double idleShare) {
         refusals++;
-        besideRoom += idlePart >= ROOM ? 1 : 0;
-        idle += idlePart;
+        refusalsWithIdleCapacity += idleShare >= IDLE_SHARE_THRESHOLD ? 1 : 0;
+        idleShareSum += idleShare;
     }
 
-    /** So much work has a nodo been sent while it was cold, of so much that it could do. */
-    void cold(int nodo, double sent, double bears) {
-        if (bears > 0) {
-            cold.put(nodo, new Cold(sent, bears));
+    /** Records the work that a nodo was sent while cold, and the work that it could have done. */
+    void coldNodoObserved(int nodo, double sentWork, double capacity) {
+        if (capacity > 0) {
+            coldNodos.put(nodo, new ColdNodo(sentWork, capacity));
         }
     }
 
-    /** Pairs of agent and nodo that have met. */
+    /** Returns the number of pairs of agent and nodo that have met. */
     int firstMeetings() {
-        return met.size();
+        return pairsMet.size();
     }
 
-    /** The part of the connections that carried a second request. */
-    double usedAgainPart() {
-        return (double) usedAgain / Math.max(1, connections);
+    /** Returns the share of connections that carried a second request. */
+    double reusedConnectionShare() {
+        return (double) reusedConnections / Math.max(1, connections);
     }
 
-    /** The part of the refusals that were made while a fifth of all ready nodos' capacity stood idle. */
-    double besideRoomPart() {
-        return (double) besideRoom / Math.max(1, refusals);
+    /** Returns the share of refusals made while at least a fifth of the capacity of all ready nodos was idle. */
+    double refusalsWithIdleCapacityShare() {
+        return (double) refusalsWithIdleCapacity / Math.max(1, refusals);
     }
 
-    /** What cold nodos were sent of what they could do, over all of them; 0 where none was cold. */
-    double coldPart() {
-        double sent = cold.values().stream().mapToDouble(Cold::sent).sum();
-        double bears = cold.values().stream().mapToDouble(Cold::bears).sum();
-        return bears == 0 ? 0 : sent / bears;
+    /** Returns the work sent to cold nodos as a share of their capacity, over all of them; 0 if none was cold. */
+    double coldCapacityUsed() {
+        double sentWork =
+                coldNodos.values().stream().mapToDouble(ColdNodo::sentWork).sum();
+        double capacity =
+                coldNodos.values().stream().mapToDouble(ColdNodo::capacity).sum();
+        return capacity == 0 ? 0 : sentWork / capacity;
     }
 
-    /** Writes its figures; parts to four places. */
-    void json(ObjectNode into) {
-        into.put("first_meetings", met.size())
+    /** Writes the figures; shares are rounded to four digits. */
+    void writeTo(ObjectNode node) {
+        node.put("first_meetings", pairsMet.size())
                 .put("connections", connections)
-                .put("connections_used_again", JsonReport.round(usedAgainPart()))
-                .put("agents_at_one_nodo_at_once", mostAtOnce)
+                .put("connections_used_again", JsonReport.round(reusedConnectionShare()))
+                .put("agents_at_one_nodo_at_once", maxAgentsAtOnce)
                 .put("refusals", refusals)
-                .put("refusals_beside_room", JsonReport.round(besideRoomPart()))
-                .put("idle_at_refusals", JsonReport.round(idle / Math.max(1, refusals)))
-                .put("cold_nodos", cold.size())
-                .put("cold_sent_of_borne", JsonReport.round(coldPart()));
-        double[] parts = cold.values().stream()
-                .mapToDouble(each -> each.sent / each.bears)
+                .put("refusals_beside_room", JsonReport.round(refusalsWithIdleCapacityShare()))
+                .put("idle_at_refusals", JsonReport.round(idleShareSum / Math.max(1, refusals)))
+                .put("cold_nodos", coldNodos.size())
+                .put("cold_sent_of_borne", JsonReport.round(coldCapacityUsed()));
+        double[] shares = coldNodos.values().stream()
+                .mapToDouble(coldNodo -> coldNodo.sentWork / coldNodo.capacity)
                 .sorted()
                 .toArray();
-        ArrayNode quartiles = into.putArray("cold_sent_of_borne_quartiles");
-        for (int i = 0; i <= 4 && parts.length > 0; i++) {
-            quartiles.add(JsonReport.round(parts[i * (parts.length - 1) / 4]));
+        ArrayNode quartiles = node.putArray("cold_sent_of_borne_quartiles");
+        for (int i = 0; i <= 4 && shares.length > 0; i++) {
+            quartiles.add(JsonReport.round(shares[i * (shares.length - 1) / 4]));
         }
     }
 }
--- a/src/main/java/gatefront/rehearsal/HtmlReport.java
+++ b/src/main/java/gatefront/rehearsal/HtmlReport.java
@@ -24,7 +24,7 @@
 
     private HtmlReport(RehearsalResult outcome) {
         this.outcome = outcome;
-        this.record = outcome.record();
+        this.record = outcome.recorder();
         this.plan = outcome.plan();
     }
 
@@ -77,18 +77,18 @@
                 plan.nodos().count(),
                 plain(plan.callers().rate()),
                 100
-                        * outcome.cast().demand(plan.callers().rate())
-                        / outcome.cast().capacity());
-        int worst = record.worstFrom();
+                        * outcome.resolvedPlan().demand(plan.callers().rate())
+                        / outcome.resolvedPlan().capacity());
+        int worst = record.worstTenSecondsStart();
         add(
                 "<div class=\"row\"><div><div class=\"big\">%.1f%%</div>service: worth answered in time, of what was "
                         + "asked for</div><div><div class=\"big\">%.1f%%</div>in the worst ten seconds, from %d s</div>"
                         + "<div><div class=\"big %s\">%s</div>the four rules</div></div>",
                 100 * outcome.service(),
-                100 * record.serviceOfTen(worst),
+                100 * record.serviceOfTenSeconds(worst),
                 worst,
-                outcome.broken() == 0 ? "ok" : "no",
-                outcome.broken() == 0 ? "kept" : "broken " + outcome.broken() + "×");
+                outcome.breachCount() == 0 ? "ok" : "no",
+                outcome.breachCount() == 0 ? "kept" : "broken " + outcome.breachCount() + "×");
     }
 
     private static String plain(double value) {
@@ -107,15 +107,15 @@
     }
 
     private int bandRows() {
-        return record.bands.size();
+        return record.faultBands.size();
     }
 
     /** Each trouble as a band behind the plot and its name in a row of its own above. */
     private void bands(int bottom) {
         int row = 0;
-        for (RunRecorder.Band each : record.bands) {
-            double from = x(each.from());
-            double wide = Math.max(2, x(each.until()) - from);
+        for (RunRecorder.FaultBand each : record.faultBands) {
+            double from = x(each.fromSeconds());
+            double wide = Math.max(2, x(each.untilSeconds()) - from);
             int y = 12 + 13 * row++;
             add(
                     "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"#b58900\" opacity=\"0.09\"/>",
@@ -160,7 +160,7 @@
         double most = 1e-9;
         for (int s = 0; s < record.seconds; s++) {
             double all = 0;
-            for (double each : record.ofSecond(s)) {
+            for (double each : record.worthOfSecond(s)) {
                 all += each;
             }
             most = Math.max(most, all);
@@ -168,7 +168,7 @@
         axis(top, bottom, String.format(Locale.ROOT, "%.0f", most));
         for (int s = 0; s < record.seconds; s++) {
             double at = bottom;
-            double[] fates = record.ofSecond(s);
+            double[] fates = record.worthOfSecond(s);
             for (int f = 0; f < fates.length; f++) {
                 double high = (bottom - top) * fates[f] / most;
                 if (high > 0.05) {
@@ -194,7 +194,7 @@
                 double sum = 0;
                 int n = 0;
                 for (int t = Math.max(0, s - 1); t <= Math.min(record.seconds - 1, s + 1); t++) {
-                    double each = record.serviceOf(t, k);
+                    double each = record.serviceOfClassInSecond(t, k);
                     sum += Double.isNaN(each) ? 0 : each;
                     n += Double.isNaN(each) ? 0 : 1;
                 }
@@ -251,7 +251,7 @@
         out.append("<h2>Nodos: requests held a core (white 0, dark 8 or more, striped: not running), and what the "
                 + "first agent was told</h2>");
         key(TOLD, TOLD_COLOURS);
-        int shown = Math.min(record.load.size(), 120);
+        int shown = Math.min(record.loadByNodo.size(), 120);
         int high = shown > 40 ? 8 : 14;
         int bottom = 6 + high * shown;
         open(bottom + 22, 0);
@@ -264,7 +264,7 @@
                         "<text x=\"%d\" y=\"%d\" text-anchor=\"end\">%s</text>",
                         LEFT - 6, 6 + high * i + high - 3, record.nodoNames.get(i));
             }
-            double[] load = record.load.get(i);
+            double[] load = record.loadByNodo.get(i);
             for (int s = 0; s < load.length; s++) {
                 String fill = load[s] < 0 ? "url(#down)" : shade(load[s] / 8);
                 add(
@@ -272,12 +272,12 @@
                         x(s), 6 + high * i, x(s + 1) - x(s) + 0.2, high - 1, fill);
             }
         }
-        for (RunRecorder.Told each : record.told) {
+        for (RunRecorder.StatusNews each : record.statusNews) {
             int status = List.of(TOLD).indexOf(each.status());
             if (each.nodo() < shown && status >= 0) {
                 add(
                         "<rect x=\"%.1f\" y=\"%d\" width=\"3\" height=\"%d\" fill=\"%s\"/>",
-                        x(each.at()), 6 + high * each.nodo() - 1, high + 1, TOLD_COLOURS[status]);
+                        x(each.atSeconds()), 6 + high * each.nodo() - 1, high + 1, TOLD_COLOURS[status]);
             }
         }
         for (int s = 0; s <= record.seconds; s += Math.max(1, (int) Math.ceil(record.seconds / 120.0) * 10)) {
@@ -301,7 +301,7 @@
         out.append("</tr>");
         for (int k = 0; k < plan.classes().size(); k++) {
             add("<tr><td>%s</td><td>%.1f%%</td>", text(plan.classes().get(k).name()), 100 * record.serviceOfClass(k));
-            for (int count : record.counts[k]) {
+            for (int count : record.operationCounts[k]) {
                 add("<td>%d</td>", count);
             }
             out.append("</tr>");
@@ -317,22 +317,22 @@
             out.append("</table>");
         }
         for (RunRecorder.Note each : record.notes) {
-            add("<p>%.2f s: %s</p>", each.at(), text(each.text()));
+            add("<p>%.2f s: %s</p>", each.atSeconds(), text(each.text()));
         }
     }
 
     private void breaches() {
-        if (outcome.broken() > 0) {
+        if (outcome.breachCount() > 0) {
             add(
                     "<h2 class=\"no\">Rules broken (%d; the first %d)</h2>",
-                    outcome.broken(), outcome.breaches().size());
+                    outcome.breachCount(), outcome.breaches().size());
         }
         for (RuleChecker.Breach each : outcome.breaches()) {
             add(
                     "<p><b>%.3f s, %s</b>: %s %s</p>",
-                    (each.at() - Rehearsal.OPENS_AT) / 1e6,
+                    (each.atMicros() - Rehearsal.OPENING_MICROS) / 1e6,
                     each.rule().name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                    text(each.what()),
+                    text(each.description()),
                     each.request().isEmpty() ? "" : "(request " + text(each.request()) + ")");
             if (!each.history().isEmpty()) {
                 add("<pre>%s</pre>", text(String.join("\n", each.history())));
--- a/src/main/java/gatefront/rehearsal/JsonReport.java
+++ b/src/main/java/gatefront/rehearsal/JsonReport.java
@@ -40,7 +40,7 @@
     /** The report as a tree; its fields are in a fixed order. */
     public static ObjectNode json(RehearsalResult outcome) {
         Plan plan = outcome.plan();
-        RunRecorder record = outcome.record();
+        RunRecorder record = outcome.recorder();
         ObjectNode root = JsonNodeFactory.instance.objectNode();
         root.put("version", VERSION)
                 .put("plan", plan.name())
@@ -51,12 +51,13 @@
                 .put("rate", plan.callers().rate())
                 .put(
                         "load",
-                        round(outcome.cast().demand(plan.callers().rate())
-                                / outcome.cast().capacity()));
-        int worst = record.worstFrom();
+                        round(outcome.resolvedPlan().demand(plan.callers().rate())
+                                / outcome.resolvedPlan().capacity()));
+        int worst = record.worstTenSecondsStart();
         ObjectNode service = root.putObject("service");
         service.put("whole", round(outcome.service()));
-        service.put("worst_ten_seconds", round(record.serviceOfTen(worst))).put("worst_ten_from", worst);
+        service.put("worst_ten_seconds", round(record.serviceOfTenSeconds(worst)))
+                .put("worst_ten_from", worst);
         ObjectNode classes = service.putObject("classes");
         for (int i = 0; i < plan.classes().size(); i++) {
             classes.put(plan.classes().get(i).name(), round(record.serviceOfClass(i)));
@@ -68,57 +69,57 @@
         ObjectNode requests = root.putObject("requests");
         for (int i = 0; i < plan.classes().size(); i++) {
             ObjectNode counts = requests.putObject(plan.classes().get(i).name());
-            for (RunRecorder.Fate fate : RunRecorder.Fate.values()) {
-                counts.put(word(fate), record.counts[i][fate.ordinal()]);
+            for (RunRecorder.Outcome fate : RunRecorder.Outcome.values()) {
+                counts.put(word(fate), record.operationCounts[i][fate.ordinal()]);
             }
         }
         root.putObject("fleet")
-                .put("probes_a_request", round(record.each(record.probes)))
-                .put("handshakes_a_request", round(record.each(record.handshakes)))
-                .put("list_calls_a_request", round(record.each(record.listCalls)))
-                .put("attempts_a_request", round(record.each(record.attempts)))
+                .put("probes_a_request", round(record.perOperation(record.probes)))
+                .put("handshakes_a_request", round(record.perOperation(record.handshakes)))
+                .put("list_calls_a_request", round(record.perOperation(record.listCalls)))
+                .put("attempts_a_request", round(record.perOperation(record.attempts)))
                 .put(
                         "connections_of_the_fullest",
-                        Arrays.stream(record.fullest).max().orElse(0))
+                        Arrays.stream(record.maxConnections).max().orElse(0))
                 .put("connections_most", plan.nodos().connections())
                 .put(
                         "part_of_what_topples",
-                        round(Arrays.stream(record.coldest).max().orElse(0)));
-        record.crowd.json(root.putObject("crowd"));
+                        round(Arrays.stream(record.maxColdOverloadShare).max().orElse(0)));
+        record.fleetLoad.writeTo(root.putObject("crowd"));
         rules(root.putObject("rules"), outcome);
         ArrayNode troubles = root.putArray("troubles");
-        for (ResolvedPlan.Trouble each : outcome.cast().troubles()) {
+        for (ResolvedPlan.ScheduledFault each : outcome.resolvedPlan().faults()) {
             ObjectNode trouble = troubles.addObject()
                     .put("kind", each.fault().kind().word())
-                    .put("at", round(each.at() / 1e6))
-                    .put("until", round(each.until() / 1e6))
+                    .put("at", round(each.startMicros() / 1e6))
+                    .put("until", round(each.endMicros() / 1e6))
                     .put("size", round(each.size()));
             ArrayNode targets = trouble.putArray("targets");
             for (int target : each.targets()) {
                 targets.add(target + 1);
             }
         }
-        record.held.json(root.putObject("held"));
+        record.resourceUsage.writeTo(root.putObject("held"));
         seconds(root, record);
         nodos(root, record);
         ArrayNode notes = root.putArray("notes");
         record.notes.forEach(
-                each -> notes.addObject().put("at", round(each.at())).put("text", each.text()));
+                each -> notes.addObject().put("at", round(each.atSeconds())).put("text", each.text()));
         ArrayNode log = root.putArray("log");
         outcome.log().forEach(log::add);
-        root.put("closed_idle", record.closedIdle).put("tasks", outcome.tasks());
+        root.put("closed_idle", record.idleConnectionsClosed).put("tasks", outcome.tasks());
         return root;
     }
 
     private static void rules(ObjectNode rules, RehearsalResult outcome) {
-        rules.put("kept", outcome.broken() == 0).put("broken", outcome.broken());
+        rules.put("kept", outcome.breachCount() == 0).put("broken", outcome.breachCount());
         ArrayNode breaches = rules.putArray("breaches");
         for (RuleChecker.Breach each : outcome.breaches()) {
             ObjectNode breach = breaches.addObject()
-                    .put("at", round((each.at() - Rehearsal.OPENS_AT) / 1e6))
+                    .put("at", round((each.atMicros() - Rehearsal.OPENING_MICROS) / 1e6))
                     .put("rule", each.rule().name().toLowerCase(Locale.ROOT).replace('_', ' '))
                     .put("request", each.request())
-                    .put("what", each.what());
+                    .put("what", each.description());
             ArrayNode history = breach.putArray("history");
             each.history().forEach(history::add);
         }
@@ -128,8 +129,8 @@
         ArrayNode seconds = root.putArray("by_second");
         for (int s = 0; s < record.seconds; s++) {
             ObjectNode second = seconds.addObject().put("second", s);
-            double[] fates = record.ofSecond(s);
-            for (RunRecorder.Fate fate : RunRecorder.Fate.values()) {
+            double[] fates = record.worthOfSecond(s);
+            for (RunRecorder.Outcome fate : RunRecorder.Outcome.values()) {
                 second.put(word(fate), round(fates[fate.ordinal()]));
             }
             second.put("tries", record.tries[s])
@@ -137,14 +138,14 @@
                     .put("probes", record.probes[s])
                     .put("handshakes", record.handshakes[s])
                     .put("list_calls", record.listCalls[s])
-                    .put("list_calls_turned_away", record.listTurnedAway[s])
-                    .put("connections_of_the_fullest", record.fullest[s])
-                    .put("part_of_what_topples", round(record.coldest[s]));
+                    .put("list_calls_turned_away", record.listCallsRefused[s])
+                    .put("connections_of_the_fullest", record.maxConnections[s])
+                    .put("part_of_what_topples", round(record.maxColdOverloadShare[s]));
         }
         ObjectNode load = root.putObject("held_a_core");
-        for (int i = 0; i < record.load.size(); i++) {
+        for (int i = 0; i < record.loadByNodo.size(); i++) {
             ArrayNode nodo = load.putArray(record.nodoNames.get(i));
-            for (double each : record.load.get(i)) {
+            for (double each : record.loadByNodo.get(i)) {
                 nodo.add(round(each));
             }
         }
@@ -152,20 +153,20 @@
 
     private static void nodos(ObjectNode root, RunRecorder record) {
         ObjectNode served = root.putObject("served");
-        for (int i = 0; i < record.served.size(); i++) {
+        for (int i = 0; i < record.servedByNodo.size(); i++) {
             ArrayNode nodo = served.putArray(record.nodoNames.get(i));
-            for (int each : record.served.get(i)) {
+            for (int each : record.servedByNodo.get(i)) {
                 nodo.add(each);
             }
         }
         ArrayNode told = root.putArray("told");
-        record.told.forEach(each -> told.addObject()
-                .put("at", round(each.at()))
+        record.statusNews.forEach(each -> told.addObject()
+                .put("at", round(each.atSeconds()))
                 .put("nodo", each.nodo() + 1)
                 .put("status", each.status()));
     }
 
-    static String word(RunRecorder.Fate fate) {
+    static String word(RunRecorder.Outcome fate) {
         return fate.name().toLowerCase(Locale.ROOT);
     }
 
--- a/src/main/java/gatefront/rehearsal/LoopbackMachine.java
+++ b/src/main/java/gatefront/rehearsal/LoopbackMachine.java
@@ -52,13 +52,13 @@
     }
 
     @Override
-    public InetSocketAddress at(int port) {
+    public InetSocketAddress address(int port) {
         return new InetSocketAddress(address, port);
     }
 
     /** Guards against blaming an agent for what it sent while this machine read nothing. */
     @Override
-    public long sentAt(Channel channel) {
+    public long sentAtNanos(Channel channel) {
         boolean heldBack = vanishedAt != 0 && (vanished || nanos() - appearedAt < CATCHING_UP_NANOS);
         return heldBack ? vanishedAt : nanos();
     }
@@ -93,14 +93,14 @@
     }
 
     @Override
-    public void vanish() {
+    public void isolate() {
         vanished = true;
         vanishedAt = nanos();
         channels.forEach(each -> each.config().setAutoRead(false));
     }
 
     @Override
-    public void appear() {
+    public void reconnect() {
         vanished = false;
         appearedAt = nanos();
         if (running) {
--- a/src/main/java/gatefront/rehearsal/NodoStandIn.java
+++ b/src/main/java/gatefront/rehearsal/NodoStandIn.java
@@ -42,66 +42,68 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** A nodo de cuentas over HTTP/1.1 or Thrift: the model decides how requests fare, this carries it out. */
+/**
+ * A nodo de cuentas over HTTP/1.1 or Thrift. The model decides what happens to each request; this class does the I/O.
+ */
 final class NodoStandIn {
     static final int PORT = 3000;
     static final int THRIFT_PORT = 3001;
-    /** The work of finding that a repeat has been done already. */
-    private static final double REPEAT_WORK = 1_000;
+    /** Work of detecting a duplicate whose effect has been applied already, in microseconds on a core of speed 1. */
+    private static final double REPEAT_WORK_MICROS = 1_000;
 
-    private static final int PADDING = 300;
+    private static final int BODY_PADDING = 300;
 
-    private final RunContext day;
+    private final RunContext context;
     private final int number;
     private final ResolvedPlan.Nodo spec;
     private final Machine machine;
-    private final RandomStream draw;
-    /** In work or waiting: entered on arrival, removed when the model ends them or the process does. */
+    private final RandomStream random;
+    /** Jobs in progress or queued: added on arrival, removed when the model completes them or the process ends. */
     private final Map<Long, Job> jobs = new LinkedHashMap<>();
 
     private NodoModel model;
-    private long startedAt;
+    private long startedMicros;
     private long nextJob;
     private int connections;
-    private Future<?> wake;
-    private long wakeAt = Long.MAX_VALUE;
-    private double breakOff;
-    private double slow = 1;
-    private double taken;
-    private double failing;
-    private boolean fell;
-    private boolean left;
-    private boolean leaving;
-    private String report = "";
-    private long reportedAt = Long.MIN_VALUE / 2;
-    /** Connections on which half a request has come; each leaves with the rest of it or its end. */
-    private final Set<Serving> half = new LinkedHashSet<>();
-    /** Connections in no use, the longest so first, and since when; each leaves with its next request or its end. */
-    private final Map<Serving, Long> resting = new LinkedHashMap<>();
-
-    private Future<?> idleWatch;
-
-    /** A request that came whole. */
+    private Future<?> wakeTimer;
+    private long wakeMicros = Long.MAX_VALUE;
+    private double breakOffShare;
+    private double slowdown = 1;
+    private double stolenShare;
+    private double failureShare;
+    private boolean crashReported;
+    private boolean departed;
+    private boolean draining;
+    private String loadReport = "";
+    private long reportMicros = Long.MIN_VALUE / 2;
+    /** Connections with a partially received request; removed when the rest arrives or the connection closes. */
+    private final Set<ServerConnection> partialRequests = new LinkedHashSet<>();
+    /** Idle connections by the time since when, longest idle first; removed on the next request or when they close. */
+    private final Map<ServerConnection, Long> idleConnections = new LinkedHashMap<>();
+
+    private Future<?> idleTimer;
+
+    /** A completely received request. */
     private static final class Job {
-        final String id;
+        final String requestId;
         final int attempt;
-        final IdempotencyWindow.Entry entry;
-        Serving from;
+        final IdempotencyWindow.Entry idempotencyEntry;
+        ServerConnection connection;
 
-        Job(String id, int attempt, IdempotencyWindow.Entry entry, Serving from) {
-            this.id = id;
+        Job(String requestId, int attempt, IdempotencyWindow.Entry idempotencyEntry, ServerConnection connection) {
+            this.requestId = requestId;
             this.attempt = attempt;
-            this.entry = entry;
-            this.from = from;
+            this.idempotencyEntry = idempotencyEntry;
+            this.connection = connection;
         }
     }
 
-    NodoStandIn(RunContext day, int number, ResolvedPlan.Nodo spec, Machine machine) {
-        this.day = day;
+    NodoStandIn(RunContext context, int number, ResolvedPlan.Nodo spec, Machine machine) {
+        this.context = context;
         this.number = number;
         this.spec = spec;
         this.machine = machine;
-        this.draw = day.draw("nodo " + number);
+        this.random = context.random("nodo " + number);
     }
 
     int number() {
@@ -121,408 +123,430 @@
     }
 
     String address() {
-        InetSocketAddress at = machine.at(PORT);
-        return at.getAddress().getHostAddress() + ":" + at.getPort();
+        InetSocketAddress address = machine.address(PORT);
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    private long sentAt(Channel channel, String request) {
-        long at = day.micros(machine.sentAt(channel));
-        Demand.Want want = day.wants.get(request);
-        return want == null ? at : Math.min(at, day.ways.sentAt(want.agent(), day.now()));
+    private long sentMicros(Channel channel, String requestId) {
+        long sentMicros = context.toRunMicros(machine.sentAtNanos(channel));
+        Demand.Operation operation = context.operations.get(requestId);
+        return operation == null
+                ? sentMicros
+                : Math.min(sentMicros, context.paths.earliestSendMicros(operation.agent(), context.now()));
     }
 
     boolean up() {
-        return model != null && !model.fallen();
+        return model != null && !model.crashed();
     }
 
-    /** It is told to take nothing new, or will be in a moment. */
-    void leaving(boolean now) {
-        leaving = now;
+    /** Whether the nodo has been told to drain, or will be in a moment. */
+    void draining(boolean drains) {
+        draining = drains;
     }
 
-    boolean leaving() {
-        return leaving;
+    boolean draining() {
+        return draining;
     }
 
-    /** Tells what it was sent while cold. */
-    void cold(FleetLoad crowd) {
+    /** Records the work that the nodo was sent while cold. */
+    void recordColdWork(FleetLoad fleetLoad) {
         if (model != null) {
-            crowd.cold(number, model.coldSent(), model.coldBorne());
+            fleetLoad.coldNodoObserved(number, model.coldWork(), model.coldCapacity());
         }
     }
 
-    /** It has left for good: nothing brings it back. */
-    void leaves() {
-        left = true;
+    /** Marks the nodo as gone for good, so that no fault starts it again. */
+    void depart() {
+        departed = true;
     }
 
-    boolean hasLeft() {
-        return left;
+    boolean departed() {
+        return departed;
     }
 
-    int held() {
-        return model == null ? 0 : model.held();
+    int heldRequests() {
+        return model == null ? 0 : model.heldRequests();
     }
 
-    /** What it can do now, in cores of speed 1. */
+    /** Returns the current capacity, in cores of speed 1. */
     double capacity() {
-        return up() ? model.capacity(day.now()) : 0;
-    }
-
-    /** Starts its process, which runs until {@link #kill()}. */
-    void start(boolean cold) {
-        startedAt = day.now();
-        model = new NodoModel(spec.machine(), draw, startedAt, cold);
-        model.limit(startedAt, spec.limit());
-        model.slow(startedAt, slow);
-        model.taken(startedAt, taken);
-        model.failing(failing);
-        fell = false;
-        day.listens(
+        return up() ? model.capacity(context.now()) : 0;
+    }
+
+    /** Starts the process, which runs until {@link #kill()}. */
+    void start(boolean startsCold) {
+        startedMicros = context.now();
+        model = new NodoModel(spec.machine(), random, startedMicros, startsCold);
+        model.setLimit(startedMicros, spec.limit());
+        model.setSlowdown(startedMicros, slowdown);
+        model.setStolenShare(startedMicros, stolenShare);
+        model.setFailureShare(failureShare);
+        crashReported = false;
+        context.reportBindFailure(
                 new ServerBootstrap()
                         .group(machine.transport().loop())
                         .channelFactory(machine.transport().listeners())
                         .childHandler(new ChannelInitializer<Channel>() {
                             @Override
                             protected void initChannel(Channel ch) {
-                                if (day.form == null) {
-                                    ch.pipeline().addLast(new HttpServerCodec(), new HttpServing());
+                                if (context.thriftFormat == null) {
+                                    ch.pipeline().addLast(new HttpServerCodec(), new HttpServerConnection());
                                 } else {
-                                    ch.pipeline().addLast(new MessageDecoder(MessageLimits.USUAL), new ThriftServing());
+                                    ch.pipeline()
+                                            .addLast(
+                                                    new MessageDecoder(MessageLimits.USUAL),
+                                                    new ThriftServerConnection());
                                 }
                             }
                         })
-                        .bind(machine.at(day.form == null ? PORT : THRIFT_PORT)),
+                        .bind(machine.address(context.thriftFormat == null ? PORT : THRIFT_PORT)),
                 name());
     }
 
-    /** Its process ends outright. */
+    /** Kills the process. */
     void kill() {
         machine.kill();
-        long now = day.now();
-        jobs.values().forEach(each -> day.checker.ended(now, each.id, each.attempt, Ending.LOST));
+        long now = context.now();
+        jobs.values()
+                .forEach(interrupted ->
+                        context.checker.attemptEnded(now, interrupted.requestId, interrupted.attempt, Ending.LOST));
         jobs.clear();
-        half.forEach(each -> day.checker.ended(now, each.id, each.attempt, Ending.LOST));
-        half.clear();
-        resting.clear();
-        idleWatch = null;
+        partialRequests.forEach(interrupted ->
+                context.checker.attemptEnded(now, interrupted.requestId, interrupted.attempt, Ending.LOST));
+        partialRequests.clear();
+        idleConnections.clear();
+        idleTimer = null;
         model = null;
         connections = 0;
-        wakeAt = Long.MAX_VALUE;
+        wakeMicros = Long.MAX_VALUE;
     }
 
-    void slow(double factor) {
-        slow = factor;
+    void setSlowdown(double factor) {
+        slowdown = factor;
         if (model != null) {
-            model.slow(day.now(), factor);
-            next();
+            model.setSlowdown(context.now(), factor);
+            scheduleWake();
         }
     }
 
-    void taken(double part) {
-        taken = part;
+    void setStolenShare(double share) {
+        stolenShare = share;
         if (model != null) {
-            model.taken(day.now(), part);
-            next();
+            model.setStolenShare(context.now(), share);
+            scheduleWake();
         }
     }
 
-    void failing(double part) {
-        failing = part;
+    void setFailureShare(double share) {
+        failureShare = share;
         if (model != null) {
-            model.failing(part);
+            model.setFailureShare(share);
         }
     }
 
-    void breakOff(double part) {
-        breakOff = part;
+    void setBreakOffShare(double share) {
+        breakOffShare = share;
     }
 
-    // ---- Connections in no use ----
+    // ---- Idle connections ----
 
-    private void rests(Serving connection) {
-        resting.remove(connection);
-        resting.put(connection, day.now());
-        if (idleWatch == null) {
-            watchIdle();
+    private void markIdle(ServerConnection connection) {
+        idleConnections.remove(connection);
+        idleConnections.put(connection, context.now());
+        if (idleTimer == null) {
+            scheduleIdleCheck();
         }
     }
 
-    private void watchIdle() {
-        long due = resting.values().iterator().next() + idleMicros() - day.now();
-        idleWatch = machine.transport().loop().schedule(this::closeIdle, Math.max(0, due), TimeUnit.MICROSECONDS);
+    private void scheduleIdleCheck() {
+        long delayMicros = idleConnections.values().iterator().next() + idleMicros() - context.now();
+        idleTimer =
+                machine.transport().loop().schedule(this::closeIdle, Math.max(0, delayMicros), TimeUnit.MICROSECONDS);
     }
 
     private void closeIdle() {
-        idleWatch = null;
-        long since = day.now() - idleMicros();
-        for (Map.Entry<Serving, Long> each : List.copyOf(resting.entrySet())) {
-            if (each.getValue() > since) {
+        idleTimer = null;
+        long idleBefore = context.now() - idleMicros();
+        for (Map.Entry<ServerConnection, Long> idle : List.copyOf(idleConnections.entrySet())) {
+            if (idle.getValue() > idleBefore) {
                 break;
             }
-            resting.remove(each.getKey());
-            day.record.closedIdle();
-            each.getKey().ctx.close();
+            idleConnections.remove(idle.getKey());
+            context.recorder.idleConnectionClosed();
+            idle.getKey().ctx.close();
         }
-        if (!resting.isEmpty()) {
-            watchIdle();
+        if (!idleConnections.isEmpty()) {
+            scheduleIdleCheck();
         }
     }
 
     private long idleMicros() {
-        return (long) (1e6 * day.plan.nodos().idleSeconds());
+        return (long) (1e6 * context.plan.nodos().idleSeconds());
     }
 
-    // ---- Work ----
+    // ---- Jobs ----
 
-    /** Works on until now, gives what has ended its answers, and sets the time of the next end. */
-    private void work() {
-        wakeAt = Long.MAX_VALUE;
+    /** Advances the model to the current time, answers completed jobs and schedules the next wake-up. */
+    private void advance() {
+        wakeMicros = Long.MAX_VALUE;
         if (model != null) {
-            settle(model.advance(day.now()));
-            next();
+            finishJobs(model.advance(context.now()));
+            scheduleWake();
         }
     }
 
-    private void settle(List<NodoModel.Ended> ended) {
-        for (NodoModel.Ended each : ended) {
-            Job job = jobs.remove(each.job());
+    private void finishJobs(List<NodoModel.Completion> completions) {
+        for (NodoModel.Completion completion : completions) {
+            Job job = jobs.remove(completion.job());
             if (job != null) {
-                finish(job);
+                finishJob(job);
             }
         }
     }
 
-    private void next() {
-        long at = model.next();
-        if (at < wakeAt) {
-            if (wake != null) {
-                wake.cancel(false);
+    private void scheduleWake() {
+        long nextMicros = model.nextEventMicros();
+        if (nextMicros < wakeMicros) {
+            if (wakeTimer != null) {
+                wakeTimer.cancel(false);
             }
-            wakeAt = at;
-            wake = machine.transport().loop().schedule(this::work, Math.max(0, at - day.now()), TimeUnit.MICROSECONDS);
+            wakeMicros = nextMicros;
+            wakeTimer = machine.transport()
+                    .loop()
+                    .schedule(this::advance, Math.max(0, nextMicros - context.now()), TimeUnit.MICROSECONDS);
         }
     }
 
-    private void finish(Job job) {
-        if (job.entry == null || job.entry.first()) {
-            day.checker.effect(day.now(), job.id, number);
+    private void finishJob(Job job) {
+        if (job.idempotencyEntry == null || job.idempotencyEntry.markApplied()) {
+            context.checker.effectApplied(context.now(), job.requestId, number);
         }
-        if (job.from != null) {
-            job.from.serve(job);
+        if (job.connection != null) {
+            job.connection.respond(job);
         }
     }
 
-    private void fall() {
-        fell = true;
-        if (model.overStated()) {
-            day.checker.fell(day.now(), number, startedAt, model.coldWork());
+    private void crash() {
+        crashReported = true;
+        if (model.statedLimitExceeded()) {
+            context.checker.coldNodoOverloaded(context.now(), number, startedMicros, model.coldWorkByAgent());
         }
-        day.record.note(
-                day.now(),
+        context.recorder.addNote(
+                context.now(),
                 name() + " fell over while cold"
-                        + (model.overStated()
+                        + (model.statedLimitExceeded()
                                 ? ""
                                 : ", sent no more than a cold nodo with nothing else wrong can take"));
-        day.at(0, this::kill); // not from within one of its own connections
+        context.schedule(0, this::kill); // not from within one of its own connections
     }
 
-    /** The load report in force; it is made anew now and then, and a little wrong. */
-    private String report() {
-        if (day.now() - reportedAt >= day.cast.reportMicros()) {
-            reportedAt = day.now();
-            double noise = day.plan.nodos().noise();
-            report = "inflight=" + Math.round(model.held() * draw.between(1 - noise, 1 + noise)) + ",queue="
-                    + Math.round(model.queued() * draw.between(1 - noise, 1 + noise));
+    /** Returns the current load report, which is renewed periodically and contains some noise. */
+    private String loadReport() {
+        if (context.now() - reportMicros >= context.resolvedPlan.loadReportMicros()) {
+            reportMicros = context.now();
+            double noise = context.plan.nodos().noise();
+            loadReport = "inflight=" + Math.round(model.heldRequests() * random.uniform(1 - noise, 1 + noise))
+                    + ",queue=" + Math.round(model.queuedRequests() * random.uniform(1 - noise, 1 + noise));
         }
-        return report;
+        return loadReport;
     }
 
-    /** One connection, whatever protocol it speaks. */
-    private abstract class Serving extends SimpleChannelInboundHandler<Object> {
-        /** The process that it belongs to. */
+    /** A connection, independent of the protocol. */
+    private abstract class ServerConnection extends SimpleChannelInboundHandler<Object> {
+        /** The process that the connection belongs to. */
         final NodoModel process = model;
 
         ChannelHandlerContext ctx;
-        private String id;
+        private String requestId;
         private int attempt = -1;
         private Job job;
-        private long openedAt;
-        private int requests;
+        private long openedMicros;
+        private int requestCount;
 
-        /** An answer that a nodo has made. */
-        abstract void serve(String body);
+        /** Sends a served response. */
+        abstract void respond(String body);
 
-        /** Half of it and a reset, or the reset alone. */
-        abstract void breaks(String body, boolean half);
+        /** Sends half of a response or nothing, before the connection is reset. */
+        abstract void sendBroken(String body, boolean partial);
 
-        /** The nodo fails it at once. */
-        abstract void fail();
+        /** Sends an immediate failure. */
+        abstract void sendFailure();
 
-        /** The nodo turns it away unseen. */
-        abstract void turnAway();
+        /** Sends a refusal that says the request was not started. */
+        abstract void sendRefusal();
 
-        /** The nodo knows nothing of it. */
-        abstract void reject();
+        /** Sends a response to a request that is unknown to the rehearsal. */
+        abstract void sendBadRequest();
 
         @Override
-        public void channelActive(ChannelHandlerContext context) {
-            ctx = context;
-            openedAt = day.now();
-            if (process != model || ++connections > day.plan.nodos().connections()) {
+        public void channelActive(ChannelHandlerContext handlerContext) {
+            ctx = handlerContext;
+            openedMicros = context.now();
+            if (process != model || ++connections > context.plan.nodos().connections()) {
                 ctx.close();
             } else {
-                work();
-                model.charge(day.now(), day.cast.connectionMicros());
-                day.record.handshake(day.now(), connections);
-                next();
-                rests(this);
+                advance();
+                model.addOverhead(context.now(), context.resolvedPlan.connectionWorkMicros());
+                context.recorder.handshake(context.now(), connections);
+                scheduleWake();
+                markIdle(this);
             }
         }
 
         @Override
-        public void channelInactive(ChannelHandlerContext context) {
+        public void channelInactive(ChannelHandlerContext handlerContext) {
             if (process != model) {
-                return; // it has been killed, and all of this with it
+                return; // the process was killed, and its connections with it
             }
             connections--;
-            half.remove(this);
-            resting.remove(this);
-            if (id != null) {
-                day.checker.ended(sentAt(context.channel(), id), id, attempt, Ending.ABANDONED);
-                id = null;
+            partialRequests.remove(this);
+            idleConnections.remove(this);
+            if (requestId != null) {
+                context.checker.attemptEnded(
+                        sentMicros(handlerContext.channel(), requestId), requestId, attempt, Ending.ABANDONED);
+                requestId = null;
             }
             if (job != null) {
-                job.from = null; // it runs on: nobody can take it back
+                job.connection = null; // the job runs on: it cannot be cancelled
             }
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            context.close();
-        }
-
-        /** The first of something has come. */
-        final void inUse() {
-            resting.remove(this);
-        }
-
-        /** It was that of a request. */
-        final void begun(String request) {
-            id = request;
-            Demand.Want want = day.wants.get(id);
-            attempt = day.checker.begun(
-                    sentAt(ctx.channel(), id), id, number, spec.zone(), spec.cell(), want == null ? -1 : want.agent());
-            day.record.attempt(day.now());
-            if (want != null) {
-                day.ways.begun(sentAt(ctx.channel(), id), want.agent(), number);
+        public void exceptionCaught(ChannelHandlerContext handlerContext, Throwable cause) {
+            handlerContext.close();
+        }
+
+        /** Called when the first bytes of a request or probe have arrived. */
+        final void markBusy() {
+            idleConnections.remove(this);
+        }
+
+        /** Called when the first bytes turn out to be a request's. */
+        final void requestStarted(String startedId) {
+            requestId = startedId;
+            Demand.Operation operation = context.operations.get(requestId);
+            attempt = context.checker.attemptStarted(
+                    sentMicros(ctx.channel(), requestId),
+                    requestId,
+                    number,
+                    spec.zone(),
+                    spec.cell(),
+                    operation == null ? -1 : operation.agent());
+            context.recorder.attemptStarted(context.now());
+            if (operation != null) {
+                context.paths.attemptStarted(sentMicros(ctx.channel(), requestId), operation.agent(), number);
             }
-            if (++requests == 1 && want != null) {
-                day.record.crowd.dialled(openedAt, want.agent(), number);
-            } else if (requests == 2) {
-                day.record.crowd.usedAgain();
+            if (++requestCount == 1 && operation != null) {
+                context.recorder.fleetLoad.connectionUsed(openedMicros, operation.agent(), number);
+            } else if (requestCount == 2) {
+                context.recorder.fleetLoad.connectionReused();
             }
-            half.add(this);
+            partialRequests.add(this);
         }
 
-        /** A question for health has come; its answer is written next. */
-        final void probed() {
-            work();
-            model.charge(day.now(), day.cast.probeMicros());
-            day.record.probe(day.now());
-            next();
+        /** Called when a probe has arrived; its response is written next. */
+        final void probeReceived() {
+            advance();
+            model.addOverhead(context.now(), context.resolvedPlan.probeWorkMicros());
+            context.recorder.probe(context.now());
+            scheduleWake();
         }
 
-        /** The request has come whole. */
-        final void whole(String kind, String key) {
-            half.remove(this);
-            work();
-            day.checker.whole(sentAt(ctx.channel(), id), id, attempt);
-            arrived(kind, key);
+        /** Called when the request has arrived completely. */
+        final void requestReceived(String className, String key) {
+            partialRequests.remove(this);
+            advance();
+            context.checker.attemptReceived(sentMicros(ctx.channel(), requestId), requestId, attempt);
+            submit(className, key);
         }
 
-        private void arrived(String kind, String key) {
-            Demand.Want want = day.want(id, kind);
-            Plan.Kind type = want == null ? null : day.plan.classes().get(want.kind());
-            if (want == null) {
-                reject();
-                over(Ending.TURNED_AWAY);
+        private void submit(String className, String key) {
+            Demand.Operation operation = context.operation(requestId, className);
+            Plan.Kind requestClass =
+                    operation == null ? null : context.plan.classes().get(operation.requestClass());
+            if (operation == null) {
+                sendBadRequest();
+                endAttempt(Ending.TURNED_AWAY);
                 return;
             }
-            IdempotencyWindow.Entry entry = type.semantics() == Semantics.KEYED
-                    ? day.repeats(want.kind(), spec).arrive(day.now(), key)
+            IdempotencyWindow.Entry idempotencyEntry = requestClass.semantics() == Semantics.KEYED
+                    ? context.idempotencyWindow(operation.requestClass(), spec).register(context.now(), key)
                     : null;
-            double work = entry != null && entry.happened() ? REPEAT_WORK : want.work();
-            long mine = nextJob++;
-            switch (model.arrive(day.now(), mine, work, want.agent())) {
-                case TAKEN -> {
-                    job = new Job(id, attempt, entry, this);
-                    jobs.put(mine, job);
-                    next();
+            double work = idempotencyEntry != null && idempotencyEntry.applied()
+                    ? REPEAT_WORK_MICROS
+                    : operation.workMicros();
+            long jobId = nextJob++;
+            switch (model.arrive(context.now(), jobId, work, operation.agent())) {
+                case ACCEPTED -> {
+                    job = new Job(requestId, attempt, idempotencyEntry, this);
+                    jobs.put(jobId, job);
+                    scheduleWake();
                 }
-                case FAILS -> {
-                    fail();
-                    over(Ending.ANSWERED);
+                case FAILED -> {
+                    sendFailure();
+                    endAttempt(Ending.ANSWERED);
                 }
-                case TURNED_AWAY -> {
-                    turnAway();
-                    over(Ending.TURNED_AWAY);
+                case REFUSED -> {
+                    sendRefusal();
+                    endAttempt(Ending.TURNED_AWAY);
                 }
             }
             if (model != null) {
-                day.record.pressed(day.now(), model.pressed());
+                context.recorder.coldOverload(context.now(), model.overloadShare());
             }
-            if (model != null && model.fallen() && !fell) {
-                fall();
+            if (model != null && model.crashed() && !crashReported) {
+                crash();
             }
         }
 
-        private void over(Ending how) {
-            day.checker.ended(day.now(), id, attempt, how);
-            id = null;
+        private void endAttempt(Ending ending) {
+            context.checker.attemptEnded(context.now(), requestId, attempt, ending);
+            requestId = null;
             job = null;
         }
 
-        private void serve(Job done) {
-            String body = name() + " " + done.id + " " + done.attempt + " " + "=".repeat(PADDING);
-            if (breakOff > 0 && draw.unit() < breakOff) {
-                breaks(body, draw.unit() < 0.5);
+        private void respond(Job finished) {
+            String body = name() + " " + finished.requestId + " " + finished.attempt + " " + "=".repeat(BODY_PADDING);
+            if (breakOffShare > 0 && random.nextDouble() < breakOffShare) {
+                sendBroken(body, random.nextDouble() < 0.5);
                 ctx.channel().config().setOption(ChannelOption.SO_LINGER, 0);
                 ctx.close();
-                over(Ending.LOST);
+                endAttempt(Ending.LOST);
                 return;
             }
-            day.record.served(day.now(), number);
-            day.checker.made(done.id, body);
-            serve(body);
-            over(Ending.ANSWERED);
+            context.recorder.requestServed(context.now(), number);
+            context.checker.responseCreated(finished.requestId, body);
+            respond(body);
+            endAttempt(Ending.ANSWERED);
         }
     }
 
-    /** One over HTTP/1.1. */
-    private final class HttpServing extends Serving {
-        private HttpRequest head;
-        private boolean request;
+    /** An HTTP/1.1 connection. */
+    private final class HttpServerConnection extends ServerConnection {
+        private HttpRequest requestHead;
+        private boolean isRequest;
 
         @Override
-        protected void channelRead0(ChannelHandlerContext context, Object read) {
+        protected void channelRead0(ChannelHandlerContext handlerContext, Object read) {
             HttpObject part = (HttpObject) read;
             if (part.decoderResult().isFailure() || process != model) {
-                context.close();
+                handlerContext.close();
                 return;
             }
-            if (part instanceof HttpRequest first) {
-                head = first;
-                inUse();
-                String id = head.headers().get("Request-Id");
-                request = id != null;
-                if (request) {
-                    begun(id);
+            if (part instanceof HttpRequest head) {
+                requestHead = head;
+                markBusy();
+                String startedId = requestHead.headers().get("Request-Id");
+                isRequest = startedId != null;
+                if (isRequest) {
+                    requestStarted(startedId);
                 }
             }
             if (part instanceof LastHttpContent) {
-                if (request) {
-                    whole(head.headers().get("Request-Class"), head.headers().get("Idempotency-Key", ""));
+                if (isRequest) {
+                    requestReceived(
+                            requestHead.headers().get("Request-Class"),
+                            requestHead.headers().get("Idempotency-Key", ""));
                 } else {
                     probe();
                 }
@@ -530,114 +554,114 @@
         }
 
         private void probe() {
-            boolean load = head.uri().equals("/load");
-            if (!load && !head.uri().equals("/healthz")) {
+            boolean loadRequested = requestHead.uri().equals("/load");
+            if (!loadRequested && !requestHead.uri().equals("/healthz")) {
                 answer(HttpResponseStatus.NOT_FOUND, "", null);
                 return;
             }
-            probed();
-            answer(HttpResponseStatus.OK, load ? report() : "", report());
+            probeReceived();
+            answer(HttpResponseStatus.OK, loadRequested ? loadReport() : "", loadReport());
         }
 
         @Override
-        void serve(String body) {
-            answer(HttpResponseStatus.OK, body, report());
+        void respond(String body) {
+            answer(HttpResponseStatus.OK, body, loadReport());
         }
 
         @Override
-        void fail() {
-            answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, "", report());
+        void sendFailure() {
+            answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, "", loadReport());
         }
 
         @Override
-        void turnAway() {
-            answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "", report(), "Not-Started", "1");
+        void sendRefusal() {
+            answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "", loadReport(), "Not-Started", "1");
         }
 
         @Override
-        void reject() {
+        void sendBadRequest() {
             answer(HttpResponseStatus.BAD_REQUEST, "", null);
         }
 
         @Override
-        void breaks(String body, boolean half) {
-            if (half) {
-                var begun = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-                begun.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length());
-                ctx.write(begun);
+        void sendBroken(String body, boolean partial) {
+            if (partial) {
+                var head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+                head.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length());
+                ctx.write(head);
                 ctx.writeAndFlush(new DefaultHttpContent(
                         Unpooled.copiedBuffer(body.substring(0, body.length() / 2), StandardCharsets.US_ASCII)));
             }
         }
 
-        private void answer(HttpResponseStatus status, String body, String load, String... more) {
+        private void answer(HttpResponseStatus status, String body, String report, String... extraHeaders) {
             var response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
             HttpHeaders headers = response.headers();
             headers.set(HttpHeaderNames.CONTENT_LENGTH, body.length());
-            if (load != null) {
-                headers.set("Server-Load", load);
+            if (report != null) {
+                headers.set("Server-Load", report);
             }
-            for (int i = 0; i < more.length; i += 2) {
-                headers.set(more[i], more[i + 1]);
+            for (int i = 0; i < extraHeaders.length; i += 2) {
+                headers.set(extraHeaders[i], extraHeaders[i + 1]);
             }
             ctx.writeAndFlush(response);
-            rests(this);
+            markIdle(this);
         }
     }
 
-    /** One over Thrift; nothing of a call is known before it is whole. */
-    private final class ThriftServing extends Serving {
+    /** A Thrift connection. Nothing is known of a call before it has arrived completely. */
+    private final class ThriftServerConnection extends ServerConnection {
         private ThriftMessage call;
 
         @Override
-        protected void channelRead0(ChannelHandlerContext context, Object read) {
+        protected void channelRead0(ChannelHandlerContext handlerContext, Object read) {
             if (!(read instanceof ThriftMessage message) || process != model) {
-                context.close();
+                handlerContext.close();
                 return;
             }
             call = message;
-            inUse();
+            markBusy();
             if (message.header().name().equals(ThriftPayloads.HEALTH)) {
-                probed();
-                answer(ThriftPayloads.health(message.encoding(), report()));
+                probeReceived();
+                answer(ThriftPayloads.health(message.encoding(), loadReport()));
                 return;
             }
-            ThriftPayloads.Said said = ThriftPayloads.said(message);
-            begun(said.requestId());
-            whole(message.header().name(), said.key());
+            ThriftPayloads.CallFields fields = ThriftPayloads.readCall(message);
+            requestStarted(fields.requestId());
+            requestReceived(message.header().name(), fields.key());
         }
 
         @Override
-        void serve(String body) {
-            answer(ThriftPayloads.success(call.encoding(), body, report()));
+        void respond(String body) {
+            answer(ThriftPayloads.success(call.encoding(), body, loadReport()));
         }
 
         @Override
-        void fail() {
-            answer(ThriftPayloads.failed(call.encoding(), report()));
+        void sendFailure() {
+            answer(ThriftPayloads.failed(call.encoding(), loadReport()));
         }
 
         @Override
-        void turnAway() {
-            answer(ThriftPayloads.refused(call.encoding(), report()));
+        void sendRefusal() {
+            answer(ThriftPayloads.refused(call.encoding(), loadReport()));
         }
 
         @Override
-        void reject() {
-            answer(ThriftPayloads.failed(call.encoding(), report()));
+        void sendBadRequest() {
+            answer(ThriftPayloads.failed(call.encoding(), loadReport()));
         }
 
         @Override
-        void breaks(String body, boolean half) {
-            ByteBuf whole = bytes(ThriftPayloads.success(call.encoding(), body, report()));
-            if (half) {
-                ctx.writeAndFlush(whole.readSlice(whole.readableBytes() / 2));
+        void sendBroken(String body, boolean partial) {
+            ByteBuf bytes = bytes(ThriftPayloads.success(call.encoding(), body, loadReport()));
+            if (partial) {
+                ctx.writeAndFlush(bytes.readSlice(bytes.readableBytes() / 2));
             }
         }
 
         private ByteBuf bytes(byte[] result) {
-            ByteBuf out = Unpooled.buffer(result.length + PADDING);
+            ByteBuf buffer = Unpooled.buffer(result.length + BODY_PADDING);
             MessageEncoder.write(
                     new ThriftMessage(
                             call.encoding(),
@@ -646,14 +670,14 @@
                                     MessageHeader.Type.REPLY,
                                     call.header().seqid()),
                             result),
-                    day.form.framed(),
-                    out);
-            return out;
+                    context.thriftFormat.framed(),
+                    buffer);
+            return buffer;
         }
 
         private void answer(byte[] result) {
             ctx.writeAndFlush(bytes(result));
-            rests(this);
+            markIdle(this);
         }
     }
 }
--- a/src/main/java/gatefront/rehearsal/PadronStandIn.java
+++ b/src/main/java/gatefront/rehearsal/PadronStandIn.java
@@ -44,75 +44,83 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The padrón over the platform's protocol: the whole list, and watches that wait for news. Each agent has an address
- * of its own to ask at, which tells who asks.
+ * The padrón over the platform's protocol: the complete list, and watches that wait for changes. Each agent has its
+ * own address to call, which identifies the agent.
  */
 final class PadronStandIn {
     private static final int FIRST_PORT = 8500;
-    /** More than the longest way between an agent and its padrón, much less than a drain may take. */
-    private static final long HEARD_AFTER = 50_000;
+    /**
+     * Time after which a message from the padrón has reached an agent, in microseconds: more than the longest latency
+     * between the two and much less than the time allowed for a drain.
+     */
+    private static final long DELIVERY_MICROS = 50_000;
 
     private static final int MEMBERS = 3;
     private static final int MEMBER_PORT = 2379;
-    private static final String PREFIX = "oaxaca/";
-    /** After the registry's return: the longest back-off, a dial, and the read or the watch. */
-    private static final long TOLD_WITHIN = 1_500_000;
-    /** The old address closes what is open after this. */
-    private static final long MOVE_MICROS = 1_500_000;
+    private static final String KEY_PREFIX = "oaxaca/";
+    /**
+     * Time after the registry's return within which agents must have caught up, in microseconds: the longest backoff,
+     * a connect, and the read or the watch.
+     */
+    private static final long CATCH_UP_MICROS = 1_500_000;
+    /** Time after which the old address closes its open connections, in microseconds. */
+    private static final long OLD_ADDRESS_LINGER_MICROS = 1_500_000;
 
-    private final RunContext day;
+    private final RunContext context;
     private final List<Machine> machines = new ArrayList<>();
-    private final RandomStream draw;
+    private final RandomStream random;
     private final Padron padron = new Padron();
-    /** Connections, each removed when it closes. */
-    private final Set<Asking> open = new LinkedHashSet<>();
-    /** By agent, the nodos that it was told of and that have not gone since. */
-    private final Map<Integer, Set<Integer>> toldOf = new HashMap<>();
-    /** How often an agent was told of a nodo: one figure for each pair. */
-    private final Map<Long, Integer> turns = new HashMap<>();
-
-    private final List<Channel> listening = new ArrayList<>();
-    /** Where a registry stands for the padrón: the members that each agent has of its own, and what they all hold. */
+    /** Open connections; each is removed when it closes. */
+    private final Set<AgentConnection> openConnections = new LinkedHashSet<>();
+    /** By agent: the nodos announced to it that have not been removed since. */
+    private final Map<Integer, Set<Integer>> announcedNodos = new HashMap<>();
+    /** Number of announcements per pair of agent and nodo. */
+    private final Map<Long, Integer> announcementCounts = new HashMap<>();
+
+    private final List<Channel> serverChannels = new ArrayList<>();
+    /** If a registry replaces the padrón: each agent's own members, and the store that they share. */
     private final List<List<RegistryStandIn>> registries = new ArrayList<>();
 
-    private final KeyValueStore keys = new KeyValueStore(1);
-    private final RegistrySettings.Kind kind;
-    /** Members are down, so that nothing can be told; and how often that was so. */
-    private boolean down;
+    private final KeyValueStore keyValueStore = new KeyValueStore(1);
+    private final RegistrySettings.Kind registryKind;
+    /** Whether the members are down, so that nothing can be announced; and how often that has changed. */
+    private boolean registryDown;
 
-    private int downs;
+    private int registryChanges;
     private int port = FIRST_PORT;
     private boolean silent;
-    /** When it last began to speak again. */
-    private long spokenSince;
-    /** When the registry last began to tell changes at once. */
+    /** When the padrón last resumed answering, in microseconds. */
+    private long respondingSince;
+    /** When the registry last resumed prompt notifications, in microseconds. */
     private long promptSince;
-    /** Calls that it can take now: as many as come in a second, at the most. */
-    private double room;
+    /** Token bucket for calls; holds at most one second's worth. */
+    private double callTokens;
 
-    private long roomAt;
+    private long callTokensMicros;
 
-    PadronStandIn(RunContext day) {
-        this.day = day;
-        this.draw = day.draw("padron");
-        this.kind = switch (day.plan.padron().source()) {
+    PadronStandIn(RunContext context) {
+        this.context = context;
+        this.random = context.random("padron");
+        this.registryKind = switch (context.plan.padron().source()) {
             case "etcd" -> RegistrySettings.Kind.ETCD;
             case "consul" -> RegistrySettings.Kind.CONSUL;
             default -> null;
         };
-        for (int i = 0; i < day.plan.agents().count(); i++) {
-            machines.add(day.machines.make("padron-" + (i + 1), day.addresses.of(2, i), 0, 1 << 30, line -> {}));
+        for (int i = 0; i < context.plan.agents().count(); i++) {
+            machines.add(context.machines.create(
+                    "padron-" + (i + 1), context.addresses.of(2, i), 0, 1 << 30, logLine -> {}));
         }
     }
 
-    /** Where an agent asks now. */
+    /** Returns the address that an agent calls now. */
     String address(int agent) {
-        InetSocketAddress at = day.ways.padron(agent, machines.get(agent).at(port));
-        return at.getAddress().getHostAddress() + ":" + at.getPort();
+        InetSocketAddress address =
+                context.paths.padronAddress(agent, machines.get(agent).address(port));
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     void start() {
-        int at = port;
+        int currentPort = port;
         for (int i = 0; i < machines.size(); i++) {
             Machine machine = machines.get(i);
             int agent = i;
@@ -126,52 +134,52 @@
                                     .addLast(
                                             new HttpServerCodec(),
                                             new HttpObjectAggregator(1 << 16),
-                                            new Asking(at, agent));
+                                            new AgentConnection(currentPort, agent));
                         }
                     })
-                    .bind(machine.at(at));
-            day.listens(bound, machine.name());
-            listening.add(bound.channel());
+                    .bind(machine.address(currentPort));
+            context.reportBindFailure(bound, machine.name());
+            serverChannels.add(bound.channel());
         }
-        if (kind != null && registries.isEmpty()) {
+        if (registryKind != null && registries.isEmpty()) {
             for (int i = 0; i < machines.size(); i++) {
-                registries.add(members(i));
+                registries.add(startMembers(i));
             }
         }
     }
 
-    private List<RegistryStandIn> members(int agent) {
+    private List<RegistryStandIn> startMembers(int agent) {
         Machine machine = machines.get(agent);
         List<RegistryStandIn> members = new ArrayList<>();
         for (int i = 0; i < MEMBERS; i++) {
-            RegistryStandIn member = kind == RegistrySettings.Kind.ETCD
-                    ? new EtcdStandIn(machine.transport(), () -> keys)
-                    : new ConsulStandIn(machine.transport(), () -> keys);
-            member.telling((whole, values, open) -> {
+            RegistryStandIn member = registryKind == RegistrySettings.Kind.ETCD
+                    ? new EtcdStandIn(machine.transport(), () -> keyValueStore)
+                    : new ConsulStandIn(machine.transport(), () -> keyValueStore);
+            member.writeListener((complete, values, stillOpen) -> {
                 List<Padron.Entry> entries = new ArrayList<>();
-                values.forEach((key, value) -> entries.add(entry(key, value)));
-                told(agent, new Padron.Listing(keys.revision(), whole, entries), open);
+                values.forEach((key, value) -> entries.add(parseEntry(key, value)));
+                announce(agent, new Padron.Listing(keyValueStore.revision(), complete, entries), stillOpen);
             });
-            day.listens(member.listen(machine.at(MEMBER_PORT + i)), machine.name());
+            context.reportBindFailure(member.listen(machine.address(MEMBER_PORT + i)), machine.name());
             members.add(member);
         }
         return members;
     }
 
-    /** How an agent follows the registry; null where there is none. */
-    RegistrySettings registry(int agent) {
-        if (kind == null) {
+    /** Returns how an agent follows the registry, or null if there is none. */
+    RegistrySettings registrySettings(int agent) {
+        if (registryKind == null) {
             return null;
         }
         List<InetSocketAddress> members = new ArrayList<>();
         for (int i = 0; i < MEMBERS; i++) {
-            members.add(machines.get(agent).at(MEMBER_PORT + i));
+            members.add(machines.get(agent).address(MEMBER_PORT + i));
         }
-        boolean etcd = kind == RegistrySettings.Kind.ETCD;
+        boolean etcd = registryKind == RegistrySettings.Kind.ETCD;
         return RegistrySettings.of(
-                kind,
+                registryKind,
                 members,
-                PREFIX,
+                KEY_PREFIX,
                 new FollowerLimits(
                         50_000,
                         1_000_000,
@@ -183,32 +191,35 @@
                         20_000));
     }
 
-    /** All members go down or come back; then each agent that runs is to know all within the stated time. */
-    void registryDown(boolean now) {
-        down = now;
-        downs++;
+    /**
+     * Takes all members down or up again. After their return each running agent must know all changes within {@link
+     * #CATCH_UP_MICROS}.
+     */
+    void setRegistryDown(boolean down) {
+        registryDown = down;
+        registryChanges++;
         for (int i = 0; i < registries.size(); i++) {
             for (int j = 0; j < MEMBERS; j++) {
-                registries.get(i).get(j).down(now, machines.get(i).at(MEMBER_PORT + j));
+                registries.get(i).get(j).setDown(down, machines.get(i).address(MEMBER_PORT + j));
             }
         }
-        if (!now) {
-            int mine = downs;
-            long upTo = keys.revision();
-            long since = day.now();
-            for (AgentStandIn each : day.agents) {
-                int process = each.processes();
-                day.at(day.now() + TOLD_WITHIN, () -> {
-                    if (downs == mine
+        if (!down) {
+            int change = registryChanges;
+            long revision = keyValueStore.revision();
+            long since = context.now();
+            for (AgentStandIn agent : context.agents) {
+                int processNumber = agent.processCount();
+                context.schedule(context.now() + CATCH_UP_MICROS, () -> {
+                    if (registryChanges == change
                             && !silent
-                            && spokenSince <= since
+                            && respondingSince <= since
                             && promptSince <= since
-                            && each.processes() == process
-                            && each.ready()
-                            && toldUpTo(each.number) < upTo) {
-                        day.checker.left(
-                                day.now(),
-                                each.name() + " knows revision " + toldUpTo(each.number) + " of " + upTo
+                            && agent.processCount() == processNumber
+                            && agent.ready()
+                            && sentRevision(agent.number) < revision) {
+                        context.checker.reportLeftover(
+                                context.now(),
+                                agent.name() + " knows revision " + sentRevision(agent.number) + " of " + revision
                                         + " so long after the registry's return");
                     }
                 });
@@ -216,80 +227,81 @@
         }
     }
 
-    private long toldUpTo(int agent) {
+    private long sentRevision(int agent) {
         return registries.get(agent).stream()
-                .mapToLong(RegistryStandIn::toldUpTo)
+                .mapToLong(RegistryStandIn::sentRevision)
                 .max()
                 .orElse(0);
     }
 
-    /** From now on the registry tells changes so late. */
-    void registryLate(double seconds) {
-        promptSince = seconds > 0 ? Long.MAX_VALUE : day.now();
-        registries.forEach(each -> each.forEach(member -> member.late(Math.round(1_000 * seconds))));
+    /** Delays the registry's notifications of changes from now on. */
+    void setRegistryDelay(double seconds) {
+        promptSince = seconds > 0 ? Long.MAX_VALUE : context.now();
+        registries.forEach(members -> members.forEach(member -> member.setNotifyDelay(Math.round(1_000 * seconds))));
     }
 
-    /** The registry forgets what changed before now. */
-    void compact() {
-        keys.compact(keys.revision());
+    /** Compacts the registry up to the current revision. */
+    void compactRegistry() {
+        keyValueStore.compact(keyValueStore.revision());
     }
 
-    private void news() {
-        List.copyOf(open).forEach(Asking::news);
-        registries.forEach(each -> each.forEach(RegistryStandIn::news));
+    private void notifyWatchers() {
+        List.copyOf(openConnections).forEach(AgentConnection::answerIfChanged);
+        registries.forEach(members -> members.forEach(RegistryStandIn::storeChanged));
     }
 
     private void put(Padron.Entry entry) {
         padron.put(entry);
-        keys.put(PREFIX + "nodos/" + entry.name(), json(entry).toString());
+        keyValueStore.put(KEY_PREFIX + "nodos/" + entry.name(), json(entry).toString());
     }
 
-    private Padron.Entry entry(String key, String value) {
-        String name = key.substring((PREFIX + "nodos/").length());
+    private Padron.Entry parseEntry(String key, String value) {
+        String name = key.substring((KEY_PREFIX + "nodos/").length());
         if (value == null) {
             return new Padron.Entry(name, "", 0, "", 0, Padron.Status.GONE, 1, 0);
         }
         try {
-            JsonNode read = Config.json(new ByteArrayInputStream(value.getBytes(StandardCharsets.UTF_8)));
+            JsonNode json = Config.json(new ByteArrayInputStream(value.getBytes(StandardCharsets.UTF_8)));
             return new Padron.Entry(
                     name,
                     "",
                     0,
                     "",
                     0,
-                    read.path("status").asText().equals("Ready") ? Padron.Status.READY : Padron.Status.TERMINATING,
+                    json.path("status").asText().equals("Ready") ? Padron.Status.READY : Padron.Status.TERMINATING,
                     1,
-                    read.path("since_ms").asLong());
+                    json.path("since_ms").asLong());
         } catch (IOException e) {
-            throw new IllegalStateException(e); // written by us
+            throw new IllegalStateException(e); // the value was written by this class
         }
     }
 
-    /** Listens elsewhere; the old address takes nothing new and soon closes what is open. */
-    void move() {
-        listening.forEach(Channel::close);
-        listening.clear();
-        int before = port;
+    /** Listens at a new address; the old one accepts nothing new and soon closes its connections. */
+    void moveAddress() {
+        serverChannels.forEach(Channel::close);
+        serverChannels.clear();
+        int oldPort = port;
         port++;
         start();
-        day.at(day.now() + MOVE_MICROS, () -> List.copyOf(open).forEach(each -> {
-            if (each.at == before) {
-                each.ctx.close();
-            }
-        }));
+        context.schedule(context.now() + OLD_ADDRESS_LINGER_MICROS, () -> List.copyOf(openConnections)
+                .forEach(connection -> {
+                    if (connection.port == oldPort) {
+                        connection.ctx.close();
+                    }
+                }));
     }
 
-    /** From now on it answers nothing, or again. */
-    void silent(boolean now) {
-        silent = now;
-        spokenSince = day.now();
-        registries.forEach(each -> each.forEach(member -> member.silent(now)));
+    /** Stops answering, or resumes. */
+    void setSilent(boolean nowSilent) {
+        silent = nowSilent;
+        respondingSince = context.now();
+        registries.forEach(members -> members.forEach(member -> member.setSilent(nowSilent)));
         if (!silent) {
-            List.copyOf(open).forEach(Asking::news);
+            List.copyOf(openConnections).forEach(AgentConnection::answerIfChanged);
         }
     }
 
-    /** Lists a nodo at once, as it does before the day begins. */
+    /** Lists a nodo at once, as before the traffic opens. */
     void list(NodoStandIn nodo, long sinceMillis) {
         put(new Padron.Entry(
                 nodo.name(),
@@ -302,186 +314,194 @@
                 sinceMillis));
     }
 
-    /** Learns of something, some time after it has happened, and tells it. */
-    void learns(Runnable change) {
-        day.at(day.now() + (long) (1e6 * day.plan.padron().noticeSeconds().draw(draw::between)), () -> {
-            change.run();
-            news();
-        });
+    /** Applies a change after the time that the padrón takes to notice it, and notifies watchers. */
+    void applyAfterNotice(Runnable change) {
+        context.schedule(
+                context.now()
+                        + (long) (1e6 * context.plan.padron().noticeSeconds().draw(random::uniform)),
+                () -> {
+                    change.run();
+                    notifyWatchers();
+                });
     }
 
-    void learnsStatus(NodoStandIn nodo, Padron.Status status) {
-        learns(() -> {
+    void changeStatus(NodoStandIn nodo, Padron.Status status) {
+        applyAfterNotice(() -> {
             padron.put(nodo.name(), status);
             if (status == Padron.Status.GONE) {
-                keys.delete(PREFIX + "nodos/" + nodo.name());
+                keyValueStore.delete(KEY_PREFIX + "nodos/" + nodo.name());
             } else {
-                padron.whole().entries().stream()
-                        .filter(each -> each.name().equals(nodo.name()))
-                        .forEach(each -> keys.put(
-                                PREFIX + "nodos/" + nodo.name(), json(each).toString()));
+                padron.snapshot().entries().stream()
+                        .filter(entry -> entry.name().equals(nodo.name()))
+                        .forEach(entry -> keyValueStore.put(
+                                KEY_PREFIX + "nodos/" + nodo.name(), json(entry).toString()));
             }
         });
     }
 
-    void learnsStart(NodoStandIn nodo) {
-        long since = day.wallMillis();
-        learns(() -> list(nodo, since));
+    void listStarted(NodoStandIn nodo) {
+        long since = context.wallMillis();
+        applyAfterNotice(() -> list(nodo, since));
     }
 
-    /** The list in the protocol's form, as an agent gets it. */
-    ObjectNode whole(int agent) {
-        return json(agent, padron.whole());
+    /** Returns the list as an agent receives it by the protocol. */
+    ObjectNode snapshot(int agent) {
+        return json(agent, padron.snapshot());
     }
 
     private ObjectNode json(int agent, Padron.Listing listing) {
         ObjectNode root = JsonNodeFactory.instance.objectNode();
-        root.put("index", listing.index()).put("snapshot", listing.whole());
+        root.put("index", listing.index()).put("snapshot", listing.complete());
         ArrayNode entries = root.putArray("endpoints");
-        for (Padron.Entry each : listing.entries()) {
-            ObjectNode entry = json(each);
-            int colon = each.address().lastIndexOf(':');
+        for (Padron.Entry entry : listing.entries()) {
+            ObjectNode node = json(entry);
+            int colon = entry.address().lastIndexOf(':');
             if (colon > 0) {
-                InetSocketAddress at = day.ways.nodo(
+                InetSocketAddress at = context.paths.nodoAddress(
                         agent,
                         new InetSocketAddress(
-                                each.address().substring(0, colon),
-                                Integer.parseInt(each.address().substring(colon + 1))));
-                entry.put("address", at.getAddress().getHostAddress() + ":" + at.getPort());
+                                entry.address().substring(0, colon),
+                                Integer.parseInt(entry.address().substring(colon + 1))));
+                node.put("address", at.getAddress().getHostAddress() + ":" + at.getPort());
             }
-            entries.add(entry);
+            entries.add(node);
         }
         return root;
     }
 
-    private ObjectNode json(Padron.Entry each) {
+    private ObjectNode json(Padron.Entry entry) {
         return JsonNodeFactory.instance
                 .objectNode()
-                .put("name", each.name())
-                .put("address", each.address())
-                .put("zone", day.plan.zones().get(each.zone()))
-                .put("type", each.kind())
-                .put("group", each.cell())
-                .put("status", each.status().word())
-                .put("weight", each.weight())
-                .put("since_ms", each.sinceMillis());
+                .put("name", entry.name())
+                .put("address", entry.address())
+                .put("zone", context.plan.zones().get(entry.zone()))
+                .put("type", entry.kind())
+                .put("group", entry.cell())
+                .put("status", entry.status().wireName())
+                .put("weight", entry.weight())
+                .put("since_ms", entry.sinceMillis());
     }
 
-    /** An agent has ended and knows nothing; it will start with what is listed now. */
-    void forgot(int agent) {
-        day.checker.forgot(agent);
-        toldOf.remove(agent);
+    /** Records that an agent's process has ended. A new process starts with the current list. */
+    void agentReset(int agent) {
+        context.checker.agentReset(agent);
+        announcedNodos.remove(agent);
     }
 
-    private void told(int agent, Padron.Listing listing, BooleanSupplier open) {
-        Set<Integer> known = toldOf.computeIfAbsent(agent, each -> new TreeSet<>());
-        Set<Integer> missing = new TreeSet<>(listing.whole() ? known : Set.of());
-        for (Padron.Entry each : listing.entries()) {
-            int nodo = Integer.parseInt(each.name().substring("nodo-".length())) - 1;
+    private void announce(int agent, Padron.Listing listing, BooleanSupplier stillOpen) {
+        Set<Integer> announced = announcedNodos.computeIfAbsent(agent, entry -> new TreeSet<>());
+        Set<Integer> missing = new TreeSet<>(listing.complete() ? announced : Set.of());
+        for (Padron.Entry entry : listing.entries()) {
+            int nodo = Integer.parseInt(entry.name().substring("nodo-".length())) - 1;
             missing.remove(nodo);
-            if (!listing.whole() || each.sinceMillis() > 0) {
-                day.record.told(day.now(), nodo, each.status().word());
+            if (!listing.complete() || entry.sinceMillis() > 0) {
+                context.recorder.statusSent(context.now(), nodo, entry.status().wireName());
             }
-            turns.merge(turn(agent, nodo), 1, Integer::sum);
-            if (each.status() == Padron.Status.READY) {
-                known.add(nodo);
-                long startedAt =
-                        each.sinceMillis() == 0 ? 0 : day.now() - 1000 * (day.wallMillis() - each.sinceMillis());
-                day.checker.toldReady(day.now(), agent, nodo, Math.max(0, startedAt));
+            announcementCounts.merge(pairKey(agent, nodo), 1, Integer::sum);
+            if (entry.status() == Padron.Status.READY) {
+                announced.add(nodo);
+                long startedAt = entry.sinceMillis() == 0
+                        ? 0
+                        : context.now() - 1000 * (context.wallMillis() - entry.sinceMillis());
+                context.checker.readyAnnounced(context.now(), agent, nodo, Math.max(0, startedAt));
             } else {
-                toldClosed(agent, nodo, open);
-                if (each.status() == Padron.Status.GONE) {
-                    known.remove(nodo);
+                announceClosed(agent, nodo, stillOpen);
+                if (entry.status() == Padron.Status.GONE) {
+                    announced.remove(nodo);
                 }
             }
         }
-        for (int gone : missing) {
-            turns.merge(turn(agent, gone), 1, Integer::sum);
-            toldClosed(agent, gone, open);
-            known.remove(gone);
+        for (int removed : missing) {
+            announcementCounts.merge(pairKey(agent, removed), 1, Integer::sum);
+            announceClosed(agent, removed, stillOpen);
+            announced.remove(removed);
         }
     }
 
-    private static long turn(int agent, int nodo) {
+    private static long pairKey(int agent, int nodo) {
         return (long) agent << 32 | nodo;
     }
 
     /**
-     * Counts as told from now on, unless the connection turns out to have ended when it was written: what is written to
-     * an agent that has just given the connection up has not been told to it.
+     * Records the announcement as of now, unless the connection turns out to have been closed when it was written:
+     * what is written to a connection that the agent has just given up does not reach the agent.
      */
-    private void toldClosed(int agent, int nodo, BooleanSupplier open) {
-        toldClosed(agent, nodo, open, turns.get(turn(agent, nodo)), toldOf.get(agent));
+    private void announceClosed(int agent, int nodo, BooleanSupplier stillOpen) {
+        announceClosed(agent, nodo, stillOpen, announcementCounts.get(pairKey(agent, nodo)), announcedNodos.get(agent));
     }
 
-    private void toldClosed(int agent, int nodo, BooleanSupplier open, int turn, Set<Integer> known) {
-        long at = day.now();
-        boolean heard = day.ways.heard(agent);
-        day.at(at + HEARD_AFTER, () -> {
-            if (!open.getAsBoolean() || toldOf.get(agent) != known || turns.get(turn(agent, nodo)) != turn) {
+    private void announceClosed(
+            int agent, int nodo, BooleanSupplier stillOpen, int announcement, Set<Integer> announced) {
+        long announcedMicros = context.now();
+        boolean reachable = context.paths.padronReaches(agent);
+        context.schedule(announcedMicros + DELIVERY_MICROS, () -> {
+            if (!stillOpen.getAsBoolean()
+                    || announcedNodos.get(agent) != announced
+                    || announcementCounts.get(pairKey(agent, nodo)) != announcement) {
                 return;
             }
-            if (heard && day.ways.heard(agent)) {
-                day.checker.toldClosed(at, agent, nodo);
+            if (reachable && context.paths.padronReaches(agent)) {
+                context.checker.closedAnnounced(announcedMicros, agent, nodo);
             } else {
-                toldClosed(agent, nodo, open, turn, known); // it is on its way until the link is healed
+                announceClosed(agent, nodo, stillOpen, announcement, announced); // in transit until the link is healed
             }
         });
     }
 
-    /** Whether this call is one more than it can take. */
-    private boolean overbooked() {
-        double most = day.plan.padron().callsPerSecond();
-        if (most == 0) {
+    /** Whether this call exceeds the rate that the padrón can handle. */
+    private boolean exceedsCallRate() {
+        double callsPerSecond = context.plan.padron().callsPerSecond();
+        if (callsPerSecond == 0) {
             return false;
         }
-        room = Math.min(Math.max(1, most), room + most * (day.now() - roomAt) / 1e6);
-        roomAt = day.now();
-        if (room < 1) {
-            day.record.listTurnedAway(day.now());
+        callTokens = Math.min(
+                Math.max(1, callsPerSecond), callTokens + callsPerSecond * (context.now() - callTokensMicros) / 1e6);
+        callTokensMicros = context.now();
+        if (callTokens < 1) {
+            context.recorder.listCallRefused(context.now());
             return true;
         }
-        room--;
+        callTokens--;
         return false;
     }
 
-    /** One connection of an agent. */
-    private final class Asking extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final int at;
+    /** A connection from an agent. */
+    private final class AgentConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
+        private final int port;
         private final int agent;
         private ChannelHandlerContext ctx;
-        /** The version that the watch has, or -1 while nothing is asked. */
-        private long since = -1;
+        /** The version that the watch has, or -1 while no call is pending. */
+        private long watchedIndex = -1;
 
-        private int call;
+        private int callCount;
 
-        Asking(int at, int agent) {
-            this.at = at;
+        AgentConnection(int port, int agent) {
+            this.port = port;
             this.agent = agent;
         }
 
         @Override
-        public void channelActive(ChannelHandlerContext context) {
-            ctx = context;
-            open.add(this);
+        public void channelActive(ChannelHandlerContext handlerContext) {
+            ctx = handlerContext;
+            openConnections.add(this);
         }
 
         @Override
-        public void channelInactive(ChannelHandlerContext context) {
-            open.remove(this);
+        public void channelInactive(ChannelHandlerContext handlerContext) {
+            openConnections.remove(this);
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            context.close();
+        public void exceptionCaught(ChannelHandlerContext handlerContext, Throwable cause) {
+            handlerContext.close();
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
+        protected void channelRead0(ChannelHandlerContext handlerContext, FullHttpRequest request) {
             QueryStringDecoder uri = new QueryStringDecoder(request.uri());
-            int mine = ++call;
-            day.record.listCall(day.now());
-            if (overbooked()) {
+            int callNumber = ++callCount;
+            context.recorder.listCall(context.now());
+            if (exceedsCallRate()) {
                 var response =
                         new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE);
                 response.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
@@ -489,40 +509,40 @@
                 return;
             }
             if (!uri.parameters().containsKey("since")) {
-                since = Long.MAX_VALUE; // anything is news to it
-                news();
+                watchedIndex = Long.MAX_VALUE; // any version is new to it
+                answerIfChanged();
                 return;
             }
-            since = Long.parseLong(uri.parameters().get("since").get(0));
-            long wait = Long.parseLong(
+            watchedIndex = Long.parseLong(uri.parameters().get("since").get(0));
+            long waitMillis = Long.parseLong(
                     uri.parameters().getOrDefault("timeout_ms", List.of("0")).get(0));
             ctx.channel()
                     .eventLoop()
                     .schedule(
                             () -> {
-                                if (mine == call && since >= 0 && !silent) {
+                                if (callNumber == callCount && watchedIndex >= 0 && !silent) {
                                     answer(new Padron.Listing(padron.index(), false, List.of()));
                                 }
                             },
-                            wait,
+                            waitMillis,
                             TimeUnit.MILLISECONDS);
-            news();
+            answerIfChanged();
         }
 
-        void news() {
-            if (since < 0 || silent) {
+        void answerIfChanged() {
+            if (watchedIndex < 0 || silent) {
                 return;
             }
-            if (since == Long.MAX_VALUE) {
-                answer(padron.whole());
-            } else if (since != padron.index()) {
-                answer(padron.since(since));
+            if (watchedIndex == Long.MAX_VALUE) {
+                answer(padron.snapshot());
+            } else if (watchedIndex != padron.index()) {
+                answer(padron.changesSince(watchedIndex));
             }
         }
 
         private void answer(Padron.Listing listing) {
-            since = -1;
-            told(agent, listing, () -> true);
+            watchedIndex = -1;
+            announce(agent, listing, () -> true);
             byte[] body = json(agent, listing).toString().getBytes(StandardCharsets.UTF_8);
             var response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(body));
@@ -533,10 +553,10 @@
         }
     }
 
-    /** Names of the nodos listed, for tests. */
-    List<String> listed() {
+    /** Returns the names of the listed nodos. */
+    List<String> listedNames() {
         List<String> names = new ArrayList<>();
-        padron.whole().entries().forEach(each -> names.add(each.name()));
+        padron.snapshot().entries().forEach(entry -> names.add(entry.name()));
         return names;
     }
 }
--- a/src/main/java/gatefront/rehearsal/PersistentAgent.java
+++ b/src/main/java/gatefront/rehearsal/PersistentAgent.java
@@ -70,7 +70,7 @@
 
     /** Where staff reach it, without a relay. */
     InetSocketAddress door() {
-        return machine().at(DOOR_PORT);
+        return machine().address(DOOR_PORT);
     }
 
     /** Its callers come over a relay from now on. */
@@ -79,7 +79,7 @@
     }
 
     @Override
-    InetSocketAddress callers() {
+    InetSocketAddress clientAddress() {
         return front;
     }
 
--- a/src/main/java/gatefront/rehearsal/PlanShrinker.java
+++ b/src/main/java/gatefront/rehearsal/PlanShrinker.java
@@ -47,15 +47,15 @@
 
     static Plan shrink(Plan plan, long seed, Function<Engine, Balancer> module, Consumer<String> listener) {
         Plan fixed = plan.with(frozen(plan, seed));
-        RehearsalResult whole = new Rehearsal(fixed, seed, module).play();
-        if (whole.broken() == 0) {
+        RehearsalResult whole = new Rehearsal(fixed, seed, module).run();
+        if (whole.breachCount() == 0) {
             return null;
         }
         Set<Rule> rules = whole.breaches().stream().map(each -> each.rule()).collect(Collectors.toSet());
         PlanShrinker shrink = new PlanShrinker(seed, module, rules, listener);
         listener.accept(
                 "breaks " + rules.size() + " rule(s) with " + fixed.faults().size() + " faults");
-        double end = (whole.breaches().get(0).at() - Rehearsal.OPENS_AT) / 1e6 + 1;
+        double end = (whole.breaches().get(0).atMicros() - Rehearsal.OPENING_MICROS) / 1e6 + 1;
         Plan smallest = shrink.callers(shrink.targets(shrink.faults(shrink.shorter(fixed, end))));
         listener.accept("left are " + smallest.faults().size() + " faults, " + smallest.seconds() + " s and "
                 + smallest.callers().rate() + " requests a second");
@@ -65,7 +65,7 @@
     /** The faults as the seed draws them. */
     static List<Fault> frozen(Plan plan, long seed) {
         List<Fault> frozen = new ArrayList<>();
-        for (ResolvedPlan.Trouble each : ResolvedPlan.of(plan, seed).troubles()) {
+        for (ResolvedPlan.ScheduledFault each : ResolvedPlan.of(plan, seed).faults()) {
             String prefix = each.fault().kind().whom() == Fault.Kind.Whom.AGENTS ? "agent-" : "nodo-";
             List<String> names = new ArrayList<>();
             for (int target : each.targets()) {
@@ -73,12 +73,12 @@
             }
             frozen.add(each.fault()
                     .frozen(
-                            fixed(each.at() / 1e6),
-                            fixed(each.lasts() / 1e6),
+                            fixed(each.startMicros() / 1e6),
+                            fixed(each.durationMicros() / 1e6),
                             names,
                             fixed(each.size()),
-                            fixed(each.every() / 1e6),
-                            fixed(each.spread() / 1e6)));
+                            fixed(each.periodMicros() / 1e6),
+                            fixed(each.spreadMicros() / 1e6)));
         }
         return frozen;
     }
@@ -89,7 +89,7 @@
 
     private boolean breaks(Plan plan) {
         return new Rehearsal(plan, seed, module)
-                .play().breaches().stream().anyMatch(each -> rules.contains(each.rule()));
+                .run().breaches().stream().anyMatch(each -> rules.contains(each.rule()));
     }
 
     private Plan keep(Plan before, Plan smaller, String what) {
--- a/src/main/java/gatefront/rehearsal/ProcessAgent.java
+++ b/src/main/java/gatefront/rehearsal/ProcessAgent.java
@@ -71,12 +71,12 @@
         }
 
         @Override
-        public InetSocketAddress at(int port) {
+        public InetSocketAddress address(int port) {
             return new InetSocketAddress(address, port);
         }
 
         @Override
-        public long sentAt(Channel channel) {
+        public long sentAtNanos(Channel channel) {
             throw new UnsupportedOperationException("its channels are another process's");
         }
 
@@ -100,12 +100,12 @@
         public void boot() {}
 
         @Override
-        public void vanish() {
+        public void isolate() {
             throw new UnsupportedOperationException("agents do not vanish");
         }
 
         @Override
-        public void appear() {}
+        public void reconnect() {}
     };
 
     @Override
@@ -114,7 +114,7 @@
     }
 
     @Override
-    void begin() {
+    void startProcess() {
         CompletableFuture<Process> fresh = new CompletableFuture<>();
         process = fresh;
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
@@ -140,7 +140,9 @@
                 follow(started);
             } catch (IOException e) {
                 fresh.completeExceptionally(e);
-                day.loop().execute(() -> day.checker.left(day.now(), name() + " cannot be started: " + e.getMessage()));
+                context.loop()
+                        .execute(() -> context.checker.reportLeftover(
+                                context.now(), name() + " cannot be started: " + e.getMessage()));
             }
         });
     }
@@ -176,7 +178,7 @@
         Thread reader = new Thread(
                 () -> {
                     try (BufferedReader lines = mine.inputReader(StandardCharsets.UTF_8)) {
-                        lines.lines().forEach(line -> day.loop().execute(() -> log.accept(line)));
+                        lines.lines().forEach(line -> context.loop().execute(() -> log.accept(line)));
                     } catch (IOException | UncheckedIOException | RejectedExecutionException e) {
                         // it has been killed, or the day is over
                     }
@@ -186,13 +188,14 @@
         reader.start();
     }
 
-    /** {@link #besides()} as the agent's file has it. */
+    /** {@link #agentExtensions()} as the agent's file has it. */
     String extensions() {
-        return (day.form == null ? "" : thriftTable()) + (day.padron.registry(number) == null ? "" : registryTable());
+        return (context.thriftFormat == null ? "" : thriftTable())
+                + (context.padron.registrySettings(number) == null ? "" : registryTable());
     }
 
     private String registryTable() {
-        RegistrySettings settings = day.padron.registry(number);
+        RegistrySettings settings = context.padron.registrySettings(number);
         String members = settings.endpoints().stream()
                 .map(each -> '"' + each.getAddress().getHostAddress() + ":" + each.getPort() + '"')
                 .collect(Collectors.joining(", "));
@@ -204,9 +207,10 @@
         InetSocketAddress at = thriftAddress();
         StringBuilder text = new StringBuilder("[thrift]\nlisten = \""
                 + at.getAddress().getHostAddress() + ":"
-                + at.getPort() + "\"\nnodo_port = " + NodoStandIn.THRIFT_PORT + "\nnodo_framed = " + day.form.framed()
+                + at.getPort() + "\"\nnodo_port = " + NodoStandIn.THRIFT_PORT + "\nnodo_framed = "
+                + context.thriftFormat.framed()
                 + "\nprobes = \"thrift\"\n");
-        day.plan
+        context.plan
                 .classes()
                 .forEach(each -> text.append("\n[[thrift.methods]]\nname = \"" + each.name() + "\"\nclass = \""
                         + each.name() + "\"\ndeclares = true\n"));
@@ -229,19 +233,19 @@
     }
 
     @Override
-    void end() {
+    void endProcess() {
         machine.kill();
     }
 
     @Override
-    void leave(Runnable then) {
+    void shutDown(Runnable then) {
         if (!machine.running()) {
             then.run();
             return;
         }
         signalled(mine -> {
-            mine.onExit().thenRun(() -> day.loop().execute(() -> {
-                day.padron.forgot(number);
+            mine.onExit().thenRun(() -> context.loop().execute(() -> {
+                context.padron.agentReset(number);
                 then.run();
             }));
             mine.destroy();
--- a/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
+++ b/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
@@ -118,7 +118,7 @@
             lateness.watch(loop);
             day = on(() -> made(addresses));
             on(() -> {
-                day.begin();
+                day.start();
                 return null;
             });
             awaitReady();
@@ -127,7 +127,7 @@
                 chronicle.opens(now);
                 lateness.opens();
                 timeline.opens();
-                Rehearsal.open(day, now);
+                Rehearsal.openTraffic(day, now);
                 for (int i = 0; i < plan.faults().size(); i++) {
                     schedule(plan.faults().get(i), new RandomStream(seed, "process fault " + i), now);
                 }
@@ -139,13 +139,13 @@
                 Thread.sleep(250);
             }
             progress.accept(1);
-            await(TAIL_MS, () -> day.record.open() == 0);
+            await(TAIL_MS, () -> day.recorder.openOperations() == 0);
             Thread.sleep(SETTLE_MS);
             over = true;
             on(() -> {
                 hand.close(day.now());
                 agents.forEach(each -> each.signal("CONT"));
-                agents.forEach(each -> each.leave(() -> {}));
+                agents.forEach(each -> each.shutDown(() -> {}));
                 return null;
             });
             await(ENDING_MS, () -> agents.stream()
@@ -153,13 +153,14 @@
             return on(() -> {
                 for (AgentStandIn each : agents) {
                     if (each.machine().running()) {
-                        day.checker.left(day.now(), each.name() + " has not ended");
+                        day.checker.reportLeftover(day.now(), each.name() + " has not ended");
                     }
                 }
                 day.checker.close(day.now());
                 return new ProcessRehearsalResult(
                         plan,
-                        new RehearsalResult(plan.day(), seed, day.cast, day.record, day.checker, List.copyOf(log), 0),
+                        new RehearsalResult(
+                                plan.day(), seed, day.resolvedPlan, day.recorder, day.checker, List.copyOf(log), 0),
                         hand,
                         lateness,
                         timeline);
@@ -196,8 +197,8 @@
                     return agent;
                 });
         ways = new RelayNetwork(made, lateness, relayLoops, addresses.of(7, 0), hand, chronicle, timeline);
-        made.ways = ways;
-        made.checker.on(ways);
+        made.paths = ways;
+        made.checker.useEnvironment(ways);
         return made;
     }
 
@@ -283,7 +284,7 @@
                                 took,
                                 lost ? ", it says that what it kept is lost" : ""));
                 if (lost && of.machine().running()) {
-                    hand.toldLost(day.now(), agent);
+                    hand.lossReported(day.now(), agent);
                 }
             });
         } catch (InterruptedException e) {
@@ -309,24 +310,24 @@
     // ---- Faults ----
 
     private void schedule(ProcessFault fault, RandomStream draw, long from) {
-        long at = from + (long) (MICROS * fault.at().draw(draw::between));
-        long lasts = (long) (MICROS * fault.lasts().draw(draw::between));
-        double spread = MICROS * fault.spread().draw(draw::between);
-        double size = fault.size().draw(draw::between);
-        long number = draw.number();
+        long at = from + (long) (MICROS * fault.at().draw(draw::uniform));
+        long lasts = (long) (MICROS * fault.lasts().draw(draw::uniform));
+        double spread = MICROS * fault.spread().draw(draw::uniform);
+        double size = fault.size().draw(draw::uniform);
+        long number = draw.nextLong();
         int[] targets = targets(fault, draw);
-        day.record.band(fault.kind().word(), at - from, at - from + Math.max(lasts, 1_000_000));
+        day.recorder.addFaultBand(fault.kind().word(), at - from, at - from + Math.max(lasts, 1_000_000));
         for (int i = 0; i < targets.length; i++) {
             PersistentAgent agent = agents.get(targets[i]);
             PersistentAgent next = agents.get(targets[(i + 1) % targets.length]);
             long when = at + (long) (targets.length < 2 ? 0 : spread * i / (targets.length - 1));
             if (fault.state() == ProcessFault.State.OLDER) {
-                day.at(
+                day.schedule(
                         from + (long) (MICROS * fault.saved()),
                         () -> hands.execute(
                                 () -> quietly(agent, "copied", () -> FolderFaults.copy(agent.folder(), copy(agent)))));
             }
-            day.at(when, () -> happens(fault, agent, next, lasts, size, number));
+            day.schedule(when, () -> happens(fault, agent, next, lasts, size, number));
         }
     }
 
@@ -340,7 +341,7 @@
         int n = fault.share() == 0 ? 0 : Math.max(1, (int) Math.rint(fault.share() * count));
         int[] all = IntStream.range(0, count).toArray();
         for (int i = 0; i < n; i++) {
-            int j = i + draw.below(count - i);
+            int j = i + draw.nextInt(count - i);
             int swap = all[i];
             all[i] = all[j];
             all[j] = swap;
@@ -367,14 +368,14 @@
                     kill(agent, lasts, () -> state(fault.state(), agent, number));
                 }
             }
-            case TERM -> agent.leave(() -> {
-                hand.ended(day.now(), agent.number);
+            case TERM -> agent.shutDown(() -> {
+                hand.processEnded(day.now(), agent.number);
                 again(agent, lasts);
             });
             case STOP -> {
                 ways.stopped(agent.number, true);
                 agent.signal("STOP");
-                day.at(day.now() + lasts, () -> {
+                day.schedule(day.now() + lasts, () -> {
                     event("fault", agent.name(), "wakes");
                     agent.signal("CONT");
                     ways.stopped(agent.number, false);
@@ -392,7 +393,7 @@
 
     private void shape(ProcessFault fault, PersistentAgent agent, long lasts, LinkConditions shape) {
         ways.shape(agent.number, fault.links(), fault.direction(), shape);
-        day.at(day.now() + lasts, () -> {
+        day.schedule(day.now() + lasts, () -> {
             event("fault", agent.name(), "healed");
             ways.shape(agent.number, fault.links(), fault.direction(), LinkConditions.CLEAR);
         });
@@ -403,24 +404,24 @@
         if (!agent.machine().running()) {
             return;
         }
-        int mine = agent.processes();
+        int mine = agent.processCount();
         agent.signalled(process -> process.onExit()
                 .thenRunAsync(
                         () -> {
                             whileDead.run();
                             onLoop(() -> {
-                                if (agent.processes() == mine) {
+                                if (agent.processCount() == mine) {
                                     again(agent, startsAt - day.now());
                                 }
                             });
                         },
                         hands));
         agent.kill();
-        hand.ended(day.now(), agent.number);
+        hand.processEnded(day.now(), agent.number);
     }
 
     private void again(PersistentAgent agent, long inMicros) {
-        day.at(day.now() + inMicros, () -> {
+        day.schedule(day.now() + inMicros, () -> {
             if (!agent.machine().running() && !over) {
                 agent.start();
             }
@@ -462,7 +463,8 @@
             change.make();
             onLoop(() -> event("folder", agent.name(), what));
         } catch (IOException e) {
-            onLoop(() -> day.checker.left(day.now(), agent.name() + "'s folder could not be " + what + ": " + e));
+            onLoop(() ->
+                    day.checker.reportLeftover(day.now(), agent.name() + "'s folder could not be " + what + ": " + e));
         }
     }
 
@@ -486,7 +488,7 @@
     private void byHand(PersistentAgent agent, String nodo, boolean out) {
         var door = ways.relay(agent.number, Links.DOOR, agent.door()).address();
         int number = Integer.parseInt(nodo.substring("nodo-".length())) - 1;
-        int process = agent.processes();
+        int process = agent.processCount();
         hands.execute(() -> {
             ManagementClient.Answer answer =
                     ManagementClient.call(door, "POST", "/backends/" + nodo + (out ? "/maint" : "/ready"));
@@ -496,8 +498,8 @@
                         agent.name(),
                         nodo + (out ? " out: " : " back: ") + answer.status() + " "
                                 + answer.text().strip());
-                if (answer.status() == 200 && agent.processes() == process) {
-                    hand.yes(
+                if (answer.status() == 200 && agent.processCount() == process) {
+                    hand.confirmed(
                             day.now(), agent.number, number, out, !answer.text().contains("not kept"));
                 }
             });
--- a/src/main/java/gatefront/rehearsal/ProcessRehearsalResult.java
+++ b/src/main/java/gatefront/rehearsal/ProcessRehearsalResult.java
@@ -31,14 +31,14 @@
 
     /** How many times a rule was broken. */
     public int broken() {
-        return outcome.broken() + hand.count();
+        return outcome.breachCount() + hand.count();
     }
 
     /** All that was broken, a line each. */
     public List<String> breaches() {
         List<String> lines = new ArrayList<>();
         for (RuleChecker.Breach each : outcome.breaches()) {
-            lines.add(each.rule().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + each.what()
+            lines.add(each.rule().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + each.description()
                     + (each.request().isEmpty() ? "" : " (request " + each.request() + ")"));
         }
         hand.breaches().forEach(each -> lines.add("by hand: " + each));
@@ -48,11 +48,11 @@
     /** When service was full again, in seconds after the first fault; negative if it never was. */
     public double fullAfter(ProcessRehearsalResult twin) {
         double first = plan.firstFault();
-        return first < 0 ? 0 : curve().fullAfter(first, twin.curve());
+        return first < 0 ? 0 : curve().secondsUntilFull(first, twin.curve());
     }
 
     ServiceCurve curve() {
-        return outcome.record().curve;
+        return outcome.recorder().serviceCurve;
     }
 
     private static int most(int[] bySecond, double from, double until) {
@@ -63,17 +63,17 @@
 
     /** Calls for the list in the fullest second of the five after the first fault. */
     public int listCallsMost() {
-        return most(outcome.record().listCalls, plan.firstFault(), plan.firstFault() + 5);
+        return most(outcome.recorder().listCalls, plan.firstFault(), plan.firstFault() + 5);
     }
 
     /** Connections of the fullest nodo in the five seconds after the first fault. */
     public int connectionsMost() {
-        return most(outcome.record().fullest, plan.firstFault(), plan.firstFault() + 5);
+        return most(outcome.recorder().maxConnections, plan.firstFault(), plan.firstFault() + 5);
     }
 
     /** How much of what topples it the nearest cold nodo was sent, on the whole day. */
     public double coldMost() {
-        return Arrays.stream(outcome.record().coldest).max().orElse(0);
+        return Arrays.stream(outcome.recorder().maxColdOverloadShare).max().orElse(0);
     }
 
     /** One line: service, rules, and how late the rig was. */
--- a/src/main/java/gatefront/rehearsal/RealRehearsal.java
+++ b/src/main/java/gatefront/rehearsal/RealRehearsal.java
@@ -115,17 +115,17 @@
             played[0] = day;
             lateness.watch(loop);
             RealTimeRig rig = new RealTimeRig(day, lateness);
-            day.ways = rig;
-            day.checker.on(rig);
+            day.paths = rig;
+            day.checker.useEnvironment(rig);
             on(() -> {
-                day.begin();
+                day.start();
                 return null;
             });
             awaitReady(day);
             opensAt = on(() -> {
                 long now = day.now() + 100_000;
                 lateness.opens();
-                Rehearsal.open(day, now);
+                Rehearsal.openTraffic(day, now);
                 return now;
             });
             long lengthMs = (long) (1000 * plan.seconds());
@@ -134,10 +134,10 @@
                 Thread.sleep(250);
             }
             progress.accept(1);
-            await(TAIL_MS, () -> day.record.open() == 0);
+            await(TAIL_MS, () -> day.recorder.openOperations() == 0);
             Thread.sleep(SETTLE_MS);
             on(() -> {
-                day.agents.forEach(each -> each.leave(() -> {}));
+                day.agents.forEach(each -> each.shutDown(() -> {}));
                 return null;
             });
             await(ENDING_MS, () -> day.agents.stream()
@@ -145,7 +145,7 @@
             return on(() -> {
                 for (AgentStandIn each : day.agents) {
                     if (each.machine().running()) {
-                        day.checker.left(day.now(), each.name() + " has not ended");
+                        day.checker.reportLeftover(day.now(), each.name() + " has not ended");
                     }
                 }
                 day.checker.close(day.now());
@@ -155,7 +155,8 @@
                         lateness.worst() / 1e3,
                         lateness.over(LATE_MOST),
                         LATE_MOST / 1000));
-                return new RehearsalResult(plan, seed, day.cast, day.record, day.checker, List.copyOf(log), 0);
+                return new RehearsalResult(
+                        plan, seed, day.resolvedPlan, day.recorder, day.checker, List.copyOf(log), 0);
             });
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/gatefront/rehearsal/RealTimeRig.java
+++ b/src/main/java/gatefront/rehearsal/RealTimeRig.java
@@ -4,20 +4,20 @@
 import gatefront.rehearsal.processes.LoopLateness;
 
 /** What a rig in real time tells the judge of itself; nothing stands between the processes. */
-class RealTimeRig implements RunContext.Ways, RuleChecker.Rig {
-    final RunContext day;
+class RealTimeRig implements RunContext.NetworkPaths, RuleChecker.Environment {
+    final RunContext context;
     final LoopLateness lateness;
 
     RealTimeRig(RunContext day, LoopLateness lateness) {
-        this.day = day;
+        this.context = day;
         this.lateness = lateness;
     }
 
     @Override
-    public final long late(long from, long until) {
-        return lateness.between(day.clock(from), day.clock(until));
+    public final long maxStallMicros(long from, long until) {
+        return lateness.between(context.toClockMicros(from), context.toClockMicros(until));
     }
 
     @Override
-    public void note(long at, String request, String what) {}
+    public void requestEvent(long at, String request, String what) {}
 }
