--- a/src/main/java/gatefront/rehearsal/Rehearsal.java
+++ b/src/main/java/gatefront/rehearsal/Rehearsal.java
@@ -21,237 +21,259 @@
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
 
-/** Plays a plan on virtual time with the real agents. One at a time on a thread; many threads may play many. */
+/**
+ * Runs a plan on virtual time with the real agents. Each thread runs one rehearsal at a time; several threads may run
+ * rehearsals in parallel.
+ */
 public final class Rehearsal {
-    /** Agents get so long to come up before callers come. */
-    static final long OPENS_AT = 3_000_000;
-    /** After the last caller has come: longer than any caller waits, and any nodo works on. */
-    private static final long TAIL = 20_000_000;
-    /** Agents that were told to end have done so within this. */
-    private static final long ENDING = 5_000_000;
-    /** The time of day at which each rehearsal begins: the first of December 2026, 08:00 in UTC. */
+    /** Time at which traffic opens, which leaves the agents time to start; in microseconds of the run. */
+    static final long OPENING_MICROS = 3_000_000;
+    /** Time after the last operation has started, in microseconds: longer than any client waits or any nodo works. */
+    private static final long TAIL_MICROS = 20_000_000;
+    /** Time within which agents must shut down, in microseconds. */
+    private static final long SHUTDOWN_MICROS = 5_000_000;
+    /** The time of day at which each rehearsal starts: 2026-12-01 08:00 UTC. */
     private static final long EPOCH_MICROS = 1_796_112_000_000_000L;
-    /** Segments tell when they were sent; what is left is the rounding to microseconds. */
-    private static final long SLACK = 1_000;
+    /** Segments carry the time at which they were sent; this is the rounding to microseconds. */
+    private static final long SLACK_MICROS = 1_000;
 
-    private static final int LINES_MOST = 2_000;
-    /** On a day of an hour or more nothing that is held may go on rising. */
+    private static final int MAX_LOG_LINES = 2_000;
+    /** On runs of this many seconds or more, no resource usage may keep rising. */
     private static final double SOAK_SECONDS = 3_600;
-    /** Of these nothing is held once nobody asks anything. */
-    private static final List<ResourcePurpose> PASSING = List.of(
+    /** Purposes for which nothing may be held once there is no traffic. */
+    private static final List<ResourcePurpose> TRANSIENT_PURPOSES = List.of(
             ResourcePurpose.REQUESTS, ResourcePurpose.CALLS, ResourcePurpose.ANSWERS, ResourcePurpose.SERVER_ANSWERS);
-    /** Timers that an agent with nothing to do may have: its own, and for each nodo listed. */
-    private static final int TIMERS_MOST = 16;
+    /** Timers that an idle agent may have: its own, and further ones per listed nodo. */
+    private static final int MAX_IDLE_TIMERS = 16;
 
-    private static final int TIMERS_A_NODO = 2;
+    private static final int TIMERS_PER_NODO = 2;
 
     private final Plan plan;
     private final long seed;
-    private final Function<Engine, Balancer> module;
+    private final Function<Engine, Balancer> balancerFactory;
     private DoubleConsumer progress = done -> {};
-    private UnaryOperator<Transport> outside = UnaryOperator.identity();
+    private UnaryOperator<Transport> transportWrapper = UnaryOperator.identity();
 
     /**
-     * A rehearsal with the module that agents have in service.
+     * Creates a rehearsal with the production decision module.
      *
-     * @param plan what is played
-     * @param seed from which all else follows
+     * @param plan the plan to run
+     * @param seed the seed that determines the run
      */
     public Rehearsal(Plan plan, long seed) {
         this(plan, seed, Engine::createDefaultBalancer);
     }
 
-    /** A rehearsal with another decision module, as tests have it. */
-    public Rehearsal(Plan plan, long seed, Function<Engine, Balancer> module) {
+    /** Creates a rehearsal with another decision module. */
+    public Rehearsal(Plan plan, long seed, Function<Engine, Balancer> balancerFactory) {
         this.plan = plan;
         this.seed = seed;
-        this.module = module;
+        this.balancerFactory = balancerFactory;
     }
 
-    /** Tells now and then which part of the day has passed. */
+    /** Sets a listener that is told periodically what share of the run has passed. */
     public Rehearsal progress(DoubleConsumer listener) {
         progress = listener;
         return this;
     }
 
-    /** Puts something between the agents and their machines and the world, as tests of faulty sockets do. */
-    Rehearsal outside(UnaryOperator<Transport> between) {
-        outside = between;
+    /** Wraps the transport of each agent, for example to simulate faulty sockets. */
+    Rehearsal wrapTransport(UnaryOperator<Transport> wrapper) {
+        transportWrapper = wrapper;
         return this;
     }
 
     /**
-     * Plays the day.
+     * Runs the plan.
      *
-     * @return what came of it
+     * @return the result
      */
-    public RehearsalResult play() {
+    public RehearsalResult run() {
         VirtualTime time = new VirtualTime();
         List<String> log = new ArrayList<>();
-        ResolvedPlan cast = ResolvedPlan.of(plan, seed);
-        Network network = new Network(time, EPOCH_MICROS, links(cast));
-        RunContext day = new RunContext(
+        ResolvedPlan resolvedPlan = ResolvedPlan.of(plan, seed);
+        Network network = new Network(time, EPOCH_MICROS, latencyModel(resolvedPlan));
+        RunContext context = new RunContext(
                 plan,
                 seed,
-                SLACK,
+                SLACK_MICROS,
                 LoopbackAddresses.virtual(),
                 (name, address, zone, memory, lines) -> network.host(name, address, zone, memory, lines::line),
-                made -> i -> new VirtualAgent(
-                        made,
+                runContext -> i -> new VirtualAgent(
+                        runContext,
                         i,
-                        made.machines.make(
+                        runContext.machines.create(
                                 "agent-" + (i + 1),
-                                made.addresses.of(8, i),
-                                made.cast.agentZones()[i],
+                                runContext.addresses.of(8, i),
+                                runContext.resolvedPlan.agentZones()[i],
                                 (long) plan.agents().memoryMb() << 18,
-                                line -> log(log, made, i, line)),
-                        outside,
-                        module));
+                                line -> log(log, runContext, i, line)),
+                        transportWrapper,
+                        balancerFactory));
         try {
-            day.begin();
-            run(time, OPENS_AT);
-            for (AgentStandIn each : day.agents) {
-                if (!each.ready()) {
-                    day.checker.left(day.now(), each.name() + " was not ready when the callers came");
+            context.start();
+            advanceTo(time, OPENING_MICROS);
+            for (AgentStandIn agent : context.agents) {
+                if (!agent.ready()) {
+                    context.checker.reportLeftover(
+                            context.now(), agent.name() + " was not ready when the callers came");
                 }
             }
-            open(day, OPENS_AT);
-            long closesAt = OPENS_AT + (long) (1e6 * plan.seconds());
-            for (long at = OPENS_AT; at < closesAt; at += 1_000_000) {
-                run(time, Math.min(at + 1_000_000, closesAt));
-                progress.accept((double) (at - OPENS_AT) / (closesAt - OPENS_AT));
+            openTraffic(context, OPENING_MICROS);
+            long closesAt = OPENING_MICROS + (long) (1e6 * plan.seconds());
+            for (long at = OPENING_MICROS; at < closesAt; at += 1_000_000) {
+                advanceTo(time, Math.min(at + 1_000_000, closesAt));
+                progress.accept((double) (at - OPENING_MICROS) / (closesAt - OPENING_MICROS));
             }
-            run(time, closesAt + TAIL);
-            end(day, time, closesAt + TAIL);
+            advanceTo(time, closesAt + TAIL_MICROS);
+            shutDown(context, time, closesAt + TAIL_MICROS);
         } catch (VirtualTime.LivelockException e) {
-            day.checker.left(day.now(), e.getMessage());
+            context.checker.reportLeftover(context.now(), e.getMessage());
         }
-        return new RehearsalResult(plan, seed, day.cast, day.record, day.checker, log, time.tasks());
+        return new RehearsalResult(
+                plan, seed, context.resolvedPlan, context.recorder, context.checker, log, time.tasks());
     }
 
-    private static void log(List<String> log, RunContext day, int agent, String line) {
-        if (log.size() < LINES_MOST) {
-            log.add(String.format(Locale.ROOT, "%.3f agent-%d %s", (day.now() - OPENS_AT) / 1e6, agent + 1, line));
+    private static void log(List<String> log, RunContext context, int agent, String line) {
+        if (log.size() < MAX_LOG_LINES) {
+            log.add(String.format(
+                    Locale.ROOT, "%.3f agent-%d %s", (context.now() - OPENING_MICROS) / 1e6, agent + 1, line));
         }
     }
 
-    private static void run(VirtualTime time, long micros) {
-        time.run(TimeUnit.MICROSECONDS.toNanos(micros));
+    private static void advanceTo(VirtualTime time, long untilMicros) {
+        time.run(TimeUnit.MICROSECONDS.toNanos(untilMicros));
     }
 
-    /** Callers come from now on, troubles as the plan has them, and each second is looked at. */
-    static void open(RunContext day, long opensAt) {
-        day.record.opens(opensAt);
-        List<Demand.Jump> jumps = new ArrayList<>();
-        for (ResolvedPlan.Trouble each : day.cast.troubles()) {
-            if (each.fault().kind() == Fault.Kind.JUMP) {
-                jumps.add(new Demand.Jump(each.at(), each.until(), each.size()));
+    /** Opens the traffic: schedules the operations, the plan's faults and a sample per second. */
+    static void openTraffic(RunContext context, long openingMicros) {
+        context.recorder.setOpeningMicros(openingMicros);
+        List<Demand.RateChange> rateChanges = new ArrayList<>();
+        for (ResolvedPlan.ScheduledFault scheduled : context.resolvedPlan.faults()) {
+            if (scheduled.fault().kind() == Fault.Kind.JUMP) {
+                rateChanges.add(
+                        new Demand.RateChange(scheduled.startMicros(), scheduled.endMicros(), scheduled.size()));
             }
         }
         Demand demand = new Demand(
-                day.draw("demand"),
-                day.plan.callers().rate(),
-                day.cast.kinds(),
-                day.plan.tenants().stream().mapToDouble(Plan.Tenant::share).toArray(),
-                day.cast.agentShares(),
-                day.plan.callers().hintError(),
-                jumps);
-        next(day, demand, opensAt);
-        FaultScheduler.schedule(day, opensAt);
-        for (int s = 0; s < day.record.seconds; s++) {
-            day.at(opensAt + s * 1_000_000L + 500_000, () -> day.record.sample(day.now(), day.nodos, day.agents));
+                context.random("demand"),
+                context.plan.callers().rate(),
+                context.resolvedPlan.classes(),
+                context.plan.tenants().stream().mapToDouble(Plan.Tenant::share).toArray(),
+                context.resolvedPlan.agentShares(),
+                context.plan.callers().hintError(),
+                rateChanges);
+        scheduleNextOperation(context, demand, openingMicros);
+        FaultScheduler.schedule(context, openingMicros);
+        for (int second = 0; second < context.recorder.seconds; second++) {
+            context.schedule(
+                    openingMicros + second * 1_000_000L + 500_000,
+                    () -> context.recorder.sample(context.now(), context.nodos, context.agents));
         }
     }
 
-    private static void next(RunContext day, Demand demand, long opensAt) {
-        Demand.Want want = demand.next();
-        if (want.at() < (long) (1e6 * day.plan.seconds())) {
-            Demand.Want placed = new Demand.Want(
-                    want.number(),
-                    opensAt + want.at(),
-                    want.kind(),
-                    want.tenant(),
-                    want.agent(),
-                    want.work(),
-                    want.hint());
-            day.at(placed.at(), () -> {
-                day.callers.get(placed.agent()).ask(placed);
-                next(day, demand, opensAt);
+    private static void scheduleNextOperation(RunContext context, Demand demand, long openingMicros) {
+        Demand.Operation operation = demand.next();
+        if (operation.arrivalMicros() < (long) (1e6 * context.plan.seconds())) {
+            Demand.Operation scheduled = new Demand.Operation(
+                    operation.number(),
+                    openingMicros + operation.arrivalMicros(),
+                    operation.requestClass(),
+                    operation.tenant(),
+                    operation.agent(),
+                    operation.workMicros(),
+                    operation.hintMicros());
+            context.schedule(scheduled.arrivalMicros(), () -> {
+                context.clients.get(scheduled.agent()).start(scheduled);
+                scheduleNextOperation(context, demand, openingMicros);
             });
         }
     }
 
-    /** Nothing goes on any more: what is held now is held for nobody. */
-    private void end(RunContext day, VirtualTime time, long at) {
-        for (AgentStandIn each : day.agents) {
-            Engine.TrackedCounts held = ((VirtualAgent) each).held();
-            if (held != null && (held.requests() > 0 || held.attempts() > 0)) {
-                day.checker.left(
-                        day.now(),
-                        each.name() + " still holds " + held.requests() + " requests and " + held.attempts()
+    /** Reports what is still held although the traffic has ended. */
+    private void reportLeftovers(RunContext context) {
+        for (AgentStandIn agent : context.agents) {
+            Engine.TrackedCounts tracked = ((VirtualAgent) agent).trackedCounts();
+            if (tracked != null && (tracked.requests() > 0 || tracked.attempts() > 0)) {
+                context.checker.reportLeftover(
+                        context.now(),
+                        agent.name() + " still holds " + tracked.requests() + " requests and " + tracked.attempts()
                                 + " attempts");
             }
-            ResourceBudget budget = each.budget();
+            ResourceBudget budget = agent.budget();
             if (budget != null) {
-                budget.drift().forEach(line -> day.checker.left(day.now(), each.name() + ": " + line));
-                for (ResourcePurpose purpose : PASSING) {
+                budget.drift()
+                        .forEach(line -> context.checker.reportLeftover(context.now(), agent.name() + ": " + line));
+                for (ResourcePurpose purpose : TRANSIENT_PURPOSES) {
                     if (budget.account(purpose).entries() != 0
                             || budget.account(purpose).bytes() != 0) {
-                        day.checker.left(
-                                day.now(),
-                                each.name() + " still accounts for "
+                        context.checker.reportLeftover(
+                                context.now(),
+                                agent.name() + " still accounts for "
                                         + budget.account(purpose).entries() + " entries of "
                                         + budget.account(purpose).bytes() + " bytes of "
                                         + purpose.label());
                     }
                 }
             }
-            if (held != null && held.servers() > day.padron.listed().size()) {
-                day.checker.left(
-                        day.now(),
-                        each.name() + " keeps something for " + held.servers() + " nodos, of which "
-                                + day.padron.listed().size() + " are listed");
+            if (tracked != null
+                    && tracked.servers() > context.padron.listedNames().size()) {
+                context.checker.reportLeftover(
+                        context.now(),
+                        agent.name() + " keeps something for " + tracked.servers() + " nodos, of which "
+                                + context.padron.listedNames().size() + " are listed");
             }
         }
         if (plan.seconds() >= SOAK_SECONDS) {
-            day.record.held.rising().forEach(line -> day.checker.left(day.now(), line));
+            context.recorder
+                    .resourceUsage
+                    .describeRises()
+                    .forEach(line -> context.checker.reportLeftover(context.now(), line));
         }
-        if (day.record.open() > 0) {
-            day.checker.left(day.now(), day.record.open() + " callers still wait");
+        if (context.recorder.openOperations() > 0) {
+            context.checker.reportLeftover(context.now(), context.recorder.openOperations() + " callers still wait");
         }
-        day.agents.forEach(each -> each.leave(() -> {}));
-        run(time, at + ENDING);
-        for (AgentStandIn each : day.agents) {
-            if (each.machine().running()) {
-                day.checker.left(
-                        day.now(),
-                        each.name() + " has not ended, " + ((VirtualHost) each.machine()).openChannels()
+    }
+
+    /** Checks that nothing is held after the end of the traffic, and shuts the agents down. */
+    private void shutDown(RunContext context, VirtualTime time, long atMicros) {
+        reportLeftovers(context);
+        context.agents.forEach(agent -> agent.shutDown(() -> {}));
+        advanceTo(time, atMicros + SHUTDOWN_MICROS);
+        for (AgentStandIn agent : context.agents) {
+            if (agent.machine().running()) {
+                context.checker.reportLeftover(
+                        context.now(),
+                        agent.name() + " has not ended, " + ((VirtualHost) agent.machine()).openChannels()
                                 + " connections are open");
             }
-            int timers = ((VirtualHost) each.machine()).timersDropped();
-            if (timers > TIMERS_MOST + TIMERS_A_NODO * day.padron.listed().size()) {
-                day.checker.left(day.now(), each.name() + " ended with " + timers + " timers pending");
+            int timers = ((VirtualHost) agent.machine()).droppedTimers();
+            if (timers
+                    > MAX_IDLE_TIMERS
+                            + TIMERS_PER_NODO * context.padron.listedNames().size()) {
+                context.checker.reportLeftover(
+                        context.now(), agent.name() + " ended with " + timers + " timers pending");
             }
         }
-        day.checker.close(day.now());
+        context.checker.close(context.now());
     }
 
-    private LatencyModel links(ResolvedPlan cast) {
-        RandomStream draw = new RandomStream(seed, "links");
-        Plan.Net net = plan.network();
-        double nanosAByte = 8_000 / net.megabits();
+    private LatencyModel latencyModel(ResolvedPlan resolvedPlan) {
+        RandomStream random = new RandomStream(seed, "links");
+        Plan.Net network = plan.network();
+        double nanosPerByte = 8_000 / network.megabits();
         return (from, to, bytes) -> {
-            double oneWay = from == to
+            double oneWayMillis = from == to
                     ? 0.02
-                    : isCaller(from) || isCaller(to)
-                            ? net.clientMs()
-                            : from.zone() == to.zone() ? net.sameMs() : cast.crossMicros() / 1000;
-            double jitter = 1 + net.jitter() * (2 * draw.unit() - 1);
-            return (long) (1e6 * oneWay * jitter + bytes * nanosAByte);
+                    : isClient(from) || isClient(to)
+                            ? network.clientMs()
+                            : from.zone() == to.zone() ? network.sameMs() : resolvedPlan.crossZoneMicros() / 1000;
+            double jitter = 1 + network.jitter() * (2 * random.nextDouble() - 1);
+            return (long) (1e6 * oneWayMillis * jitter + bytes * nanosPerByte);
         };
     }
 
-    private static boolean isCaller(VirtualHost host) {
+    private static boolean isClient(VirtualHost host) {
         return host.name().startsWith("caller");
     }
 }
--- a/src/main/java/gatefront/rehearsal/RehearsalResult.java
+++ b/src/main/java/gatefront/rehearsal/RehearsalResult.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What came of a rehearsal. */
+/** The result of a rehearsal. */
 public final class RehearsalResult {
     private final Plan plan;
     private final long seed;
-    private final ResolvedPlan cast;
-    private final RunRecorder record;
+    private final ResolvedPlan resolvedPlan;
+    private final RunRecorder recorder;
     private final RuleChecker checker;
     private final List<String> log;
     private final long tasks;
@@ -18,83 +18,83 @@
     RehearsalResult(
             Plan plan,
             long seed,
-            ResolvedPlan cast,
-            RunRecorder record,
+            ResolvedPlan resolvedPlan,
+            RunRecorder recorder,
             RuleChecker checker,
             List<String> log,
             long tasks) {
         this.plan = plan;
         this.seed = seed;
-        this.cast = cast;
-        this.record = record;
+        this.resolvedPlan = resolvedPlan;
+        this.recorder = recorder;
         this.checker = checker;
         this.log = List.copyOf(log);
         this.tasks = tasks;
     }
 
-    /** What was played. */
+    /** Returns the plan that was run. */
     public Plan plan() {
         return plan;
     }
 
-    /** From which seed. */
+    /** Returns the seed of the run. */
     public long seed() {
         return seed;
     }
 
-    ResolvedPlan cast() {
-        return cast;
+    ResolvedPlan resolvedPlan() {
+        return resolvedPlan;
     }
 
-    RunRecorder record() {
-        return record;
+    RunRecorder recorder() {
+        return recorder;
     }
 
-    /** The agents' lines, with the time and the agent. */
+    /** Returns the agents' log lines, each with its time and agent. */
     public List<String> log() {
         return log;
     }
 
-    /** Tasks that ran on all loops; a measure of the work, the same for the same seed. */
+    /** Returns the number of tasks run on all event loops, a measure of the work; the same for the same seed. */
     public long tasks() {
         return tasks;
     }
 
-    /** Worth answered in time, over worth asked for, from the first second on. */
+    /** Returns the worth served in time as a share of the worth requested, from the first second on. */
     public double service() {
-        return record.service();
+        return recorder.service();
     }
 
-    /** How many times a rule was broken. */
-    public int broken() {
+    /** Returns the number of breaches. */
+    public int breachCount() {
         return checker.count();
     }
 
-    /** The first of the broken rules. */
+    /** Returns the first breaches. */
     public List<RuleChecker.Breach> breaches() {
         return checker.breaches();
     }
 
-    /** The service of each class, in the plan's order. */
-    public double[] byClass() {
-        double[] by = new double[plan.classes().size()];
-        for (int i = 0; i < by.length; i++) {
-            by[i] = record.serviceOfClass(i);
+    /** Returns the service of each class, in the plan's order. */
+    public double[] serviceByClass() {
+        double[] services = new double[plan.classes().size()];
+        for (int i = 0; i < services.length; i++) {
+            services[i] = recorder.serviceOfClass(i);
         }
-        return by;
+        return services;
     }
 
-    /** One line: the service and whether the rules were kept. */
-    public String line() {
-        int worst = record.worstFrom();
+    /** Returns a one-line summary: the service, and whether the rules were kept. */
+    public String summary() {
+        int worstStart = recorder.worstTenSecondsStart();
         return String.format(
                 Locale.ROOT,
                 "%s, seed %d: service %.4f, worst ten seconds %.4f (from %d s), %s",
                 plan.name(),
                 seed,
                 service(),
-                record.serviceOfTen(worst),
-                worst,
-                broken() == 0 ? "all rules kept" : "RULES BROKEN " + broken() + " times");
+                recorder.serviceOfTenSeconds(worstStart),
+                worstStart,
+                breachCount() == 0 ? "all rules kept" : "RULES BROKEN " + breachCount() + " times");
     }
 }
--- a/src/main/java/gatefront/rehearsal/RelayNetwork.java
+++ b/src/main/java/gatefront/rehearsal/RelayNetwork.java
@@ -141,9 +141,9 @@
                 of(agent, kind).forEach(each -> each.shape(way, shape));
             }
             if (shape == LinkConditions.CLEAR) {
-                span.ends(day.now());
+                span.ends(context.now());
             } else {
-                span.begins(day.now());
+                span.begins(context.now());
             }
         }
     }
@@ -152,9 +152,9 @@
     void breaks(int agent, Links links, boolean halfOpen) {
         for (Links kind : kinds(links)) {
             Span span = troubled.computeIfAbsent(at(agent, kind), key -> new Span());
-            if (!span.meets(day.now(), day.now())) {
-                span.begins(day.now());
-                span.ends(day.now());
+            if (!span.meets(context.now(), context.now())) {
+                span.begins(context.now());
+                span.ends(context.now());
             }
             of(agent, kind).forEach(halfOpen ? Relay::halfOpen : Relay::reset);
         }
@@ -164,9 +164,9 @@
     void stopped(int agent, boolean now) {
         Span span = stopped.computeIfAbsent(agent, key -> new Span());
         if (now) {
-            span.begins(day.now());
+            span.begins(context.now());
         } else {
-            span.ends(day.now());
+            span.ends(context.now());
         }
     }
 
@@ -175,46 +175,46 @@
     }
 
     @Override
-    public InetSocketAddress nodo(int agent, InetSocketAddress at) {
+    public InetSocketAddress nodoAddress(int agent, InetSocketAddress at) {
         return relay(agent, Links.NODOS, at).address();
     }
 
     @Override
-    public InetSocketAddress padron(int agent, InetSocketAddress at) {
+    public InetSocketAddress padronAddress(int agent, InetSocketAddress at) {
         return relay(agent, Links.PADRON, at).address();
     }
 
     @Override
-    public boolean heard(int agent) {
+    public boolean padronReaches(int agent) {
         Span span = troubled.get(at(agent, Links.PADRON));
-        return span == null || !span.meets(day.now() - CATCHING_UP, day.now());
+        return span == null || !span.meets(context.now() - CATCHING_UP, context.now());
     }
 
     @Override
-    public long sentAt(int agent, long now) {
+    public long earliestSendMicros(int agent, long now) {
         Span span = troubled.get(at(agent, Links.NODOS));
         return span != null && span.meets(now - CATCHING_UP, now) ? Math.min(now, span.from) : now;
     }
 
     @Override
-    public boolean owes(int agent, long from, long until) {
+    public boolean reachableThroughout(int agent, long from, long until) {
         Span stop = stopped.get(agent);
         Span link = troubled.get(at(agent, Links.CALLERS));
         return (stop == null || !stop.meets(from, until)) && (link == null || !link.meets(from, until));
     }
 
     @Override
-    public void served(long now, int agent) {
+    public void requestServed(long now, int agent) {
         timeline.reached(agent, StartTimeline.Mark.SERVES, now);
     }
 
     @Override
-    public void begun(long now, int agent, int nodo) {
-        hand.begun(now, agent, nodo);
+    public void attemptStarted(long now, int agent, int nodo) {
+        hand.attemptStarted(now, agent, nodo);
     }
 
     @Override
-    public void note(long at, String request, String what) {
+    public void requestEvent(long at, String request, String what) {
         chronicle.request(at, request, what);
     }
 }
--- a/src/main/java/gatefront/rehearsal/ResolvedPlan.java
+++ b/src/main/java/gatefront/rehearsal/ResolvedPlan.java
@@ -10,100 +10,112 @@
 import java.util.stream.IntStream;
 
 /**
- * What a seed makes of a plan: every figure that the plan gives as a range. Each concern has a random source of
- * its own, so that one fault more or less leaves the rest as it was.
+ * A plan with every range resolved to a figure by the seed. Each purpose has its own source of random numbers, so
+ * that adding or removing a fault leaves the other figures unchanged.
  *
- * @param nodos the nodos there are at the start
- * @param kinds what callers ask for
- * @param agentZones where the agents stand
- * @param agentShares what part of the requests each gets
- * @param tryShare the part of a class's time after which a try is given up
- * @param crossMicros one way between the salas
- * @param reportMicros how long a load report stands
- * @param probeMicros the work of a probe
- * @param connectionMicros the work of a new connection
- * @param troubles what goes wrong, by time
+ * @param nodos the initial nodos
+ * @param classes the classes of requests
+ * @param agentZones the zone index of each agent
+ * @param agentShares the relative share of requests that each agent gets
+ * @param tryShare the share of a class's time to give up after which one try is given up
+ * @param crossZoneMicros the one-way latency between salas, in microseconds
+ * @param loadReportMicros how long a load report remains in force, in microseconds
+ * @param probeWorkMicros the work of a probe, in microseconds on a core of speed 1
+ * @param connectionWorkMicros the work of a new connection, in microseconds on a core of speed 1
+ * @param faults the faults, by start time
  */
 record ResolvedPlan(
         List<Nodo> nodos,
-        List<Demand.Kind> kinds,
+        List<Demand.RequestClass> classes,
         int[] agentZones,
         double[] agentShares,
         double tryShare,
-        double crossMicros,
-        long reportMicros,
-        double probeMicros,
-        double connectionMicros,
-        List<Trouble> troubles) {
-    /** A nodo: its place and its machine; {@code limit} is what its bloque leaves it. */
+        double crossZoneMicros,
+        long loadReportMicros,
+        double probeWorkMicros,
+        double connectionWorkMicros,
+        List<ScheduledFault> faults) {
+    /** A nodo with its place and machine; {@code limit} is the share of its capacity that its bloque allows. */
     record Nodo(int zone, int cell, String kind, double weight, NodoModel.Machine machine, double limit) {}
 
-    /** A fault with its figures; targets are indexes of nodos or agents. Times in microseconds. */
-    record Trouble(Fault fault, long at, long lasts, int[] targets, double size, long every, long spread) {
-        /** When the last of those that it meets is done with. */
-        long until() {
-            return at + lasts + spread;
+    /** A fault with its resolved figures; targets are indexes of nodos or agents. Times count from the opening. */
+    record ScheduledFault(
+            Fault fault,
+            long startMicros,
+            long durationMicros,
+            int[] targets,
+            double size,
+            long periodMicros,
+            long spreadMicros) {
+        /** Returns when the fault has ended for the last of its targets. */
+        long endMicros() {
+            return startMicros + durationMicros + spreadMicros;
         }
 
-        /** By how much later than the first the n-th of them is met. */
-        long later(int n) {
-            return targets.length < 2 ? 0 : spread * n / (targets.length - 1);
+        /** Returns by how much later the fault starts for the target at an index than for the first. */
+        long offsetMicros(int index) {
+            return targets.length < 2 ? 0 : spreadMicros * index / (targets.length - 1);
         }
     }
 
     static ResolvedPlan of(Plan plan, long seed) {
-        RandomStream draw = new RandomStream(seed, "cast");
-        Plan.Nodos told = plan.nodos();
-        List<Demand.Kind> kinds = new ArrayList<>();
-        for (Plan.Kind each : plan.classes()) {
-            kinds.add(new Demand.Kind(
-                    each.name(), each.share(), 1000 * each.workMs().draw(draw::between), each.variation()));
+        RandomStream random = new RandomStream(seed, "cast");
+        Plan.Nodos nodoPlan = plan.nodos();
+        List<Demand.RequestClass> classes = new ArrayList<>();
+        for (Plan.Kind requestClass : plan.classes()) {
+            classes.add(new Demand.RequestClass(
+                    requestClass.name(),
+                    requestClass.share(),
+                    1000 * requestClass.workMs().draw(random::uniform),
+                    requestClass.variation()));
         }
-        int agents = plan.agents().count();
-        int[] zones = new int[agents];
-        double[] shares = new double[agents];
-        for (int i = 0; i < agents; i++) {
-            zones[i] = zone(plan, i);
-            shares[i] = 1 / StrictMath.pow(i + 1, plan.agents().skew());
+        int agentCount = plan.agents().count();
+        int[] agentZones = new int[agentCount];
+        double[] agentShares = new double[agentCount];
+        for (int i = 0; i < agentCount; i++) {
+            agentZones[i] = zone(plan, i);
+            agentShares[i] = 1 / StrictMath.pow(i + 1, plan.agents().skew());
         }
         List<Nodo> nodos = nodos(plan, new RandomStream(seed, "nodos"), new RandomStream(seed, "starts"));
         return new ResolvedPlan(
                 nodos,
-                List.copyOf(kinds),
-                zones,
-                shares,
-                plan.callers().tryShare().draw(draw::between),
-                1000 * plan.network().crossMs().draw(draw::between),
-                (long) (1000 * told.reportMs().draw(draw::between)),
-                1000 * told.probeMs().draw(draw::between),
-                1000 * told.connectionMs().draw(draw::between),
-                troubles(plan, seed));
+                List.copyOf(classes),
+                agentZones,
+                agentShares,
+                plan.callers().tryShare().draw(random::uniform),
+                1000 * plan.network().crossMs().draw(random::uniform),
+                (long) (1000 * nodoPlan.reportMs().draw(random::uniform)),
+                1000 * nodoPlan.probeMs().draw(random::uniform),
+                1000 * nodoPlan.connectionMs().draw(random::uniform),
+                resolveFaults(plan, seed));
     }
 
-    private static NodoModel.Warmth warmth(double from, double seconds) {
-        return new NodoModel.Warmth(from, (long) (1e6 * seconds));
+    private static NodoModel.Warmup warmup(double initialShare, double durationSeconds) {
+        return new NodoModel.Warmup(initialShare, (long) (1e6 * durationSeconds));
     }
 
-    private static List<Nodo> nodos(Plan plan, RandomStream draw, RandomStream starts) {
-        Plan.Nodos told = plan.nodos();
-        double[] shares = told.kinds().stream().mapToDouble(Plan.Machine::share).toArray();
-        double limitedShare = told.limited().draw(draw::between);
+    private static List<Nodo> nodos(Plan plan, RandomStream random, RandomStream startRandom) {
+        Plan.Nodos nodoPlan = plan.nodos();
+        double[] kindShares =
+                nodoPlan.kinds().stream().mapToDouble(Plan.Machine::share).toArray();
+        double limitedShare = nodoPlan.limited().draw(random::uniform);
         List<Nodo> nodos = new ArrayList<>();
-        int[] left = new int[plan.zones().size()];
+        int[] remainingInCell = new int[plan.zones().size()];
         int[] cells = new int[plan.zones().size()];
-        double[] limits = new double[plan.zones().size()];
-        int[] kinds = dealt(shares, told.count(), draw);
+        double[] cellLimits = new double[plan.zones().size()];
+        int[] kindIndexes = assignKinds(kindShares, nodoPlan.count(), random);
         int nextCell = 0;
-        for (int i = 0; i < told.count(); i++) {
+        for (int i = 0; i < nodoPlan.count(); i++) {
             int zone = zone(plan, i);
-            if (left[zone] == 0) {
-                left[zone] = (int) StrictMath.rint(told.bloque().draw(draw::between));
+            if (remainingInCell[zone] == 0) {
+                remainingInCell[zone] = (int) StrictMath.rint(nodoPlan.bloque().draw(random::uniform));
                 cells[zone] = nextCell++;
-                limits[zone] = draw.unit() < limitedShare ? told.limit().draw(draw::between) : 1;
+                cellLimits[zone] =
+                        random.nextDouble() < limitedShare ? nodoPlan.limit().draw(random::uniform) : 1;
             }
-            left[zone]--;
-            Plan.Machine kind = told.kinds().get(kinds[i]);
-            double speed = kind.speed().draw(draw::between);
+            remainingInCell[zone]--;
+            Plan.Machine kind = nodoPlan.kinds().get(kindIndexes[i]);
+            double speed = kind.speed().draw(random::uniform);
             NodoModel.Machine machine = new NodoModel.Machine(
                     kind.cores(),
                     speed,
@@ -111,103 +123,109 @@
                     kind.room(),
                     kind.thrash(),
                     kind.thrashAt(),
-                    warmth(
-                            told.coldFrom().draw(starts::between),
-                            told.coldSeconds().draw(starts::between)),
-                    warmth(told.coldFrom().low(), told.coldSeconds().high()),
+                    warmup(
+                            nodoPlan.coldFrom().draw(startRandom::uniform),
+                            nodoPlan.coldSeconds().draw(startRandom::uniform)),
+                    warmup(nodoPlan.coldFrom().low(), nodoPlan.coldSeconds().high()),
                     plan.rules().fallMultiple(),
                     (long) (1e6 * plan.rules().fallSeconds()));
-            double weight = StrictMath.rint(10 * kind.cores() * speed * draw.between(0.8, 1.2)) / 10;
-            nodos.add(new Nodo(zone, cells[zone], kind.name(), weight, machine, limits[zone]));
+            double weight = StrictMath.rint(10 * kind.cores() * speed * random.uniform(0.8, 1.2)) / 10;
+            nodos.add(new Nodo(zone, cells[zone], kind.name(), weight, machine, cellLimits[zone]));
         }
         return List.copyOf(nodos);
     }
 
-    /** As many of each kind as its share says, in an order of chance: a small fleet must not be all of one. */
-    private static int[] dealt(double[] shares, int count, RandomStream draw) {
-        double all = java.util.Arrays.stream(shares).sum();
-        int[] dealt = new int[count];
+    /**
+     * Assigns as many nodos to each kind as its share says, in random order. Drawing each nodo independently could
+     * give a small fleet nodos of one kind only.
+     */
+    private static int[] assignKinds(double[] shares, int count, RandomStream random) {
+        double totalShare = java.util.Arrays.stream(shares).sum();
+        int[] assigned = new int[count];
         double due = 0;
         int next = 0;
         for (int kind = 0; kind < shares.length; kind++) {
-            due += count * shares[kind] / all;
+            due += count * shares[kind] / totalShare;
             while (next < count && (next < StrictMath.rint(due) || kind == shares.length - 1)) {
-                dealt[next++] = kind;
+                assigned[next++] = kind;
             }
         }
         for (int i = count - 1; i > 0; i--) {
-            int j = draw.below(i + 1);
-            int swap = dealt[i];
-            dealt[i] = dealt[j];
-            dealt[j] = swap;
+            int j = random.nextInt(i + 1);
+            int swap = assigned[i];
+            assigned[i] = assigned[j];
+            assigned[j] = swap;
         }
-        return dealt;
+        return assigned;
     }
 
-    /** What all nodos can do, warm and with nothing wrong, in cores of speed 1. */
+    /** Returns the capacity of all nodos when warm and without faults, in cores of speed 1. */
     double capacity() {
         return nodos.stream()
-                .mapToDouble(each -> each.machine().cores() * each.machine().speed() * each.limit())
+                .mapToDouble(nodo -> nodo.machine().cores() * nodo.machine().speed() * nodo.limit())
                 .sum();
     }
 
-    /** What callers ask for, in cores of speed 1. */
+    /** Returns the work demanded by clients, in cores of speed 1. */
     double demand(double ratePerSecond) {
-        double shares = kinds.stream().mapToDouble(Demand.Kind::share).sum();
+        double totalShare =
+                classes.stream().mapToDouble(Demand.RequestClass::share).sum();
         return ratePerSecond
                 / 1e6
-                * kinds.stream()
-                        .mapToDouble(each -> each.meanWork() * each.share())
+                * classes.stream()
+                        .mapToDouble(requestClass -> requestClass.meanWorkMicros() * requestClass.share())
                         .sum()
-                / shares;
+                / totalShare;
     }
 
-    private static List<Trouble> troubles(Plan plan, long seed) {
-        List<Trouble> troubles = new ArrayList<>();
+    private static List<ScheduledFault> resolveFaults(Plan plan, long seed) {
+        List<ScheduledFault> scheduledFaults = new ArrayList<>();
         for (int i = 0; i < plan.faults().size(); i++) {
             Fault fault = plan.faults().get(i);
-            RandomStream draw = new RandomStream(seed, "fault " + i + " " + fault.kind());
-            int most =
+            RandomStream random = new RandomStream(seed, "fault " + i + " " + fault.kind());
+            int memberCount =
                     switch (fault.kind().whom()) {
                         case NODOS -> plan.nodos().count();
                         case AGENTS -> plan.agents().count();
                         case NOBODY -> 0;
                     };
-            troubles.add(new Trouble(
+            scheduledFaults.add(new ScheduledFault(
                     fault,
-                    (long) (1e6 * fault.at().draw(draw::between)),
-                    (long) (1e6 * fault.lasts().draw(draw::between)),
-                    targets(plan, fault, most, draw),
-                    fault.size().draw(draw::between),
-                    (long) (1e6 * fault.every().draw(draw::between)),
-                    (long) (1e6 * fault.spread().draw(draw::between))));
+                    (long) (1e6 * fault.at().draw(random::uniform)),
+                    (long) (1e6 * fault.lasts().draw(random::uniform)),
+                    targets(plan, fault, memberCount, random),
+                    fault.size().draw(random::uniform),
+                    (long) (1e6 * fault.every().draw(random::uniform)),
+                    (long) (1e6 * fault.spread().draw(random::uniform))));
         }
-        troubles.sort((a, b) -> Long.compare(a.at, b.at));
-        return List.copyOf(troubles);
+        scheduledFaults.sort((a, b) -> Long.compare(a.startMicros, b.startMicros));
+        return List.copyOf(scheduledFaults);
     }
 
-    /** Nodos and agents stand in the salas in turn. */
+    /** Returns the zone of a nodo or agent; both are placed in the salas in turn. */
     private static int zone(Plan plan, int number) {
         return number % plan.zones().size();
     }
 
-    private static int[] targets(Plan plan, Fault fault, int count, RandomStream draw) {
+    private static int[] targets(Plan plan, Fault fault, int memberCount, RandomStream random) {
         if (!fault.names().isEmpty()) {
             return fault.names().stream()
                     .mapToInt(name -> Integer.parseInt(name.substring(name.indexOf('-') + 1)) - 1)
                     .toArray();
         }
-        int[] all = IntStream.range(0, count)
+        int[] candidates = IntStream.range(0, memberCount)
                 .filter(i -> fault.zone() < 0 || zone(plan, i) == fault.zone())
                 .toArray();
-        int most = all.length;
-        int n = most == 0 || fault.share() == 0 ? 0 : Math.max(1, (int) StrictMath.rint(fault.share() * most));
-        for (int i = 0; i < n; i++) { // the first steps of a shuffle
-            int j = i + draw.below(most - i);
-            int swap = all[i];
-            all[i] = all[j];
-            all[j] = swap;
+        int candidateCount = candidates.length;
+        int targetCount = candidateCount == 0 || fault.share() == 0
+                ? 0
+                : Math.max(1, (int) StrictMath.rint(fault.share() * candidateCount));
+        for (int i = 0; i < targetCount; i++) { // a partial Fisher-Yates shuffle
+            int j = i + random.nextInt(candidateCount - i);
+            int swap = candidates[i];
+            candidates[i] = candidates[j];
+            candidates[j] = swap;
         }
-        return java.util.Arrays.copyOf(all, n);
+        return java.util.Arrays.copyOf(candidates, targetCount);
     }
 }
--- a/src/main/java/gatefront/rehearsal/ResourceUsage.java
+++ b/src/main/java/gatefront/rehearsal/ResourceUsage.java
@@ -11,93 +11,93 @@
 import java.util.Locale;
 
 /**
- * What the agents held over a day, by purpose: of each stretch of time the most and the least that any agent held. What
- * never goes away shows in the least.
+ * The resources held by the agents during a run, by purpose: the highest and the lowest number of entries that any
+ * agent held in each interval. A leak shows in the lowest number.
  */
 final class ResourceUsage {
-    /** A long day is kept by the minute, so that the report stays readable. */
-    private static final int SECONDS_MOST = 3_600;
+    /** Longer runs are recorded by the minute, so that the report stays readable. */
+    private static final int MAX_SECONDS_PER_SECOND_INTERVALS = 3_600;
 
-    private static final int MINUTE = 60;
-    /** From the third quarter to the last the floor may rise by this part, and by so many entries. */
-    private static final double RISE_PART = 0.1;
+    private static final int LONG_INTERVAL_SECONDS = 60;
+    /** From the third to the last quarter the mean minimum may rise by this share plus {@link #MAX_RISE_ENTRIES}. */
+    private static final double MAX_RISE_SHARE = 0.1;
 
-    private static final double RISE_ENTRIES = 2;
+    private static final double MAX_RISE_ENTRIES = 2;
 
-    /** How long a stretch is, in seconds. */
-    final int every;
-    /** By purpose and stretch, over the agents that ran. */
-    final long[][] most;
+    /** Length of an interval, in seconds. */
+    final int intervalSeconds;
+    /** By purpose and interval, over all running agents. */
+    final long[][] maxEntries;
 
-    final long[][] least;
-    final long[][] bytes;
+    final long[][] minEntries;
+    final long[][] maxBytes;
 
     ResourceUsage(int seconds) {
-        every = seconds > SECONDS_MOST ? MINUTE : 1;
-        int stretches = (seconds + every - 1) / every;
-        most = new long[ResourcePurpose.values().length][stretches];
-        least = new long[ResourcePurpose.values().length][stretches];
-        bytes = new long[ResourcePurpose.values().length][stretches];
-        for (long[] each : least) {
-            Arrays.fill(each, Long.MAX_VALUE);
+        intervalSeconds = seconds > MAX_SECONDS_PER_SECOND_INTERVALS ? LONG_INTERVAL_SECONDS : 1;
+        int intervals = (seconds + intervalSeconds - 1) / intervalSeconds;
+        maxEntries = new long[ResourcePurpose.values().length][intervals];
+        minEntries = new long[ResourcePurpose.values().length][intervals];
+        maxBytes = new long[ResourcePurpose.values().length][intervals];
+        for (long[] minimums : minEntries) {
+            Arrays.fill(minimums, Long.MAX_VALUE);
         }
     }
 
-    /** Looks at an agent. */
-    void seen(int second, ResourceBudget budget) {
-        int at = Math.min(most[0].length - 1, second / every);
-        for (ResourcePurpose each : ResourcePurpose.values()) {
-            ResourceAccount account = budget.account(each);
-            int i = each.ordinal();
-            most[i][at] = Math.max(most[i][at], account.entries());
-            least[i][at] = Math.min(least[i][at], account.entries());
-            bytes[i][at] = Math.max(bytes[i][at], account.bytes());
+    /** Samples an agent. */
+    void sample(int second, ResourceBudget budget) {
+        int interval = Math.min(maxEntries[0].length - 1, second / intervalSeconds);
+        for (ResourcePurpose purpose : ResourcePurpose.values()) {
+            ResourceAccount account = budget.account(purpose);
+            int index = purpose.ordinal();
+            maxEntries[index][interval] = Math.max(maxEntries[index][interval], account.entries());
+            minEntries[index][interval] = Math.min(minEntries[index][interval], account.entries());
+            maxBytes[index][interval] = Math.max(maxBytes[index][interval], account.bytes());
         }
     }
 
-    /** The mean of the least of each stretch in one quarter of the day, the first being 0. */
-    private double floor(ResourcePurpose purpose, int quarter) {
-        long[] all = least[purpose.ordinal()];
-        return Arrays.stream(all, all.length * quarter / 4, Math.max(1, all.length * (quarter + 1) / 4))
-                .filter(each -> each < Long.MAX_VALUE)
+    /** Returns the mean over one quarter of the run of the minimum of each interval; the first quarter is 0. */
+    private double meanMinimum(ResourcePurpose purpose, int quarter) {
+        long[] minimums = minEntries[purpose.ordinal()];
+        return Arrays.stream(minimums, minimums.length * quarter / 4, Math.max(1, minimums.length * (quarter + 1) / 4))
+                .filter(entries -> entries < Long.MAX_VALUE)
                 .average()
                 .orElse(0);
     }
 
-    /** A line for each purpose whose floor has risen from the third quarter to the last. */
-    List<String> rising() {
+    /** Returns a line for each purpose whose mean minimum has risen from the third quarter to the last. */
+    List<String> describeRises() {
         List<String> lines = new ArrayList<>();
-        for (ResourcePurpose each : ResourcePurpose.values()) {
-            double third = floor(each, 2);
-            double last = floor(each, 3);
-            if (last > third * (1 + RISE_PART) + RISE_ENTRIES) {
+        for (ResourcePurpose purpose : ResourcePurpose.values()) {
+            double thirdQuarter = meanMinimum(purpose, 2);
+            double lastQuarter = meanMinimum(purpose, 3);
+            if (lastQuarter > thirdQuarter * (1 + MAX_RISE_SHARE) + MAX_RISE_ENTRIES) {
                 lines.add(String.format(
                         Locale.ROOT,
                         "what is held for %s rose from %.1f entries in the third quarter " + "to %.1f in the last",
-                        each.label(),
-                        third,
-                        last));
+                        purpose.label(),
+                        thirdQuarter,
+                        lastQuarter));
             }
         }
         return lines;
     }
 
-    /** By purpose: the most and the least of each stretch, and the most bytes. */
-    void json(ObjectNode root) {
-        root.put("seconds_a_stretch", every);
-        for (ResourcePurpose each : ResourcePurpose.values()) {
-            ObjectNode one = root.putObject(each.label());
-            one.put("third_quarter", JsonReport.round(floor(each, 2)))
-                    .put("last_quarter", JsonReport.round(floor(each, 3)));
-            add(one.putArray("most"), most[each.ordinal()]);
-            add(one.putArray("least"), least[each.ordinal()]);
-            add(one.putArray("bytes"), bytes[each.ordinal()]);
+    /** Writes by purpose the highest and lowest number of entries and the highest number of bytes per interval. */
+    void writeTo(ObjectNode root) {
+        root.put("seconds_a_stretch", intervalSeconds);
+        for (ResourcePurpose purpose : ResourcePurpose.values()) {
+            ObjectNode node = root.putObject(purpose.label());
+            node.put("third_quarter", JsonReport.round(meanMinimum(purpose, 2)))
+                    .put("last_quarter", JsonReport.round(meanMinimum(purpose, 3)));
+            add(node.putArray("most"), maxEntries[purpose.ordinal()]);
+            add(node.putArray("least"), minEntries[purpose.ordinal()]);
+            add(node.putArray("bytes"), maxBytes[purpose.ordinal()]);
         }
     }
 
-    private static void add(ArrayNode to, long[] figures) {
-        for (long each : figures) {
-            to.add(each == Long.MAX_VALUE ? -1 : each);
+    private static void add(ArrayNode array, long[] values) {
+        for (long figure : values) {
+            array.add(figure == Long.MAX_VALUE ? -1 : figure);
         }
     }
 }
--- a/src/main/java/gatefront/rehearsal/RunContext.java
+++ b/src/main/java/gatefront/rehearsal/RunContext.java
@@ -20,228 +20,247 @@
 import java.util.function.Function;
 import java.util.function.IntFunction;
 
-/** One day that is played: what all the stand-ins of it share. */
+/** One run of a plan: the state that all its stand-ins share. */
 final class RunContext {
-    /** Makes the machines of a day, on virtual time or on sockets. */
-    interface Machines {
-        /** A machine in a zone; the log gets its process's lines. */
-        Machine make(String name, InetAddress address, int zone, long memory, Log log);
+    /** Creates the machines of a run, on virtual time or on sockets. */
+    interface MachineFactory {
+        /** Creates a machine in a zone; the sink gets the log lines of its process. */
+        Machine create(String name, InetAddress address, int zone, long memory, LogSink log);
     }
 
-    /** Where a process's lines go. */
-    interface Log {
+    /** Receives the log lines of a process. */
+    interface LogSink {
         void line(String text);
     }
 
-    /** How processes reach each other: straight, or over relays. */
-    interface Ways {
-        /** Nothing stands between. */
-        Ways STRAIGHT = new Ways() {};
+    /** The network paths between processes: direct or through relays. */
+    interface NetworkPaths {
+        /** Direct connections. */
+        NetworkPaths DIRECT = new NetworkPaths() {};
 
-        /** Where an agent reaches a nodo that listens at an address. */
-        default InetSocketAddress nodo(int agent, InetSocketAddress at) {
+        /** Returns the address at which an agent reaches a nodo that listens at an address. */
+        default InetSocketAddress nodoAddress(int agent, InetSocketAddress at) {
             return at;
         }
 
-        /** Where an agent reaches its padrón. */
-        default InetSocketAddress padron(int agent, InetSocketAddress at) {
+        /** Returns the address at which an agent reaches its padrón. */
+        default InetSocketAddress padronAddress(int agent, InetSocketAddress at) {
             return at;
         }
 
-        /** Whether what the padrón writes reaches an agent now. */
-        default boolean heard(int agent) {
+        /** Whether messages from the padrón reach an agent now. */
+        default boolean padronReaches(int agent) {
             return true;
         }
 
-        /** For how long, at the most, the rig itself did nothing between two times of the day, in microseconds. */
-        default long late(long from, long until) {
+        /**
+         * Returns the longest time for which the rehearsal itself stalled between two times of the run, in
+         * microseconds.
+         */
+        default long maxStallMicros(long from, long until) {
             return 0;
         }
 
-        /** The earliest time at which an agent can have sent what a nodo reads now. */
-        default long sentAt(int agent, long now) {
+        /** Returns the earliest time at which an agent can have sent what a nodo reads now, in microseconds. */
+        default long earliestSendMicros(int agent, long now) {
             return now;
         }
 
-        /** Whether an agent ran, and its answers arrived, all the time between two times. */
-        default boolean owes(int agent, long from, long until) {
+        /** Whether an agent ran, and its responses could arrive, during the whole period between two times. */
+        default boolean reachableThroughout(int agent, long from, long until) {
             return true;
         }
 
-        /** An agent has served a caller. */
-        default void served(long now, int agent) {}
+        /** Called when an agent has served a request. */
+        default void requestServed(long now, int agent) {}
 
-        /** The first of an attempt has come to a nodo. */
-        default void begun(long now, int agent, int nodo) {}
+        /** Called when the first bytes of an attempt have arrived at a nodo. */
+        default void attemptStarted(long now, int agent, int nodo) {}
     }
 
     final Plan plan;
     final long seed;
-    /** Set before the day begins. */
-    Ways ways = Ways.STRAIGHT;
-    /** What the rig's own lateness may blur, in microseconds. */
-    final long slack;
+    /** Set before the run starts. */
+    NetworkPaths paths = NetworkPaths.DIRECT;
+    /** Tolerance for the rehearsal's own delays, in microseconds. */
+    final long slackMicros;
 
-    final ResolvedPlan cast;
-    /** What Thrift is spoken; null for HTTP. */
-    final MessageFormat form;
+    final ResolvedPlan resolvedPlan;
+    /** The Thrift format in use, or null for HTTP. */
+    final MessageFormat thriftFormat;
 
     final RuleChecker checker;
-    final RunRecorder record;
-    final Machines machines;
+    final RunRecorder recorder;
+    final MachineFactory machines;
     final LoopbackAddresses addresses;
     private final List<Machine> allMachines = new ArrayList<>();
     final PadronStandIn padron;
     final List<NodoStandIn> nodos = new ArrayList<>();
     final List<AgentStandIn> agents = new ArrayList<>();
-    final List<ClientStandIn> callers = new ArrayList<>();
+    final List<ClientStandIn> clients = new ArrayList<>();
     /**
-     * What each request on its way takes: entered when it is sent, removed by its caller some time after its
-     * last try; no more than the tries of that time.
+     * The operation of each request id: added when the request is sent, removed by its client some time after the try
+     * has ended. Bounded by the number of tries in that time.
      */
-    final Map<String, Demand.Want> wants = new HashMap<>();
+    final Map<String, Demand.Operation> operations = new HashMap<>();
 
-    private final Map<Long, IdempotencyWindow> repeats = new LinkedHashMap<>();
-    private final Machine world;
+    private final Map<Long, IdempotencyWindow> idempotencyWindows = new LinkedHashMap<>();
+    private final Machine worldMachine;
     private final long startNanos;
-    private boolean strangers;
-    private final IntFunction<AgentStandIn> agentStands;
+    private boolean servesUnknownRequests;
+    private final IntFunction<AgentStandIn> agentFactory;
 
     RunContext(
             Plan plan,
             long seed,
-            long slack,
+            long slackMicros,
             LoopbackAddresses addresses,
-            Machines machines,
+            MachineFactory machines,
             Function<RunContext, IntFunction<AgentStandIn>> agents) {
         this.plan = plan;
         this.seed = seed;
-        this.slack = slack;
+        this.slackMicros = slackMicros;
         this.machines = (name, address, zone, memory, log) -> {
-            Machine made = machines.make(name, address, zone, memory, log);
-            allMachines.add(made);
-            return made;
+            Machine machine = machines.create(name, address, zone, memory, log);
+            allMachines.add(machine);
+            return machine;
         };
         this.addresses = addresses;
-        this.cast = ResolvedPlan.of(plan, seed);
-        this.form = ThriftPayloads.form(plan.network().protocol());
+        this.resolvedPlan = ResolvedPlan.of(plan, seed);
+        this.thriftFormat = ThriftPayloads.format(plan.network().protocol());
         this.checker = new RuleChecker(
                 new RuleChecker.Limits(
                         (long) (1000 * plan.rules().slackMs()),
                         (long) (1000 * plan.rules().drainMs()),
-                        slack),
+                        slackMicros),
                 plan.classes().stream()
-                        .map(each -> new RuleChecker.Kind(
-                                each.name(), each.semantics(), each.scope(), (long) (1000 * each.windowMs())))
+                        .map(requestClass -> new RuleChecker.RequestClass(
+                                requestClass.name(), requestClass.semantics(), requestClass.scope(), (long)
+                                        (1000 * requestClass.windowMs())))
                         .toList());
-        this.record = new RunRecorder(plan, cast);
-        this.world = this.machines.make("world", addresses.of(0, 0), 0, 1 << 30, line -> {});
-        this.startNanos = world.transport().nanos();
+        this.recorder = new RunRecorder(plan, resolvedPlan);
+        this.worldMachine = this.machines.create("world", addresses.of(0, 0), 0, 1 << 30, line -> {});
+        this.startNanos = worldMachine.transport().nanos();
         this.padron = new PadronStandIn(this);
-        this.agentStands = agents.apply(this);
+        this.agentFactory = agents.apply(this);
     }
 
-    /** Microseconds since the day began. */
+    /** Returns the microseconds since the run started. */
     long now() {
-        return micros(world.transport().nanos());
+        return toRunMicros(worldMachine.transport().nanos());
     }
 
-    /** A time of the clock in microseconds of the day. */
-    long micros(long nanos) {
+    /** Converts nanoseconds of the clock to microseconds of the run. */
+    long toRunMicros(long nanos) {
         return (nanos - startNanos) / 1000;
     }
 
-    /** A time of the day in microseconds of the clock that all processes of the machine share. */
-    long clock(long micros) {
+    /** Converts microseconds of the run to microseconds of the clock that all processes of the machine share. */
+    long toClockMicros(long micros) {
         return startNanos / 1000 + micros;
     }
 
-    /** Milliseconds since 1970 by the time of day. */
+    /** Returns the time of day in milliseconds since 1970. */
     long wallMillis() {
-        return world.transport().wallMicros() / 1000;
+        return worldMachine.transport().wallMicros() / 1000;
     }
 
     EventLoop loop() {
-        return world.transport().loop();
+        return worldMachine.transport().loop();
     }
 
-    RandomStream draw(String concern) {
-        return new RandomStream(seed, concern);
+    RandomStream random(String purpose) {
+        return new RandomStream(seed, purpose);
     }
 
-    /** Has something done at a time of the day; now, if that has passed. */
-    void at(long micros, Runnable what) {
-        loop().schedule(what, Math.max(0, micros - now()), TimeUnit.MICROSECONDS);
+    /** Schedules a task at a time of the run, or at once if that time has passed. */
+    void schedule(long atMicros, Runnable task) {
+        loop().schedule(task, Math.max(0, atMicros - now()), TimeUnit.MICROSECONDS);
     }
 
-    /** From now on nodos serve requests that no caller here has sent, with the mean work of their class. */
-    void takeStrangers() {
-        strangers = true;
+    /** Lets nodos serve requests that no client of this run has sent, with the mean work of their class. */
+    void serveUnknownRequests() {
+        servesUnknownRequests = true;
     }
 
-    /** What a request takes, or null if nobody here has sent it. */
-    Demand.Want want(String id, String kind) {
-        Demand.Want want = wants.get(id);
-        int index = plan.classes().stream().map(Plan.Kind::name).toList().indexOf(kind);
-        return want != null || !strangers || index < 0
-                ? want
-                : new Demand.Want(0, now(), index, 0, 0, cast.kinds().get(index).meanWork(), 1);
+    /** Returns the operation of a request, or null if no client of this run has sent it. */
+    Demand.Operation operation(String id, String className) {
+        Demand.Operation known = operations.get(id);
+        int classIndex = plan.classes().stream().map(Plan.Kind::name).toList().indexOf(className);
+        return known != null || !servesUnknownRequests || classIndex < 0
+                ? known
+                : new Demand.Operation(
+                        0,
+                        now(),
+                        classIndex,
+                        0,
+                        0,
+                        resolvedPlan.classes().get(classIndex).meanWorkMicros(),
+                        1);
     }
 
-    /** Brings everything up; callers come once all is ready. */
-    void begin() {
+    /** Starts the padrón, the nodos and the agents. Traffic opens once all are ready. */
+    void start() {
         padron.start();
-        for (int i = 0; i < cast.nodos().size(); i++) {
-            NodoStandIn nodo = addNodo(cast.nodos().get(i));
+        for (int i = 0; i < resolvedPlan.nodos().size(); i++) {
+            NodoStandIn nodo = addNodo(resolvedPlan.nodos().get(i));
             nodo.start(false);
             padron.list(nodo, 0);
         }
         for (int i = 0; i < plan.agents().count(); i++) {
-            AgentStandIn agent = agentStands.apply(i);
+            AgentStandIn agent = agentFactory.apply(i);
             agents.add(agent);
-            callers.add(new ClientStandIn(
+            clients.add(new ClientStandIn(
                     this,
                     i,
-                    machines.make("caller-" + (i + 1), addresses.of(9, i), cast.agentZones()[i], 1 << 30, line -> {}),
-                    form == null ? agent.callers() : agent.thriftAddress()));
+                    machines.create(
+                            "caller-" + (i + 1),
+                            addresses.of(9, i),
+                            resolvedPlan.agentZones()[i],
+                            1 << 30,
+                            line -> {}),
+                    thriftFormat == null ? agent.clientAddress() : agent.thriftAddress()));
             agent.start();
         }
     }
 
-    /** Ends all that belongs to it. */
+    /** Kills all machines of the run. */
     void close() {
         allMachines.forEach(Machine::kill);
     }
 
-    /** Something of the day listens, or does not: then the day says nothing about the agents. */
-    void listens(ChannelFuture bound, String who) {
+    /** Reports a failure to bind, after which the run says nothing about the agents. */
+    void reportBindFailure(ChannelFuture bound, String name) {
         bound.addListener(done -> {
             if (!done.isSuccess()) {
-                checker.left(now(), who + " cannot listen: " + done.cause().getMessage());
+                checker.reportLeftover(
+                        now(), name + " cannot listen: " + done.cause().getMessage());
             }
         });
     }
 
-    /** One more, on a machine of its own. */
+    /** Adds a nodo on a new machine. */
     NodoStandIn addNodo(ResolvedPlan.Nodo spec) {
         int i = nodos.size();
-        return addNodo(spec, machines.make("nodo-" + (i + 1), addresses.of(1, i), spec.zone(), 1 << 30, line -> {}));
+        return addNodo(spec, machines.create("nodo-" + (i + 1), addresses.of(1, i), spec.zone(), 1 << 30, line -> {}));
     }
 
-    /** The part of what all nodos that take requests can do that stands idle now. */
-    double idlePart() {
+    /** Returns the share of the capacity of all nodos that accept requests which is idle now. */
+    double idleShare() {
         double idle = 0;
-        double all = 0;
-        for (NodoStandIn each : nodos) {
-            if (each.up() && !each.leaving()) {
-                idle += each.capacity()
+        double total = 0;
+        for (NodoStandIn nodo : nodos) {
+            if (nodo.up() && !nodo.draining()) {
+                idle += nodo.capacity()
                         * Math.max(
                                 0,
-                                1 - (double) each.held() / each.spec().machine().cores());
-                all += each.capacity();
+                                1
+                                        - (double) nodo.heldRequests()
+                                                / nodo.spec().machine().cores());
+                total += nodo.capacity();
             }
         }
-        return all == 0 ? 0 : idle / all;
+        return total == 0 ? 0 : idle / total;
     }
 
     NodoStandIn addNodo(ResolvedPlan.Nodo spec, Machine machine) {
@@ -250,16 +269,16 @@
         return nodo;
     }
 
-    /** What the group of a nodo remembers of one class's keyed requests. */
-    IdempotencyWindow repeats(int kind, ResolvedPlan.Nodo nodo) {
-        Plan.Kind type = plan.classes().get(kind);
+    /** Returns the idempotency window that a nodo's group shares for one class. */
+    IdempotencyWindow idempotencyWindow(int classIndex, ResolvedPlan.Nodo nodo) {
+        Plan.Kind requestClass = plan.classes().get(classIndex);
         int group =
-                switch (type.scope()) {
+                switch (requestClass.scope()) {
                     case ALL -> 0;
                     case ZONE -> nodo.zone();
                     case CELL -> nodo.cell();
                 };
-        return repeats.computeIfAbsent(
-                (long) kind << 32 | group, key -> new IdempotencyWindow((long) (1000 * type.windowMs())));
+        return idempotencyWindows.computeIfAbsent(
+                (long) classIndex << 32 | group, key -> new IdempotencyWindow((long) (1000 * requestClass.windowMs())));
     }
 }
--- a/src/main/java/gatefront/rehearsal/RunRecorder.java
+++ b/src/main/java/gatefront/rehearsal/RunRecorder.java
@@ -10,12 +10,12 @@
 import java.util.List;
 
 /**
- * What came of a day, counted by second of the first try. Worth is that of the class, times the work where the
- * plan has it so; an answer counts in full within the aim, counted from the first try, and not at all later.
+ * Records a run by second of the first try. The worth of an operation is that of its class, times its work if the
+ * plan says so. A response counts in full within the aim, measured from the first try, and not at all later.
  */
 final class RunRecorder {
-    /** What becomes of what somebody wanted. */
-    enum Fate {
+    /** The outcome of an operation. */
+    enum Outcome {
         IN_TIME,
         LATE,
         REFUSED,
@@ -23,111 +23,111 @@
         UNANSWERED
     }
 
-    /** A trouble, for the plot; seconds since the day opened. */
-    record Band(String name, double from, double until) {}
+    /** A fault as shown in the plot, in seconds since the opening. */
+    record FaultBand(String name, double fromSeconds, double untilSeconds) {}
 
-    /** Something that happened. */
-    record Note(double at, String text) {}
+    /** A remarkable event, in seconds since the opening. */
+    record Note(double atSeconds, String text) {}
 
-    /** News of a nodo, as the first agent got it. */
-    record Told(double at, int nodo, String status) {}
+    /** A change of a nodo's status as first sent to any agent, in seconds since the opening. */
+    record StatusNews(double atSeconds, int nodo, String status) {}
 
-    private static final int NOTES_MOST = 500;
+    private static final int MAX_NOTES = 500;
 
     final Plan plan;
     final int seconds;
-    /** Worth by second, class and fate. */
+    /** Worth by second, class and outcome. */
     final double[][][] worth;
-    /** The same by tenant, over the day. */
-    final double[][] tenants;
-    /** Wants by class and fate. */
-    final int[][] counts;
+    /** Worth by tenant and outcome over the whole run. */
+    final double[][] worthByTenant;
+    /** Number of operations by class and outcome. */
+    final int[][] operationCounts;
 
     final int[] tries;
     final int[] attempts;
-    /** What the fleet costs beside its requests, by second. */
+    /** By second: probes, handshakes and list calls, the fleet's overhead beside its requests. */
     final int[] probes;
 
     final int[] handshakes;
     final int[] listCalls;
-    final int[] listTurnedAway;
-    /** Connections that the fullest nodo holds, by second. */
-    final int[] fullest;
-    /** How much of what topples it the nearest cold nodo was sent, by second. */
-    final double[] coldest;
-    /** By nodo, by second: requests held a core; -1 while it does not run. */
-    final List<double[]> load = new ArrayList<>();
+    final int[] listCallsRefused;
+    /** By second: connections held by the nodo with the most connections. */
+    final int[] maxConnections;
+    /** By second: the highest load of a cold nodo, as a share of the load that makes it crash. */
+    final double[] maxColdOverloadShare;
+    /** By nodo and second: requests held per core, or -1 while the nodo is not running. */
+    final List<double[]> loadByNodo = new ArrayList<>();
 
     final List<String> nodoNames = new ArrayList<>();
-    /** By nodo, by second: requests served. */
-    final List<int[]> served = new ArrayList<>();
-    /** What the first agent was told of a nodo, each change once. */
-    final List<Told> told = new ArrayList<>();
+    /** By nodo and second: requests served. */
+    final List<int[]> servedByNodo = new ArrayList<>();
+    /** Status changes as first sent to any agent, each once. */
+    final List<StatusNews> statusNews = new ArrayList<>();
 
-    final List<Band> bands = new ArrayList<>();
+    final List<FaultBand> faultBands = new ArrayList<>();
     final List<Note> notes = new ArrayList<>();
-    final ResourceUsage held;
-    final FleetLoad crowd;
-    final ServiceCurve curve;
-    private final ResolvedPlan cast;
-    private long opensAt;
-    /** Connections that nodos have closed because they were in no use. */
-    int closedIdle;
+    final ResourceUsage resourceUsage;
+    final FleetLoad fleetLoad;
+    final ServiceCurve serviceCurve;
+    private final ResolvedPlan resolvedPlan;
+    private long openingMicros;
+    /** Number of idle connections closed by nodos. */
+    int idleConnectionsClosed;
 
-    private int open;
+    private int openOperations;
 
-    RunRecorder(Plan plan, ResolvedPlan cast) {
+    RunRecorder(Plan plan, ResolvedPlan resolvedPlan) {
         this.plan = plan;
-        this.cast = cast;
+        this.resolvedPlan = resolvedPlan;
         this.seconds = (int) Math.ceil(plan.seconds());
         int classes = plan.classes().size();
-        this.worth = new double[seconds][classes][Fate.values().length];
-        this.tenants = new double[Math.max(1, plan.tenants().size())][Fate.values().length];
-        this.counts = new int[classes][Fate.values().length];
+        this.worth = new double[seconds][classes][Outcome.values().length];
+        this.worthByTenant = new double[Math.max(1, plan.tenants().size())][Outcome.values().length];
+        this.operationCounts = new int[classes][Outcome.values().length];
         this.tries = new int[seconds];
         this.attempts = new int[seconds];
         this.probes = new int[seconds];
         this.handshakes = new int[seconds];
         this.listCalls = new int[seconds];
-        this.listTurnedAway = new int[seconds];
-        this.fullest = new int[seconds];
-        this.coldest = new double[seconds];
-        this.held = new ResourceUsage(seconds);
-        this.curve = new ServiceCurve(seconds);
-        this.crowd = new FleetLoad(plan.agents().count());
+        this.listCallsRefused = new int[seconds];
+        this.maxConnections = new int[seconds];
+        this.maxColdOverloadShare = new double[seconds];
+        this.resourceUsage = new ResourceUsage(seconds);
+        this.serviceCurve = new ServiceCurve(seconds);
+        this.fleetLoad = new FleetLoad(plan.agents().count());
     }
 
-    void opens(long at) {
-        opensAt = at;
+    void setOpeningMicros(long at) {
+        openingMicros = at;
     }
 
-    long opensAt() {
-        return opensAt;
+    long openingMicros() {
+        return openingMicros;
     }
 
     private int second(long at) {
-        return (int) Math.max(0, Math.min(seconds - 1, (at - opensAt) / 1_000_000));
+        return (int) Math.max(0, Math.min(seconds - 1, (at - openingMicros) / 1_000_000));
     }
 
-    void asked(Demand.Want want) {
-        open++;
+    void operationStarted(Demand.Operation operation) {
+        openOperations++;
     }
 
-    /** A nodo has closed a connection that was in no use for its time. */
-    void closedIdle() {
-        closedIdle++;
+    /** Records that a nodo has closed an idle connection. */
+    void idleConnectionClosed() {
+        idleConnectionsClosed++;
     }
 
-    /** How many still wait. */
-    int open() {
-        return open;
+    /** Returns the number of operations that have not ended. */
+    int openOperations() {
+        return openOperations;
     }
 
-    void tried(long now) {
+    void tryStarted(long now) {
         tries[second(now)]++;
     }
 
-    void attempt(long now) {
+    void attemptStarted(long now) {
         attempts[second(now)]++;
     }
 
@@ -135,122 +135,129 @@
         probes[second(now)]++;
     }
 
-    void handshake(long now, int held) {
-        int at = second(now);
-        handshakes[at]++;
-        fullest[at] = Math.max(fullest[at], held);
+    void handshake(long now, int connections) {
+        int second = second(now);
+        handshakes[second]++;
+        maxConnections[second] = Math.max(maxConnections[second], connections);
     }
 
     void listCall(long now) {
         listCalls[second(now)]++;
     }
 
-    void listTurnedAway(long now) {
-        listTurnedAway[second(now)]++;
+    void listCallRefused(long now) {
+        listCallsRefused[second(now)]++;
     }
 
-    /** A cold nodo has been sent so much of what topples it. */
-    void pressed(long now, double part) {
-        int at = second(now);
-        coldest[at] = Math.max(coldest[at], part);
+    /** Records the load of a cold nodo, as a share of the load that makes it crash. */
+    void coldOverload(long now, double share) {
+        int second = second(now);
+        maxColdOverloadShare[second] = Math.max(maxColdOverloadShare[second], share);
     }
 
-    /** So many of something for each first try, over the day. */
-    double each(int[] bySecond) {
-        int wants = 0;
-        for (int[] kind : counts) {
-            wants += Arrays.stream(kind).sum();
+    /** Returns a total over the run per operation. */
+    double perOperation(int[] bySecond) {
+        int operations = 0;
+        for (int[] countsOfClass : operationCounts) {
+            operations += Arrays.stream(countsOfClass).sum();
         }
-        return (double) Arrays.stream(bySecond).sum() / Math.max(1, wants);
-    }
-
-    void settled(Demand.Want want, long now, RetryBehavior.Fate how) {
-        open--;
-        Plan.Kind kind = plan.classes().get(want.kind());
-        Fate fate =
-                switch (how) {
-                    case SERVED -> now - want.at() <= (long) (1000 * kind.aimMs()) ? Fate.IN_TIME : Fate.LATE;
-                    case REFUSED -> Fate.REFUSED;
-                    case FAILED -> Fate.FAILED;
-                    case TIMED_OUT, UNREACHED -> Fate.UNANSWERED;
+        return (double) Arrays.stream(bySecond).sum() / Math.max(1, operations);
+    }
+
+    void operationSettled(Demand.Operation operation, long now, RetryBehavior.TryOutcome tryOutcome) {
+        openOperations--;
+        Plan.Kind requestClass = plan.classes().get(operation.requestClass());
+        Outcome outcome =
+                switch (tryOutcome) {
+                    case SERVED -> now - operation.arrivalMicros() <= (long) (1000 * requestClass.aimMs())
+                            ? Outcome.IN_TIME
+                            : Outcome.LATE;
+                    case REFUSED -> Outcome.REFUSED;
+                    case FAILED -> Outcome.FAILED;
+                    case TIMED_OUT, UNREACHABLE -> Outcome.UNANSWERED;
                 };
-        double value = kind.worth()
+        double value = requestClass.worth()
                 * (plan.worthByWork()
-                        ? want.work() / cast.kinds().get(want.kind()).meanWork()
+                        ? operation.workMicros()
+                                / resolvedPlan
+                                        .classes()
+                                        .get(operation.requestClass())
+                                        .meanWorkMicros()
                         : 1);
-        worth[second(want.at())][want.kind()][fate.ordinal()] += value;
-        tenants[want.tenant()][fate.ordinal()] += value;
-        counts[want.kind()][fate.ordinal()]++;
-        curve.settled(want.at() - opensAt, value, fate == Fate.IN_TIME);
+        worth[second(operation.arrivalMicros())][operation.requestClass()][outcome.ordinal()] += value;
+        worthByTenant[operation.tenant()][outcome.ordinal()] += value;
+        operationCounts[operation.requestClass()][outcome.ordinal()]++;
+        serviceCurve.record(operation.arrivalMicros() - openingMicros, value, outcome == Outcome.IN_TIME);
     }
 
-    void band(String name, long from, long until) {
-        bands.add(new Band(name, from / 1e6, Math.min(until / 1e6, seconds)));
+    void addFaultBand(String name, long from, long until) {
+        faultBands.add(new FaultBand(name, from / 1e6, Math.min(until / 1e6, seconds)));
     }
 
-    void note(long now, String text) {
-        if (notes.size() < NOTES_MOST) {
-            notes.add(new Note((now - opensAt) / 1e6, text));
+    void addNote(long now, String text) {
+        if (notes.size() < MAX_NOTES) {
+            notes.add(new Note((now - openingMicros) / 1e6, text));
         }
     }
 
-    private void know(int nodo) {
-        while (load.size() <= nodo) {
-            double[] none = new double[seconds];
-            Arrays.fill(none, -1);
-            load.add(none);
-            served.add(new int[seconds]);
-            nodoNames.add("nodo-" + load.size());
+    private void ensureNodo(int nodo) {
+        while (loadByNodo.size() <= nodo) {
+            double[] notRunning = new double[seconds];
+            Arrays.fill(notRunning, -1);
+            loadByNodo.add(notRunning);
+            servedByNodo.add(new int[seconds]);
+            nodoNames.add("nodo-" + loadByNodo.size());
         }
     }
 
-    void served(long now, int nodo) {
-        know(nodo);
-        served.get(nodo)[second(now)]++;
+    void requestServed(long now, int nodo) {
+        ensureNodo(nodo);
+        servedByNodo.get(nodo)[second(now)]++;
     }
 
-    void told(long now, int nodo, String status) {
-        boolean news = true;
-        for (Told each : told) {
-            news = each.nodo != nodo ? news : !each.status.equals(status);
+    void statusSent(long now, int nodo, String status) {
+        boolean changed = true;
+        for (StatusNews earlier : statusNews) {
+            changed = earlier.nodo != nodo ? changed : !earlier.status.equals(status);
         }
-        if (news && now >= opensAt && told.size() < NOTES_MOST) {
-            told.add(new Told((now - opensAt) / 1e6, nodo, status));
+        if (changed && now >= openingMicros && statusNews.size() < MAX_NOTES) {
+            statusNews.add(new StatusNews((now - openingMicros) / 1e6, nodo, status));
         }
     }
 
-    /** Looks at the nodos and the agents, once a second. */
+    /** Samples the nodos and the agents; called once a second. */
     void sample(long now, List<NodoStandIn> nodos, List<AgentStandIn> agents) {
-        int at = second(now);
-        for (AgentStandIn each : agents) {
-            ResourceBudget budget = each.budget();
+        int second = second(now);
+        for (AgentStandIn agent : agents) {
+            ResourceBudget budget = agent.budget();
             if (budget != null) {
-                held.seen(at, budget);
+                resourceUsage.sample(second, budget);
             }
         }
-        for (NodoStandIn each : nodos) {
-            know(each.number());
-            each.cold(crowd);
-            load.get(each.number())[at] =
-                    each.up() ? (double) each.held() / each.spec().machine().cores() : -1;
+        for (NodoStandIn nodo : nodos) {
+            ensureNodo(nodo.number());
+            nodo.recordColdWork(fleetLoad);
+            loadByNodo.get(nodo.number())[second] = nodo.up()
+                    ? (double) nodo.heldRequests() / nodo.spec().machine().cores()
+                    : -1;
         }
     }
 
-    // ---- Sums ----
+    // ---- Aggregates ----
 
-    private static double share(double[] fates) {
-        double all = 0;
-        for (double each : fates) {
-            all += each;
+    private static double inTimeShare(double[] worthByOutcome) {
+        double total = 0;
+        for (double value : worthByOutcome) {
+            total += value;
         }
-        return all == 0 ? 1 : fates[Fate.IN_TIME.ordinal()] / all;
+        return total == 0 ? 1 : worthByOutcome[Outcome.IN_TIME.ordinal()] / total;
     }
 
-    private double[] sum(int from, int until, int kind) {
-        double[] sum = new double[Fate.values().length];
+    private double[] sum(int from, int until, int classIndex) {
+        double[] sum = new double[Outcome.values().length];
         for (int s = from; s < until; s++) {
             for (int k = 0; k < worth[s].length; k++) {
-                for (int f = 0; f < sum.length && (kind < 0 || kind == k); f++) {
+                for (int f = 0; f < sum.length && (classIndex < 0 || classIndex == k); f++) {
                     sum[f] += worth[s][k][f];
                 }
             }
@@ -258,46 +265,46 @@
         return sum;
     }
 
-    /** Worth by fate in one second. */
-    double[] ofSecond(int second) {
+    /** Returns the worth by outcome in one second. */
+    double[] worthOfSecond(int second) {
         return sum(second, second + 1, -1);
     }
 
-    /** Worth answered in time, over worth asked for, from the first second on. */
+    /** Returns the worth served in time as a share of the worth requested, over the whole run. */
     double service() {
-        return share(sum(0, seconds, -1));
+        return inTimeShare(sum(0, seconds, -1));
     }
 
-    double serviceOfClass(int kind) {
-        return share(sum(0, seconds, kind));
+    double serviceOfClass(int classIndex) {
+        return inTimeShare(sum(0, seconds, classIndex));
     }
 
-    /** Of one class in one second; NaN if nobody asked. */
-    double serviceOf(int second, int kind) {
-        double[] fates = sum(second, second + 1, kind);
-        double all = 0;
-        for (double each : fates) {
-            all += each;
+    /** Returns the service of one class in one second, or NaN if nothing was requested. */
+    double serviceOfClassInSecond(int second, int classIndex) {
+        double[] worthByOutcome = sum(second, second + 1, classIndex);
+        double total = 0;
+        for (double value : worthByOutcome) {
+            total += value;
         }
-        return all == 0 ? Double.NaN : fates[Fate.IN_TIME.ordinal()] / all;
+        return total == 0 ? Double.NaN : worthByOutcome[Outcome.IN_TIME.ordinal()] / total;
     }
 
     double serviceOfTenant(int tenant) {
-        return share(tenants[tenant]);
+        return inTimeShare(worthByTenant[tenant]);
     }
 
-    /** The first second of the worst ten in a row. */
-    int worstFrom() {
-        int worst = 0;
+    /** Returns the first second of the ten consecutive seconds with the lowest service. */
+    int worstTenSecondsStart() {
+        int worstStart = 0;
         for (int s = 1; s + 10 <= seconds; s++) {
-            if (share(sum(s, s + 10, -1)) < share(sum(worst, worst + 10, -1))) {
-                worst = s;
+            if (inTimeShare(sum(s, s + 10, -1)) < inTimeShare(sum(worstStart, worstStart + 10, -1))) {
+                worstStart = s;
             }
         }
-        return worst;
+        return worstStart;
     }
 
-    double serviceOfTen(int from) {
-        return share(sum(from, Math.min(seconds, from + 10), -1));
+    double serviceOfTenSeconds(int from) {
+        return inTimeShare(sum(from, Math.min(seconds, from + 10), -1));
     }
 }
--- a/src/main/java/gatefront/rehearsal/SeedCampaign.java
+++ b/src/main/java/gatefront/rehearsal/SeedCampaign.java
@@ -62,11 +62,11 @@
             for (long seed = from; seed <= until; seed++) {
                 while (ahead.size() < window && next.get() <= until) {
                     long mine = next.getAndIncrement();
-                    ahead.add(threads.submit(() -> new Rehearsal(plan, mine).play()));
+                    ahead.add(threads.submit(() -> new Rehearsal(plan, mine).run()));
                 }
                 RehearsalResult outcome = ahead.remove(0).get();
                 services.add(outcome.service());
-                if (outcome.broken() > 0) {
+                if (outcome.breachCount() > 0) {
                     seeds.add(seed);
                     broken.accept(outcome);
                 }
--- a/src/main/java/gatefront/rehearsal/ThriftPayloads.java
+++ b/src/main/java/gatefront/rehearsal/ThriftPayloads.java
@@ -6,21 +6,24 @@
 import gatefront.thrift.codec.ThriftEncoding;
 import gatefront.thrift.codec.ThriftMessage;
 
-/** What callers and nodos say over Thrift, as docs/idl/gatefront.thrift has it; written apart from the agent's. */
+/**
+ * Thrift payloads of clients and nodos, according to docs/idl/gatefront.thrift. Independent of the agent's codec of
+ * the same messages.
+ */
 final class ThriftPayloads {
     static final String HEALTH = "gatefrontHealth";
-    private static final int LOAD = 32_000;
+    private static final int LOAD_FIELD = 32_000;
 
-    /** What a nodo reads of a call. */
-    record Said(String requestId, String key) {}
+    /** The fields of a call that a nodo reads. */
+    record CallFields(String requestId, String key) {}
 
-    /** What a caller reads of a reply: the body if it was served, else the wait advised; 0 for none. */
-    record Heard(String success, boolean refused, long retryAfterMicros) {}
+    /** The fields of a reply that a client reads: the body if it was served, otherwise the advised wait, 0 for none. */
+    record ReplyFields(String success, boolean refused, long retryAfterMicros) {}
 
     private ThriftPayloads() {}
 
-    /** The form that a plan's protocol stands for, or null for HTTP. */
-    static MessageFormat form(String protocol) {
+    /** Returns the message format for a plan's protocol, or null for HTTP. */
+    static MessageFormat format(String protocol) {
         return protocol.equals("http")
                 ? null
                 : new MessageFormat(
@@ -28,31 +31,31 @@
                         protocol.endsWith("compact") ? ThriftEncoding.COMPACT : ThriftEncoding.BINARY);
     }
 
-    /** The arguments of a call; what is null is left out. */
-    static byte[] call(
+    /** Encodes the arguments of a call; null arguments are omitted. */
+    static byte[] encodeCall(
             ThriftEncoding encoding,
             String requestId,
             long timeoutMs,
             String tenant,
-            long hint,
+            long hintMicros,
             boolean retry,
             String key,
-            String text) {
+            String body) {
         StructWriter metadata = new StructWriter(encoding).string(1, requestId).i64(2, timeoutMs);
         if (tenant != null) {
             metadata.string(3, tenant);
         }
-        metadata.i64(5, hint).bool(6, retry);
+        metadata.i64(5, hintMicros).bool(6, retry);
         if (key != null) {
             metadata.string(7, key);
         }
         return new StructWriter(encoding)
                 .struct(1, metadata.end())
-                .string(2, text)
+                .string(2, body)
                 .end();
     }
 
-    static Said said(ThriftMessage call) {
+    static CallFields readCall(ThriftMessage call) {
         String id = "";
         String key = "";
         StructReader arguments = new StructReader(call.encoding(), call.body());
@@ -68,11 +71,14 @@
                 }
             }
         }
-        return new Said(id, key);
+        return new CallFields(id, key);
     }
 
     static byte[] success(ThriftEncoding encoding, String body, String load) {
-        return new StructWriter(encoding).string(0, body).string(LOAD, load).end();
+        return new StructWriter(encoding)
+                .string(0, body)
+                .string(LOAD_FIELD, load)
+                .end();
     }
 
     static byte[] refused(ThriftEncoding encoding, String load) {
@@ -86,7 +92,7 @@
     private static byte[] exception(ThriftEncoding encoding, int id, String load) {
         return new StructWriter(encoding)
                 .struct(id, new StructWriter(encoding).string(1, "nodo").end())
-                .string(LOAD, load)
+                .string(LOAD_FIELD, load)
                 .end();
     }
 
@@ -98,10 +104,10 @@
                 .end();
     }
 
-    static Heard heard(ThriftMessage reply) {
+    static ReplyFields readReply(ThriftMessage reply) {
         String success = null;
         boolean refused = false;
-        long wait = 0;
+        long retryAfterMicros = 0;
         StructReader fields = new StructReader(reply.encoding(), reply.body());
         while (fields.next()) {
             if (fields.id() == 0) {
@@ -112,11 +118,11 @@
                 while (exception.next()) {
                     if (exception.id() == 2) {
                         Long millis = exception.number();
-                        wait = millis == null ? 0 : 1000 * millis;
+                        retryAfterMicros = millis == null ? 0 : 1000 * millis;
                     }
                 }
             }
         }
-        return new Heard(success, refused, wait);
+        return new ReplyFields(success, refused, retryAfterMicros);
     }
 }
--- a/src/main/java/gatefront/rehearsal/VirtualAgent.java
+++ b/src/main/java/gatefront/rehearsal/VirtualAgent.java
@@ -13,21 +13,21 @@
 /** The real agent on a machine of the virtual network. */
 final class VirtualAgent extends AgentStandIn {
     private final Machine machine;
-    private final UnaryOperator<Transport> outside;
-    private final Function<Engine, Balancer> module;
+    private final UnaryOperator<Transport> transportWrapper;
+    private final Function<Engine, Balancer> balancerFactory;
     private Agent agent;
-    private Runnable ended = () -> {};
+    private Runnable whenEnded = () -> {};
 
     VirtualAgent(
-            RunContext day,
+            RunContext context,
             int number,
             Machine machine,
-            UnaryOperator<Transport> outside,
-            Function<Engine, Balancer> module) {
-        super(day, number);
+            UnaryOperator<Transport> transportWrapper,
+            Function<Engine, Balancer> balancerFactory) {
+        super(context, number);
         this.machine = machine;
-        this.outside = outside;
-        this.module = module;
+        this.transportWrapper = transportWrapper;
+        this.balancerFactory = balancerFactory;
     }
 
     @Override
@@ -36,20 +36,21 @@
     }
 
     @Override
-    void begin() {
+    void startProcess() {
         if (!machine.running()) {
             machine.boot();
         }
-        Agent mine = Agent.start(Config.of(config()), besides(), outside.apply(machine.transport()), module);
-        agent = mine;
-        mine.whenEnded(() -> {
-            if (agent == mine) {
+        Agent started = Agent.start(
+                Config.of(config()), agentExtensions(), transportWrapper.apply(machine.transport()), balancerFactory);
+        agent = started;
+        started.whenEnded(() -> {
+            if (agent == started) {
                 agent = null;
-                Runnable then = ended;
-                ended = () -> {};
-                day.at(0, () -> {
-                    day.padron.forgot(number);
-                    then.run();
+                Runnable callback = whenEnded;
+                whenEnded = () -> {};
+                context.schedule(0, () -> {
+                    context.padron.agentReset(number);
+                    callback.run();
                 });
             }
         });
@@ -61,19 +62,19 @@
     }
 
     @Override
-    void end() {
+    void endProcess() {
         machine.kill();
         agent = null;
-        ended = () -> {};
+        whenEnded = () -> {};
     }
 
     @Override
-    void leave(Runnable then) {
+    void shutDown(Runnable callback) {
         if (agent == null) {
-            then.run();
+            callback.run();
             return;
         }
-        ended = then;
+        whenEnded = callback;
         agent.leave();
     }
 
@@ -89,8 +90,8 @@
         return agent == null ? null : agent.budget();
     }
 
-    /** What it holds, or null if it does not run. */
-    Engine.TrackedCounts held() {
+    /** Returns the numbers of tracked objects, or null if the agent is not running. */
+    Engine.TrackedCounts trackedCounts() {
         return agent == null ? null : agent.held();
     }
 }
--- a/src/main/java/gatefront/rehearsal/check/ManualDrainChecker.java
+++ b/src/main/java/gatefront/rehearsal/check/ManualDrainChecker.java
@@ -9,116 +9,121 @@
 import java.util.Set;
 
 /**
- * Judges what operators did by hand, from what they were answered and from what nodos saw: an agent that has said yes
- * to a call sends nothing new to that nodo past the grace, in that process or any later one, until it has said yes to
- * the call back; or until it has told them that what it knew of such calls is lost. It asks no agent why. Times in
- * microseconds; an entry for each agent and nodo that was taken out, which goes with the call back.
+ * Checks manual drains against the replies that operators got and the attempts that nodos saw. An agent that has
+ * confirmed a manual drain must send nothing new to that nodo after the grace period, in the same process or a later
+ * one, until it has confirmed the end of the drain or has reported that its record of manual drains is lost.
+ *
+ * <p>All times are in microseconds. The checker holds one entry per pair of agent and drained nodo; the entry is
+ * removed when the drain ends.
  */
 public final class ManualDrainChecker {
-    private static final int KEPT = 100;
-    /** Staff are to hear of a loss within so much of the first request that goes wrong by it. */
-    static final long TELLS_WITHIN = 2_000_000;
-
-    /** An agent, and a nodo that is out there. */
-    private record Held(int agent, int nodo) {}
-
-    /** An attempt that is wrong unless the agent tells why in time. */
-    private record Suspect(Held held, long at, long since) {}
-
-    private final long grace;
-    private final Map<Held, Long> out = new HashMap<>();
-    private final Set<Integer> lost = new HashSet<>();
-    /** Those of {@link #out} that staff were told would end with the process. */
-    private final Set<Held> passing = new HashSet<>();
-    /** The first attempt of each pair in each process; they go with the process. */
-    private final List<Suspect> suspects = new ArrayList<>();
+    private static final int MAX_KEPT_BREACHES = 100;
+    /**
+     * An agent must report a loss within this time after the first attempt that goes wrong because of it, in
+     * microseconds.
+     */
+    static final long LOSS_REPORT_MICROS = 2_000_000;
+
+    /** An agent and a nodo that is drained there by hand. */
+    private record DrainedPair(int agent, int nodo) {}
+
+    /** An attempt that is a breach unless the agent reports a loss in time. */
+    private record SuspectedBreach(DrainedPair pair, long attemptMicros, long drainedMicros) {}
+
+    private final long graceMicros;
+    private final Map<DrainedPair, Long> drainedSince = new HashMap<>();
+    private final Set<Integer> agentsReportingLoss = new HashSet<>();
+    /** The pairs of {@link #drainedSince} whose drain, as the operator was told, ends with the process. */
+    private final Set<DrainedPair> notPersisted = new HashSet<>();
+    /** The first suspected attempt of each pair in each process; removed when the process ends. */
+    private final List<SuspectedBreach> suspectedBreaches = new ArrayList<>();
 
     private final List<String> breaches = new ArrayList<>();
-    private int count;
+    private int breachCount;
 
-    /** Nothing done yet; attempts may come so long after a yes. */
+    /** Creates a checker without drains that accepts attempts up to {@code graceMicros} after a confirmation. */
     public ManualDrainChecker(long grace) {
-        this.grace = grace;
+        this.graceMicros = grace;
     }
 
-    /** An agent has said yes to a call; whether it said that a restart would still know it. */
-    public void yes(long now, int agent, int nodo, boolean isOut, boolean kept) {
-        Held held = new Held(agent, nodo);
-        if (isOut) {
-            out.putIfAbsent(held, now);
-            if (kept) {
-                passing.remove(held);
+    /** Records that an agent has confirmed a manual drain or its end, and whether the drain survives a restart. */
+    public void confirmed(long now, int agent, int nodo, boolean drained, boolean persisted) {
+        DrainedPair pair = new DrainedPair(agent, nodo);
+        if (drained) {
+            drainedSince.putIfAbsent(pair, now);
+            if (persisted) {
+                notPersisted.remove(pair);
             } else {
-                passing.add(held);
+                notPersisted.add(pair);
             }
         } else {
-            out.remove(held);
-            passing.remove(held);
+            drainedSince.remove(pair);
+            notPersisted.remove(pair);
         }
     }
 
-    /** An agent's process has ended; the next one is to know what it knew. */
-    public void ended(long now, int agent) {
-        lost.remove(agent);
-        settle(now, agent, false);
-        suspects.removeIf(each -> each.held.agent == agent);
-        passing.removeIf(each -> each.agent == agent && out.remove(each) != null);
+    /** Records that an agent's process has ended. The next process is expected to know the persisted drains. */
+    public void processEnded(long now, int agent) {
+        agentsReportingLoss.remove(agent);
+        recordOverdue(now, agent, false);
+        suspectedBreaches.removeIf(entry -> entry.pair.agent == agent);
+        notPersisted.removeIf(entry -> entry.agent == agent && drainedSince.remove(entry) != null);
     }
 
-    /** An agent has told staff, since its start, that it does not know what was out by hand. */
-    public void toldLost(long now, int agent) {
-        settle(now, agent, false);
-        suspects.removeIf(each -> each.held.agent == agent);
-        lost.add(agent);
+    /** Records that an agent has reported, since its start, that its record of manual drains is lost. */
+    public void lossReported(long now, int agent) {
+        recordOverdue(now, agent, false);
+        suspectedBreaches.removeIf(suspected -> suspected.pair.agent == agent);
+        agentsReportingLoss.add(agent);
     }
 
-    /** The first of an attempt has come to a nodo. */
-    public void begun(long now, int agent, int nodo) {
-        Held held = new Held(agent, nodo);
-        Long since = out.get(held);
-        if (since != null
-                && now > since + grace
-                && !lost.contains(agent)
-                && suspects.stream().noneMatch(each -> each.held.equals(held))) {
-            suspects.add(new Suspect(held, now, since));
+    /** Records that the first bytes of an attempt have arrived at a nodo. */
+    public void attemptStarted(long now, int agent, int nodo) {
+        DrainedPair pair = new DrainedPair(agent, nodo);
+        Long drainedMicros = drainedSince.get(pair);
+        if (drainedMicros != null
+                && now > drainedMicros + graceMicros
+                && !agentsReportingLoss.contains(agent)
+                && suspectedBreaches.stream().noneMatch(suspected -> suspected.pair.equals(pair))) {
+            suspectedBreaches.add(new SuspectedBreach(pair, now, drainedMicros));
         }
     }
 
-    /** The day is over. */
+    /** Ends the run: remaining suspected attempts become breaches if the agent had time to report a loss. */
     public void close(long now) {
-        settle(now, -1, true);
-        suspects.clear();
+        recordOverdue(now, -1, true);
+        suspectedBreaches.clear();
     }
 
-    /** An agent that has had the time to tell staff and has not is to blame. */
-    private void settle(long now, int agent, boolean all) {
-        for (Suspect each : suspects) {
-            if ((all || each.held.agent == agent) && now > each.at + TELLS_WITHIN) {
-                count++;
-                if (breaches.size() < KEPT) {
+    /** Records a breach for each suspected attempt whose agent had time to report a loss and did not. */
+    private void recordOverdue(long now, int agent, boolean allAgents) {
+        for (SuspectedBreach suspected : suspectedBreaches) {
+            if ((allAgents || suspected.pair.agent == agent) && now > suspected.attemptMicros + LOSS_REPORT_MICROS) {
+                breachCount++;
+                if (breaches.size() < MAX_KEPT_BREACHES) {
                     breaches.add(String.format(
                             Locale.ROOT,
                             "agent-%d sends to nodo-%d %.3f s after it said that this "
                                     + "is out by hand, and has told nobody that it lost that",
-                            each.held.agent + 1,
-                            each.held.nodo + 1,
-                            (each.at - each.since) / 1e6));
+                            suspected.pair.agent + 1,
+                            suspected.pair.nodo + 1,
+                            (suspected.attemptMicros - suspected.drainedMicros) / 1e6));
                 }
             }
         }
     }
 
-    /** How many pairs of agents and nodos are out. */
-    public int held() {
-        return out.size();
+    /** Returns the number of pairs of agent and nodo that are drained by hand. */
+    public int drainedPairs() {
+        return drainedSince.size();
     }
 
-    /** How many times it was broken. */
+    /** Returns the number of breaches. */
     public int count() {
-        return count;
+        return breachCount;
     }
 
-    /** The first of those. */
+    /** Returns the first breaches, at most {@link #MAX_KEPT_BREACHES}. */
     public List<String> breaches() {
         return List.copyOf(breaches);
     }
--- a/src/main/java/gatefront/rehearsal/check/RuleChecker.java
+++ b/src/main/java/gatefront/rehearsal/check/RuleChecker.java
@@ -15,64 +15,68 @@
 import java.util.Set;
 
 /**
- * Holds the four rules, with the figures of the settings, over what callers and nodos saw. What an agent did is
- * told with the time at which the agent did it, not with that of its arrival, so events come out of order; where
- * that time is not known (on real sockets it is not), {@link Limits#slack()} is the grace for it.
+ * Checks the rules, with the limits of the plan, against what clients and nodos observed. Actions of an agent are
+ * reported with the time at which the agent took them, not the time of arrival, so events come out of order. Where
+ * that time is unknown, as on real sockets, {@link Limits#slackMicros()} is the tolerance.
  *
- * <p>Times are microseconds. An entry of a request goes {@link #REMEMBERED} after its last event; there are no
- * more than the requests of that time.
+ * <p>All times are in microseconds. A request is removed {@link #RETENTION_MICROS} after its last event, which bounds
+ * the number of requests held.
  */
 public final class RuleChecker {
-    /** How long a request is remembered after its last event. */
-    static final long REMEMBERED = 30_000_000;
-    /** Breaches kept with their histories; the rest is counted. */
-    static final int KEPT = 100;
+    /** Time for which a request is retained after its last event, in microseconds. */
+    static final long RETENTION_MICROS = 30_000_000;
+    /** Maximum number of breaches kept with their history; further breaches are only counted. */
+    static final int MAX_KEPT_BREACHES = 100;
 
     /**
-     * The figures.
+     * The limits that the rules are checked with, in microseconds.
      *
-     * @param answerSlack a final answer may come so long after the caller's deadline
-     * @param drainGrace nothing new goes to a nodo so long after an agent was told that it drains or is gone
-     * @param slack what the ways of the network may blur
+     * @param answerSlackMicros time after the client's deadline by which the final response must have arrived
+     * @param drainGraceMicros time after an agent was told that a nodo drains or is gone, after which it must send
+     *     nothing new to it
+     * @param slackMicros tolerance for times that are not known exactly
      */
-    public record Limits(long answerSlack, long drainGrace, long slack) {}
+    public record Limits(long answerSlackMicros, long drainGraceMicros, long slackMicros) {}
 
-    /** What a class of requests permits. */
-    public record Kind(String name, Semantics semantics, Scope scope, long window) {}
+    /** A class of requests and the retries that it permits. */
+    public record RequestClass(String name, Semantics semantics, Scope scope, long windowMicros) {}
 
-    /** The rules, in the words of the settings. */
+    /** The rules, by their names in the settings. */
     public enum Rule {
-        /** One final answer for each request taken, in its time. */
+        /** Each accepted request gets one final response, in time. */
         ONE_ANSWER,
-        /** No effect twice. */
+        /** No request takes effect twice. */
         NO_EFFECT_TWICE,
-        /** Drains are kept. */
+        /** Nothing new is sent to a draining nodo. */
         DRAINS_KEPT,
-        /** No cold nodo pushed over. */
+        /** No cold nodo is overloaded. */
         NO_COLD_FALL,
-        /** Nothing is left open at the end. */
+        /** Nothing is held once all requests have ended. */
         NOTHING_LEFT
     }
 
-    /** A broken rule. */
-    public record Breach(long at, Rule rule, String request, String what, List<String> history) {}
+    /** A breach of a rule, with the history of the request. */
+    public record Breach(long atMicros, Rule rule, String request, String description, List<String> history) {}
 
-    /** How an attempt ended, as the nodo saw it. */
+    /** How an attempt ended, as seen by the nodo. */
     public enum Ending {
-        /** An answer left. */
+        /** The nodo sent a response. */
         ANSWERED,
-        /** An answer that says that it never ran left. */
+        /** The nodo sent a response that says that the request was not started. */
         TURNED_AWAY,
-        /** The agent closed its connection. */
+        /** The agent closed the connection. */
         ABANDONED,
-        /** The nodo or its machine is no more. */
+        /** The nodo's process or machine failed. */
         LOST
     }
 
-    /** Written out only for a breach: there are tens of thousands on an ordinary day. */
-    private record Event(long at, String what) {
-        String line() {
-            return String.format(Locale.ROOT, "%.6f %s", at / 1e6, what);
+    /**
+     * An event of a request. It is formatted only for a breach, since an ordinary run has tens of thousands of
+     * events.
+     */
+    private record Event(long atMicros, String description) {
+        String format() {
+            return String.format(Locale.ROOT, "%.6f %s", atMicros / 1e6, description);
         }
     }
 
@@ -80,8 +84,8 @@
         final int nodo;
         final int zone;
         final int cell;
-        final long begunAt;
-        long wholeAt = -1;
+        final long startedAt;
+        long receivedAt = -1;
         long endedAt = -1;
         boolean neverRan;
 
@@ -89,387 +93,413 @@
             this.nodo = nodo;
             this.zone = zone;
             this.cell = cell;
-            this.begunAt = begunAt;
+            this.startedAt = begunAt;
         }
     }
 
-    private static final class Seen {
+    private static final class RequestState {
         final String id;
-        final Kind kind;
+        final RequestClass requestClass;
         final int agent;
         final long deadline;
         final List<Attempt> attempts = new ArrayList<>(1);
         final List<Event> history = new ArrayList<>(4);
-        final Set<String> made = new HashSet<>(2);
+        final Set<String> responseBodies = new HashSet<>(2);
         long answeredAt = -1;
-        boolean over;
+        boolean settled;
         int effects;
-        long last;
+        long lastEventAt;
 
-        Seen(String id, Kind kind, int agent, long deadline) {
+        RequestState(String id, RequestClass kind, int agent, long deadline) {
             this.id = id;
-            this.kind = kind;
+            this.requestClass = kind;
             this.agent = agent;
             this.deadline = deadline;
         }
     }
 
-    /** What an agent was told of a nodo that takes nothing new, and when. */
-    private record Told(int agent, int nodo) {}
+    /** An agent and a nodo that the agent was told about. */
+    private record AgentNodo(int agent, int nodo) {}
 
-    /** What the judge of a rig in real time has besides. */
-    public interface Rig {
-        /** For how long, at the most, the rig itself did nothing between two times, in microseconds. */
-        long late(long from, long until);
+    /** What a checker of a real-time run needs to know of its environment. */
+    public interface Environment {
+        /** Returns the longest time for which the rehearsal itself stalled between two times, in microseconds. */
+        long maxStallMicros(long from, long until);
 
-        /** Something has happened to a request. */
-        void note(long at, String request, String what);
+        /** Called for each event of a request. */
+        void requestEvent(long at, String request, String what);
 
-        /** A virtual day: never late, and nobody writes along. */
-        Rig NONE = new Rig() {
+        /** The environment of a virtual-time run, which never stalls and records no events. */
+        Environment NONE = new Environment() {
             @Override
-            public long late(long from, long until) {
+            public long maxStallMicros(long from, long until) {
                 return 0;
             }
 
             @Override
-            public void note(long at, String request, String what) {}
+            public void requestEvent(long at, String request, String what) {}
         };
     }
 
     private final Limits limits;
-    private Rig rig = Rig.NONE;
-    private final List<Kind> kinds;
-    private final Map<String, Seen> requests = new LinkedHashMap<>();
-    /** Those that may be forgotten, the oldest last event first; an entry may be there several times. */
-    private final Deque<Seen> forgetting = new ArrayDeque<>();
-
-    private final Map<Told, Long> closed = new HashMap<>();
-    private final Map<Told, Long> toldOfStart = new HashMap<>();
+    private Environment environment = Environment.NONE;
+    private final List<RequestClass> classes;
+    private final Map<String, RequestState> requests = new LinkedHashMap<>();
+    /** Requests that may be removed, oldest last event first. A request may be in the queue several times. */
+    private final Deque<RequestState> removalQueue = new ArrayDeque<>();
+
+    private final Map<AgentNodo, Long> closedSince = new HashMap<>();
+    private final Map<AgentNodo, Long> announcedStart = new HashMap<>();
     private final List<Breach> breaches = new ArrayList<>();
-    private int count;
+    private int breachCount;
 
     /**
-     * Nothing seen yet.
+     * Creates a checker without requests.
      *
-     * @param limits the figures
-     * @param kinds the classes
+     * @param limits the limits of the rules
+     * @param classes the classes of requests, by index
      */
-    public RuleChecker(Limits limits, List<Kind> kinds) {
+    public RuleChecker(Limits limits, List<RequestClass> classes) {
         this.limits = limits;
-        this.kinds = List.copyOf(kinds);
+        this.classes = List.copyOf(classes);
     }
 
-    /** Judges what a rig in real time saw; before the first event. */
-    public void on(Rig real) {
-        rig = real;
+    /** Sets the environment of a real-time run. Must be called before the first event. */
+    public void useEnvironment(Environment newEnvironment) {
+        environment = newEnvironment;
     }
 
-    /** Whether something came too late, and not because the rig read it late. */
-    private boolean late(long due, long came) {
-        return came > due + limits.slack && came > due + limits.slack + rig.late(due, came);
+    /** Whether an event came after its due time for another reason than a stall of the rehearsal. */
+    private boolean isLate(long dueMicros, long actualMicros) {
+        return actualMicros > dueMicros + limits.slackMicros
+                && actualMicros > dueMicros + limits.slackMicros + environment.maxStallMicros(dueMicros, actualMicros);
     }
 
-    /** The first of the broken rules, with their histories. */
+    /** Returns the first breaches, with the history of their requests. */
     public List<Breach> breaches() {
         return List.copyOf(breaches);
     }
 
-    /** How many times a rule was broken. */
+    /** Returns the number of breaches. */
     public int count() {
-        return count;
+        return breachCount;
     }
 
-    /** How many requests are remembered. */
-    public int size() {
+    /** Returns the number of requests held. */
+    public int retainedRequests() {
         return requests.size();
     }
 
-    private void breach(long at, Rule rule, Seen seen, String what) {
-        count++;
-        if (breaches.size() < KEPT) {
+    private void breach(long at, Rule rule, RequestState request, String description) {
+        breachCount++;
+        if (breaches.size() < MAX_KEPT_BREACHES) {
             breaches.add(new Breach(
                     at,
                     rule,
-                    seen == null ? "" : seen.id,
-                    what,
-                    seen == null
+                    request == null ? "" : request.id,
+                    description,
+                    request == null
                             ? List.of()
-                            : seen.history.stream().map(Event::line).toList()));
+                            : request.history.stream().map(Event::format).toList()));
         }
     }
 
-    private void note(long at, Seen seen, String what) {
-        rig.note(at, seen.id, what);
-        seen.history.add(new Event(at, what));
-        seen.last = at;
+    private void addEvent(long at, RequestState request, String description) {
+        environment.requestEvent(at, request.id, description);
+        request.history.add(new Event(at, description));
+        request.lastEventAt = at;
     }
 
-    // ---- The callers' side ----
+    // ---- Events at clients ----
 
     /**
-     * A request's last byte was written to a connection that the agent's machine has accepted.
+     * Records that the last byte of a request was written to a connection that the agent's machine has accepted.
      *
-     * @param now the time
-     * @param id the request's
-     * @param kind index of its class
-     * @param agent who took it
-     * @param deadline when its caller gives this try up
+     * @param now the time, in microseconds
+     * @param id the request's id
+     * @param classIndex index of its class
+     * @param agent index of the agent that got it
+     * @param deadline time at which the client abandons this try, in microseconds
      */
-    public void taken(long now, String id, int kind, int agent, long deadline) {
-        Seen seen = new Seen(id, kinds.get(kind), agent, deadline);
-        if (requests.putIfAbsent(id, seen) != null) {
-            throw new IllegalArgumentException("request " + id + " has come before");
+    public void requestSent(long now, String id, int classIndex, int agent, long deadline) {
+        RequestState request = new RequestState(id, classes.get(classIndex), agent, deadline);
+        if (requests.putIfAbsent(id, request) != null) {
+            throw new IllegalArgumentException("duplicate request id: " + id);
         }
-        note(now, seen, "taken by agent-" + (agent + 1) + ", " + seen.kind.name);
-        sweep(now);
+        addEvent(now, request, "taken by agent-" + (agent + 1) + ", " + request.requestClass.name);
+        removeExpired(now);
     }
 
-    /** The answer's last byte has come; {@code body} is what was served with a 200, else null. */
-    public void answered(long now, String id, int status, String body) {
-        Seen seen = requests.get(id);
-        if (seen == null) {
+    /** Records that the last byte of a response has arrived; {@code body} is the body of a 200 response, else null. */
+    public void responseReceived(long now, String id, int status, String body) {
+        RequestState request = requests.get(id);
+        if (request == null) {
             return;
         }
-        note(now, seen, "answered " + status);
-        if (seen.answeredAt >= 0) {
-            breach(now, Rule.ONE_ANSWER, seen, "a second final answer");
+        addEvent(now, request, "answered " + status);
+        if (request.answeredAt >= 0) {
+            breach(now, Rule.ONE_ANSWER, request, "a second final answer");
         }
-        seen.answeredAt = now;
-        seen.over = true;
-        if (late(seen.deadline + limits.answerSlack, now)) {
+        request.answeredAt = now;
+        request.settled = true;
+        if (isLate(request.deadline + limits.answerSlackMicros, now)) {
             breach(
                     now,
                     Rule.ONE_ANSWER,
-                    seen,
+                    request,
                     String.format(
                             Locale.ROOT,
                             "the final answer came %.3f s after the " + "caller's time was up",
-                            (now - seen.deadline) / 1e6));
+                            (now - request.deadline) / 1e6));
         }
-        if (status == 200 && !seen.made.contains(body)) {
-            breach(now, Rule.ONE_ANSWER, seen, "served with what no nodo made for it");
+        if (status == 200 && !request.responseBodies.contains(body)) {
+            breach(now, Rule.ONE_ANSWER, request, "served with what no nodo made for it");
         }
         boolean refused = status == 429 || status == 503;
-        boolean harmless = seen.kind.semantics == Semantics.SAFE
-                || seen.kind.semantics == Semantics.KEYED && seen.kind.scope == Scope.ALL;
-        if (refused && !harmless && seen.attempts.stream().anyMatch(each -> mayHaveRun(each, now))) {
-            breach(now, Rule.NO_EFFECT_TWICE, seen, "refused, though an attempt may have run");
+        boolean retryHarmless = request.requestClass.semantics == Semantics.SAFE
+                || request.requestClass.semantics == Semantics.KEYED && request.requestClass.scope == Scope.ALL;
+        if (refused && !retryHarmless && request.attempts.stream().anyMatch(attempt -> mayHaveRun(attempt, now))) {
+            breach(now, Rule.NO_EFFECT_TWICE, request, "refused, though an attempt may have run");
         }
-        forgetLater(seen);
+        scheduleRemoval(request);
     }
 
     private boolean mayHaveRun(Attempt attempt, long now) {
-        return attempt.wholeAt >= 0 && !attempt.neverRan;
+        return attempt.receivedAt >= 0 && !attempt.neverRan;
     }
 
     /**
-     * The connection ended with no whole answer while the caller waited and the agent was alive.
+     * Records that a connection closed without a complete response while the client waited and the agent was alive.
      *
-     * @return whether nothing was ever sent on for it: then it may have crossed the close of an idle connection
-     *     unread, and its caller sends it once more
+     * @return true if the request was never forwarded. It may then have crossed the close of an idle connection
+     *     unread, and the client sends it once more.
      */
-    public boolean dropped(long now, String id) {
-        Seen seen = requests.get(id);
-        if (seen == null || seen.over) {
+    public boolean connectionClosed(long now, String id) {
+        RequestState request = requests.get(id);
+        if (request == null || request.settled) {
             return false;
         }
-        if (seen.attempts.isEmpty()) {
+        if (request.attempts.isEmpty()) {
             requests.remove(id);
             return true;
         }
-        note(now, seen, "connection ended without an answer");
-        seen.over = true;
-        breach(now, Rule.ONE_ANSWER, seen, "lost: its connection ended with no whole answer");
-        forgetLater(seen);
+        addEvent(now, request, "connection ended without an answer");
+        request.settled = true;
+        breach(now, Rule.ONE_ANSWER, request, "lost: its connection ended with no whole answer");
+        scheduleRemoval(request);
         return false;
     }
 
-    /** The caller has gone, or the agent was killed with it: nothing is owed any more. */
-    public void released(long now, String id, String why) {
-        Seen seen = requests.get(id);
-        if (seen != null && !seen.over) {
-            note(now, seen, why);
-            seen.over = true;
-            forgetLater(seen);
+    /** Records that no response is due any more, because the client has left or the agent was killed. */
+    public void released(long now, String id, String reason) {
+        RequestState request = requests.get(id);
+        if (request != null && !request.settled) {
+            addEvent(now, request, reason);
+            request.settled = true;
+            scheduleRemoval(request);
         }
     }
 
-    /** The caller's time is up, with slack, and it has no answer. */
-    public void unanswered(long now, String id) {
-        Seen seen = requests.get(id);
-        if (seen != null && !seen.over) {
-            note(now, seen, "no answer when the caller's time was up");
-            seen.over = true;
-            breach(now, Rule.ONE_ANSWER, seen, "no final answer in its time");
-            forgetLater(seen);
+    /** Records that the client's deadline plus the slack has passed without a response. */
+    public void timedOut(long now, String id) {
+        RequestState request = requests.get(id);
+        if (request != null && !request.settled) {
+            addEvent(now, request, "no answer when the caller's time was up");
+            request.settled = true;
+            breach(now, Rule.ONE_ANSWER, request, "no final answer in its time");
+            scheduleRemoval(request);
         }
     }
 
-    // ---- The nodos' side ----
+    // ---- Events at nodos ----
 
     /**
-     * The first bytes of an attempt have come to a nodo.
+     * Records that the first bytes of an attempt have arrived at a nodo.
      *
-     * @return a number for the attempt among those of its request, or -1 if nobody asked for it
+     * @return the index of the attempt within its request, or -1 if the request is unknown
      */
-    public int begun(long now, String id, int nodo, int zone, int cell, int agent) {
-        Seen seen = requests.get(id);
-        Long told = closed.get(new Told(agent, nodo));
-        if (seen != null) {
-            note(now, seen, "attempt " + seen.attempts.size() + " at nodo-" + (nodo + 1));
+    public int attemptStarted(long now, String id, int nodo, int zone, int cell, int agent) {
+        RequestState request = requests.get(id);
+        Long closedAt = closedSince.get(new AgentNodo(agent, nodo));
+        if (request != null) {
+            addEvent(now, request, "attempt " + request.attempts.size() + " at nodo-" + (nodo + 1));
         }
-        if (told != null && late(told + limits.drainGrace, now)) {
+        if (closedAt != null && isLate(closedAt + limits.drainGraceMicros, now)) {
             breach(
                     now,
                     Rule.DRAINS_KEPT,
-                    seen,
+                    request,
                     String.format(
                             Locale.ROOT,
                             "sent to nodo-%d %.3f s after agent-%d was " + "told that it drains or is gone",
                             nodo + 1,
-                            (now - told) / 1e6,
+                            (now - closedAt) / 1e6,
                             agent + 1));
         }
-        if (seen == null) {
+        if (request == null) {
             breach(now, Rule.ONE_ANSWER, null, "a nodo got request " + id + ", which no caller sent");
             return -1;
         }
-        if (seen.answeredAt >= 0 && late(seen.answeredAt, now)) {
-            breach(now, Rule.ONE_ANSWER, seen, "sent to a nodo after the final answer");
+        if (request.answeredAt >= 0 && isLate(request.answeredAt, now)) {
+            breach(now, Rule.ONE_ANSWER, request, "sent to a nodo after the final answer");
         }
-        if (seen.kind.semantics != Semantics.SAFE) {
-            for (Attempt each : seen.attempts) {
-                if (mayHaveRun(each, now) && !permitted(seen, each, zone, cell, now)) {
+        if (request.requestClass.semantics != Semantics.SAFE) {
+            for (Attempt earlier : request.attempts) {
+                if (mayHaveRun(earlier, now) && !permitted(request, earlier, zone, cell, now)) {
                     breach(
                             now,
                             Rule.NO_EFFECT_TWICE,
-                            seen,
+                            request,
                             "sent again outside of what its class permits, " + "though an attempt may have run");
                     break;
                 }
             }
         }
-        seen.attempts.add(new Attempt(nodo, zone, cell, now));
-        return seen.attempts.size() - 1;
+        request.attempts.add(new Attempt(nodo, zone, cell, now));
+        return request.attempts.size() - 1;
     }
 
-    private boolean permitted(Seen seen, Attempt earlier, int zone, int cell, long now) {
-        if (seen.kind.semantics != Semantics.KEYED || now > earlier.begunAt + seen.kind.window + limits.slack) {
+    private boolean permitted(RequestState request, Attempt earlier, int zone, int cell, long now) {
+        if (request.requestClass.semantics != Semantics.KEYED
+                || now > earlier.startedAt + request.requestClass.windowMicros + limits.slackMicros) {
             return false;
         }
-        return switch (seen.kind.scope) {
+        return switch (request.requestClass.scope) {
             case ALL -> true;
             case ZONE -> earlier.zone == zone;
             case CELL -> earlier.cell == cell;
         };
     }
 
-    /** The last byte of an attempt has come: from now on it may run. */
-    public void whole(long now, String id, int attempt) {
-        Seen seen = requests.get(id);
-        if (seen != null && attempt >= 0) {
-            seen.attempts.get(attempt).wholeAt = now;
+    /** Records that the last byte of an attempt has arrived; from now on it may run. */
+    public void attemptReceived(long now, String id, int attempt) {
+        RequestState request = requests.get(id);
+        if (request != null && attempt >= 0) {
+            request.attempts.get(attempt).receivedAt = now;
         }
     }
 
-    /** A nodo has made an answer with this body. */
-    public void made(String id, String body) {
-        Seen seen = requests.get(id);
-        if (seen != null) {
-            seen.made.add(body);
+    /** Records that a nodo has created a response with this body. */
+    public void responseCreated(String id, String body) {
+        RequestState request = requests.get(id);
+        if (request != null) {
+            request.responseBodies.add(body);
         }
     }
 
-    /** A request has had its effect. */
-    public void effect(long now, String id, int nodo) {
-        Seen seen = requests.get(id);
-        if (seen == null) {
+    /** Records that a request has taken effect. */
+    public void effectApplied(long now, String id, int nodo) {
+        RequestState request = requests.get(id);
+        if (request == null) {
             return;
         }
-        seen.effects++;
-        note(now, seen, "effect at nodo-" + (nodo + 1));
-        if (seen.effects > 1 && seen.kind.semantics != Semantics.SAFE && !cameLate(seen, nodo, now)) {
-            breach(now, Rule.NO_EFFECT_TWICE, seen, "its effect has happened " + seen.effects + " times");
+        request.effects++;
+        addEvent(now, request, "effect at nodo-" + (nodo + 1));
+        if (request.effects > 1
+                && request.requestClass.semantics != Semantics.SAFE
+                && !delayedInTransit(request, nodo, now)) {
+            breach(now, Rule.NO_EFFECT_TWICE, request, "its effect has happened " + request.effects + " times");
         }
     }
 
     /**
-     * Whether a keyed repeat ran only because its way was long: it was sent to the right group with a quarter of the
-     * window to spare. A machine that is cut off reads it when it is back, which no agent can know.
+     * Whether a keyed retry ran only because it was delayed in transit: it was sent to the right group with a quarter
+     * of the window to spare. A nodo that is cut off reads it after reconnecting, which no agent can know.
      */
-    private boolean cameLate(Seen seen, int nodo, long now) {
-        for (int i = seen.attempts.size() - 1; i > 0; i--) {
-            Attempt sent = seen.attempts.get(i);
-            if (sent.nodo == nodo && sent.wholeAt >= 0) {
-                return seen.attempts.subList(0, i).stream()
-                        .allMatch(each -> !mayHaveRun(each, now)
-                                || permitted(seen, each, sent.zone, sent.cell, sent.wholeAt + seen.kind.window / 4));
+    private boolean delayedInTransit(RequestState request, int nodo, long now) {
+        for (int i = request.attempts.size() - 1; i > 0; i--) {
+            Attempt attempt = request.attempts.get(i);
+            if (attempt.nodo == nodo && attempt.receivedAt >= 0) {
+                return request.attempts.subList(0, i).stream()
+                        .allMatch(earlier -> !mayHaveRun(earlier, now)
+                                || permitted(
+                                        request,
+                                        earlier,
+                                        attempt.zone,
+                                        attempt.cell,
+                                        attempt.receivedAt + request.requestClass.windowMicros / 4));
             }
         }
         return false;
     }
 
-    /** An attempt has ended. */
-    public void ended(long now, String id, int attempt, Ending how) {
-        Seen seen = requests.get(id);
-        if (seen == null || attempt < 0) {
+    /** Records the end of an attempt. */
+    public void attemptEnded(long now, String id, int attempt, Ending ending) {
+        RequestState request = requests.get(id);
+        if (request == null || attempt < 0) {
             return;
         }
-        Attempt ended = seen.attempts.get(attempt);
-        if (ended.endedAt >= 0) {
+        Attempt endedAttempt = request.attempts.get(attempt);
+        if (endedAttempt.endedAt >= 0) {
             return;
         }
-        ended.endedAt = now;
-        ended.neverRan |= how == Ending.TURNED_AWAY;
-        note(
+        endedAttempt.endedAt = now;
+        endedAttempt.neverRan |= ending == Ending.TURNED_AWAY;
+        addEvent(
                 now,
-                seen,
-                "attempt " + attempt + " " + how.name().toLowerCase(Locale.ROOT).replace('_', ' '));
-        for (Attempt other : seen.attempts) {
-            boolean both = other != ended && other.wholeAt >= 0 && ended.wholeAt >= 0 && other.endedAt >= 0;
-            long from = Math.max(other.wholeAt, ended.wholeAt);
-            long until = Math.min(other.endedAt, now);
-            if (both && until - from > limits.slack) {
+                request,
+                "attempt " + attempt + " "
+                        + ending.name().toLowerCase(Locale.ROOT).replace('_', ' '));
+        for (Attempt other : request.attempts) {
+            boolean bothReceived = other != endedAttempt
+                    && other.receivedAt >= 0
+                    && endedAttempt.receivedAt >= 0
+                    && other.endedAt >= 0;
+            long overlapStart = Math.max(other.receivedAt, endedAttempt.receivedAt);
+            long overlapEnd = Math.min(other.endedAt, now);
+            if (bothReceived && overlapEnd - overlapStart > limits.slackMicros) {
                 breach(
                         now,
                         Rule.NO_EFFECT_TWICE,
-                        seen,
-                        String.format(Locale.ROOT, "two attempts at once for %.3f s", (until - from) / 1e6));
+                        request,
+                        String.format(
+                                Locale.ROOT, "two attempts at once for %.3f s", (overlapEnd - overlapStart) / 1e6));
             }
         }
-        forgetLater(seen);
+        scheduleRemoval(request);
     }
 
-    // ---- The list of servers ----
+    // ---- Events of the server list ----
 
-    /** The padrón has written to an agent that a nodo takes nothing new. */
-    public void toldClosed(long now, int agent, int nodo) {
-        closed.putIfAbsent(new Told(agent, nodo), now);
+    /** Records that the padrón has written to an agent that a nodo accepts nothing new. */
+    public void closedAnnounced(long now, int agent, int nodo) {
+        closedSince.putIfAbsent(new AgentNodo(agent, nodo), now);
     }
 
-    /** The padrón has written to an agent that a nodo takes requests; and when it last started, 0 for long ago. */
-    public void toldReady(long now, int agent, int nodo, long startedAt) {
-        closed.remove(new Told(agent, nodo));
+    /**
+     * Records that the padrón has written to an agent that a nodo is ready. {@code startedAt} is the time of its last
+     * start in microseconds, or 0 if it started long ago.
+     */
+    public void readyAnnounced(long now, int agent, int nodo, long startedAt) {
+        closedSince.remove(new AgentNodo(agent, nodo));
         if (startedAt > 0) {
-            toldOfStart.put(new Told(agent, nodo), startedAt);
+            announcedStart.put(new AgentNodo(agent, nodo), startedAt);
         }
     }
 
-    /** An agent has started or ended and knows nothing. */
-    public void forgot(int agent) {
-        closed.keySet().removeIf(each -> each.agent == agent);
-        toldOfStart.keySet().removeIf(each -> each.agent == agent);
+    /** Records that an agent's process has started or ended, so that it no longer knows what it was told. */
+    public void agentReset(int agent) {
+        closedSince.keySet().removeIf(pair -> pair.agent == agent);
+        announcedStart.keySet().removeIf(pair -> pair.agent == agent);
     }
 
-    /** A nodo that had started at this time was pushed over while cold, by so much work from each agent. */
-    public void fell(long now, int nodo, long startedAt, Map<Integer, Double> work) {
-        double all = work.values().stream().mapToDouble(Double::doubleValue).sum();
-        double knowing = work.entrySet().stream()
-                .filter(each -> toldOfStart.getOrDefault(new Told(each.getKey(), nodo), -1L) >= startedAt)
+    /**
+     * Records that a cold nodo has crashed under overload. The rule is broken if agents that had been told of its
+     * start sent at least two thirds of the work.
+     *
+     * @param now the time, in microseconds
+     * @param nodo index of the nodo
+     * @param startedAt time of the nodo's start, in microseconds
+     * @param workByAgent work that each agent has sent since then
+     */
+    public void coldNodoOverloaded(long now, int nodo, long startedAt, Map<Integer, Double> workByAgent) {
+        double totalWork =
+                workByAgent.values().stream().mapToDouble(Double::doubleValue).sum();
+        double informedWork = workByAgent.entrySet().stream()
+                .filter(entry -> announcedStart.getOrDefault(new AgentNodo(entry.getKey(), nodo), -1L) >= startedAt)
                 .mapToDouble(Map.Entry::getValue)
                 .sum();
-        if (knowing >= 2 * all / 3) {
+        if (informedWork >= 2 * totalWork / 3) {
             breach(
                     now,
                     Rule.NO_COLD_FALL,
@@ -480,45 +510,49 @@
                                     + "%.0f%% of the work came from agents told of it",
                             nodo + 1,
                             (now - startedAt) / 1e6,
-                            100 * knowing / Math.max(all, 1e-9)));
+                            100 * informedWork / Math.max(totalWork, 1e-9)));
         }
     }
 
-    // ---- The end ----
+    // ---- End of the run ----
 
-    /** Something is still held though nothing is going on any more. */
-    public void left(long now, String what) {
-        breach(now, Rule.NOTHING_LEFT, null, what);
+    /** Records something that is still held although nothing is in progress. */
+    public void reportLeftover(long now, String description) {
+        breach(now, Rule.NOTHING_LEFT, null, description);
     }
 
-    /** Nothing comes any more: what has no answer now never gets one. */
+    /** Ends the run: requests without a response and attempts without an end are breaches. */
     public void close(long now) {
-        for (Seen each : List.copyOf(requests.values())) {
-            if (!each.over) {
-                note(now, each, "still open at the end");
-                breach(now, Rule.ONE_ANSWER, each, "no final answer at all");
+        for (RequestState request : List.copyOf(requests.values())) {
+            if (!request.settled) {
+                addEvent(now, request, "still open at the end");
+                breach(now, Rule.ONE_ANSWER, request, "no final answer at all");
             }
-            for (Attempt attempt : each.attempts) {
+            for (Attempt attempt : request.attempts) {
                 if (attempt.endedAt < 0) {
-                    breach(now, Rule.NOTHING_LEFT, each, "an attempt at nodo-" + (attempt.nodo + 1) + " is still open");
+                    breach(
+                            now,
+                            Rule.NOTHING_LEFT,
+                            request,
+                            "an attempt at nodo-" + (attempt.nodo + 1) + " is still open");
                 }
             }
         }
     }
 
-    private void forgetLater(Seen seen) {
-        forgetting.add(seen);
+    private void scheduleRemoval(RequestState request) {
+        removalQueue.add(request);
     }
 
-    private void sweep(long now) {
-        for (Iterator<Seen> old = forgetting.iterator(); old.hasNext(); ) {
-            Seen each = old.next();
-            if (each.last + REMEMBERED > now) {
+    private void removeExpired(long now) {
+        for (Iterator<RequestState> iterator = removalQueue.iterator(); iterator.hasNext(); ) {
+            RequestState request = iterator.next();
+            if (request.lastEventAt + RETENTION_MICROS > now) {
                 break;
             }
-            old.remove();
-            if (each.over && each.attempts.stream().allMatch(attempt -> attempt.endedAt >= 0)) {
-                requests.remove(each.id, each);
+            iterator.remove();
+            if (request.settled && request.attempts.stream().allMatch(attempt -> attempt.endedAt >= 0)) {
+                requests.remove(request.id, request);
             }
         }
     }
--- a/src/main/java/gatefront/rehearsal/check/ServiceCurve.java
+++ b/src/main/java/gatefront/rehearsal/check/ServiceCurve.java
@@ -3,56 +3,62 @@
 import java.util.Arrays;
 
 /**
- * Worth asked for and worth answered in time, by quarters of a second of the asking. Compared with a twin day's, it
- * tells when full service was back. Pure; seconds count from the opening.
+ * Worth requested and worth served in time, by quarter second of the first try. Compared with a run of the same plan
+ * without its fault (the twin), it tells when full service was restored. Seconds count from the opening of the
+ * traffic.
  */
 public final class ServiceCurve {
-    /** Bins of a second. */
-    public static final int BINS = 4;
-    /** For how long service is to be full, in seconds, and how full. */
-    private static final int WINDOW = 5;
+    /** Bins per second. */
+    public static final int BINS_PER_SECOND = 4;
+    /** Service counts as full when it reaches {@link #FULL_SERVICE_SHARE} of the twin's for this many seconds. */
+    private static final int WINDOW_SECONDS = 5;
 
-    private static final double PART = 0.95;
+    private static final double FULL_SERVICE_SHARE = 0.95;
 
-    private final double[] asked;
-    private final double[] inTime;
+    private final double[] requestedWorth;
+    private final double[] inTimeWorth;
 
-    /** A day of so many seconds. */
+    /** Creates the curve of a run of {@code seconds} seconds. */
     public ServiceCurve(int seconds) {
-        asked = new double[seconds * BINS];
-        inTime = new double[seconds * BINS];
+        requestedWorth = new double[seconds * BINS_PER_SECOND];
+        inTimeWorth = new double[seconds * BINS_PER_SECOND];
     }
 
-    /** Somebody who asked at this time of the day has been served in time, or not. */
-    public void settled(long sinceOpening, double worth, boolean served) {
-        int bin = (int) Math.max(0, Math.min(asked.length - 1, sinceOpening * BINS / 1_000_000));
-        asked[bin] += worth;
-        inTime[bin] += served ? worth : 0;
+    /** Records the result of an operation that started {@code sinceOpeningMicros} after the opening. */
+    public void record(long sinceOpeningMicros, double worth, boolean inTime) {
+        int bin = (int)
+                Math.max(0, Math.min(requestedWorth.length - 1, sinceOpeningMicros * BINS_PER_SECOND / 1_000_000));
+        requestedWorth[bin] += worth;
+        inTimeWorth[bin] += inTime ? worth : 0;
     }
 
-    private static double sum(double[] of, int from, int until) {
-        return Arrays.stream(of, from, until).sum();
+    private static double sum(double[] values, int from, int until) {
+        return Arrays.stream(values, from, until).sum();
     }
 
     /**
-     * Seconds after a time until service was full again: for the five seconds from then on, worth in time was at least
-     * 0.95 of the twin's. Negative where that never came within the day.
+     * Returns the seconds from {@code fromSeconds} until full service: the worth served in time in the following five
+     * seconds is at least 0.95 of the twin's. Negative if that does not happen within the run.
      */
-    public double fullAfter(double from, ServiceCurve twin) {
-        int first = (int) Math.floor(from * BINS);
-        for (int i = first; i + WINDOW * BINS <= inTime.length; i++) {
-            if (sum(inTime, i, i + WINDOW * BINS) >= PART * sum(twin.inTime, i, i + WINDOW * BINS)) {
-                return Math.max(0, (double) i / BINS - from);
+    public double secondsUntilFull(double fromSeconds, ServiceCurve twin) {
+        int firstBin = (int) Math.floor(fromSeconds * BINS_PER_SECOND);
+        for (int i = firstBin; i + WINDOW_SECONDS * BINS_PER_SECOND <= inTimeWorth.length; i++) {
+            if (sum(inTimeWorth, i, i + WINDOW_SECONDS * BINS_PER_SECOND)
+                    >= FULL_SERVICE_SHARE * sum(twin.inTimeWorth, i, i + WINDOW_SECONDS * BINS_PER_SECOND)) {
+                return Math.max(0, (double) i / BINS_PER_SECOND - fromSeconds);
             }
         }
         return -1;
     }
 
-    /** The part of the worth that was answered in time between two seconds; 1 where nothing was asked. */
-    public double part(double from, double until) {
-        int first = (int) Math.floor(from * BINS);
-        int last = Math.min(asked.length, (int) Math.ceil(until * BINS));
-        double all = sum(asked, first, last);
-        return all == 0 ? 1 : sum(inTime, first, last) / all;
+    /**
+     * Returns the share of the requested worth that was served in time between two seconds, or 1 if nothing was
+     * requested.
+     */
+    public double servedShare(double fromSeconds, double untilSeconds) {
+        int firstBin = (int) Math.floor(fromSeconds * BINS_PER_SECOND);
+        int endBin = Math.min(requestedWorth.length, (int) Math.ceil(untilSeconds * BINS_PER_SECOND));
+        double requested = sum(requestedWorth, firstBin, endBin);
+        return requested == 0 ? 1 : sum(inTimeWorth, firstBin, endBin) / requested;
     }
 }
--- a/src/main/java/gatefront/rehearsal/check/package-info.java
+++ b/src/main/java/gatefront/rehearsal/check/package-info.java
@@ -1,2 +1,2 @@
-/** PURE: watches what passes on both sides of the agents and holds the four rules against it. */
+/** Checks the rules against what is observed on both sides of the agents. Pure: no I/O, no threads, no clock. */
 package gatefront.rehearsal.check;
--- a/src/main/java/gatefront/rehearsal/net/LatencyModel.java
+++ b/src/main/java/gatefront/rehearsal/net/LatencyModel.java
@@ -1,14 +1,14 @@
 package gatefront.rehearsal.net;
 
-/** How long what one host sends to another takes. Pure but for its random source. */
+/** Models the latency between hosts. Pure except for its source of random numbers. */
 public interface LatencyModel {
     /**
-     * The way of one segment.
+     * Returns the time that one segment takes.
      *
-     * @param from who sends
-     * @param to who gets it
-     * @param bytes how much
-     * @return nanoseconds until it is there
+     * @param from the sending host
+     * @param to the receiving host
+     * @param bytes the size of the segment
+     * @return the delay, in nanoseconds
      */
     long delayNanos(VirtualHost from, VirtualHost to, int bytes);
 }
--- a/src/main/java/gatefront/rehearsal/net/Machine.java
+++ b/src/main/java/gatefront/rehearsal/net/Machine.java
@@ -4,35 +4,35 @@
 import io.netty.channel.Channel;
 import java.net.InetSocketAddress;
 
-/** A machine with one process on it: what a rehearsal can do to it. */
+/** A machine that runs one process, and the faults that a rehearsal can inject into it. */
 public interface Machine {
-    /** Its name in reports. */
+    /** Returns the name used in reports. */
     String name();
 
-    /** The outside of the process that runs now. */
+    /** Returns the transport of the process that runs now. */
     Transport transport();
 
-    /** One of its addresses. */
-    InetSocketAddress at(int port);
+    /** Returns the machine's address with a port. */
+    InetSocketAddress address(int port);
 
     /**
-     * Nanoseconds of its process's clock at which the other side sent what a handler of this channel is being told
-     * of; where that is not known, the earliest time that it can have been.
+     * Returns when the other side sent what a handler of this channel is being notified of, in nanoseconds of the
+     * clock of the machine's process. If that is unknown, returns the earliest possible time.
      */
-    long sentAt(Channel channel);
+    long sentAtNanos(Channel channel);
 
-    /** Whether a process runs here. */
+    /** Whether a process is running. */
     boolean running();
 
-    /** Ends the process outright: its timers are gone, its connections reset, new ones refused. */
+    /** Kills the process: its timers are dropped, its connections are reset and new ones are refused. */
     void kill();
 
-    /** Makes room for a new process, in place of one that has ended. */
+    /** Prepares the machine for a new process after the previous one has ended. */
     void boot();
 
-    /** From now on nothing leaves the machine or reaches it; nobody is told. */
-    void vanish();
+    /** Cuts the machine off from the network, without notice to anybody. */
+    void isolate();
 
-    /** The machine is there again. What was held back on its way arrives, late. */
-    void appear();
+    /** Connects the machine to the network again. Segments that were held meanwhile arrive late. */
+    void reconnect();
 }
--- a/src/main/java/gatefront/rehearsal/net/MemoryChannel.java
+++ b/src/main/java/gatefront/rehearsal/net/MemoryChannel.java
@@ -26,14 +26,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One end of an in-memory connection. It behaves as a socket of the NIO transport does: a write is done when the
- * bytes are in the send buffer; an end of file closes the channel; closing with bytes unread resets the other
- * side instead of ending in order; what arrives at a closed end is answered with a reset.
+ * One end of an in-memory connection. It behaves like a socket of the NIO transport: a write completes when the bytes
+ * are in the send buffer, an end of file closes the channel, closing with unread bytes resets the peer instead of
+ * shutting down in order, and data that arrives at a closed end is answered with a reset.
  */
 final class MemoryChannel extends AbstractChannel implements DuplexChannel {
     private static final ChannelMetadata METADATA = new ChannelMetadata(false, 16);
-    /** Reads in a row before others get their turn, as the NIO transport has it. */
-    private static final int READS_MOST = 16;
+    /** Maximum number of reads in a row before other channels get their turn, as in the NIO transport. */
+    private static final int MAX_READS = 16;
 
     private enum State {
         NEW,
@@ -44,65 +44,65 @@
 
     final VirtualHost host;
     private final Options config = new Options(this);
-    /** What has come and when it was sent. */
-    private record Segment(byte[] bytes, long sentAt) {}
+    /** Received bytes and the time at which they were sent, in nanoseconds. */
+    private record Segment(byte[] bytes, long sentAtNanos) {}
 
-    /** Read by nobody yet; bounded by the window of the other end. */
-    private final Deque<Segment> arrived = new ArrayDeque<>();
+    /** Received but not read yet; bounded by the window of the peer. */
+    private final Deque<Segment> receiveQueue = new ArrayDeque<>();
 
     private State state = State.NEW;
     private MemoryChannel peer;
     private InetSocketAddress local;
     private InetSocketAddress remote;
-    private ChannelPromise connecting;
+    private ChannelPromise connectPromise;
     private ScheduledFuture<?> connectTimeout;
-    private boolean reading;
+    private boolean readPending;
     private boolean inputEnded;
-    private boolean outputShut;
-    /** Bytes sent that the other end has not read. */
-    private int unread;
+    private boolean outputShutdown;
+    /** Bytes sent that the peer has not read. */
+    private int bytesInFlight;
 
-    private boolean stalled;
-    /** When what is being read was sent, and when the end of the input was. */
-    private long sentAt;
+    private boolean writeBlocked;
+    /** When the data being read was sent, and when the end of the input was sent; in nanoseconds. */
+    private long sentAtNanos;
 
-    private long endSentAt;
-    /** Ended with a reset: what was not delivered by then is dropped, as the send buffer is. */
+    private long endSentAtNanos;
+    /** Whether the connection was closed with a reset. Undelivered data is then dropped, as a send buffer is. */
     private boolean aborted;
-    /** When the last thing sent arrives. */
-    private long lastArrival;
+    /** When the last transmission arrives at the peer, in nanoseconds. */
+    private long lastArrivalNanos;
 
     MemoryChannel(Channel parent, VirtualHost host) {
         super(parent, host.network.newId());
         this.host = host;
     }
 
-    // ---- Coming up ----
+    // ---- Connecting ----
 
-    /** Makes this the accepting end of a connection. */
-    void pair(MemoryChannel dialler, InetSocketAddress at) {
-        peer = dialler;
-        local = at;
-        remote = dialler.local;
+    /** Makes this channel the accepting end of a connection. */
+    void acceptFrom(MemoryChannel client, InetSocketAddress localAddress) {
+        peer = client;
+        local = localAddress;
+        remote = client.local;
         state = State.OPEN;
         host.channels.add(this);
     }
 
-    boolean connecting() {
+    boolean isConnecting() {
         return state == State.CONNECTING;
     }
 
-    /** The other end has accepted. */
+    /** The peer has accepted the connection. */
     void connected(MemoryChannel accepted) {
         if (state != State.CONNECTING) {
-            long at = host.network.time.nanoTime();
-            host.network.carry(host, accepted.host, 0, 0, () -> accepted.reset(at));
+            long now = host.network.time.nanoTime();
+            host.network.transmit(host, accepted.host, 0, 0, () -> accepted.reset(now));
             return;
         }
         peer = accepted;
         state = State.OPEN;
-        ChannelPromise promise = connecting;
-        settled();
+        ChannelPromise promise = connectPromise;
+        clearConnectState();
         if (promise.trySuccess()) {
             pipeline().fireChannelActive();
         } else {
@@ -110,62 +110,62 @@
         }
     }
 
-    /** Nobody listens there. */
-    void refused() {
-        fail(new ConnectException("Connection refused: " + remote));
+    /** Nothing listens at the remote address. */
+    void connectionRefused() {
+        failConnect(new ConnectException("Connection refused: " + remote));
     }
 
-    private void fail(IOException why) {
+    private void failConnect(IOException cause) {
         if (state == State.CONNECTING) {
-            ChannelPromise promise = connecting;
-            settled();
-            promise.tryFailure(why);
+            ChannelPromise promise = connectPromise;
+            clearConnectState();
+            promise.tryFailure(cause);
             close();
         }
     }
 
-    private void settled() {
-        connecting = null;
+    private void clearConnectState() {
+        connectPromise = null;
         if (connectTimeout != null) {
             connectTimeout.cancel(false);
             connectTimeout = null;
         }
     }
 
-    // ---- Bytes ----
+    // ---- Data ----
 
-    private void deliver(byte[] bytes, long at) {
-        if (state == State.CLOSED || abandoned()) {
+    private void deliver(byte[] bytes, long sentNanos) {
+        if (state == State.CLOSED || isAbandoned()) {
             resetPeer(0);
             return;
         }
-        arrived.add(new Segment(bytes, at));
-        if (reading) {
+        receiveQueue.add(new Segment(bytes, sentNanos));
+        if (readPending) {
             read0();
         }
     }
 
-    private boolean abandoned() {
+    private boolean isAbandoned() {
         return !host.channels.contains(this);
     }
 
-    private void endOfInput(long at) {
+    private void endOfInput(long sentNanos) {
         if (state != State.CLOSED) {
-            endSentAt = at;
+            endSentAtNanos = sentNanos;
             inputEnded = true;
-            if (reading) {
+            if (readPending) {
                 read0();
             }
         }
     }
 
-    /** The other end has reset the connection: what it sent before is lost with it. */
-    void reset(long at) {
+    /** The peer has reset the connection; data that it sent before is lost. */
+    void reset(long sentNanos) {
         if (state == State.OPEN && host.channels.contains(this)) {
-            arrived.clear();
+            receiveQueue.clear();
             inputEnded = true;
-            outputShut = true;
-            sentAt = at;
+            outputShutdown = true;
+            sentAtNanos = sentNanos;
             if (isRegistered()) {
                 pipeline().fireExceptionCaught(new IOException("Connection reset by peer"));
             }
@@ -174,22 +174,22 @@
     }
 
     private void read0() {
-        if (!reading || state != State.OPEN) {
+        if (!readPending || state != State.OPEN) {
             return;
         }
-        reading = false;
+        readPending = false;
         int n = 0;
-        while (!arrived.isEmpty() && n++ < READS_MOST) {
-            Segment segment = arrived.poll();
-            host.network.carry(host, peer.host, 0, 0, () -> peer.acknowledged(segment.bytes.length));
-            sentAt = segment.sentAt;
+        while (!receiveQueue.isEmpty() && n++ < MAX_READS) {
+            Segment segment = receiveQueue.poll();
+            host.network.transmit(host, peer.host, 0, 0, () -> peer.acknowledged(segment.bytes.length));
+            sentAtNanos = segment.sentAtNanos;
             pipeline().fireChannelRead(Unpooled.wrappedBuffer(segment.bytes));
         }
         if (n > 0) {
             pipeline().fireChannelReadComplete();
         }
-        if (arrived.isEmpty() && inputEnded && state == State.OPEN) {
-            sentAt = endSentAt;
+        if (receiveQueue.isEmpty() && inputEnded && state == State.OPEN) {
+            sentAtNanos = endSentAtNanos;
             if (config.halfClosure) {
                 pipeline().fireUserEventTriggered(io.netty.channel.socket.ChannelInputShutdownEvent.INSTANCE);
             } else {
@@ -199,46 +199,46 @@
     }
 
     private void acknowledged(int bytes) {
-        unread -= bytes;
-        if (stalled && state == State.OPEN && host.channels.contains(this)) {
-            stalled = false;
-            ((Unsafe0) unsafe()).resume();
+        bytesInFlight -= bytes;
+        if (writeBlocked && state == State.OPEN && host.channels.contains(this)) {
+            writeBlocked = false;
+            ((MemoryUnsafe) unsafe()).resume();
         }
     }
 
     private void resetPeer(long notBefore) {
-        long at = host.network.time.nanoTime();
-        host.network.carry(host, peer.host, 0, notBefore, () -> peer.reset(at));
+        long now = host.network.time.nanoTime();
+        host.network.transmit(host, peer.host, 0, notBefore, () -> peer.reset(now));
     }
 
     private void endOutput() {
-        long at = host.network.time.nanoTime();
-        send(0, () -> peer.endOfInput(at));
+        long now = host.network.time.nanoTime();
+        send(0, () -> peer.endOfInput(now));
     }
 
-    /** When what is being read was sent, or the end that closes this; nanoseconds. */
-    long sentAt() {
-        return sentAt;
+    /** Returns when the data being read, or the end that closes this channel, was sent; in nanoseconds. */
+    long sentAtNanos() {
+        return sentAtNanos;
     }
 
     private void send(int bytes, Runnable arrival) {
-        lastArrival = host.network.carry(host, peer.host, bytes, lastArrival, arrival);
+        lastArrivalNanos = host.network.transmit(host, peer.host, bytes, lastArrivalNanos, arrival);
     }
 
     @Override
     protected void doWrite(ChannelOutboundBuffer out) {
         while (out.current() instanceof ByteBuf message) {
-            if (unread >= Network.WINDOW) {
-                stalled = true;
+            if (bytesInFlight >= Network.WINDOW_BYTES) {
+                writeBlocked = true;
                 return;
             }
             byte[] bytes = ByteBufUtil.getBytes(message);
             if (bytes.length > 0) {
-                unread += bytes.length;
-                long at = host.network.time.nanoTime();
+                bytesInFlight += bytes.length;
+                long now = host.network.time.nanoTime();
                 send(bytes.length, () -> {
                     if (!aborted) {
-                        peer.deliver(bytes, at);
+                        peer.deliver(bytes, now);
                     }
                 });
             }
@@ -246,17 +246,17 @@
         }
     }
 
-    /** Whether it is open and its other end has sent nothing that is unread, nor an end. */
+    /** Whether the channel is open and the peer has sent neither unread data nor an end of file. */
     boolean silent() {
-        return state == State.OPEN && arrived.isEmpty() && !inputEnded;
+        return state == State.OPEN && receiveQueue.isEmpty() && !inputEnded;
     }
 
-    // ---- Ending ----
+    // ---- Closing ----
 
-    /** The process has died: no handler hears of it, and the other end gets a reset. */
+    /** The process was killed: no handler is notified, and the peer gets a reset. */
     void abandon() {
         if (state == State.OPEN && peer != null) {
-            resetPeer(lastArrival);
+            resetPeer(lastArrivalNanos);
         }
         state = State.CLOSED;
     }
@@ -264,27 +264,27 @@
     @Override
     protected void doClose() {
         if (state == State.OPEN) {
-            if (!arrived.isEmpty() || config.abortive) {
+            if (!receiveQueue.isEmpty() || config.abortive) {
                 aborted = config.abortive;
-                resetPeer(lastArrival);
-            } else if (!outputShut) {
+                resetPeer(lastArrivalNanos);
+            } else if (!outputShutdown) {
                 endOutput();
             }
         }
         state = State.CLOSED;
-        ChannelPromise promise = connecting;
-        settled();
+        ChannelPromise promise = connectPromise;
+        clearConnectState();
         if (promise != null) {
             promise.tryFailure(new java.nio.channels.ClosedChannelException());
         }
-        arrived.clear();
+        receiveQueue.clear();
         host.channels.remove(this);
     }
 
     @Override
     protected void doShutdownOutput() {
-        if (state == State.OPEN && !outputShut) {
-            outputShut = true;
+        if (state == State.OPEN && !outputShutdown) {
+            outputShutdown = true;
             endOutput();
         }
     }
@@ -296,9 +296,9 @@
 
     @Override
     protected void doBeginRead() {
-        if (!reading) {
-            reading = true;
-            if (!arrived.isEmpty() || inputEnded) {
+        if (!readPending) {
+            readPending = true;
+            if (!receiveQueue.isEmpty() || inputEnded) {
                 eventLoop().execute(this::read0);
             }
         }
@@ -309,14 +309,14 @@
         local = (InetSocketAddress) at;
     }
 
-    // ---- What a channel must tell ----
+    // ---- Channel implementation ----
 
     @Override
     protected AbstractUnsafe newUnsafe() {
-        return new Unsafe0();
+        return new MemoryUnsafe();
     }
 
-    private final class Unsafe0 extends AbstractUnsafe {
+    private final class MemoryUnsafe extends AbstractUnsafe {
         void resume() {
             flush0();
         }
@@ -327,19 +327,19 @@
                 return;
             }
             state = State.CONNECTING;
-            connecting = promise;
+            connectPromise = promise;
             remote = (InetSocketAddress) to;
-            local = host.at(host.port());
+            local = host.address(host.allocatePort());
             host.channels.add(MemoryChannel.this);
             int timeout = config.getConnectTimeoutMillis();
             if (timeout > 0) {
                 connectTimeout = eventLoop()
                         .schedule(
-                                () -> fail(new ConnectTimeoutException("connection timed out: " + remote)),
+                                () -> failConnect(new ConnectTimeoutException("connection timed out: " + remote)),
                                 timeout,
                                 TimeUnit.MILLISECONDS);
             }
-            host.network.dial(MemoryChannel.this, remote);
+            host.network.connect(MemoryChannel.this, remote);
         }
     }
 
@@ -380,7 +380,7 @@
 
     @Override
     public boolean isInputShutdown() {
-        return inputEnded && arrived.isEmpty();
+        return inputEnded && receiveQueue.isEmpty();
     }
 
     @Override
@@ -396,7 +396,7 @@
 
     @Override
     public boolean isOutputShutdown() {
-        return outputShut;
+        return outputShutdown;
     }
 
     @Override
@@ -412,7 +412,7 @@
 
     @Override
     public boolean isShutdown() {
-        return isInputShutdown() && outputShut;
+        return isInputShutdown() && outputShutdown;
     }
 
     @Override
@@ -426,12 +426,12 @@
         return shutdownOutput(promise);
     }
 
-    /** Takes the options of sockets, and does as they say where that means something here. */
+    /** Accepts the socket options in use, and applies those that matter to an in-memory connection. */
     static final class Options extends DefaultChannelConfig {
-        private static final Set<ChannelOption<?>> WITHOUT_MEANING =
+        private static final Set<ChannelOption<?>> IGNORED_OPTIONS =
                 Set.of(ChannelOption.TCP_NODELAY, ChannelOption.SO_BACKLOG, ChannelOption.SO_REUSEADDR);
         private boolean halfClosure;
-        /** A linger time of 0: a close is a reset. */
+        /** Whether the linger time is 0, so that a close sends a reset. */
         private boolean abortive;
 
         Options(Channel channel) {
@@ -448,7 +448,7 @@
                 abortive = (Integer) value == 0;
                 return true;
             }
-            return WITHOUT_MEANING.contains(option) || super.setOption(option, value);
+            return IGNORED_OPTIONS.contains(option) || super.setOption(option, value);
         }
     }
 }
--- a/src/main/java/gatefront/rehearsal/net/MemoryServerChannel.java
+++ b/src/main/java/gatefront/rehearsal/net/MemoryServerChannel.java
@@ -10,41 +10,41 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Listens on the in-memory network. */
+/** A listening channel of the in-memory network. */
 final class MemoryServerChannel extends AbstractServerChannel {
     private static final int BACKLOG = 1024;
 
     private final VirtualHost host;
     private final ChannelConfig config = new MemoryChannel.Options(this);
-    /** Connections that have come up and are not accepted. */
-    private final Deque<MemoryChannel> waiting = new ArrayDeque<>();
+    /** Established connections that have not been accepted. */
+    private final Deque<MemoryChannel> pending = new ArrayDeque<>();
 
     private InetSocketAddress local;
     private boolean open = true;
-    private boolean reading;
+    private boolean readPending;
 
     MemoryServerChannel(VirtualHost host) {
         this.host = host;
     }
 
-    /** A connection comes up; false if there is no room for it. */
+    /** Offers a connection from a client; returns false if the backlog is full. */
     boolean offer(MemoryChannel from) {
-        if (waiting.size() >= BACKLOG) {
+        if (pending.size() >= BACKLOG) {
             return false;
         }
         MemoryChannel child = new MemoryChannel(this, host);
-        child.pair(from, local);
-        waiting.add(child);
-        host.network.carry(host, from.host, 0, 0, () -> from.connected(child));
+        child.acceptFrom(from, local);
+        pending.add(child);
+        host.network.transmit(host, from.host, 0, 0, () -> from.connected(child));
         accept();
         return true;
     }
 
     private void accept() {
-        if (reading && !waiting.isEmpty()) {
-            reading = false;
-            while (!waiting.isEmpty()) {
-                pipeline().fireChannelRead(waiting.poll());
+        if (readPending && !pending.isEmpty()) {
+            readPending = false;
+            while (!pending.isEmpty()) {
+                pipeline().fireChannelRead(pending.poll());
             }
             pipeline().fireChannelReadComplete();
         }
@@ -52,30 +52,30 @@
 
     @Override
     protected void doBeginRead() {
-        reading = true;
-        if (!waiting.isEmpty()) {
+        readPending = true;
+        if (!pending.isEmpty()) {
             eventLoop().execute(this::accept);
         }
     }
 
     @Override
     protected void doBind(SocketAddress at) throws IOException {
-        InetSocketAddress wanted = (InetSocketAddress) at;
-        if (!wanted.getAddress().equals(host.address) || host.listening.containsKey(wanted.getPort())) {
-            throw new BindException("cannot listen on " + wanted);
+        InetSocketAddress requested = (InetSocketAddress) at;
+        if (!requested.getAddress().equals(host.address) || host.listeners.containsKey(requested.getPort())) {
+            throw new BindException("cannot listen on " + requested);
         }
-        local = wanted.getPort() == 0 ? host.at(host.port()) : wanted;
-        host.listening.put(local.getPort(), this);
+        local = requested.getPort() == 0 ? host.address(host.allocatePort()) : requested;
+        host.listeners.put(local.getPort(), this);
     }
 
     @Override
     protected void doClose() {
         open = false;
         if (local != null) {
-            host.listening.remove(local.getPort(), this);
+            host.listeners.remove(local.getPort(), this);
         }
-        waiting.forEach(MemoryChannel::abandon);
-        waiting.clear();
+        pending.forEach(MemoryChannel::abandon);
+        pending.clear();
     }
 
     @Override
--- a/src/main/java/gatefront/rehearsal/net/Network.java
+++ b/src/main/java/gatefront/rehearsal/net/Network.java
@@ -14,68 +14,70 @@
 import java.util.function.Consumer;
 
 /**
- * Carries segments between hosts, with delay and in order for each direction of a connection, as TCP does. What
- * meets a vanished machine is held (TCP would send it again) until the machine is back; what meets a process
- * that has died, or a connection that is closed, is answered with a reset.
+ * Transmits segments between hosts, with latency and in order per direction of a connection, like TCP. Segments from
+ * or to an isolated machine are held, as TCP would retransmit them, until the machine reconnects. A segment to a
+ * process that has ended or to a closed connection is answered with a reset.
  */
 public final class Network {
-    /** Unread bytes of one direction, on the way and at the reader: both socket buffers together. */
-    static final int WINDOW = 128 << 10;
-    /** Held for vanished machines in all; the oldest goes when there is more, as its sender would give up. */
-    private static final int HELD_MOST = 100_000;
-    /** When an unanswered attempt to connect is made again: the first retransmission of a SYN, RFC 6298. */
-    private static final long SYN_AGAIN_NANOS = TimeUnit.SECONDS.toNanos(1);
+    /** Maximum unread bytes per direction, in transit and at the reader; stands for both socket buffers. */
+    static final int WINDOW_BYTES = 128 << 10;
+    /**
+     * Maximum number of segments held for isolated machines; then the oldest is dropped, as its sender would give up.
+     */
+    private static final int MAX_HELD_SEGMENTS = 100_000;
+    /** Delay until an unanswered SYN is sent again: the first retransmission according to RFC 6298. */
+    private static final long SYN_RETRY_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     final VirtualTime time;
     final long epochMicros;
-    private final LatencyModel links;
+    private final LatencyModel latency;
     private final Map<InetAddress, VirtualHost> hosts = new LinkedHashMap<>();
-    private final Deque<Held> held = new ArrayDeque<>();
+    private final Deque<HeldSegment> heldSegments = new ArrayDeque<>();
     private long nextId;
 
-    private record Held(VirtualHost from, VirtualHost to, Runnable arrival) {}
+    private record HeldSegment(VirtualHost from, VirtualHost to, Runnable arrival) {}
 
     /**
-     * A network without hosts.
+     * Creates a network without hosts.
      *
-     * @param time its clock
-     * @param epochMicros the time of day at the clock's start
-     * @param links how long the ways are
+     * @param time the clock
+     * @param epochMicros the time of day at the clock's start, in microseconds since 1970
+     * @param latency the latency between hosts
      */
-    public Network(VirtualTime time, long epochMicros, LatencyModel links) {
+    public Network(VirtualTime time, long epochMicros, LatencyModel latency) {
         this.time = time;
         this.epochMicros = epochMicros;
-        this.links = links;
+        this.latency = latency;
     }
 
     /**
-     * A machine with a process; the address must be new here.
+     * Adds a machine with a running process.
      *
-     * @param name for reports
-     * @param address where it is reached
-     * @param zone where it stands
-     * @param memory what its process may use, in bytes
-     * @param log gets the process's log
+     * @param name the name used in reports
+     * @param address its address, which no other host may have
+     * @param zone index of its zone
+     * @param memory the memory of its process, in bytes
+     * @param log gets the log lines of its process
      * @return the machine
      */
     public VirtualHost host(String name, InetAddress address, int zone, long memory, Consumer<String> log) {
         VirtualHost host = new VirtualHost(this, name, address, zone, memory, log);
         if (hosts.putIfAbsent(address, host) != null) {
-            throw new IllegalArgumentException("two hosts at " + address);
+            throw new IllegalArgumentException("address already in use by another host: " + address);
         }
         return host;
     }
 
     /**
-     * When the other side sent what a channel's handlers are now told of, its end included; on other channels
-     * than those of a network here, which do not know, it is the time now.
+     * Returns when the other side sent what a channel's handlers are being notified of, the end of the stream
+     * included. For channels of other transports this is unknown, and the current time is returned.
      *
-     * @param channel whose handler asks
-     * @return nanoseconds of the channel's clock
+     * @param channel the channel whose handler asks
+     * @return the time, in nanoseconds of the channel's clock
      */
-    static long sentAt(Channel channel) {
-        return channel instanceof MemoryChannel here
-                ? here.sentAt()
+    static long sentAtNanos(Channel channel) {
+        return channel instanceof MemoryChannel memoryChannel
+                ? memoryChannel.sentAtNanos()
                 : channel.eventLoop().ticker().nanoTime();
     }
 
@@ -83,91 +85,103 @@
         return new Id(nextId++);
     }
 
-    /** Sends along one direction; arrivals keep their order, for {@code notBefore} is the latest so far. */
-    long carry(VirtualHost from, VirtualHost to, int bytes, long notBefore, Runnable arrival) {
-        long at = Math.max(notBefore, time.nanoTime() + links.delayNanos(from, to, bytes));
+    /**
+     * Transmits along one direction. {@code notBefore} is the latest arrival so far, so that arrivals keep their
+     * order.
+     */
+    long transmit(VirtualHost from, VirtualHost to, int bytes, long notBefore, Runnable arrival) {
+        long at = Math.max(notBefore, time.nanoTime() + latency.delayNanos(from, to, bytes));
         schedule(from, to, at, arrival);
         return at;
     }
 
     private void schedule(VirtualHost from, VirtualHost to, long at, Runnable arrival) {
-        Runnable then = () -> {
-            if (from.vanished() || to.vanished()) {
-                if (held.size() >= HELD_MOST) {
-                    held.pollFirst();
+        Runnable arriveOrHold = () -> {
+            if (from.isolated() || to.isolated()) {
+                if (heldSegments.size() >= MAX_HELD_SEGMENTS) {
+                    heldSegments.pollFirst();
                 }
-                held.add(new Held(from, to, arrival));
+                heldSegments.add(new HeldSegment(from, to, arrival));
             } else {
                 arrival.run();
             }
         };
         if (to.running()) {
-            to.loop().schedule(then, at - time.nanoTime(), TimeUnit.NANOSECONDS);
+            to.loop().schedule(arriveOrHold, at - time.nanoTime(), TimeUnit.NANOSECONDS);
         } else if (from.running()) {
-            from.loop().schedule(then, at - time.nanoTime(), TimeUnit.NANOSECONDS); // to be reset from there
+            from.loop().schedule(arriveOrHold, at - time.nanoTime(), TimeUnit.NANOSECONDS); // the sender's end is reset
         }
     }
 
-    void appeared(VirtualHost host) {
-        List<Held> again = new ArrayList<>(held);
-        held.clear();
-        for (Held each : again) {
-            if (each.from == host || each.to == host) {
-                schedule(each.from, each.to, time.nanoTime() + links.delayNanos(each.from, each.to, 0), each.arrival);
+    void reconnected(VirtualHost host) {
+        List<HeldSegment> released = new ArrayList<>(heldSegments);
+        heldSegments.clear();
+        for (HeldSegment segment : released) {
+            if (segment.from == host || segment.to == host) {
+                schedule(
+                        segment.from,
+                        segment.to,
+                        time.nanoTime() + latency.delayNanos(segment.from, segment.to, 0),
+                        segment.arrival);
             } else {
-                held.add(each);
+                heldSegments.add(segment);
             }
         }
     }
 
-    /** The process has ended: its machine resets what it had open. */
-    void died(VirtualHost host) {
-        host.listening.clear();
-        for (MemoryChannel each : List.copyOf(host.channels)) {
-            each.abandon();
+    /** Resets the connections of a process that has ended. */
+    void processDied(VirtualHost host) {
+        host.listeners.clear();
+        for (MemoryChannel channel : List.copyOf(host.channels)) {
+            channel.abandon();
         }
         host.channels.clear();
     }
 
-    /** A SYN on its way. */
-    void dial(MemoryChannel from, InetSocketAddress to) {
+    /** Sends a SYN. */
+    void connect(MemoryChannel from, InetSocketAddress to) {
         VirtualHost host = hosts.get(to.getAddress());
         if (host == null) {
-            return; // no such machine: nobody answers
+            return; // no such machine, so no answer
         }
         Runnable arrival = () -> {
-            MemoryServerChannel server = host.running() ? host.listening.get(to.getPort()) : null;
+            MemoryServerChannel server = host.running() ? host.listeners.get(to.getPort()) : null;
             if (server == null) {
-                carry(host, from.host, 0, 0, from::refused);
+                transmit(host, from.host, 0, 0, from::connectionRefused);
             } else if (!server.offer(from)) {
-                again(from, to);
+                retryConnect(from, to);
             }
         };
         if (host.running()) {
-            carry(from.host, host, 0, 0, arrival);
-        } else if (!host.vanished()) {
-            carry(host, from.host, 0, time.nanoTime() + 2 * links.delayNanos(from.host, host, 0), from::refused);
+            transmit(from.host, host, 0, 0, arrival);
+        } else if (!host.isolated()) {
+            transmit(
+                    host,
+                    from.host,
+                    0,
+                    time.nanoTime() + 2 * latency.delayNanos(from.host, host, 0),
+                    from::connectionRefused);
         } else {
-            again(from, to);
+            retryConnect(from, to);
         }
     }
 
-    private void again(MemoryChannel from, InetSocketAddress to) {
+    private void retryConnect(MemoryChannel from, InetSocketAddress to) {
         if (from.host.running()) {
             from.host
                     .loop()
                     .schedule(
                             () -> {
-                                if (from.connecting()) {
-                                    dial(from, to);
+                                if (from.isConnecting()) {
+                                    connect(from, to);
                                 }
                             },
-                            SYN_AGAIN_NANOS,
+                            SYN_RETRY_NANOS,
                             TimeUnit.NANOSECONDS);
         }
     }
 
-    /** An identity that is the same in every run. */
+    /** A channel id that is the same in every run. */
     private record Id(long number) implements ChannelId {
         private static final long serialVersionUID = 1;
 
--- a/src/main/java/gatefront/rehearsal/net/VirtualHost.java
+++ b/src/main/java/gatefront/rehearsal/net/VirtualHost.java
@@ -14,16 +14,17 @@
 import java.util.function.Consumer;
 
 /**
- * A machine with one process on it, and that process's outside. The machine may vanish (nothing comes from it or
- * reaches it) and the process may die (its connections are reset, new ones refused) and start again.
+ * A machine with one process, and the transport of that process. The machine can be isolated, so that nothing leaves
+ * or reaches it. The process can be killed, so that its connections are reset and new ones are refused, and started
+ * again.
  */
 public final class VirtualHost implements Machine, Transport {
     private static final int FIRST_PORT = 30_000;
 
     final Network network;
     final InetAddress address;
-    /** Of the process that runs; each removes itself when it closes. */
-    final Map<Integer, MemoryServerChannel> listening = new LinkedHashMap<>();
+    /** Listeners and channels of the running process; each removes itself when it closes. */
+    final Map<Integer, MemoryServerChannel> listeners = new LinkedHashMap<>();
 
     final Set<MemoryChannel> channels = new LinkedHashSet<>();
     private final String name;
@@ -31,7 +32,7 @@
     private final long memory;
     private final Consumer<String> log;
     private VirtualTime.Loop loop;
-    private boolean vanished;
+    private boolean isolated;
     private int nextPort = FIRST_PORT;
 
     VirtualHost(Network network, String name, InetAddress address, int zone, long memory, Consumer<String> log) {
@@ -54,28 +55,28 @@
         return name;
     }
 
-    /** The zone that it stands in. */
+    /** Returns the index of the machine's zone. */
     public int zone() {
         return zone;
     }
 
     @Override
-    public InetSocketAddress at(int port) {
+    public InetSocketAddress address(int port) {
         return new InetSocketAddress(address, port);
     }
 
     @Override
-    public long sentAt(Channel channel) {
-        return Network.sentAt(channel);
+    public long sentAtNanos(Channel channel) {
+        return Network.sentAtNanos(channel);
     }
 
-    int port() {
+    int allocatePort() {
         nextPort = nextPort >= 65_000 ? FIRST_PORT : nextPort + 1;
         return nextPort;
     }
 
-    boolean vanished() {
-        return vanished;
+    boolean isolated() {
+        return isolated;
     }
 
     @Override
@@ -87,7 +88,7 @@
     public void kill() {
         if (running()) {
             loop.kill();
-            network.died(this);
+            network.processDied(this);
         }
     }
 
@@ -98,24 +99,24 @@
     }
 
     @Override
-    public void vanish() {
-        vanished = true;
+    public void isolate() {
+        isolated = true;
     }
 
     @Override
-    public void appear() {
-        vanished = false;
-        network.appeared(this);
+    public void reconnect() {
+        isolated = false;
+        network.reconnected(this);
     }
 
-    /** Connections of this process that are open. */
+    /** Returns the number of open connections of this process. */
     public int openChannels() {
         return channels.size();
     }
 
-    /** Timers that the latest process to end still had. */
-    public int timersDropped() {
-        return loop.dropped();
+    /** Returns the number of timers that were pending when the last process ended. */
+    public int droppedTimers() {
+        return loop.droppedTimers();
     }
 
     @Override
--- a/src/main/java/gatefront/rehearsal/net/VirtualTime.java
+++ b/src/main/java/gatefront/rehearsal/net/VirtualTime.java
@@ -9,26 +9,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One clock and the loops that run on it, all on the thread that made it. Time stands still while anything is
- * due and then jumps to the next deadline. At one instant the loops run in the order in which they were made,
- * round after round until none has anything to do; within a loop, tasks run in the order of their deadlines and
- * then of their scheduling. So the whole order of events follows from the seed, whatever the machine does.
+ * A virtual clock and the event loops that run on it, all on the thread that created it. Time stands still while a
+ * task is due and then jumps to the next deadline. At one instant the loops run in the order of their creation, round
+ * after round until none has a task left; within a loop, tasks run by deadline and then in the order of scheduling.
+ * The order of all events therefore depends only on the seed.
  *
- * <p>A loop a process, and not one for all: a process that is killed takes its timers with it, as it does in
- * service, and nothing of the agent needs to know that it is rehearsed.
+ * <p>Each process has its own loop, so that killing a process drops its timers, as it does in service, and the agent
+ * need not know that it runs in a rehearsal.
  */
 public final class VirtualTime implements Ticker {
-    /** Tasks at one instant from which on time is held to stand still for good. */
-    private static final int TASKS_AT_ONCE_MOST = 2_000_000;
+    /** Number of tasks at one instant from which time is considered to be stuck. */
+    private static final int MAX_TASKS_PER_INSTANT = 2_000_000;
 
-    private static final long LOOP_NANOS_MOST = TimeUnit.SECONDS.toNanos(5);
+    private static final long MAX_LOOP_RUN_NANOS = TimeUnit.SECONDS.toNanos(5);
 
     private final List<Loop> loops = new ArrayList<>();
     private final Thread thread = Thread.currentThread();
-    private long now;
+    private long nowNanos;
     private long tasks;
 
-    /** Time does not advance: tasks go on making tasks that are due at once. */
+    /** Thrown when time does not advance because tasks keep scheduling tasks that are due immediately. */
     public static final class LivelockException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
@@ -41,32 +41,32 @@
         }
     }
 
-    /** The loop of one process. */
+    /** The event loop of one process. */
     final class Loop extends ManualIoEventLoop {
         private final String name;
         private boolean dead;
-        private int dropped;
+        private int droppedTimers;
 
         private Loop(String name) {
             super(null, thread, LocalIoHandler.newFactory(), VirtualTime.this);
             this.name = name;
         }
 
-        /** Nothing of it runs any more, and its timers are dropped. */
+        /** Stops the loop and drops its timers. */
         void kill() {
             dead = true;
             loops.remove(this);
-            long present = now;
-            now = Long.MAX_VALUE / 2; // the queue gives out only what is due
-            while (pollScheduledTask(now) != null) {
-                dropped++;
+            long presentNanos = nowNanos;
+            nowNanos = Long.MAX_VALUE / 2; // the queue returns only tasks that are due
+            while (pollScheduledTask(nowNanos) != null) {
+                droppedTimers++;
             }
-            now = present;
+            nowNanos = presentNanos;
         }
 
-        /** How many timers it still had when it was killed. */
-        int dropped() {
-            return dropped;
+        /** Returns the number of timers that were pending when the loop was killed. */
+        int droppedTimers() {
+            return droppedTimers;
         }
 
         boolean isDead() {
@@ -86,58 +86,58 @@
     }
 
     /**
-     * Runs all that is due up to and at a time, which is then the present.
+     * Runs all tasks due up to and including a time, which then becomes the current time.
      *
      * @param until nanoseconds since the clock's start
      * @throws LivelockException if time does not advance
      */
     public void run(long until) {
-        boolean all = true; // what was called from outside may have left tasks on any loop
+        boolean runAll = true; // calls from outside may have left tasks on any loop
         while (true) {
-            long next = instant(all);
-            all = false;
-            if (next > until) {
-                now = Math.max(now, until);
+            long nextDeadline = runInstant(runAll);
+            runAll = false;
+            if (nextDeadline > until) {
+                nowNanos = Math.max(nowNanos, until);
                 return;
             }
-            now = Math.max(now, next);
+            nowNanos = Math.max(nowNanos, nextDeadline);
         }
     }
 
     /**
-     * Runs what is due now, until nothing is, and returns the next deadline. A loop that has run is left with nothing
-     * to do; after that only a deadline makes it run, or a task that another loop has given it. Only the first loop,
-     * the world's, calls into others, so after it all of them are asked.
+     * Runs tasks until none is due now, and returns the next deadline. A loop that has run has nothing left to do;
+     * afterwards it runs only for a deadline or for a task from another loop. Only the first loop, the rehearsal's
+     * own, calls into other loops, so all loops are checked after it has run.
      */
-    private long instant(boolean all) {
-        long atOnce = 0;
-        boolean every = all;
+    private long runInstant(boolean runAll) {
+        long taskCount = 0;
+        boolean runEvery = runAll;
         while (true) {
             long next = Long.MAX_VALUE;
-            boolean any = false;
-            boolean world = false;
-            for (int i = 0; i < loops.size(); i++) { // loops may come and go meanwhile
+            boolean ranAny = false;
+            boolean worldRan = false;
+            for (int i = 0; i < loops.size(); i++) { // loops may be added or removed meanwhile
                 Loop loop = loops.get(i);
-                if (every || world || loop.deadline() <= now) {
-                    int n = loop.runNow(LOOP_NANOS_MOST);
-                    any |= n > 0;
-                    world |= n > 0 && i == 0;
-                    atOnce += n;
-                    if (atOnce > TASKS_AT_ONCE_MOST) {
-                        throw new LivelockException(loop.name, now);
+                if (runEvery || worldRan || loop.deadline() <= nowNanos) {
+                    int n = loop.runNow(MAX_LOOP_RUN_NANOS);
+                    ranAny |= n > 0;
+                    worldRan |= n > 0 && i == 0;
+                    taskCount += n;
+                    if (taskCount > MAX_TASKS_PER_INSTANT) {
+                        throw new LivelockException(loop.name, nowNanos);
                     }
                 }
                 next = Math.min(next, loop.deadline());
             }
-            if (!any) {
-                tasks += atOnce;
+            if (!ranAny) {
+                tasks += taskCount;
                 return next;
             }
-            every = world;
+            runEvery = worldRan;
         }
     }
 
-    /** How many tasks have run in all. */
+    /** Returns the number of tasks run so far. */
     public long tasks() {
         return tasks;
     }
@@ -149,11 +149,11 @@
 
     @Override
     public long nanoTime() {
-        return now;
+        return nowNanos;
     }
 
     @Override
     public void sleep(long delay, TimeUnit unit) {
-        throw new UnsupportedOperationException("nothing may wait on virtual time");
+        throw new UnsupportedOperationException("cannot block on virtual time");
     }
 }
--- a/src/main/java/gatefront/rehearsal/net/package-info.java
+++ b/src/main/java/gatefront/rehearsal/net/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Virtual time and an in-memory network for programs that take their {@link gatefront.transport.Transport} from
- * outside. Each process has a loop of its own, all of them on one clock and one thread; channels carry real
- * bytes through real decoders. Owner of all channels' state: {@link gatefront.rehearsal.net.Network}.
+ * Virtual time and an in-memory network for programs whose {@link gatefront.transport.Transport} is injected. Each
+ * process has its own event loop; all loops share one clock and one thread. Channels carry real bytes through the
+ * real codecs. {@link gatefront.rehearsal.net.Network} owns the state of all channels.
  */
 package gatefront.rehearsal.net;
