--- a/src/test/java/gatefront/rehearsal/net/TamperingTransport.java
+++ b/src/test/java/gatefront/rehearsal/net/TamperingTransport.java
@@ -10,27 +10,28 @@
 import io.netty.channel.ServerChannel;
 import java.util.function.Supplier;
 
-/** Puts a handler next to the wire of each connection of one side. */
-public record TamperingTransport(Transport right, Supplier<ChannelHandler> accepted, Supplier<ChannelHandler> dialled)
+/** A transport that adds a handler at the head of the pipeline of each accepted or each dialed connection. */
+public record TamperingTransport(
+        Transport delegate, Supplier<ChannelHandler> acceptedHandler, Supplier<ChannelHandler> dialedHandler)
         implements Transport {
     @Override
     public EventLoop loop() {
-        return right.loop();
+        return delegate.loop();
     }
 
     @Override
     public long wallMicros() {
-        return right.wallMicros();
+        return delegate.wallMicros();
     }
 
     @Override
     public ChannelFactory<? extends ServerChannel> listeners() {
         return () -> {
-            ServerChannel server = right.listeners().newChannel();
+            ServerChannel server = delegate.listeners().newChannel();
             server.pipeline().addFirst(new ChannelInboundHandlerAdapter() {
                 @Override
                 public void channelRead(ChannelHandlerContext ctx, Object child) {
-                    ((Channel) child).pipeline().addFirst(accepted.get());
+                    ((Channel) child).pipeline().addFirst(acceptedHandler.get());
                     ctx.fireChannelRead(child);
                 }
             });
@@ -41,29 +42,29 @@
     @Override
     public ChannelFactory<? extends Channel> dialers() {
         return () -> {
-            Channel channel = right.dialers().newChannel();
-            channel.pipeline().addFirst(dialled.get());
+            Channel channel = delegate.dialers().newChannel();
+            channel.pipeline().addFirst(dialedHandler.get());
             return channel;
         };
     }
 
     @Override
     public boolean silent(Channel channel) {
-        return right.silent(channel);
+        return delegate.silent(channel);
     }
 
     @Override
     public long memory() {
-        return right.memory();
+        return delegate.memory();
     }
 
     @Override
     public void log(String line) {
-        right.log(line);
+        delegate.log(line);
     }
 
     @Override
     public void close(Runnable then) {
-        right.close(then);
+        delegate.close(then);
     }
 }
--- a/src/test/java/gatefront/rehearsal/processes/ProcessPartsTest.java
+++ b/src/test/java/gatefront/rehearsal/processes/ProcessPartsTest.java
@@ -59,39 +59,39 @@
     @Test
     void aCallByHandHoldsOverProcessesUntilTheCallBackOrATellingLoss() {
         ManualDrainChecker hand = new ManualDrainChecker(500_000);
-        hand.yes(0, 1, 7, true, true);
-        hand.begun(400_000, 1, 7);
+        hand.confirmed(0, 1, 7, true, true);
+        hand.attemptStarted(400_000, 1, 7);
         hand.close(9_000_000);
         assertEquals(0, hand.count(), "within the grace");
-        hand.begun(600_000, 2, 7);
-        hand.begun(600_000, 1, 8);
+        hand.attemptStarted(600_000, 2, 7);
+        hand.attemptStarted(600_000, 1, 8);
         hand.close(9_000_000);
         assertEquals(0, hand.count(), "nobody took these out");
-        hand.begun(5_000_000, 1, 7);
-        hand.begun(5_100_000, 1, 7);
+        hand.attemptStarted(5_000_000, 1, 7);
+        hand.attemptStarted(5_100_000, 1, 7);
         hand.close(9_000_000);
         assertEquals(1, hand.count(), hand.breaches().toString());
-        hand.ended(10_000_000, 1);
-        hand.begun(11_000_000, 1, 7);
-        hand.toldLost(11_500_000, 1);
-        hand.begun(15_000_000, 1, 7);
+        hand.processEnded(10_000_000, 1);
+        hand.attemptStarted(11_000_000, 1, 7);
+        hand.lossReported(11_500_000, 1);
+        hand.attemptStarted(15_000_000, 1, 7);
         hand.close(20_000_000);
         assertEquals(1, hand.count(), "it said in time that it does not know");
-        hand.ended(20_000_000, 1);
-        hand.begun(21_000_000, 1, 7);
-        hand.toldLost(24_000_000, 1);
+        hand.processEnded(20_000_000, 1);
+        hand.attemptStarted(21_000_000, 1, 7);
+        hand.lossReported(24_000_000, 1);
         assertEquals(2, hand.count(), "it said so too late");
-        hand.ended(25_000_000, 1);
-        hand.yes(26_000_000, 1, 7, false, true);
-        hand.begun(27_000_000, 1, 7);
+        hand.processEnded(25_000_000, 1);
+        hand.confirmed(26_000_000, 1, 7, false, true);
+        hand.attemptStarted(27_000_000, 1, 7);
         hand.close(40_000_000);
         assertEquals(2, hand.count(), "put back");
-        hand.yes(50_000_000, 1, 7, true, false);
-        hand.begun(51_000_000, 1, 7);
+        hand.confirmed(50_000_000, 1, 7, true, false);
+        hand.attemptStarted(51_000_000, 1, 7);
         hand.close(60_000_000);
         assertEquals(3, hand.count(), "it holds as long as the process does");
-        hand.ended(61_000_000, 1);
-        hand.begun(62_000_000, 1, 7);
+        hand.processEnded(61_000_000, 1);
+        hand.attemptStarted(62_000_000, 1, 7);
         hand.close(70_000_000);
         assertEquals(3, hand.count(), "and staff were told that it ends with it");
     }
@@ -102,14 +102,14 @@
         ServiceCurve day = new ServiceCurve(30);
         for (int i = 0; i < 300; i++) {
             long at = i * 100_000L;
-            twin.settled(at, 1, i % 50 != 0);
-            day.settled(at, 1, i < 100 || i >= 145 && i % 50 != 0);
+            twin.record(at, 1, i % 50 != 0);
+            day.record(at, 1, i < 100 || i >= 145 && i % 50 != 0);
         }
-        assertEquals(4.25, day.fullAfter(10, twin), 0.26);
-        assertEquals(0, twin.fullAfter(10, twin), 0);
-        assertEquals(-1, new ServiceCurve(30).fullAfter(10, twin), 0);
-        assertEquals(0, day.part(10, 14), 0);
-        assertEquals(1, day.part(0, 10), 0);
+        assertEquals(4.25, day.secondsUntilFull(10, twin), 0.26);
+        assertEquals(0, twin.secondsUntilFull(10, twin), 0);
+        assertEquals(-1, new ServiceCurve(30).secondsUntilFull(10, twin), 0);
+        assertEquals(0, day.servedShare(10, 14), 0);
+        assertEquals(1, day.servedShare(0, 10), 0);
     }
 
     @Test
