--- a/src/main/java/gatefront/rehearsal/ClientStandIn.java
+++ b/src/main/java/gatefront/rehearsal/ClientStandIn.java
@@ -126,8 +126,8 @@
                 .remoteAddress(agentAddress)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 3_000)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .disableResolver(); // addresses are literal; the default resolver group would keep a reference to the
-        // event loop
+                // Addresses are literal; the default resolver group would keep a reference to the event loop.
+                .disableResolver();
     }
 
     /** Starts an operation. */
@@ -372,6 +372,7 @@
             ctx.close();
         }
     }
+
     /** An HTTP/1.1 connection. */
     private final class HttpClientConnection extends ClientConnection {
         @Override
--- a/src/main/java/gatefront/rehearsal/RunContext.java
+++ b/src/main/java/gatefront/rehearsal/RunContext.java
@@ -39,13 +39,13 @@
         NetworkPaths DIRECT = new NetworkPaths() {};
 
         /** Returns the address at which an agent reaches a nodo that listens at an address. */
-        default InetSocketAddress nodoAddress(int agent, InetSocketAddress at) {
-            return at;
+        default InetSocketAddress nodoAddress(int agent, InetSocketAddress listenAddress) {
+            return listenAddress;
         }
 
         /** Returns the address at which an agent reaches its padrón. */
-        default InetSocketAddress padronAddress(int agent, InetSocketAddress at) {
-            return at;
+        default InetSocketAddress padronAddress(int agent, InetSocketAddress listenAddress) {
+            return listenAddress;
         }
 
         /** Whether messages from the padrón reach an agent now. */
@@ -105,7 +105,9 @@
     final Map<String, Demand.Operation> operations = new HashMap<>();
 
     private final Map<Long, IdempotencyWindow> idempotencyWindows = new LinkedHashMap<>();
+    /** The machine of the rehearsal itself, whose event loop runs scheduled tasks. */
     private final Machine worldMachine;
+
     private final long startNanos;
     private boolean servesUnknownRequests;
     private final IntFunction<AgentStandIn> agentFactory;
--- a/src/main/java/gatefront/rehearsal/check/RuleChecker.java
+++ b/src/main/java/gatefront/rehearsal/check/RuleChecker.java
@@ -84,16 +84,16 @@
         final int nodo;
         final int zone;
         final int cell;
-        final long startedAt;
-        long receivedAt = -1;
-        long endedAt = -1;
+        final long startedMicros;
+        long receivedMicros = -1;
+        long endedMicros = -1;
         boolean neverRan;
 
-        Attempt(int nodo, int zone, int cell, long begunAt) {
+        Attempt(int nodo, int zone, int cell, long startedMicros) {
             this.nodo = nodo;
             this.zone = zone;
             this.cell = cell;
-            this.startedAt = begunAt;
+            this.startedMicros = startedMicros;
         }
     }
 
@@ -101,20 +101,20 @@
         final String id;
         final RequestClass requestClass;
         final int agent;
-        final long deadline;
+        final long deadlineMicros;
         final List<Attempt> attempts = new ArrayList<>(1);
         final List<Event> history = new ArrayList<>(4);
         final Set<String> responseBodies = new HashSet<>(2);
-        long answeredAt = -1;
+        long answeredMicros = -1;
         boolean settled;
         int effects;
-        long lastEventAt;
+        long lastEventMicros;
 
-        RequestState(String id, RequestClass kind, int agent, long deadline) {
+        RequestState(String id, RequestClass requestClass, int agent, long deadlineMicros) {
             this.id = id;
-            this.requestClass = kind;
+            this.requestClass = requestClass;
             this.agent = agent;
-            this.deadline = deadline;
+            this.deadlineMicros = deadlineMicros;
         }
     }
 
@@ -127,7 +127,7 @@
         long maxStallMicros(long from, long until);
 
         /** Called for each event of a request. */
-        void requestEvent(long at, String request, String what);
+        void requestEvent(long at, String request, String description);
 
         /** The environment of a virtual-time run, which never stalls and records no events. */
         Environment NONE = new Environment() {
@@ -207,7 +207,7 @@
     private void addEvent(long at, RequestState request, String description) {
         environment.requestEvent(at, request.id, description);
         request.history.add(new Event(at, description));
-        request.lastEventAt = at;
+        request.lastEventMicros = at;
     }
 
     // ---- Events at clients ----
@@ -219,10 +219,10 @@
      * @param id the request's id
      * @param classIndex index of its class
      * @param agent index of the agent that got it
-     * @param deadline time at which the client abandons this try, in microseconds
+     * @param deadlineMicros time at which the client abandons this try, in microseconds
      */
-    public void requestSent(long now, String id, int classIndex, int agent, long deadline) {
-        RequestState request = new RequestState(id, classes.get(classIndex), agent, deadline);
+    public void requestSent(long now, String id, int classIndex, int agent, long deadlineMicros) {
+        RequestState request = new RequestState(id, classes.get(classIndex), agent, deadlineMicros);
         if (requests.putIfAbsent(id, request) != null) {
             throw new IllegalArgumentException("duplicate request id: " + id);
         }
@@ -237,12 +237,12 @@
             return;
         }
         addEvent(now, request, "answered " + status);
-        if (request.answeredAt >= 0) {
+        if (request.answeredMicros >= 0) {
             breach(now, Rule.ONE_ANSWER, request, "a second final answer");
         }
-        request.answeredAt = now;
+        request.answeredMicros = now;
         request.settled = true;
-        if (isLate(request.deadline + limits.answerSlackMicros, now)) {
+        if (isLate(request.deadlineMicros + limits.answerSlackMicros, now)) {
             breach(
                     now,
                     Rule.ONE_ANSWER,
@@ -250,7 +250,7 @@
                     String.format(
                             Locale.ROOT,
                             "the final answer came %.3f s after the " + "caller's time was up",
-                            (now - request.deadline) / 1e6));
+                            (now - request.deadlineMicros) / 1e6));
         }
         if (status == 200 && !request.responseBodies.contains(body)) {
             breach(now, Rule.ONE_ANSWER, request, "served with what no nodo made for it");
@@ -265,7 +265,7 @@
     }
 
     private boolean mayHaveRun(Attempt attempt, long now) {
-        return attempt.receivedAt >= 0 && !attempt.neverRan;
+        return attempt.receivedMicros >= 0 && !attempt.neverRan;
     }
 
     /**
@@ -320,11 +320,11 @@
      */
     public int attemptStarted(long now, String id, int nodo, int zone, int cell, int agent) {
         RequestState request = requests.get(id);
-        Long closedAt = closedSince.get(new AgentNodo(agent, nodo));
+        Long closedMicros = closedSince.get(new AgentNodo(agent, nodo));
         if (request != null) {
             addEvent(now, request, "attempt " + request.attempts.size() + " at nodo-" + (nodo + 1));
         }
-        if (closedAt != null && isLate(closedAt + limits.drainGraceMicros, now)) {
+        if (closedMicros != null && isLate(closedMicros + limits.drainGraceMicros, now)) {
             breach(
                     now,
                     Rule.DRAINS_KEPT,
@@ -333,14 +333,14 @@
                             Locale.ROOT,
                             "sent to nodo-%d %.3f s after agent-%d was " + "told that it drains or is gone",
                             nodo + 1,
-                            (now - closedAt) / 1e6,
+                            (now - closedMicros) / 1e6,
                             agent + 1));
         }
         if (request == null) {
             breach(now, Rule.ONE_ANSWER, null, "a nodo got request " + id + ", which no caller sent");
             return -1;
         }
-        if (request.answeredAt >= 0 && isLate(request.answeredAt, now)) {
+        if (request.answeredMicros >= 0 && isLate(request.answeredMicros, now)) {
             breach(now, Rule.ONE_ANSWER, request, "sent to a nodo after the final answer");
         }
         if (request.requestClass.semantics != Semantics.SAFE) {
@@ -361,7 +361,7 @@
 
     private boolean permitted(RequestState request, Attempt earlier, int zone, int cell, long now) {
         if (request.requestClass.semantics != Semantics.KEYED
-                || now > earlier.startedAt + request.requestClass.windowMicros + limits.slackMicros) {
+                || now > earlier.startedMicros + request.requestClass.windowMicros + limits.slackMicros) {
             return false;
         }
         return switch (request.requestClass.scope) {
@@ -375,7 +375,7 @@
     public void attemptReceived(long now, String id, int attempt) {
         RequestState request = requests.get(id);
         if (request != null && attempt >= 0) {
-            request.attempts.get(attempt).receivedAt = now;
+            request.attempts.get(attempt).receivedMicros = now;
         }
     }
 
@@ -409,7 +409,7 @@
     private boolean delayedInTransit(RequestState request, int nodo, long now) {
         for (int i = request.attempts.size() - 1; i > 0; i--) {
             Attempt attempt = request.attempts.get(i);
-            if (attempt.nodo == nodo && attempt.receivedAt >= 0) {
+            if (attempt.nodo == nodo && attempt.receivedMicros >= 0) {
                 return request.attempts.subList(0, i).stream()
                         .allMatch(earlier -> !mayHaveRun(earlier, now)
                                 || permitted(
@@ -417,7 +417,7 @@
                                         earlier,
                                         attempt.zone,
                                         attempt.cell,
-                                        attempt.receivedAt + request.requestClass.windowMicros / 4));
+                                        attempt.receivedMicros + request.requestClass.windowMicros / 4));
             }
         }
         return false;
@@ -430,10 +430,10 @@
             return;
         }
         Attempt endedAttempt = request.attempts.get(attempt);
-        if (endedAttempt.endedAt >= 0) {
+        if (endedAttempt.endedMicros >= 0) {
             return;
         }
-        endedAttempt.endedAt = now;
+        endedAttempt.endedMicros = now;
         endedAttempt.neverRan |= ending == Ending.TURNED_AWAY;
         addEvent(
                 now,
@@ -442,11 +442,11 @@
                         + ending.name().toLowerCase(Locale.ROOT).replace('_', ' '));
         for (Attempt other : request.attempts) {
             boolean bothReceived = other != endedAttempt
-                    && other.receivedAt >= 0
-                    && endedAttempt.receivedAt >= 0
-                    && other.endedAt >= 0;
-            long overlapStart = Math.max(other.receivedAt, endedAttempt.receivedAt);
-            long overlapEnd = Math.min(other.endedAt, now);
+                    && other.receivedMicros >= 0
+                    && endedAttempt.receivedMicros >= 0
+                    && other.endedMicros >= 0;
+            long overlapStart = Math.max(other.receivedMicros, endedAttempt.receivedMicros);
+            long overlapEnd = Math.min(other.endedMicros, now);
             if (bothReceived && overlapEnd - overlapStart > limits.slackMicros) {
                 breach(
                         now,
@@ -529,7 +529,7 @@
                 breach(now, Rule.ONE_ANSWER, request, "no final answer at all");
             }
             for (Attempt attempt : request.attempts) {
-                if (attempt.endedAt < 0) {
+                if (attempt.endedMicros < 0) {
                     breach(
                             now,
                             Rule.NOTHING_LEFT,
@@ -547,11 +547,11 @@
     private void removeExpired(long now) {
         for (Iterator<RequestState> iterator = removalQueue.iterator(); iterator.hasNext(); ) {
             RequestState request = iterator.next();
-            if (request.lastEventAt + RETENTION_MICROS > now) {
+            if (request.lastEventMicros + RETENTION_MICROS > now) {
                 break;
             }
             iterator.remove();
-            if (request.settled && request.attempts.stream().allMatch(attempt -> attempt.endedAt >= 0)) {
+            if (request.settled && request.attempts.stream().allMatch(attempt -> attempt.endedMicros >= 0)) {
                 requests.remove(request.id, request);
             }
         }
--- a/src/test/java/gatefront/rehearsal/FaultsTest.java
+++ b/src/test/java/gatefront/rehearsal/FaultsTest.java
@@ -92,7 +92,7 @@
         RehearsalResult result = run(fault(Kind.DRAIN, 5, 5, 1, "nodo-4"));
         assertLogged(result, 5, 8, "nodo-4 draining: nothing new is sent");
         assertLogged(result, 10, 13, "nodo-4 ready");
-        assertEquals(0, meanLoad(result, 4, 9, 10), "and nothing new went there");
+        assertEquals(0, meanLoad(result, 4, 9, 10), "nothing new is sent to a draining nodo");
     }
 
     @Test
@@ -123,7 +123,7 @@
         assertLogged(result, 5, 9, "nodo-4 gone from the list");
         assertLogged(result, 5, 9, "nodo-15 cold: listed as just started");
         assertEquals(-1, meanLoad(result, 4, 10, 15));
-        assertTrue(meanLoad(result, 15, 10, 18) > 0, "and it is used");
+        assertTrue(meanLoad(result, 15, 10, 18) > 0, "the replacement is used");
     }
 
     /** Replaces the nodos of one sala one at a time. */
@@ -139,7 +139,7 @@
         long startedEarly = result.resolvedPlan().nodos().size() + runningReplacements(result, 8);
         assertTrue(
                 startedEarly < 3 * nodosPerSala && startedEarly > 2 * nodosPerSala,
-                startedEarly + " started by the middle of the time");
+                startedEarly + " nodos started by the middle of the rollout");
     }
 
     /** Returns the number of nodos added to the initial ones that run in a second. */
@@ -175,7 +175,7 @@
         assertLogged(killed, 7.9, 8.2, "agent-1 listening on");
         assertTrue(
                 killed.recorder().operationCounts[0][RunRecorder.Outcome.UNANSWERED.ordinal()] > 0,
-                "nobody answered meanwhile");
+                "requests to a killed agent are unanswered");
         RehearsalResult restarted = run(fault(Kind.AGENT_RESTART, 5, 3, 1, "agent-1", "agent-2"));
         assertLogged(restarted, 5.5, 9, "agent-1 listening on");
         assertLogged(restarted, 8.5, 12, "agent-2 listening on");
@@ -211,7 +211,7 @@
             attempts += result.recorder().attempts[s];
             tries += result.recorder().tries[s];
         }
-        assertTrue(attempts > 0.3 * tries, "they were in the middle of it");
+        assertTrue(attempts > 0.3 * tries, "the faults overlap with retries");
         assertTrue(result.service() < 0.99, result.summary());
     }
 
@@ -228,7 +228,9 @@
         assertTrue(result.recorder().idleConnectionsClosed > 50, result.recorder().idleConnectionsClosed + " closed");
         assertTrue(result.service() > 0.95, result.summary());
         assertEquals(
-                0, run().recorder().idleConnectionsClosed, "with the usual minute none is closed on so short a day");
+                0,
+                run().recorder().idleConnectionsClosed,
+                "with the default idle time of a minute, a run this short closes none");
     }
 
     /**
@@ -258,8 +260,8 @@
         long windowMicros = (long) (1000 * plan.classes().get(keyedClass).windowMs());
         RehearsalResult result = new Rehearsal(plan, 2, engine -> new FaultyAgentTest.FaultyBalancer(engine) {
                     private final Map<Long, Integer> zones = new HashMap<>();
-                    private final Map<Long, Long> lost = new HashMap<>();
-                    private final Map<Long, Integer> lostIn = new HashMap<>();
+                    private final Map<Long, Long> lostSince = new HashMap<>();
+                    private final Map<Long, Integer> lostZone = new HashMap<>();
                     private final Set<Long> payments = new HashSet<>();
 
                     @Override
@@ -282,22 +284,23 @@
                             long request,
                             int attempt,
                             long server,
-                            Outcome how,
-                            long spent,
+                            Outcome outcome,
+                            long elapsedMicros,
                             boolean closed,
                             double[] load) {
-                        Long since = lost.get(request);
+                        Long since = lostSince.get(request);
                         if (since != null) {
-                            retriesByResult[how == Outcome.OK ? 0 : 1]++;
-                            if (!zones.get(server).equals(lostIn.get(request)) || now - spent > since + windowMicros) {
+                            retriesByResult[outcome == Outcome.OK ? 0 : 1]++;
+                            if (!zones.get(server).equals(lostZone.get(request))
+                                    || now - elapsedMicros > since + windowMicros) {
                                 violations.add(request + " at " + server);
                             }
-                        } else if (how == Outcome.RESET && payments.contains(request)) {
+                        } else if (outcome == Outcome.RESET && payments.contains(request)) {
                             lostPayments[0]++;
-                            lost.put(request, now - spent);
-                            lostIn.put(request, zones.get(server));
+                            lostSince.put(request, now - elapsedMicros);
+                            lostZone.put(request, zones.get(server));
                         }
-                        super.outcome(now, request, attempt, server, how, spent, closed, load);
+                        super.outcome(now, request, attempt, server, outcome, elapsedMicros, closed, load);
                     }
                 })
                 .run();
@@ -305,7 +308,7 @@
         assertEquals(List.of(), violations);
         assertTrue(
                 retriesByResult[0] > 3,
-                retriesByResult[0] + " payments were served by the attempt after, " + retriesByResult[1] + " not, lost "
+                retriesByResult[0] + " payments served by a retry, " + retriesByResult[1] + " not, attempts lost: "
                         + lostPayments[0]);
     }
 }
--- a/src/test/java/gatefront/rehearsal/FaultyAgentTest.java
+++ b/src/test/java/gatefront/rehearsal/FaultyAgentTest.java
@@ -130,14 +130,14 @@
                     int attempt,
                     long server,
                     Outcome outcome,
-                    long spent,
+                    long elapsedMicros,
                     boolean closed,
                     double[] load) {
                 if (outcome == Outcome.ERROR || outcome == Outcome.RESET) {
                     engine.refuse(request, 0);
-                    super.outcome(now, request, attempt, server, outcome, spent, true, load);
+                    super.outcome(now, request, attempt, server, outcome, elapsedMicros, true, load);
                 } else {
-                    super.outcome(now, request, attempt, server, outcome, spent, closed, load);
+                    super.outcome(now, request, attempt, server, outcome, elapsedMicros, closed, load);
                 }
             }
         };
@@ -147,8 +147,8 @@
         return result.breaches().stream()
                 .filter(breach -> breach.rule() == rule)
                 .findFirst()
-                .orElseThrow(() -> new AssertionError(
-                        "not caught: " + result.breaches().stream().limit(3).toList()));
+                .orElseThrow(() -> new AssertionError("rule not broken: "
+                        + result.breaches().stream().limit(3).toList()));
     }
 
     /** Every 50th request is sent to two servers at once. */
@@ -202,7 +202,7 @@
                 result.breaches().stream()
                         .filter(each -> each.rule() == Rule.DRAINS_KEPT)
                         .count(),
-                "the engine holds the rule though the module does not");
+                "the engine enforces the rule although the module does not");
     }
 
     /** Requests of every class are refused after a failed attempt, even if it may have run. */
@@ -211,7 +211,9 @@
         var result = run(planWithFailures(), FaultyAgentTest::refuseAfterFailure);
         Breach breach = firstBreach(result, Rule.NO_EFFECT_TWICE);
         assertEquals("refused, though an attempt may have run", breach.description());
-        assertTrue(breach.history().get(0).contains("pago-recibo"), "the one class that may not be refused then");
+        assertTrue(
+                breach.history().get(0).contains("pago-recibo"),
+                "the only class that must not be refused after it may have run");
     }
 
     /** Keyed requests that may have run are sent to any server, including those of the other sala. */
@@ -233,7 +235,7 @@
                     int attempt,
                     long server,
                     Outcome result,
-                    long spent,
+                    long elapsedMicros,
                     boolean closed,
                     double[] load) {
                 int zone = listed.stream()
@@ -248,7 +250,7 @@
                             .orElseThrow();
                     engine.send(request, other.id(), 300_000);
                 }
-                super.outcome(now, request, attempt, server, result, spent, true, load);
+                super.outcome(now, request, attempt, server, result, elapsedMicros, true, load);
             }
         });
         Breach breach = firstBreach(result, Rule.NO_EFFECT_TWICE);
@@ -267,8 +269,8 @@
                 }
             }
         });
-        assertEquals(0, result.breachCount(), "the engine answers for it");
-        assertTrue(result.log().stream().anyMatch(line -> line.contains("request given up")), "and says so");
+        assertEquals(0, result.breachCount(), "the engine answers in place of the module");
+        assertTrue(result.log().stream().anyMatch(line -> line.contains("request given up")), "the engine logs it");
     }
 
     /** The module sends all requests to a cold server without any limit. */
@@ -301,13 +303,13 @@
                     int attempt,
                     long server,
                     Outcome result,
-                    long spent,
+                    long elapsedMicros,
                     boolean closed,
                     double[] load) {
                 if (cold != 0 && !closed) {
                     engine.fail(request);
                 }
-                super.outcome(now, request, attempt, server, result, spent, true, load);
+                super.outcome(now, request, attempt, server, result, elapsedMicros, true, load);
             }
         });
         assertTrue(firstBreach(result, Rule.NO_COLD_FALL).description().contains("was pushed over"));
@@ -348,7 +350,9 @@
     @Test
     void planIsShrunkToTheFaultThatBreaksTheRule() throws Exception {
         List<String> steps = new ArrayList<>();
-        assertNull(PlanShrinker.shrink(planWithFailures(), 1, steps::add), "nothing breaks, nothing to cut down");
+        assertNull(
+                PlanShrinker.shrink(planWithFailures(), 1, steps::add),
+                "no rule is broken, so there is nothing to shrink");
         Plan shrunk = PlanShrinker.shrink(planWithFailures(), 1, FaultyAgentTest::refuseAfterFailure, steps::add);
         assertEquals(
                 List.of(Fault.Kind.FAIL),
--- a/src/test/java/gatefront/rehearsal/FaultyFrontendTest.java
+++ b/src/test/java/gatefront/rehearsal/FaultyFrontendTest.java
@@ -33,8 +33,8 @@
         return result.breaches().stream()
                 .filter(breach -> breach.rule() == rule && breach.description().contains(description))
                 .findFirst()
-                .orElseThrow(() -> new AssertionError(
-                        "not caught: " + result.breaches().stream().limit(3).toList()));
+                .orElseThrow(() -> new AssertionError("rule not broken: "
+                        + result.breaches().stream().limit(3).toList()));
     }
 
     private static RehearsalResult run(
--- a/src/test/java/gatefront/rehearsal/FleetRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/FleetRehearsalTest.java
@@ -31,14 +31,14 @@
     void returningColdSalaIsUsedFromTheFirstSeconds() throws Exception {
         RehearsalResult result = run("fleet-zone", 22);
         int served = served(result, 1, 2, 14, 20); // the nodos with even numbers stand in sala-norte
-        assertTrue(served > 350, "served there " + served + "; 94 before");
+        assertTrue(served > 350, "served by returning nodos: " + served + "; 94 without the measures");
     }
 
     @Test
     void newNodosAreUsedFromTheFirstSeconds() throws Exception {
         RehearsalResult result = run("fleet-join", 22);
         int served = served(result, 60, 1, 8, 18);
-        assertTrue(served > 1_150, "served there " + served + "; 884 before");
+        assertTrue(served > 1_150, "served by new nodos: " + served + "; 884 without the measures");
     }
 
     /**
@@ -55,7 +55,7 @@
                 "cold nodos were sent " + fleetLoad.coldCapacityUsed() + " of what they could do");
         assertTrue(
                 fleetLoad.refusalsWithIdleCapacityShare() < 0.7,
-                "refused beside room: " + fleetLoad.refusalsWithIdleCapacityShare());
+                "share of refusals made with idle capacity: " + fleetLoad.refusalsWithIdleCapacityShare());
         // 3,257 with twice as many nodos to draw from: each agent then knows a nodo half as well.
         assertTrue(fleetLoad.firstMeetings() < 2_800, fleetLoad.firstMeetings() + " first meetings");
     }
@@ -65,8 +65,8 @@
         RehearsalResult result = run("fleet-herd", 20);
         int refused = Arrays.stream(result.recorder().listCallsRefused).sum();
         int calls = Arrays.stream(result.recorder().listCalls).sum();
-        assertTrue(refused > 0, "the padrón is overbooked");
-        assertTrue(calls < 650, calls + " calls for the list; 759 before");
+        assertTrue(refused > 0, "the padrón is overloaded");
+        assertTrue(calls < 650, calls + " calls for the list; 759 without the measures");
         assertTrue(result.service() > 0.85, "service " + result.service());
     }
 }
--- a/src/test/java/gatefront/rehearsal/RehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/RehearsalTest.java
@@ -102,6 +102,6 @@
         assertEquals(6, summary.played());
         assertEquals(0, summary.broken(), summary.text());
         RehearsalResult third = new Rehearsal(rough(12), 3).run();
-        assertTrue(summary.services().contains(third.service()), "threads beside it change nothing");
+        assertTrue(summary.services().contains(third.service()), "parallel runs must not change the result");
     }
 }
--- a/src/test/java/gatefront/rehearsal/check/RuleCheckerTest.java
+++ b/src/test/java/gatefront/rehearsal/check/RuleCheckerTest.java
@@ -244,7 +244,7 @@
         checker.closedAnnounced(700_000, 0, 7);
         checker.agentReset(0);
         endAttempt(1400, startAttempt(1300, 7, 0), Ending.ANSWERED);
-        assertEquals(1, checker.count(), "an agent that started anew has not been told");
+        assertEquals(1, checker.count(), "a restarted agent has not been told of the drain");
     }
 
     @Test
--- a/src/test/java/gatefront/rehearsal/net/NetworkTest.java
+++ b/src/test/java/gatefront/rehearsal/net/NetworkTest.java
@@ -42,8 +42,8 @@
 
     @BeforeEach
     void createHosts() throws Exception {
-        clientHost = host("here", 1);
-        serverHost = host("there", 2);
+        clientHost = host("client", 1);
+        serverHost = host("server", 2);
     }
 
     private VirtualHost host(String name, int lastByte) throws Exception {
@@ -284,39 +284,39 @@
      */
     @Test
     void eventsOfOneInstantRunInTheDocumentedOrder() {
-        serverHost.loop().schedule(() -> events.add("there a"), 5, TimeUnit.MILLISECONDS);
+        serverHost.loop().schedule(() -> events.add("server a"), 5, TimeUnit.MILLISECONDS);
         clientHost
                 .loop()
                 .schedule(
                         () -> {
-                            events.add("here a");
-                            clientHost.loop().execute(() -> events.add("here, made now"));
-                            serverHost.loop().execute(() -> events.add("there, given now"));
+                            events.add("client a");
+                            clientHost.loop().execute(() -> events.add("client, scheduled by client"));
+                            serverHost.loop().execute(() -> events.add("server, scheduled by client"));
                         },
                         5,
                         TimeUnit.MILLISECONDS);
-        clientHost.loop().schedule(() -> events.add("here b"), 5, TimeUnit.MILLISECONDS);
+        clientHost.loop().schedule(() -> events.add("client b"), 5, TimeUnit.MILLISECONDS);
         serverHost
                 .loop()
                 .schedule(
                         () -> {
-                            events.add("there b");
-                            clientHost.loop().execute(() -> events.add("here, given now"));
+                            events.add("server b");
+                            clientHost.loop().execute(() -> events.add("client, scheduled by server"));
                         },
                         5,
                         TimeUnit.MILLISECONDS);
-        clientHost.loop().schedule(() -> events.add("here earlier"), 4, TimeUnit.MILLISECONDS);
+        clientHost.loop().schedule(() -> events.add("client earlier"), 4, TimeUnit.MILLISECONDS);
         runUntil(10);
         assertEquals(
                 List.of(
-                        "here earlier",
-                        "here a",
-                        "here b",
-                        "here, made now",
-                        "there, given now",
-                        "there a",
-                        "there b",
-                        "here, given now"),
+                        "client earlier",
+                        "client a",
+                        "client b",
+                        "client, scheduled by client",
+                        "server, scheduled by client",
+                        "server a",
+                        "server b",
+                        "client, scheduled by server"),
                 events);
     }
 
@@ -335,14 +335,14 @@
         assertTimeoutPreemptively(Duration.ofSeconds(60), () -> {
             VirtualTime ownTime = new VirtualTime(); // loops belong to the thread that created their clock
             VirtualHost host = new Network(ownTime, 0, (from, to, bytes) -> NANOS_PER_MILLI)
-                    .host("here", InetAddress.getLoopbackAddress(), 0, 1 << 20, line -> {});
+                    .host("client", InetAddress.getLoopbackAddress(), 0, 1 << 20, line -> {});
             ownTime.run(10 * NANOS_PER_MILLI);
             Runnable[] task = new Runnable[1];
             task[0] = () -> host.loop().schedule(task[0], 0, TimeUnit.NANOSECONDS);
             task[0].run();
             String message = assertThrows(VirtualTime.LivelockException.class, () -> ownTime.run(20 * NANOS_PER_MILLI))
                     .getMessage();
-            assertTrue(message.contains("here") && message.contains("0.010000 s"), message);
+            assertTrue(message.contains("client") && message.contains("0.010000 s"), message);
         });
     }
 }
--- a/src/test/java/gatefront/rehearsal/world/WorldTest.java
+++ b/src/test/java/gatefront/rehearsal/world/WorldTest.java
@@ -34,7 +34,7 @@
                 300_000 / (3 * 2 * 0.1 * 1_000_000),
                 model.overloadShare(),
                 1e-9,
-                "of what topples it by what is stated");
+                "as a share of the load that makes the process crash by its stated warm-up");
         assertEquals(300_000, model.coldWork(), 1e-9);
         model.advance(1_000_000);
         assertEquals(1_250_000, model.coldCapacity(), 20_000, "from 1.0 to 1.5 cores in a second");
@@ -113,11 +113,12 @@
             spread.advance(i * 500_000L);
             spread.arrive(i * 500_000L, i, 200_000, 1);
         }
-        assertFalse(spread.crashed(), "the same and more, spread over time");
+        assertFalse(spread.crashed(), "more work, but spread over time");
         NodoModel slowed = new NodoModel(TWO_CORES_MACHINE, random, 0, true);
         slowed.setSlowdown(0, 9);
         slowed.arrive(0, 0, 100_000, 1);
-        assertTrue(slowed.crashed() && !slowed.statedLimitExceeded(), "it falls, and nobody could know");
+        assertTrue(
+                slowed.crashed() && !slowed.statedLimitExceeded(), "it crashes, which no agent could have predicted");
         assertTrue(model.statedLimitExceeded());
     }
 
@@ -135,11 +136,12 @@
         IdempotencyWindow window = new IdempotencyWindow(4_000_000);
         IdempotencyWindow.Entry first = window.register(0, "k");
         IdempotencyWindow.Entry second = window.register(3_900_000, "k");
-        assertTrue(second.markApplied(), "the first that runs, though it came second");
+        assertTrue(second.markApplied(), "the first to run, although it arrived second");
         assertFalse(first.markApplied());
-        assertTrue(window.register(4_000_000, "k").markApplied(), "the window is over: it happens again");
+        assertTrue(
+                window.register(4_000_000, "k").markApplied(), "the window has ended, so the effect is applied again");
         window.register(9_000_000, "other");
-        assertEquals(1, window.size(), "nothing is remembered for ever");
+        assertEquals(1, window.size(), "ended windows are removed");
     }
 
     @Test
@@ -166,7 +168,7 @@
         assertEquals(
                 RetryBehavior.NEVER,
                 behavior.nextTryMicros(0, 3, TryOutcome.REFUSED, RetrySafety.SAFE, 0, 9_000_000, 0),
-                "two at most");
+                "at most two retries");
         assertTrue(
                 behavior.nextTryMicros(0, 1, TryOutcome.REFUSED, RetrySafety.SAFE, 0, 9_000_000, 700_000) >= 700_000);
         assertEquals(
@@ -193,7 +195,7 @@
             padron.put(entry);
         }
         assertTrue(padron.changesSince(oldVersion).complete());
-        assertTrue(padron.changesSince(padron.index() + 5).complete(), "a version that it has never had");
+        assertTrue(padron.changesSince(padron.index() + 5).complete(), "a version that never existed");
     }
 
     @Test
