--- a/src/main/java/gatefront/engine/Engine.java
+++ b/src/main/java/gatefront/engine/Engine.java
@@ -183,7 +183,7 @@
 
     /** Returns how many listed servers the module avoids by its own choice; must be called on the event loop. */
     public int avoidedServers() {
-        return balancer.avoided(now());
+        return balancer.unhealthyServers(now());
     }
 
     /** Returns the numbers of requests, attempts and servers held now; must be called on the event loop. */
@@ -630,12 +630,12 @@
                 .get(0)
                 .probe(
                         server,
-                        result -> dispatch(() ->
-                                balancer.probed(now(), server, result.outcome(), now() - sentAt, result.loadReport())));
+                        result -> dispatch(() -> balancer.probeOutcome(
+                                now(), server, result.outcome(), now() - sentAt, result.loadReport())));
     }
 
     @Override
-    public void tell(int agent, byte[] message) {} // the module sends no messages
+    public void sendMessage(int agent, byte[] message) {} // the module sends no messages
 
     @Override
     public void timer(long token, long delayMicros) {
--- a/src/main/java/gatefront/policy/CheckedBalancer.java
+++ b/src/main/java/gatefront/policy/CheckedBalancer.java
@@ -6,41 +6,45 @@
 import java.util.Objects;
 
 /**
- * A balancer that holds its host to the contract: wrong use is an exception that says what was wrong, and the
- * balancer behind it is not told. For the time in which a host is written; {@link AdaptiveBalancer} itself disregards
- * what it can.
+ * A balancer that verifies that its host keeps the contract of {@link Balancer}. Wrong use throws an exception that
+ * says what was wrong, and the event is not passed on. It is meant for the development of a host; {@link
+ * AdaptiveBalancer} itself ignores wrong events where it can.
  */
 public final class CheckedBalancer implements Balancer {
-    /** What is out for one request: the sends seen and which of them have ended. */
-    private static final class Seen {
-        int sends;
-        long ended;
+    /** The attempts of one request. */
+    private static final class TrackedRequest {
+        /** Number of attempts sent. */
+        int attemptsSent;
+
+        /** Bit set of the attempts that have ended. */
+        long endedAttempts;
+
         boolean answered;
     }
 
-    /** Hands the actions on and counts the sends. */
-    private final class Counted implements Actions {
+    /** Passes the actions on to the host and counts the attempts. */
+    private final class CountingActions implements Actions {
         private final Actions host;
 
-        Counted(Actions host) {
+        CountingActions(Actions host) {
             this.host = host;
         }
 
         @Override
         public void send(long request, long server, long timeout) {
-            requests.get(request).sends++;
+            requests.get(request).attemptsSent++;
             host.send(request, server, timeout);
         }
 
         @Override
         public void refuse(long request, long retryAfter) {
-            answered(request);
+            markAnswered(request);
             host.refuse(request, retryAfter);
         }
 
         @Override
         public void fail(long request) {
-            answered(request);
+            markAnswered(request);
             host.fail(request);
         }
 
@@ -55,8 +59,8 @@
         }
 
         @Override
-        public void tell(int agent, byte[] message) {
-            host.tell(agent, message);
+        public void sendMessage(int agent, byte[] message) {
+            host.sendMessage(agent, message);
         }
 
         @Override
@@ -87,22 +91,22 @@
 
     private Settings settings;
     private final Balancer balancer;
-    private final Map<Long, Seen> requests = new HashMap<>();
-    private long latest;
-    private boolean inside;
+    private final Map<Long, TrackedRequest> requests = new HashMap<>();
+    private long lastEventAt;
+    private boolean inEvent;
 
     /**
-     * A checked {@link AdaptiveBalancer}.
+     * Creates a checked {@link AdaptiveBalancer}.
      *
-     * @param settings what it is told once
-     * @param seed for its random choices
-     * @param now the time
+     * @param settings the settings
+     * @param seed the seed of its random choices
+     * @param now the current time in microseconds
      * @param actions the host
      */
     public CheckedBalancer(Settings settings, long seed, long now, Actions actions) {
         this.settings = Objects.requireNonNull(settings, "settings");
-        this.latest = now;
-        Actions counted = new Counted(Objects.requireNonNull(actions, "actions"));
+        this.lastEventAt = now;
+        Actions counted = new CountingActions(Objects.requireNonNull(actions, "actions"));
         this.balancer = new AdaptiveBalancer(settings, seed, now, counted);
     }
 
@@ -112,7 +116,7 @@
         for (Server entry : Objects.requireNonNull(entries, "entries")) {
             Objects.requireNonNull(entry, "an entry");
         }
-        event(now, () -> balancer.servers(now, kind, entries));
+        handle(now, () -> balancer.servers(now, kind, entries));
     }
 
     @Override
@@ -120,18 +124,18 @@
         Objects.requireNonNull(request, "request");
         Objects.checkIndex(request.requestClass(), settings.classes().size());
         if (requests.containsKey(request.id())) {
-            throw new IllegalArgumentException("request " + request.id() + " has come before");
+            throw new IllegalArgumentException("request id " + request.id() + " is still in use");
         }
-        event(now, () -> {
-            requests.put(request.id(), new Seen());
+        handle(now, () -> {
+            requests.put(request.id(), new TrackedRequest());
             balancer.request(now, request);
         });
     }
 
     @Override
-    public void streamStarted(long now, long request, int attempt, long server, long spent) {
-        out(request, attempt);
-        event(now, () -> balancer.streamStarted(now, request, attempt, server, spent));
+    public void streamStarted(long now, long request, int attempt, long server, long elapsed) {
+        requireInFlight(request, attempt);
+        handle(now, () -> balancer.streamStarted(now, request, attempt, server, elapsed));
     }
 
     @Override
@@ -141,102 +145,103 @@
             int attempt,
             long server,
             Outcome outcome,
-            long spent,
+            long elapsed,
             boolean closed,
             double[] load) {
         Objects.requireNonNull(outcome, "outcome");
         Objects.requireNonNull(load, "load");
-        Seen seen = out(request, attempt);
-        event(now, () -> {
-            seen.ended |= 1L << attempt;
-            seen.answered |= closed;
-            balancer.outcome(now, request, attempt, server, outcome, spent, closed, load);
-            forget(request, seen);
+        TrackedRequest tracked = requireInFlight(request, attempt);
+        handle(now, () -> {
+            tracked.endedAttempts |= 1L << attempt;
+            tracked.answered |= closed;
+            balancer.outcome(now, request, attempt, server, outcome, elapsed, closed, load);
+            forgetIfEnded(request, tracked);
         });
     }
 
     @Override
     public void clientLeft(long now, long request) {
-        event(now, () -> {
+        handle(now, () -> {
             if (requests.containsKey(request)) {
                 balancer.clientLeft(now, request);
-                answered(request);
+                markAnswered(request);
             }
         });
     }
 
     @Override
-    public void probed(long now, long server, Outcome outcome, long spent, double[] load) {
+    public void probeOutcome(long now, long server, Outcome outcome, long elapsed, double[] load) {
         Objects.requireNonNull(outcome, "outcome");
         Objects.requireNonNull(load, "load");
-        event(now, () -> balancer.probed(now, server, outcome, spent, load));
+        handle(now, () -> balancer.probeOutcome(now, server, outcome, elapsed, load));
     }
 
     @Override
     public void message(long now, int agent, byte[] message) {
         Objects.requireNonNull(message, "message");
-        event(now, () -> balancer.message(now, agent, message));
+        handle(now, () -> balancer.message(now, agent, message));
     }
 
     @Override
     public void settings(long now, Settings changed) {
         if (Objects.requireNonNull(changed, "changed").classes().size()
                 < settings.classes().size()) {
-            throw new IllegalArgumentException("classes keep their numbers: "
-                    + changed.classes().size() + " after " + settings.classes().size());
+            throw new IllegalArgumentException(
+                    "classes cannot be removed: " + changed.classes().size() + " left of "
+                            + settings.classes().size());
         }
-        event(now, () -> {
+        handle(now, () -> {
             settings = changed;
             balancer.settings(now, changed);
         });
     }
 
     @Override
-    public int avoided(long now) {
-        return balancer.avoided(now);
+    public int unhealthyServers(long now) {
+        return balancer.unhealthyServers(now);
     }
 
     @Override
     public void timer(long now, long token) {
-        event(now, () -> balancer.timer(now, token));
+        handle(now, () -> balancer.timer(now, token));
     }
 
-    private void event(long now, Runnable told) {
-        if (inside) {
+    private void handle(long now, Runnable handler) {
+        if (inEvent) {
             throw new IllegalStateException("an action has called back into the balancer");
         }
-        if (now < latest) {
-            throw new IllegalArgumentException("time runs backwards: " + now + " after " + latest);
+        if (now < lastEventAt) {
+            throw new IllegalArgumentException("time runs backwards: " + now + " after " + lastEventAt);
         }
-        latest = now;
-        inside = true;
+        lastEventAt = now;
+        inEvent = true;
         try {
-            told.run();
+            handler.run();
         } finally {
-            inside = false;
+            inEvent = false;
         }
     }
 
-    private Seen out(long request, int attempt) {
-        Seen seen = requests.get(request);
-        if (seen == null) {
+    private TrackedRequest requireInFlight(long request, int attempt) {
+        TrackedRequest tracked = requests.get(request);
+        if (tracked == null) {
             throw new IllegalArgumentException("request " + request + " is not known, or has ended");
         }
-        Objects.checkIndex(attempt, seen.sends);
-        if ((seen.ended & 1L << attempt) != 0) {
+        Objects.checkIndex(attempt, tracked.attemptsSent);
+        if ((tracked.endedAttempts & 1L << attempt) != 0) {
             throw new IllegalArgumentException("attempt " + attempt + " of request " + request + " has ended");
         }
-        return seen;
+        return tracked;
     }
 
-    private void answered(long request) {
-        Seen seen = requests.get(request);
-        seen.answered = true;
-        forget(request, seen);
+    private void markAnswered(long request) {
+        TrackedRequest tracked = requests.get(request);
+        tracked.answered = true;
+        forgetIfEnded(request, tracked);
     }
 
-    private void forget(long request, Seen seen) {
-        if (seen.answered && Long.bitCount(seen.ended) == seen.sends) {
+    private void forgetIfEnded(long request, TrackedRequest tracked) {
+        if (tracked.answered && Long.bitCount(tracked.endedAttempts) == tracked.attemptsSent) {
             requests.remove(request);
         }
     }
--- a/src/main/java/gatefront/policy/QuantileEstimator.java
+++ b/src/main/java/gatefront/policy/QuantileEstimator.java
@@ -1,52 +1,54 @@
 package gatefront.policy;
 
-/** Follows a quantile of a stream of positive values, and the lowest it has been. */
+/** Estimates a quantile of a stream of positive samples, and tracks the minimum of that estimate. */
 final class QuantileEstimator {
-    /** Values before the quantile means anything. */
-    private static final int ENOUGH = 50;
-    /** A step, as a part of the value. */
+    /** Number of samples before the estimate is meaningful. */
+    private static final int MIN_SAMPLES = 50;
+    /** Step of the estimate, relative to its value. */
     private static final double STEP = 0.02;
-    /** What a value adds to the lowest, as a part: an old minimum is forgotten in some ten thousands. */
-    private static final double RISE = 0.00003;
+    /**
+     * Relative increase of the minimum with each sample: an old minimum is forgotten after some ten thousand samples.
+     */
+    private static final double MINIMUM_RISE = 0.00003;
 
-    private final double share;
+    private final double quantile;
     private double value;
-    private double lowest = Double.MAX_VALUE;
-    /** The first values, in order of size: steps from a single one would be lost for long. */
-    private final double[] first = new double[ENOUGH];
+    private double minimum = Double.MAX_VALUE;
+    /** The first samples, sorted. An estimate that started from a single sample would be wrong for long. */
+    private final double[] firstSamples = new double[MIN_SAMPLES];
 
     private int count;
 
     QuantileEstimator(double share) {
-        this.share = share;
+        this.quantile = share;
     }
 
-    void add(double x) {
-        if (count < ENOUGH) {
-            int at = count++;
-            for (; at > 0 && first[at - 1] > x; at--) {
-                first[at] = first[at - 1];
+    void add(double sample) {
+        if (count < MIN_SAMPLES) {
+            int index = count++;
+            for (; index > 0 && firstSamples[index - 1] > sample; index--) {
+                firstSamples[index] = firstSamples[index - 1];
             }
-            first[at] = x;
-            value = first[(int) (share * count)];
+            firstSamples[index] = sample;
+            value = firstSamples[(int) (quantile * count)];
         } else {
-            value += x > value ? value * STEP * share : value * STEP * (share - 1);
+            value += sample > value ? value * STEP * quantile : value * STEP * (quantile - 1);
         }
-        if (known()) {
-            lowest = Math.min(lowest * (1 + RISE), value);
+        if (isReady()) {
+            minimum = Math.min(minimum * (1 + MINIMUM_RISE), value);
         }
     }
 
-    /** Whether enough has been seen for {@link #lowest}. */
-    boolean known() {
-        return count >= ENOUGH;
+    /** Returns whether there are enough samples for {@link #minimum}. */
+    boolean isReady() {
+        return count >= MIN_SAMPLES;
     }
 
     double value() {
         return value;
     }
 
-    double lowest() {
-        return lowest;
+    double minimum() {
+        return minimum;
     }
 }
--- a/src/main/java/gatefront/policy/SettingsParser.java
+++ b/src/main/java/gatefront/policy/SettingsParser.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Turns path=value settings into the module's settings. Keys it does not know are skipped. */
+/** Converts settings given as path=value pairs into {@link Balancer.Settings}. Unknown keys are ignored. */
 public final class SettingsParser {
     private static final Map<String, LoadField> LOAD_FIELDS = Map.of(
             "concurrent",
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Reads the wire's settings text.
+     * Parses the settings in the text format of the protocol.
      *
-     * @param text a path=value pair a line
+     * @param text one path=value pair per line
      * @return the settings
      * @throws IllegalArgumentException if a value is missing or unusable; the message names it
      */
@@ -52,9 +52,9 @@
     }
 
     /**
-     * Reads settings already taken apart.
+     * Parses settings from a map.
      *
-     * @param pairs values by their paths
+     * @param pairs the values by their paths
      * @return the settings
      * @throws IllegalArgumentException if a value is missing or unusable; the message names it
      */
@@ -69,15 +69,15 @@
                 flag("caps.cancel"),
                 flag("caps.probes"),
                 flag("caps.peers"),
-                flag("caps.retry-after") ? whole("caps.max-retry-after-us") : 0);
+                flag("caps.retry-after") ? rounded("caps.max-retry-after-us") : 0);
         var obligations = new Balancer.Obligations(
-                whole("obligations.answer-slack-us"),
-                whole("obligations.stop-sending-within-us"),
+                rounded("obligations.answer-slack-us"),
+                rounded("obligations.stop-sending-within-us"),
                 number("obligations.cold-from"),
                 atLeast(1, "obligations.cold-us"),
                 number("obligations.fall-multiple"),
                 atLeast(1, "obligations.overload-for-us"),
-                has("obligations.ask-within-us") ? whole("obligations.ask-within-us") : 0);
+                has("obligations.ask-within-us") ? rounded("obligations.ask-within-us") : 0);
         var prices = new Balancer.Prices(
                 number("deductions.cross-zone", 0),
                 number("deductions.probe", 0),
@@ -88,9 +88,9 @@
                 number("objective-mix.whole", 1), number("objective-mix.worst-window", 0),
                 number("objective-mix.worst-class", 0), number("objective-mix.worst-tenant", 0));
         List<LoadField> fields = new ArrayList<>();
-        if (!word("load-info.via", "none").equals("none")) {
+        if (!text("load-info.via", "none").equals("none")) {
             for (String name : list("load-info.fields")) {
-                fields.add(LOAD_FIELDS.get(name)); // null: a value without a name here
+                fields.add(LOAD_FIELDS.get(name)); // null for a field without a meaning here
             }
         }
         return new Balancer.Settings(
@@ -99,10 +99,10 @@
                 (int) atLeast(0, "locality"),
                 zones(),
                 atLeast(1, "granularity-us"),
-                need("discovery").equals("subscribe"),
-                word("family-info.warm-keys", "false").equals("true"),
-                !word("weight-source", "none").equals("none"),
-                word("worth-by", "request").equals("work"),
+                required("discovery").equals("subscribe"),
+                text("family-info.warm-keys", "false").equals("true"),
+                !text("weight-source", "none").equals("none"),
+                text("worth-by", "request").equals("work"),
                 number("over-share-worth", 1),
                 permits,
                 obligations,
@@ -116,7 +116,7 @@
     private int zones() {
         int zones = list("zones").size();
         if (zones <= atLeast(0, "locality")) {
-            throw bad("locality");
+            throw unusable("locality");
         }
         return zones;
     }
@@ -125,37 +125,37 @@
         List<Balancer.RequestClass> classes = new ArrayList<>();
         long count = atLeast(0, "classes.count");
         for (int i = 0; i < count; i++) {
-            String at = "classes." + i + ".";
+            String prefix = "classes." + i + ".";
             classes.add(new Balancer.RequestClass(
-                    atLeast(1, at + "aim-us"),
-                    number(at + "aim-stretch", 0),
-                    atLeast(1, at + "give-up-us"),
-                    semantics(at + "semantics"),
-                    scope(word(at + "key-scope", "all"), at + "key-scope"),
-                    has(at + "window-us") ? whole(at + "window-us") : 0,
-                    number(at + "worth", 1),
-                    number(at + "late-share", 0),
-                    word(at + "stream", "false").equals("true")));
+                    atLeast(1, prefix + "aim-us"),
+                    number(prefix + "aim-stretch", 0),
+                    atLeast(1, prefix + "give-up-us"),
+                    semantics(prefix + "semantics"),
+                    scope(text(prefix + "key-scope", "all"), prefix + "key-scope"),
+                    has(prefix + "window-us") ? rounded(prefix + "window-us") : 0,
+                    number(prefix + "worth", 1),
+                    number(prefix + "late-share", 0),
+                    text(prefix + "stream", "false").equals("true")));
         }
         return List.copyOf(classes);
     }
 
     private List<Balancer.Tenant> tenants() {
         List<Balancer.Tenant> tenants = new ArrayList<>();
-        long count = has("realms.count") ? whole("realms.count") : 0;
+        long count = has("realms.count") ? rounded("realms.count") : 0;
         for (int i = 0; i < count; i++) {
-            String at = "realms." + i + ".";
-            tenants.add(new Balancer.Tenant(number(at + "quota-per-s", 0), number(at + "fraction", 0)));
+            String prefix = "realms." + i + ".";
+            tenants.add(new Balancer.Tenant(number(prefix + "quota-per-s", 0), number(prefix + "fraction", 0)));
         }
         return List.copyOf(tenants);
     }
 
     private Semantics semantics(String key) {
-        return switch (need(key)) {
+        return switch (required(key)) {
             case "safe" -> Semantics.SAFE;
             case "keyed" -> Semantics.KEYED;
             case "unsafe" -> Semantics.UNSAFE;
-            default -> throw bad(key);
+            default -> throw unusable(key);
         };
     }
 
@@ -164,7 +164,7 @@
             case "all" -> Scope.ALL;
             case "zone" -> Scope.ZONE;
             case "cell" -> Scope.CELL;
-            default -> throw bad(key);
+            default -> throw unusable(key);
         };
     }
 
@@ -172,7 +172,7 @@
         return pairs.containsKey(key);
     }
 
-    private String need(String key) {
+    private String required(String key) {
         String value = pairs.get(key);
         if (value == null) {
             throw new IllegalArgumentException("settings: " + key + " is missing");
@@ -180,52 +180,52 @@
         return value;
     }
 
-    private String word(String key, String otherwise) {
-        return pairs.getOrDefault(key, otherwise);
+    private String text(String key, String defaultValue) {
+        return pairs.getOrDefault(key, defaultValue);
     }
 
     private List<String> list(String key) {
-        String value = word(key, "");
+        String value = text(key, "");
         return value.isEmpty() ? List.of() : List.of(value.split(","));
     }
 
     private boolean flag(String key) {
-        return switch (need(key)) {
+        return switch (required(key)) {
             case "true" -> true;
             case "false" -> false;
-            default -> throw bad(key);
+            default -> throw unusable(key);
         };
     }
 
-    private long whole(String key) {
+    private long rounded(String key) {
         return Math.round(number(key));
     }
 
-    private long atLeast(long least, String key) {
-        long value = whole(key);
-        if (value < least) {
-            throw bad(key);
+    private long atLeast(long min, String key) {
+        long value = rounded(key);
+        if (value < min) {
+            throw unusable(key);
         }
         return value;
     }
 
-    private double number(String key, double otherwise) {
-        return has(key) ? number(key) : otherwise;
+    private double number(String key, double defaultValue) {
+        return has(key) ? number(key) : defaultValue;
     }
 
     private double number(String key) {
         try {
-            double value = Double.parseDouble(need(key));
+            double value = Double.parseDouble(required(key));
             if (!Double.isFinite(value)) {
-                throw bad(key);
+                throw unusable(key);
             }
             return value;
         } catch (NumberFormatException e) {
-            throw bad(key);
+            throw unusable(key);
         }
     }
 
-    private IllegalArgumentException bad(String key) {
+    private IllegalArgumentException unusable(String key) {
         return new IllegalArgumentException("settings: " + key + " has an unusable value: " + pairs.get(key));
     }
 }
--- a/src/main/java/gatefront/rehearsal/ClientStandIn.java
+++ b/src/main/java/gatefront/rehearsal/ClientStandIn.java
@@ -122,7 +122,7 @@
         this.hurryRandom = context.random("hurry " + agent);
         this.bootstrap = new Bootstrap()
                 .group(machine.transport().loop())
-                .channelFactory(machine.transport().dialers())
+                .channelFactory(machine.transport().clientChannels())
                 .remoteAddress(agentAddress)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 3_000)
                 .option(ChannelOption.TCP_NODELAY, true)
@@ -441,7 +441,7 @@
 
         @Override
         ChannelHandler[] codec() {
-            return new ChannelHandler[] {new MessageDecoder(MessageLimits.USUAL)};
+            return new ChannelHandler[] {new MessageDecoder(MessageLimits.DEFAULT)};
         }
 
         @Override
--- a/src/main/java/gatefront/rehearsal/NodoStandIn.java
+++ b/src/main/java/gatefront/rehearsal/NodoStandIn.java
@@ -185,7 +185,7 @@
         context.reportBindFailure(
                 new ServerBootstrap()
                         .group(machine.transport().loop())
-                        .channelFactory(machine.transport().listeners())
+                        .channelFactory(machine.transport().serverChannels())
                         .childHandler(new ChannelInitializer<Channel>() {
                             @Override
                             protected void initChannel(Channel ch) {
@@ -194,7 +194,7 @@
                                 } else {
                                     ch.pipeline()
                                             .addLast(
-                                                    new MessageDecoder(MessageLimits.USUAL),
+                                                    new MessageDecoder(MessageLimits.DEFAULT),
                                                     new ThriftServerConnection());
                                 }
                             }
--- a/src/main/java/gatefront/rehearsal/PadronStandIn.java
+++ b/src/main/java/gatefront/rehearsal/PadronStandIn.java
@@ -126,7 +126,7 @@
             int agent = i;
             ChannelFuture bound = new ServerBootstrap()
                     .group(machine.transport().loop())
-                    .channelFactory(machine.transport().listeners())
+                    .channelFactory(machine.transport().serverChannels())
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel ch) {
@@ -261,7 +261,7 @@
             return new Padron.Entry(name, "", 0, "", 0, Padron.Status.GONE, 1, 0);
         }
         try {
-            JsonNode json = Config.json(new ByteArrayInputStream(value.getBytes(StandardCharsets.UTF_8)));
+            JsonNode json = Config.parseJson(new ByteArrayInputStream(value.getBytes(StandardCharsets.UTF_8)));
             return new Padron.Entry(
                     name,
                     "",
@@ -318,7 +318,7 @@
     void applyAfterNotice(Runnable change) {
         context.schedule(
                 context.now()
-                        + (long) (1e6 * context.plan.padron().noticeSeconds().draw(random::uniform)),
+                        + (long) (1e6 * context.plan.padron().noticeSeconds().sample(random::uniform)),
                 () -> {
                     change.run();
                     notifyWatchers();
--- a/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
+++ b/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
@@ -310,10 +310,10 @@
     // ---- Faults ----
 
     private void schedule(ProcessFault fault, RandomStream draw, long from) {
-        long at = from + (long) (MICROS * fault.at().draw(draw::uniform));
-        long lasts = (long) (MICROS * fault.lasts().draw(draw::uniform));
-        double spread = MICROS * fault.spread().draw(draw::uniform);
-        double size = fault.size().draw(draw::uniform);
+        long at = from + (long) (MICROS * fault.at().sample(draw::uniform));
+        long lasts = (long) (MICROS * fault.lasts().sample(draw::uniform));
+        double spread = MICROS * fault.spread().sample(draw::uniform);
+        double size = fault.size().sample(draw::uniform);
         long number = draw.nextLong();
         int[] targets = targets(fault, draw);
         day.recorder.addFaultBand(fault.kind().word(), at - from, at - from + Math.max(lasts, 1_000_000));
--- a/src/main/java/gatefront/rehearsal/ResolvedPlan.java
+++ b/src/main/java/gatefront/rehearsal/ResolvedPlan.java
@@ -66,7 +66,7 @@
             classes.add(new Demand.RequestClass(
                     requestClass.name(),
                     requestClass.share(),
-                    1000 * requestClass.workMs().draw(random::uniform),
+                    1000 * requestClass.workMs().sample(random::uniform),
                     requestClass.variation()));
         }
         int agentCount = plan.agents().count();
@@ -82,11 +82,11 @@
                 List.copyOf(classes),
                 agentZones,
                 agentShares,
-                plan.callers().tryShare().draw(random::uniform),
-                1000 * plan.network().crossMs().draw(random::uniform),
-                (long) (1000 * nodoPlan.reportMs().draw(random::uniform)),
-                1000 * nodoPlan.probeMs().draw(random::uniform),
-                1000 * nodoPlan.connectionMs().draw(random::uniform),
+                plan.callers().tryShare().sample(random::uniform),
+                1000 * plan.network().crossMs().sample(random::uniform),
+                (long) (1000 * nodoPlan.reportMs().sample(random::uniform)),
+                1000 * nodoPlan.probeMs().sample(random::uniform),
+                1000 * nodoPlan.connectionMs().sample(random::uniform),
                 resolveFaults(plan, seed));
     }
 
@@ -98,7 +98,7 @@
         Plan.Nodos nodoPlan = plan.nodos();
         double[] kindShares =
                 nodoPlan.kinds().stream().mapToDouble(Plan.Machine::share).toArray();
-        double limitedShare = nodoPlan.limited().draw(random::uniform);
+        double limitedShare = nodoPlan.limited().sample(random::uniform);
         List<Nodo> nodos = new ArrayList<>();
         int[] remainingInCell = new int[plan.zones().size()];
         int[] cells = new int[plan.zones().size()];
@@ -108,14 +108,14 @@
         for (int i = 0; i < nodoPlan.count(); i++) {
             int zone = zone(plan, i);
             if (remainingInCell[zone] == 0) {
-                remainingInCell[zone] = (int) StrictMath.rint(nodoPlan.bloque().draw(random::uniform));
+                remainingInCell[zone] = (int) StrictMath.rint(nodoPlan.bloque().sample(random::uniform));
                 cells[zone] = nextCell++;
                 cellLimits[zone] =
-                        random.nextDouble() < limitedShare ? nodoPlan.limit().draw(random::uniform) : 1;
+                        random.nextDouble() < limitedShare ? nodoPlan.limit().sample(random::uniform) : 1;
             }
             remainingInCell[zone]--;
             Plan.Machine kind = nodoPlan.kinds().get(kindIndexes[i]);
-            double speed = kind.speed().draw(random::uniform);
+            double speed = kind.speed().sample(random::uniform);
             NodoModel.Machine machine = new NodoModel.Machine(
                     kind.cores(),
                     speed,
@@ -124,8 +124,8 @@
                     kind.thrash(),
                     kind.thrashAt(),
                     warmup(
-                            nodoPlan.coldFrom().draw(startRandom::uniform),
-                            nodoPlan.coldSeconds().draw(startRandom::uniform)),
+                            nodoPlan.coldFrom().sample(startRandom::uniform),
+                            nodoPlan.coldSeconds().sample(startRandom::uniform)),
                     warmup(nodoPlan.coldFrom().low(), nodoPlan.coldSeconds().high()),
                     plan.rules().fallMultiple(),
                     (long) (1e6 * plan.rules().fallSeconds()));
@@ -191,12 +191,12 @@
                     };
             scheduledFaults.add(new ScheduledFault(
                     fault,
-                    (long) (1e6 * fault.at().draw(random::uniform)),
-                    (long) (1e6 * fault.lasts().draw(random::uniform)),
+                    (long) (1e6 * fault.at().sample(random::uniform)),
+                    (long) (1e6 * fault.lasts().sample(random::uniform)),
                     targets(plan, fault, memberCount, random),
-                    fault.size().draw(random::uniform),
-                    (long) (1e6 * fault.every().draw(random::uniform)),
-                    (long) (1e6 * fault.spread().draw(random::uniform))));
+                    fault.size().sample(random::uniform),
+                    (long) (1e6 * fault.every().sample(random::uniform)),
+                    (long) (1e6 * fault.spread().sample(random::uniform))));
         }
         scheduledFaults.sort((a, b) -> Long.compare(a.startMicros, b.startMicros));
         return List.copyOf(scheduledFaults);
--- a/src/main/java/gatefront/rehearsal/VirtualAgent.java
+++ b/src/main/java/gatefront/rehearsal/VirtualAgent.java
@@ -41,9 +41,12 @@
             machine.boot();
         }
         Agent started = Agent.start(
-                Config.of(config()), agentExtensions(), transportWrapper.apply(machine.transport()), balancerFactory);
+                Config.fromJson(config()),
+                agentExtensions(),
+                transportWrapper.apply(machine.transport()),
+                balancerFactory);
         agent = started;
-        started.whenEnded(() -> {
+        started.onTermination(() -> {
             if (agent == started) {
                 agent = null;
                 Runnable callback = whenEnded;
@@ -75,13 +78,13 @@
             return;
         }
         whenEnded = callback;
-        agent.leave();
+        agent.startShutdown();
     }
 
     @Override
     void reload() {
         if (agent != null) {
-            agent.reload(() -> Config.of(config()));
+            agent.reload(() -> Config.fromJson(config()));
         }
     }
 
@@ -92,6 +95,6 @@
 
     /** Returns the numbers of tracked objects, or null if the agent is not running. */
     Engine.TrackedCounts trackedCounts() {
-        return agent == null ? null : agent.held();
+        return agent == null ? null : agent.outstanding();
     }
 }
--- a/src/test/java/gatefront/rehearsal/FaultyAgentTest.java
+++ b/src/test/java/gatefront/rehearsal/FaultyAgentTest.java
@@ -67,8 +67,8 @@
         }
 
         @Override
-        public void probed(long now, long server, Outcome outcome, long elapsedMicros, double[] load) {
-            delegate.probed(now, server, outcome, elapsedMicros, load);
+        public void probeOutcome(long now, long server, Outcome outcome, long elapsedMicros, double[] load) {
+            delegate.probeOutcome(now, server, outcome, elapsedMicros, load);
         }
 
         @Override
@@ -80,8 +80,8 @@
         }
 
         @Override
-        public int avoided(long now) {
-            return delegate.avoided(now);
+        public int unhealthyServers(long now) {
+            return delegate.unhealthyServers(now);
         }
 
         @Override
--- a/src/test/java/gatefront/rehearsal/net/NetworkTest.java
+++ b/src/test/java/gatefront/rehearsal/net/NetworkTest.java
@@ -95,7 +95,7 @@
     private void listen(boolean halfClosure) {
         new ServerBootstrap()
                 .group(serverHost.loop())
-                .channelFactory(serverHost.listeners())
+                .channelFactory(serverHost.serverChannels())
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, halfClosure)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
@@ -111,7 +111,7 @@
     private ChannelFuture dial() {
         return new Bootstrap()
                 .group(clientHost.loop())
-                .channelFactory(clientHost.dialers())
+                .channelFactory(clientHost.clientChannels())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 2000)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new EventRecorder("client"))
@@ -270,12 +270,12 @@
     @Test
     void channelWithUnreadBytesIsNotSilent() {
         Channel client = connect(false);
-        assertTrue(clientHost.silent(client));
+        assertTrue(clientHost.hasNoUnreadInput(client));
         client.config().setAutoRead(false);
         accepted.writeAndFlush(bytes("x"));
         accepted.writeAndFlush(bytes("y"));
         runUntil(20);
-        assertFalse(clientHost.silent(client));
+        assertFalse(clientHost.hasNoUnreadInput(client));
     }
 
     /**
--- a/src/test/java/gatefront/rehearsal/net/TamperingTransport.java
+++ b/src/test/java/gatefront/rehearsal/net/TamperingTransport.java
@@ -25,9 +25,9 @@
     }
 
     @Override
-    public ChannelFactory<? extends ServerChannel> listeners() {
+    public ChannelFactory<? extends ServerChannel> serverChannels() {
         return () -> {
-            ServerChannel server = delegate.listeners().newChannel();
+            ServerChannel server = delegate.serverChannels().newChannel();
             server.pipeline().addFirst(new ChannelInboundHandlerAdapter() {
                 @Override
                 public void channelRead(ChannelHandlerContext ctx, Object child) {
@@ -40,22 +40,22 @@
     }
 
     @Override
-    public ChannelFactory<? extends Channel> dialers() {
+    public ChannelFactory<? extends Channel> clientChannels() {
         return () -> {
-            Channel channel = delegate.dialers().newChannel();
+            Channel channel = delegate.clientChannels().newChannel();
             channel.pipeline().addFirst(dialedHandler.get());
             return channel;
         };
     }
 
     @Override
-    public boolean silent(Channel channel) {
-        return delegate.silent(channel);
+    public boolean hasNoUnreadInput(Channel channel) {
+        return delegate.hasNoUnreadInput(channel);
     }
 
     @Override
-    public long memory() {
-        return delegate.memory();
+    public long maxMemoryBytes() {
+        return delegate.maxMemoryBytes();
     }
 
     @Override
--- a/src/test/java/gatefront/transport/SharedListenerTest.java
+++ b/src/test/java/gatefront/transport/SharedListenerTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** A listener on an address that two processes share, and its end. */
+/** Tests listeners that share an address, and closing one of them. */
 class SharedListenerTest {
     private final List<SocketTransport> transports = new ArrayList<>();
     private final List<Channel> accepted = new ArrayList<>();
@@ -24,7 +24,7 @@
         transports.add(transport);
         return new ServerBootstrap()
                 .group(transport.loop())
-                .channelFactory(transport.sharedListeners())
+                .channelFactory(transport.sharedServerChannels())
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
@@ -37,8 +37,8 @@
     }
 
     @AfterEach
-    void strike() {
-        transports.forEach(each -> each.close(() -> {}));
+    void closeTransports() {
+        transports.forEach(transport -> transport.close(() -> {}));
     }
 
     @Test
@@ -48,33 +48,33 @@
         assertEquals(first.localAddress(), second.localAddress());
     }
 
-    /** Guards against connections that were made and not yet seen being reset with their listener. */
+    /** Guards against connections in the accept queue being reset when their listener closes. */
     @Test
-    void whatTheSystemHasTakenOnIsAcceptedBeforeTheListenerCloses() throws Exception {
+    void pendingConnectionsAreAcceptedBeforeTheListenerCloses() throws Exception {
         Channel listener = listen(0);
         SocketTransport transport = transports.get(0);
         CountDownLatch busy = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch close = new CountDownLatch(1);
         transport.loop().execute(() -> {
             busy.countDown();
             try {
-                go.await();
+                close.await();
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
-            transport.closeShared(listener);
+            transport.closeSharedListener(listener);
         });
         busy.await();
-        List<Socket> callers = new ArrayList<>();
-        for (int i = 0; i < 60; i++) { // more than are accepted in one look
-            callers.add(new Socket(
+        List<Socket> clients = new ArrayList<>();
+        for (int i = 0; i < 60; i++) { // more than one read of the loop accepts
+            clients.add(new Socket(
                     InetAddress.getLoopbackAddress(), ((InetSocketAddress) listener.localAddress()).getPort()));
         }
-        go.countDown();
+        close.countDown();
         listener.closeFuture().sync();
         assertEquals(60, transport.loop().submit(() -> accepted.size()).sync().getNow());
-        for (Socket each : callers) {
-            each.close();
+        for (Socket client : clients) {
+            client.close();
         }
     }
 }
