--- a/src/main/java/gatefront/rehearsal/NodoStandIn.java
+++ b/src/main/java/gatefront/rehearsal/NodoStandIn.java
@@ -49,7 +49,7 @@
     static final int PORT = 3000;
     static final int THRIFT_PORT = 3001;
     /** Work of detecting a duplicate whose effect has been applied already, in microseconds on a core of speed 1. */
-    private static final double REPEAT_WORK_MICROS = 1_000;
+    private static final double DUPLICATE_WORK_MICROS = 1_000;
 
     private static final int BODY_PADDING = 300;
 
@@ -473,7 +473,7 @@
                     ? context.idempotencyWindow(operation.requestClass(), spec).register(context.now(), key)
                     : null;
             double work = idempotencyEntry != null && idempotencyEntry.applied()
-                    ? REPEAT_WORK_MICROS
+                    ? DUPLICATE_WORK_MICROS
                     : operation.workMicros();
             long jobId = nextJob++;
             switch (model.arrive(context.now(), jobId, work, operation.agent())) {
--- a/src/main/java/gatefront/rehearsal/PadronStandIn.java
+++ b/src/main/java/gatefront/rehearsal/PadronStandIn.java
@@ -96,6 +96,7 @@
     /** Token bucket for calls; holds at most one second's worth. */
     private double callTokens;
 
+    /** When {@link #callTokens} was last refilled. */
     private long callTokensMicros;
 
     PadronStandIn(RunContext context) {
--- a/src/main/java/gatefront/rehearsal/ResourceUsage.java
+++ b/src/main/java/gatefront/rehearsal/ResourceUsage.java
@@ -16,7 +16,7 @@
  */
 final class ResourceUsage {
     /** Longer runs are recorded by the minute, so that the report stays readable. */
-    private static final int MAX_SECONDS_PER_SECOND_INTERVALS = 3_600;
+    private static final int MAX_SECONDS_WITH_ONE_SECOND_INTERVALS = 3_600;
 
     private static final int LONG_INTERVAL_SECONDS = 60;
     /** From the third to the last quarter the mean minimum may rise by this share plus {@link #MAX_RISE_ENTRIES}. */
@@ -33,7 +33,7 @@
     final long[][] maxBytes;
 
     ResourceUsage(int seconds) {
-        intervalSeconds = seconds > MAX_SECONDS_PER_SECOND_INTERVALS ? LONG_INTERVAL_SECONDS : 1;
+        intervalSeconds = seconds > MAX_SECONDS_WITH_ONE_SECOND_INTERVALS ? LONG_INTERVAL_SECONDS : 1;
         int intervals = (seconds + intervalSeconds - 1) / intervalSeconds;
         maxEntries = new long[ResourcePurpose.values().length][intervals];
         minEntries = new long[ResourcePurpose.values().length][intervals];
--- a/src/main/java/gatefront/rehearsal/RunRecorder.java
+++ b/src/main/java/gatefront/rehearsal/RunRecorder.java
@@ -97,16 +97,16 @@
         this.fleetLoad = new FleetLoad(plan.agents().count());
     }
 
-    void setOpeningMicros(long at) {
-        openingMicros = at;
+    void setOpeningMicros(long atMicros) {
+        openingMicros = atMicros;
     }
 
     long openingMicros() {
         return openingMicros;
     }
 
-    private int second(long at) {
-        return (int) Math.max(0, Math.min(seconds - 1, (at - openingMicros) / 1_000_000));
+    private int second(long atMicros) {
+        return (int) Math.max(0, Math.min(seconds - 1, (atMicros - openingMicros) / 1_000_000));
     }
 
     void operationStarted(Demand.Operation operation) {
--- a/src/main/java/gatefront/rehearsal/check/ManualDrainChecker.java
+++ b/src/main/java/gatefront/rehearsal/check/ManualDrainChecker.java
@@ -42,8 +42,8 @@
     private int breachCount;
 
     /** Creates a checker without drains that accepts attempts up to {@code graceMicros} after a confirmation. */
-    public ManualDrainChecker(long grace) {
-        this.graceMicros = grace;
+    public ManualDrainChecker(long graceMicros) {
+        this.graceMicros = graceMicros;
     }
 
     /** Records that an agent has confirmed a manual drain or its end, and whether the drain survives a restart. */
--- a/src/main/java/gatefront/rehearsal/registry/RegistryStandIn.java
+++ b/src/main/java/gatefront/rehearsal/registry/RegistryStandIn.java
@@ -35,7 +35,7 @@
     private final Set<Channel> connections = new LinkedHashSet<>();
 
     private Channel serverChannel;
-    private WriteListener writeListener = (whole, values, open) -> {};
+    private WriteListener writeListener = (complete, values, stillOpen) -> {};
     private long sentRevision;
     /** Whether the member answers nothing but keeps its connections open. */
     private boolean silent;
--- a/src/main/java/gatefront/rehearsal/world/NodoModel.java
+++ b/src/main/java/gatefront/rehearsal/world/NodoModel.java
@@ -76,17 +76,23 @@
     /** Work that this process could have done while it was cold, in the same unit. */
     private double coldCapacity;
 
-    private final long startedAt;
+    private final long startedMicros;
     private final boolean startsCold;
+    /** Service that a job in the slots has had since the start, in microseconds on a core of speed 1. */
     private double attainedService;
-    private long advancedTo;
+    /** Time up to which the model has been advanced. */
+    private long advancedMicros;
+
     private long nextSequence;
     private double slowdown = 1;
     private double stolenShare;
     private double limitShare = 1;
     private double failureShare;
+    /** Leaky bucket of the work sent while cold, which drains at a multiple of the actual capacity. */
     private double pressure;
+    /** The same, draining at a multiple of the stated capacity. */
     private double statedPressure;
+
     private boolean crashed;
     private boolean statedLimitExceeded;
 
@@ -101,9 +107,9 @@
     public NodoModel(Machine machine, RandomStream random, long now, boolean startsCold) {
         this.machine = machine;
         this.random = random;
-        this.startedAt = now;
+        this.startedMicros = now;
         this.startsCold = startsCold;
-        this.advancedTo = now;
+        this.advancedMicros = now;
     }
 
     /** Sets the factor by which work takes longer from now on. */
@@ -131,7 +137,7 @@
 
     /** Whether the process is still warming up. */
     public boolean isCold(long now) {
-        return startsCold && now < startedAt + machine.warmup.durationMicros;
+        return startsCold && now < startedMicros + machine.warmup.durationMicros;
     }
 
     /** Returns the current capacity, in work per microsecond. */
@@ -146,7 +152,7 @@
 
     /** Returns the capacity with a given warm-up and the requests held now, without faults. */
     private double capacityWith(long now, Warmup warmup) {
-        double warmupShare = isCold(now) ? warmup.shareAt(now - startedAt) : 1;
+        double warmupShare = isCold(now) ? warmup.shareAt(now - startedMicros) : 1;
         double excessPerCore = Math.max(0, (double) heldRequests() / machine.cores - machine.thrashAt);
         return machine.cores * machine.speed * warmupShare * limitShare / (1 + machine.thrash * excessPerCore);
     }
@@ -176,8 +182,8 @@
 
     /** Returns the recent load as a share of the load that makes a process with the stated warm-up crash; 0 if warm. */
     public double overloadShare() {
-        return isCold(advancedTo)
-                ? statedPressure / (machine.fallMultiple * statedCapacity(advancedTo) * machine.fallMicros)
+        return isCold(advancedMicros)
+                ? statedPressure / (machine.fallMultiple * statedCapacity(advancedMicros) * machine.fallMicros)
                 : 0;
     }
 
@@ -267,24 +273,27 @@
      */
     public List<Completion> advance(long now) {
         List<Completion> completions = new ArrayList<>();
-        while (advancedTo < now) {
-            long stepEnd = isCold(advancedTo) ? Math.min(now, advancedTo + STEP_MICROS) : now;
+        while (advancedMicros < now) {
+            long stepEnd = isCold(advancedMicros) ? Math.min(now, advancedMicros + STEP_MICROS) : now;
             double rate = ratePerJob();
-            double serviceGain = rate * (stepEnd - advancedTo);
-            coldCapacity += isCold(advancedTo) ? capacity(advancedTo) * (stepEnd - advancedTo) : 0;
-            pressure = Math.max(0, pressure - machine.fallMultiple * capacity(advancedTo) * (stepEnd - advancedTo));
+            double serviceGain = rate * (stepEnd - advancedMicros);
+            coldCapacity += isCold(advancedMicros) ? capacity(advancedMicros) * (stepEnd - advancedMicros) : 0;
+            pressure = Math.max(
+                    0, pressure - machine.fallMultiple * capacity(advancedMicros) * (stepEnd - advancedMicros));
             statedPressure = Math.max(
-                    0, statedPressure - machine.fallMultiple * statedCapacity(advancedTo) * (stepEnd - advancedTo));
+                    0,
+                    statedPressure
+                            - machine.fallMultiple * statedCapacity(advancedMicros) * (stepEnd - advancedMicros));
             Job first = running.peek();
             if (first != null && attainedService + serviceGain >= first.endsAt - EPSILON) {
                 long elapsedMicros =
                         (long) StrictMath.ceil(Math.max(0, first.endsAt - attainedService) / rate - EPSILON);
-                advancedTo = Math.min(stepEnd, advancedTo + elapsedMicros);
+                advancedMicros = Math.min(stepEnd, advancedMicros + elapsedMicros);
                 attainedService = Math.max(attainedService, first.endsAt);
                 completeJobs(completions);
             } else {
                 attainedService += serviceGain;
-                advancedTo = stepEnd;
+                advancedMicros = stepEnd;
             }
         }
         completeJobs(completions);
@@ -305,7 +314,7 @@
 
     /** Returns the work per microsecond that each job in the slots gets. */
     private double ratePerJob() {
-        double totalRate = capacity(advancedTo);
+        double totalRate = capacity(advancedMicros);
         return totalRate / Math.max(machine.cores, running.size());
     }
 
@@ -320,7 +329,7 @@
             return Long.MAX_VALUE;
         }
         long endMicros =
-                advancedTo + (long) StrictMath.ceil(Math.max(0, first.endsAt - attainedService) / ratePerJob());
-        return isCold(advancedTo) ? Math.min(endMicros, advancedTo + STEP_MICROS) : endMicros;
+                advancedMicros + (long) StrictMath.ceil(Math.max(0, first.endsAt - attainedService) / ratePerJob());
+        return isCold(advancedMicros) ? Math.min(endMicros, advancedMicros + STEP_MICROS) : endMicros;
     }
 }
