--- a/src/main/java/gatefront/cli/RehearseCommand.java
+++ b/src/main/java/gatefront/cli/RehearseCommand.java
@@ -113,7 +113,7 @@
                         .play(done -> progress(showProgress, done))
                 : new Rehearsal(sizedPlan, seed)
                         .progress(done -> progress(showProgress, done))
-                        .play();
+                        .run();
         if (report != null) {
             JsonReport.write(outcome, report);
         }
@@ -123,7 +123,7 @@
             printSummary(outcome, (System.nanoTime() - startNanos) / 1e9, out);
         }
         out.flush();
-        return outcome.broken() == 0 ? 0 : Commands.CHECK_FAILED;
+        return outcome.breachCount() == 0 ? 0 : Commands.CHECK_FAILED;
     }
 
     private static Plan read(String plan) throws TomlException {
@@ -170,8 +170,8 @@
     }
 
     private void printSummary(RehearsalResult outcome, double wallSeconds, PrintWriter out) {
-        out.println(outcome.line());
-        double[] byClass = outcome.byClass();
+        out.println(outcome.summary());
+        double[] byClass = outcome.serviceByClass();
         for (int i = 0; i < byClass.length; i++) {
             out.printf(
                     Locale.ROOT,
@@ -180,9 +180,9 @@
                     byClass[i]);
         }
         for (RuleChecker.Breach breach : outcome.breaches().stream().limit(3).toList()) {
-            out.println(
-                    "  BROKEN " + breach.rule().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + breach.what()
-                            + (breach.request().isEmpty() ? "" : " (request " + breach.request() + ")"));
+            out.println("  BROKEN "
+                    + breach.rule().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + breach.description()
+                    + (breach.request().isEmpty() ? "" : " (request " + breach.request() + ")"));
             breach.history().forEach(line -> out.println("    " + line));
         }
         out.printf(
@@ -215,7 +215,7 @@
         long last = range[1];
         boolean showProgress = System.console() != null;
         SeedCampaign.Summary summary = SeedCampaign.play(
-                plan, first, last, done -> progress(showProgress, done), outcome -> out.println(outcome.line()));
+                plan, first, last, done -> progress(showProgress, done), outcome -> out.println(outcome.summary()));
         out.print(summary.format());
         out.flush();
         return summary.brokenRuns() == 0 ? 0 : Commands.CHECK_FAILED;
--- a/src/main/java/gatefront/rehearsal/LoopbackMachine.java
+++ b/src/main/java/gatefront/rehearsal/LoopbackMachine.java
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public InetSocketAddress at(int port) {
+    public InetSocketAddress address(int port) {
         return new InetSocketAddress(address, port);
     }
 
@@ -61,7 +61,7 @@
      * for what it sent while this machine read nothing.
      */
     @Override
-    public long sentAt(Channel channel) {
+    public long sentAtNanos(Channel channel) {
         boolean heldBack = vanishedAt != 0 && (vanished || nanos() - appearedAt < CATCH_UP_NANOS);
         return heldBack ? vanishedAt : nanos();
     }
@@ -96,14 +96,14 @@
     }
 
     @Override
-    public void vanish() {
+    public void isolate() {
         vanished = true;
         vanishedAt = nanos();
         channels.forEach(channel -> channel.config().setAutoRead(false));
     }
 
     @Override
-    public void appear() {
+    public void reconnect() {
         vanished = false;
         appearedAt = nanos();
         if (running) {
--- a/src/main/java/gatefront/rehearsal/PersistentAgent.java
+++ b/src/main/java/gatefront/rehearsal/PersistentAgent.java
@@ -70,7 +70,7 @@
 
     /** Returns the address of the management endpoint, without a relay. */
     InetSocketAddress managementAddress() {
-        return machine().at(MANAGEMENT_PORT);
+        return machine().address(MANAGEMENT_PORT);
     }
 
     /** Sets the address that clients connect to, that of a relay. */
@@ -79,7 +79,7 @@
     }
 
     @Override
-    InetSocketAddress callers() {
+    InetSocketAddress clientAddress() {
         return clientAddress;
     }
 
--- a/src/main/java/gatefront/rehearsal/ProcessAgent.java
+++ b/src/main/java/gatefront/rehearsal/ProcessAgent.java
@@ -73,12 +73,12 @@
         }
 
         @Override
-        public InetSocketAddress at(int port) {
+        public InetSocketAddress address(int port) {
             return new InetSocketAddress(address, port);
         }
 
         @Override
-        public long sentAt(Channel channel) {
+        public long sentAtNanos(Channel channel) {
             throw new UnsupportedOperationException("the channels belong to another process");
         }
 
@@ -102,12 +102,12 @@
         public void boot() {}
 
         @Override
-        public void vanish() {
+        public void isolate() {
             throw new UnsupportedOperationException("agents do not vanish");
         }
 
         @Override
-        public void appear() {}
+        public void reconnect() {}
     };
 
     @Override
@@ -116,7 +116,7 @@
     }
 
     @Override
-    void begin() {
+    void startProcess() {
         CompletableFuture<Process> starting = new CompletableFuture<>();
         process = starting;
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
@@ -143,7 +143,9 @@
                 forwardOutput(started);
             } catch (IOException e) {
                 starting.completeExceptionally(e);
-                day.loop().execute(() -> day.checker.left(day.now(), name() + " cannot be started: " + e.getMessage()));
+                context.loop()
+                        .execute(() -> context.checker.reportLeftover(
+                                context.now(), name() + " cannot be started: " + e.getMessage()));
             }
         });
     }
@@ -179,7 +181,7 @@
         Thread reader = new Thread(
                 () -> {
                     try (BufferedReader lines = running.inputReader(StandardCharsets.UTF_8)) {
-                        lines.lines().forEach(line -> day.loop().execute(() -> log.accept(line)));
+                        lines.lines().forEach(line -> context.loop().execute(() -> log.accept(line)));
                     } catch (IOException | UncheckedIOException | RejectedExecutionException e) {
                         // the process was killed, or the rehearsal is over
                     }
@@ -189,13 +191,14 @@
         reader.start();
     }
 
-    /** Returns {@link #besides()} as the text of the extensions file. */
+    /** Returns {@link #agentExtensions()} as the text of the extensions file. */
     String extensions() {
-        return (day.form == null ? "" : thriftTable()) + (day.padron.registry(number) == null ? "" : registryTable());
+        return (context.thriftFormat == null ? "" : thriftTable())
+                + (context.padron.registrySettings(number) == null ? "" : registryTable());
     }
 
     private String registryTable() {
-        RegistrySettings settings = day.padron.registry(number);
+        RegistrySettings settings = context.padron.registrySettings(number);
         String members = settings.endpoints().stream()
                 .map(member -> '"' + member.getAddress().getHostAddress() + ":" + member.getPort() + '"')
                 .collect(Collectors.joining(", "));
@@ -207,9 +210,10 @@
         InetSocketAddress at = thriftAddress();
         StringBuilder text = new StringBuilder("[thrift]\nlisten = \""
                 + at.getAddress().getHostAddress() + ":"
-                + at.getPort() + "\"\nnodo_port = " + NodoStandIn.THRIFT_PORT + "\nnodo_framed = " + day.form.framed()
+                + at.getPort() + "\"\nnodo_port = " + NodoStandIn.THRIFT_PORT + "\nnodo_framed = "
+                + context.thriftFormat.framed()
                 + "\nprobes = \"thrift\"\n");
-        day.plan
+        context.plan
                 .classes()
                 .forEach(requestClass -> text.append("\n[[thrift.methods]]\nname = \"" + requestClass.name()
                         + "\"\nclass = \"" + requestClass.name() + "\"\ndeclares = true\n"));
@@ -232,19 +236,19 @@
     }
 
     @Override
-    void end() {
+    void endProcess() {
         machine.kill();
     }
 
     @Override
-    void leave(Runnable then) {
+    void shutDown(Runnable then) {
         if (!machine.running()) {
             then.run();
             return;
         }
         withProcess(running -> {
-            running.onExit().thenRun(() -> day.loop().execute(() -> {
-                day.padron.forgot(number);
+            running.onExit().thenRun(() -> context.loop().execute(() -> {
+                context.padron.agentReset(number);
                 then.run();
             }));
             running.destroy();
--- a/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
+++ b/src/main/java/gatefront/rehearsal/ProcessRehearsal.java
@@ -130,7 +130,7 @@
             lateness.watch(loop);
             context = callOnLoop(() -> createContext(addresses));
             callOnLoop(() -> {
-                context.begin();
+                context.start();
                 return null;
             });
             awaitAllReady();
@@ -139,7 +139,7 @@
                 history.setOrigin(now);
                 lateness.reset();
                 timeline.reset();
-                Rehearsal.open(context, now);
+                Rehearsal.openTraffic(context, now);
                 for (int i = 0; i < plan.faults().size(); i++) {
                     schedule(plan.faults().get(i), new RandomStream(seed, "process fault " + i), now);
                 }
@@ -151,13 +151,13 @@
                 Thread.sleep(250);
             }
             progress.accept(1);
-            awaitOnLoop(COMPLETION_TIMEOUT_MS, () -> context.record.open() == 0);
+            awaitOnLoop(COMPLETION_TIMEOUT_MS, () -> context.recorder.openOperations() == 0);
             Thread.sleep(SETTLE_MS);
             finished = true;
             callOnLoop(() -> {
                 drainChecker.close(context.now());
                 agents.forEach(agent -> agent.signal("CONT"));
-                agents.forEach(agent -> agent.leave(() -> {}));
+                agents.forEach(agent -> agent.shutDown(() -> {}));
                 return null;
             });
             awaitOnLoop(EXIT_TIMEOUT_MS, () -> agents.stream()
@@ -165,7 +165,7 @@
             return callOnLoop(() -> {
                 for (AgentStandIn agent : agents) {
                     if (agent.machine().running()) {
-                        context.checker.left(context.now(), agent.name() + " has not ended");
+                        context.checker.reportLeftover(context.now(), agent.name() + " has not ended");
                     }
                 }
                 context.checker.close(context.now());
@@ -174,8 +174,8 @@
                         new RehearsalResult(
                                 plan.basePlan(),
                                 seed,
-                                context.cast,
-                                context.record,
+                                context.resolvedPlan,
+                                context.recorder,
                                 context.checker,
                                 List.copyOf(log),
                                 0),
@@ -216,8 +216,8 @@
                     return agent;
                 });
         network = new RelayNetwork(created, lateness, relayLoops, addresses.of(7, 0), drainChecker, history, timeline);
-        created.ways = network;
-        created.checker.on(network);
+        created.paths = network;
+        created.checker.useEnvironment(network);
         return created;
     }
 
@@ -304,7 +304,7 @@
                                 tookMillis,
                                 lost ? ", it says that what it kept is lost" : ""));
                 if (lost && agent.machine().running()) {
-                    drainChecker.toldLost(context.now(), number);
+                    drainChecker.lossReported(context.now(), number);
                 }
             });
         } catch (InterruptedException e) {
@@ -330,24 +330,24 @@
     // ---- Faults ----
 
     private void schedule(ProcessFault fault, RandomStream draw, long start) {
-        long at = start + (long) (MICROS_PER_SECOND * fault.at().sample(draw::between));
-        long duration = (long) (MICROS_PER_SECOND * fault.duration().sample(draw::between));
-        double spread = MICROS_PER_SECOND * fault.spread().sample(draw::between);
-        double size = fault.size().sample(draw::between);
-        long bitSelector = draw.number();
+        long at = start + (long) (MICROS_PER_SECOND * fault.at().sample(draw::uniform));
+        long duration = (long) (MICROS_PER_SECOND * fault.duration().sample(draw::uniform));
+        double spread = MICROS_PER_SECOND * fault.spread().sample(draw::uniform);
+        double size = fault.size().sample(draw::uniform);
+        long bitSelector = draw.nextLong();
         int[] targets = chooseAgents(fault, draw);
-        context.record.band(fault.kind().keyword(), at - start, at - start + Math.max(duration, 1_000_000));
+        context.recorder.addFaultBand(fault.kind().keyword(), at - start, at - start + Math.max(duration, 1_000_000));
         for (int i = 0; i < targets.length; i++) {
             PersistentAgent agent = agents.get(targets[i]);
             PersistentAgent next = agents.get(targets[(i + 1) % targets.length]);
             long when = at + (long) (targets.length < 2 ? 0 : spread * i / (targets.length - 1));
             if (fault.state() == ProcessFault.State.OLDER) {
-                context.at(
+                context.schedule(
                         start + (long) (MICROS_PER_SECOND * fault.copiedAtSecond()),
                         () -> executor.execute(() -> changeFolder(
                                 agent, "copied", () -> FolderFaults.copy(agent.folder(), copyLocation(agent)))));
             }
-            context.at(when, () -> inject(fault, agent, next, duration, size, bitSelector));
+            context.schedule(when, () -> inject(fault, agent, next, duration, size, bitSelector));
         }
     }
 
@@ -361,7 +361,7 @@
         int chosen = fault.share() == 0 ? 0 : Math.max(1, (int) Math.rint(fault.share() * count));
         int[] numbers = IntStream.range(0, count).toArray();
         for (int i = 0; i < chosen; i++) {
-            int j = i + draw.below(count - i);
+            int j = i + draw.nextInt(count - i);
             int swap = numbers[i];
             numbers[i] = numbers[j];
             numbers[j] = swap;
@@ -394,14 +394,14 @@
                     kill(agent, duration, () -> applyFolderState(fault.state(), agent, bitSelector));
                 }
             }
-            case TERM -> agent.leave(() -> {
-                drainChecker.ended(context.now(), agent.number);
+            case TERM -> agent.shutDown(() -> {
+                drainChecker.processEnded(context.now(), agent.number);
                 restartAfter(agent, duration);
             });
             case STOP -> {
                 network.setPaused(agent.number, true);
                 agent.signal("STOP");
-                context.at(context.now() + duration, () -> {
+                context.schedule(context.now() + duration, () -> {
                     recordEvent("fault", agent.name(), "wakes");
                     agent.signal("CONT");
                     network.setPaused(agent.number, false);
@@ -423,7 +423,7 @@
     private void applyLinkConditions(
             ProcessFault fault, PersistentAgent agent, long duration, LinkConditions conditions) {
         network.setConditions(agent.number, fault.links(), fault.direction(), conditions);
-        context.at(context.now() + duration, () -> {
+        context.schedule(context.now() + duration, () -> {
             recordEvent("fault", agent.name(), "healed");
             network.setConditions(agent.number, fault.links(), fault.direction(), LinkConditions.CLEAR);
         });
@@ -434,24 +434,24 @@
         if (!agent.machine().running()) {
             return;
         }
-        int processNumber = agent.processes();
+        int processNumber = agent.processCount();
         agent.withProcess(process -> process.onExit()
                 .thenRunAsync(
                         () -> {
                             beforeRestart.run();
                             runOnLoop(() -> {
-                                if (agent.processes() == processNumber) {
+                                if (agent.processCount() == processNumber) {
                                     restartAfter(agent, startsAt - context.now());
                                 }
                             });
                         },
                         executor));
         agent.kill();
-        drainChecker.ended(context.now(), agent.number);
+        drainChecker.processEnded(context.now(), agent.number);
     }
 
     private void restartAfter(PersistentAgent agent, long delayMicros) {
-        context.at(context.now() + delayMicros, () -> {
+        context.schedule(context.now() + delayMicros, () -> {
             if (!agent.machine().running() && !finished) {
                 agent.start();
             }
@@ -493,8 +493,8 @@
             change.apply();
             runOnLoop(() -> recordEvent("folder", agent.name(), what));
         } catch (IOException e) {
-            runOnLoop(() ->
-                    context.checker.left(context.now(), agent.name() + "'s folder could not be " + what + ": " + e));
+            runOnLoop(() -> context.checker.reportLeftover(
+                    context.now(), agent.name() + "'s folder could not be " + what + ": " + e));
         }
     }
 
@@ -520,7 +520,7 @@
         var address = network.relay(agent.number, Links.DOOR, agent.managementAddress())
                 .address();
         int number = Integer.parseInt(nodo.substring("nodo-".length())) - 1;
-        int processNumber = agent.processes();
+        int processNumber = agent.processCount();
         executor.execute(() -> {
             ManagementClient.Response response =
                     ManagementClient.call(address, "POST", "/backends/" + nodo + (drain ? "/maint" : "/ready"));
@@ -530,8 +530,8 @@
                         agent.name(),
                         nodo + (drain ? " out: " : " back: ") + response.status() + " "
                                 + response.text().strip());
-                if (response.status() == 200 && agent.processes() == processNumber) {
-                    drainChecker.yes(
+                if (response.status() == 200 && agent.processCount() == processNumber) {
+                    drainChecker.confirmed(
                             context.now(),
                             agent.number,
                             number,
--- a/src/main/java/gatefront/rehearsal/ProcessRehearsalResult.java
+++ b/src/main/java/gatefront/rehearsal/ProcessRehearsalResult.java
@@ -31,14 +31,14 @@
 
     /** Returns how many times a rule was broken. */
     public int broken() {
-        return result.broken() + manualDrains.count();
+        return result.breachCount() + manualDrains.count();
     }
 
     /** Returns the recorded breaches, one line for each. */
     public List<String> breaches() {
         List<String> lines = new ArrayList<>();
         for (RuleChecker.Breach breach : result.breaches()) {
-            lines.add(breach.rule().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + breach.what()
+            lines.add(breach.rule().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + breach.description()
                     + (breach.request().isEmpty() ? "" : " (request " + breach.request() + ")"));
         }
         manualDrains.breaches().forEach(breach -> lines.add("manual drain: " + breach));
@@ -48,11 +48,11 @@
     /** Returns when service was full again, in seconds after the first fault; negative if it never was. */
     public double recoverySeconds(ProcessRehearsalResult baseline) {
         double first = plan.firstFaultSecond();
-        return first < 0 ? 0 : curve().fullAfter(first, baseline.curve());
+        return first < 0 ? 0 : curve().secondsUntilFull(first, baseline.curve());
     }
 
     ServiceCurve curve() {
-        return result.record().curve;
+        return result.recorder().serviceCurve;
     }
 
     private static int maxBetween(int[] bySecond, double from, double until) {
@@ -63,12 +63,12 @@
 
     /** Returns the maximum number of server list calls per second within five seconds of the first fault. */
     public int maxListCalls() {
-        return maxBetween(result.record().listCalls, plan.firstFaultSecond(), plan.firstFaultSecond() + 5);
+        return maxBetween(result.recorder().listCalls, plan.firstFaultSecond(), plan.firstFaultSecond() + 5);
     }
 
     /** Returns the maximum number of connections of any server within five seconds of the first fault. */
     public int maxConnections() {
-        return maxBetween(result.record().fullest, plan.firstFaultSecond(), plan.firstFaultSecond() + 5);
+        return maxBetween(result.recorder().maxConnections, plan.firstFaultSecond(), plan.firstFaultSecond() + 5);
     }
 
     /**
@@ -76,7 +76,7 @@
      * fails.
      */
     public double maxColdLoad() {
-        return Arrays.stream(result.record().coldest).max().orElse(0);
+        return Arrays.stream(result.recorder().maxColdOverloadShare).max().orElse(0);
     }
 
     /** Returns a line with service, broken rules and the lateness of the rig. */
--- a/src/main/java/gatefront/rehearsal/SeedCampaign.java
+++ b/src/main/java/gatefront/rehearsal/SeedCampaign.java
@@ -69,11 +69,11 @@
             for (long seed = firstSeed; seed <= lastSeed; seed++) {
                 while (pending.size() < maxPending && nextSeed.get() <= lastSeed) {
                     long submitted = nextSeed.getAndIncrement();
-                    pending.add(threads.submit(() -> new Rehearsal(plan, submitted).play()));
+                    pending.add(threads.submit(() -> new Rehearsal(plan, submitted).run()));
                 }
                 RehearsalResult result = pending.remove(0).get();
                 services.add(result.service());
-                if (result.broken() > 0) {
+                if (result.breachCount() > 0) {
                     brokenSeeds.add(seed);
                     onBroken.accept(result);
                 }
--- a/src/test/java/gatefront/agent/RegistrySourceTest.java
+++ b/src/test/java/gatefront/agent/RegistrySourceTest.java
@@ -76,7 +76,7 @@
                     } else {
                         keys.put("oaxaca/" + key, value.toString());
                     }
-                    registry.news();
+                    registry.storeChanged();
                 })
                 .sync();
     }
@@ -190,7 +190,7 @@
         AgentFixture.await(() -> Files.exists(state));
         fixture.agent.stop();
         int port = registry.address().getPort();
-        transport.loop().submit(() -> registry.down(true, null)).sync();
+        transport.loop().submit(() -> registry.setDown(true, null)).sync();
         fixture.start(extensions(RegistrySettings.Kind.ETCD, settings));
         assertEquals(200, fixture.call("lookup").status());
         ScriptedPeer second = peer();
@@ -198,7 +198,7 @@
         put("nodos/s-1", null);
         transport
                 .loop()
-                .submit(() -> registry.down(false, new InetSocketAddress(InetAddress.getLoopbackAddress(), port)))
+                .submit(() -> registry.setDown(false, new InetSocketAddress(InetAddress.getLoopbackAddress(), port)))
                 .sync();
         awaitOnlyServer(second, first);
     }
--- a/src/test/java/gatefront/registry/ConsulConnectorTest.java
+++ b/src/test/java/gatefront/registry/ConsulConnectorTest.java
@@ -44,12 +44,12 @@
     @Test
     void tokenIsSentAndReadsFailWithoutIt() throws Exception {
         put("nodos/a", "1");
-        members.forEach(each -> each.secret("s3cret"));
+        members.forEach(each -> each.token("s3cret"));
         token = "s3cret";
         follow();
         assertSameAsStore();
-        members.forEach(each -> each.secret("another"));
-        members.forEach(RegistryStandIn::cut);
+        members.forEach(each -> each.token("another"));
+        members.forEach(RegistryStandIn::closeConnections);
         put("nodos/a", "2");
         advance(3 * SECOND);
         assertEquals("1", knownValue("nodos/a"));
@@ -86,18 +86,18 @@
         put("nodos/a", "1");
         follow();
         for (RegistryStandIn each : members) {
-            ((ConsulStandIn) each).cutOff(false, 0);
+            ((ConsulStandIn) each).leaderContact(false, 0);
         }
         put("nodos/a", "2");
         advance(3 * SECOND);
         assertEquals("1", knownValue("nodos/a"));
         for (RegistryStandIn each : members) {
             // Longer than the time after which entries are stale.
-            ((ConsulStandIn) each).cutOff(true, 16_000);
+            ((ConsulStandIn) each).leaderContact(true, 16_000);
         }
         advance(3 * SECOND);
         assertEquals("1", knownValue("nodos/a"));
-        ((ConsulStandIn) members.get(1)).cutOff(true, 20);
+        ((ConsulStandIn) members.get(1)).leaderContact(true, 20);
         advance(5 * SECOND);
         assertSameAsStore();
         assertTrue(
--- a/src/test/java/gatefront/registry/RegistryContract.java
+++ b/src/test/java/gatefront/registry/RegistryContract.java
@@ -39,7 +39,7 @@
     static final long MS = 1_000_000;
     static final long SECOND = 1_000 * MS;
     static final String PREFIX = "oaxaca/";
-    private static final String PREFIX_END = KeyValueStore.behind(PREFIX);
+    private static final String PREFIX_END = KeyValueStore.prefixEnd(PREFIX);
     private static final int MEMBERS = 3;
     private static final int PORT = 2379;
     /**
@@ -74,7 +74,7 @@
     }
 
     final List<InetSocketAddress> addresses() {
-        return hosts.stream().limit(MEMBERS).map(each -> each.at(PORT)).toList();
+        return hosts.stream().limit(MEMBERS).map(each -> each.address(PORT)).toList();
     }
 
     final VirtualHost host(String name, int thirdAddressByte, int lastAddressByte) throws Exception {
@@ -91,7 +91,7 @@
         for (int i = 0; i < MEMBERS; i++) {
             hosts.add(host("registry-" + i, 2, 2 + i));
             members.add(createMember(hosts.get(i)));
-            members.get(i).listen(hosts.get(i).at(PORT));
+            members.get(i).listen(hosts.get(i).address(PORT));
         }
         advance(0);
     }
@@ -133,7 +133,7 @@
     }
 
     final void notifyMembers() {
-        members.forEach(RegistryStandIn::news);
+        members.forEach(RegistryStandIn::storeChanged);
     }
 
     final String knownValue(String key) {
@@ -145,7 +145,7 @@
     final void assertSameAsStore() {
         assertEquals(
                 store.range(PREFIX, PREFIX_END, store.revision()).stream()
-                        .map(each -> new KeyEntry(each.key(), each.value(), each.created(), each.modified()))
+                        .map(each -> new KeyEntry(each.key(), each.value(), each.createRevision(), each.modRevision()))
                         .toList(),
                 List.copyOf(client.follower().entries().values()));
     }
@@ -163,7 +163,7 @@
 
     final void setMembersDown(boolean isDown) {
         for (int i = 0; i < MEMBERS; i++) {
-            members.get(i).down(isDown, hosts.get(i).at(PORT));
+            members.get(i).setDown(isDown, hosts.get(i).address(PORT));
         }
     }
 
@@ -254,12 +254,12 @@
         follow();
         put("nodos/a", "2");
         advance(300 * MS);
-        members.forEach(each -> each.lag(1));
-        members.forEach(RegistryStandIn::cut);
+        members.forEach(each -> each.setLag(1));
+        members.forEach(RegistryStandIn::closeConnections);
         advance(10 * SECOND);
         assertEquals("2", knownValue("nodos/a"), "the value never goes back");
         put("nodos/a", "3");
-        members.forEach(each -> each.lag(0));
+        members.forEach(each -> each.setLag(0));
         advance(10 * SECOND);
         assertSameAsStore();
         assertReportedOnceInOrder();
@@ -274,7 +274,7 @@
         put("nodos/b", "3");
         advance(300 * MS);
         store = backup.backup();
-        members.forEach(RegistryStandIn::cut);
+        members.forEach(RegistryStandIn::closeConnections);
         advance(10 * SECOND);
         assertSameAsStore();
         assertEquals("1", knownValue("nodos/a"));
@@ -294,7 +294,7 @@
                 .filter(each -> each.connections() > 0)
                 .findFirst()
                 .orElseThrow();
-        silentMember.silent(true);
+        silentMember.setSilent(true);
         put("nodos/a", "2");
         advance(500 * MS);
         assertEquals("1", knownValue("nodos/a"));
@@ -337,7 +337,7 @@
         advance(3 * SECOND);
         assertSameAsStore();
         assertReportedOnceInOrder();
-        members.forEach(RegistryStandIn::cut);
+        members.forEach(RegistryStandIn::closeConnections);
         store.compact(store.revision());
         advance(3 * SECOND);
         assertSameAsStore();
@@ -348,7 +348,7 @@
     void slowWatcherReceivesEveryChangeOnce() throws Exception {
         put("nodos/a", "0");
         follow();
-        members.forEach(each -> each.late(3_000));
+        members.forEach(each -> each.setNotifyDelay(3_000));
         for (int i = 1; i <= 40; i++) {
             put("nodos/a", "v" + i);
             put("nodos/" + i % 3, "v" + i);
@@ -359,7 +359,7 @@
         assertSameAsStore();
         assertReportedOnceInOrder();
         assertTrue(staleEvents.isEmpty(), "a slow member is not silent: " + logLines);
-        members.forEach(each -> each.late(0));
+        members.forEach(each -> each.setNotifyDelay(0));
         put("nodos/a", "last");
         advance(200 * MS);
         assertSameAsStore();
@@ -396,27 +396,27 @@
                 }
                 int member = random.nextInt(MEMBERS);
                 switch (random.nextInt(8)) {
-                    case 0 -> contract.members.get(member).cut();
-                    case 1 -> contract.members.get(member).down(true, null);
+                    case 0 -> contract.members.get(member).closeConnections();
+                    case 1 -> contract.members.get(member).setDown(true, null);
                     case 2 -> {
-                        contract.members.get(member).down(true, null);
+                        contract.members.get(member).setDown(true, null);
                         contract.members
                                 .get(member)
-                                .down(false, contract.hosts.get(member).at(PORT));
+                                .setDown(false, contract.hosts.get(member).address(PORT));
                     }
                     case 3 -> contract.store.compact(contract.store.revision() - random.nextInt(5));
-                    case 4 -> contract.members.get(member).silent(random.nextBoolean());
-                    case 5 -> contract.members.get(member).lag(random.nextInt(3));
+                    case 4 -> contract.members.get(member).setSilent(random.nextBoolean());
+                    case 5 -> contract.members.get(member).setLag(random.nextInt(3));
                     default -> {}
                 }
                 contract.advance(random.nextLong(400 * MS));
                 contract.assertReportedOnceInOrder();
             }
             for (int i = 0; i < MEMBERS; i++) {
-                contract.members.get(i).silent(false);
-                contract.members.get(i).lag(0);
-                contract.members.get(i).down(true, null);
-                contract.members.get(i).down(false, contract.hosts.get(i).at(PORT));
+                contract.members.get(i).setSilent(false);
+                contract.members.get(i).setLag(0);
+                contract.members.get(i).setDown(true, null);
+                contract.members.get(i).setDown(false, contract.hosts.get(i).address(PORT));
             }
             contract.advance(20 * SECOND);
             contract.assertSameAsStore();
@@ -426,13 +426,13 @@
 
     @Test
     void overloadedRegistryIsCalledLessOften() throws Exception {
-        members.forEach(each -> each.overloaded(true));
+        members.forEach(each -> each.setOverloaded(true));
         follow();
         advance(20 * SECOND);
         int before = memberCalls();
         advance(20 * SECOND);
         assertTrue(memberCalls() - before < 24, "calls in 20 s: " + (memberCalls() - before));
-        members.forEach(each -> each.overloaded(false));
+        members.forEach(each -> each.setOverloaded(false));
         put("nodos/a", "1");
         advance(5 * SECOND);
         assertSameAsStore();
@@ -491,7 +491,7 @@
                             });
                         }
                     })
-                    .bind(hosts.get(i).at(PORT))
+                    .bind(hosts.get(i).address(PORT))
                     .channel());
         }
         return listeners;
--- a/src/test/java/gatefront/registry/ResyncFigures.java
+++ b/src/test/java/gatefront/registry/ResyncFigures.java
@@ -69,7 +69,7 @@
                     .submit(() -> {
                         store.put("oaxaca/nodos/nodo-1", "{" + value + "}");
                         store.compact(store.revision());
-                        member.cut();
+                        member.closeConnections();
                     })
                     .sync();
             long startNanos = System.nanoTime();
--- a/src/test/java/gatefront/registry/follower/FollowerModelTest.java
+++ b/src/test/java/gatefront/registry/follower/FollowerModelTest.java
@@ -22,7 +22,7 @@
 class FollowerModelTest {
     private static final int HISTORIES = 10_000;
     private static final String PREFIX = "a/";
-    private static final String END = KeyValueStore.behind(PREFIX);
+    private static final String END = KeyValueStore.prefixEnd(PREFIX);
     private static final long MS = 1_000;
     private static final FollowerLimits LIMITS =
             new FollowerLimits(50 * MS, 1_000 * MS, 0, 2_000 * MS, 6_000 * MS, 15_000 * MS, 60_000 * MS, 1_000);
@@ -208,8 +208,8 @@
             store = backup.backup();
             KeyValueStore restored = uncompactedBackup.backup();
             if (newHistory) {
-                store.rename(++historyCount);
-                restored.rename(historyCount);
+                store.changeClusterId(++historyCount);
+                restored.changeClusterId(historyCount);
             }
             uncompactedStore = restored;
             historyUncertain = true;
@@ -226,12 +226,12 @@
             return event.after() == null
                     ? KeyChange.deleted(event.key(), event.revision())
                     : new KeyChange(
-                            event.key(), event.after().value(), event.after().created(), event.revision());
+                            event.key(), event.after().value(), event.after().createRevision(), event.revision());
         }
 
-        private List<KeyEntry> entries(List<KeyValueStore.Kv> all) {
+        private List<KeyEntry> entries(List<KeyValueStore.KeyValue> all) {
             return all.stream()
-                    .map(each -> new KeyEntry(each.key(), each.value(), each.created(), each.modified()))
+                    .map(each -> new KeyEntry(each.key(), each.value(), each.createRevision(), each.modRevision()))
                     .toList();
         }
 
@@ -245,8 +245,9 @@
                     deliver(() -> follower.callFailed(now, call, "dropped", false));
                     return;
                 }
-                long revision =
-                        stale ? Math.max(store.oldest() - 1, store.revision() - random.nextInt(5)) : store.revision();
+                long revision = stale
+                        ? Math.max(store.oldestRevision() - 1, store.revision() - random.nextInt(5))
+                        : store.revision();
                 read(call, revision, linearizable);
             });
         }
@@ -254,7 +255,7 @@
         private void read(long call, long revision, boolean linearizable) {
             List<KeyEntry> entries = entries(store.range(PREFIX, END, revision));
             KeyValueStore readStore = uncompactedStore;
-            long history = store.history();
+            long history = store.clusterId();
             deliver(() -> {
                 follower.listReceived(now, call, history, revision, linearizable, entries);
                 if (follower.revision() == revision
@@ -280,7 +281,7 @@
                 if (memberLag > 0) {
                     count("lagging");
                 }
-                long history = store.history();
+                long history = store.clusterId();
                 long header = store.revision() - memberLag;
                 if (pause == 0) {
                     deliver(() -> follower.watchCreated(now, call, history, header));
@@ -308,14 +309,14 @@
             if (pause > 0) {
                 if (sentRevision != store.revision()) {
                     activeWatch = -1;
-                    read(call, Math.max(store.oldest() - 1, store.revision() - memberLag), false);
+                    read(call, Math.max(store.oldestRevision() - 1, store.revision() - memberLag), false);
                 }
                 return;
             }
-            List<KeyValueStore.Event> pending = store.since(PREFIX, END, sentRevision);
+            List<KeyValueStore.Event> pending = store.changesAfter(PREFIX, END, sentRevision);
             if (pending == null) {
                 count("compacted");
-                long oldest = store.oldest();
+                long oldest = store.oldestRevision();
                 activeWatch = -1;
                 deliver(() -> follower.revisionCompacted(now, call, oldest));
                 return;
@@ -327,9 +328,9 @@
             if (visible.isEmpty()) {
                 return;
             }
-            if (!faultsEnded && random.nextInt(5) == 0 && store.since(PREFIX, END, sentRevision - 3) != null) {
+            if (!faultsEnded && random.nextInt(5) == 0 && store.changesAfter(PREFIX, END, sentRevision - 3) != null) {
                 count("repeated");
-                visible = store.since(PREFIX, END, sentRevision - 3).stream()
+                visible = store.changesAfter(PREFIX, END, sentRevision - 3).stream()
                         .filter(event -> event.revision() <= visibleRevision)
                         .toList();
             }
@@ -348,10 +349,11 @@
         public void requestProgress(long call) {
             sendChanges();
             if (activeWatch == call) {
-                long history = store.history();
+                long history = store.clusterId();
                 long upTo = Math.max(sentRevision, store.revision() - (faultsEnded ? 0 : memberLag));
-                if (store.since(PREFIX, END, sentRevision) != null
-                        && store.since(PREFIX, END, sentRevision).stream().noneMatch(each -> each.revision() <= upTo)) {
+                if (store.changesAfter(PREFIX, END, sentRevision) != null
+                        && store.changesAfter(PREFIX, END, sentRevision).stream()
+                                .noneMatch(each -> each.revision() <= upTo)) {
                     deliver(() -> follower.progressReceived(now, call, history, upTo));
                 }
             }
@@ -387,7 +389,7 @@
             if (!full && !historyUncertain) {
                 long revision = follower.revision();
                 assertEquals(
-                        uncompactedStore.since(PREFIX, END, verifiedRevision).stream()
+                        uncompactedStore.changesAfter(PREFIX, END, verifiedRevision).stream()
                                 .filter(change -> change.revision() <= revision)
                                 .map(World::change)
                                 .toList(),
--- a/src/test/java/gatefront/rehearsal/ProcessRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/ProcessRehearsalTest.java
@@ -48,7 +48,7 @@
     void manualDrainsSurviveKillsAndLostStateIsReported() throws Exception {
         ProcessRehearsalResult outcome = play("state-lost", 15);
         assertEquals(List.of(), outcome.manualDrains().breaches());
-        assertTrue(outcome.manualDrains().held() >= 2 * AGENTS, "every agent accepted both drain commands");
+        assertTrue(outcome.manualDrains().drainedPairs() >= 2 * AGENTS, "every agent accepted both drain commands");
         assertEquals(
                 0, breaches(outcome, Rule.NO_EFFECT_TWICE), outcome.breaches().toString());
         String history = Files.readString(dir.resolve("history.jsonl"));
--- a/src/test/java/gatefront/rehearsal/RealRehearsalTest.java
+++ b/src/test/java/gatefront/rehearsal/RealRehearsalTest.java
@@ -44,7 +44,7 @@
                         1,
                         RealRehearsal.currentJvmCommand())
                 .play(done -> {});
-        assertTrue(outcome.service() > 0.3, outcome.line());
+        assertTrue(outcome.service() > 0.3, outcome.summary());
         assertEquals(
                 2,
                 outcome.log().stream()
@@ -55,7 +55,7 @@
                 0,
                 outcome.breaches().stream()
                         .filter(breach -> breach.rule() == Rule.NO_EFFECT_TWICE
-                                && breach.what().contains("has happened"))
+                                && breach.description().contains("has happened"))
                         .count(),
                 outcome.breaches().toString());
     }
--- a/src/test/java/gatefront/rehearsal/processes/ProcessPartsTest.java
+++ b/src/test/java/gatefront/rehearsal/processes/ProcessPartsTest.java
@@ -59,39 +59,39 @@
     @Test
     void manualDrainHoldsAcrossRestartsUntilUndoneOrReportedLost() {
         ManualDrainChecker checker = new ManualDrainChecker(500_000);
-        checker.yes(0, 1, 7, true, true);
-        checker.begun(400_000, 1, 7);
+        checker.confirmed(0, 1, 7, true, true);
+        checker.attemptStarted(400_000, 1, 7);
         checker.close(9_000_000);
         assertEquals(0, checker.count(), "within the grace period");
-        checker.begun(600_000, 2, 7);
-        checker.begun(600_000, 1, 8);
+        checker.attemptStarted(600_000, 2, 7);
+        checker.attemptStarted(600_000, 1, 8);
         checker.close(9_000_000);
         assertEquals(0, checker.count(), "these pairs are not drained");
-        checker.begun(5_000_000, 1, 7);
-        checker.begun(5_100_000, 1, 7);
+        checker.attemptStarted(5_000_000, 1, 7);
+        checker.attemptStarted(5_100_000, 1, 7);
         checker.close(9_000_000);
         assertEquals(1, checker.count(), checker.breaches().toString());
-        checker.ended(10_000_000, 1);
-        checker.begun(11_000_000, 1, 7);
-        checker.toldLost(11_500_000, 1);
-        checker.begun(15_000_000, 1, 7);
+        checker.processEnded(10_000_000, 1);
+        checker.attemptStarted(11_000_000, 1, 7);
+        checker.lossReported(11_500_000, 1);
+        checker.attemptStarted(15_000_000, 1, 7);
         checker.close(20_000_000);
         assertEquals(1, checker.count(), "the agent reported the loss in time");
-        checker.ended(20_000_000, 1);
-        checker.begun(21_000_000, 1, 7);
-        checker.toldLost(24_000_000, 1);
+        checker.processEnded(20_000_000, 1);
+        checker.attemptStarted(21_000_000, 1, 7);
+        checker.lossReported(24_000_000, 1);
         assertEquals(2, checker.count(), "the agent reported the loss too late");
-        checker.ended(25_000_000, 1);
-        checker.yes(26_000_000, 1, 7, false, true);
-        checker.begun(27_000_000, 1, 7);
+        checker.processEnded(25_000_000, 1);
+        checker.confirmed(26_000_000, 1, 7, false, true);
+        checker.attemptStarted(27_000_000, 1, 7);
         checker.close(40_000_000);
         assertEquals(2, checker.count(), "the server was put back");
-        checker.yes(50_000_000, 1, 7, true, false);
-        checker.begun(51_000_000, 1, 7);
+        checker.confirmed(50_000_000, 1, 7, true, false);
+        checker.attemptStarted(51_000_000, 1, 7);
         checker.close(60_000_000);
         assertEquals(3, checker.count(), "a drain that is not stored holds while the process runs");
-        checker.ended(61_000_000, 1);
-        checker.begun(62_000_000, 1, 7);
+        checker.processEnded(61_000_000, 1);
+        checker.attemptStarted(62_000_000, 1, 7);
         checker.close(70_000_000);
         assertEquals(3, checker.count(), "the operator was told that the drain ends with the process");
     }
@@ -102,14 +102,14 @@
         ServiceCurve faulty = new ServiceCurve(30);
         for (int i = 0; i < 300; i++) {
             long at = i * 100_000L;
-            baseline.settled(at, 1, i % 50 != 0);
-            faulty.settled(at, 1, i < 100 || i >= 145 && i % 50 != 0);
+            baseline.record(at, 1, i % 50 != 0);
+            faulty.record(at, 1, i < 100 || i >= 145 && i % 50 != 0);
         }
-        assertEquals(4.25, faulty.fullAfter(10, baseline), 0.26);
-        assertEquals(0, baseline.fullAfter(10, baseline), 0);
-        assertEquals(-1, new ServiceCurve(30).fullAfter(10, baseline), 0);
-        assertEquals(0, faulty.part(10, 14), 0);
-        assertEquals(1, faulty.part(0, 10), 0);
+        assertEquals(4.25, faulty.secondsUntilFull(10, baseline), 0.26);
+        assertEquals(0, baseline.secondsUntilFull(10, baseline), 0);
+        assertEquals(-1, new ServiceCurve(30).secondsUntilFull(10, baseline), 0);
+        assertEquals(0, faulty.servedShare(10, 14), 0);
+        assertEquals(1, faulty.servedShare(0, 10), 0);
     }
 
     @Test
