--- a/src/main/java/gatefront/rehearsal/Demo.java
+++ b/src/main/java/gatefront/rehearsal/Demo.java
@@ -44,8 +44,8 @@
                                 (name, address, zone, memory, lines) -> new LoopbackMachine(name, address, loop),
                                 owner -> i -> new ProcessAgent(
                                         owner, i, addresses.of(8, i), command, folder, Runnable::run, log));
-                        created.takeStrangers();
-                        created.begin();
+                        created.serveUnknownRequests();
+                        created.start();
                         return created;
                     })
                     .get();
--- a/src/main/java/gatefront/rehearsal/HtmlReport.java
+++ b/src/main/java/gatefront/rehearsal/HtmlReport.java
@@ -24,7 +24,7 @@
 
     private HtmlReport(RehearsalResult result) {
         this.result = result;
-        this.record = result.record();
+        this.record = result.recorder();
         this.plan = result.plan();
     }
 
@@ -77,18 +77,18 @@
                 plan.nodos().count(),
                 number(plan.clients().rate()),
                 100
-                        * result.cast().demand(plan.clients().rate())
-                        / result.cast().capacity());
-        int worst = record.worstFrom();
+                        * result.resolvedPlan().demand(plan.clients().rate())
+                        / result.resolvedPlan().capacity());
+        int worst = record.worstTenSecondsStart();
         append(
                 "<div class=\"row\"><div><div class=\"big\">%.1f%%</div>service: worth answered in time, of what was "
                         + "asked for</div><div><div class=\"big\">%.1f%%</div>in the worst ten seconds, from %d s</div>"
                         + "<div><div class=\"big %s\">%s</div>the four rules</div></div>",
                 100 * result.service(),
-                100 * record.serviceOfTen(worst),
+                100 * record.serviceOfTenSeconds(worst),
                 worst,
-                result.broken() == 0 ? "ok" : "no",
-                result.broken() == 0 ? "kept" : "broken " + result.broken() + "×");
+                result.breachCount() == 0 ? "ok" : "no",
+                result.breachCount() == 0 ? "kept" : "broken " + result.breachCount() + "×");
     }
 
     private static String number(double value) {
@@ -107,15 +107,15 @@
     }
 
     private int bandRows() {
-        return record.bands.size();
+        return record.faultBands.size();
     }
 
     /** Draws each fault as a band behind the plot, with its name in a row of its own above. */
     private void writeBands(int bottom) {
         int row = 0;
-        for (RunRecorder.Band band : record.bands) {
-            double from = x(band.from());
-            double width = Math.max(2, x(band.until()) - from);
+        for (RunRecorder.FaultBand band : record.faultBands) {
+            double from = x(band.fromSeconds());
+            double width = Math.max(2, x(band.untilSeconds()) - from);
             int y = 12 + 13 * row++;
             append(
                     "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"#b58900\" opacity=\"0.09\"/>",
@@ -162,7 +162,7 @@
         double max = 1e-9;
         for (int s = 0; s < record.seconds; s++) {
             double total = 0;
-            for (double worth : record.ofSecond(s)) {
+            for (double worth : record.worthOfSecond(s)) {
                 total += worth;
             }
             max = Math.max(max, total);
@@ -170,7 +170,7 @@
         writeAxes(top, bottom, String.format(Locale.ROOT, "%.0f", max));
         for (int s = 0; s < record.seconds; s++) {
             double y = bottom;
-            double[] fates = record.ofSecond(s);
+            double[] fates = record.worthOfSecond(s);
             for (int f = 0; f < fates.length; f++) {
                 double height = (bottom - top) * fates[f] / max;
                 if (height > 0.05) {
@@ -196,7 +196,7 @@
                 double sum = 0;
                 int n = 0;
                 for (int t = Math.max(0, s - 1); t <= Math.min(record.seconds - 1, s + 1); t++) {
-                    double service = record.serviceOf(t, k);
+                    double service = record.serviceOfClassInSecond(t, k);
                     sum += Double.isNaN(service) ? 0 : service;
                     n += Double.isNaN(service) ? 0 : 1;
                 }
@@ -255,7 +255,7 @@
         out.append("<h2>Nodos: requests held a core (white 0, dark 8 or more, striped: not running), and what the "
                 + "first agent was told</h2>");
         writeLegend(STATUSES, STATUS_COLOURS);
-        int shown = Math.min(record.load.size(), 120);
+        int shown = Math.min(record.loadByNodo.size(), 120);
         int rowHeight = shown > 40 ? 8 : 14;
         int bottom = 6 + rowHeight * shown;
         openSvg(bottom + 22, 0);
@@ -268,7 +268,7 @@
                         "<text x=\"%d\" y=\"%d\" text-anchor=\"end\">%s</text>",
                         PLOT_LEFT - 6, 6 + rowHeight * i + rowHeight - 3, record.nodoNames.get(i));
             }
-            double[] load = record.load.get(i);
+            double[] load = record.loadByNodo.get(i);
             for (int s = 0; s < load.length; s++) {
                 String fill = load[s] < 0 ? "url(#down)" : shade(load[s] / 8);
                 append(
@@ -276,12 +276,12 @@
                         x(s), 6 + rowHeight * i, x(s + 1) - x(s) + 0.2, rowHeight - 1, fill);
             }
         }
-        for (RunRecorder.Told announcement : record.told) {
+        for (RunRecorder.StatusNews announcement : record.statusNews) {
             int status = List.of(STATUSES).indexOf(announcement.status());
             if (announcement.nodo() < shown && status >= 0) {
                 append(
                         "<rect x=\"%.1f\" y=\"%d\" width=\"3\" height=\"%d\" fill=\"%s\"/>",
-                        x(announcement.at()),
+                        x(announcement.atSeconds()),
                         6 + rowHeight * announcement.nodo() - 1,
                         rowHeight + 1,
                         STATUS_COLOURS[status]);
@@ -310,7 +310,7 @@
             append(
                     "<tr><td>%s</td><td>%.1f%%</td>",
                     escape(plan.classes().get(k).name()), 100 * record.serviceOfClass(k));
-            for (int count : record.counts[k]) {
+            for (int count : record.operationCounts[k]) {
                 append("<td>%d</td>", count);
             }
             out.append("</tr>");
@@ -326,22 +326,22 @@
             out.append("</table>");
         }
         for (RunRecorder.Note note : record.notes) {
-            append("<p>%.2f s: %s</p>", note.at(), escape(note.text()));
+            append("<p>%.2f s: %s</p>", note.atSeconds(), escape(note.text()));
         }
     }
 
     private void writeBreaches() {
-        if (result.broken() > 0) {
+        if (result.breachCount() > 0) {
             append(
                     "<h2 class=\"no\">Rules broken (%d; the first %d)</h2>",
-                    result.broken(), result.breaches().size());
+                    result.breachCount(), result.breaches().size());
         }
         for (RuleChecker.Breach breach : result.breaches()) {
             append(
                     "<p><b>%.3f s, %s</b>: %s %s</p>",
-                    (breach.at() - Rehearsal.OPENS_AT) / 1e6,
+                    (breach.atMicros() - Rehearsal.OPENING_MICROS) / 1e6,
                     breach.rule().name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                    escape(breach.what()),
+                    escape(breach.description()),
                     breach.request().isEmpty() ? "" : "(request " + escape(breach.request()) + ")");
             if (!breach.history().isEmpty()) {
                 append("<pre>%s</pre>", escape(String.join("\n", breach.history())));
--- a/src/main/java/gatefront/rehearsal/JsonReport.java
+++ b/src/main/java/gatefront/rehearsal/JsonReport.java
@@ -40,7 +40,7 @@
     /** Returns the report as a tree with its fields in a fixed order. */
     public static ObjectNode toTree(RehearsalResult result) {
         Plan plan = result.plan();
-        RunRecorder record = result.record();
+        RunRecorder record = result.recorder();
         ObjectNode root = JsonNodeFactory.instance.objectNode();
         root.put("version", VERSION)
                 .put("plan", plan.name())
@@ -51,12 +51,13 @@
                 .put("rate", plan.clients().rate())
                 .put(
                         "load",
-                        round(result.cast().demand(plan.clients().rate())
-                                / result.cast().capacity()));
-        int worst = record.worstFrom();
+                        round(result.resolvedPlan().demand(plan.clients().rate())
+                                / result.resolvedPlan().capacity()));
+        int worst = record.worstTenSecondsStart();
         ObjectNode service = root.putObject("service");
         service.put("whole", round(result.service()));
-        service.put("worst_ten_seconds", round(record.serviceOfTen(worst))).put("worst_ten_from", worst);
+        service.put("worst_ten_seconds", round(record.serviceOfTenSeconds(worst)))
+                .put("worst_ten_from", worst);
         ObjectNode classes = service.putObject("classes");
         for (int i = 0; i < plan.classes().size(); i++) {
             classes.put(plan.classes().get(i).name(), round(record.serviceOfClass(i)));
@@ -68,57 +69,57 @@
         ObjectNode requests = root.putObject("requests");
         for (int i = 0; i < plan.classes().size(); i++) {
             ObjectNode counts = requests.putObject(plan.classes().get(i).name());
-            for (RunRecorder.Fate fate : RunRecorder.Fate.values()) {
-                counts.put(keyword(fate), record.counts[i][fate.ordinal()]);
+            for (RunRecorder.Outcome fate : RunRecorder.Outcome.values()) {
+                counts.put(keyword(fate), record.operationCounts[i][fate.ordinal()]);
             }
         }
         root.putObject("fleet")
-                .put("probes_a_request", round(record.each(record.probes)))
-                .put("handshakes_a_request", round(record.each(record.handshakes)))
-                .put("list_calls_a_request", round(record.each(record.listCalls)))
-                .put("attempts_a_request", round(record.each(record.attempts)))
+                .put("probes_a_request", round(record.perOperation(record.probes)))
+                .put("handshakes_a_request", round(record.perOperation(record.handshakes)))
+                .put("list_calls_a_request", round(record.perOperation(record.listCalls)))
+                .put("attempts_a_request", round(record.perOperation(record.attempts)))
                 .put(
                         "connections_of_the_fullest",
-                        Arrays.stream(record.fullest).max().orElse(0))
+                        Arrays.stream(record.maxConnections).max().orElse(0))
                 .put("connections_most", plan.nodos().maxConnections())
                 .put(
                         "part_of_what_topples",
-                        round(Arrays.stream(record.coldest).max().orElse(0)));
-        record.crowd.json(root.putObject("crowd"));
+                        round(Arrays.stream(record.maxColdOverloadShare).max().orElse(0)));
+        record.fleetLoad.writeTo(root.putObject("crowd"));
         writeRules(root.putObject("rules"), result);
         ArrayNode troubles = root.putArray("troubles");
-        for (ResolvedPlan.Trouble fault : result.cast().troubles()) {
+        for (ResolvedPlan.ScheduledFault fault : result.resolvedPlan().faults()) {
             ObjectNode trouble = troubles.addObject()
                     .put("kind", fault.fault().kind().keyword())
-                    .put("at", round(fault.at() / 1e6))
-                    .put("until", round(fault.until() / 1e6))
+                    .put("at", round(fault.startMicros() / 1e6))
+                    .put("until", round(fault.endMicros() / 1e6))
                     .put("size", round(fault.size()));
             ArrayNode targets = trouble.putArray("targets");
             for (int target : fault.targets()) {
                 targets.add(target + 1);
             }
         }
-        record.held.json(root.putObject("held"));
+        record.resourceUsage.writeTo(root.putObject("held"));
         writeSeconds(root, record);
         writeNodos(root, record);
         ArrayNode notes = root.putArray("notes");
         record.notes.forEach(
-                note -> notes.addObject().put("at", round(note.at())).put("text", note.text()));
+                note -> notes.addObject().put("at", round(note.atSeconds())).put("text", note.text()));
         ArrayNode log = root.putArray("log");
         result.log().forEach(log::add);
-        root.put("closed_idle", record.closedIdle).put("tasks", result.tasks());
+        root.put("closed_idle", record.idleConnectionsClosed).put("tasks", result.tasks());
         return root;
     }
 
     private static void writeRules(ObjectNode rules, RehearsalResult result) {
-        rules.put("kept", result.broken() == 0).put("broken", result.broken());
+        rules.put("kept", result.breachCount() == 0).put("broken", result.breachCount());
         ArrayNode breaches = rules.putArray("breaches");
         for (RuleChecker.Breach breach : result.breaches()) {
             ObjectNode node = breaches.addObject()
-                    .put("at", round((breach.at() - Rehearsal.OPENS_AT) / 1e6))
+                    .put("at", round((breach.atMicros() - Rehearsal.OPENING_MICROS) / 1e6))
                     .put("rule", breach.rule().name().toLowerCase(Locale.ROOT).replace('_', ' '))
                     .put("request", breach.request())
-                    .put("what", breach.what());
+                    .put("what", breach.description());
             ArrayNode history = node.putArray("history");
             breach.history().forEach(history::add);
         }
@@ -128,8 +129,8 @@
         ArrayNode seconds = root.putArray("by_second");
         for (int s = 0; s < record.seconds; s++) {
             ObjectNode second = seconds.addObject().put("second", s);
-            double[] fates = record.ofSecond(s);
-            for (RunRecorder.Fate fate : RunRecorder.Fate.values()) {
+            double[] fates = record.worthOfSecond(s);
+            for (RunRecorder.Outcome fate : RunRecorder.Outcome.values()) {
                 second.put(keyword(fate), round(fates[fate.ordinal()]));
             }
             second.put("tries", record.tries[s])
@@ -137,14 +138,14 @@
                     .put("probes", record.probes[s])
                     .put("handshakes", record.handshakes[s])
                     .put("list_calls", record.listCalls[s])
-                    .put("list_calls_turned_away", record.listTurnedAway[s])
-                    .put("connections_of_the_fullest", record.fullest[s])
-                    .put("part_of_what_topples", round(record.coldest[s]));
+                    .put("list_calls_turned_away", record.listCallsRefused[s])
+                    .put("connections_of_the_fullest", record.maxConnections[s])
+                    .put("part_of_what_topples", round(record.maxColdOverloadShare[s]));
         }
         ObjectNode load = root.putObject("held_a_core");
-        for (int i = 0; i < record.load.size(); i++) {
+        for (int i = 0; i < record.loadByNodo.size(); i++) {
             ArrayNode nodo = load.putArray(record.nodoNames.get(i));
-            for (double value : record.load.get(i)) {
+            for (double value : record.loadByNodo.get(i)) {
                 nodo.add(round(value));
             }
         }
@@ -152,21 +153,21 @@
 
     private static void writeNodos(ObjectNode root, RunRecorder record) {
         ObjectNode served = root.putObject("served");
-        for (int i = 0; i < record.served.size(); i++) {
+        for (int i = 0; i < record.servedByNodo.size(); i++) {
             ArrayNode nodo = served.putArray(record.nodoNames.get(i));
-            for (int count : record.served.get(i)) {
+            for (int count : record.servedByNodo.get(i)) {
                 nodo.add(count);
             }
         }
         ArrayNode statusChanges = root.putArray("told");
-        record.told.forEach(announcement -> statusChanges
+        record.statusNews.forEach(announcement -> statusChanges
                 .addObject()
-                .put("at", round(announcement.at()))
+                .put("at", round(announcement.atSeconds()))
                 .put("nodo", announcement.nodo() + 1)
                 .put("status", announcement.status()));
     }
 
-    static String keyword(RunRecorder.Fate fate) {
+    static String keyword(RunRecorder.Outcome fate) {
         return fate.name().toLowerCase(Locale.ROOT);
     }
 
--- a/src/main/java/gatefront/rehearsal/PlanShrinker.java
+++ b/src/main/java/gatefront/rehearsal/PlanShrinker.java
@@ -49,8 +49,8 @@
 
     static Plan shrink(Plan plan, long seed, Function<Engine, Balancer> balancerFactory, Consumer<String> listener) {
         Plan fixed = plan.withFaults(resolveFaults(plan, seed));
-        RehearsalResult result = new Rehearsal(fixed, seed, balancerFactory).play();
-        if (result.broken() == 0) {
+        RehearsalResult result = new Rehearsal(fixed, seed, balancerFactory).run();
+        if (result.breachCount() == 0) {
             return null;
         }
         Set<Rule> rules =
@@ -58,7 +58,7 @@
         PlanShrinker shrinker = new PlanShrinker(seed, balancerFactory, rules, listener);
         listener.accept("the plan breaks " + rules.size() + " rule(s) with "
                 + fixed.faults().size() + " faults");
-        double end = (result.breaches().get(0).at() - Rehearsal.OPENS_AT) / 1e6 + 1;
+        double end = (result.breaches().get(0).atMicros() - Rehearsal.OPENING_MICROS) / 1e6 + 1;
         Plan smallest =
                 shrinker.reduceRate(shrinker.removeTargets(shrinker.removeFaults(shrinker.shorten(fixed, end))));
         listener.accept("smallest plan found: " + smallest.faults().size() + " faults, " + smallest.seconds()
@@ -69,7 +69,7 @@
     /** Returns the faults of a plan with the values that a seed draws for them. */
     static List<Fault> resolveFaults(Plan plan, long seed) {
         List<Fault> resolved = new ArrayList<>();
-        for (ResolvedPlan.Trouble fault : ResolvedPlan.of(plan, seed).troubles()) {
+        for (ResolvedPlan.ScheduledFault fault : ResolvedPlan.of(plan, seed).faults()) {
             String prefix = fault.fault().kind().target() == Fault.Kind.Target.AGENTS ? "agent-" : "nodo-";
             List<String> names = new ArrayList<>();
             for (int target : fault.targets()) {
@@ -77,12 +77,12 @@
             }
             resolved.add(fault.fault()
                     .withFixedValues(
-                            fixedRange(fault.at() / 1e6),
-                            fixedRange(fault.lasts() / 1e6),
+                            fixedRange(fault.startMicros() / 1e6),
+                            fixedRange(fault.durationMicros() / 1e6),
                             names,
                             fixedRange(fault.size()),
-                            fixedRange(fault.every() / 1e6),
-                            fixedRange(fault.spread() / 1e6)));
+                            fixedRange(fault.periodMicros() / 1e6),
+                            fixedRange(fault.spreadMicros() / 1e6)));
         }
         return resolved;
     }
@@ -93,7 +93,7 @@
 
     private boolean stillBreaks(Plan plan) {
         return new Rehearsal(plan, seed, balancerFactory)
-                .play().breaches().stream().anyMatch(breach -> rules.contains(breach.rule()));
+                .run().breaches().stream().anyMatch(breach -> rules.contains(breach.rule()));
     }
 
     private Plan smallerIfBreaking(Plan current, Plan smaller, String removed) {
--- a/src/main/java/gatefront/rehearsal/RealRehearsal.java
+++ b/src/main/java/gatefront/rehearsal/RealRehearsal.java
@@ -125,17 +125,17 @@
             created[0] = context;
             lateness.watch(loop);
             RealTimeRig rig = new RealTimeRig(context, lateness);
-            context.ways = rig;
-            context.checker.on(rig);
+            context.paths = rig;
+            context.checker.useEnvironment(rig);
             callOnLoop(() -> {
-                context.begin();
+                context.start();
                 return null;
             });
             awaitReady(context);
             trafficStartMicros = callOnLoop(() -> {
                 long now = context.now() + 100_000;
                 lateness.reset();
-                Rehearsal.open(context, now);
+                Rehearsal.openTraffic(context, now);
                 return now;
             });
             long lengthMs = (long) (1000 * plan.seconds());
@@ -144,10 +144,10 @@
                 Thread.sleep(250);
             }
             progress.accept(1);
-            awaitOnLoop(COMPLETION_TIMEOUT_MS, () -> context.record.open() == 0);
+            awaitOnLoop(COMPLETION_TIMEOUT_MS, () -> context.recorder.openOperations() == 0);
             Thread.sleep(SETTLE_MS);
             callOnLoop(() -> {
-                context.agents.forEach(agent -> agent.leave(() -> {}));
+                context.agents.forEach(agent -> agent.shutDown(() -> {}));
                 return null;
             });
             awaitOnLoop(EXIT_TIMEOUT_MS, () -> context.agents.stream()
@@ -155,7 +155,7 @@
             return callOnLoop(() -> {
                 for (AgentStandIn agent : context.agents) {
                     if (agent.machine().running()) {
-                        context.checker.left(context.now(), agent.name() + " has not ended");
+                        context.checker.reportLeftover(context.now(), agent.name() + " has not ended");
                     }
                 }
                 context.checker.close(context.now());
@@ -166,7 +166,7 @@
                         lateness.countOver(MAX_LATENESS_MICROS),
                         MAX_LATENESS_MICROS / 1000));
                 return new RehearsalResult(
-                        plan, seed, context.cast, context.record, context.checker, List.copyOf(log), 0);
+                        plan, seed, context.resolvedPlan, context.recorder, context.checker, List.copyOf(log), 0);
             });
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/gatefront/rehearsal/RealTimeRig.java
+++ b/src/main/java/gatefront/rehearsal/RealTimeRig.java
@@ -4,7 +4,7 @@
 import gatefront.rehearsal.processes.LoopLateness;
 
 /** Reports the lateness of a real-time rig to the checks. Processes reach each other directly. */
-class RealTimeRig implements RunContext.Ways, RuleChecker.Rig {
+class RealTimeRig implements RunContext.NetworkPaths, RuleChecker.Environment {
     final RunContext context;
     final LoopLateness lateness;
 
@@ -14,10 +14,10 @@
     }
 
     @Override
-    public final long late(long from, long until) {
-        return lateness.maxBetween(context.clock(from), context.clock(until));
+    public final long maxStallMicros(long from, long until) {
+        return lateness.maxBetween(context.toClockMicros(from), context.toClockMicros(until));
     }
 
     @Override
-    public void note(long at, String request, String what) {}
+    public void requestEvent(long at, String request, String what) {}
 }
--- a/src/main/java/gatefront/rehearsal/RelayNetwork.java
+++ b/src/main/java/gatefront/rehearsal/RelayNetwork.java
@@ -179,29 +179,29 @@
     }
 
     @Override
-    public InetSocketAddress nodo(int agent, InetSocketAddress at) {
+    public InetSocketAddress nodoAddress(int agent, InetSocketAddress at) {
         return relay(agent, Links.NODOS, at).address();
     }
 
     @Override
-    public InetSocketAddress padron(int agent, InetSocketAddress at) {
+    public InetSocketAddress padronAddress(int agent, InetSocketAddress at) {
         return relay(agent, Links.PADRON, at).address();
     }
 
     @Override
-    public boolean heard(int agent) {
+    public boolean padronReaches(int agent) {
         Interval interval = disruptions.get(key(agent, Links.PADRON));
         return interval == null || !interval.overlaps(context.now() - CATCH_UP_MICROS, context.now());
     }
 
     @Override
-    public long sentAt(int agent, long now) {
+    public long earliestSendMicros(int agent, long now) {
         Interval interval = disruptions.get(key(agent, Links.NODOS));
         return interval != null && interval.overlaps(now - CATCH_UP_MICROS, now) ? Math.min(now, interval.from) : now;
     }
 
     @Override
-    public boolean owes(int agent, long from, long until) {
+    public boolean reachableThroughout(int agent, long from, long until) {
         Interval pause = pauses.get(agent);
         Interval disruption = disruptions.get(key(agent, Links.CALLERS));
         return (pause == null || !pause.overlaps(from, until))
@@ -209,17 +209,17 @@
     }
 
     @Override
-    public void served(long now, int agent) {
+    public void requestServed(long now, int agent) {
         timeline.reached(agent, StartTimeline.Mark.SERVES, now);
     }
 
     @Override
-    public void begun(long now, int agent, int nodo) {
-        drainChecker.begun(now, agent, nodo);
+    public void attemptStarted(long now, int agent, int nodo) {
+        drainChecker.attemptStarted(now, agent, nodo);
     }
 
     @Override
-    public void note(long at, String request, String what) {
+    public void requestEvent(long at, String request, String what) {
         history.request(at, request, what);
     }
 }
--- a/src/test/java/gatefront/registry/ConsulConnectorTest.java
+++ b/src/test/java/gatefront/registry/ConsulConnectorTest.java
@@ -44,12 +44,12 @@
     @Test
     void tokenIsSentAndReadsFailWithoutIt() throws Exception {
         put("nodos/a", "1");
-        members.forEach(member -> member.secret("s3cret"));
+        members.forEach(each -> each.token("s3cret"));
         token = "s3cret";
         follow();
         assertSameAsStore();
-        members.forEach(member -> member.secret("another"));
-        members.forEach(RegistryStandIn::cut);
+        members.forEach(each -> each.token("another"));
+        members.forEach(RegistryStandIn::closeConnections);
         put("nodos/a", "2");
         advance(3 * SECOND);
         assertEquals("1", knownValue("nodos/a"));
@@ -85,19 +85,19 @@
     void memberWithoutALeaderIsNotTrusted() throws Exception {
         put("nodos/a", "1");
         follow();
-        for (RegistryStandIn member : members) {
-            ((ConsulStandIn) member).cutOff(false, 0);
+        for (RegistryStandIn each : members) {
+            ((ConsulStandIn) each).leaderContact(false, 0);
         }
         put("nodos/a", "2");
         advance(3 * SECOND);
         assertEquals("1", knownValue("nodos/a"));
         for (RegistryStandIn member : members) {
             // Longer than the time after which entries are stale.
-            ((ConsulStandIn) member).cutOff(true, 16_000);
+            ((ConsulStandIn) each).leaderContact(true, 16_000);
         }
         advance(3 * SECOND);
         assertEquals("1", knownValue("nodos/a"));
-        ((ConsulStandIn) members.get(1)).cutOff(true, 20);
+        ((ConsulStandIn) members.get(1)).leaderContact(true, 20);
         advance(5 * SECOND);
         assertSameAsStore();
         assertTrue(
--- a/src/test/java/gatefront/registry/RegistryLoopbackTest.java
+++ b/src/test/java/gatefront/registry/RegistryLoopbackTest.java
@@ -71,30 +71,30 @@
                         .submit(() -> {
                             store.put("a/" + step % 7, "v" + step);
                             if (fault == 0) {
-                                members.get(member).cut();
+                                members.get(member).closeConnections();
                             } else if (fault == 1) {
                                 store.compact(store.revision() - 1);
                             } else if (fault == 2 && !down[member]) {
                                 down[member] = true;
-                                members.get(member).down(true, null);
+                                members.get(member).setDown(true, null);
                                 // The event loop releases a socket only in its next iteration.
                                 sockets.loop()
                                         .schedule(
                                                 () -> {
-                                                    members.get(member).down(false, addresses.get(member));
+                                                    members.get(member).setDown(false, addresses.get(member));
                                                     down[member] = false;
                                                 },
                                                 20,
                                                 TimeUnit.MILLISECONDS);
                             }
-                            members.forEach(RegistryStandIn::news);
+                            members.forEach(RegistryStandIn::storeChanged);
                         })
                         .sync();
                 Thread.sleep(random.nextInt(8));
             }
             long timeoutNanos = System.nanoTime() + TIMEOUT_NANOS;
-            List<KeyEntry> expected = store.range("a/", KeyValueStore.behind("a/"), store.revision()).stream()
-                    .map(entry -> new KeyEntry(entry.key(), entry.value(), entry.created(), entry.modified()))
+            List<KeyEntry> expected = store.range("a/", KeyValueStore.prefixEnd("a/"), store.revision()).stream()
+                    .map(each -> new KeyEntry(each.key(), each.value(), each.createRevision(), each.modRevision()))
                     .toList();
             while (!sockets.loop()
                     .submit(() -> List.copyOf(client.follower().entries().values()))
@@ -114,7 +114,7 @@
             CountDownLatch ended = new CountDownLatch(1);
             sockets.loop().execute(() -> {
                 client.close();
-                members.forEach(member -> member.down(true, null));
+                members.forEach(each -> each.setDown(true, null));
                 sockets.close(ended::countDown);
             });
             ended.await();
