--- a/src/test/java/gatefront/registry/ConsulConnectorTest.java
+++ b/src/test/java/gatefront/registry/ConsulConnectorTest.java
@@ -44,11 +44,11 @@
     @Test
     void tokenIsSentAndReadsFailWithoutIt() throws Exception {
         put("nodos/a", "1");
-        members.forEach(each -> each.token("s3cret"));
+        members.forEach(member -> member.token("s3cret"));
         token = "s3cret";
         follow();
         assertSameAsStore();
-        members.forEach(each -> each.token("another"));
+        members.forEach(member -> member.token("another"));
         members.forEach(RegistryStandIn::closeConnections);
         put("nodos/a", "2");
         advance(3 * SECOND);
@@ -85,15 +85,15 @@
     void memberWithoutALeaderIsNotTrusted() throws Exception {
         put("nodos/a", "1");
         follow();
-        for (RegistryStandIn each : members) {
-            ((ConsulStandIn) each).leaderContact(false, 0);
+        for (RegistryStandIn member : members) {
+            ((ConsulStandIn) member).leaderContact(false, 0);
         }
         put("nodos/a", "2");
         advance(3 * SECOND);
         assertEquals("1", knownValue("nodos/a"));
         for (RegistryStandIn member : members) {
             // Longer than the time after which entries are stale.
-            ((ConsulStandIn) each).leaderContact(true, 16_000);
+            ((ConsulStandIn) member).leaderContact(true, 16_000);
         }
         advance(3 * SECOND);
         assertEquals("1", knownValue("nodos/a"));
--- a/src/test/java/gatefront/registry/EtcdConnectorTest.java
+++ b/src/test/java/gatefront/registry/EtcdConnectorTest.java
@@ -42,9 +42,9 @@
 
     /** Makes the members require a password, for which they issue a token. */
     private void requirePassword(String password) {
-        members.forEach(each -> {
-            ((EtcdStandIn) each).password(password);
-            each.token("token-1");
+        members.forEach(member -> {
+            ((EtcdStandIn) member).password(password);
+            member.token("token-1");
         });
     }
 
@@ -65,7 +65,7 @@
     void pagedReadIsOfOneRevisionWhileKeysChange() throws Exception {
         commitKeys(3_500, "before");
         int[] pageBreaks = new int[1];
-        members.forEach(each -> ((EtcdStandIn) each).beforeEachPage(() -> {
+        members.forEach(member -> ((EtcdStandIn) member).beforeEachPage(() -> {
             pageBreaks[0]++;
             store.put(PREFIX + "nodos/" + (3_000 + pageBreaks[0]), "meanwhile");
         }));
@@ -80,7 +80,7 @@
     void readIsRepeatedWhenItsRevisionIsCompacted() throws Exception {
         commitKeys(2_500, "before");
         int[] pageBreaks = new int[1];
-        members.forEach(each -> ((EtcdStandIn) each).beforeEachPage(() -> {
+        members.forEach(member -> ((EtcdStandIn) member).beforeEachPage(() -> {
             if (++pageBreaks[0] < 3) {
                 store.put(PREFIX + "nodos/1", "meanwhile " + pageBreaks[0]);
                 store.compact(store.revision());
@@ -93,7 +93,7 @@
 
     @Test
     void fragmentedAndRepeatedChangesAreAppliedOnce() throws Exception {
-        members.forEach(each -> ((EtcdStandIn) each).maxEventsPerMessage(3).repeatEvents(true));
+        members.forEach(member -> ((EtcdStandIn) member).maxEventsPerMessage(3).repeatEvents(true));
         follow();
         for (int i = 0; i < 10; i++) {
             commitKeys(10, "round " + i);
@@ -112,7 +112,7 @@
         put("nodos/a", "1");
         follow();
         assertSameAsStore();
-        members.forEach(each -> each.token("token-2"));
+        members.forEach(member -> member.token("token-2"));
         members.forEach(RegistryStandIn::closeConnections);
         // Waits until the connections are closed; otherwise the old watch would still report the change.
         advance(100 * MS);
--- a/src/test/java/gatefront/registry/RegistryContract.java
+++ b/src/test/java/gatefront/registry/RegistryContract.java
@@ -74,7 +74,7 @@
     }
 
     final List<InetSocketAddress> addresses() {
-        return hosts.stream().limit(MEMBERS).map(each -> each.address(PORT)).toList();
+        return hosts.stream().limit(MEMBERS).map(host -> host.address(PORT)).toList();
     }
 
     final VirtualHost host(String name, int thirdAddressByte, int lastAddressByte) throws Exception {
@@ -145,7 +145,8 @@
     final void assertSameAsStore() {
         assertEquals(
                 store.range(PREFIX, PREFIX_END, store.revision()).stream()
-                        .map(each -> new KeyEntry(each.key(), each.value(), each.createRevision(), each.modRevision()))
+                        .map(entry ->
+                                new KeyEntry(entry.key(), entry.value(), entry.createRevision(), entry.modRevision()))
                         .toList(),
                 List.copyOf(client.follower().entries().values()));
     }
@@ -255,12 +256,12 @@
         follow();
         put("nodos/a", "2");
         advance(300 * MS);
-        members.forEach(each -> each.setLag(1));
+        members.forEach(member -> member.setLag(1));
         members.forEach(RegistryStandIn::closeConnections);
         advance(10 * SECOND);
         assertEquals("2", knownValue("nodos/a"), "the value never goes back");
         put("nodos/a", "3");
-        members.forEach(each -> each.setLag(0));
+        members.forEach(member -> member.setLag(0));
         advance(10 * SECOND);
         assertSameAsStore();
         assertReportedOnceInOrder();
@@ -349,7 +350,7 @@
     void slowWatcherReceivesEveryChangeOnce() throws Exception {
         put("nodos/a", "0");
         follow();
-        members.forEach(each -> each.setNotifyDelay(3_000));
+        members.forEach(member -> member.setNotifyDelay(3_000));
         for (int i = 1; i <= 40; i++) {
             put("nodos/a", "v" + i);
             put("nodos/" + i % 3, "v" + i);
@@ -360,7 +361,7 @@
         assertSameAsStore();
         assertReportedOnceInOrder();
         assertTrue(staleEvents.isEmpty(), "a slow member is not silent: " + logLines);
-        members.forEach(each -> each.setNotifyDelay(0));
+        members.forEach(member -> member.setNotifyDelay(0));
         put("nodos/a", "last");
         advance(200 * MS);
         assertSameAsStore();
@@ -427,13 +428,13 @@
 
     @Test
     void overloadedRegistryIsCalledLessOften() throws Exception {
-        members.forEach(each -> each.setOverloaded(true));
+        members.forEach(member -> member.setOverloaded(true));
         follow();
         advance(20 * SECOND);
         int before = memberCalls();
         advance(20 * SECOND);
         assertTrue(memberCalls() - before < 24, "calls in 20 s: " + (memberCalls() - before));
-        members.forEach(each -> each.setOverloaded(false));
+        members.forEach(member -> member.setOverloaded(false));
         put("nodos/a", "1");
         advance(5 * SECOND);
         assertSameAsStore();
--- a/src/test/java/gatefront/registry/RegistryLoopbackTest.java
+++ b/src/test/java/gatefront/registry/RegistryLoopbackTest.java
@@ -94,7 +94,7 @@
             }
             long timeoutNanos = System.nanoTime() + TIMEOUT_NANOS;
             List<KeyEntry> expected = store.range("a/", KeyValueStore.prefixEnd("a/"), store.revision()).stream()
-                    .map(each -> new KeyEntry(each.key(), each.value(), each.createRevision(), each.modRevision()))
+                    .map(entry -> new KeyEntry(entry.key(), entry.value(), entry.createRevision(), entry.modRevision()))
                     .toList();
             while (!sockets.loop()
                     .submit(() -> List.copyOf(client.follower().entries().values()))
@@ -114,7 +114,7 @@
             CountDownLatch ended = new CountDownLatch(1);
             sockets.loop().execute(() -> {
                 client.close();
-                members.forEach(each -> each.setDown(true, null));
+                members.forEach(member -> member.setDown(true, null));
                 sockets.close(ended::countDown);
             });
             ended.await();
--- a/src/test/java/gatefront/registry/follower/FollowerModelTest.java
+++ b/src/test/java/gatefront/registry/follower/FollowerModelTest.java
@@ -231,7 +231,7 @@
 
         private List<KeyEntry> entries(List<KeyValueStore.KeyValue> all) {
             return all.stream()
-                    .map(each -> new KeyEntry(each.key(), each.value(), each.createRevision(), each.modRevision()))
+                    .map(entry -> new KeyEntry(entry.key(), entry.value(), entry.createRevision(), entry.modRevision()))
                     .toList();
         }
 
@@ -356,7 +356,7 @@
                 long upTo = Math.max(sentRevision, store.revision() - (faultsEnded ? 0 : memberLag));
                 if (store.changesAfter(PREFIX, END, sentRevision) != null
                         && store.changesAfter(PREFIX, END, sentRevision).stream()
-                                .noneMatch(each -> each.revision() <= upTo)) {
+                                .noneMatch(change -> change.revision() <= upTo)) {
                     deliver(() -> follower.progressReceived(now, call, history, upTo));
                 }
             }
