--- a/src/main/java/gatefront/engine/Engine.java
+++ b/src/main/java/gatefront/engine/Engine.java
@@ -360,8 +360,8 @@
             }
         }
         if (accepted.size() < endpoints.size()) {
-            logLine("list: ignored " + (endpoints.size() - accepted.size()) + " servers, above the limit of "
-                    + serverAccount.entriesCap() + " servers");
+            logLine("list: " + (endpoints.size() - accepted.size()) + " servers are not taken, more than the "
+                    + serverAccount.entriesCap() + " that may be held");
         }
         return accepted;
     }
--- a/src/main/java/gatefront/upgrade/BanFileFormat.java
+++ b/src/main/java/gatefront/upgrade/BanFileFormat.java
@@ -46,7 +46,7 @@
             String[] words = line.split(" ", 3);
             boolean drained = words[0].equals("out");
             if (words.length != 3 || !drained && !words[0].equals("in")) {
-                throw new IllegalArgumentException("malformed line '" + line + "': expected 'out|in TIME NAME'");
+                throw new IllegalArgumentException("malformed line: expected 'out|in TIME NAME'");
             }
             if (entries.size() >= ServerBans.MAX_ENTRIES) {
                 throw new IllegalArgumentException("more than " + ServerBans.MAX_ENTRIES + " entries");
@@ -54,7 +54,7 @@
             try {
                 entries.put(words[2], new ServerBans.Entry(drained, Long.parseLong(words[1])));
             } catch (NumberFormatException e) {
-                throw new IllegalArgumentException("malformed line '" + line + "': time is not an integer", e);
+                throw new IllegalArgumentException("malformed line: time is not an integer", e);
             }
         }
         return entries;
