--- a/src/main/java/gatefront/agent/Agent.java
+++ b/src/main/java/gatefront/agent/Agent.java
@@ -628,7 +628,7 @@
                     }
                     applied = true;
                 } catch (IllegalArgumentException e) {
-                    log("reload: rejected, the previous settings stay in effect: " + e.getMessage());
+                    log("reload: the old settings stay: " + e.getMessage());
                 }
                 if (operatorControls != null) {
                     operatorControls.recordReload(applied);
@@ -636,7 +636,7 @@
             });
         } catch (RejectedExecutionException e) {
             // A signal may arrive at any time during shutdown.
-            log("reload: ignored, the agent has stopped");
+            log("reload: not taken, the agent has ended");
         }
     }
 
--- a/src/main/java/gatefront/agent/MembershipSources.java
+++ b/src/main/java/gatefront/agent/MembershipSources.java
@@ -61,9 +61,9 @@
             @Override
             public void limits(Map<Integer, Integer> classes) {
                 engine.setClassLimits(classes);
-                transport.log("limits: maximum requests in flight: "
+                transport.log("limits: in progress at once at most "
                         + (classes.isEmpty()
-                                ? "unlimited"
+                                ? "any"
                                 : classes.entrySet().stream()
                                         .map(limit -> limit.getValue() + " of "
                                                 + config.classes().get(limit.getKey()))
--- a/src/main/java/gatefront/config/Config.java
+++ b/src/main/java/gatefront/config/Config.java
@@ -168,7 +168,7 @@
         }
         if (names.size() > MAX_CLASSES) {
             throw new IllegalArgumentException("config: classes: " + names.size() + " different names since the start, "
-                    + "more than the maximum of " + MAX_CLASSES + "; restart to apply");
+                    + "more than the " + MAX_CLASSES + " that may be; it needs a restart");
         }
         Balancer.Settings current = settings;
         Balancer.Settings updated = newer.settings;
@@ -310,8 +310,7 @@
     private static long numberAtLeast(long min, JsonNode node, String name) {
         JsonNode value = required(node, name);
         if (!value.isNumber() || value.asLong() < min) {
-            throw new IllegalArgumentException(
-                    "config: " + name + " has an unusable value: " + value + "; expected a number of at least " + min);
+            throw new IllegalArgumentException("config: " + name + " has an unusable value: " + value);
         }
         return value.asLong();
     }
--- a/src/main/java/gatefront/config/EndpointJson.java
+++ b/src/main/java/gatefront/config/EndpointJson.java
@@ -48,14 +48,14 @@
         String serverName = name == null ? entry.path("name").asText() : name;
         int zone = config.zones().indexOf(entry.path("zone").asText());
         if (serverName.isEmpty() || zone < 0) {
-            throw new IllegalArgumentException("server without a name or with an unknown zone: " + entry);
+            throw new IllegalArgumentException("name or zone of a server: " + entry);
         }
         Phase phase =
                 switch (entry.path("status").asText()) {
                     case "Ready" -> Phase.READY;
                     case "Terminating" -> Phase.DRAINING;
                     case "Gone" -> Phase.GONE;
-                    default -> throw new IllegalArgumentException("server with an unknown status: " + entry);
+                    default -> throw new IllegalArgumentException("status of a server: " + entry);
                 };
         return new Endpoint(
                 new Server(
--- a/src/main/java/gatefront/config/SettingsCompatibility.java
+++ b/src/main/java/gatefront/config/SettingsCompatibility.java
@@ -47,7 +47,7 @@
             }
             if (item.path("name").asText("").isEmpty()
                     || !names.add(item.path("name").asText())) {
-                throw invalid(itemPath + ".name", "is missing or not unique");
+                throw invalid(itemPath + ".name", "is missing, or there twice");
             }
         }
     }
@@ -62,7 +62,7 @@
                         || found.isBoolean() != before.isBoolean()
                         || found.isArray() != before.isArray()
                         || found.isObject() != before.isObject())) {
-            throw invalid(key, "is of another type than before: " + found);
+            throw invalid(key, "is of another kind than before: " + found);
         }
     }
 
--- a/src/main/java/gatefront/engine/Engine.java
+++ b/src/main/java/gatefront/engine/Engine.java
@@ -438,7 +438,7 @@
         long refused = admitted ? 0 : classLimits.takeRefusalsToReport(now(), requestClass);
         if (refused > 0) {
             logLine("limits: class " + requestClass + " is at its limit, " + classLimits.inProgress(requestClass)
-                    + " in progress; refused " + refused + " since the last message");
+                    + " in progress; refused " + refused + " of it since last said");
         }
         return admitted;
     }
--- a/src/main/java/gatefront/membership/Membership.java
+++ b/src/main/java/gatefront/membership/Membership.java
@@ -165,9 +165,9 @@
         Endpoint first = firstListed(views);
         boolean conflict = !first.address().equals(endpoint.address());
         if (conflict && !views.addressConflict) {
-            log.accept("membership: " + sourceNames.get(source) + " lists " + endpoint.name() + " at "
-                    + endpoint.address() + ", but an earlier source lists it at " + first.address()
-                    + "; using the earlier source");
+            log.accept("membership: " + sourceNames.get(source) + " has " + endpoint.name() + " at "
+                    + endpoint.address() + ", which is at " + first.address()
+                    + " by an earlier source; that is used");
         }
         views.addressConflict = conflict;
     }
--- a/src/main/java/gatefront/padron/Discovery.java
+++ b/src/main/java/gatefront/padron/Discovery.java
@@ -242,7 +242,7 @@
         if (response.decoderResult().isFailure() || response.status().code() != 200) {
             requestFailed(
                     currentRequest,
-                    "HTTP status " + response.status().code(),
+                    "answer " + response.status().code(),
                     response.status().code() == 503
                             ? Math.max(
                                     MAX_BACKOFF_MS,
@@ -259,7 +259,7 @@
             index = -1;
             requestFailed(
                     currentRequest,
-                    "invalid server list: "
+                    "unusable list: "
                             + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
             return;
         }
@@ -288,7 +288,7 @@
         if (root == null
                 || !root.path("endpoints").isArray()
                 || !root.path("index").canConvertToLong()) {
-            throw new IllegalArgumentException("expected a server list with endpoints and index");
+            throw new IllegalArgumentException("no list of servers");
         }
         List<Endpoint> endpoints = new ArrayList<>();
         for (JsonNode entry : root.get("endpoints")) {
--- a/src/main/java/gatefront/registry/ConsulConnector.java
+++ b/src/main/java/gatefront/registry/ConsulConnector.java
@@ -169,13 +169,12 @@
         if (response.decoderResult().isFailure() || status != 200 && status != 404) {
             callFailed(
                     call,
-                    "HTTP status " + status
-                            + (status == 403 ? ", the token has no permission for " + settings.prefix() : ""),
+                    "answer " + status + (status == 403 ? ", the token has no right to " + settings.prefix() : ""),
                     status == 429 || status == 503);
             return;
         }
         if ("false".equals(response.headers().get("X-Consul-KnownLeader"))) {
-            callFailed(call, "the member knows no leader and may be partitioned", false);
+            callFailed(call, "it knows no leader, and may have been cut off", false);
             return;
         }
         long index;
@@ -184,12 +183,11 @@
             index = Long.parseLong(String.valueOf(response.headers().get("X-Consul-Index")));
             long lastContactMillis = Long.parseLong(response.headers().get("X-Consul-LastContact", "0"));
             if (1_000 * lastContactMillis > settings.limits().staleAfterMicros()) {
-                callFailed(
-                        call, "the member has had no contact with its leader for " + lastContactMillis + " ms", false);
+                callFailed(call, "it has not heard of its leader for " + lastContactMillis + " ms", false);
                 return;
             }
             if (index < 1) {
-                throw new IllegalArgumentException("invalid index " + index);
+                throw new IllegalArgumentException("index " + index);
             }
             if (status == 200) {
                 JsonNode root = Config.parseJson(body);
@@ -200,7 +198,7 @@
         } catch (IOException | IllegalArgumentException e) {
             callFailed(
                     call,
-                    "invalid response: "
+                    "unusable answer: "
                             + String.valueOf(e.getMessage()).lines().findFirst().orElse(""),
                     false);
             return;
@@ -215,7 +213,7 @@
 
     private List<KeyEntry> decodeKeys(JsonNode root, long index) {
         if (root == null || !root.isArray()) {
-            throw new IllegalArgumentException("expected an array of keys");
+            throw new IllegalArgumentException("no list of keys");
         }
         List<KeyEntry> entries = new ArrayList<>();
         for (JsonNode item : root) {
@@ -226,7 +224,7 @@
                     || createRevision < 1
                     || modRevision < createRevision
                     || modRevision > index) {
-                throw new IllegalArgumentException("invalid key or index: " + key);
+                throw new IllegalArgumentException("key or index of " + key);
             }
             // Null if the key was created without a value.
             JsonNode value = item.path("Value");
--- a/src/main/java/gatefront/registry/ConsulHealth.java
+++ b/src/main/java/gatefront/registry/ConsulHealth.java
@@ -19,7 +19,7 @@
 
     static List<KeyEntry> decode(JsonNode root, String prefix, long index) {
         if (root == null || !root.isArray()) {
-            throw new IllegalArgumentException("expected an array of instances");
+            throw new IllegalArgumentException("no list of instances");
         }
         List<KeyEntry> entries = new ArrayList<>();
         Set<String> ids = new HashSet<>();
@@ -29,7 +29,7 @@
             long createRevision = service.path("CreateIndex").asLong();
             long modRevision = service.path("ModifyIndex").asLong();
             if (!ids.add(id) || !id.matches("[A-Za-z0-9._~-]{1,128}") || createRevision < 1 || modRevision > index) {
-                throw new IllegalArgumentException("invalid id or index of instance \"" + id + '"');
+                throw new IllegalArgumentException("id or index of the instance \"" + id + '"');
             }
             entries.add(new KeyEntry(
                     prefix + "nodos/" + id, nodoValue(item, service).toString(), createRevision, modRevision));
--- a/src/main/java/gatefront/registry/EtcdConnector.java
+++ b/src/main/java/gatefront/registry/EtcdConnector.java
@@ -108,7 +108,7 @@
                             callFailed(
                                     call,
                                     0,
-                                    "invalid response: "
+                                    "unusable answer: "
                                             + String.valueOf(e.getMessage())
                                                     .lines()
                                                     .findFirst()
@@ -149,7 +149,7 @@
                         token = tokens.get(0);
                         action.run();
                     } else {
-                        callFailed(call, status, "authentication of user " + settings.user() + " failed: " + reason);
+                        callFailed(call, status, "user " + settings.user() + " is not let in: " + reason);
                     }
                 });
     }
@@ -171,7 +171,7 @@
                 message -> responses.add(EtcdMessages.range(message)),
                 (status, reason) -> {
                     if (status != GrpcConnection.OK || responses.size() != 1) {
-                        callFailed(call, status, reason.isEmpty() ? "the read returned no response" : reason);
+                        callFailed(call, status, reason.isEmpty() ? "the read has no answer" : reason);
                     } else {
                         pageReceived(call, linearizable, revision, entries, responses.get(0));
                     }
@@ -183,10 +183,7 @@
         long readRevision = revision > 0 ? revision : page.header().revision();
         if (page.more() && page.entries().isEmpty()
                 || entries.size() > settings.limits().maxKeys()) {
-            callFailed(
-                    call,
-                    0,
-                    "the read exceeds the limit of " + settings.limits().maxKeys() + " keys, or a page is empty");
+            callFailed(call, 0, "the read does not end");
             return;
         }
         entries.addAll(page.entries());
@@ -211,7 +208,7 @@
                         EtcdMessages.bytes(settings.prefix()), EtcdMessages.prefixEnd(settings.prefix()), revision + 1),
                 false,
                 message -> handler.accept(EtcdMessages.decodeWatchResponse(message)),
-                (status, reason) -> callFailed(call, status, reason.isEmpty() ? "the watch ended" : reason));
+                (status, reason) -> callFailed(call, status, reason.isEmpty() ? "the watch has ended" : reason));
     }
 
     private void watchResponseReceived(long call, EtcdMessages.WatchResponse response) {
--- a/src/main/java/gatefront/registry/EtcdMessages.java
+++ b/src/main/java/gatefront/registry/EtcdMessages.java
@@ -108,7 +108,7 @@
             }
         }
         if (token.isEmpty()) {
-            throw new IOException("authentication response without a token");
+            throw new IOException("no token");
         }
         return token;
     }
@@ -156,7 +156,7 @@
 
     private static Header requireRevision(Header header) throws IOException {
         if (header == null || header.revision < 1) {
-            throw new IOException("response without a revision");
+            throw new IOException("no revision");
         }
         return header;
     }
@@ -187,7 +187,7 @@
             }
         }
         if (entry == null) {
-            throw new IOException("change event without a key");
+            throw new IOException("a change of no key");
         }
         return deleted ? KeyChange.deleted(entry.key(), entry.modRevision()) : KeyChange.put(entry);
     }
@@ -208,7 +208,7 @@
             }
         }
         if (key.isEmpty() || modRevision < 1) {
-            throw new IOException("entry without a key or revision");
+            throw new IOException("a key without name or revision");
         }
         return new KeyEntry(key, value, createRevision, modRevision);
     }
--- a/src/main/java/gatefront/registry/GrpcConnection.java
+++ b/src/main/java/gatefront/registry/GrpcConnection.java
@@ -148,7 +148,7 @@
                     new Http2StreamChannelBootstrap(channel).handler(this).open();
             opening.addListener((Future<Http2StreamChannel> done) -> {
                 if (!done.isSuccess()) {
-                    end(UNAVAILABLE, "cannot open a stream");
+                    end(UNAVAILABLE, "no stream");
                 } else if (ended) {
                     done.getNow().close();
                 } else {
@@ -217,7 +217,7 @@
         private void headersReceived(Http2HeadersFrame frame) {
             Http2Headers headers = frame.headers();
             if (headers.status() != null && !headers.status().toString().equals("200")) {
-                end(UNAVAILABLE, "HTTP status " + headers.status());
+                end(UNAVAILABLE, "answer " + headers.status());
                 return;
             }
             CharSequence status = headers.get("grpc-status");
@@ -233,10 +233,7 @@
                 int start = received.readerIndex();
                 int length = received.getInt(start + 1);
                 if (received.getByte(start) != 0 || length < 0 || length > maxMessageBytes) {
-                    end(
-                            UNKNOWN,
-                            "unexpected message: compressed, or of " + length + " bytes, above the limit of "
-                                    + maxMessageBytes);
+                    end(UNKNOWN, "a message that was not asked for: compressed, or of " + length + " bytes");
                     return;
                 }
                 if (received.readableBytes() < FRAME_HEADER_BYTES + length) {
--- a/src/main/java/gatefront/registry/RegistrySource.java
+++ b/src/main/java/gatefront/registry/RegistrySource.java
@@ -73,8 +73,8 @@
             public void staleChanged(boolean isStale) {
                 transport.log(
                         isStale
-                                ? "registry: the server list is stale; continuing to use it"
-                                : "registry: the server list is confirmed again");
+                                ? "registry: its list is stale and goes on being used"
+                                : "registry: its list is confirmed again");
             }
         });
         this.writer = settings.stateFile() == null
@@ -89,7 +89,7 @@
                 RegistryStateFile.StoredState stored = RegistryStateFile.read(settings.stateFile());
                 if (stored != null) {
                     client.restore(stored.history(), stored.revision(), stored.entries());
-                    transport.log("registry: starting from revision " + stored.revision() + ", saved "
+                    transport.log("registry: begins with revision " + stored.revision() + ", kept "
                             + Math.max(0, transport.wallMicros() / 1_000_000 - stored.savedAtMillis() / 1_000)
                             + " s ago in "
                             + settings.stateFile());
@@ -98,7 +98,7 @@
                             stored.entries().stream().map(KeyChange::put).toList());
                 }
             } catch (IOException e) {
-                transport.log("registry: cannot use the stored state: " + e.getMessage());
+                transport.log("registry: the state kept cannot be used: " + e.getMessage());
             }
         }
         client.start();
@@ -157,7 +157,7 @@
         try {
             RegistryStateFile.write(settings.stateFile(), state);
         } catch (IOException e) {
-            transport.log("registry: cannot write the state file: " + e);
+            transport.log("registry: its state cannot be kept: " + e);
         }
     }
 }
--- a/src/main/java/gatefront/registry/RegistryStateFile.java
+++ b/src/main/java/gatefront/registry/RegistryStateFile.java
@@ -74,8 +74,7 @@
         byte[] content;
         try {
             if (Files.size(file) > MAX_BYTES) {
-                throw new IOException(
-                        file + " has more than " + MAX_BYTES + " bytes, too large for a registry state file");
+                throw new IOException(file + " is larger than such a file may be");
             }
             content = Files.readAllBytes(file);
         } catch (NoSuchFileException e) {
@@ -89,12 +88,12 @@
         try {
             byte[] body = Arrays.copyOfRange(content, Math.min(end + 1, content.length), content.length);
             if (head.length != 6 || !head[0].equals(MAGIC) || Integer.parseInt(head[4]) != body.length) {
-                throw new IOException(file + " is truncated or not a registry state file; it is not used");
+                throw new IOException(file + " is not whole, or not such a file; it is not used");
             }
             StoredState state = new StoredState(
                     Long.parseLong(head[1]), Long.parseLong(head[2]), Long.parseLong(head[3]), new ArrayList<>());
             if (Long.parseLong(head[5]) != checksum(state, body)) {
-                throw new IOException(file + " does not match its checksum; it is not used");
+                throw new IOException(file + " has another checksum than its text; it is not used");
             }
             for (JsonNode item : Config.parseJson(new ByteArrayInputStream(body))) {
                 state.entries()
@@ -106,7 +105,7 @@
             }
             return state;
         } catch (NumberFormatException e) {
-            throw new IOException(file + " is not a registry state file; it is not used", e);
+            throw new IOException(file + " is not such a file; it is not used", e);
         }
     }
 
--- a/src/main/java/gatefront/registry/RegistryView.java
+++ b/src/main/java/gatefront/registry/RegistryView.java
@@ -89,7 +89,7 @@
                 boolean hasPrevious = servers.containsKey(key) || policies.containsKey(key) || limits.containsKey(key);
                 log.accept("registry: the value of " + change.key() + " at revision " + change.modRevision()
                         + " is not used, "
-                        + (hasPrevious ? "keeping the last valid one" : "and there is no earlier value")
+                        + (hasPrevious ? "the last good one stays" : "and there is no earlier one")
                         + ": "
                         + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
             }
@@ -100,10 +100,10 @@
     private static JsonNode parseValue(String value) throws IOException {
         JsonNode root = Config.parseJson(new ByteArrayInputStream(value.getBytes(StandardCharsets.UTF_8)));
         if (!root.isObject()) {
-            throw new IllegalArgumentException("not a JSON object");
+            throw new IllegalArgumentException("it is no JSON object");
         }
         if (root.path("v").asInt(VERSION) != VERSION) {
-            throw new IllegalArgumentException("unsupported version " + root.path("v") + ", expected " + VERSION);
+            throw new IllegalArgumentException("it is of version " + root.path("v") + ", known is " + VERSION);
         }
         return root;
     }
@@ -112,12 +112,12 @@
         JsonNode drain = root.path("drain");
         JsonNode factor = root.path("weight_factor");
         if (!drain.isMissingNode() && !drain.isBoolean()) {
-            throw new IllegalArgumentException("drain must be true or false, not " + drain);
+            throw new IllegalArgumentException("drain is to be true or false, not " + drain);
         }
         if (!factor.isMissingNode()
                 && !(factor.isNumber() && factor.asDouble() > 0 && factor.asDouble() <= MAX_WEIGHT_FACTOR)) {
-            throw new IllegalArgumentException("weight_factor must be above 0 and at most " + MAX_WEIGHT_FACTOR
-                    + ", not " + factor + "; use drain for a server that must not get requests");
+            throw new IllegalArgumentException("weight_factor is to be above 0 and at most " + MAX_WEIGHT_FACTOR
+                    + ", not " + factor + "; what is to get nothing is drained");
         }
         return new ServerOverride(drain.asBoolean(false), factor.asDouble(1));
     }
@@ -128,7 +128,7 @@
                 && limit.asDouble() == limit.asInt()
                 && limit.asInt() >= 0
                 && limit.asInt() <= MAX_CLASS_LIMIT)) {
-            throw new IllegalArgumentException("in_progress must be a whole number from 0 to " + MAX_CLASS_LIMIT
+            throw new IllegalArgumentException("in_progress is to be a whole number from 0 to " + MAX_CLASS_LIMIT
                     + ", not " + (limit.isMissingNode() ? "missing" : limit));
         }
         return limit.asInt();
--- a/src/main/java/gatefront/registry/follower/Follower.java
+++ b/src/main/java/gatefront/registry/follower/Follower.java
@@ -210,7 +210,7 @@
             callFailed(
                     now,
                     eventCall,
-                    readEntries.size() + " keys in the registry, above the limit of " + limits.maxKeys() + " keys",
+                    readEntries.size() + " keys, more than the " + limits.maxKeys() + " keys that are kept",
                     true);
             return;
         }
@@ -222,11 +222,11 @@
         }
         List<KeyChange> changes = difference(readEntries, readRevision);
         if (goesBack) {
-            actions.log("the history of the registry has changed: " + describe(readHistory, readRevision) + " after "
-                    + describe(history, revision) + "; using its full read");
+            actions.log("the registry has another history: " + describe(readHistory, readRevision) + " after "
+                    + describe(history, revision) + "; its full read is taken");
         } else if (readRevision == revision && !changes.isEmpty()) {
             actions.log("a full read at the same revision " + revision + " shows " + changes.size()
-                    + " changes that the watch did not report; using the full read");
+                    + " changes that were not told; it is taken");
         }
         history = readHistory;
         revision = readRevision;
@@ -289,7 +289,7 @@
         lastReceivedMicros = now;
         fragments.addAll(received);
         if (fragments.size() > 2 * limits.maxKeys()) {
-            callFailed(now, eventCall, "message of more than " + 2 * limits.maxKeys() + " changes", false);
+            callFailed(now, eventCall, "a message of more than " + 2 * limits.maxKeys() + " changes", false);
             return;
         }
         if (incomplete) {
@@ -301,8 +301,8 @@
             // Older changes have been applied already: a watch may start too early or repeat changes.
             if (change.modRevision() > revision) {
                 if (change.modRevision() < newestRevision) {
-                    actions.log("revision " + change.modRevision() + " received after revision " + newestRevision
-                            + "; starting a full read");
+                    actions.log("revision " + change.modRevision() + " came after " + newestRevision
+                            + "; everything is read anew");
                     scheduleFullRead(now, State.LISTING, true);
                     return;
                 }
@@ -317,7 +317,7 @@
                 .distinct()
                 .count();
         if (entries.size() + addedKeys > limits.maxKeys()) {
-            callFailed(now, eventCall, "keys in the registry exceed the limit of " + limits.maxKeys() + " keys", true);
+            callFailed(now, eventCall, "more than the " + limits.maxKeys() + " keys that are kept", true);
             return;
         }
         changes.removeIf(change -> !apply(change));
@@ -357,8 +357,8 @@
      */
     public void revisionCompacted(long now, long eventCall, long oldestRevision) {
         if (isCurrentCall(eventCall)) {
-            actions.log("revision " + revision + " has been compacted, the oldest available revision is "
-                    + oldestRevision + "; starting a full read");
+            actions.log("revision " + revision + " has been compacted, the oldest is " + oldestRevision
+                    + "; everything is read anew");
             // Does not wait for the full backoff again: the call has just waited for it, and the missing changes may
             // include a drain.
             state = State.COMPACTED;
@@ -392,14 +392,14 @@
         nextTimerMicros = Long.MAX_VALUE;
         if (!stale && now - lastConfirmedMicros >= limits.staleAfterMicros()) {
             stale = true;
-            actions.log("entries not confirmed for " + (now - lastConfirmedMicros) / 1_000_000
-                    + " s; continuing to use them");
+            actions.log("not confirmed for " + (now - lastConfirmedMicros) / 1_000_000
+                    + " s; what is known goes on being used");
             actions.staleChanged(true);
         }
         if (!callInProgress && now >= nextCallMicros) {
             beginCall(now);
         } else if (callInProgress && now - lastReceivedMicros >= limits.silenceTimeoutMicros()) {
-            callFailed(now, call, "nothing received for " + (now - lastReceivedMicros) / 1_000_000 + " s", false);
+            callFailed(now, call, "nothing came for " + (now - lastReceivedMicros) / 1_000_000 + " s", false);
         } else if (callInProgress && watchCall && now >= nextFullReadMicros) {
             scheduleFullRead(now, State.LISTING, false);
         } else if (callInProgress
@@ -458,8 +458,8 @@
     }
 
     private void requestQuorumRead(long now, long otherHistory, long otherRevision) {
-        actions.log(describe(otherHistory, otherRevision) + " is not trusted after " + describe(history, revision)
-                + "; requesting a quorum read");
+        actions.log(describe(otherHistory, otherRevision) + " is not believed after " + describe(history, revision)
+                + "; a quorum is asked");
         scheduleFullRead(now, State.VERIFYING, true);
     }
 
--- a/src/test/java/gatefront/membership/MembershipTest.java
+++ b/src/test/java/gatefront/membership/MembershipTest.java
@@ -113,7 +113,7 @@
         assertEquals("", update(OTHER, ListKind.FULL, nodo("a", Phase.READY, 0, 81)));
         update(OTHER, ListKind.DELTA, nodo("a", Phase.READY, 0, 81));
         assertEquals(1, lines.size(), lines.toString());
-        assertTrue(lines.get(0).contains("registry lists a at"), lines.get(0));
+        assertTrue(lines.get(0).contains("registry has a at"), lines.get(0));
     }
 
     @Test
--- a/src/test/java/gatefront/registry/RegistryStateFileTest.java
+++ b/src/test/java/gatefront/registry/RegistryStateFileTest.java
@@ -68,7 +68,15 @@
             sparse.setLength((64L << 20) + 1);
         }
         IOException exception = assertThrows(IOException.class, () -> RegistryStateFile.read(file));
-        assertTrue(exception.getMessage().contains("has more than 67108864 bytes, too large"), exception.getMessage());
+        assertTrue(exception.getMessage().contains("larger than such a file may be"), exception.getMessage());
+        try (RandomAccessFile sparse = new RandomAccessFile(file.toFile(), "rw")) {
+            sparse.write('\n');
+            sparse.setLength(64L << 20);
+        }
+        exception = assertThrows(IOException.class, () -> RegistryStateFile.read(file));
+        assertTrue(
+                exception.getMessage().contains("is not whole"),
+                "a file of the largest size is read: " + exception.getMessage());
     }
 
     /** A crash during a write leaves the old file. */
--- a/src/test/java/gatefront/registry/follower/FollowerModelTest.java
+++ b/src/test/java/gatefront/registry/follower/FollowerModelTest.java
@@ -46,7 +46,7 @@
                 "restored under the same name",
                 "full with changes",
                 "changes",
-                "not trusted",
+                "not believed",
                 "deleted and made again")) {
             assertTrue(
                     faultCounts.getOrDefault(each, 0) > 200,
@@ -401,8 +401,8 @@
 
         @Override
         public void log(String line) {
-            if (line.contains("not trusted")) {
-                count("not trusted");
+            if (line.contains("not believed")) {
+                count("not believed");
             }
         }
     }
