--- a/src/main/java/gatefront/registry/follower/Follower.java
+++ b/src/main/java/gatefront/registry/follower/Follower.java
@@ -221,7 +221,7 @@
             return;
         }
         List<KeyChange> changes = difference(readEntries, readRevision);
-        if (goesBack) {
+        if (historyRegressed) {
             actions.log("the registry has another history: " + describe(readHistory, readRevision) + " after "
                     + describe(history, revision) + "; its full read is taken");
         } else if (readRevision == revision && !changes.isEmpty()) {
--- a/src/test/java/gatefront/registry/ConsulConnectorTest.java
+++ b/src/test/java/gatefront/registry/ConsulConnectorTest.java
@@ -54,7 +54,7 @@
         advance(3 * SECOND);
         assertEquals("1", knownValue("nodos/a"));
         assertTrue(
-                logLines.stream().anyMatch(each -> each.contains("answer 403, the token has no right to oaxaca/")),
+                logLines.stream().anyMatch(line -> line.contains("answer 403, the token has no right to oaxaca/")),
                 logLines.toString());
         assertTrue(logLines.stream().noneMatch(line -> line.contains("s3cret")), "secrets are not logged");
     }
@@ -99,8 +99,8 @@
         ((ConsulStandIn) members.get(1)).leaderContact(true, 20);
         advance(5 * SECOND);
         assertSameAsStore();
-        assertTrue(logLines.stream().anyMatch(each -> each.contains("it knows no leader")), logLines.toString());
-        assertTrue(logLines.stream().anyMatch(each -> each.contains("not heard of its leader for 16000 ms")));
+        assertTrue(logLines.stream().anyMatch(line -> line.contains("it knows no leader")), logLines.toString());
+        assertTrue(logLines.stream().anyMatch(line -> line.contains("not heard of its leader for 16000 ms")));
     }
 
     /**
@@ -125,7 +125,7 @@
         advance(5 * SECOND);
         assertEquals("1", knownValue("nodos/a"));
         assertEquals(1, client.follower().entries().size());
-        assertTrue(logLines.stream().anyMatch(each -> each.contains("unusable answer")), logLines.toString());
+        assertTrue(logLines.stream().anyMatch(line -> line.contains("unusable answer")), logLines.toString());
     }
 
     /** Consul has one index for all keys of a prefix; without changes, one blocking query is open at a time. */
--- a/src/test/java/gatefront/registry/EtcdConnectorTest.java
+++ b/src/test/java/gatefront/registry/EtcdConnectorTest.java
@@ -131,7 +131,7 @@
         follow();
         advance(10 * SECOND);
         assertEquals(0, client.follower().entries().size());
-        assertTrue(logLines.stream().anyMatch(each -> each.contains("user agente is not let in")), logLines.toString());
+        assertTrue(logLines.stream().anyMatch(line -> line.contains("user agente is not let in")), logLines.toString());
         assertTrue(logLines.size() < 60, logLines.size() + " lines in 10 s");
     }
 
--- a/src/test/java/gatefront/registry/RegistryContract.java
+++ b/src/test/java/gatefront/registry/RegistryContract.java
@@ -302,7 +302,7 @@
         assertEquals("1", knownValue("nodos/a"));
         advance(8 * SECOND);
         assertEquals("2", knownValue("nodos/a"), "another member has reported it: " + logLines);
-        assertTrue(logLines.stream().anyMatch(each -> each.contains("nothing came for 6 s")), logLines.toString());
+        assertTrue(logLines.stream().anyMatch(line -> line.contains("nothing came for 6 s")), logLines.toString());
         assertTrue(staleEvents.isEmpty());
     }
 
