--- a/src/main/java/gatefront/agent/Agent.java
+++ b/src/main/java/gatefront/agent/Agent.java
@@ -419,7 +419,7 @@
         }
         // Guards against sending to servers that are in the known list but no longer in the current one: the known
         // list may be old, while drains count as announced to this process from its first moment. Drawback: if
-        // discovery does not answer, requests wait for the whole grace.
+        // discovery does not respond, requests wait for the whole grace.
         long grace =
                 Math.min(FIRST_LIST_TIMEOUT_MS, config.settings().obligations().drainGrace() / 1_000);
         engine.setStallDetector(StallDetector.forStartup(transport.nanos() / 1_000, grace * 1_000), grace, () -> {});
@@ -510,7 +510,7 @@
         return operatorControls != null && operatorControls.isSuccessor();
     }
 
-    /** Receives the merged server list; bans set by operators are applied to it. */
+    /** Receives the merged server list and applies the manual drains to it. */
     private void onServerList(Balancer.ListKind kind, List<Endpoint> endpoints) {
         if (stateRecovery != null) {
             stateRecovery.onServerList(kind, endpoints);
@@ -663,9 +663,9 @@
                 / 1000;
         long lastResponseMs = longestDeadlineMs + KILL_AFTER_MS - FINAL_RESPONSE_MARGIN_MS;
         loop.execute(() -> {
-            boolean handsOver = operatorControls != null && listening && operatorControls.hasSuccessor();
-            frontends.forEach(handsOver ? Frontend::handOver : Frontend::markNotReady);
-            loop.schedule(this::drainIfIdle, handsOver ? 0 : IDLE_STOP_DELAY_MS, TimeUnit.MILLISECONDS);
+            boolean hasSuccessor = operatorControls != null && listening && operatorControls.hasSuccessor();
+            frontends.forEach(hasSuccessor ? Frontend::handOver : Frontend::markNotReady);
+            loop.schedule(this::drainIfIdle, hasSuccessor ? 0 : IDLE_STOP_DELAY_MS, TimeUnit.MILLISECONDS);
             loop.schedule(
                     this::beginDrain,
                     Math.min(MAX_SERVE_AFTER_STOP_MS, lastResponseMs - CONNECTION_CLOSE_MS),
@@ -766,7 +766,7 @@
         return loop.submit(() -> engine.trackedServers()).sync().getNow();
     }
 
-    /** Returns the number of warm-up requests that were answered before the agent became ready. */
+    /** Returns the number of warm-up requests that got a response before the agent became ready. */
     int warmupResponses() throws InterruptedException {
         return loop.submit(() -> warmupResponses).sync().getNow();
     }
--- a/src/main/java/gatefront/agent/OperatorControls.java
+++ b/src/main/java/gatefront/agent/OperatorControls.java
@@ -20,12 +20,13 @@
 import java.util.function.Consumer;
 
 /**
- * Operators' control of an agent: the management endpoint, the bans applied to the server list, and their exchange with
- * another process of the same agent. Loaded only if a management endpoint is configured. Runs on the agent's loop.
+ * Operators' control of an agent: the management endpoint, the manual drains applied to the server list, and their
+ * exchange with another process of the same agent. Loaded only if a management endpoint is configured. Runs on the
+ * agent's loop.
  */
 final class OperatorControls implements ManagementEndpoint.Agent {
     /**
-     * Interval at which the other process is polled, in milliseconds. A ban received by its endpoint must take effect
+     * Interval at which the other process is polled, in milliseconds. A drain received by its endpoint must take effect
      * here within the drain grace.
      */
     private static final long POLL_MS = 100;
@@ -54,18 +55,18 @@
     private final ServerBans bans = new ServerBans();
     /** The other process of the agent; null if no directory is shared. */
     private final ProcessHandover peer;
-    /** Scheduled returns of banned servers, by name; each runs after {@link #RETURN_DELAY_MS}. */
+    /** Scheduled returns of drained servers, by name; each runs after {@link #RETURN_DELAY_MS}. */
     private final Map<String, Future<?>> pendingReturns = new HashMap<>();
 
-    private Future<?> polling;
+    private Future<?> pollTask;
     /** State that survives a restart; null if none is stored. */
     private StateRecovery stateRecovery;
 
     /** Whether another process serves and this one is to take over from it. */
     private boolean successor;
 
-    private long applied;
-    private long rejected;
+    private long appliedReloads;
+    private long rejectedReloads;
 
     OperatorControls(
             Transport transport, InetSocketAddress listen, ProcessHandover peer, Engine engine, AgentControl agent) {
@@ -96,7 +97,7 @@
     }
 
     /**
-     * Reads the bans of the other process and begins to poll it; must be called before the first server list.
+     * Reads the manual drains of the other process and begins to poll it; must be called before the first server list.
      *
      * @param restored the state restored from before the restart, or null if none is stored
      */
@@ -114,29 +115,29 @@
         }
         if (peer != null) {
             pollPeer();
-            polling = transport.loop().scheduleWithFixedDelay(this::pollPeer, POLL_MS, POLL_MS, TimeUnit.MILLISECONDS);
+            pollTask = transport.loop().scheduleWithFixedDelay(this::pollPeer, POLL_MS, POLL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     void close() {
         endpoint.close();
-        if (polling != null) {
-            polling.cancel(false);
+        if (pollTask != null) {
+            pollTask.cancel(false);
         }
         if (peer != null) {
             peer.close();
         }
     }
 
-    /** Returns the list with the bans applied. */
+    /** Returns the server list with the manual drains applied. */
     List<Endpoint> applyOverrides(ListKind kind, List<Endpoint> endpoints) {
         return bans.update(kind, endpoints);
     }
 
     /** Counts a reload that was applied or rejected. */
     void recordReload(boolean success) {
-        applied += success ? 1 : 0;
-        rejected += success ? 0 : 1;
+        appliedReloads += success ? 1 : 0;
+        rejectedReloads += success ? 0 : 1;
     }
 
     private void pollPeer() {
@@ -164,15 +165,15 @@
     }
 
     @Override
-    public void setDrained(String server, boolean banned, BiConsumer<ServerBans.Outcome, Boolean> callback) {
+    public void setDrained(String server, boolean drained, BiConsumer<ServerBans.Outcome, Boolean> callback) {
         if (peer != null) {
             pollPeer(); // the other endpoint may have received a call just before
         }
-        Future<?> earlier = pendingReturns.remove(server);
-        if (earlier != null) {
-            earlier.cancel(false);
+        Future<?> scheduledReturn = pendingReturns.remove(server);
+        if (scheduledReturn != null) {
+            scheduledReturn.cancel(false);
         }
-        if (!banned && bans.isDrained(server)) {
+        if (!drained && bans.isDrained(server)) {
             // Guards against a request reaching the server before the operator has the confirmation: once the server is
             // back, requests that wait are sent to it at once. So the return is stored and confirmed first.
             Map<String, ServerBans.Entry> entries = new HashMap<>(bans.entries());
@@ -201,11 +202,11 @@
             });
             return;
         }
-        ServerBans.Outcome answer = apply(server, banned);
-        persist(bans.entries(), stored -> callback.accept(answer, stored));
+        ServerBans.Outcome outcome = apply(server, drained);
+        persist(bans.entries(), stored -> callback.accept(outcome, stored));
     }
 
-    /** Stores the bans if state is stored at all; otherwise reports success. */
+    /** Stores the manual drains if state is stored at all; otherwise reports success. */
     private void persist(Map<String, ServerBans.Entry> entries, Consumer<Boolean> callback) {
         if (stateRecovery == null) {
             callback.accept(true);
@@ -214,10 +215,10 @@
         }
     }
 
-    private ServerBans.Outcome apply(String server, boolean banned) {
-        ServerBans.Outcome answer = bans.setDrained(server, banned, transport.wallMicros());
+    private ServerBans.Outcome apply(String server, boolean drained) {
+        ServerBans.Outcome outcome = bans.setDrained(server, drained, transport.wallMicros());
         if (bans.takeChanged()) {
-            transport.log("server " + server + (banned ? " taken out by hand" : " put back by hand"));
+            transport.log("server " + server + (drained ? " taken out by hand" : " put back by hand"));
             if (peer != null) {
                 peer.publishBans(bans.entries());
             }
@@ -226,30 +227,30 @@
                 engine.updateServers(ListKind.DELTA, change);
             }
         }
-        return answer;
+        return outcome;
     }
 
     @Override
-    public Map<String, String> textFigures() {
+    public Map<String, String> textStatistics() {
         return stateRecovery == null ? Map.of() : stateRecovery.statusFields();
     }
 
     @Override
-    public Map<String, Long> figures() {
-        Map<String, Long> figures = new LinkedHashMap<>();
+    public Map<String, Long> statistics() {
+        Map<String, Long> statistics = new LinkedHashMap<>();
         RequestCounters counters = engine.counters();
         List<String> classes = agent.classes();
         for (int i = 0; i < classes.size(); i++) {
-            figures.put("ok." + classes.get(i), counters.ok(i));
-            figures.put("shed." + classes.get(i), counters.shed(i));
-            figures.put("errors." + classes.get(i), counters.errors(i));
+            statistics.put("ok." + classes.get(i), counters.ok(i));
+            statistics.put("shed." + classes.get(i), counters.shed(i));
+            statistics.put("errors." + classes.get(i), counters.errors(i));
         }
-        figures.put("tries", counters.attempts());
-        figures.put("active", counters.active());
-        figures.put("pool_size", (long) engine.listedServers());
-        figures.put("pool_ejected", (long) bans.drainedCount() + engine.avoidedServers());
-        figures.put("config_applied", applied);
-        figures.put("config_rejected", rejected);
-        return figures;
+        statistics.put("tries", counters.attempts());
+        statistics.put("active", counters.active());
+        statistics.put("pool_size", (long) engine.listedServers());
+        statistics.put("pool_ejected", (long) bans.drainedCount() + engine.avoidedServers());
+        statistics.put("config_applied", appliedReloads);
+        statistics.put("config_rejected", rejectedReloads);
+        return statistics;
     }
 }
--- a/src/main/java/gatefront/drill/Drill.java
+++ b/src/main/java/gatefront/drill/Drill.java
@@ -14,8 +14,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** Adapts the decision module to the simulator's protocol, for many instances. Makes no decisions of its own. */
+/** Adapts the decision module to the simulator's protocol, for many instances. It makes no decisions itself. */
 public final class Drill {
+    /** Codes of the records that the simulator sends. */
+    private static final int PROBE_OUTCOME = 16;
+
+    private static final int STREAM_STARTED = 17;
+    private static final int MESSAGE = 18;
+    private static final int STOP_INSTANCE = 19;
+    private static final int REQUEST = 20;
+    private static final int SERVER_LIST = 21;
+    private static final int ATTEMPT_OUTCOME = 22;
+    private static final int CLIENT_LEFT = 23;
+    private static final int START_INSTANCE = 24;
+    private static final int DEFINE_LIST = 25;
+    private static final int TIMER = 26;
+
     private static final double[] NO_LOAD = new double[0];
     /** Server lists that can be defined at a time, numbered from 0. */
     private static final int MAX_LISTS = 16;
@@ -37,7 +51,7 @@
         }
     }
 
-    /** Answers frames until the input ends. */
+    /** Processes frames until the input ends, and writes a reply to each. */
     public void run() throws IOException {
         while (in.nextFrame()) {
             while (in.nextRecord()) {
@@ -49,13 +63,13 @@
 
     private void handleRecord(long now) {
         int code = in.code();
-        if (code == 25) {
+        if (code == DEFINE_LIST) {
             defineList();
             return;
         }
         int id = in.u16();
         out.instance(id);
-        if (code == 24) {
+        if (code == START_INSTANCE) {
             long seed = in.i64();
             Balancer.Settings settings = parseSettings(in.text(in.u32()));
             runDecision(() -> instances.put(id, new AdaptiveBalancer(settings, seed, now, out)));
@@ -63,9 +77,9 @@
         }
         Balancer instance = instances.get(id);
         if (instance == null) {
-            throw new WireException(in.where() + ": instance " + id + " has not been started");
+            throw new WireException(in.location() + ": instance " + id + " has not been started");
         }
-        if (code == 19) {
+        if (code == STOP_INSTANCE) {
             instances.remove(id);
             return;
         }
@@ -94,17 +108,17 @@
 
     private void dispatchEvent(int code, Balancer instance, long now) {
         switch (code) {
-            case 16 -> {
+            case PROBE_OUTCOME -> {
                 long elapsedMicros = in.u32();
                 Outcome outcome = outcome(in.u16());
                 instance.probeOutcome(now, in.u32(), outcome, elapsedMicros, readLoadReport());
             }
-            case 17 -> instance.streamStarted(now, in.i64(), in.u16(), in.u32(), in.u32());
-            case 18 -> {
+            case STREAM_STARTED -> instance.streamStarted(now, in.i64(), in.u16(), in.u32(), in.u32());
+            case MESSAGE -> {
                 int from = in.u16();
                 instance.message(now, from, in.bytes(in.u16()));
             }
-            case 20 -> {
+            case REQUEST -> {
                 long id = in.i64();
                 long key = in.i64();
                 int attributes = in.u8();
@@ -125,8 +139,8 @@
                                 (attributes & 2) != 0,
                                 (attributes & 4) != 0));
             }
-            case 21 -> applyServerList(instance, now);
-            case 22 -> {
+            case SERVER_LIST -> applyServerList(instance, now);
+            case ATTEMPT_OUTCOME -> {
                 long id = in.i64();
                 int attempt = in.u16();
                 long server = in.u32();
@@ -135,16 +149,16 @@
                 boolean closed = in.u8() != 0;
                 instance.outcome(now, id, attempt, server, outcome, elapsedMicros, closed, readLoadReport());
             }
-            case 23 -> instance.clientLeft(now, in.i64());
-            case 26 -> instance.timer(now, in.i64());
-            default -> throw new WireException(in.where() + ": unknown code");
+            case CLIENT_LEFT -> instance.clientLeft(now, in.i64());
+            case TIMER -> instance.timer(now, in.i64());
+            default -> throw new WireException(in.location() + ": unknown code");
         }
     }
 
     private void defineList() {
         int number = in.u8();
         if (number >= MAX_LISTS) {
-            throw new WireException(in.where() + ": list number " + number + "; expected 0 to " + (MAX_LISTS - 1));
+            throw new WireException(in.location() + ": list number " + number + "; expected 0 to " + (MAX_LISTS - 1));
         }
         int count = in.checkedCount(in.u32(), SERVER_ENTRY_BYTES);
         List<Balancer.Server> entries = new ArrayList<>(count);
@@ -169,7 +183,7 @@
                     case 2 -> ListKind.CACHED;
                     case 3 -> ListKind.FULL;
                     case 4 -> ListKind.FAILED;
-                    default -> throw new WireException(in.where() + ": unknown list kind " + kindCode);
+                    default -> throw new WireException(in.location() + ": unknown list kind " + kindCode);
                 };
         in.u32(); // list version; unused, because events are ordered and complete
         if (kind == ListKind.FAILED) {
@@ -178,7 +192,7 @@
         }
         List<Balancer.Server> entries = number < MAX_LISTS ? lists.get(number) : null;
         if (entries == null) {
-            throw new WireException(in.where() + ": list " + number + " has not been defined");
+            throw new WireException(in.location() + ": list " + number + " has not been defined");
         }
         instance.servers(now, kind, entries);
     }
@@ -200,7 +214,7 @@
             case 1 -> Phase.GONE;
             case 2 -> Phase.DRAINING;
             case 3 -> Phase.READY;
-            default -> throw new WireException(in.where() + ": unknown health " + code);
+            default -> throw new WireException(in.location() + ": unknown health " + code);
         };
     }
 
@@ -214,7 +228,7 @@
             case 520 -> Outcome.RESET;
             case 444 -> Outcome.CANCELLED;
             case 409 -> Outcome.NEVER_SENT;
-            default -> throw new WireException(in.where() + ": unknown outcome " + code);
+            default -> throw new WireException(in.location() + ": unknown outcome " + code);
         };
     }
 }
--- a/src/main/java/gatefront/policy/AdaptiveBalancer.java
+++ b/src/main/java/gatefront/policy/AdaptiveBalancer.java
@@ -128,7 +128,7 @@
     // ---- Restarts ----
 
     /**
-     * Time in microseconds for which a server that answers again after an outage is treated as cold unless the server
+     * Time in microseconds for which a server that responds again after an outage is treated as cold unless the server
      * list confirms the restart. The list lags by seconds.
      */
     private static final long SUSPECTED_RESTART_COLD_TIME = 5 * SECOND;
@@ -331,7 +331,7 @@
         long aim = requestClass.aim() + (long) (requestClass.aimStretch() * request.cost());
         Long firstTryAt = request.cost() == 0 ? null : unservedArrivals.remove(fingerprint(request));
         long elapsed = firstTryAt != null ? now - firstTryAt : timeAlreadySpent(request, state, now);
-        // A request that cannot be answered in time would only waste the servers' work. If that is only an estimate,
+        // A request that cannot be served in time would only waste the servers' work. If that is only an estimate,
         // it is still served while there is capacity.
         long latestEnd = request.deadline() - settings.tick();
         long remaining = aim - elapsed;
@@ -464,19 +464,20 @@
         double retained = Math.exp(-(double) (now - rankedAt) / RANKING_DECAY_TIME);
         rankedAt = now;
         double totalWorth = 0;
-        ClassState worst = rankedClasses.get(0);
+        ClassState worstServedClass = rankedClasses.get(0);
         for (ClassState state : rankedClasses) {
             state.recentArrivals *= retained;
             state.recentServed *= retained;
             totalWorth += state.recentArrivals * state.requestClass.worth() * requestWeight(state);
-            if (state.recentServed * worst.recentArrivals < worst.recentServed * state.recentArrivals) {
-                worst = state;
+            if (state.recentServed * worstServedClass.recentArrivals
+                    < worstServedClass.recentServed * state.recentArrivals) {
+                worstServedClass = state;
             }
         }
         for (ClassState state : rankedClasses) {
             double share = state.requestClass.worth() * requestWeight(state) / Math.max(totalWorth, Double.MIN_NORMAL);
             state.valuePerWork = (settings.goal().whole() + settings.goal().worstWindow()) * share;
-            if (state == worst) {
+            if (state == worstServedClass) {
                 state.valuePerWork += settings.goal().worstClass() / Math.max(state.recentArrivals, Double.MIN_NORMAL);
             }
             state.valuePerWork /= Math.max(state.meanLatency, 1);
@@ -542,7 +543,7 @@
         }
     }
 
-    /** Gives the final answer to a request that will not be served: a refusal if that is permitted, else a failure. */
+    /** Sends the final response of a request that is not served: a refusal if that is permitted, else a failure. */
     private void reject(PendingRequest req, long now) {
         if (req.closed) {
             return;
@@ -617,7 +618,7 @@
         } else {
             PendingRequest req = requestsByToken.get(token);
             if (req == null || req.streaming) {
-                return; // already answered, or being streamed to the client
+                return; // the response has been sent, or is being streamed to the client
             }
             if (req.attemptsInFlight() > 0 && now < req.expiresAt + settings.tick()) {
                 actions.timer(token, settings.tick()); // the host reports the attempt's timeout in the same batch
@@ -627,7 +628,7 @@
         }
     }
 
-    // Messages between agents are ignored: none has been worth its price so far.
+    // Messages between agents are not used: their price exceeds their benefit.
     @Override
     public void message(long now, int agent, byte[] message) {}
 
@@ -736,23 +737,23 @@
      * Picks the less loaded of two random servers with capacity, or of the two servers of the request's key.
      *
      * @param healthy whether to consider available servers only
-     * @param where 1 for the own zone, 0 for other zones, -1 for all servers
-     * @return null if there is none
+     * @param zoneFilter 1 for the own zone, 0 for other zones, -1 for all servers
+     * @return the server, or null if the request cannot be sent to any of them now
      */
-    private ServerState pickOfTwo(PendingRequest req, long now, boolean healthy, int where) {
+    private ServerState pickOfTwo(PendingRequest req, long now, boolean healthy, int zoneFilter) {
         candidates.clear();
-        double spare = 0;
+        double spareCapacity = 0;
         int inFlight = 0;
         int remaining = usesKeyAffinity(req)
                 ? listedServers.size()
-                : subsetSize(where == 1 ? SUBSET_MIN_OWN_ZONE : SUBSET_MIN_OTHER_ZONES, now);
+                : subsetSize(zoneFilter == 1 ? SUBSET_MIN_OWN_ZONE : SUBSET_MIN_OTHER_ZONES, now);
         for (int index = 0; index < listedServers.size() && remaining > 0; index++) {
             ServerState server = listedServers.get(index);
             if (server.ready
                     && (!healthy || isAvailable(req, server, now))
-                    && (where < 0 || (server.entry.zone() == settings.zone()) == (where == 1))) {
+                    && (zoneFilter < 0 || (server.entry.zone() == settings.zone()) == (zoneFilter == 1))) {
                 remaining--;
-                spare += server.limit - server.inFlight;
+                spareCapacity += server.limit - server.inFlight;
                 inFlight += server.inFlight;
                 if (!req.tried(server)
                         && inDedupScope(req, server)
@@ -763,7 +764,7 @@
                 }
             }
         }
-        if (inFlight > 0 && spare < 1) {
+        if (inFlight > 0 && spareCapacity < 1) {
             // Even one request at each of a few servers would overload them if each of hundreds of agents sent it.
             return null;
         }
@@ -826,10 +827,10 @@
                 .orElseThrow();
     }
 
-    private static long mix(long z) {
-        z = (z + 0x9e3779b97f4a7c15L) * 0xbf58476d1ce4e5b9L;
-        z = (z ^ z >>> 29) * 0x94d049bb133111ebL;
-        return z ^ z >>> 32;
+    private static long mix(long hash) {
+        hash = (hash + 0x9e3779b97f4a7c15L) * 0xbf58476d1ce4e5b9L;
+        hash = (hash ^ hash >>> 29) * 0x94d049bb133111ebL;
+        return hash ^ hash >>> 32;
     }
 
     // ---- Concurrency limits and latencies ----
@@ -927,7 +928,7 @@
     }
 
     /**
-     * Returns whether the server has recently answered other classes and failed none of them. Without this
+     * Returns whether the server has recently served other classes and failed none of them. Without this
      * distinction a release that breaks one class would take the server's capacity from all classes. If requests of
      * every class fail, the server itself is at fault.
      */
@@ -1105,9 +1106,9 @@
             return;
         }
         List<ServerState> probed = serversToProbe(now);
-        double sharers = (double) settings.agents() * probed.size() / listedServers.size();
+        double agentsPerServer = (double) settings.agents() * probed.size() / listedServers.size();
         double interval = PROBE_INTERVAL * Math.max(1, settings.prices().probe() / PROBE_PRICE_THRESHOLD);
-        double mean = interval * Math.max(1, sharers) / probed.size();
+        double mean = interval * Math.max(1, agentsPerServer) / probed.size();
         actions.timer(TIMER_PROBE, 1 + (long) (mean * (minFactor + random.nextDouble())));
         ServerState server = probed.get(nextProbe++ % probed.size());
         if (minFactor > 0 && !server.probeInFlight) {
@@ -1135,7 +1136,7 @@
             }
             server.activeHealth = Health.HEALTHY;
         } else if ((outcome == Outcome.TIMEOUT || outcome == Outcome.RESET) && server.answeredSinceProbe) {
-            // A busy server may answer probes late, or a connection may break. Its responses to requests prove that
+            // A busy server may respond to probes late, or a connection may break. Its responses to requests prove that
             // it is alive, so it must not become Unhealthy.
             server.probeFailures = 0;
         } else {
@@ -1161,9 +1162,9 @@
     }
 
     /**
-     * Treats a server that answers for the first time after an outage as cold, since it may have restarted. Short
+     * Treats a server that responds for the first time after an outage as cold, since it may have restarted. Short
      * outages do not count, as a process does not restart within the time of one retry; otherwise a network that
-     * resets connections now and then would make every server cold again and again.
+     * resets connections now and then would repeatedly make every server cold.
      */
     private void recordRecovery(ServerState server, long now) {
         if (server.broken) {
@@ -1183,7 +1184,7 @@
         log(server, "cold: " + reason);
     }
 
-    /** Returns the share of its capacity that a cold server has at least, by its age. */
+    /** Returns the minimum share of its capacity that a cold server has, given its age. */
     private double warmShare(ServerState server, long now) {
         double share = Math.min(
                 1,
@@ -1227,8 +1228,8 @@
     }
 
     /**
-     * Adds admission credit; with an amount of 0 it only applies the maximum. Servers go on working for requests that
-     * have timed out, so the more is sent to overloaded servers, the less is served. Credit that responses earn
+     * Adds admission credit; with an amount of 0 it only applies the maximum. Servers continue to work on requests
+     * that have timed out, so the more is sent to overloaded servers, the less is served. Credit that responses earn
      * follows what the servers can do, even if an agent sees too little of each server for a concurrency limit.
      */
     private void addCredit(double amount, long now) {
@@ -1343,8 +1344,8 @@
     }
 
     /**
-     * Drops the state of a removed server once no attempt is in flight there. Servers come and go all the time, so
-     * memory would otherwise grow without bound.
+     * Drops the state of a removed server once no attempt is in flight there. Servers are added and removed
+     * continually, so memory would otherwise grow without bound.
      */
     private void forgetIfIdle(ServerState server) {
         if (server.removed && server.inFlight == 0) {
@@ -1354,7 +1355,7 @@
 
     private void log(ServerState server, String text) {
         if (server.removed) {
-            return; // operators need not look after a removed server
+            return; // a removed server does not concern operators
         }
         actions.log("server " + server.id + " " + text);
     }
--- a/src/main/java/gatefront/registry/EtcdConnector.java
+++ b/src/main/java/gatefront/registry/EtcdConnector.java
@@ -91,7 +91,7 @@
             boolean singleMessage,
             MessageReader reader,
             EndListener endListener) {
-        if (connection == null || !connection.usable()) {
+        if (connection == null || !connection.isUsable()) {
             connection = new GrpcConnection(transport, members.current(), MAX_MESSAGE_BYTES);
         }
         currentCall = connection.call(
@@ -166,9 +166,10 @@
         startCall(
                 call,
                 EtcdMessages.RANGE,
-                EtcdMessages.range(from, EtcdMessages.prefixEnd(settings.prefix()), PAGE_KEYS, revision, !linearizable),
+                EtcdMessages.rangeRequest(
+                        from, EtcdMessages.prefixEnd(settings.prefix()), PAGE_KEYS, revision, !linearizable),
                 true,
-                message -> responses.add(EtcdMessages.range(message)),
+                message -> responses.add(EtcdMessages.decodeRangeResponse(message)),
                 (status, reason) -> {
                     if (status != GrpcConnection.OK || responses.size() != 1) {
                         callFailed(call, status, reason.isEmpty() ? "the read has no answer" : reason);
--- a/src/test/java/gatefront/cli/LedgerCommandTest.java
+++ b/src/test/java/gatefront/cli/LedgerCommandTest.java
@@ -48,9 +48,9 @@
     private String createLedger(String name, String instance, long requests) throws IOException {
         Path folder = dir.resolve(name);
         try (LedgerStore ledger = LedgerStore.open(new DirectoryDisk(folder), Store.Options.DEFAULTS, instance)) {
-            ledger.recordUse(
+            ledger.recordUsage(
                     7, Map.of(new Ledger.Cell(7, "mitla", "pago"), new UsageAmounts(requests, 8_000_000, 5, 6)));
-            ledger.recordUse(7, Map.of(new Ledger.Cell(7, "=1+1", "a,\"b\""), new UsageAmounts(1, 0, 0, 0)));
+            ledger.recordUsage(7, Map.of(new Ledger.Cell(7, "=1+1", "a,\"b\""), new UsageAmounts(1, 0, 0, 0)));
             ledger.closePeriod(7);
         }
         return folder.toString();
--- a/src/test/java/gatefront/ledger/ExportScheduleTest.java
+++ b/src/test/java/gatefront/ledger/ExportScheduleTest.java
@@ -7,7 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests what is sent after an invalid answer and after a timeout. */
+/** Tests what is sent after an invalid response and after a timeout. */
 class ExportScheduleTest {
     private final ExportSchedule export =
             new ExportSchedule(new ExportSchedule.Settings(5, 1_000, 100, 2_000, 500), 0, 1);
@@ -15,7 +15,7 @@
     @Test
     void answerAboveTheNumberOfCreatedEntriesCountsAsFailure() {
         assertEquals(new ExportSchedule.Batch(0, 3), export.nextBatch(0, 3));
-        assertFalse(export.onAnswer(10, 4, 3));
+        assertFalse(export.onResponse(10, 4, 3));
         assertEquals(0, export.acknowledged());
         assertEquals(1, export.failures());
         assertEquals(new ExportSchedule.Batch(0, 3), export.nextBatch(200, 3));
--- a/src/test/java/gatefront/registry/ConsulConnectorTest.java
+++ b/src/test/java/gatefront/registry/ConsulConnectorTest.java
@@ -44,19 +44,19 @@
     @Test
     void tokenIsSentAndReadsFailWithoutIt() throws Exception {
         put("nodos/a", "1");
-        members.forEach(each -> each.token("s3cret"));
+        members.forEach(member -> member.token("s3cret"));
         token = "s3cret";
         follow();
         assertSameAsStore();
-        members.forEach(each -> each.token("another"));
+        members.forEach(member -> member.token("another"));
         members.forEach(RegistryStandIn::closeConnections);
         put("nodos/a", "2");
         advance(3 * SECOND);
         assertEquals("1", knownValue("nodos/a"));
         assertTrue(
-                logLines.stream().anyMatch(each -> each.contains("answer 403, the token has no right to oaxaca/")),
+                logLines.stream().anyMatch(line -> line.contains("answer 403, the token has no right to oaxaca/")),
                 logLines.toString());
-        assertTrue(logLines.stream().noneMatch(each -> each.contains("s3cret")), "secrets are not logged");
+        assertTrue(logLines.stream().noneMatch(line -> line.contains("s3cret")), "secrets are not logged");
     }
 
     /** A check that turns critical changes no index of its instance; the change must still be reported. */
@@ -84,23 +84,23 @@
     void memberWithoutALeaderIsNotTrusted() throws Exception {
         put("nodos/a", "1");
         follow();
-        for (RegistryStandIn each : members) {
-            ((ConsulStandIn) each).leaderContact(false, 0);
+        for (RegistryStandIn member : members) {
+            ((ConsulStandIn) member).leaderContact(false, 0);
         }
         put("nodos/a", "2");
         advance(3 * SECOND);
         assertEquals("1", knownValue("nodos/a"));
-        for (RegistryStandIn each : members) {
+        for (RegistryStandIn member : members) {
             // Longer than the time after which entries are stale.
-            ((ConsulStandIn) each).leaderContact(true, 16_000);
+            ((ConsulStandIn) member).leaderContact(true, 16_000);
         }
         advance(3 * SECOND);
         assertEquals("1", knownValue("nodos/a"));
         ((ConsulStandIn) members.get(1)).leaderContact(true, 20);
         advance(5 * SECOND);
         assertSameAsStore();
-        assertTrue(logLines.stream().anyMatch(each -> each.contains("it knows no leader")), logLines.toString());
-        assertTrue(logLines.stream().anyMatch(each -> each.contains("not heard of its leader for 16000 ms")));
+        assertTrue(logLines.stream().anyMatch(line -> line.contains("it knows no leader")), logLines.toString());
+        assertTrue(logLines.stream().anyMatch(line -> line.contains("not heard of its leader for 16000 ms")));
     }
 
     /**
@@ -125,7 +125,7 @@
         advance(5 * SECOND);
         assertEquals("1", knownValue("nodos/a"));
         assertEquals(1, client.follower().entries().size());
-        assertTrue(logLines.stream().anyMatch(each -> each.contains("unusable answer")), logLines.toString());
+        assertTrue(logLines.stream().anyMatch(line -> line.contains("unusable answer")), logLines.toString());
     }
 
     /** Consul has one index for all keys of a prefix; without changes, one blocking query is open at a time. */
--- a/src/test/java/gatefront/registry/follower/FollowerModelTest.java
+++ b/src/test/java/gatefront/registry/follower/FollowerModelTest.java
@@ -35,7 +35,7 @@
         for (int seed = 0; seed < HISTORIES; seed++) {
             new World(seed, faultCounts, 0).runHistory();
         }
-        for (String each : List.of(
+        for (String fault : List.of(
                 "compacted",
                 "dropped",
                 "silent",
@@ -49,8 +49,8 @@
                 "not believed",
                 "deleted and made again")) {
             assertTrue(
-                    faultCounts.getOrDefault(each, 0) > 200,
-                    each + " was met " + faultCounts.get(each) + " times of " + faultCounts);
+                    faultCounts.getOrDefault(fault, 0) > 200,
+                    fault + " was met " + faultCounts.get(fault) + " times of " + faultCounts);
         }
     }
 
@@ -231,7 +231,7 @@
 
         private List<KeyEntry> entries(List<KeyValueStore.KeyValue> all) {
             return all.stream()
-                    .map(each -> new KeyEntry(each.key(), each.value(), each.createRevision(), each.modRevision()))
+                    .map(entry -> new KeyEntry(entry.key(), entry.value(), entry.createRevision(), entry.modRevision()))
                     .toList();
         }
 
@@ -336,13 +336,16 @@
             }
             sentRevision = visible.get(visible.size() - 1).revision();
             List<KeyChange> changes = visible.stream().map(World::change).toList();
-            int cut = random.nextInt(changes.size() + 1);
-            if (cut > 0 && cut < changes.size()) {
+            int fragmentEnd = random.nextInt(changes.size() + 1);
+            if (fragmentEnd > 0 && fragmentEnd < changes.size()) {
                 count("fragments");
-                deliver(() -> follower.changesReceived(now, call, changes.subList(0, cut), true));
+                deliver(() -> follower.changesReceived(now, call, changes.subList(0, fragmentEnd), true));
             }
             deliver(() -> follower.changesReceived(
-                    now, call, cut < changes.size() ? changes.subList(cut, changes.size()) : changes, false));
+                    now,
+                    call,
+                    fragmentEnd < changes.size() ? changes.subList(fragmentEnd, changes.size()) : changes,
+                    false));
         }
 
         @Override
@@ -353,7 +356,7 @@
                 long upTo = Math.max(sentRevision, store.revision() - (faultsEnded ? 0 : memberLag));
                 if (store.changesAfter(PREFIX, END, sentRevision) != null
                         && store.changesAfter(PREFIX, END, sentRevision).stream()
-                                .noneMatch(each -> each.revision() <= upTo)) {
+                                .noneMatch(change -> change.revision() <= upTo)) {
                     deliver(() -> follower.progressReceived(now, call, history, upTo));
                 }
             }
